--- /dev/null
+++ b/decide/step_bench_test.go
@@ -0,0 +1,95 @@
+package decide_test
+
+import (
+	"testing"
+
+	"peppervale/decide"
+	"peppervale/fleet"
+)
+
+const (
+	benchProxies  = 2000
+	benchReplicas = 200
+	benchZones    = 3
+)
+
+// benchHost carries nothing out; it keeps the newest number that is to be acknowledged.
+type benchHost struct {
+	number uint32
+	asked  bool
+}
+
+func (h *benchHost) Assign(fleet.TableID, fleet.ReplicaID, float64)               {}
+func (h *benchHost) Bind(fleet.ProxyID, fleet.TableID, uint16, []fleet.ReplicaID) {}
+func (h *benchHost) Withdraw(fleet.ReplicaID, bool)                               {}
+func (h *benchHost) Level(uint16, float64, fleet.Way)                             {}
+func (h *benchHost) Receipt(number uint32, _ bool)                                { h.number, h.asked = number, true }
+func (h *benchHost) Wake(fleet.Micros)                                            {}
+func (h *benchHost) Follow()                                                      {}
+func (h *benchHost) Log(string)                                                   {}
+
+// benchFleet is a fleet whose proxies acknowledge at once.
+type benchFleet struct {
+	host     benchHost
+	balancer *decide.Governor
+	now      fleet.Micros
+	entries  []fleet.Listing
+	beats    int
+}
+
+func newBenchFleet() *benchFleet {
+	f := &benchFleet{now: 100 * fleet.Second}
+	terms := tracedTerms()
+	terms.Proxies, terms.QueueMost = benchProxies, 1000*benchProxies
+	f.balancer = decide.New(terms, &f.host, f.now)
+	for n := range benchReplicas {
+		id := fleet.ReplicaID{Addr: [4]byte{10, 0, byte(n / 100), byte(n % 100)}, Port: 5000}
+		f.entries = append(f.entries, fleet.Listing{ID: id, Zone: n % benchZones, Life: fleet.Ready})
+	}
+	f.balancer.Listed(f.now, fleet.Cached, f.entries)
+	for p := range benchProxies {
+		f.balancer.Joined(f.now, fleet.ProxyID(p), p%benchZones, 5)
+	}
+	return f
+}
+
+// step is one beat with a load report for every replica and zone, the timer and Settle.
+func (f *benchFleet) step() {
+	f.beats++
+	f.now += fleet.Second
+	for n, e := range f.entries {
+		for zone := range benchZones {
+			latency := fleet.Micros(100+(n*7+f.beats+zone)%40) * fleet.Millisecond
+			f.balancer.Heard(f.now, fleet.Sum{Zone: zone, Replica: e.ID, Tries: 17, Latency: latency, Span: fleet.Second})
+		}
+	}
+	f.balancer.Rang(f.now)
+	f.balancer.Settle(f.now)
+}
+
+// acknowledge has every proxy answer the newest number.
+func (f *benchFleet) acknowledge() {
+	if !f.host.asked {
+		return
+	}
+	for p := range benchProxies {
+		f.balancer.Applied(f.now, fleet.ProxyID(p), f.host.number)
+	}
+	f.host.asked = false
+}
+
+// BenchmarkStepWithReports times one beat of a warm fleet in which every replica is reported by every zone.
+func BenchmarkStepWithReports(b *testing.B) {
+	f := newBenchFleet()
+	for range 40 {
+		f.step()
+		f.acknowledge()
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		f.step()
+		b.StopTimer()
+		f.acknowledge()
+		b.StartTimer()
+	}
+}
