--- /dev/null
+++ b/channel/golden_test.go
@@ -0,0 +1,64 @@
+package channel
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"peppervale/board"
+	"peppervale/fleet"
+	"peppervale/tablewire"
+)
+
+var update = flag.Bool("update", false, "write the golden messages in testdata anew")
+
+// TestObserverMessages compares what observers are sent, and what is stored of it, with the bytes that programs read today: its keys
+// must not change.
+func TestObserverMessages(t *testing.T) {
+	published := board.New(3, 6)
+	published.Join(7, "till-1")
+	published.Join(8, "till-2")
+	batch := &board.Batch{Receipt: -1, Orders: []board.Order{
+		{What: board.Assign, Table: 5, Replica: id(1), Weight: 0.25},
+		{What: board.Assign, Table: 5, Replica: id(2), Weight: 0.75},
+		{What: board.Bind, Proxy: 7, Table: 5},
+		{What: board.Withdraw, Replica: id(3), Out: true},
+		{What: board.Withdraw, Replica: id(4), Out: true},
+		{What: board.Withdraw, Replica: id(4), Out: false},
+		{What: board.SetLevel, Level: tablewire.Level{Operations: 3, Share: 0.5, Way: fleet.AnyFailure}},
+	}}
+	published.Apply(batch)
+	server := &Server{board: published}
+	checkMessage(t, "change.json", server.step(batch), &Step{})
+	checkMessage(t, "snapshot.json", server.picture(), &Picture{})
+}
+
+// checkMessage compares a message's JSON with a golden file, and what decoding that into empty gives with the message.
+func checkMessage(t *testing.T, name string, message, empty any) {
+	t.Helper()
+	got, err := json.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got = append(got, '\n')
+	file := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+	}
+	if err := json.Unmarshal(want, empty); err != nil || !reflect.DeepEqual(reflect.ValueOf(empty).Elem().Interface(), message) {
+		t.Errorf("%s: read back as %+v, %v; want %+v", file, empty, err, message)
+	}
+}
--- a/console/across/belief.go
+++ b/console/across/belief.go
@@ -51,26 +51,30 @@
 // read makes a belief of the three pages of a console: overview, replicas, forwarders.
 func read(overview, replicas, forwarders []byte) (*Belief, error) {
 	var first struct {
-		Governor string
-		Life     uint64
+		Governor string       `json:"governor"`
+		Life     uint64       `json:"life"`
 		At       fleet.Micros `json:"at_us"`
 		Channel  struct {
-			Version uint64
-			Queue   int `json:"queue_lines"`
-		}
+			Version uint64 `json:"version"`
+			Queue   int    `json:"queue_lines"`
+		} `json:"channel"`
 		Body struct {
-			Gate      string
+			Gate      string   `json:"gate"`
 			Waits     []string `json:"gate_waits_for"`
 			Joined    int      `json:"forwarders_joined"`
 			Bound     int      `json:"forwarders_bound"`
 			Ready     int      `json:"listed_ready"`
 			List      string   `json:"list_age"`
-			Stress    float64
-			QueueMost int `json:"queue_limit"`
-		}
+			Stress    float64  `json:"stress"`
+			QueueMost int      `json:"queue_limit"`
+		} `json:"body"`
+	}
+	var second struct {
+		Body []Replica `json:"body"`
+	}
+	var third struct {
+		Body []Forwarder `json:"body"`
 	}
-	var second struct{ Body []Replica }
-	var third struct{ Body []Forwarder }
 	for _, page := range []struct {
 		name string
 		text []byte
--- /dev/null
+++ b/console/golden_test.go
@@ -0,0 +1,134 @@
+package console
+
+import (
+	"bytes"
+	"flag"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"peppervale/channel"
+	"peppervale/decide"
+	"peppervale/fleet"
+	"peppervale/governor"
+	"peppervale/group"
+)
+
+var update = flag.Bool("update", false, "write the golden pages in testdata anew")
+
+// still is a source that always tells the same.
+type still struct{ view *governor.View }
+
+func (s still) View() *governor.View  { return s.view }
+func (s still) Watch() *governor.View { return s.view }
+
+func (s still) Stats() channel.Stats {
+	return channel.Stats{Forwarders: 1, Observers: 2, Connections: 3, Version: 4, Queue: 5, QueueMost: 6, Messages: 7, Lines: 8, Bytes: 9, Folds: 10,
+		Resyncs: 11, Faults: 12, Replaced: 13, Deferred: 14, Shed: 15, Storms: 16, Unsent: 17, PutOff: 18, Moved: 19, Fenced: 20}
+}
+
+func (s still) Causes(most int, match func(*governor.Cause) bool) (found []governor.Cause) {
+	for _, cause := range []governor.Cause{
+		{At: 97 * fleet.Second, Number: 3, Life: 21, Came: []string{"timer"}, Said: []string{"withdrew 10.0.0.1:81"}, Orders: []string{"table 6: 10.0.0.1:81 weighs 0.5"}, Cut: 22},
+		{At: 96 * fleet.Second, Number: 2, Life: 20, Came: []string{"joined till-1"}, Said: []string{"gate open"}, Orders: []string{"forwarder 7 on table 6"}, Cut: 23},
+	} {
+		if match(&cause) && len(found) < most {
+			found = append(found, cause)
+		}
+	}
+	return found
+}
+
+// stillView is a view with every field set.
+func stillView(open bool) *governor.View {
+	one, two := fleet.ReplicaID{Addr: [4]byte{10, 0, 0, 1}, Port: 81}, fleet.ReplicaID{Addr: [4]byte{10, 0, 0, 2}, Port: 82}
+	module := &decide.View{Open: open, Waits: []fleet.ReplicaID{two}, Stress: 0.31, Pace: 0.32, Colds: 0.33, Unacked: 34, Shares: []float64{0.35, 0.36}, Way: fleet.AnyFailure,
+		Replicas: []decide.ReplicaView{
+			{ID: one, Zone: 1, State: "resting", Out: true, Cold: true, OutAt: 91 * fleet.Second, HeardAt: 92 * fleet.Second, BusyAt: 93 * fleet.Second, Since: 94 * fleet.Second,
+				EasedAt: 95 * fleet.Second, Busy: 0.41, Pace: 0.42, Part: 0.43, Rate: 44, Errors: 0.45, Lines: 46, Rests: 47},
+			{ID: two, Zone: 0, State: "serving", HeardAt: 98 * fleet.Second, BusyAt: 99 * fleet.Second, Busy: 0.51, Pace: 0.52, Part: 0.53, Rate: 54, Errors: 0.55, Lines: 56, Rests: 57},
+		},
+		Tables:  []decide.TableView{{ID: 6, Zone: 1, Usual: 61, Users: 62, Lines: []decide.LineView{{Replica: one, Weight: 0.63}, {Replica: two, Weight: 0.64}}}},
+		Proxies: []decide.ProxyView{{ID: 7, Zone: 1, Usual: 71, Table: 6, Unacked: 72, Oldest: 90 * fleet.Second}},
+	}
+	look := &governor.Look{At: 99_500_000, Module: module,
+		Forwarders: map[fleet.ProxyID]governor.Forwarder{7: {Name: "till-1", Zone: 1, Rate: 73, Fresh: true, JoinedAt: 89 * fleet.Second}},
+		List: map[fleet.ReplicaID]fleet.Listing{one: {ID: one, Zone: 1, Life: fleet.Ready, Since: 94 * fleet.Second},
+			two: {ID: two, Zone: 0, Life: fleet.Draining, Since: 88 * fleet.Second}}}
+	return &governor.View{At: 99_600_000, GateOpen: open, Joined: 81, Ready: 82, Listed: 83, ListAt: 87 * fleet.Second, Steps: 84, WorstStep: 85, Waiting: 86, Folds: 87, Look: look}
+}
+
+// stillStatus is a group's status with every field set.
+func stillStatus() group.Status {
+	return group.Status{Member: "govan-1", Leader: "partick-1", Term: 4, Agreed: 5, Trouble: "no majority", SpanUs: 2_000_000, DriftUs: 30_000,
+		Members: []group.MemberStatus{{Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Limit: 100.5, Votes: true, Seems: true, Leaving: true, Struck: true, Life: 6, Parts: 7, Load: 8.5}},
+		Parts: []group.PartStatus{{Number: 9, Zone: "govan", Holder: "govan-1", Wanted: "partick-1", ByHand: true, Epoch: 10, Load: 11.5, Here: true, LeftUs: 1_200_000,
+			Why: "waits for partick-1"}},
+		Events: []group.Event{{At: 13, Leader: "partick-1", Part: 9, Epoch: 10, From: "partick-1", To: "govan-1", Planned: true, Why: "its member leaves"},
+			{At: 14, Leader: "govan-1", Part: 15, Epoch: 16, From: "govan-1", To: "partick-1", Planned: true, Why: "evener"}}}
+}
+
+// publishedBefore is the state that the life before published, as it is stored.
+const publishedBefore = `{"kind":"snapshot","life":24,"version":25,"tables":{"6":[{"replica":"10.0.0.1:81","weight":0.26}]},"withdrawn":["10.0.0.2:82"],` +
+	`"levels":[{"operations":3,"share":0.27,"way":2}],"forwarders":{"till-1":"6","till-2":""}}`
+
+// TestPagesAsJSON compares each page's JSON with the bytes that programs read today: its keys must not change.
+func TestPagesAsJSON(t *testing.T) {
+	about := About{Name: "govan-1", Life: 26, Zones: []string{"govan", "partick"}, Operations: []string{"recipe-read", "recipe-write"}, QueueMost: 100,
+		Now: func() fleet.Micros { return 100 * fleet.Second }, Settings: func() [][2]string { return [][2]string{{"listen", "127.0.0.1:7700"}} },
+		Before: []byte(publishedBefore), Group: stillStatus}
+	open, shut := &Server{about: about, from: still{stillView(true)}}, &Server{about: about, from: still{stillView(false)}}
+	about.Group, about.Before = nil, nil
+	alone := &Server{about: about, from: still{stillView(true)}}
+	for _, c := range []struct {
+		file   string
+		server *Server
+		path   string
+	}{
+		{"overview.json", shut, "/"},
+		{"overview_open.json", open, "/"},
+		{"zones.json", open, "/zones"},
+		{"replicas.json", open, "/replicas"},
+		{"replica.json", open, "/replicas/10.0.0.1:81"},
+		{"forwarders.json", open, "/forwarders"},
+		{"forwarder.json", open, "/forwarders/till-1"},
+		{"tables.json", open, "/tables"},
+		{"table.json", open, "/tables/6"},
+		{"orders.json", open, "/orders"},
+		{"orders_about.json", open, "/orders?about=gate"},
+		{"settings.json", open, "/settings"},
+		{"before.json", open, "/before"},
+		{"before_unknown.json", alone, "/before"},
+		{"group.json", open, "/group"},
+		{"group_alone.json", alone, "/group"},
+	} {
+		t.Run(c.file, func(t *testing.T) {
+			request := httptest.NewRequest(http.MethodGet, c.path, nil)
+			request.Header.Set("Accept", "application/json")
+			answer := httptest.NewRecorder()
+			c.server.serve(answer, request)
+			if answer.Code != http.StatusOK || answer.Header().Get("Content-Type") != "application/json" {
+				t.Fatalf("%s: %d %s", c.path, answer.Code, answer.Body)
+			}
+			checkGolden(t, filepath.Join("testdata", c.file), answer.Body.Bytes())
+		})
+	}
+}
+
+func checkGolden(t *testing.T, file string, got []byte) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+	}
+}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -12,10 +12,11 @@
 	Second             = 1000 * Millisecond
 )
 
-// ReplicaID is a replica's address and port as the list gives them; it is returned untouched.
+// ReplicaID is a replica's address and port as the list gives them; it is returned untouched. It is stored as JSON within
+// Listing; its tags are names in stored data and must not change.
 type ReplicaID struct {
-	Addr [4]byte
-	Port uint16
+	Addr [4]byte `json:"Addr"`
+	Port uint16  `json:"Port"`
 }
 
 // ProxyID and TableID are numbers that stand on the wire.
@@ -73,12 +74,12 @@
 	Draining
 )
 
-// Listing is one entry of the list.
+// Listing is one entry of the list. It is stored as JSON; its tags are names in stored data and must not change.
 type Listing struct {
-	ID    ReplicaID
-	Zone  int
-	Life  Life
-	Since Micros // when it last started; 0: long ago
+	ID    ReplicaID `json:"ID"`
+	Zone  int       `json:"Zone"`
+	Life  Life      `json:"Life"`
+	Since Micros    `json:"Since"` // when it last started; 0: long ago
 }
 
 // Scope says what kind of news from the list this is.
--- a/governor/causes.go
+++ b/governor/causes.go
@@ -12,15 +12,16 @@
 )
 
 // Cause is one step that ordered something or changed what is believed: what came in, what the module said of it,
-// and what it ordered. Together they answer why a forwarder has no line to a replica.
+// and what it ordered. Together they answer why a forwarder has no line to a replica. It is stored as JSON; its tags are
+// names in stored data and must not change.
 type Cause struct {
-	At     fleet.Micros
-	Number uint64   // of the steps that are kept, from 1
-	Life   uint64   `json:",omitempty"` // of an earlier one that took the step; 0: this one
-	Came   []string // inputs of the step: joins, leaves, the list, the timer, sums and receipts counted
-	Said   []string // the module's own words: which replica moved to which state on which input
-	Orders []string
-	Cut    int // orders beyond those kept
+	At     fleet.Micros `json:"At"`
+	Number uint64       `json:"Number"`         // of the steps that are kept, from 1
+	Life   uint64       `json:"Life,omitempty"` // of an earlier one that took the step; 0: this one
+	Came   []string     `json:"Came"`           // inputs of the step: joins, leaves, the list, the timer, sums and receipts counted
+	Said   []string     `json:"Said"`           // the module's own words: which replica moved to which state on which input
+	Orders []string     `json:"Orders"`
+	Cut    int          `json:"Cut"` // orders beyond those kept
 }
 
 // Names tells whether a word stands in any part of a cause.
--- a/group/register.go
+++ b/group/register.go
@@ -96,15 +96,17 @@
 	Empty  bool   // held, and none of its forwarders is joined
 }
 
-// Event is an entry of the time line: a grant to another holder than before, or to another life of it.
+// Event is an entry of the time line: a grant to another holder than before, or to another life of it. Status tells it as
+// JSON; its tags are names that others read and must not change.
 type Event struct {
-	At       fleet.Micros // the leader's clock
-	Leader   string
-	Part     int
-	Epoch    uint64
-	From, To string
-	Planned  bool // the one before had released it
-	Why      string
+	At      fleet.Micros `json:"At"` // the leader's clock
+	Leader  string       `json:"Leader"`
+	Part    int          `json:"Part"`
+	Epoch   uint64       `json:"Epoch"`
+	From    string       `json:"From"`
+	To      string       `json:"To"`
+	Planned bool         `json:"Planned"` // the one before had released it
+	Why     string       `json:"Why"`
 }
 
 // eventsMost bounds the time line: some screens of it, and a snapshot of some ten kilobytes.
--- a/store/first.go
+++ b/store/first.go
@@ -18,10 +18,12 @@
 
 // readFirstForm gives what a folder of the first layout holds, nil if it is none.
 func readFirstForm(dir string) *content {
-	var life struct{ Life uint64 }
+	var life struct {
+		Life uint64 `json:"life"`
+	}
 	var list struct {
-		Life    uint64
-		Entries json.RawMessage
+		Life    uint64          `json:"life"`
+		Entries json.RawMessage `json:"entries"`
 	}
 	noLife, noList := readFirst(dir, "life", &life), readFirst(dir, "list", &list)
 	if errors.Is(noLife, os.ErrNotExist) && errors.Is(noList, os.ErrNotExist) {
