--- /dev/null
+++ b/cmd/peppervale/testdata/faulty/day-like.hcl
@@ -0,0 +1,3 @@
+like = "nowhere.hcl"
+day "a" {
+}
--- a/listwire/listwire.go
+++ b/listwire/listwire.go
@@ -16,26 +16,32 @@
 
 // Entry is what is read and written of one entry of /v1/health/service/NAME.
 type Entry struct {
-	Node    Node
-	Service Service
-	Checks  []Check
+	Node    Node    `json:"Node"`
+	Service Service `json:"Service"`
+	Checks  []Check `json:"Checks"`
 }
 
 // Node is the machine of an entry.
 type Node struct {
-	Node, Address string
+	Node    string `json:"Node"`
+	Address string `json:"Address"`
 }
 
 // Service is the process of an entry.
 type Service struct {
-	ID, Service, Address string
-	Port                 int
-	Meta                 map[string]string
+	ID      string            `json:"ID"`
+	Service string            `json:"Service"`
+	Address string            `json:"Address"`
+	Port    int               `json:"Port"`
+	Meta    map[string]string `json:"Meta"`
 }
 
 // Check is one health check of an entry.
 type Check struct {
-	Node, CheckID, Name, Status string
+	Node    string `json:"Node"`
+	CheckID string `json:"CheckID"`
+	Name    string `json:"Name"`
+	Status  string `json:"Status"`
 }
 
 // entriesMost bounds a list; a deployment of 2,000 replicas fits five times.
--- /dev/null
+++ b/platformwire/golden_test.go
@@ -0,0 +1,139 @@
+package platformwire
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"math"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"peppervale/fleet"
+	"peppervale/resp"
+)
+
+// pinned gives the bytes of a golden file.
+func pinned(t *testing.T, name string) []byte {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// samePinned fails unless the bytes are those of the golden file.
+func samePinned(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := pinned(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
+	}
+}
+
+// samePinnedErrors compares error texts, a line each in the order of their names, with the golden file.
+// What package json says of Go's own types, which nobody but a log is told, is left out.
+func samePinnedErrors(t *testing.T, name string, errs map[string]error) {
+	t.Helper()
+	var text strings.Builder
+	for _, key := range slices.Sorted(maps.Keys(errs)) {
+		if errs[key] == nil {
+			t.Errorf("%s is taken", key)
+		}
+		told, _, _ := strings.Cut(fmt.Sprint(errs[key]), " into Go ")
+		fmt.Fprintf(&text, "%s: %s\n", key, told)
+	}
+	samePinned(t, name, []byte(text.String()))
+}
+
+// goldenMessages is a message of each kind that a governor reads, by its golden file.
+var goldenMessages = map[string]Message{
+	"ping.resp":      {Kind: Ping},
+	"collector.resp": {Kind: Collector, Site: "govan"},
+	"joined.resp":    {Kind: Joined, Proxy: math.MaxUint16, Site: "govan", Rate: 21.5, Fresh: true},
+	"applied.resp":   {Kind: Applied, Proxy: 17, Ticket: math.MaxUint16},
+	"heard.resp": {Kind: Heard, Site: "govan", Target: "s-5be2a07c", Tries: triesMost, Errors: 3, Mean: 41_700,
+		Over: spanMost, Load: []Reading{{"inflight", 7}, {"util", 0.61}}},
+	"usage.resp": {Kind: Usage, Proxy: 17, Lane: "lookup", Tries: 19, Errors: 2, Over: 1_000_500},
+}
+
+func TestGoldenMessages(t *testing.T) {
+	for file, want := range goldenMessages {
+		values, err := read(t, pinned(t, file), Limits)
+		if err != nil || len(values) != 1 {
+			t.Fatalf("%s: %d values, %v", file, len(values), err)
+		}
+		if got, err := Parse(values[0]); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read as %+v, %v", file, got, err)
+		}
+	}
+}
+
+func TestGoldenAnswers(t *testing.T) {
+	samePinned(t, "pong.resp", AppendPong(nil))
+	samePinned(t, "refused.resp", AppendRefused(nil, "a reason longer than the forty bytes that are told"))
+}
+
+// goldenUpdate has every field set.
+var goldenUpdate = Update{
+	Whole: true, Lines: []Line{{"s-1", 0.123456789}, {"s-2", 1e-9}, {"s-3", 0}, {"s-4", 1e9}},
+	Parts: []Part{
+		{Operations: []string{"read", "log"}, Whole: true, Lines: []Line{{"s-5", 1.5}}},
+		{Operations: []string{"read"}, Lines: []Line{{"s-6", 2}}},
+	},
+	Levels: []Level{{"read", 0.25, fleet.WhenUnrun}, {"log", 1, fleet.AnyFailure}, {"", 2, fleet.TwoMore}},
+	Out:    []string{"s-7", "s-8"}, Back: []string{"s-9"}, Ticket: 905,
+}
+
+func TestGoldenUpdates(t *testing.T) {
+	for file, update := range map[string]Update{"update.resp": goldenUpdate, "empty-update.resp": {Ticket: -1}} {
+		got, err := update.Append(nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		samePinned(t, file, got)
+	}
+}
+
+func TestGoldenList(t *testing.T) {
+	want := &List{Version: math.MaxUint64, Whole: true, Skipped: 1, Entries: []Entry{
+		{Host: "s-1", Site: "govan", Life: fleet.Draining, Since: 1_796_152_905_047_500},
+		{Host: "s-2", Site: "partick", Life: fleet.Ready, Since: 1000},
+		{Host: "s-3", Site: "govan", Life: fleet.Gone},
+	}}
+	if got, err := ParseList(pinned(t, "list.json")); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %+v, %v", got, err)
+	}
+}
+
+func TestGoldenErrorsOfMessages(t *testing.T) {
+	errs := map[string]error{}
+	for _, line := range []string{
+		"collector", "joined id 17 site a rps 21.5", "joined id 70000 site a rps 1 new 1", "joined id 1 site a rps inf new 1",
+		"joined id 1 site a rps 1 new 2", "joined id 1 id 2 site a rps 1 new 1", "joined id 1 site a rps 1 new 1 x",
+		"applied id 17 seq 65536 ms 1", "applied id 17 seq 5 ms x", "heard site a target s count 2 fail 3 mean 1 over 1",
+		"heard site a target s count 2 fail 0 mean 1 over 0", "heard site a target s count 2 fail 0 mean 1 over 1 util x:-1",
+		"heard site a target s count 2 fail 0 mean 1e300 over 1", "usage id 17 lane a count x fail 0 over 1",
+		"heard site a target s count 2 fail 0 mean 1 over 1 util " + strings.Repeat("x:1,", 16) + "x:1", "update whole 1",
+	} {
+		_, errs[line] = message(t, line)
+	}
+	_, errs["(no array)"] = Parse(resp.Value{Kind: resp.Number})
+	_, errs["(no bulk string)"] = Parse(resp.Value{Kind: resp.Array, Items: []resp.Value{{Kind: resp.Number}}})
+	_, errs["(an update too large)"] = (&Update{Lines: make([]Line, lineMost+1)}).Append(nil)
+	samePinnedErrors(t, "message-errors.txt", errs)
+}
+
+func TestGoldenErrorsOfLists(t *testing.T) {
+	errs := map[string]error{}
+	for _, text := range []string{"", "[]", "{}", `{"seq":-1}`, `{"seq":1,"hosts":3}`, `{"seq":1,"whole":1}`,
+		`{"seq":1,"hosts":[{"host":1}]}`, `{"seq":1,"hosts":[{"site":1}]}`, `{"seq":1,"hosts":[{"health":1}]}`,
+		`{"seq":1,"hosts":[{"born_ms":"x"}]}`} {
+		_, errs[text] = ParseList([]byte(text))
+	}
+	_, errs["(too many)"] = ParseList([]byte(`{"seq":1,"hosts":[` + strings.Repeat("{},", entriesMost) + `{}]}`))
+	samePinnedErrors(t, "list-errors.txt", errs)
+}
--- a/platformwire/list.go
+++ b/platformwire/list.go
@@ -37,8 +37,11 @@
 		Seq   *uint64 `json:"seq"`
 		Whole bool    `json:"whole"`
 		Hosts []struct {
-			Host, Site, Health string
-			Born               float64 `json:"born_ms"`
+			// Keys are matched without regard to case; the upper case is what a decoding error shows.
+			Host   string  `json:"Host"`
+			Site   string  `json:"Site"`
+			Health string  `json:"Health"`
+			Born   float64 `json:"born_ms"`
 		} `json:"hosts"`
 	}
 	if err := json.Unmarshal(text, &o); err != nil {
--- /dev/null
+++ b/simwire/golden_test.go
@@ -0,0 +1,250 @@
+package simwire
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"maps"
+	"math"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"peppervale/fleet"
+)
+
+// pinned gives the bytes of a golden file.
+func pinned(t *testing.T, name string) []byte {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// samePinned fails unless the bytes are those of the golden file.
+func samePinned(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := pinned(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
+	}
+}
+
+// samePinnedErrors compares error texts, a line each in the order of their names, with the golden file.
+func samePinnedErrors(t *testing.T, name string, errs map[string]error) {
+	t.Helper()
+	var text strings.Builder
+	for _, key := range slices.Sorted(maps.Keys(errs)) {
+		if errs[key] == nil {
+			t.Errorf("%s is taken", key)
+		}
+		fmt.Fprintf(&text, "%s: %v\n", key, errs[key])
+	}
+	samePinned(t, name, []byte(text.String()))
+}
+
+// hexText shows bytes as lines of hexadecimal digits, a record of 24 bytes each.
+func hexText(b []byte) []byte {
+	var text strings.Builder
+	for part := range slices.Chunk(b, orderSize) {
+		fmt.Fprintf(&text, "%x\n", part)
+	}
+	return []byte(text.String())
+}
+
+func fromHex(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := hex.DecodeString(strings.ReplaceAll(string(pinned(t, name)), "\n", ""))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func replicaID(n byte) fleet.ReplicaID {
+	return fleet.ReplicaID{Addr: [4]byte{10, 1, 2, n}, Port: 5000 + uint16(n)}
+}
+
+// goldenBatch reads the golden frame: a record of each code, with a start text and two list entries in its tail.
+func goldenBatch(t *testing.T) []Event {
+	t.Helper()
+	batch, err := read(fromHex(t, "batch.hex"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if batch.Clock != 1_234_567 || batch.Number != 0xfedcba98 {
+		t.Errorf("clock %d, number %d", batch.Clock, batch.Number)
+	}
+	events := batch.Events()
+	codes := make([]byte, 0, len(events))
+	for _, event := range events {
+		codes = append(codes, event.Code())
+	}
+	if want := []byte{3, 7, 8, 13, 6, 14, 12, 9, 2}; !bytes.Equal(codes, want) {
+		t.Fatalf("codes %v, want %v", codes, want)
+	}
+	return events
+}
+
+func TestGoldenEvents(t *testing.T) {
+	events := goldenBatch(t)
+	seed, text, err := events[0].Hello()
+	if seed != 0xfe429af2f6dae94c || string(text) != `{"zones":["a"]}` || err != nil {
+		t.Errorf("hello: %x, %q, %v", seed, text, err)
+	}
+	scope, entries, err := events[1].RosterChange()
+	want := []fleet.Listing{{ID: replicaID(1), Zone: 258, Life: fleet.Ready, Since: 1_500_250},
+		{ID: replicaID(2), Zone: 3, Life: fleet.Draining, Since: 7_000}}
+	if scope != fleet.Change || !reflect.DeepEqual(entries, want) || err != nil {
+		t.Errorf("list: %v, %+v, %v", scope, entries, err)
+	}
+	if proxy, number := events[2].TookEffect(); proxy != 65534 || number != 0x01020304 {
+		t.Errorf("took effect: %d, %d", proxy, number)
+	}
+	if proxy, zone, usual := events[3].DialledIn(); proxy != 513 || zone != 4 || usual != 21.5 {
+		t.Errorf("dialled in: %d, %d, %v", proxy, zone, usual)
+	}
+	sum := fleet.Sum{Zone: 2, Replica: replicaID(3), Tries: 1 << 31, Errored: 70_000, Latency: 12_500, Span: fleet.Second,
+		Report: []float64{0.5, 0.25, 7, 1}}
+	if got := events[4].Roundup(); !reflect.DeepEqual(got, sum) {
+		t.Errorf("sum: %+v", got)
+	}
+	if left, target := events[5].Left(), events[8].Target(); left != 772 || target != 9 {
+		t.Errorf("left %d, target %d", left, target)
+	}
+}
+
+// goldenEvent pads a record.
+func goldenEvent(code byte, fields ...any) []byte {
+	record := []byte{code}
+	for _, field := range fields {
+		record, _ = binary.Append(record, binary.LittleEndian, field)
+	}
+	return append(record, make([]byte, eventSize-len(record))...)
+}
+
+func listEntry(id fleet.ReplicaID, zone uint16, life byte, since float64) []byte {
+	entry, _ := binary.Append(id.Addr[:], binary.LittleEndian, []uint16{id.Port, zone})
+	entry = append(entry, 0, 0, 0, life, 0, 0, 0, 0)
+	return binary.LittleEndian.AppendUint64(entry, math.Float64bits(since))
+}
+
+// TestGoldenFrame builds the golden frame from its values, so that the file can be read by its source.
+func TestGoldenFrame(t *testing.T) {
+	hello := `{"zones":["a"]}`
+	tail := append([]byte(hello), listEntry(replicaID(1), 258, 1, 1500.25)...)
+	tail = append(tail, listEntry(replicaID(2), 3, 2, 7)...)
+	address := []byte{10, 1, 2, 3, 0x8b, 0x13}
+	records := slices.Concat(
+		goldenEvent(3, uint64(0xfe429af2f6dae94c), uint32(0), uint32(len(hello))),
+		goldenEvent(7, byte(1), uint32(0), uint32(len(hello)), uint32(2)),
+		goldenEvent(8, uint16(65534), uint32(0x01020304)),
+		goldenEvent(13, uint16(4), byte(0), float32(21.5), uint16(513)),
+		goldenEvent(6, uint16(2), address, uint32(1<<31), uint32(70_000), 12.5, 1000.0, byte(4), []float32{0.5, 0.25, 7, 1}),
+		goldenEvent(14, uint16(772)), goldenEvent(12), goldenEvent(9), goldenEvent(2, uint16(9)))
+	head, _ := binary.Append(nil, binary.LittleEndian, []uint32{9, uint32(12 + len(records) + len(tail))})
+	head = binary.LittleEndian.AppendUint64(head, math.Float64bits(1234.567))
+	head = binary.LittleEndian.AppendUint32(head, 0xfedcba98)
+	samePinned(t, "batch.hex", hexText(slices.Concat(head, records, tail)))
+}
+
+// TestGoldenReply writes each order once, some of them appended from another reply.
+func TestGoldenReply(t *testing.T) {
+	first, second := &Reply{}, &Reply{}
+	first.Log("first")
+	first.Assign(65534, replicaID(1), 0.1+0.2)
+	first.Bind(258, 3, 6, []fleet.ReplicaID{replicaID(9)})
+	first.Withdraw(replicaID(2), true)
+	first.Withdraw(replicaID(3), false)
+	first.Level(5, math.MaxFloat32, fleet.TwoMore)
+	second.Receipt(0x01020304, true)
+	second.Receipt(7, false)
+	second.Wake(1_234_567)
+	second.Follow()
+	second.OnBehalf(772)
+	second.Exception("a cause")
+	first.Append(second)
+	samePinned(t, "reply.hex", hexText(first.Frame(0xfedcba98)))
+}
+
+func TestGoldenErrorsOfFrames(t *testing.T) {
+	bell := frame(nil, []byte{CodeBell})
+	readError := func(b []byte) error {
+		_, err := read(b)
+		return err
+	}
+	listError := func(record []byte) error {
+		batch, err := read(frame(nil, record))
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, _, err = batch.Events()[0].RosterChange()
+		return err
+	}
+	samePinnedErrors(t, "frame-errors.txt", map[string]error{
+		"end":              readError(nil),
+		"header cut":       readError(bell[:7]),
+		"body cut":         readError(bell[:len(bell)-1]),
+		"too many records": readError(append([]byte{9, 0, 0, 0}, bell[4:]...)),
+		"scope":            listError([]byte{CodeRosterChange, 4}),
+		"offset":           listError([]byte{CodeRosterChange, 0, 0, 0, 0, 0, 5, 0, 0, 0, 1}),
+	})
+}
+
+// goldenTerms is what the golden settings mean.
+var goldenTerms = fleet.Terms{
+	Seed: 0xfe429af2f6dae94c, Zones: 2, Subscribe: true, Admits: true, AdmitAll: 1, Avoids: true, StandingSize: 7,
+	Operations: []fleet.Operation{{Objective: 500_500, Value: 2.5}, {Objective: 750_000, Value: 3}}, Period: 1_000_250,
+	Overhead: 7, QueueMost: 6400, MessagesMost: 12, MessagesSpan: 10_000_000, CrossPrice: 0.08, PushPrice: 0.02,
+	BusyField: 1, Cold: 17_000_000, Proxies: 60, ConnsLeast: 160, OwnZone: 2,
+}
+
+func TestGoldenTerms(t *testing.T) {
+	got, err := Terms(0xfe429af2f6dae94c, pinned(t, "settings.json"))
+	if err != nil || !reflect.DeepEqual(got, goldenTerms) {
+		t.Errorf("read as %+v, %v", got, err)
+	}
+}
+
+// goldenSlips are edits of the golden settings, each with one error.
+var goldenSlips = map[string][2]string{
+	"no object":           {"{", "["},
+	"another type":        {`"period": 1000.25`, `"period": "x"`},
+	"no classes":          {`"classes"`, `"lasses"`},
+	"no zones":            {`["a", "b"]`, "[]"},
+	"slices":              {`"slices": 0`, `"slices": 4`},
+	"own zones":           {"[false, true]", "[false, true, true]"},
+	"period":              {`"period": 1000.25`, `"period": 0`},
+	"no span":             {`"reload_span": 10000`, `"reload_span": 0`},
+	"cold":                {`"cold": 17000`, `"cold": -1`},
+	"pending_max":         {`"pending_max": 6400`, `"pending_max": 1e10`},
+	"extra.period":        {`"period": 1000.25`, `"period": 1e10`},
+	"reload_span":         {`"reload_span": 10000`, `"reload_span": 1e10`},
+	"overhead":            {`"overhead": 6.5`, `"overhead": 1e10`},
+	"push_price":          {`"push_price": 0.02`, `"push_price": -1`},
+	"smallest_conn_table": {`"smallest_conn_table": 160`, `"smallest_conn_table": -1`},
+	"guarantees.cold":     {`"cold": 17000`, `"cold": 1e10`},
+	"cross_zone":          {`"cross_zone": 0.08`, `"cross_zone": 1e10`},
+	"proxies":             {`"proxies": 60`, `"proxies": -1`},
+	"default_size":        {`"default_size": 7`, `"default_size": -1`},
+	"reloads_max":         {`"reloads_max": 12`, `"reloads_max": -1`},
+	"on_time":             {`"on_time": 500.5`, `"on_time": 0`},
+	"credit":              {`"credit": 3`, `"credit": -1`},
+}
+
+func TestGoldenErrorsOfTerms(t *testing.T) {
+	settings, errs := string(pinned(t, "settings.json")), map[string]error{}
+	for name, edit := range goldenSlips {
+		text := strings.Replace(settings, edit[0], edit[1], 1)
+		if text == settings {
+			t.Fatalf("%s: nothing to edit", name)
+		}
+		_, errs[name] = Terms(1, []byte(text))
+	}
+	samePinnedErrors(t, "terms-errors.txt", errs)
+}
--- a/site/platform.go
+++ b/site/platform.go
@@ -48,14 +48,18 @@
 }
 
 func readPlatform(text []byte) (*Platform, error) {
+	// Keys are matched without regard to case; the upper case is what a decoding error shows.
 	var o struct {
-		Name, Listen, Discovery, Seed string
-		Limits                        struct {
+		Name      string `json:"Name"`
+		Listen    string `json:"Listen"`
+		Discovery string `json:"Discovery"`
+		Seed      string `json:"Seed"`
+		Limits    struct {
 			Memory  float64 `json:"memory_mb"`
-			Sockets int
-		}
-		Known    json.RawMessage
-		Settings json.RawMessage
+			Sockets int     `json:"Sockets"`
+		} `json:"Limits"`
+		Known    json.RawMessage `json:"Known"`
+		Settings json.RawMessage `json:"Settings"`
 	}
 	if err := json.Unmarshal(text, &o); err != nil {
 		return nil, err
@@ -77,12 +81,16 @@
 		return nil, err
 	}
 	var names struct {
-		Zones   []string
-		Classes []struct{ Name string }
-		Stats   struct{ Fields []string }
-		Extra   struct {
+		Zones   []string `json:"Zones"`
+		Classes []struct {
+			Name string `json:"Name"`
+		} `json:"Classes"`
+		Stats struct {
+			Fields []string `json:"Fields"`
+		} `json:"Stats"`
+		Extra struct {
 			Carries float64 `json:"push_delay_max"`
-		}
+		} `json:"Extra"`
 	}
 	if err := json.Unmarshal(o.Settings, &names); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
