--- a/assign/assign.go
+++ b/assign/assign.go
@@ -58,9 +58,10 @@
 
 // Move says who should hold a part from now on, and why.
 type Move struct {
-	Part     int
-	From, To string
-	Why      string
+	Part int    `cbor:"Part"`
+	From string `cbor:"From"`
+	To   string `cbor:"To"`
+	Why  string `cbor:"Why"`
 }
 
 // Mover remembers when it last moved a part from or to a member, and from whom it was moved as nobody reached that one. The zero Mover has
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -14,8 +14,8 @@
 
 // ReplicaID is a replica's address and port as the list gives them; it is returned untouched.
 type ReplicaID struct {
-	Addr [4]byte
-	Port uint16
+	Addr [4]byte `cbor:"Addr"`
+	Port uint16  `cbor:"Port"`
 }
 
 // ProxyID and TableID are numbers that stand on the wire.
@@ -93,13 +93,13 @@
 
 // Sum is what the joined proxies of a zone met at a replica over a span.
 type Sum struct {
-	Zone    int
-	Replica ReplicaID
-	Tries   int
-	Errored int
-	Latency Micros // mean of the good ones; 0 if none
-	Span    Micros
-	Report  []float64 // the replica's newest load report; empty if none came
+	Zone    int       `cbor:"Zone"`
+	Replica ReplicaID `cbor:"Replica"`
+	Tries   int       `cbor:"Tries"`
+	Errored int       `cbor:"Errored"`
+	Latency Micros    `cbor:"Latency"` // mean of the good ones; 0 if none
+	Span    Micros    `cbor:"Span"`
+	Report  []float64 `cbor:"Report"` // the replica's newest load report; empty if none came
 }
 
 // Host carries out a governor's orders. All orders given between two calls of Governor.Settle leave as one
--- a/group/group_test.go
+++ b/group/group_test.go
@@ -96,6 +96,15 @@
 }
 
 func newParish(t *testing.T, n int) *parish {
+	p := layParish(t, n)
+	for k := range n {
+		p.start(k)
+	}
+	return p
+}
+
+// layParish is a group of which no member is started yet.
+func layParish(t *testing.T, n int) *parish {
 	start := time.Now()
 	p := &parish{t: t, links: &links{cut: map[[2]string]bool{}}, hands: &hands{t: t, holds: map[int]string{}, epoch: map[int]uint64{}},
 		now: func() fleet.Micros { return fleet.Second + fleet.Micros(time.Since(start)/time.Microsecond) }}
@@ -117,9 +126,6 @@
 			return nil
 		}
 	}
-	for k := range n {
-		p.start(k)
-	}
 	t.Cleanup(func() {
 		var wait sync.WaitGroup
 		for k := range p.up {
--- a/group/hand.go
+++ b/group/hand.go
@@ -12,11 +12,11 @@
 // Handover is what a holder tells the next one of parts that it gives away: what it has learnt and not what is to be done. An unplanned
 // takeover has none.
 type Handover struct {
-	From           string
-	Parts          []int
-	Sums           []fleet.Sum // the newest of each replica and zone
-	Withdrawn      []string    // replicas, by address
-	Unacknowledged int         // lines that forwarders have not acknowledged
+	From           string      `cbor:"From"`
+	Parts          []int       `cbor:"Parts"`
+	Sums           []fleet.Sum `cbor:"Sums"`           // the newest of each replica and zone
+	Withdrawn      []string    `cbor:"Withdrawn"`      // replicas, by address
+	Unacknowledged int         `cbor:"Unacknowledged"` // lines that forwarders have not acknowledged
 }
 
 // handMost bounds a handover, in sums: a list of 2,000 replicas in eight zones.
--- a/group/register.go
+++ b/group/register.go
@@ -30,81 +30,85 @@
 
 // Command is an entry of the agreed log.
 type Command struct {
-	Form   uint8
-	Kind   Kind
-	At     fleet.Micros // the leader's clock; it stamps each
-	Fresh  fleet.Micros // Enrol, Renew: the stamp of this term that the member has carried out last
-	Member string
-	Life   uint64
-	Record *Record                 `cbor:",omitempty"`
-	Asks   []PartAsk               `cbor:",omitempty"`
-	Strays []Stray                 `cbor:",omitempty"` // Renew: forwarders that ask this member over and over for parts of others
-	Moves  []assign.Move           `cbor:",omitempty"`
-	Seen   []PartSeen              `cbor:",omitempty"` // Lead: of each part, by its number
-	Heard  map[string]fleet.Micros `cbor:",omitempty"` // Lead: how long ago members renewed
-	ByHand bool
-	On     bool
+	Form   uint8                   `cbor:"Form"`
+	Kind   Kind                    `cbor:"Kind"`
+	At     fleet.Micros            `cbor:"At"`    // the leader's clock; it stamps each
+	Fresh  fleet.Micros            `cbor:"Fresh"` // Enrol, Renew: the stamp of this term that the member has carried out last
+	Member string                  `cbor:"Member"`
+	Life   uint64                  `cbor:"Life"`
+	Record *Record                 `cbor:"Record,omitempty"`
+	Asks   []PartAsk               `cbor:"Asks,omitempty"`
+	Strays []Stray                 `cbor:"Strays,omitempty"` // Renew: forwarders that ask this member over and over for parts of others
+	Moves  []assign.Move           `cbor:"Moves,omitempty"`
+	Seen   []PartSeen              `cbor:"Seen,omitempty"`  // Lead: of each part, by its number
+	Heard  map[string]fleet.Micros `cbor:"Heard,omitempty"` // Lead: how long ago members renewed
+	ByHand bool                    `cbor:"ByHand"`
+	On     bool                    `cbor:"On"`
 }
 
 // PartAsk is one part of a Renew or Release.
 type PartAsk struct {
-	Part   int
-	Number uint32
-	Load   float64 // Renew: what its joined forwarders told, invocations a second; below 0: none is joined
+	Part   int     `cbor:"Part"`
+	Number uint32  `cbor:"Number"`
+	Load   float64 `cbor:"Load"` // Renew: what its joined forwarders told, invocations a second; below 0: none is joined
 }
 
 // Stray is how many forwarders of a part go on asking a member that does not hold it.
-type Stray struct{ Part, Forwarders int }
+type Stray struct {
+	Part       int `cbor:"Part"`
+	Forwarders int `cbor:"Forwarders"`
+}
 
 // PartSeen is what a new leader has seen of a part before it led: the newest renewal, and how long ago by its own clock.
 type PartSeen struct {
-	Epoch  uint64
-	Number uint32
-	Age    fleet.Micros // below 0: none was seen in this life
+	Epoch  uint64       `cbor:"Epoch"`
+	Number uint32       `cbor:"Number"`
+	Age    fleet.Micros `cbor:"Age"` // below 0: none was seen in this life
 }
 
 // Record is what a member tells of itself.
 type Record struct {
-	Zone    string
-	Channel string // where forwarders join
-	Request string // where members and operators ask
-	Limit   float64
-	Digest  uint64 // of the settings that all have alike
+	Zone    string  `cbor:"Zone"`
+	Channel string  `cbor:"Channel"` // where forwarders join
+	Request string  `cbor:"Request"` // where members and operators ask
+	Limit   float64 `cbor:"Limit"`
+	Digest  uint64  `cbor:"Digest"` // of the settings that all have alike
 }
 
 // MemberState is a member on the register.
 type MemberState struct {
-	Name    string
-	Life    uint64
-	Record  Record
-	Heard   fleet.Micros // its newest Renew, by the leader's clock
-	Leaving bool         // an operator had it give everything away
-	Ending  bool         // its process is about to end; its next life is not
-	Strays  []Stray
-	Struck  bool // its place, and so its number in leases, is never given again
+	Name    string       `cbor:"Name"`
+	Life    uint64       `cbor:"Life"`
+	Record  Record       `cbor:"Record"`
+	Heard   fleet.Micros `cbor:"Heard"`   // its newest Renew, by the leader's clock
+	Leaving bool         `cbor:"Leaving"` // an operator had it give everything away
+	Ending  bool         `cbor:"Ending"`  // its process is about to end; its next life is not
+	Strays  []Stray      `cbor:"Strays"`
+	Struck  bool         `cbor:"Struck"` // its place, and so its number in leases, is never given again
 }
 
 // PartState is a part on the register.
 type PartState struct {
-	Number int
-	Zone   string
-	Lease  lease.Part
-	Wanted string
-	ByHand bool
-	Load   float64
-	Last   string // the member that held it last
-	Empty  bool   // held, and none of its forwarders is joined
+	Number int        `cbor:"Number"`
+	Zone   string     `cbor:"Zone"`
+	Lease  lease.Part `cbor:"Lease"`
+	Wanted string     `cbor:"Wanted"`
+	ByHand bool       `cbor:"ByHand"`
+	Load   float64    `cbor:"Load"`
+	Last   string     `cbor:"Last"`  // the member that held it last
+	Empty  bool       `cbor:"Empty"` // held, and none of its forwarders is joined
 }
 
 // Event is an entry of the time line: a grant to another holder than before, or to another life of it.
 type Event struct {
-	At       fleet.Micros // the leader's clock
-	Leader   string
-	Part     int
-	Epoch    uint64
-	From, To string
-	Planned  bool // the one before had released it
-	Why      string
+	At      fleet.Micros `cbor:"At" json:"At"` // the leader's clock
+	Leader  string       `cbor:"Leader" json:"Leader"`
+	Part    int          `cbor:"Part" json:"Part"`
+	Epoch   uint64       `cbor:"Epoch" json:"Epoch"`
+	From    string       `cbor:"From" json:"From"`
+	To      string       `cbor:"To" json:"To"`
+	Planned bool         `cbor:"Planned" json:"Planned"` // the one before had released it
+	Why     string       `cbor:"Why" json:"Why"`
 }
 
 // eventsMost bounds the time line: some screens of it, and a snapshot of some ten kilobytes.
@@ -112,18 +116,18 @@
 
 // Register is what a group has agreed on. It is free of I/O: the same commands in the same order give the same register.
 type Register struct {
-	Form    uint8
-	Digest  uint64 // of the settings of the first leader; a member with others holds nothing
-	Span    fleet.Micros
-	Drift   fleet.Micros
-	Leader  string
-	Term    uint64 // in which it announced itself
-	Members []*MemberState
-	Parts   []*PartState
-	Events  []Event
-	Whys    map[int]string // of the newest plan of a part that is not held as wanted yet
+	Form    uint8          `cbor:"Form"`
+	Digest  uint64         `cbor:"Digest"` // of the settings of the first leader; a member with others holds nothing
+	Span    fleet.Micros   `cbor:"Span"`
+	Drift   fleet.Micros   `cbor:"Drift"`
+	Leader  string         `cbor:"Leader"`
+	Term    uint64         `cbor:"Term"` // in which it announced itself
+	Members []*MemberState `cbor:"Members"`
+	Parts   []*PartState   `cbor:"Parts"`
+	Events  []Event        `cbor:"Events"`
+	Whys    map[int]string `cbor:"Whys"` // of the newest plan of a part that is not held as wanted yet
 	knows   uint8          // the newest form that this program understands
-	Newer   uint8          // the form of a command that this program does not know; nothing counts after it
+	Newer   uint8          `cbor:"Newer"` // the form of a command that this program does not know; nothing counts after it
 }
 
 // NewRegister is the register of a group that has agreed on nothing.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -43,16 +43,16 @@
 // Holder identifies one life of a member: a life that crashed cannot go on with the lease of the one before, as nobody knows what that
 // one had ordered.
 type Holder struct {
-	Member uint16
-	Life   uint64 // it grows with each
+	Member uint16 `cbor:"Member"`
+	Life   uint64 `cbor:"Life"` // it grows with each
 }
 
 // Part is what is agreed on about one part of the fleet. The zero Part is free and was never held.
 type Part struct {
-	Epoch   uint64       // of the newest grant; it only grows
-	Holder  Holder       // of it; the zero Holder: free
-	Number  uint32       // of the holder's newest ask
-	Renewed fleet.Micros // by the leader's clock
+	Epoch   uint64       `cbor:"Epoch"`   // of the newest grant; it only grows
+	Holder  Holder       `cbor:"Holder"`  // of it; the zero Holder: free
+	Number  uint32       `cbor:"Number"`  // of the holder's newest ask
+	Renewed fleet.Micros `cbor:"Renewed"` // by the leader's clock
 }
 
 // Ask is a holder's message: for a part or, if it holds it, to go on. Number tells asks of one holder apart.
