--- a/command/command.go
+++ b/command/command.go
@@ -75,11 +75,11 @@
 }
 
 // reloads passes SIGHUP on until the context ends: one that comes while another waits adds nothing, as the file is then read as it is.
+// The signal stays caught to the end of the process: with its default action back, one that comes during the shutdown would kill it.
 func reloads(ctx context.Context) <-chan struct{} {
 	hangup, reload := make(chan os.Signal, 1), make(chan struct{}, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	go func() {
-		defer signal.Stop(hangup)
 		for {
 			select {
 			case <-ctx.Done():
