--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -47,7 +47,7 @@
 	version int
 	changed chan struct{}
 	met     map[string]int // tries at a replica since the last report
-	proxies []*proxy
+	proxies []*platformProxy
 	calls   uint64
 	wait    sync.WaitGroup
 	over    chan struct{}
@@ -61,8 +61,8 @@
 	Born   int64  `json:"born_ms"`
 }
 
-// proxy is one of the yard's, with what it holds.
-type proxy struct {
+// platformProxy is one of the yard's, with what it holds.
+type platformProxy struct {
 	id    int
 	conn  net.Conn
 	lines map[string]float64
@@ -219,7 +219,7 @@
 }
 
 // join connects a proxy, which answers and obeys until its connection ends.
-func (y *yard) join(p *proxy, fresh string) {
+func (y *yard) join(p *platformProxy, fresh string) {
 	p.conn = y.dial("joined", "id", fmt.Sprint(p.id), "site", zonesOf[p.id%2], "rps", "20", "new", fresh)
 	conn, name := p.conn, fmt.Sprint("proxy-", p.id)
 	y.mu.Lock()
@@ -255,7 +255,7 @@
 }
 
 // obey takes one part of an update, and tells whether it was the last. m is the same message for the judge.
-func (y *yard) obey(p *proxy, m *tablewire.Message, v resp.Value) bool {
+func (y *yard) obey(p *platformProxy, m *tablewire.Message, v resp.Value) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if v.Items[0].Text != "update" || len(v.Items)%2 == 0 {
@@ -357,7 +357,7 @@
 	}()
 }
 
-func (y *yard) try(p *proxy, chance *rand.Rand) {
+func (y *yard) try(p *platformProxy, chance *rand.Rand) {
 	var names []string
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(p.lines)) {
@@ -382,7 +382,7 @@
 }
 
 // until waits until it holds of every proxy.
-func (y *yard) until(what string, is func(p *proxy) bool) {
+func (y *yard) until(what string, is func(p *platformProxy) bool) {
 	y.t.Helper()
 	for late := time.Now().Add(30 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		y.mu.Lock()
@@ -436,7 +436,7 @@
 	y.write(first)
 	y.serve()
 	for id := range 8 {
-		p := &proxy{id: id, lines: map[string]float64{}, out: map[string]bool{}}
+		p := &platformProxy{id: id, lines: map[string]float64{}, out: map[string]bool{}}
 		var standing []rules.Line
 		for n := range 6 {
 			p.lines[host(n+1)] = 1
@@ -449,13 +449,13 @@
 		y.join(p, "1")
 	}
 	y.load()
-	y.until("bound to all eight", func(p *proxy) bool { return p.binds == 1 && len(p.lines) == 8 })
+	y.until("bound to all eight", func(p *platformProxy) bool { return p.binds == 1 && len(p.lines) == 8 })
 
 	strangers := []net.Conn{y.dial("update", "whole", "1"), y.dial("joined", "id", "99", "site", "govan", "rps", "1", "new", "1"), y.dial("ping")}
 	y.change(1, "draining", 0)
-	y.until("told of the drain", func(p *proxy) bool { return p.out[host(1)] || p.lines[host(1)] == 0 })
+	y.until("told of the drain", func(p *platformProxy) bool { return p.out[host(1)] || p.lines[host(1)] == 0 })
 	y.change(9, "ready", time.Now().UnixMilli())
-	y.until("given the new replica, at a quarter", func(p *proxy) bool {
+	y.until("given the new replica, at a quarter", func(p *platformProxy) bool {
 		return p.lines[host(9)] > 0 && p.lines[host(9)] < 0.5*p.lines[host(3)] && // of the same zone
 			!p.out[host(9)]
 	})
@@ -467,7 +467,7 @@
 	broken.out[host(4)] = true // by another governor, that it met meanwhile
 	y.mu.Unlock()
 	y.join(broken, "0")
-	y.until("bound anew after its stream broke, and back at what others shut", func(p *proxy) bool {
+	y.until("bound anew after its stream broke, and back at what others shut", func(p *platformProxy) bool {
 		return p != broken || p.binds == 2 && !p.out[host(4)] && p.lines[host(4)] > 0
 	})
 
@@ -478,7 +478,7 @@
 	y.reload <- struct{}{}
 	endFirst()
 	y.change(2, "draining", 0)
-	y.until("told of the drain by the new discovery", func(p *proxy) bool { return p.out[host(2)] || p.lines[host(2)] == 0 })
+	y.until("told of the drain by the new discovery", func(p *platformProxy) bool { return p.out[host(2)] || p.lines[host(2)] == 0 })
 	for _, c := range strangers {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if got, err := io.ReadAll(c); err != nil && len(got) == 0 && os.IsTimeout(err) {
