--- a/admission/admission.go
+++ b/admission/admission.go
@@ -21,7 +21,7 @@
 	"encoding/binary"
 	"hash/fnv"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // Bounds are what a governor can take. A zero Rate lets everybody in.
@@ -44,7 +44,7 @@
 )
 
 // shedFor is how long a shed forwarder stays away: as long as it takes a whole fleet to move to another governor.
-const shedFor = 10 * fleet.Second
+const shedFor = 10 * model.Second
 
 // placesMost bounds the places given out; beyond it a forwarder is told a time without one and waits anew then.
 const placesMost = 65536
@@ -53,25 +53,25 @@
 type Gate struct {
 	bounds  Bounds
 	tokens  float64
-	filled  fleet.Micros
-	places  map[string]fleet.Micros // by name: when it may come
-	next    fleet.Micros            // the next free place
+	filled  model.Micros
+	places  map[string]model.Micros // by name: when it may come
+	next    model.Micros            // the next free place
 	count   uint64
 	Stats   Stats
 	storms  bool
-	stormAt fleet.Micros
+	stormAt model.Micros
 }
 
 // Stats count answers.
 type Stats struct{ Admitted, Deferred, Shed, Storms uint64 }
 
 // New makes a gate that is calm and full of tokens.
-func New(b Bounds, now fleet.Micros) *Gate {
-	return &Gate{bounds: b, tokens: float64(max(b.Burst, 1)), filled: now, places: map[string]fleet.Micros{}}
+func New(b Bounds, now model.Micros) *Gate {
+	return &Gate{bounds: b, tokens: float64(max(b.Burst, 1)), filled: now, places: map[string]model.Micros{}}
 }
 
 // SetBounds changes the bounds while the gate is in use. Places that were given out stand; tokens beyond a smaller burst are gone.
-func (g *Gate) SetBounds(b Bounds, now fleet.Micros) {
+func (g *Gate) SetBounds(b Bounds, now model.Micros) {
 	g.fill(now)
 	b.Seed = g.bounds.Seed // chance goes on where it was
 	g.bounds = b
@@ -86,7 +86,7 @@
 func (g *Gate) Storm() bool { return g.storms }
 
 // Join answers a forwarder that asks now, while so many are joined. after is when a deferred or shed one may come back.
-func (g *Gate) Join(now fleet.Micros, name string, joined int) (v Verdict, after fleet.Micros) {
+func (g *Gate) Join(now model.Micros, name string, joined int) (v Verdict, after model.Micros) {
 	g.fill(now)
 	if g.bounds.Most > 0 && joined >= g.bounds.Most {
 		g.Stats.Shed++
@@ -114,24 +114,24 @@
 }
 
 // place gives out the next free place: each is a token of its own, so that who comes back in time finds it.
-func (g *Gate) place(now fleet.Micros, name string) fleet.Micros {
+func (g *Gate) place(now model.Micros, name string) model.Micros {
 	if !g.storms {
 		g.storms, g.stormAt = true, now
 		g.Stats.Storms++
 	}
-	gap := fleet.Micros(float64(fleet.Second) / g.bounds.Rate)
+	gap := model.Micros(float64(model.Second) / g.bounds.Rate)
 	g.next = max(g.next, now) + gap
 	g.Stats.Deferred++
 	wait := g.next - now
 	if len(g.places) < placesMost {
 		g.places[name] = g.next
 	}
-	return wait + g.jitter(fleet.Micros(g.bounds.Spread*float64(gap)))
+	return wait + g.jitter(model.Micros(g.bounds.Spread*float64(gap)))
 }
 
 // fill adds tokens for the time that passed. In a storm they go to the places; it is over once the last one is past and
 // nobody may still hold one.
-func (g *Gate) fill(now fleet.Micros) {
+func (g *Gate) fill(now model.Micros) {
 	span := now - g.filled
 	g.filled = now
 	if !g.storms {
@@ -155,20 +155,20 @@
 }
 
 // most is the tokens of a span, a burst at most; of a negative one it is the burst.
-func (g *Gate) most(span fleet.Micros) float64 {
+func (g *Gate) most(span model.Micros) float64 {
 	burst := float64(max(g.bounds.Burst, 1))
 	if span < 0 {
 		return burst
 	}
-	return min(burst, float64(span)/float64(fleet.Second)*g.bounds.Rate)
+	return min(burst, float64(span)/float64(model.Second)*g.bounds.Rate)
 }
 
-func (g *Gate) spread(span fleet.Micros) fleet.Micros {
-	return span + g.jitter(fleet.Micros(g.bounds.Spread*float64(span)))
+func (g *Gate) spread(span model.Micros) model.Micros {
+	return span + g.jitter(model.Micros(g.bounds.Spread*float64(span)))
 }
 
 // jitter draws from 0 up to most, by the seed and a counter.
-func (g *Gate) jitter(most fleet.Micros) fleet.Micros {
+func (g *Gate) jitter(most model.Micros) model.Micros {
 	if most <= 0 {
 		return 0
 	}
@@ -178,5 +178,5 @@
 	binary.LittleEndian.PutUint64(b[:], g.bounds.Seed)
 	binary.LittleEndian.PutUint64(b[8:], g.count)
 	h.Write(b[:])
-	return fleet.Micros(h.Sum64() % uint64(most))
+	return model.Micros(h.Sum64() % uint64(most))
 }
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -1,6 +1,6 @@
 package admission
 
-import "peppervale/fleet"
+import "peppervale/internal/model"
 
 // Budget bounds the bytes that wait for peers to read them. The peer that does not read pays first: over its own bound, or over
 // its even share while all together are over theirs, its changes fold into one snapshot later. Who reads is not held up by who
@@ -26,7 +26,7 @@
 // is one peer's; the zero Meter is one that has asked for nothing yet.
 type Meter struct {
 	used   float64 // of the burst
-	filled fleet.Micros
+	filled model.Micros
 }
 
 // Rate is what Meters are held to.
@@ -37,15 +37,15 @@
 
 // Take counts a command. When it is one too many the peer may come back after the time told, which is when half of its burst is
 // free again: sooner it would be put off once more.
-func (m *Meter) Take(now fleet.Micros, r Rate) (ok bool, after fleet.Micros) {
+func (m *Meter) Take(now model.Micros, r Rate) (ok bool, after model.Micros) {
 	if r.PerSecond <= 0 {
 		return true, 0
 	}
 	burst := float64(max(r.Burst, 1))
-	m.used = max(0, m.used-float64(now-m.filled)/float64(fleet.Second)*r.PerSecond)
+	m.used = max(0, m.used-float64(now-m.filled)/float64(model.Second)*r.PerSecond)
 	m.filled = now
 	if m.used+1 > burst {
-		return false, fleet.Micros((m.used - burst/2) / r.PerSecond * float64(fleet.Second))
+		return false, model.Micros((m.used - burst/2) / r.PerSecond * float64(model.Second))
 	}
 	m.used++
 	return true, 0
--- a/assign/assign.go
+++ b/assign/assign.go
@@ -27,20 +27,20 @@
 	"cmp"
 	"slices"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // Terms are the group's settings.
 type Terms struct {
-	Settle fleet.Micros // that a member must have been there before parts are moved to it without need
-	Pace   fleet.Micros // between two moves from or to one member that nothing forces
+	Settle model.Micros // that a member must have been there before parts are moved to it without need
+	Pace   model.Micros // between two moves from or to one member that nothing forces
 }
 
 // Member is one of the group, as the leader sees it.
 type Member struct {
 	Name, Zone string
 	Here       bool         // it renews, or seems alive
-	Since      fleet.Micros // Here
+	Since      model.Micros // Here
 	Leaving    bool         // told to give everything away
 	Ending     bool         // its process is about to end
 	Limit      float64      // invocations a second that it may govern; 0: any
@@ -67,8 +67,8 @@
 // Mover remembers when it last moved a part from or to a member, and from whom it was moved as nobody reached that one. The zero Mover has
 // moved nothing; a new leader's is one.
 type Mover struct {
-	touched map[string]fleet.Micros
-	away    map[away]fleet.Micros
+	touched map[string]model.Micros
+	away    map[away]model.Micros
 }
 
 type away struct {
@@ -78,7 +78,7 @@
 
 // AwayFor is how long a part is not moved back without need to a member that its forwarders did not reach: a cut link that stays cut would
 // cost them a lease's time without orders at each return, and a minute makes that some hundredths.
-const AwayFor = 60 * fleet.Second
+const AwayFor = 60 * model.Second
 
 // seat is a member with what it has by the moves so far.
 type seat struct {
@@ -116,16 +116,16 @@
 // deal is one call of Decide.
 type deal struct {
 	Terms
-	now   fleet.Micros
+	now   model.Micros
 	mover *Mover
 	seats []*seat
 	by    map[string]*seat
 }
 
 // Decide gives the moves of now.
-func (m *Mover) Decide(t Terms, now fleet.Micros, members []Member, parts []Part) (moves []Move) {
+func (m *Mover) Decide(t Terms, now model.Micros, members []Member, parts []Part) (moves []Move) {
 	if m.touched == nil {
-		m.touched, m.away = map[string]fleet.Micros{}, map[away]fleet.Micros{}
+		m.touched, m.away = map[string]model.Micros{}, map[away]model.Micros{}
 	}
 	d := &deal{Terms: t, now: now, mover: m, by: map[string]*seat{}}
 	for i := range members {
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -6,21 +6,21 @@
 
 	"pgregory.net/rapid"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
-var terms = Terms{Settle: 10 * fleet.Second, Pace: 2 * fleet.Second}
+var terms = Terms{Settle: 10 * model.Second, Pace: 2 * model.Second}
 
 // hall is a group of one member a zone, each holding the parts of its zone.
 type hall struct {
 	members []Member
 	parts   []Part
 	mover   Mover
-	now     fleet.Micros
+	now     model.Micros
 }
 
 func newHall(zones, each int, load float64) *hall {
-	h := &hall{now: 100 * fleet.Second}
+	h := &hall{now: 100 * model.Second}
 	for z := range zones {
 		name := fmt.Sprint("zone", z)
 		h.members = append(h.members, Member{Name: "member-" + name, Zone: name, Here: true})
@@ -32,7 +32,7 @@
 }
 
 // step decides and carries the moves out.
-func (h *hall) step(span fleet.Micros) []Move {
+func (h *hall) step(span model.Micros) []Move {
 	h.now += span
 	return h.mover.Decide(terms, h.now, h.members, h.parts)
 }
@@ -66,28 +66,28 @@
 	h := newHall(3, 4, 10)
 	h.step(0)
 	h.members[0].Here = false
-	if moves := h.step(fleet.Second); len(moves) != 4 {
+	if moves := h.step(model.Second); len(moves) != 4 {
 		t.Fatalf("%d moves for 4 parts", len(moves))
 	}
 	if a, b := h.held("member-zone1"), h.held("member-zone2"); a != 6 || b != 6 {
 		t.Fatalf("%d and %d parts", a, b)
 	}
 	h.members[0].Here, h.members[0].Since = true, h.now
-	for h.now-h.members[0].Since < terms.Settle-fleet.Second {
-		if moves := h.step(fleet.Second); len(moves) != 0 {
+	for h.now-h.members[0].Since < terms.Settle-model.Second {
+		if moves := h.step(model.Second); len(moves) != 0 {
 			t.Fatalf("after %v: %v", h.now-h.members[0].Since, moves)
 		}
 	}
-	last := fleet.Micros(0)
+	last := model.Micros(0)
 	for h.held("member-zone0") < 4 {
-		moves := h.step(100 * fleet.Millisecond)
+		moves := h.step(100 * model.Millisecond)
 		if len(moves) > 1 || len(moves) == 1 && last > 0 && h.now-last < terms.Pace {
 			t.Fatalf("%v, %d us after the one before", moves, h.now-last)
 		}
 		if len(moves) == 1 {
 			last = h.now
 		}
-		if h.now > 1000*fleet.Second {
+		if h.now > 1000*model.Second {
 			t.Fatalf("only %d are back", h.held("member-zone0"))
 		}
 	}
@@ -99,11 +99,11 @@
 	h.members[0].Limit, h.members[1].Limit = 20, 30
 	h.step(0)
 	h.members[0].Here = false
-	if moves := h.step(fleet.Second); len(moves) != 1 {
+	if moves := h.step(model.Second); len(moves) != 1 {
 		t.Fatalf("%v: there is room for one", moves)
 	}
 	h.members[1].Limit = 40
-	if moves := h.step(fleet.Second); len(moves) != 1 || h.held("member-zone1") != 4 {
+	if moves := h.step(model.Second); len(moves) != 1 || h.held("member-zone1") != 4 {
 		t.Fatalf("%v with room for the last", moves)
 	}
 }
@@ -113,7 +113,7 @@
 	h := newHall(2, 3, 10)
 	h.step(0)
 	h.parts[5].Wanted, h.parts[5].ByHand = "member-zone0", true
-	if moves := h.step(fleet.Second); len(moves) != 0 {
+	if moves := h.step(model.Second); len(moves) != 0 {
 		t.Fatalf("a part moved by hand: %v", moves)
 	}
 	h.members[0].Leaving = true
@@ -132,10 +132,10 @@
 	h := newHall(2, 2, 10)
 	h.step(0)
 	h.parts[0].Asked = "member-zone1"
-	if moves := h.step(fleet.Second); len(moves) != 1 || moves[0].Part != 0 || moves[0].To != "member-zone1" {
+	if moves := h.step(model.Second); len(moves) != 1 || moves[0].Part != 0 || moves[0].To != "member-zone1" {
 		t.Fatalf("%v", moves)
 	}
-	for span := fleet.Micros(0); span < AwayFor-terms.Pace; span += terms.Pace {
+	for span := model.Micros(0); span < AwayFor-terms.Pace; span += terms.Pace {
 		for _, m := range h.step(terms.Pace) {
 			if m.Part == 0 {
 				t.Fatalf("after %d us: %+v", span, m)
@@ -154,7 +154,7 @@
 	h := newHall(3, 4, 10)
 	h.step(0)
 	h.members[0].Ending = true
-	if moves := h.step(fleet.Second); len(moves) != 4 || h.held("member-zone0") != 0 {
+	if moves := h.step(model.Second); len(moves) != 4 || h.held("member-zone0") != 0 {
 		t.Fatalf("%v", moves)
 	}
 }
@@ -188,7 +188,7 @@
 					gone++
 				}
 			}
-			moves := h.step(fleet.Micros(rapid.IntRange(0, 3).Draw(t, "seconds")) * fleet.Second)
+			moves := h.step(model.Micros(rapid.IntRange(0, 3).Draw(t, "seconds")) * model.Second)
 			forced := 0
 			for _, mv := range moves {
 				to := h.members[find(h, mv.To)]
--- a/board/board.go
+++ b/board/board.go
@@ -7,22 +7,22 @@
 	"slices"
 	"strings"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/tablewire"
 )
 
 // Order is one order of a governor; which fields count follows from What.
 type Order struct {
 	What    What
-	Table   fleet.TableID
-	Proxy   fleet.ProxyID
-	Replica fleet.ReplicaID
+	Table   model.TableID
+	Proxy   model.ProxyID
+	Replica model.ReplicaID
 	Weight  float64
 	Out     bool
 	Level   tablewire.Level
 	// With a bind: the operations that the table is for, by 1 << their place (0: all), and what others may have shut out.
 	Operations uint16
-	Back       []fleet.ReplicaID
+	Back       []model.ReplicaID
 }
 
 // What an order does.
@@ -41,7 +41,7 @@
 	Orders  []Order
 	Receipt int
 	All     bool
-	At      fleet.Micros
+	At      model.Micros
 }
 
 // Empty tells a batch that reaches nobody.
@@ -51,25 +51,25 @@
 type Board struct {
 	Life, Version uint64
 	overhead      int
-	Tables        map[fleet.TableID]*Table
-	out           map[fleet.ReplicaID]bool
-	Outs          []fleet.ReplicaID // withdrawn, in that order
+	Tables        map[model.TableID]*Table
+	out           map[model.ReplicaID]bool
+	Outs          []model.ReplicaID // withdrawn, in that order
 	Levels        []tablewire.Level
 	Holders       []*Holder // in the order joined
-	ByProxy       map[fleet.ProxyID]*Holder
+	ByProxy       map[model.ProxyID]*Holder
 }
 
 // Table is a shared table as it stands.
 type Table struct {
-	ID    fleet.TableID
+	ID    model.TableID
 	Lines []tablewire.Line
-	at    map[fleet.ReplicaID]int
+	at    map[model.ReplicaID]int
 	users []*Holder
 }
 
 // Holder is a joined forwarder.
 type Holder struct {
-	Proxy   fleet.ProxyID
+	Proxy   model.ProxyID
 	Name    string
 	Table   *Table // nil: on tables of its own
 	For     uint16 // operations that it is for; 0: all
@@ -77,17 +77,17 @@
 	HomeFor uint16
 	version uint64                   // of the newest message made for it
 	receipt int                      // the newest number asked of it
-	shut    map[fleet.ReplicaID]bool // told out, and not back since
+	shut    map[model.ReplicaID]bool // told out, and not back since
 	draft   *draft
 }
 
 // draft is the message being made for a holder: what changed, by its place in the batch.
 type draft struct {
 	bind   bool
-	back   []fleet.ReplicaID
-	home   []fleet.ReplicaID // lines of its table for operations that stay in a zone
-	lines  []fleet.ReplicaID
-	shuts  []fleet.ReplicaID
+	back   []model.ReplicaID
+	home   []model.ReplicaID // lines of its table for operations that stay in a zone
+	lines  []model.ReplicaID
+	shuts  []model.ReplicaID
 	levels bool
 }
 
@@ -95,7 +95,7 @@
 type Outgoing struct {
 	To      *Holder
 	Message *tablewire.Message
-	Back    []fleet.ReplicaID // of its table, what others may have shut out: of a bind
+	Back    []model.ReplicaID // of its table, what others may have shut out: of a bind
 	Parts   []Part            // where operations have tables of their own: these, in place of the message's lines
 }
 
@@ -108,20 +108,20 @@
 
 // New makes a board for one life of a governor; overhead is the lines that a message costs beyond its own.
 func New(life uint64, overhead int) *Board {
-	return &Board{Life: life, overhead: overhead, Tables: map[fleet.TableID]*Table{},
-		out: map[fleet.ReplicaID]bool{}, ByProxy: map[fleet.ProxyID]*Holder{}}
+	return &Board{Life: life, overhead: overhead, Tables: map[model.TableID]*Table{},
+		out: map[model.ReplicaID]bool{}, ByProxy: map[model.ProxyID]*Holder{}}
 }
 
 // Join takes a forwarder in, on tables of its own; one that is here is replaced.
-func (b *Board) Join(p fleet.ProxyID, name string) *Holder {
+func (b *Board) Join(p model.ProxyID, name string) *Holder {
 	b.Leave(p)
-	h := &Holder{Proxy: p, Name: name, version: b.Version, receipt: -1, shut: map[fleet.ReplicaID]bool{}}
+	h := &Holder{Proxy: p, Name: name, version: b.Version, receipt: -1, shut: map[model.ReplicaID]bool{}}
 	b.ByProxy[p], b.Holders = h, append(b.Holders, h)
 	return h
 }
 
 // Leave drops a forwarder.
-func (b *Board) Leave(p fleet.ProxyID) {
+func (b *Board) Leave(p model.ProxyID) {
 	h := b.ByProxy[p]
 	if h == nil {
 		return
@@ -140,17 +140,17 @@
 	h.Table, h.For, h.Home, h.HomeFor = nil, 0, nil, 0
 }
 
-func (b *Board) table(id fleet.TableID) *Table {
+func (b *Board) table(id model.TableID) *Table {
 	t := b.Tables[id]
 	if t == nil {
-		t = &Table{ID: id, at: map[fleet.ReplicaID]int{}}
+		t = &Table{ID: id, at: map[model.ReplicaID]int{}}
 		b.Tables[id] = t
 	}
 	return t
 }
 
 // set changes a line, or takes it out.
-func (t *Table) set(r fleet.ReplicaID, weight float64) {
+func (t *Table) set(r model.ReplicaID, weight float64) {
 	i, there := t.at[r]
 	switch {
 	case there && weight > 0:
@@ -168,7 +168,7 @@
 }
 
 // Shut tells whether it was told that a replica is out, and not back since.
-func (h *Holder) Shut(r fleet.ReplicaID) bool { return h.shut[r] }
+func (h *Holder) Shut(r model.ReplicaID) bool { return h.shut[r] }
 
 func (h *Holder) drafted() *draft {
 	if h.draft == nil {
@@ -178,7 +178,7 @@
 }
 
 // holds tells whether a withdrawal of r concerns a holder: it has the line, or tables that nobody here knows.
-func (h *Holder) holds(r fleet.ReplicaID) bool {
+func (h *Holder) holds(r model.ReplicaID) bool {
 	if h.Table == nil {
 		return true
 	}
@@ -249,7 +249,7 @@
 			if delete(b.out, o.Replica); o.Out {
 				b.out[o.Replica], b.Outs = true, append(b.Outs, o.Replica)
 			} else {
-				b.Outs = slices.DeleteFunc(b.Outs, func(r fleet.ReplicaID) bool { return r == o.Replica })
+				b.Outs = slices.DeleteFunc(b.Outs, func(r model.ReplicaID) bool { return r == o.Replica })
 			}
 		}
 		for _, h := range b.Holders {
@@ -284,7 +284,7 @@
 		m.Levels = slices.Clone(b.Levels)
 	}
 	m.Lines = h.Table.changed(d.lines)
-	seen := map[fleet.ReplicaID]bool{}
+	seen := map[model.ReplicaID]bool{}
 	for _, r := range d.shuts {
 		if !seen[r] {
 			seen[r] = true
@@ -324,8 +324,8 @@
 }
 
 // changed gives lines as they stand, each once, in the order of their first change.
-func (t *Table) changed(replicas []fleet.ReplicaID) (lines []tablewire.Line) {
-	seen := map[fleet.ReplicaID]bool{}
+func (t *Table) changed(replicas []model.ReplicaID) (lines []tablewire.Line) {
+	seen := map[model.ReplicaID]bool{}
 	for _, r := range replicas {
 		if !seen[r] {
 			seen[r] = true
@@ -335,9 +335,9 @@
 	return lines
 }
 
-func (t *Table) has(r fleet.ReplicaID) bool { _, there := t.at[r]; return there }
+func (t *Table) has(r model.ReplicaID) bool { _, there := t.at[r]; return there }
 
-func (t *Table) weight(r fleet.ReplicaID) float64 {
+func (t *Table) weight(r model.ReplicaID) float64 {
 	if i, there := t.at[r]; there {
 		return t.Lines[i].Weight
 	}
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
-func id(n byte) fleet.ReplicaID { return fleet.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
+func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
 func line(r byte, weight float64) Order {
 	return Order{What: Assign, Table: 1, Replica: id(r), Weight: weight}
--- a/board/parts_test.go
+++ b/board/parts_test.go
@@ -4,21 +4,21 @@
 	"reflect"
 	"testing"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/tablewire"
 )
 
 // A forwarder with a table for some operations and one for the others is sent parts; a change reaches it in that of its table, and a
 // withdrawal once.
 func TestTablesForSomeOperations(t *testing.T) {
-	r := func(n byte) fleet.ReplicaID { return fleet.ReplicaID{Addr: [4]byte{10, 0, 0, n}, Port: 1} }
+	r := func(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{10, 0, 0, n}, Port: 1} }
 	b := New(1, 6)
 	b.Join(7, "7")
-	assign := func(table fleet.TableID, n byte, weight float64) Order {
+	assign := func(table model.TableID, n byte, weight float64) Order {
 		return Order{What: Assign, Table: table, Replica: r(n), Weight: weight}
 	}
 	made := b.Apply(&Batch{Receipt: 4, Orders: []Order{assign(1, 1, 1), assign(1, 2, 1), assign(2, 1, 0.5),
-		{What: Bind, Proxy: 7, Table: 1, Operations: 1, Back: []fleet.ReplicaID{r(2)}}, {What: Bind, Proxy: 7, Table: 2, Operations: 2, Back: []fleet.ReplicaID{r(1)}}}})
+		{What: Bind, Proxy: 7, Table: 1, Operations: 1, Back: []model.ReplicaID{r(2)}}, {What: Bind, Proxy: 7, Table: 2, Operations: 2, Back: []model.ReplicaID{r(1)}}}})
 	want := []Part{{1, true, []tablewire.Line{{Replica: r(1), Weight: 1}, {Replica: r(2), Weight: 1}}}, {2, true, []tablewire.Line{{Replica: r(1), Weight: 0.5}}}}
 	if len(made) != 1 || !reflect.DeepEqual(made[0].Parts, want) || made[0].Message.Lines != nil || made[0].Message.Cost != 6+1+2+1+1+1 || len(made[0].Back) != 2 {
 		t.Fatalf("%+v", made)
--- a/channel/channel_test.go
+++ b/channel/channel_test.go
@@ -16,7 +16,7 @@
 
 	"peppervale/admission"
 	"peppervale/board"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/resp"
 	"peppervale/rules"
 	"peppervale/stand"
@@ -48,17 +48,17 @@
 	}
 }
 
-func (h *host) Joined(p fleet.ProxyID, stream uint64, j tablewire.Join, zone int) {
+func (h *host) Joined(p model.ProxyID, stream uint64, j tablewire.Join, zone int) {
 	h.server.Admit(p, stream)
 	h.note("joined %s %d", j.Name, zone)
 }
-func (h *host) Left(p fleet.ProxyID, _ uint64) { h.note("left %d", p) }
-func (h *host) Applied(p fleet.ProxyID, _ uint64, receipt uint32) {
+func (h *host) Left(p model.ProxyID, _ uint64) { h.note("left %d", p) }
+func (h *host) Applied(p model.ProxyID, _ uint64, receipt uint32) {
 	h.note("applied %d %d", p, receipt)
 }
-func (h *host) Heard(zone int, sums []fleet.Sum) { h.note("heard %d %d", zone, len(sums)) }
+func (h *host) Heard(zone int, sums []model.Sum) { h.note("heard %d %d", zone, len(sums)) }
 
-func (h *host) now() fleet.Micros { return fleet.Micros(time.Since(h.began) / time.Microsecond) }
+func (h *host) now() model.Micros { return model.Micros(time.Since(h.began) / time.Microsecond) }
 
 // wait blocks until an event came; the events of one forwarder come in order.
 func (h *host) wait(event string) {
@@ -81,7 +81,7 @@
 
 func start(t *testing.T, change func(*Line)) *host {
 	h := &host{t: t, came: make(chan struct{}, 1), began: time.Now()}
-	line := Line{Listen: "127.0.0.1:0", Life: 3, Zones: []string{"govan", "partick"}, Period: fleet.Second, Overhead: 6, Pace: 1e6,
+	line := Line{Listen: "127.0.0.1:0", Life: 3, Zones: []string{"govan", "partick"}, Period: model.Second, Overhead: 6, Pace: 1e6,
 		Now: h.now, Log: zerolog.Nop()}
 	if change != nil {
 		change(&line)
@@ -172,7 +172,7 @@
 	return c, c.message()
 }
 
-func id(n byte) fleet.ReplicaID { return fleet.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
+func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
 func line(r byte, weight float64) board.Order {
 	return board.Order{What: board.Assign, Table: 1, Replica: id(r), Weight: weight}
@@ -200,8 +200,8 @@
 	}
 	c.say(tablewire.AppendAck(nil, tablewire.Ack{Life: 2, Version: m.Version, Receipt: 99})) // of an earlier life
 	c.say(tablewire.AppendAck(nil, tablewire.Ack{Life: 3, Version: m.Version, Receipt: 8}))
-	c.say(tablewire.AppendSums(nil, tablewire.Sums{Number: 1, Span: fleet.Second, Of: []fleet.Sum{{Replica: id(1), Tries: 2}}}))
-	c.say(tablewire.AppendSums(nil, tablewire.Sums{Number: 1, Span: fleet.Second, Of: make([]fleet.Sum, 0)})) // came before
+	c.say(tablewire.AppendSums(nil, tablewire.Sums{Number: 1, Span: model.Second, Of: []model.Sum{{Replica: id(1), Tries: 2}}}))
+	c.say(tablewire.AppendSums(nil, tablewire.Sums{Number: 1, Span: model.Second, Of: make([]model.Sum, 0)})) // came before
 	h.wait("applied 0 8")
 	h.wait("heard 1 1")
 	c.conn.Close()
@@ -233,7 +233,7 @@
 }
 
 func TestAGapBringsASnapshot(t *testing.T) {
-	h := start(t, func(l *Line) { l.Now = func() fleet.Micros { return 5 * fleet.Second } })
+	h := start(t, func(l *Line) { l.Now = func() model.Micros { return 5 * model.Second } })
 	c, _ := join(t, h, "till")
 	h.publish(1, line(1, 1), board.Order{What: board.Bind, Proxy: 0, Table: 1})
 	bound := c.message()
@@ -256,7 +256,7 @@
 	quick, _ := join(t, h, "quick")
 	_ = slow.conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 	var bind []board.Order
-	for p := range fleet.ProxyID(2) {
+	for p := range model.ProxyID(2) {
 		bind = append(bind, board.Order{What: board.Bind, Proxy: p, Table: 1})
 	}
 	h.publish(-1, append(bind, line(1, 1))...)
@@ -466,7 +466,7 @@
 	var all []*forwarder.Forwarder
 	loop.Do(func() {
 		for k := range n {
-			f := forwarder.New(loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Redial: fleet.Second, ConnectFor: 5 * fleet.Second,
+			f := forwarder.New(loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Redial: model.Second, ConnectFor: 5 * model.Second,
 				StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.server.Addr()}}}, 1, func(rules.Seen) {})
 			f.Start(nil)
 			all = append(all, f)
@@ -491,7 +491,7 @@
 			}
 		}
 	})
-	if st.Deferred < n/2 || st.Storms != 1 || took < (n-30)*fleet.Second/rate/2 {
+	if st.Deferred < n/2 || st.Storms != 1 || took < (n-30)*model.Second/rate/2 {
 		t.Errorf("all in after %d us: %+v", took, st)
 	}
 }
@@ -562,7 +562,7 @@
 	for n := range slow {
 		c, _ := join(t, h, fmt.Sprint("slow", n))
 		_ = c.conn.(*net.TCPConn).SetReadBuffer(4096)
-		bind = append(bind, board.Order{What: board.Bind, Proxy: fleet.ProxyID(n + 1), Table: 1})
+		bind = append(bind, board.Order{What: board.Bind, Proxy: model.ProxyID(n + 1), Table: 1})
 	}
 	h.server.SetBounds(Limits{Unsent: 1 << 20, UnsentAll: all}, admission.Bounds{})
 	h.publish(-1, bind...)
--- a/channel/golden_test.go
+++ b/channel/golden_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"peppervale/board"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/tablewire"
 )
 
@@ -29,7 +29,7 @@
 		{What: board.Withdraw, Replica: id(3), Out: true},
 		{What: board.Withdraw, Replica: id(4), Out: true},
 		{What: board.Withdraw, Replica: id(4), Out: false},
-		{What: board.SetLevel, Level: tablewire.Level{Operations: 3, Share: 0.5, Way: fleet.AnyFailure}},
+		{What: board.SetLevel, Level: tablewire.Level{Operations: 3, Share: 0.5, Way: model.AnyFailure}},
 	}}
 	published.Apply(batch)
 	server := &Server{board: published}
--- a/channel/peer.go
+++ b/channel/peer.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"peppervale/admission"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/resp"
 	"peppervale/tablewire"
 )
@@ -51,7 +51,7 @@
 	ok, after := p.meter.Take(s.line.Now(), rate)
 	if !ok && !p.ended.Load() {
 		s.stats.PutOff++
-		s.refuse(p, fmt.Sprintf(later+" %d milliseconds: %g commands a second are taken from one peer, %d at once; keep what you hold", after/fleet.Millisecond+1,
+		s.refuse(p, fmt.Sprintf(later+" %d milliseconds: %g commands a second are taken from one peer, %d at once; keep what you hold", after/model.Millisecond+1,
 			rate.PerSecond, rate.Burst))
 	}
 	return !ok
@@ -195,7 +195,7 @@
 	if v, after := s.gate.Join(s.line.Now(), j.Name, len(s.streams)); v != admission.Admit {
 		// Not a fault: the peer is told when to come, and ended so that it holds no place among the connections.
 		p.join = j
-		s.refuse(p, fmt.Sprintf(later+" %d milliseconds, then join again; keep what you hold", after/fleet.Millisecond+1))
+		s.refuse(p, fmt.Sprintf(later+" %d milliseconds, then join again; keep what you hold", after/model.Millisecond+1))
 		s.mu.Unlock()
 		return nil
 	}
@@ -205,7 +205,7 @@
 			s.mu.Unlock()
 			return fmt.Errorf("JOIN: 65535 names have joined in this life, no more are taken")
 		}
-		number = fleet.ProxyID(len(s.numbers))
+		number = model.ProxyID(len(s.numbers))
 		s.numbers[j.Name] = number
 	}
 	if old := s.streams[number]; old != nil {
@@ -287,7 +287,7 @@
 	s := p.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := s.line.Now(); p.holder != nil && now-p.resyncAt >= fleet.Second {
+	if now := s.line.Now(); p.holder != nil && now-p.resyncAt >= model.Second {
 		p.resyncAt = now
 		s.stats.Resyncs++
 		s.sendSnapshot(p)
--- a/channel/server.go
+++ b/channel/server.go
@@ -13,7 +13,7 @@
 
 	"peppervale/admission"
 	"peppervale/board"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/resp"
 	"peppervale/sockets"
 	"peppervale/tablewire"
@@ -22,10 +22,10 @@
 // Events is told what comes over the channel, from network goroutines: it must not block. A stream is one
 // connection of one forwarder, numbered anew each time; a stream's events come in order.
 type Events interface {
-	Joined(p fleet.ProxyID, stream uint64, j tablewire.Join, zone int)
-	Left(p fleet.ProxyID, stream uint64)
-	Applied(p fleet.ProxyID, stream uint64, receipt uint32)
-	Heard(zone int, sums []fleet.Sum)
+	Joined(p model.ProxyID, stream uint64, j tablewire.Join, zone int)
+	Left(p model.ProxyID, stream uint64)
+	Applied(p model.ProxyID, stream uint64, receipt uint32)
+	Heard(zone int, sums []model.Sum)
 }
 
 // Limits bounds what peers may cost. Zero fields take the values of Ordinary.
@@ -70,13 +70,13 @@
 	Listen   string // host:port
 	Life     uint64
 	Zones    []string
-	Period   fleet.Micros // in which forwarders gather their sums
+	Period   model.Micros // in which forwarders gather their sums
 	Overhead int          // lines that a message costs beyond its own
 	Pace     float64      // lines a second
 	Limits   Limits
 	Joins    admission.Bounds // how many may join; zero: all
 	Leases   Leases           // nil: this governor may order whoever joins
-	Now      func() fleet.Micros
+	Now      func() model.Micros
 	Log      zerolog.Logger
 }
 
@@ -126,8 +126,8 @@
 	board     *board.Board
 	pacer     pacer
 	peers     map[*nbio.Conn]*peer
-	streams   map[fleet.ProxyID]*peer // joined, or waiting for Admit
-	numbers   map[string]fleet.ProxyID
+	streams   map[model.ProxyID]*peer // joined, or waiting for Admit
+	numbers   map[string]model.ProxyID
 	observers int
 	folded    map[*peer]bool
 	strays    map[string]*stray // forwarders whose part another governor has, by name
@@ -143,7 +143,7 @@
 	line.Limits = line.Limits.filled()
 	s := &Server{line: line, events: events, wake: make(chan struct{}, 1), done: make(chan struct{}),
 		gate: admission.New(line.Joins, line.Now()), board: board.New(line.Life, line.Overhead), pacer: pacer{perSecond: line.Pace},
-		peers: map[*nbio.Conn]*peer{}, streams: map[fleet.ProxyID]*peer{}, numbers: map[string]fleet.ProxyID{},
+		peers: map[*nbio.Conn]*peer{}, streams: map[model.ProxyID]*peer{}, numbers: map[string]model.ProxyID{},
 		folded: map[*peer]bool{}, strays: map[string]*stray{}}
 	var err error
 	s.engine, err = sockets.Start(2, sockets.Handlers{Open: s.opened, Data: s.came, Close: s.closed, Wrote: func(c *nbio.Conn, n int) {
@@ -232,7 +232,7 @@
 
 // Admit starts a joined forwarder's stream: it is sent its snapshot, and concerned by what is published from
 // now on. It is to be called once for each Joined, before the next Publish.
-func (s *Server) Admit(proxy fleet.ProxyID, stream uint64) {
+func (s *Server) Admit(proxy model.ProxyID, stream uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.streams[proxy]
@@ -359,7 +359,7 @@
 // stray is a forwarder that asks here for a part of another governor.
 type stray struct {
 	part        int
-	first, last fleet.Micros
+	first, last model.Micros
 }
 
 // straysMost bounds those that are remembered; the rest is not counted.
@@ -367,7 +367,7 @@
 
 // strayFor is how long a stray is remembered after it asked: one that cannot reach its own governor is back within a dial's time-out and
 // some waits.
-const strayFor = 5 * fleet.Second
+const strayFor = 5 * model.Second
 
 func (s *Server) strayed(p *peer) {
 	now, name := s.line.Now(), p.join.Name
@@ -379,7 +379,7 @@
 }
 
 // Strays counts the forwarders that went on asking here for at least so long, though they were told where to join, by part.
-func (s *Server) Strays(since fleet.Micros) map[int]int {
+func (s *Server) Strays(since model.Micros) map[int]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, counts := s.line.Now(), map[int]int{}
@@ -666,10 +666,10 @@
 	join     tablewire.Join
 	zone     int
 	part     int
-	proxy    fleet.ProxyID
+	proxy    model.ProxyID
 	stream   uint64        // 0: not joined
 	holder   *board.Holder // nil until admitted
 	sums     uint64        // number of the newest report
 	meter    admission.Meter
-	resyncAt fleet.Micros
+	resyncAt model.Micros
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -10,7 +10,7 @@
 	"os"
 
 	"peppervale/decide"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/simwire"
 )
 
@@ -105,7 +105,7 @@
 	return f()
 }
 
-func (inst *instance) take(e simwire.Event, now fleet.Micros) error {
+func (inst *instance) take(e simwire.Event, now model.Micros) error {
 	if e.Code() == simwire.CodeHello {
 		seed, text, err := e.Hello()
 		if err != nil {
--- a/command/command.go
+++ b/command/command.go
@@ -21,7 +21,7 @@
 	"peppervale/console/across"
 	"peppervale/daemon"
 	"peppervale/day"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/measure"
 	"peppervale/site"
@@ -313,7 +313,7 @@
 		if c.Only == "shared" && !shared || c.Only == "alone" && shared {
 			continue
 		}
-		f, err := measure.Takeover(ctx, []string{self}, c.Forwarders, c.Rounds, fleet.Micros(c.Span/time.Microsecond), shared, c.Seed, os.Stderr)
+		f, err := measure.Takeover(ctx, []string{self}, c.Forwarders, c.Rounds, model.Micros(c.Span/time.Microsecond), shared, c.Seed, os.Stderr)
 		if err != nil {
 			return err
 		}
--- a/command/stand.go
+++ b/command/stand.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/rules"
 	"peppervale/site"
@@ -26,7 +26,7 @@
 	Registry  StandRegistry  `cmd:"" help:"Serve a machine list; the file is read again each second."`
 }
 
-const longest = 3600 * fleet.Second
+const longest = 3600 * model.Second
 
 func unseen(rules.Seen) {}
 
@@ -45,7 +45,7 @@
 }
 
 // address reads an address with a port as a replica's id.
-func address(b *site.Block, name string) fleet.ReplicaID {
+func address(b *site.Block, name string) model.ReplicaID {
 	text := b.Address(name, false)
 	id, err := tablewire.ParseAddress(text)
 	if err != nil && text != "" {
@@ -61,7 +61,7 @@
 
 type replicaFile struct {
 	facts   replica.Facts
-	windows []fleet.Micros
+	windows []model.Micros
 	cold    bool
 }
 
@@ -72,8 +72,8 @@
 	b := top.One("replica", 0, true)
 	f.facts = replica.Facts{ID: address(b, "listen"), Zone: b.Text("zone", ""), Bay: b.Text("bay", "bay"), Cores: b.Whole("cores", 2, 1, 1000),
 		Speed: b.Number("speed", 1, 0.01, 100), Waiting: b.Whole("waiting", 20, 0, 1_000_000), Connections: b.Whole("connections", 200, 1, 1_000_000),
-		ColdShare: b.Number("cold_share", 0.25, 0.01, 1), ColdSpan: b.Span("cold_span", 8*fleet.Second, 0, longest),
-		ReportEvery: b.Span("report_every", 500*fleet.Millisecond, 0, longest)}
+		ColdShare: b.Number("cold_share", 0.25, 0.01, 1), ColdSpan: b.Span("cold_span", 8*model.Second, 0, longest),
+		ReportEvery: b.Span("report_every", 500*model.Millisecond, 0, longest)}
 	f.cold = b.Yes("cold", true)
 	b.Done()
 	return f
@@ -139,7 +139,7 @@
 			e.Fault("", "entry: %v", err)
 		}
 		f.entries = append(f.entries, registry.Entry{ID: id, Zone: e.Text("zone", ""), Bay: e.Text("bay", "bay"), Kind: e.Text("kind", "kind"),
-			Started: fleet.Micros(e.Number("started_ms", 0, 0, 1e15)) * fleet.Millisecond, Draining: e.Yes("draining", false)})
+			Started: model.Micros(e.Number("started_ms", 0, 0, 1e15)) * model.Millisecond, Draining: e.Yes("draining", false)})
 		e.Done()
 	}
 	return f
@@ -200,7 +200,7 @@
 	facts    forwarder.Facts
 	standing []rules.Line
 	works    []site.Operation
-	mean     []fleet.Micros
+	mean     []model.Micros
 	seed     uint64
 }
 
@@ -209,8 +209,8 @@
 	f.works = site.Operations(top)
 	b := top.One("forwarder", 1, true)
 	f.facts = forwarder.Facts{Name: b.Labels[0], Zone: b.Text("zone", "", zones...), Rate: b.Number("rate", 5, 0.01, 10_000),
-		Pick: forwarder.Pick(b.Text("pick", "pair", "lottery", "wheel", "pair")), UsualWay: fleet.WhenUnrun, FirstWait: 0.8,
-		Redial: b.Span("redial", 200*fleet.Millisecond, fleet.Millisecond, longest), ConnectFor: 250 * fleet.Millisecond, IdleFor: 15 * fleet.Second}
+		Pick: forwarder.Pick(b.Text("pick", "pair", "lottery", "wheel", "pair")), UsualWay: model.WhenUnrun, FirstWait: 0.8,
+		Redial: b.Span("redial", 200*model.Millisecond, model.Millisecond, longest), ConnectFor: 250 * model.Millisecond, IdleFor: 15 * model.Second}
 	for i, at := range b.Texts("governors", true) {
 		f.facts.Governors = append(f.facts.Governors, forwarder.Governor{Name: fmt.Sprint("governor-", i+1), Address: at})
 	}
@@ -221,7 +221,7 @@
 		}
 		f.standing = append(f.standing, rules.Line{Replica: id, Weight: 1})
 	}
-	mean := b.Span("work", 100*fleet.Millisecond, 1, longest)
+	mean := b.Span("work", 100*model.Millisecond, 1, longest)
 	f.seed = uint64(b.Whole("seed", 1, 0, 1<<30))
 	b.Done()
 	for _, o := range f.works {
@@ -249,10 +249,10 @@
 	var one *forwarder.Forwarder
 	var ask func()
 	ask = func() {
-		loop.After(fleet.Micros(chance.Wait(f.facts.Rate)*float64(fleet.Second)), func() {
+		loop.After(model.Micros(chance.Wait(f.facts.Rate)*float64(model.Second)), func() {
 			asked++
 			op := chance.Below(len(f.works))
-			one.Invoke(&forwarder.Invocation{Number: asked, Operation: op, Work: float64(f.mean[op]) * chance.Spread(0.5), Done: func(r forwarder.Result, took fleet.Micros) {
+			one.Invoke(&forwarder.Invocation{Number: asked, Operation: op, Work: float64(f.mean[op]) * chance.Spread(0.5), Done: func(r forwarder.Result, took model.Micros) {
 				if r == forwarder.Succeeded && took <= f.works[op].Objective {
 					inTime++
 				}
--- a/console/across/belief.go
+++ b/console/across/belief.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // Belief is what one governor's console said at a time. It is never written again.
@@ -12,7 +12,7 @@
 	Name       string
 	Life       uint64
 	Version    uint64
-	At         fleet.Micros // of its own view, by its clock
+	At         model.Micros // of its own view, by its clock
 	Gate       string
 	Waits      int // replicas that its gate waits for
 	Joined     int
@@ -53,7 +53,7 @@
 	var first struct {
 		Governor string       `json:"governor"`
 		Life     uint64       `json:"life"`
-		At       fleet.Micros `json:"at_us"`
+		At       model.Micros `json:"at_us"`
 		Channel  struct {
 			Version uint64 `json:"version"`
 			Queue   int    `json:"queue_lines"`
--- a/console/across/golden_test.go
+++ b/console/across/golden_test.go
@@ -10,7 +10,7 @@
 	"reflect"
 	"testing"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 var update = flag.Bool("update", false, "write the golden pages in testdata anew")
@@ -49,14 +49,14 @@
 
 // TestPagesAsJSON compares each page's JSON with the bytes that programs read today: its keys must not change.
 func TestPagesAsJSON(t *testing.T) {
-	const now = 200 * fleet.Second
-	disagreement := Disagreement{Kind: SendsToLeaving, About: "10.0.0.1:81", Sides: []Side{{"govan-1", "serving, listed ready"}}, Since: 150 * fleet.Second}
+	const now = 200 * model.Second
+	disagreement := Disagreement{Kind: SendsToLeaving, About: "10.0.0.1:81", Sides: []Side{{"govan-1", "serving, listed ready"}}, Since: 150 * model.Second}
 	compared := make([]Disagreement, rowsShown+1) // one more than are shown
 	for i := range compared {
 		compared[i] = disagreement
 	}
-	seen := []Seen{{Address: "http://127.0.0.1:7780", Belief: readGolden(t), At: 199 * fleet.Second, Error: "a try failed", Tries: 3, Fails: 2}}
-	few := &Server{now: func() fleet.Micros { return now }, poller: &Poller{seen: seen}, compared: compared[:1], fresh: 7}
+	seen := []Seen{{Address: "http://127.0.0.1:7780", Belief: readGolden(t), At: 199 * model.Second, Error: "a try failed", Tries: 3, Fails: 2}}
+	few := &Server{now: func() model.Micros { return now }, poller: &Poller{seen: seen}, compared: compared[:1], fresh: 7}
 	many := &Server{now: few.now, poller: few.poller, compared: compared, fresh: 7}
 	for _, c := range []struct {
 		file   string
@@ -80,7 +80,7 @@
 	for n := range rowsMost + 2 {
 		belief.Forwarders[string(rune(0x4e00+n))] = Forwarder{}
 	}
-	server := &Server{now: func() fleet.Micros { return fleet.Second }, poller: &Poller{seen: []Seen{{Address: "http://127.0.0.1:7780", Belief: belief, At: fleet.Second}}}}
+	server := &Server{now: func() model.Micros { return model.Second }, poller: &Poller{seen: []Seen{{Address: "http://127.0.0.1:7780", Belief: belief, At: model.Second}}}}
 	if text := pageAsJSON(t, server, "/forwarders"); !bytes.Contains(text, []byte(`"rows_left_out": 2`)) {
 		t.Errorf("a table with two rows too many does not say so: %.600s", text)
 	}
--- a/console/across/pages.go
+++ b/console/across/pages.go
@@ -15,7 +15,7 @@
 
 	"peppervale/console"
 	"peppervale/console/frame"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 //go:embed pages.html
@@ -27,7 +27,7 @@
 type Server struct {
 	poller *Poller
 	frame  *frame.Server
-	now    func() fleet.Micros
+	now    func() model.Micros
 	done   chan struct{}
 	wait   sync.WaitGroup
 
@@ -35,11 +35,11 @@
 	ledger   *Ledger
 	compared []Disagreement
 	fresh    int
-	at       fleet.Micros
+	at       model.Micros
 }
 
 // Listen opens the address, begins to ask the governors' consoles, and serves until Close.
-func Listen(address string, governors []string, now func() fleet.Micros) (*Server, error) {
+func Listen(address string, governors []string, now func() model.Micros) (*Server, error) {
 	s := &Server{now: now, done: make(chan struct{}), ledger: NewLedger(), poller: NewPoller(governors, now)}
 	var err error
 	if s.frame, err = frame.Listen(address, s.serve, nil); err != nil {
@@ -86,7 +86,7 @@
 type page struct {
 	Title string       `json:"title"`
 	Kind  string       `json:"-"`
-	Now   fleet.Micros `json:"now_us"`
+	Now   model.Micros `json:"now_us"`
 	Body  any          `json:"body"`
 }
 
@@ -178,7 +178,7 @@
 	frame.Write(w, r, pages, p)
 }
 
-func (s *Server) overview(now fleet.Micros, seen []Seen) overview {
+func (s *Server) overview(now model.Micros, seen []Seen) overview {
 	o := overview{Governors: []row{}, Disagreements: []disagreementAt{}}
 	for _, g := range seen {
 		one := row{Address: g.Address, Name: g.Address, Age: "never", Error: g.Error, Fresh: g.Belief != nil && now-g.At <= freshFor}
@@ -205,7 +205,7 @@
 	return o
 }
 
-func table(now fleet.Micros, seen []Seen, only string, of func(*Belief) iter.Seq[string], says func(b *Belief, address, about string) (cell, bool)) matrix {
+func table(now model.Micros, seen []Seen, only string, of func(*Belief) iter.Seq[string], says func(b *Belief, address, about string) (cell, bool)) matrix {
 	m := matrix{Governors: []string{}, Rows: []matrixRow{}}
 	names := map[string]bool{}
 	for _, g := range seen {
--- a/console/body.go
+++ b/console/body.go
@@ -11,7 +11,7 @@
 
 	"peppervale/channel"
 	"peppervale/decide"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/group"
 	"peppervale/tablewire"
@@ -100,7 +100,7 @@
 	Started string  `json:"started"`
 }
 
-var lives = map[fleet.Life]string{fleet.Ready: "ready", fleet.Draining: "draining", fleet.Gone: "gone"}
+var lives = map[model.Life]string{model.Ready: "ready", model.Draining: "draining", model.Gone: "gone"}
 
 func (s *Server) row(p *page, r *decide.ReplicaView) replicaRow {
 	row := replicaRow{Address: tablewire.Address(r.ID), Zone: s.zone(r.Zone), Listed: "not listed", State: r.State, Out: r.Out, Cold: r.Cold, Part: r.Part, Rate: r.Rate,
@@ -167,7 +167,7 @@
 }
 
 func (s *Server) lines(m *decide.View, t decide.TableView) (rows []lineRow) {
-	states := map[fleet.ReplicaID]*decide.ReplicaView{}
+	states := map[model.ReplicaID]*decide.ReplicaView{}
 	for i := range m.Replicas {
 		states[m.Replicas[i].ID] = &m.Replicas[i]
 	}
--- a/console/console.go
+++ b/console/console.go
@@ -14,7 +14,7 @@
 
 	"peppervale/channel"
 	"peppervale/console/frame"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/group"
 )
@@ -36,7 +36,7 @@
 	Settings   func() [][2]string // in force now: name and value, in the file's order
 	Before     []byte             // what the life before last published, a channel.Picture in JSON; nil if none is known
 	QueueMost  int
-	Now        func() fleet.Micros
+	Now        func() model.Micros
 	Group      func() group.Status // nil: it shares the fleet with nobody
 }
 
@@ -72,7 +72,7 @@
 
 // sample is a second on the time line.
 type sample struct {
-	At                        fleet.Micros
+	At                        model.Micros
 	Joined, Ready, Queue      int
 	Messages, Lines, SumFolds uint64
 }
@@ -134,9 +134,9 @@
 	About About          `json:"-"`
 	Name  string         `json:"governor"`
 	Life  uint64         `json:"life"`
-	At    fleet.Micros   `json:"at_us"`  // of the view
+	At    model.Micros   `json:"at_us"`  // of the view
 	Age   string         `json:"age"`    // of the view when the page was made
-	Now   fleet.Micros   `json:"now_us"` // when it was made
+	Now   model.Micros   `json:"now_us"` // when it was made
 	View  *governor.View `json:"-"`
 	Stats channel.Stats  `json:"channel"`
 	Body  any            `json:"body"`
@@ -184,7 +184,7 @@
 	}
 	// The first to look for a while waits for a step that carries a look: five a second, if the governor steps at all.
 	v := s.from.Watch()
-	for k := 0; first != "group" && k < 10 && (v == nil || v.Look == nil || s.about.Now()-v.Look.At > fleet.Second); k++ {
+	for k := 0; first != "group" && k < 10 && (v == nil || v.Look == nil || s.about.Now()-v.Look.At > model.Second); k++ {
 		select {
 		case <-time.After(50 * time.Millisecond):
 		case <-r.Context().Done():
@@ -279,7 +279,7 @@
 }
 
 // Ago tells how long ago something was, for a reader.
-func Ago(now, at fleet.Micros) string {
+func Ago(now, at model.Micros) string {
 	if at == 0 {
 		return "never"
 	}
@@ -297,7 +297,7 @@
 
 func percent(f float64) string { return strconv.FormatFloat(100*f, 'f', 0, 64) + "%" }
 
-func seconds(m fleet.Micros) float64 { return float64(m) / float64(fleet.Second) }
+func seconds(m model.Micros) float64 { return float64(m) / float64(model.Second) }
 
 func figure(f float64) string { return strconv.FormatFloat(f, 'g', 3, 64) }
 
--- a/console/console_test.go
+++ b/console/console_test.go
@@ -15,7 +15,7 @@
 
 	"peppervale/board"
 	"peppervale/channel"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/tablewire"
 )
@@ -27,15 +27,15 @@
 	t     *testing.T
 	host  *governor.Host
 	pages *Server
-	now   func() fleet.Micros
+	now   func() model.Micros
 	take  time.Duration // that each batch takes the channel
 }
 
-func (d *desk) Admit(fleet.ProxyID, uint64) {}
+func (d *desk) Admit(model.ProxyID, uint64) {}
 func (d *desk) Publish(b *board.Batch) {
 	time.Sleep(d.take)
 	if b.Receipt >= 0 {
-		for p := range fleet.ProxyID(3) {
+		for p := range model.ProxyID(3) {
 			d.host.Applied(p, uint64(p)+1, uint32(b.Receipt))
 		}
 	}
@@ -43,8 +43,8 @@
 func (d *desk) Follow()              {}
 func (d *desk) Stats() channel.Stats { return channel.Stats{Forwarders: 3, Version: 7, Queue: 12} }
 
-func id(n int) fleet.ReplicaID {
-	return fleet.ReplicaID{Addr: [4]byte{127, 0, byte(n / 200), byte(n%200 + 1)}, Port: 80}
+func id(n int) model.ReplicaID {
+	return model.ReplicaID{Addr: [4]byte{127, 0, byte(n / 200), byte(n%200 + 1)}, Port: 80}
 }
 
 const hostile = `<script>alert(1)</script>&"'`
@@ -55,19 +55,19 @@
 // long one, and lets its gate open.
 func open(t *testing.T, replicas int, take time.Duration) *desk {
 	d := &desk{t: t, now: governor.Clock(), take: take}
-	terms := fleet.Terms{Seed: 1, Operations: []fleet.Operation{{Objective: 500_000, Value: 1}}, Zones: 2, Subscribe: true, Admits: true,
-		AdmitAll: 1, StandingSize: 4, Period: 200 * fleet.Millisecond, Overhead: 6, QueueMost: 100_000, BusyField: -1, Cold: 17 * fleet.Second}
+	terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: 500_000, Value: 1}}, Zones: 2, Subscribe: true, Admits: true,
+		AdmitAll: 1, StandingSize: 4, Period: 200 * model.Millisecond, Overhead: 6, QueueMost: 100_000, BusyField: -1, Cold: 17 * model.Second}
 	d.host = governor.New(terms, 10_000, d.now, zerolog.Nop())
-	var list []fleet.Listing
-	var sums []fleet.Sum
+	var list []model.Listing
+	var sums []model.Sum
 	for n := range replicas {
-		list = append(list, fleet.Listing{ID: id(n), Zone: n % 2, Life: fleet.Ready})
-		sums = append(sums, fleet.Sum{Replica: id(n), Tries: 10, Latency: 100_000, Span: fleet.Second})
+		list = append(list, model.Listing{ID: id(n), Zone: n % 2, Life: model.Ready})
+		sums = append(sums, model.Sum{Replica: id(n), Tries: 10, Latency: 100_000, Span: model.Second})
 	}
 	go d.host.Run(d, d, list)
 	t.Cleanup(d.host.Stop)
 	for p, name := range []string{"till", hostile, strings.Repeat("long", 32)} {
-		d.host.Joined(fleet.ProxyID(p), uint64(p)+1, tablewire.Join{Name: name, Rate: 5}, p%2)
+		d.host.Joined(model.ProxyID(p), uint64(p)+1, tablewire.Join{Name: name, Rate: 5}, p%2)
 	}
 	d.host.Heard(0, sums)
 	about := About{Name: "govan-1", Life: 3, Zones: []string{"govan", hostile}, Operations: []string{"recipe-read"}, QueueMost: 100, Now: d.now,
@@ -189,12 +189,12 @@
 				return
 			case <-time.After(time.Millisecond):
 			}
-			var sums []fleet.Sum
+			var sums []model.Sum
 			for k := range 300 {
-				sums = append(sums, fleet.Sum{Replica: id(k), Tries: 3, Latency: 100_000, Span: fleet.Second})
+				sums = append(sums, model.Sum{Replica: id(k), Tries: 3, Latency: 100_000, Span: model.Second})
 			}
 			d.host.Heard(n%2, sums)
-			p := fleet.ProxyID(10 + n%500)
+			p := model.ProxyID(10 + n%500)
 			d.host.Joined(p, uint64(1000+n), tablewire.Join{Name: fmt.Sprint("flood-", p), Rate: 1}, n%2)
 		}
 	}()
--- a/console/golden_test.go
+++ b/console/golden_test.go
@@ -11,7 +11,7 @@
 
 	"peppervale/channel"
 	"peppervale/decide"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/group"
 )
@@ -31,8 +31,8 @@
 
 func (s still) Causes(most int, match func(*governor.Cause) bool) (found []governor.Cause) {
 	for _, cause := range []governor.Cause{
-		{At: 97 * fleet.Second, Number: 3, Life: 21, Came: []string{"timer"}, Said: []string{"withdrew 10.0.0.1:81"}, Orders: []string{"table 6: 10.0.0.1:81 weighs 0.5"}, Cut: 22},
-		{At: 96 * fleet.Second, Number: 2, Life: 20, Came: []string{"joined till-1"}, Said: []string{"gate open"}, Orders: []string{"forwarder 7 on table 6"}, Cut: 23},
+		{At: 97 * model.Second, Number: 3, Life: 21, Came: []string{"timer"}, Said: []string{"withdrew 10.0.0.1:81"}, Orders: []string{"table 6: 10.0.0.1:81 weighs 0.5"}, Cut: 22},
+		{At: 96 * model.Second, Number: 2, Life: 20, Came: []string{"joined till-1"}, Said: []string{"gate open"}, Orders: []string{"forwarder 7 on table 6"}, Cut: 23},
 	} {
 		if match(&cause) && len(found) < most {
 			found = append(found, cause)
@@ -43,21 +43,21 @@
 
 // stillView is a view with every field set.
 func stillView(open bool) *governor.View {
-	one, two := fleet.ReplicaID{Addr: [4]byte{10, 0, 0, 1}, Port: 81}, fleet.ReplicaID{Addr: [4]byte{10, 0, 0, 2}, Port: 82}
-	module := &decide.View{Open: open, Waits: []fleet.ReplicaID{two}, Stress: 0.31, Pace: 0.32, Colds: 0.33, Unacked: 34, Shares: []float64{0.35, 0.36}, Way: fleet.AnyFailure,
+	one, two := model.ReplicaID{Addr: [4]byte{10, 0, 0, 1}, Port: 81}, model.ReplicaID{Addr: [4]byte{10, 0, 0, 2}, Port: 82}
+	module := &decide.View{Open: open, Waits: []model.ReplicaID{two}, Stress: 0.31, Pace: 0.32, Colds: 0.33, Unacked: 34, Shares: []float64{0.35, 0.36}, Way: model.AnyFailure,
 		Replicas: []decide.ReplicaView{
-			{ID: one, Zone: 1, State: "resting", Out: true, Cold: true, OutAt: 91 * fleet.Second, HeardAt: 92 * fleet.Second, BusyAt: 93 * fleet.Second, Since: 94 * fleet.Second,
-				EasedAt: 95 * fleet.Second, Busy: 0.41, Pace: 0.42, Part: 0.43, Rate: 44, Errors: 0.45, Lines: 46, Rests: 47},
-			{ID: two, Zone: 0, State: "serving", HeardAt: 98 * fleet.Second, BusyAt: 99 * fleet.Second, Busy: 0.51, Pace: 0.52, Part: 0.53, Rate: 54, Errors: 0.55, Lines: 56, Rests: 57},
+			{ID: one, Zone: 1, State: "resting", Out: true, Cold: true, OutAt: 91 * model.Second, HeardAt: 92 * model.Second, BusyAt: 93 * model.Second, Since: 94 * model.Second,
+				EasedAt: 95 * model.Second, Busy: 0.41, Pace: 0.42, Part: 0.43, Rate: 44, Errors: 0.45, Lines: 46, Rests: 47},
+			{ID: two, Zone: 0, State: "serving", HeardAt: 98 * model.Second, BusyAt: 99 * model.Second, Busy: 0.51, Pace: 0.52, Part: 0.53, Rate: 54, Errors: 0.55, Lines: 56, Rests: 57},
 		},
 		Tables:  []decide.TableView{{ID: 6, Zone: 1, Usual: 61, Users: 62, Lines: []decide.LineView{{Replica: one, Weight: 0.63}, {Replica: two, Weight: 0.64}}}},
-		Proxies: []decide.ProxyView{{ID: 7, Zone: 1, Usual: 71, Table: 6, Unacked: 72, Oldest: 90 * fleet.Second}},
+		Proxies: []decide.ProxyView{{ID: 7, Zone: 1, Usual: 71, Table: 6, Unacked: 72, Oldest: 90 * model.Second}},
 	}
 	look := &governor.Look{At: 99_500_000, Module: module,
-		Forwarders: map[fleet.ProxyID]governor.Forwarder{7: {Name: "till-1", Zone: 1, Rate: 73, Fresh: true, JoinedAt: 89 * fleet.Second}},
-		List: map[fleet.ReplicaID]fleet.Listing{one: {ID: one, Zone: 1, Life: fleet.Ready, Since: 94 * fleet.Second},
-			two: {ID: two, Zone: 0, Life: fleet.Draining, Since: 88 * fleet.Second}}}
-	return &governor.View{At: 99_600_000, GateOpen: open, Joined: 81, Ready: 82, Listed: 83, ListAt: 87 * fleet.Second, Steps: 84, WorstStep: 85, Waiting: 86, Folds: 87, Look: look}
+		Forwarders: map[model.ProxyID]governor.Forwarder{7: {Name: "till-1", Zone: 1, Rate: 73, Fresh: true, JoinedAt: 89 * model.Second}},
+		List: map[model.ReplicaID]model.Listing{one: {ID: one, Zone: 1, Life: model.Ready, Since: 94 * model.Second},
+			two: {ID: two, Zone: 0, Life: model.Draining, Since: 88 * model.Second}}}
+	return &governor.View{At: 99_600_000, GateOpen: open, Joined: 81, Ready: 82, Listed: 83, ListAt: 87 * model.Second, Steps: 84, WorstStep: 85, Waiting: 86, Folds: 87, Look: look}
 }
 
 // stillStatus is a group's status with every field set.
@@ -77,7 +77,7 @@
 // TestPagesAsJSON compares each page's JSON with the bytes that programs read today: its keys must not change.
 func TestPagesAsJSON(t *testing.T) {
 	about := About{Name: "govan-1", Life: 26, Zones: []string{"govan", "partick"}, Operations: []string{"recipe-read", "recipe-write"}, QueueMost: 100,
-		Now: func() fleet.Micros { return 100 * fleet.Second }, Settings: func() [][2]string { return [][2]string{{"listen", "127.0.0.1:7700"}} },
+		Now: func() model.Micros { return 100 * model.Second }, Settings: func() [][2]string { return [][2]string{{"listen", "127.0.0.1:7700"}} },
 		Before: []byte(publishedBefore), Group: stillStatus}
 	open, shut := &Server{about: about, from: still{stillView(true)}}, &Server{about: about, from: still{stillView(false)}}
 	about.Group, about.Before = nil, nil
--- a/console/plot.go
+++ b/console/plot.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 
 	"peppervale/console/frame"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // plots are the time lines, by name.
@@ -40,7 +40,7 @@
 	if n := len(s.history); n > 1 {
 		last := s.history[n-1].At
 		for i := 1; i < n; i++ {
-			points = append(points, plotter.XY{X: float64(s.history[i].At-last) / float64(fleet.Second), Y: kind.of(s.history[i-1], s.history[i])})
+			points = append(points, plotter.XY{X: float64(s.history[i].At-last) / float64(model.Second), Y: kind.of(s.history[i-1], s.history[i])})
 		}
 	}
 	s.mu.Unlock()
--- a/daemon/archive.go
+++ b/daemon/archive.go
@@ -5,7 +5,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/store"
 )
@@ -39,9 +39,9 @@
 }
 
 // Listed passes the list on, and puts a whole one down behind it: a drain does not wait for the disk.
-func (a *archive) Listed(scope fleet.Scope, entries []fleet.Listing) {
+func (a *archive) Listed(scope model.Scope, entries []model.Listing) {
 	a.host.Listed(scope, entries)
-	if scope == fleet.Whole {
+	if scope == model.Whole {
 		a.writer.List(entries)
 	}
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -18,7 +18,7 @@
 	bolt "go.etcd.io/bbolt"
 	"go.uber.org/goleak"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/rules"
 	"peppervale/site"
 	"peppervale/stand"
@@ -71,12 +71,12 @@
 	return l.Addr().String()
 }
 
-func replica(n byte) fleet.ReplicaID { return fleet.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 9} }
+func replica(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 9} }
 
 func build(t *testing.T, forwarders int) *house {
 	h := &house{t: t, dir: t.TempDir(), listen: free(t), pages: free(t)}
 	began := time.Now()
-	h.loop = stand.NewLoop(func() fleet.Micros { return fleet.Micros(time.Since(began) / time.Microsecond) })
+	h.loop = stand.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
 	t.Cleanup(h.loop.Stop)
 	engine, err := forwarder.NewEngine()
 	if err != nil {
@@ -92,8 +92,8 @@
 			h.list.Set(registry.Entry{ID: replica(n + 1), Zone: "govan"})
 		}
 		for k := range forwarders {
-			f := forwarder.New(h.loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Rate: 2, Redial: 50 * fleet.Millisecond,
-				ConnectFor: fleet.Second, StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.listen}}}, uint64(k), func(rules.Seen) {})
+			f := forwarder.New(h.loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Rate: 2, Redial: 50 * model.Millisecond,
+				ConnectFor: model.Second, StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.listen}}}, uint64(k), func(rules.Seen) {})
 			f.Start(nil)
 			h.forwarders = append(h.forwarders, f)
 		}
--- a/daemon/fixture_test.go
+++ b/daemon/fixture_test.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/channel"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/store"
 )
@@ -27,10 +27,10 @@
 )
 
 // fixtureListing is the endpoint list of the fixtures.
-var fixtureListing = []fleet.Listing{
-	{ID: fleet.ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 1, Life: fleet.Ready, Since: 1_700_000_000_000_001},
-	{ID: fleet.ReplicaID{Addr: [4]byte{10, 4, 5, 6}, Port: 8082}, Zone: 2, Life: fleet.Draining, Since: 1_700_000_000_000_002},
-	{ID: fleet.ReplicaID{Addr: [4]byte{10, 7, 8, 9}, Port: 8083}, Zone: 3, Life: fleet.Gone, Since: 1_700_000_000_000_003},
+var fixtureListing = []model.Listing{
+	{ID: model.ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 1, Life: model.Ready, Since: 1_700_000_000_000_001},
+	{ID: model.ReplicaID{Addr: [4]byte{10, 4, 5, 6}, Port: 8082}, Zone: 2, Life: model.Draining, Since: 1_700_000_000_000_002},
+	{ID: model.ReplicaID{Addr: [4]byte{10, 7, 8, 9}, Port: 8083}, Zone: 3, Life: model.Gone, Since: 1_700_000_000_000_003},
 }
 
 // fixtureCauses are the decision log of the fixture, by the life that took the steps. The last one carries a life of its own,
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host := governor.New(fleet.Terms{Operations: []fleet.Operation{{Objective: 1, Value: 1}}, Zones: 4, Period: fleet.Second, QueueMost: 1}, 1, governor.Clock(), zerolog.Nop())
+	host := governor.New(model.Terms{Operations: []model.Operation{{Objective: 1, Value: 1}}, Zones: 4, Period: model.Second, QueueMost: 1}, 1, governor.Clock(), zerolog.Nop())
 	a := newArchive(host, folder, found.Life, zerolog.Nop())
 	t.Cleanup(func() {
 		a.writer.Close()
@@ -78,7 +78,7 @@
 			if found.Life != life {
 				t.Fatalf("life %d, want %d", found.Life, life)
 			}
-			a.Listed(fleet.Whole, fixtureListing)
+			a.Listed(model.Whole, fixtureListing)
 			for _, cause := range fixtureCauses[life] {
 				a.keep(&cause)
 			}
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/platform"
 	"peppervale/platformwire"
@@ -57,7 +57,7 @@
 	defer list.Close()
 	// Proxies speak each report period; three without a word, and the way of a message, are silence. A segment that is lost comes again
 	// after a second, and after two more (RFC 6298): no less than that, however short the period.
-	silence := (max(3*p.Terms.Period, 3*fleet.Second) + p.Carries).Duration()
+	silence := (max(3*p.Terms.Period, 3*model.Second) + p.Carries).Duration()
 	// An answer that is three times as late is lost, not slow; and one more message a span is what the module leaves free.
 	server, err := listen(ctx, platform.Line{Listen: p.Listen, Zones: p.Zones, Operations: p.Operations, LoadFields: p.LoadFields,
 		Proxies: p.Terms.Proxies, Overhead: p.Terms.Overhead, Names: names, Now: now, Log: log, Limits: platform.Limits{
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -21,7 +21,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/listwire"
 	"peppervale/resp"
@@ -36,7 +36,7 @@
 	t      *testing.T
 	listen string
 	file   string
-	now    func() fleet.Micros
+	now    func() model.Micros
 	reload chan struct{}
 	cancel context.CancelFunc
 	ended  chan error
@@ -86,7 +86,7 @@
 func host(n int) string { return fmt.Sprint("s-", n) }
 
 // address is a name's id in the judge's books.
-func address(name string) fleet.ReplicaID {
+func address(name string) model.ReplicaID {
 	n, _ := strconv.Atoi(strings.TrimPrefix(name, "s-"))
 	return replica(byte(n))
 }
@@ -417,8 +417,8 @@
 	}
 	y.wait.Wait()
 	for _, v := range rules.Judge(y.seen, rules.Figures{Zones: zonesOf, Operations: []rules.Operation{{Name: "read", Effect: rules.Idempotent},
-		{Name: "log", Effect: rules.Fingerprinted, Window: 1200 * fleet.Millisecond}}, Bare: 3100 * fleet.Millisecond, Grace: 2800 * fleet.Millisecond,
-		Cold: 17 * fleet.Second, TipFactor: 4, TipSpan: 3 * fleet.Second, QueueMost: 2000}, y.now()) {
+		{Name: "log", Effect: rules.Fingerprinted, Window: 1200 * model.Millisecond}}, Bare: 3100 * model.Millisecond, Grace: 2800 * model.Millisecond,
+		Cold: 17 * model.Second, TipFactor: 4, TipSpan: 3 * model.Second, QueueMost: 2000}, y.now()) {
 		if len(v.Breaks) > 0 {
 			y.t.Errorf("%s: %q", v.Rule, v.Breaks)
 		}
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -10,7 +10,7 @@
 
 	"peppervale/channel"
 	"peppervale/console"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/group"
 	"peppervale/roster"
@@ -37,7 +37,7 @@
 		return err
 	}
 	now := governor.Clock()
-	folder, found, err := store.Open(g.State, uint64(now()/fleet.Second))
+	folder, found, err := store.Open(g.State, uint64(now()/model.Second))
 	if err != nil {
 		return err
 	}
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/board"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/group"
 	"peppervale/rules"
@@ -54,7 +54,7 @@
 	w := &town{t: t, cut: map[string]bool{}}
 	dir := t.TempDir()
 	began := time.Now()
-	w.loop = stand.NewLoop(func() fleet.Micros { return fleet.Micros(time.Since(began) / time.Microsecond) })
+	w.loop = stand.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
 	t.Cleanup(w.loop.Stop)
 	engine, err := forwarder.NewEngine()
 	if err != nil {
@@ -139,8 +139,8 @@
 	}
 	w.loop.Do(func() {
 		for k := range 6 {
-			f := forwarder.New(w.loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: zones[k%3], ZoneIndex: k % 3, Rate: 2, Redial: 50 * fleet.Millisecond,
-				ConnectFor: fleet.Second, StreamsOnly: true, Governors: append(channels[k%3:3:3], channels[:k%3]...)}, uint64(k), func(s rules.Seen) { w.seen = append(w.seen, s) })
+			f := forwarder.New(w.loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: zones[k%3], ZoneIndex: k % 3, Rate: 2, Redial: 50 * model.Millisecond,
+				ConnectFor: model.Second, StreamsOnly: true, Governors: append(channels[k%3:3:3], channels[:k%3]...)}, uint64(k), func(s rules.Seen) { w.seen = append(w.seen, s) })
 			f.Start([]rules.Line{{Replica: replica(1), Weight: 1}})
 			w.forwarders = append(w.forwarders, f)
 		}
@@ -194,8 +194,8 @@
 	w.isolate(w.names[1], false)
 	w.await("home again", home)
 	w.loop.Do(func() {
-		for _, v := range rules.Judge(w.seen, rules.Figures{Zones: []string{"govan", "partick", "dalmarnock"}, Bare: 2 * fleet.Second, Grace: 2 * fleet.Second,
-			Cold: fleet.Second, TipFactor: 4, TipSpan: fleet.Second, QueueMost: 6000}, w.loop.Now()) {
+		for _, v := range rules.Judge(w.seen, rules.Figures{Zones: []string{"govan", "partick", "dalmarnock"}, Bare: 2 * model.Second, Grace: 2 * model.Second,
+			Cold: model.Second, TipFactor: 4, TipSpan: model.Second, QueueMost: 6000}, w.loop.Now()) {
 			if len(v.Breaks) > 0 {
 				t.Errorf("%s: %v", v.Rule, v.Breaks)
 			}
@@ -303,24 +303,24 @@
 
 type quietChannel struct{}
 
-func (quietChannel) Admit(fleet.ProxyID, uint64) {}
+func (quietChannel) Admit(model.ProxyID, uint64) {}
 func (quietChannel) Publish(*board.Batch)        {}
 
 // A governor that stood by begins with a part. In a planned move it was told what the one before had heard, and its gate opens on that;
 // unplanned it waits, as after any start.
 func TestTheGateAtATakeover(t *testing.T) {
 	for _, planned := range []bool{true, false} {
-		terms := fleet.Terms{Seed: 1, Operations: []fleet.Operation{{Objective: fleet.Second, Value: 1}}, Zones: 1, Subscribe: true, AdmitAll: 1, StandingSize: 6,
-			Period: 2500 * fleet.Millisecond, QueueMost: 1000, Proxies: 10, ConnsLeast: 100, BusyField: -1, Cold: fleet.Second}
+		terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: model.Second, Value: 1}}, Zones: 1, Subscribe: true, AdmitAll: 1, StandingSize: 6,
+			Period: 2500 * model.Millisecond, QueueMost: 1000, Proxies: 10, ConnsLeast: 100, BusyField: -1, Cold: model.Second}
 		s := newSharing(&site.Governor{Zones: []string{"govan"}, Group: &site.Group{Parts: 1}})
 		s.host = governor.New(terms, 1000, governor.Clock(), zerolog.Nop())
 		s.begin = func() { go s.host.Run(quietChannel{}, quietRoster{}, nil) }
 		if planned {
-			s.take(group.Handover{Sums: []fleet.Sum{{Replica: replica(1), Tries: 50, Latency: 1000, Span: fleet.Second}, {Replica: replica(2), Tries: 50, Latency: 1000, Span: fleet.Second}}})
+			s.take(group.Handover{Sums: []model.Sum{{Replica: replica(1), Tries: 50, Latency: 1000, Span: model.Second}, {Replica: replica(2), Tries: 50, Latency: 1000, Span: model.Second}}})
 		}
 		s.Gained(0, 1)
-		s.host.Listed(fleet.Whole, []fleet.Listing{{ID: replica(1), Life: fleet.Ready}, {ID: replica(2), Life: fleet.Ready}})
-		s.host.Heard(0, []fleet.Sum{{Replica: replica(1), Tries: 1, Latency: 1000, Span: fleet.Second}}) // of one that joined since
+		s.host.Listed(model.Whole, []model.Listing{{ID: replica(1), Life: model.Ready}, {ID: replica(2), Life: model.Ready}})
+		s.host.Heard(0, []model.Sum{{Replica: replica(1), Tries: 1, Latency: 1000, Span: model.Second}}) // of one that joined since
 		open := func() bool { v := s.host.View(); return v != nil && v.GateOpen }
 		for end := time.Now().Add(6 * time.Second); planned && !open(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
--- a/day/frombench_test.go
+++ b/day/frombench_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // A bench day by hand: what it says comes back in the script, smaller by one factor.
@@ -30,7 +30,7 @@
 		t.Fatalf("%v\n%s", err, script)
 	}
 	if s.Forwarders.EachZone != 20 || s.Replicas.EachZone != 10 || s.Terms.QueueMost != 4000 || len(s.Governors) != 2 ||
-		s.Guarantees.Cold != 17*fleet.Second || s.Load.Rate < 199 || s.Load.Rate > 201 {
+		s.Guarantees.Cold != 17*model.Second || s.Load.Rate < 199 || s.Load.Rate > 201 {
 		t.Fatalf("%+v", s)
 	}
 	kinds := ""
--- a/day/report.go
+++ b/day/report.go
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/rules"
 	"peppervale/site"
 	"peppervale/stand/forwarder"
@@ -119,7 +119,7 @@
 type value struct{ asked, served float64 }
 
 func newTally(s *Script) *tally {
-	t := &tally{of: s.Operations, seconds: make([]value, int(s.Length/fleet.Second)+1)}
+	t := &tally{of: s.Operations, seconds: make([]value, int(s.Length/model.Second)+1)}
 	for range s.Operations {
 		t.ops = append(t.ops, opTally{latency: hdrhistogram.New(1, int64(hour), 3)})
 	}
@@ -127,9 +127,9 @@
 }
 
 // count takes an invocation's end: how long it took from its first asking, and when that was in the day.
-func (t *tally) count(op int, r forwarder.Result, took, at fleet.Micros) {
+func (t *tally) count(op int, r forwarder.Result, took, at model.Micros) {
 	o, of := &t.ops[op], t.of[op]
-	sec := &t.seconds[min(max(int(at/fleet.Second), 0), len(t.seconds)-1)]
+	sec := &t.seconds[min(max(int(at/model.Second), 0), len(t.seconds)-1)]
 	o.asked++
 	sec.asked += of.Value
 	switch {
@@ -169,7 +169,7 @@
 }
 
 func (d *play) report(verdicts []rules.Verdict) *Report {
-	r := &Report{Day: d.Name, Seconds: float64(d.Length) / float64(fleet.Second), Forwarders: len(d.forwarders), Replicas: len(d.replicas),
+	r := &Report{Day: d.Name, Seconds: float64(d.Length) / float64(model.Second), Forwarders: len(d.forwarders), Replicas: len(d.replicas),
 		Governors: max(len(d.governors), 1), Rules: verdicts}
 	r.Service, r.WorstTen = d.tally.service()
 	for i, o := range d.tally.ops {
@@ -177,7 +177,7 @@
 		r.Operations = append(r.Operations, OperationReport{Name: d.Operations[i].Name, Asked: o.asked, InTime: o.inTime, Late: o.late,
 			RateLimited: o.limited, Failed: o.failed, P50: ms(50), P95: ms(95), P99: ms(99)})
 	}
-	zones := map[fleet.ReplicaID]string{}
+	zones := map[model.ReplicaID]string{}
 	for _, m := range d.replicas {
 		if zones[m.ID] = m.Zone; m.Tipped {
 			r.Tipped++
--- a/day/rogue.go
+++ b/day/rogue.go
@@ -7,7 +7,7 @@
 
 	"peppervale/board"
 	"peppervale/channel"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/roster"
 	"peppervale/stand"
 	"peppervale/tablewire"
@@ -31,16 +31,16 @@
 	server  *channel.Server
 	list    *roster.Consul
 	line    channel.Line
-	streams map[fleet.ProxyID]bool
-	ready   map[fleet.ReplicaID]fleet.Listing
+	streams map[model.ProxyID]bool
+	ready   map[model.ReplicaID]model.Listing
 	receipt int
-	began   fleet.Micros
+	began   model.Micros
 }
 
-const rogueTable = fleet.TableID(1)
+const rogueTable = model.TableID(1)
 
 func newRogue(d *play) (*rogue, error) {
-	r := &rogue{kind: d.Rogue, name: "rogue", loop: d.loop, streams: map[fleet.ProxyID]bool{}, ready: map[fleet.ReplicaID]fleet.Listing{}, began: d.now()}
+	r := &rogue{kind: d.Rogue, name: "rogue", loop: d.loop, streams: map[model.ProxyID]bool{}, ready: map[model.ReplicaID]model.Listing{}, began: d.now()}
 	var err error
 	r.line = channel.Line{Listen: fmt.Sprintf("127.%d.254.1:7700", d.octet), Life: 1, Zones: d.Zones, Period: d.Terms.Period,
 		Overhead: d.Terms.Overhead, Pace: 1e6, Now: d.now, Log: zerolog.Nop()}
@@ -48,13 +48,13 @@
 		return nil, err
 	}
 	r.list, err = roster.NewConsul(roster.Query{Address: d.list.Addr(), Service: serviceName, Caller: "peppervale/" + r.name, Zones: d.Zones,
-		Wait: (5 * fleet.Second).Duration(), Slack: (2 * fleet.Second).Duration(), Log: zerolog.Nop()}, r)
+		Wait: (5 * model.Second).Duration(), Slack: (2 * model.Second).Duration(), Log: zerolog.Nop()}, r)
 	if err != nil {
 		r.server.Close()
 		return nil, err
 	}
 	r.list.Follow()
-	r.loop.After(200*fleet.Millisecond, r.beat)
+	r.loop.After(200*model.Millisecond, r.beat)
 	return r, nil
 }
 
@@ -64,7 +64,7 @@
 }
 
 // Joined and the rest are what the channel and the list tell.
-func (r *rogue) Joined(p fleet.ProxyID, stream uint64, _ tablewire.Join, _ int) {
+func (r *rogue) Joined(p model.ProxyID, stream uint64, _ tablewire.Join, _ int) {
 	r.loop.Post(func() {
 		r.server.Admit(p, stream)
 		r.streams[p] = true
@@ -72,23 +72,23 @@
 	})
 }
 
-func (r *rogue) Left(p fleet.ProxyID, _ uint64) { r.loop.Post(func() { delete(r.streams, p) }) }
+func (r *rogue) Left(p model.ProxyID, _ uint64) { r.loop.Post(func() { delete(r.streams, p) }) }
 
-func (r *rogue) Applied(fleet.ProxyID, uint64, uint32) {}
+func (r *rogue) Applied(model.ProxyID, uint64, uint32) {}
 
-func (r *rogue) Heard(int, []fleet.Sum) {}
+func (r *rogue) Heard(int, []model.Sum) {}
 
 // Listed takes the list; but for what it hides it withdraws as it should.
-func (r *rogue) Listed(scope fleet.Scope, entries []fleet.Listing) {
+func (r *rogue) Listed(scope model.Scope, entries []model.Listing) {
 	r.loop.Post(func() {
-		if scope == fleet.Failed {
+		if scope == model.Failed {
 			r.list.Follow()
 			return
 		}
-		named := map[fleet.ReplicaID]bool{}
+		named := map[model.ReplicaID]bool{}
 		var orders []board.Order
 		for _, e := range entries {
-			if named[e.ID] = e.Life == fleet.Ready; e.Life != fleet.Ready {
+			if named[e.ID] = e.Life == model.Ready; e.Life != model.Ready {
 				continue
 			}
 			if old, known := r.ready[e.ID]; !known || old.Since != e.Since {
@@ -122,8 +122,8 @@
 
 // beat does what it does wrong, once the day has begun to run.
 func (r *rogue) beat() {
-	r.loop.After(200*fleet.Millisecond, r.beat)
-	if r.line.Now()-r.began < 3*fleet.Second {
+	r.loop.After(200*model.Millisecond, r.beat)
+	if r.line.Now()-r.began < 3*model.Second {
 		return
 	}
 	switch r.kind {
@@ -134,7 +134,7 @@
 		}
 		r.publish(orders...)
 	case "repeats-anything":
-		r.publish(board.Order{What: board.SetLevel, Level: tablewire.Level{Operations: 0, Share: 1, Way: fleet.TwoMore}})
+		r.publish(board.Order{What: board.SetLevel, Level: tablewire.Level{Operations: 0, Share: 1, Way: model.TwoMore}})
 	case "floods":
 		for range 20 {
 			var orders []board.Order
--- a/day/run.go
+++ b/day/run.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/rules"
 	"peppervale/site"
@@ -47,7 +47,7 @@
 type play struct {
 	*Script
 	set       Setting
-	now       func() fleet.Micros
+	now       func() model.Micros
 	chance    *stand.Chance
 	folder    string
 	temporary bool
@@ -56,7 +56,7 @@
 	governors []*process
 	rogue     *rogue
 
-	began      fleet.Micros
+	began      model.Micros
 	seen       []rules.Seen
 	list       *registry.Registry
 	replicas   []*machine
@@ -147,7 +147,7 @@
 
 func (d *play) say(format string, args ...any) {
 	if d.set.Progress != nil {
-		fmt.Fprintf(d.set.Progress, "%7.3f s  %s\n", float64(d.now()-d.began)/float64(fleet.Second), fmt.Sprintf(format, args...))
+		fmt.Fprintf(d.set.Progress, "%7.3f s  %s\n", float64(d.now()-d.began)/float64(model.Second), fmt.Sprintf(format, args...))
 	}
 }
 
@@ -232,13 +232,13 @@
 }
 
 func (d *play) addReplica(zone, k int, cold bool) error {
-	id := fleet.ReplicaID{Addr: [4]byte{127, byte(d.octet), byte(zone + 1), byte(k + 1)}, Port: 8080}
+	id := model.ReplicaID{Addr: [4]byte{127, byte(d.octet), byte(zone + 1), byte(k + 1)}, Port: 8080}
 	r := d.Replicas
 	bay := fmt.Sprintf("%s-%d", d.Zones[zone], k/r.BaySize)
 	if d.bays[bay] == nil {
 		d.bays[bay] = replica.NewBay()
 	}
-	windows := make([]fleet.Micros, len(d.Operations))
+	windows := make([]model.Micros, len(d.Operations))
 	for i, o := range d.Operations {
 		windows[i] = o.Window
 	}
@@ -261,7 +261,7 @@
 }
 
 // listed puts a replica, as it is by then, into the list after a while.
-func (d *play) listed(m *machine, after fleet.Micros) {
+func (d *play) listed(m *machine, after model.Micros) {
 	life := m.Started
 	d.loop.After(after, func() {
 		if m.Up && m.Started == life {
@@ -272,7 +272,7 @@
 }
 
 // unlisted takes a replica that is down out of the list after a while.
-func (d *play) unlisted(m *machine, after fleet.Micros) {
+func (d *play) unlisted(m *machine, after model.Micros) {
 	d.loop.After(after, func() {
 		if !m.Up || m.Silent {
 			d.list.Remove(m.ID)
@@ -297,7 +297,7 @@
 		rate := d.Load.Rate * weights[i] / sum
 		facts := forwarder.Facts{Name: fmt.Sprintf("%s-till-%d", d.Zones[zone], i/len(d.Zones)+1), Zone: d.Zones[zone], ZoneIndex: zone,
 			Rate: rate, Pick: forwarder.Pick(f.Pick), Operations: ops, UsualWay: d.Guarantees.DefaultWay, FirstWait: d.Guarantees.FirstWait,
-			Ejects: f.Ejects, EjectFor: f.EjectFor, Redial: f.Redial, ConnectFor: 250 * fleet.Millisecond, IdleFor: 15 * fleet.Second, StallFor: f.StallLine}
+			Ejects: f.Ejects, EjectFor: f.EjectFor, Redial: f.Redial, ConnectFor: 250 * model.Millisecond, IdleFor: 15 * model.Second, StallFor: f.StallLine}
 		d.forwarders = append(d.forwarders, &caller{Forwarder: forwarder.New(d.loop, d.engine, facts, d.Seed, d.see), zone: zone, rate: rate})
 	}
 }
@@ -382,7 +382,7 @@
 	case <-time.After(d.Length.Duration()):
 	}
 	// What was asked before the end still ends, and rules still count.
-	var longest fleet.Micros
+	var longest model.Micros
 	for _, o := range d.Operations {
 		longest = max(longest, o.Timeout)
 	}
@@ -409,7 +409,7 @@
 	if c.rate <= 0 {
 		return
 	}
-	d.loop.After(fleet.Micros(d.chance.Wait(c.rate)*float64(fleet.Second)), func() {
+	d.loop.After(model.Micros(d.chance.Wait(c.rate)*float64(model.Second)), func() {
 		if d.now()-d.began < d.Length {
 			d.ask(c)
 			d.arrive(c)
@@ -435,8 +435,8 @@
 }
 
 // invoke asks, and asks again as clients do: idempotent work after any failure, the rest after a refusal.
-func (d *play) invoke(c *caller, inv *forwarder.Invocation, first fleet.Micros) {
-	inv.Done = func(r forwarder.Result, _ fleet.Micros) {
+func (d *play) invoke(c *caller, inv *forwarder.Invocation, first model.Micros) {
+	inv.Done = func(r forwarder.Result, _ model.Micros) {
 		o := d.Operations[inv.Operation]
 		took := d.now() - first
 		again := inv.Caller+1 < d.Script.Forwarders.ClientTries && took+d.Script.Forwarders.Backoff < o.Timeout &&
--- a/day/script.go
+++ b/day/script.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/rules"
 	"peppervale/site"
 )
@@ -23,14 +23,14 @@
 type Script struct {
 	Name       string
 	About      string
-	Length     fleet.Micros
+	Length     model.Micros
 	Seed       uint64
 	Zones      []string
 	Governors  []string // the zone of each
 	Shared     *Shared  // nil: governors share nothing
 	Rogue      string   // a governor of the stand's own that does something wrong; "" for the real ones
 	Operations []site.Operation
-	Terms      fleet.Terms
+	Terms      model.Terms
 	Guarantees site.Guarantees
 	Replicas   Replicas
 	Forwarders Forwarders
@@ -43,7 +43,7 @@
 // Shared says how the governors share the fleet out.
 type Shared struct {
 	Parts               int // of each zone
-	Lease, Settle, Pace fleet.Micros
+	Lease, Settle, Pace model.Micros
 }
 
 // Replicas says what each zone has.
@@ -51,20 +51,20 @@
 	EachZone, Cores, Waiting, Connections, BaySize int
 	SpeedFrom, SpeedTo                             float64
 	ColdShare                                      float64
-	ColdSpan, ReportEvery, Handshake               fleet.Micros
+	ColdSpan, ReportEvery, Handshake               model.Micros
 }
 
 // Forwarders says what each zone has.
 type Forwarders struct {
 	EachZone, Ejects, ClientTries int
 	Pick                          string
-	Redial, EjectFor, StallLine   fleet.Micros
-	Backoff                       fleet.Micros
+	Redial, EjectFor, StallLine   model.Micros
+	Backoff                       model.Micros
 	RateSpread                    float64
 }
 
 // List says how late the machine list learns.
-type List struct{ Notice, Silent, Add fleet.Micros }
+type List struct{ Notice, Silent, Add model.Micros }
 
 // Load says what callers ask.
 type Load struct {
@@ -76,15 +76,15 @@
 type Work struct {
 	Operation int
 	Share     float64
-	Mean      fleet.Micros
+	Mean      model.Micros
 	Spread    float64
 }
 
 // Step is a trouble.
 type Step struct {
 	Kind   string
-	At     fleet.Micros
-	Lasts  fleet.Micros
+	At     model.Micros
+	Lasts  model.Micros
 	Zone   string
 	Part   float64 // of what it strikes
 	Size   float64 // how much, by kind
@@ -145,7 +145,7 @@
 	return read(top, filepath.Dir(path)), r.Err()
 }
 
-const hour = 3600 * fleet.Second
+const hour = 3600 * model.Second
 
 func read(top *site.Block, dir string) *Script {
 	s := &Script{}
@@ -155,13 +155,13 @@
 	d := top.One("day", 1, true)
 	s.Name = d.Labels[0]
 	s.About = d.Maybe("about")
-	s.Length = d.Span("length", -1, fleet.Second, hour)
+	s.Length = d.Span("length", -1, model.Second, hour)
 	s.Seed = uint64(d.Whole("seed", 1, 0, 1<<30))
 	s.Governors = d.Governors()
 	s.Rogue = d.Text("rogue", "none", append([]string{"none"}, RogueKinds...)...)
 	if d.Yes("shared", false) {
-		s.Shared = &Shared{Parts: d.Whole("parts", 2, 1, 64), Lease: d.Span("lease", 2*fleet.Second, 300*fleet.Millisecond, hour),
-			Settle: d.Span("settle", 4*fleet.Second, 0, hour), Pace: d.Span("pace", fleet.Second, 0, hour)}
+		s.Shared = &Shared{Parts: d.Whole("parts", 2, 1, 64), Lease: d.Span("lease", 2*model.Second, 300*model.Millisecond, hour),
+			Settle: d.Span("settle", 4*model.Second, 0, hour), Pace: d.Span("pace", model.Second, 0, hour)}
 	}
 	d.Done()
 	s.Zones = top.Texts("zones", true)
@@ -183,18 +183,18 @@
 		Waiting: b.Whole("waiting", 20, 0, 1_000_000), Connections: b.Whole("connections", 200, 1, 1_000_000),
 		BaySize: b.Whole("bay_size", 3, 1, 1000), SpeedFrom: b.Number("speed_from", 0.85, 0.01, 100),
 		SpeedTo: b.Number("speed_to", 1.1, 0.01, 100), ColdShare: b.Number("cold_share", 0.25, 0.01, 1),
-		ColdSpan: b.Span("cold_span", 8*fleet.Second, 0, hour), ReportEvery: b.Span("report_every", 500*fleet.Millisecond, 0, hour),
-		Handshake: b.Span("handshake", 5*fleet.Millisecond, 0, hour)}
+		ColdSpan: b.Span("cold_span", 8*model.Second, 0, hour), ReportEvery: b.Span("report_every", 500*model.Millisecond, 0, hour),
+		Handshake: b.Span("handshake", 5*model.Millisecond, 0, hour)}
 	b.Done()
 	b = top.One("forwarders", 0, true)
 	s.Forwarders = Forwarders{EachZone: b.Whole("each_zone", 0, 1, 10_000), Ejects: b.Whole("ejects", 0, 0, 1000),
 		ClientTries: b.Whole("client_tries", 1, 1, 10), Pick: b.Text("pick", "pair", "lottery", "wheel", "pair"),
-		Redial: b.Span("redial", 150*fleet.Millisecond, fleet.Millisecond, hour), EjectFor: b.Span("eject_for", 5*fleet.Second, 0, hour),
-		Backoff:   b.Span("backoff", 100*fleet.Millisecond, 0, hour),
-		StallLine: b.Span("stall_line", 0, 0, fleet.Second), RateSpread: b.Number("rate_spread", 0.5, 0, 5)}
+		Redial: b.Span("redial", 150*model.Millisecond, model.Millisecond, hour), EjectFor: b.Span("eject_for", 5*model.Second, 0, hour),
+		Backoff:   b.Span("backoff", 100*model.Millisecond, 0, hour),
+		StallLine: b.Span("stall_line", 0, 0, model.Second), RateSpread: b.Number("rate_spread", 0.5, 0, 5)}
 	b.Done()
 	b = top.One("list", 0, false)
-	s.List = List{b.Span("notice", fleet.Second, 0, hour), b.Span("silent_notice", 6*fleet.Second, 0, hour), b.Span("add", 500*fleet.Millisecond, 0, hour)}
+	s.List = List{b.Span("notice", model.Second, 0, hour), b.Span("silent_notice", 6*model.Second, 0, hour), b.Span("add", 500*model.Millisecond, 0, hour)}
 	b.Done()
 	b = top.One("load", 0, true)
 	s.Load.Rate = b.Number("rate", 0, 0, 100_000)
@@ -219,7 +219,7 @@
 }
 
 func (s *Script) step(b *site.Block) Step {
-	t := Step{Kind: b.Labels[0], At: b.Span("at", -1, 0, hour), Lasts: b.Span("lasts", 5*fleet.Second, 0, hour),
+	t := Step{Kind: b.Labels[0], At: b.Span("at", -1, 0, hour), Lasts: b.Span("lasts", 5*model.Second, 0, hour),
 		Zone: b.Maybe("zone"), Part: b.Number("part", 0.25, 0, 1), Size: b.Number("size", 3, 0, 1000),
 		Number: b.Whole("number", 1, 0, 1000), Silent: b.Yes("silent", false), Group: b.Maybe("group")}
 	if Kinds[t.Kind] == "" {
--- a/day/steps.go
+++ b/day/steps.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/site"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
@@ -73,7 +73,7 @@
 	if t.Kind == "governor_crash" && t.Number > 1 {
 		more := t
 		more.Number--
-		d.loop.After(fleet.Micros(d.chance.Between(0.7, 1.3)*float64(seconds(t.Size))), func() { d.strike(more) })
+		d.loop.After(model.Micros(d.chance.Between(0.7, 1.3)*float64(seconds(t.Size))), func() { d.strike(more) })
 	}
 	switch do := troubles[t.Kind]; {
 	case do != nil:
@@ -93,7 +93,7 @@
 	"forwarder_stall": func(d *play, t Step) {
 		for _, c := range d.struckForwarders(t) {
 			for k := range max(t.Number, 1) {
-				d.loop.After(fleet.Micros(2*k)*seconds(t.Size), func() { c.Stall(seconds(t.Size)) })
+				d.loop.After(model.Micros(2*k)*seconds(t.Size), func() { c.Stall(seconds(t.Size)) })
 			}
 		}
 	},
@@ -174,7 +174,7 @@
 	},
 }
 
-func seconds(f float64) fleet.Micros { return fleet.Micros(f * float64(fleet.Second)) }
+func seconds(f float64) model.Micros { return model.Micros(f * float64(model.Second)) }
 
 func slower(times float64) func(*machine) {
 	return func(m *machine) { m.Slow = times }
@@ -199,7 +199,7 @@
 
 // startAgain tries for a while: the old process's port may not be free at once.
 func (d *play) startAgain(m *machine, tries int) {
-	d.loop.After(50*fleet.Millisecond, func() {
+	d.loop.After(50*model.Millisecond, func() {
 		if err := m.Start(true); err != nil {
 			if tries == 0 {
 				d.faults = append(d.faults, err)
@@ -222,7 +222,7 @@
 	} else {
 		undo(m)
 	}
-	d.loop.After(fleet.Second, func() {
+	d.loop.After(model.Second, func() {
 		if m.strike == mine {
 			d.alternate(m, mine, !on, do, undo)
 		}
@@ -230,15 +230,15 @@
 }
 
 // age slows a replica evenly up to the step's size.
-func (d *play) age(m *machine, mine int, t Step, began fleet.Micros) {
+func (d *play) age(m *machine, mine int, t Step, began model.Micros) {
 	if m.strike != mine {
 		return
 	}
 	m.Slow = 1 + (t.Size-1)*min(1, float64(d.now()-began)/float64(max(t.Lasts, 1)))
-	d.loop.After(500*fleet.Millisecond, func() { d.age(m, mine, t, began) })
+	d.loop.After(500*model.Millisecond, func() { d.age(m, mine, t, began) })
 }
 
-func (d *play) killForwarder(c *caller, down fleet.Micros) {
+func (d *play) killForwarder(c *caller, down model.Micros) {
 	c.Kill()
 	d.loop.After(down, func() { c.Start(d.standing(c)) })
 }
@@ -281,7 +281,7 @@
 	groups := (len(all) + group - 1) / group
 	for g := range groups {
 		for _, m := range all[g*group : min(len(all), (g+1)*group)] {
-			d.loop.After(t.Lasts*fleet.Micros(g)/fleet.Micros(groups), func() {
+			d.loop.After(t.Lasts*model.Micros(g)/model.Micros(groups), func() {
 				if !m.Up {
 					return
 				}
@@ -339,7 +339,7 @@
 }
 
 // crash kills a governor outright and starts it again: it has its state folder and nothing else.
-func (d *play) crash(p *process, down fleet.Micros) {
+func (d *play) crash(p *process, down model.Micros) {
 	p.end(syscall.SIGKILL, time.Second)
 	d.loop.After(down, func() { d.again(p) })
 }
@@ -370,7 +370,7 @@
 			p.signal(syscall.SIGSTOP)
 			d.loop.After(t.Lasts, func() { p.signal(syscall.SIGCONT) })
 		case "governor_roll":
-			d.loop.After(t.Lasts*fleet.Micros(n)/fleet.Micros(len(all)), func() {
+			d.loop.After(t.Lasts*model.Micros(n)/model.Micros(len(all)), func() {
 				ended := p.leave(syscall.SIGTERM, 5*time.Second)
 				go func() { // its farewell takes a while
 					usage := ended()
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -20,7 +20,7 @@
 	"math"
 	"slices"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // States and inputs are bits, so that a row of a table can name several.
@@ -56,15 +56,15 @@
 
 // Governor is one instance.
 type Governor struct {
-	terms                           fleet.Terms
-	host                            fleet.Host
-	now, joinedAt                   fleet.Micros
-	foldedAt, solvedAt, admitAt     fleet.Micros
+	terms                           model.Terms
+	host                            model.Host
+	now, joinedAt                   model.Micros
+	foldedAt, solvedAt, admitAt     model.Micros
 	gate                            state
 	replicas                        []*replica
-	byID                            map[fleet.ReplicaID]*replica
+	byID                            map[model.ReplicaID]*replica
 	proxies, written                []*proxy // joined; reached by the reply being written
-	byProxy                         map[fleet.ProxyID]*proxy
+	byProxy                         map[model.ProxyID]*proxy
 	tables                          []*table
 	zones                           [][]*table // the same by zone, then those for operations that stay in it
 	costs                           []int      // of binds by zone, then in a rush; 0: not known
@@ -72,7 +72,7 @@
 	due                             []dueTime
 	unacked, aged, receipt, chances int       // aged: see weighQueue
 	loose                           int       // proxies not bound
-	way                             fleet.Way // when proxies try again, as ordered
+	way                             model.Way // when proxies try again, as ordered
 	beaten, changed, askAll         bool      // the timer rang; a proxy or a state changed; all are to answer
 	blocked, rush                   bool      // withdrawals wait for room; binds come before them
 	why                             string    // of what is told next: the figure that passed its bound
@@ -83,12 +83,12 @@
 }
 
 // New makes a governor, subscribes it to the list and starts its gate's window.
-func New(t fleet.Terms, host fleet.Host, now fleet.Micros) *Governor {
+func New(t model.Terms, host model.Host, now model.Micros) *Governor {
 	// The start window: a report is gathered in one period and comes in a second; a third serves replicas whose
 	// first line waits its turn. Who is unheard then stands in no table. The design's 10 s is the most.
-	window := min(3*t.Period, 10*fleet.Second)
-	g := &Governor{terms: t, host: host, now: now, foldedAt: now, gate: shut, way: fleet.WhenUnrun,
-		byID: map[fleet.ReplicaID]*replica{}, byProxy: map[fleet.ProxyID]*proxy{},
+	window := min(3*t.Period, 10*model.Second)
+	g := &Governor{terms: t, host: host, now: now, foldedAt: now, gate: shut, way: model.WhenUnrun,
+		byID: map[model.ReplicaID]*replica{}, byProxy: map[model.ProxyID]*proxy{},
 		told: make([]float64, len(t.Operations)), zones: make([][]*table, t.Zones),
 		costs: make([]int, 2*t.Zones)}
 	if t.OwnZone != 0 && t.OwnZone != 1<<len(t.Operations)-1 {
@@ -109,13 +109,13 @@
 }
 
 // beat is the one timer: five to a report, so that a round of binds takes about one report.
-func (g *Governor) beat() fleet.Micros { return max(g.terms.Period/5, 50*fleet.Millisecond) }
+func (g *Governor) beat() model.Micros { return max(g.terms.Period/5, 50*model.Millisecond) }
 
 // Listed takes news of the list. After a failure it asks again in a second: at once would add to the cause.
-func (g *Governor) Listed(now fleet.Micros, scope fleet.Scope, entries []fleet.Listing) {
+func (g *Governor) Listed(now model.Micros, scope model.Scope, entries []model.Listing) {
 	g.now = now
-	if scope == fleet.Failed {
-		g.after(fleet.Second, dueTime{on: askAgain})
+	if scope == model.Failed {
+		g.after(model.Second, dueTime{on: askAgain})
 		return
 	}
 	named := map[*replica]bool{}
@@ -129,9 +129,9 @@
 		}
 		r.zone, named[r] = e.Zone%g.terms.Zones, true
 		switch {
-		case e.Life == fleet.Draining:
+		case e.Life == model.Draining:
 			g.tell(r, drains)
-		case e.Life != fleet.Ready:
+		case e.Life != model.Ready:
 			g.tell(r, gone)
 		case e.Since > 0 && e.Since != r.since && now-e.Since < easeSpan:
 			r.since = e.Since
@@ -142,7 +142,7 @@
 		}
 	}
 	for _, r := range g.replicas {
-		if scope != fleet.Change && !named[r] {
+		if scope != model.Change && !named[r] {
 			g.tell(r, gone)
 		}
 	}
@@ -163,7 +163,7 @@
 }
 
 // easeSpan is the design's default: a newly started replica reaches its full part after it.
-const easeSpan = 30 * fleet.Second
+const easeSpan = 30 * model.Second
 
 func (g *Governor) settle(r *replica) { r.stamp, r.rests = r.stamp+1, 0 }
 
@@ -184,7 +184,7 @@
 // rest withdraws a replica. Eight seconds outlast most silences short of a restart; further rests double.
 func (g *Governor) rest(r *replica) {
 	r.stamp++
-	g.after(8*fleet.Second<<min(r.rests, 2), dueTime{on: rested, r: r, stamp: r.stamp})
+	g.after(8*model.Second<<min(r.rests, 2), dueTime{on: rested, r: r, stamp: r.stamp})
 	r.rests++
 }
 
@@ -213,14 +213,14 @@
 func (g *Governor) cold(r *replica) bool { return r.state == easing && g.now-r.since < g.terms.Cold }
 
 // Joined takes a proxy whose stream is established. It may hold old withdrawals, and not know ours.
-func (g *Governor) Joined(now fleet.Micros, id fleet.ProxyID, zone int, usual float64) {
+func (g *Governor) Joined(now model.Micros, id model.ProxyID, zone int, usual float64) {
 	g.Left(now, id)
 	p := &proxy{id: id, zone: zone % g.terms.Zones, usual: usual, state: loose}
 	g.byProxy[id], g.proxies, g.changed, g.joinedAt = p, append(g.proxies, p), true, now
 }
 
 // Left takes the end of a proxy's stream; what it had not acknowledged is lost.
-func (g *Governor) Left(now fleet.Micros, id fleet.ProxyID) {
+func (g *Governor) Left(now model.Micros, id model.ProxyID) {
 	g.now = now
 	if p := g.byProxy[id]; p != nil {
 		apply(g, proxyMoves, &p.state, left, p)
@@ -228,7 +228,7 @@
 }
 
 // Applied takes a receipt; it covers every earlier message too.
-func (g *Governor) Applied(now fleet.Micros, id fleet.ProxyID, number uint32) {
+func (g *Governor) Applied(now model.Micros, id model.ProxyID, number uint32) {
 	g.now = now
 	if p := g.byProxy[id]; p != nil {
 		g.acknowledge(p, 1+slices.IndexFunc(p.unacked, func(m message) bool { return m.number == int(number) }))
@@ -236,7 +236,7 @@
 }
 
 // Heard takes what a zone's proxies met at a replica. Figures that contradict themselves are dropped.
-func (g *Governor) Heard(now fleet.Micros, s fleet.Sum) {
+func (g *Governor) Heard(now model.Micros, s model.Sum) {
 	g.now = now
 	r := g.byID[s.Replica]
 	if r == nil || s.Tries <= 0 || s.Span <= 0 || s.Errored < 0 || s.Errored > s.Tries || s.Latency < 0 {
@@ -254,7 +254,7 @@
 }
 
 // Rang takes the one timer.
-func (g *Governor) Rang(now fleet.Micros) {
+func (g *Governor) Rang(now model.Micros) {
 	g.now, g.beaten = now, true
 	g.host.Wake(g.beat())
 	for len(g.due) > 0 && g.due[0].at <= now {
@@ -303,7 +303,7 @@
 			paces = append(paces, r.pace)
 		}
 		// Three seconds: reports of a few periods, so that what has just left is still counted.
-		if g.now-r.busyAt < 3*fleet.Second {
+		if g.now-r.busyAt < 3*model.Second {
 			work, busy = work+r.busy*g.part(r), append(busy, r.busy)
 		}
 		if !g.out(r) {
@@ -337,7 +337,7 @@
 func (g *Governor) admit() {
 	// Some of each operation stays, to see its speed. A step shows in sums a second or two later: the next cut
 	// waits for that, the next rise half as long.
-	const floor, pause = 0.1, 2 * fleet.Second
+	const floor, pause = 0.1, 2 * model.Second
 	for k := 0; k < len(g.cheap) && g.terms.Admits && g.now >= g.admitAt; k++ {
 		if s := &g.shares[g.cheap[k]]; g.stress > sheds && *s > floor {
 			*s, g.admitAt = max(floor, *s*max(0.6, sheds/g.stress)), g.now+pause
@@ -348,9 +348,9 @@
 			break
 		}
 	}
-	way := fleet.WhenUnrun
-	if g.stress > sheds || g.stress > calm && g.way == fleet.Never || g.colds > 0.25 {
-		way = fleet.Never
+	way := model.WhenUnrun
+	if g.stress > sheds || g.stress > calm && g.way == model.Never || g.colds > 0.25 {
+		way = model.Never
 	}
 	for i, s := range g.shares {
 		moved := math.Abs(s-g.told[i]) >= 0.03 || s == 1 && g.told[i] < 1
@@ -498,7 +498,7 @@
 	zone := list % g.terms.Zones
 	near := g.count(func(r *replica) bool { return r.zone == zone && r.member() })
 	for range max(1, (3*near+g.width-1)/(2*g.width)) {
-		t := &table{id: fleet.TableID(len(g.tables)), zone: zone, list: list, width: g.width}
+		t := &table{id: model.TableID(len(g.tables)), zone: zone, list: list, width: g.width}
 		t.own = g.terms.OwnZone != 0 && list >= len(g.zones)-g.terms.Zones
 		g.tables, g.zones[list] = append(g.tables, t), append(g.zones[list], t)
 	}
@@ -558,7 +558,7 @@
 const urgent = 0.9
 
 // Settle sends what this moment calls for.
-func (g *Governor) Settle(now fleet.Micros) {
+func (g *Governor) Settle(now model.Micros) {
 	g.now = now
 	if g.beaten || g.changed {
 		g.weighQueue()
@@ -587,7 +587,7 @@
 	g.aged = 0
 	for _, p := range g.proxies {
 		for _, m := range p.unacked {
-			g.aged += int(max(0, g.now-m.at-fleet.Second)) * m.lines / int(fleet.Second)
+			g.aged += int(max(0, g.now-m.at-model.Second)) * m.lines / int(model.Second)
 		}
 	}
 }
@@ -604,7 +604,7 @@
 			continue
 		}
 		total += head
-		p.sent = slices.DeleteFunc(p.sent, func(at fleet.Micros) bool { return g.now-at > g.terms.MessagesSpan })
+		p.sent = slices.DeleteFunc(p.sent, func(at model.Micros) bool { return g.now-at > g.terms.MessagesSpan })
 		if g.terms.MessagesMost > 0 && len(p.sent)+spare >= g.terms.MessagesMost {
 			return false
 		}
@@ -798,7 +798,7 @@
 	load := func(t *table) float64 { return (t.usual + p.usual) / (float64(t.open()) + 0.1) }
 	t := slices.MinFunc(g.zones[list], func(a, b *table) int { return cmp.Compare(load(a), load(b)) })
 	p.tables, t.users, t.usual = append(p.tables, t), append(t.users, p), t.usual+p.usual
-	var back []fleet.ReplicaID
+	var back []model.ReplicaID
 	for _, l := range t.lines {
 		if l.weight > 0 && !l.r.told && (l.r.doubt || !g.rush) {
 			back = append(back, l.r.id)
@@ -846,7 +846,7 @@
 func (g *Governor) solve() {
 	span := g.terms.Period
 	if g.terms.MessagesMost > 0 {
-		span = max(span, 2*g.terms.MessagesSpan/fleet.Micros(g.terms.MessagesMost))
+		span = max(span, 2*g.terms.MessagesSpan/model.Micros(g.terms.MessagesMost))
 	}
 	due := g.gate == open && g.beaten && !g.blocked && g.now-g.solvedAt >= span
 	for _, r := range g.replicas {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 func TestGate(t *testing.T) {
@@ -43,11 +43,11 @@
 func TestNobodyBare(t *testing.T) {
 	t.Run("a standing table that may be empty is replaced before the gate opens", func(t *testing.T) {
 		h := begin(t, 8, nil)
-		var entries []fleet.Listing
+		var entries []model.Listing
 		for k := 1; k <= 3; k++ {
-			entries = append(entries, fleet.Listing{ID: id(k), Life: fleet.Draining})
+			entries = append(entries, model.Listing{ID: id(k), Life: model.Draining})
 		}
-		h.g.Listed(h.now, fleet.Change, entries)
+		h.g.Listed(h.now, model.Change, entries)
 		h.settle()
 		failIf(t, len(h.bound) != 0, "three out of standing tables of four leave a line")
 		h.drain(4)
@@ -97,18 +97,18 @@
 		failIf(t, !h.out[id(2)], "never said to the proxy that joined")
 	})
 	t.Run("absent from a whole list is gone", func(t *testing.T) {
-		h.g.Listed(h.now, fleet.Whole, []fleet.Listing{ready(1, 0), ready(4, 0)})
+		h.g.Listed(h.now, model.Whole, []model.Listing{ready(1, 0), ready(4, 0)})
 		h.settle()
 		failIf(t, !h.out[id(3)] || h.out[id(4)], "out %v", h.out)
 	})
 	t.Run("a failed list keeps what was known and is asked again", func(t *testing.T) {
 		asked := h.follows
-		h.g.Listed(h.now, fleet.Failed, nil)
+		h.g.Listed(h.now, model.Failed, nil)
 		h.run(1, nil)
 		failIf(t, h.follows != asked+1 || h.out[id(4)], "asked %d times, out %v", h.follows-asked, h.out)
 	})
 	t.Run("back under its old id it starts at a quarter", func(t *testing.T) {
-		h.change(fleet.Ready, h.now-fleet.Second, 2)
+		h.change(model.Ready, h.now-model.Second, 2)
 		h.run(2, nil)
 		failIf(t, h.out[id(2)] || h.weights[id(2)] > 0.4*h.weights[id(1)], "out %v at %v", h.out[id(2)], h.weights[id(2)])
 	})
@@ -116,7 +116,7 @@
 
 func TestColdReplica(t *testing.T) {
 	start := func(h *fakeHost) {
-		h.change(fleet.Ready, h.now-1, 1)
+		h.change(model.Ready, h.now-1, 1)
 		h.settle()
 	}
 	t.Run("is cut at once and rises over thirty seconds", func(t *testing.T) {
@@ -132,8 +132,8 @@
 	t.Run("is as old as its start, not as the governor", func(t *testing.T) {
 		// On sockets governors restarted amid a release held replicas of three and of ten seconds for equal: the old ones idled.
 		h := warm(t, 8, nil)
-		h.change(fleet.Ready, h.now-10*fleet.Second, 1)
-		h.change(fleet.Ready, h.now-fleet.Second, 2)
+		h.change(model.Ready, h.now-10*model.Second, 1)
+		h.change(model.Ready, h.now-model.Second, 2)
 		h.settle()
 		old, young := h.weights[id(1)], h.weights[id(2)]
 		failIf(t, math.Abs(old-0.5) > 0.01 || math.Abs(young-0.275) > 0.01, "weights %v at 10 s, %v at 1 s", old, young)
@@ -147,9 +147,9 @@
 	})
 	for name, avoids := range map[string]bool{"is held out of a jam": true, "unless proxies avoid nothing": false} {
 		t.Run(name, func(t *testing.T) {
-			h := warm(t, 8, func(terms *fleet.Terms) { terms.Avoids = avoids })
+			h := warm(t, 8, func(terms *model.Terms) { terms.Avoids = avoids })
 			start(h)
-			h.run(4, h.each(2, 8, 10, 7, 400*fleet.Millisecond))
+			h.run(4, h.each(2, 8, 10, 7, 400*model.Millisecond))
 			failIf(t, h.out[id(1)] != avoids, "out %v: proxies run from full replicas to the cold one", h.out[id(1)])
 		})
 	}
@@ -158,11 +158,11 @@
 // Found by the hunt for broken rules (h27f5e4, h463155): what a replica of some seconds can do is tipped by a run that one
 // nearly warm stands, so the younger it is the earlier it is held.
 func TestTheYoungerTheEarlierHeld(t *testing.T) {
-	for age, held := range map[fleet.Micros]bool{fleet.Second: true, 11 * fleet.Second: false} {
+	for age, held := range map[model.Micros]bool{model.Second: true, 11 * model.Second: false} {
 		h := warm(t, 8, nil)
-		h.change(fleet.Ready, h.now-age, 1)
+		h.change(model.Ready, h.now-age, 1)
 		h.settle()
-		h.run(4, h.each(2, 8, 100, 68, 100*fleet.Millisecond))
+		h.run(4, h.each(2, 8, 100, 68, 100*model.Millisecond))
 		failIf(t, h.out[id(1)] != held, "started %d us ago, out %v, with two tries in three unanswered", age, h.out[id(1)])
 	}
 }
@@ -170,8 +170,8 @@
 func TestErringTable(t *testing.T) {
 	// Found by the hunt for broken rules: most replicas refused connections, and all ran to the one just started.
 	h := warm(t, 8, nil)
-	h.run(3, h.each(2, 8, 10, 8, 100*fleet.Millisecond))
-	h.change(fleet.Ready, h.now-1, 1)
+	h.run(3, h.each(2, 8, 10, 8, 100*model.Millisecond))
+	h.change(model.Ready, h.now-1, 1)
 	h.settle()
 	failIf(t, !h.out[id(1)], "the cold replica takes the run")
 }
@@ -181,11 +181,11 @@
 	h := begin(t, 8, nil)
 	h.g.Left(h.now, 2)
 	h.run(5, h.all(8))
-	h.change(fleet.Ready, h.now-1, 1)
+	h.change(model.Ready, h.now-1, 1)
 	h.settle()
 	failIf(t, !h.out[id(1)], "a cold replica stands in the table of one proxy")
 	// Found by that hunt too: a line laid while its replica was held out never heard of the withdrawal.
-	h.change(fleet.Ready, h.now-1, 9)
+	h.change(model.Ready, h.now-1, 9)
 	h.run(2, h.all(8))
 	failIf(t, h.weights[id(9)] != 0, "a new line to what is out")
 }
@@ -200,11 +200,11 @@
 		t.Run(name, func(t *testing.T) {
 			h := begin(t, 8, nil)
 			if known {
-				h.change(fleet.Ready, 0, 9, 10, 11, 12, 13, 14, 15, 16)
+				h.change(model.Ready, 0, 9, 10, 11, 12, 13, 14, 15, 16)
 			}
 			h.run(5, h.all(16))
-			h.change(fleet.Ready, h.now-fleet.Second, 9, 10, 11, 12, 13, 14, 15, 16)
-			h.run(5, h.each(1, 8, 10, 7, 900*fleet.Millisecond))
+			h.change(model.Ready, h.now-model.Second, 9, 10, 11, 12, 13, 14, 15, 16)
+			h.run(5, h.each(1, 8, 10, 7, 900*model.Millisecond))
 			failIf(t, h.out[id(9)] != known || h.out[id(16)] != known, "out %v", h.out)
 		})
 	}
@@ -212,25 +212,25 @@
 
 func TestQueue(t *testing.T) {
 	t.Run("a channel that acknowledges nothing gets no more than its lines", func(t *testing.T) {
-		h := begin(t, 8, func(terms *fleet.Terms) { terms.QueueMost = 300 })
+		h := begin(t, 8, func(terms *model.Terms) { terms.QueueMost = 300 })
 		h.acks = false
 		h.run(12, h.all(8))
 		for k := range 8 {
-			h.g.Listed(h.now, fleet.Change, []fleet.Listing{{ID: id(k + 1), Life: fleet.Draining}, ready(20+k, 0)})
+			h.g.Listed(h.now, model.Change, []model.Listing{{ID: id(k + 1), Life: model.Draining}, ready(20+k, 0)})
 			h.run(1, h.all(8))
 		}
 		failIf(t, h.g.unacked > 300, "%d lines wait", h.g.unacked)
 	})
 	t.Run("messages to a proxy stay within the limit, cuts too", func(t *testing.T) {
 		// Found by an incident: list changes every few hundred milliseconds wrote 13 messages where 12 were allowed.
-		h := warm(t, 8, func(terms *fleet.Terms) { terms.MessagesMost, terms.MessagesSpan = 12, 10*fleet.Second })
+		h := warm(t, 8, func(terms *model.Terms) { terms.MessagesMost, terms.MessagesSpan = 12, 10*model.Second })
 		for k := range 20 {
-			h.change(fleet.Ready, h.now-fleet.Second, 1+k%8)
+			h.change(model.Ready, h.now-model.Second, 1+k%8)
 			h.run(1, h.all(8))
 		}
 		for k := 12; k < len(h.batches); k++ {
 			span := h.batches[k] - h.batches[k-12]
-			failIf(t, span < 10*fleet.Second, "13 messages within %v us", span)
+			failIf(t, span < 10*model.Second, "13 messages within %v us", span)
 		}
 	})
 	t.Run("a broken stream frees what it had not acknowledged", func(t *testing.T) {
@@ -253,7 +253,7 @@
 		h.g.unacked += 1000
 		h.run(4, nil)
 		moved := len(h.orders)
-		h.run(2, func() { h.heard(2, 10, 0, 900*fleet.Millisecond) })
+		h.run(2, func() { h.heard(2, 10, 0, 900*model.Millisecond) })
 		failIf(t, len(h.orders) != moved, "orders %v", h.orders[moved:])
 		h.gone(3)
 		failIf(t, !h.out[id(3)], "the drain waits behind them")
@@ -261,7 +261,7 @@
 	t.Run("only proxies that hold a line are charged for its withdrawal", func(t *testing.T) {
 		// Found with it: lines charged to proxies that no message reached were never acknowledged.
 		h := warm(t, 8, nil)
-		h.g.Listed(h.now, fleet.Change, []fleet.Listing{ready(20, 0)})
+		h.g.Listed(h.now, model.Change, []model.Listing{ready(20, 0)})
 		h.gone(20)
 		failIf(t, h.g.unacked != 0, "%d lines wait for an answer that nobody owes", h.g.unacked)
 	})
@@ -269,9 +269,9 @@
 
 func TestParts(t *testing.T) {
 	wide := func(t *testing.T) *fakeHost {
-		h := begin(t, 48, func(terms *fleet.Terms) { terms.Proxies, terms.ConnsLeast = 100, 100 })
+		h := begin(t, 48, func(terms *model.Terms) { terms.Proxies, terms.ConnsLeast = 100, 100 })
 		for p := 3; p <= 30; p++ {
-			h.join(fleet.ProxyID(p))
+			h.join(model.ProxyID(p))
 		}
 		h.run(5, h.all(48))
 		return h
@@ -293,9 +293,9 @@
 		n := len(tab.lines)
 		h.run(4, func() {
 			for k := 1; k <= 48; k++ {
-				latency := 100 * fleet.Millisecond
+				latency := 100 * model.Millisecond
 				if slices.ContainsFunc(tab.lines[:n], func(l *line) bool { return l.r.id == id(k) }) {
-					latency = 220 * fleet.Millisecond
+					latency = 220 * model.Millisecond
 				}
 				h.heard(k, 10, 0, latency)
 			}
@@ -304,47 +304,47 @@
 	})
 	t.Run("a fleet that grows fourfold or goes in one step", func(t *testing.T) {
 		h := wide(t)
-		var more []fleet.Listing
+		var more []model.Listing
 		for k := range 144 {
-			more = append(more, fleet.Listing{ID: id(49 + k), Life: fleet.Ready, Since: h.now - fleet.Second})
+			more = append(more, model.Listing{ID: id(49 + k), Life: model.Ready, Since: h.now - model.Second})
 		}
-		h.g.Listed(h.now, fleet.Change, more)
+		h.g.Listed(h.now, model.Change, more)
 		h.run(6, h.all(192))
 		failIf(t, h.weights[id(150)]+h.weights[id(151)]+h.weights[id(152)] == 0, "new replicas have no lines")
-		h.g.Listed(h.now, fleet.Whole, more[:3])
+		h.g.Listed(h.now, model.Whole, more[:3])
 		h.run(2, h.all(52))
 		for _, tab := range h.g.tables {
 			failIf(t, tab.open() < 3, "%d open lines", tab.open())
 		}
 	})
 	t.Run("hundreds join and leave in one step, messages limited", func(t *testing.T) {
-		h := begin(t, 200, func(terms *fleet.Terms) {
-			terms.QueueMost, terms.MessagesMost, terms.MessagesSpan = 900, 3, 10*fleet.Second
+		h := begin(t, 200, func(terms *model.Terms) {
+			terms.QueueMost, terms.MessagesMost, terms.MessagesSpan = 900, 3, 10*model.Second
 		})
 		h.acks = false
 		for p := 3; p <= 400; p++ {
-			h.join(fleet.ProxyID(p))
+			h.join(model.ProxyID(p))
 		}
 		h.gone(1, 2, 3)
 		h.run(6, h.all(200))
 		failIf(t, h.g.unacked > 900, "%d lines wait", h.g.unacked)
 		for p := 1; p <= 400; p++ {
-			h.g.Left(h.now, fleet.ProxyID(p))
+			h.g.Left(h.now, model.ProxyID(p))
 		}
 		h.run(2, nil)
 		failIf(t, h.g.unacked != 0, "%d lines are held for nobody", h.g.unacked)
 	})
 	t.Run("a hall that comes back cold leaves its proxies to the others", func(t *testing.T) {
 		// Found by the hunt for broken rules: near first sent two thirds of a hall's traffic to its cold replicas.
-		h := begin(t, 24, func(terms *fleet.Terms) { terms.Avoids = false })
-		var entries []fleet.Listing
+		h := begin(t, 24, func(terms *model.Terms) { terms.Avoids = false })
+		var entries []model.Listing
 		for k := 1; k <= 24; k++ {
 			entries = append(entries, ready(k, min(k/6, 1)))
 			if k < 6 {
 				entries[k-1].Since = h.now
 			}
 		}
-		h.g.Listed(h.now, fleet.Whole, entries)
+		h.g.Listed(h.now, model.Whole, entries)
 		h.run(5, h.all(24))
 		failIf(t, h.weights[id(9)] < 2.5*h.weights[id(2)], "far %v, near and cold %v", h.weights[id(9)], h.weights[id(2)])
 	})
@@ -353,8 +353,8 @@
 		k := 0
 		h.run(20, func() {
 			for range 12 {
-				h.g.Heard(h.now, fleet.Sum{Replica: id(1 + k%48), Tries: 40, Latency: 100 * fleet.Millisecond,
-					Span: 4 * fleet.Second})
+				h.g.Heard(h.now, model.Sum{Replica: id(1 + k%48), Tries: 40, Latency: 100 * model.Millisecond,
+					Span: 4 * model.Second})
 				k++
 			}
 		})
@@ -363,18 +363,18 @@
 }
 
 func TestRepeats(t *testing.T) {
-	h := begin(t, 6, func(terms *fleet.Terms) { terms.Admits = false })
+	h := begin(t, 6, func(terms *model.Terms) { terms.Admits = false })
 	t.Run("only on proof that the first never ran", func(t *testing.T) {
 		h.run(12, h.all(6))
-		failIf(t, len(h.ways) != 1 || !h.ways[fleet.WhenUnrun], "ways %v: no other is safe for every effect", h.ways)
+		failIf(t, len(h.ways) != 1 || !h.ways[model.WhenUnrun], "ways %v: no other is safe for every effect", h.ways)
 	})
 	t.Run("none while the fleet is short, and again after", func(t *testing.T) {
 		// Found by an incident: full replicas turned tries away at once, and each came again elsewhere.
-		h.run(4, h.each(1, 6, 10, 6, 300*fleet.Millisecond))
-		failIf(t, h.ways[fleet.AnyFailure] || h.ways[fleet.TwoMore] || !h.ways[fleet.Never], "ways %v", h.ways)
+		h.run(4, h.each(1, 6, 10, 6, 300*model.Millisecond))
+		failIf(t, h.ways[model.AnyFailure] || h.ways[model.TwoMore] || !h.ways[model.Never], "ways %v", h.ways)
 		clear(h.ways)
 		h.run(10, h.all(6))
-		failIf(t, !h.ways[fleet.WhenUnrun], "ways %v after the jam", h.ways)
+		failIf(t, !h.ways[model.WhenUnrun], "ways %v after the jam", h.ways)
 	})
 }
 
@@ -395,15 +395,15 @@
 	t.Run("less traffic for all makes none silent", func(t *testing.T) {
 		// Found by an incident: shedding left so few tries that replicas without one were withdrawn.
 		h := warm(t, 6, nil)
-		h.run(4, h.each(1, 4, 1, 0, 100*fleet.Millisecond))
+		h.run(4, h.each(1, 4, 1, 0, 100*model.Millisecond))
 		failIf(t, len(h.out) != 0, "out %v", h.out)
 	})
 	t.Run("a full replica is not broken", func(t *testing.T) {
 		// Found by an incident: a third was lost, and full replicas were withdrawn one after the other.
 		h := warm(t, 9, nil)
 		h.run(5, func() {
-			h.each(1, 8, 10, 0, 230*fleet.Millisecond)()
-			h.heard(9, 20, 19, 900*fleet.Millisecond)
+			h.each(1, 8, 10, 0, 230*model.Millisecond)()
+			h.heard(9, 20, 19, 900*model.Millisecond)
 		})
 		failIf(t, len(h.out) != 0, "out %v", h.out)
 	})
@@ -419,7 +419,7 @@
 		h := warm(t, 6, nil)
 		last := h.weights[id(1)]
 		for range 20 {
-			h.run(1, func() { h.all(6)(); h.heard(1, 10, 0, 600*fleet.Millisecond) })
+			h.run(1, func() { h.all(6)(); h.heard(1, 10, 0, 600*model.Millisecond) })
 			w := h.weights[id(1)]
 			failIf(t, w < 0.899*last || w > 1.101*last, "from %v to %v", last, w)
 			last = h.weights[id(1)]
@@ -434,7 +434,7 @@
 				if w := h.weights[id(k)]; w > 0 {
 					tries = int(10*w + 0.5)
 				}
-				h.heard(k, max(tries, 1), 0, fleet.Micros(90+10*min(k, 2))*fleet.Millisecond)
+				h.heard(k, max(tries, 1), 0, model.Micros(90+10*min(k, 2))*model.Millisecond)
 			}
 		})
 		r := h.weights[id(1)] / h.weights[id(2)]
@@ -442,20 +442,20 @@
 	})
 	t.Run("near replicas come first while calm, but not where they are slower", func(t *testing.T) {
 		h := begin(t, 6, nil)
-		h.g.Listed(h.now, fleet.Whole, []fleet.Listing{ready(1, 0), ready(2, 0), ready(3, 0), ready(4, 1), ready(5, 1),
+		h.g.Listed(h.now, model.Whole, []model.Listing{ready(1, 0), ready(2, 0), ready(3, 0), ready(4, 1), ready(5, 1),
 			ready(6, 1)})
 		h.run(12, h.all(6))
 		calm := h.weights[id(4)]
 		h.run(30, func() {
-			h.each(1, 3, 10, 0, 200*fleet.Millisecond)()
-			h.each(4, 6, 10, 0, 100*fleet.Millisecond)()
+			h.each(1, 3, 10, 0, 200*model.Millisecond)()
+			h.each(4, 6, 10, 0, 100*model.Millisecond)()
 		})
 		failIf(t, calm > 0.6*h.weights[id(1)] || h.weights[id(4)] < 2*calm, "far %v at first, %v later", calm, h.weights[id(4)])
 	})
 }
 
 func TestLevels(t *testing.T) {
-	late := func(h *fakeHost) func() { return h.each(1, 6, 10, 4, 400*fleet.Millisecond) }
+	late := func(h *fakeHost) func() { return h.each(1, 6, 10, 4, 400*model.Millisecond) }
 	t.Run("the cheapest operation first, and back", func(t *testing.T) {
 		h := warm(t, 6, nil)
 		h.run(4, late(h))
@@ -466,30 +466,30 @@
 	t.Run("none for errors while the good tries are quick", func(t *testing.T) {
 		// Found by an incident: one operation went unanswered everywhere, and nine tenths of all were turned away.
 		h := warm(t, 6, nil)
-		h.run(6, h.each(1, 6, 10, 6, 100*fleet.Millisecond))
+		h.run(6, h.each(1, 6, 10, 6, 100*model.Millisecond))
 		failIf(t, h.shares[1] != 1 || h.shares[2] != 1, "shares %v", h.shares)
 	})
 	t.Run("none for tries that are slow though the cores idle, whatever a quarter of the reports says", func(t *testing.T) {
 		// Found by an incident: new connections took most of the objective, and shedding made each one new.
-		h := warm(t, 8, func(terms *fleet.Terms) { terms.BusyField = 0 })
+		h := warm(t, 8, func(terms *model.Terms) { terms.BusyField = 0 })
 		h.run(6, func() { h.busy(1, 2, 400, 1); h.busy(3, 8, 400, 0.2) })
 		failIf(t, h.shares[1] != 1 || h.shares[2] != 1, "shares %v", h.shares)
 	})
 	t.Run("where proxies admit all, none is sent", func(t *testing.T) {
-		h := begin(t, 6, func(terms *fleet.Terms) { terms.Admits = false })
+		h := begin(t, 6, func(terms *model.Terms) { terms.Admits = false })
 		h.run(12, late(h))
 		failIf(t, h.shares[1] != 1 || h.shares[2] != 1, "shares %v", h.shares)
 	})
 	t.Run("when most cores are full though some replicas idle", func(t *testing.T) {
 		// Found by an incident: two in five answered nothing and idled, the others were full long before they were late.
-		h := begin(t, 10, func(terms *fleet.Terms) { terms.BusyField = 0 })
+		h := begin(t, 10, func(terms *model.Terms) { terms.BusyField = 0 })
 		h.run(4, func() { h.busy(1, 6, 100, 0.97); h.busy(7, 10, 100, 0.2) })
 		failIf(t, h.shares[1] > 0.95, "shares %v", h.shares)
 	})
 	t.Run("deeper where all cores are in use, and back while there is room", func(t *testing.T) {
 		// On sockets a release left replicas full: their busy share cannot pass one, so shares fell by a seventh each two seconds
 		// while a third was late, and came back by hundredths once two fifths idled.
-		h := begin(t, 10, func(terms *fleet.Terms) { terms.BusyField = 0 })
+		h := begin(t, 10, func(terms *model.Terms) { terms.BusyField = 0 })
 		h.run(4, func() { h.busy(1, 10, 100, 0.99) })
 		failIf(t, h.shares[1] > 0.65, "shares %v with all in use", h.shares)
 		h.run(10, func() { h.busy(1, 10, 100, 0.62) })
@@ -497,7 +497,7 @@
 	})
 	t.Run("a release shows in busy cores before it shows in latency", func(t *testing.T) {
 		// Found by the hunt for broken rules: four of nine drained, and the jam pushed a cold replica over.
-		h := warm(t, 6, func(terms *fleet.Terms) { terms.BusyField = 0 })
+		h := warm(t, 6, func(terms *model.Terms) { terms.BusyField = 0 })
 		h.drain(4, 5, 6)
 		h.run(2, h.all(3))
 		failIf(t, h.shares[1] > 0.95, "shares %v with half the room", h.shares)
@@ -506,7 +506,7 @@
 
 func TestContradictions(t *testing.T) {
 	for name, do := range map[string]func(h *fakeHost){
-		"no listed replica": func(h *fakeHost) { h.g.Listed(h.now, fleet.Whole, nil) },
+		"no listed replica": func(h *fakeHost) { h.g.Listed(h.now, model.Whole, nil) },
 		"all draining": func(h *fakeHost) {
 			for k := range 6 {
 				h.drain(k + 1)
@@ -515,10 +515,10 @@
 		"an empty zone and a zone beyond the settings": func(h *fakeHost) {
 			h.g.Joined(h.now, 8, 1, 10)
 			h.g.Joined(h.now, 9, 77, 10)
-			h.g.Listed(h.now, fleet.Change, []fleet.Listing{ready(9, 55)})
+			h.g.Listed(h.now, model.Change, []model.Listing{ready(9, 55)})
 		},
 		"sums that contradict themselves": func(h *fakeHost) {
-			for _, s := range []fleet.Sum{{Replica: id(1), Tries: 5}, {Replica: id(1), Tries: 5, Span: -1},
+			for _, s := range []model.Sum{{Replica: id(1), Tries: 5}, {Replica: id(1), Tries: 5, Span: -1},
 				{Replica: id(1), Tries: 2, Errored: 5, Span: 1}, {Replica: id(1), Tries: -2, Span: 1},
 				{Replica: id(1), Tries: 2, Errored: -1, Span: 1}, {Replica: id(1), Tries: 2, Latency: -1, Span: 1},
 				{Replica: id(1), Zone: 9, Tries: 2, Span: 1}, {Replica: id(99), Tries: 2, Span: 1},
@@ -535,7 +535,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := warm(t, 6, func(terms *fleet.Terms) { terms.BusyField = 0 })
+			h := warm(t, 6, func(terms *model.Terms) { terms.BusyField = 0 })
 			do(h)
 			h.run(5, h.all(6))
 			for r, w := range h.weights {
@@ -550,7 +550,7 @@
 	for range 5 {
 		h := begin(t, 12, nil)
 		h.run(15, h.all(12))
-		h.g.Listed(h.now, fleet.Whole, []fleet.Listing{ready(3, 0), ready(5, 0), ready(20, 1)})
+		h.g.Listed(h.now, model.Whole, []model.Listing{ready(3, 0), ready(5, 0), ready(20, 1)})
 		h.run(5, h.all(5))
 		if first == nil {
 			first = h.orders
@@ -562,8 +562,8 @@
 // Proxies come over from a lost governor while replicas are lost one after the other (hc2f0b0): heads of one withdrawal
 // a message kept the queue full for seconds, and binds took what room there was.
 func TestWithdrawalsLeaveTogether(t *testing.T) {
-	h := warm(t, 12, func(x *fleet.Terms) { x.QueueMost = 1000 })
-	for p := range fleet.ProxyID(40) {
+	h := warm(t, 12, func(x *model.Terms) { x.QueueMost = 1000 })
+	for p := range model.ProxyID(40) {
 		h.join(p + 3)
 	}
 	h.acks, h.batches = false, nil
@@ -590,7 +590,7 @@
 // part of what they must be told waited for, over and over, for four seconds.
 func TestASmallPartWaitsForTheLarge(t *testing.T) {
 	const lost = 13 // of heads of 8: parts of 8 and 5
-	h := warm(t, 30, func(x *fleet.Terms) { x.QueueMost = 772 })
+	h := warm(t, 30, func(x *model.Terms) { x.QueueMost = 772 })
 	for n := 1; n <= lost; n++ {
 		h.drain(n)
 	}
@@ -599,7 +599,7 @@
 		failIf(t, !h.out[id(n)], "%d is not out", n)
 	}
 	h.acks, h.orders = false, nil
-	for p := range fleet.ProxyID(40) {
+	for p := range model.ProxyID(40) {
 		h.join(p + 3)
 	}
 	h.drain(lost + 1)
@@ -614,8 +614,8 @@
 
 // A few loose proxies are bound, which tells all that is out, before everybody is told of everything again.
 func TestAFewJoinersAreBound(t *testing.T) {
-	h := warm(t, 12, func(x *fleet.Terms) { x.QueueMost = 100000 })
-	for p := range fleet.ProxyID(40) {
+	h := warm(t, 12, func(x *model.Terms) { x.QueueMost = 100000 })
+	for p := range model.ProxyID(40) {
 		h.join(p + 3)
 	}
 	h.run(3, h.all(12))
@@ -633,18 +633,18 @@
 // nullHost carries nothing out and acknowledges at once: what is left is the step.
 type nullHost struct {
 	g      *Governor
-	now    fleet.Micros
-	joined []fleet.ProxyID
+	now    model.Micros
+	joined []model.ProxyID
 	due    uint32
 	asked  bool
 }
 
-func (h *nullHost) Assign(fleet.TableID, fleet.ReplicaID, float64)               {}
-func (h *nullHost) Bind(fleet.ProxyID, fleet.TableID, uint16, []fleet.ReplicaID) {}
-func (h *nullHost) Withdraw(fleet.ReplicaID, bool)                               {}
-func (h *nullHost) Level(uint16, float64, fleet.Way)                             {}
+func (h *nullHost) Assign(model.TableID, model.ReplicaID, float64)               {}
+func (h *nullHost) Bind(model.ProxyID, model.TableID, uint16, []model.ReplicaID) {}
+func (h *nullHost) Withdraw(model.ReplicaID, bool)                               {}
+func (h *nullHost) Level(uint16, float64, model.Way)                             {}
 func (h *nullHost) Receipt(number uint32, _ bool)                                { h.due, h.asked = number, true }
-func (h *nullHost) Wake(fleet.Micros)                                            {}
+func (h *nullHost) Wake(model.Micros)                                            {}
 func (h *nullHost) Follow()                                                      {}
 func (h *nullHost) Log(string)                                                   {}
 
@@ -656,26 +656,26 @@
 			var times []time.Duration
 			for b.Loop() {
 				times = times[:0]
-				h := &nullHost{now: 100 * fleet.Second}
-				terms := fleet.Terms{Seed: 1, Operations: []fleet.Operation{{Objective: 500000, Value: 1}, {Objective: 750000, Value: 3}}, Zones: 4,
-					Admits: true, AdmitAll: 1, StandingSize: 6, Period: fleet.Second, Overhead: 6, QueueMost: 1000 * size[0], CrossPrice: 0.05,
-					BusyField: -1, Cold: 17 * fleet.Second, Proxies: size[0], ConnsLeast: 200}
+				h := &nullHost{now: 100 * model.Second}
+				terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: 500000, Value: 1}, {Objective: 750000, Value: 3}}, Zones: 4,
+					Admits: true, AdmitAll: 1, StandingSize: 6, Period: model.Second, Overhead: 6, QueueMost: 1000 * size[0], CrossPrice: 0.05,
+					BusyField: -1, Cold: 17 * model.Second, Proxies: size[0], ConnsLeast: 200}
 				h.g = New(terms, h, h.now)
-				var entries []fleet.Listing
+				var entries []model.Listing
 				for k := range size[1] {
-					entries = append(entries, fleet.Listing{ID: id2(k + 1), Zone: k % 4, Life: fleet.Ready})
+					entries = append(entries, model.Listing{ID: id2(k + 1), Zone: k % 4, Life: model.Ready})
 				}
-				h.g.Listed(h.now, fleet.Cached, entries)
+				h.g.Listed(h.now, model.Cached, entries)
 				for p := range size[0] {
-					h.joined = append(h.joined, fleet.ProxyID(p))
-					h.g.Joined(h.now, fleet.ProxyID(p), p%4, 5)
+					h.joined = append(h.joined, model.ProxyID(p))
+					h.g.Joined(h.now, model.ProxyID(p), p%4, 5)
 				}
 				for k := range 500 {
-					h.now += 200 * fleet.Millisecond
+					h.now += 200 * model.Millisecond
 					began := time.Now()
 					if k%5 == 0 {
 						for n, e := range entries {
-							h.g.Heard(h.now, fleet.Sum{Replica: e.ID, Tries: 25, Latency: fleet.Micros(100+(n*7+k)%40) * fleet.Millisecond, Span: fleet.Second})
+							h.g.Heard(h.now, model.Sum{Replica: e.ID, Tries: 25, Latency: model.Micros(100+(n*7+k)%40) * model.Millisecond, Span: model.Second})
 						}
 					}
 					h.g.Rang(h.now)
@@ -704,9 +704,9 @@
 // Operations that stay in the proxy's zone have tables of near replicas only; the others keep theirs. Where all stay, there is one table.
 func TestOperationsOfTheirZone(t *testing.T) {
 	for own, keys := range map[uint16][]uint16{0: {0}, 2: {1, 2}, 3: {0}} {
-		h := begin(t, 4, func(x *fleet.Terms) { x.OwnZone, x.ConnsLeast, x.Proxies = own, 200, 2 })
+		h := begin(t, 4, func(x *model.Terms) { x.OwnZone, x.ConnsLeast, x.Proxies = own, 200, 2 })
 		for n := 5; n <= 8; n++ {
-			h.g.Listed(h.now, fleet.Change, []fleet.Listing{ready(n, 1)})
+			h.g.Listed(h.now, model.Change, []model.Listing{ready(n, 1)})
 		}
 		h.run(12, h.all(8))
 		for _, p := range h.joined {
@@ -737,14 +737,14 @@
 
 // Where an operation stays in the zone, the zone is not left without a replica for resting ones while others have some.
 func TestAZoneOfItsOwnIsNotLeftBare(t *testing.T) {
-	h := begin(t, 2, func(x *fleet.Terms) { x.OwnZone, x.ConnsLeast, x.Proxies = 2, 200, 2 })
+	h := begin(t, 2, func(x *model.Terms) { x.OwnZone, x.ConnsLeast, x.Proxies = 2, 200, 2 })
 	for n := 3; n <= 12; n++ {
-		h.g.Listed(h.now, fleet.Change, []fleet.Listing{ready(n, 1)})
+		h.g.Listed(h.now, model.Change, []model.Listing{ready(n, 1)})
 	}
 	h.run(12, h.all(12))
 	failing := func() {
 		h.each(1, 2, 10, 10, 0)()
-		h.each(3, 12, 10, 0, 100*fleet.Millisecond)()
+		h.each(3, 12, 10, 0, 100*model.Millisecond)()
 	}
 	h.run(10, failing)
 	failIf(t, h.out[id(1)] && h.out[id(2)], "both replicas of the zone are out")
@@ -752,12 +752,12 @@
 
 // Who joins between two beats is told what was withdrawn before with the next beat, all together: not everybody again for each of them.
 func TestJoinersAreToldTogether(t *testing.T) {
-	h := begin(t, 12, func(x *fleet.Terms) { x.QueueMost = 100000 })
-	h.change(fleet.Ready, h.now, 1) // cold, and the gate is shut: held out
+	h := begin(t, 12, func(x *model.Terms) { x.QueueMost = 100000 })
+	h.change(model.Ready, h.now, 1) // cold, and the gate is shut: held out
 	h.drain(2)
 	failIf(t, !h.out[id(1)] || !h.out[id(2)], "not withdrawn: %v", h.out)
 	h.orders = nil
-	for p := range fleet.ProxyID(10) {
+	for p := range model.ProxyID(10) {
 		h.join(p + 3)
 		h.settle()
 	}
--- a/decide/golden_plans_test.go
+++ b/decide/golden_plans_test.go
@@ -3,17 +3,17 @@
 import (
 	"testing"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // tracedTerms are the start settings that the scenarios change.
-func tracedTerms() fleet.Terms {
-	return fleet.Terms{
+func tracedTerms() model.Terms {
+	return model.Terms{
 		Seed: 11, Zones: 3, Subscribe: true, Admits: true, AdmitAll: 1, Avoids: true, StandingSize: 4,
-		Operations: []fleet.Operation{{Objective: 400_000, Value: 1}, {Objective: 500_000, Value: 3},
+		Operations: []model.Operation{{Objective: 400_000, Value: 1}, {Objective: 500_000, Value: 3},
 			{Objective: 700_000, Value: 2}},
-		Period: fleet.Second, Overhead: 6, QueueMost: 5000, CrossPrice: 0.05, BusyField: -1,
-		Cold: 17 * fleet.Second, Proxies: 40, ConnsLeast: 200,
+		Period: model.Second, Overhead: 6, QueueMost: 5000, CrossPrice: 0.05, BusyField: -1,
+		Cold: 17 * model.Second, Proxies: 40, ConnsLeast: 200,
 	}
 }
 
@@ -31,7 +31,7 @@
 
 func TestGoldenTraceOfSeveralZones(t *testing.T) {
 	plan := scenario{name: "zones", seed: 1, terms: tracedTerms(), replicas: 36, proxies: 48, beats: 300, usual: 20,
-		tries: 12, ackDelay: 300 * fleet.Millisecond, ackLoss: 0.01, load: func(beat int) float64 {
+		tries: 12, ackDelay: 300 * model.Millisecond, ackLoss: 0.01, load: func(beat int) float64 {
 			return 0.2 + 0.15*float64(beat/60%3)
 		}}
 	plan.terms.Proxies, plan.terms.ConnsLeast = 80, 30 // so that a zone has several tables
@@ -42,7 +42,7 @@
 
 func TestGoldenTraceOfZoneBoundOperations(t *testing.T) {
 	plan := scenario{name: "own-zone", seed: 2, terms: tracedTerms(), replicas: 30, proxies: 36, beats: 300, usual: 15,
-		tries: 10, ackDelay: 500 * fleet.Millisecond, ackLoss: 0.01, load: steady(0.3)}
+		tries: 10, ackDelay: 500 * model.Millisecond, ackLoss: 0.01, load: steady(0.3)}
 	plan.terms.OwnZone = 0b010
 	plan.terms.Proxies, plan.terms.ConnsLeast = 80, 30
 	plan.churn = churn{join: 0.15, leave: 0.1, drain: 0.05, gone: 0.03, restart: 0.08, ready: 0.1, whole: 0.02,
@@ -57,9 +57,9 @@
 		}
 		switch beat {
 		case 150:
-			tr.change("gone", fleet.Gone, false, first...)
+			tr.change("gone", model.Gone, false, first...)
 		case 190:
-			tr.change("restart", fleet.Ready, true, first...)
+			tr.change("restart", model.Ready, true, first...)
 		}
 	}
 	expect(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
@@ -67,26 +67,26 @@
 
 func TestGoldenTraceOfASlowQueue(t *testing.T) {
 	plan := scenario{name: "slow-queue", seed: 3, terms: tracedTerms(), replicas: 20, proxies: 30, beats: 350, usual: 20,
-		tries: 12, ackDelay: 3 * fleet.Second, ackLoss: 0.05, load: func(beat int) float64 {
+		tries: 12, ackDelay: 3 * model.Second, ackLoss: 0.05, load: func(beat int) float64 {
 			return 0.25 + 0.3*float64(beat/70%2)
 		}}
 	plan.terms.QueueMost = 900
-	plan.terms.MessagesMost, plan.terms.MessagesSpan = 6, 5*fleet.Second
+	plan.terms.MessagesMost, plan.terms.MessagesSpan = 6, 5*model.Second
 	plan.churn = churn{join: 0.1, leave: 0.08, drain: 0.08, gone: 0.05, restart: 0.08, ready: 0.12, whole: 0.02,
 		failed: 0.02, fail: 0.04, mend: 0.1, contradict: 0.02}
 	// Drains beat by beat while no proxy is bound, until the queue is full; later proxies come over amid drains.
 	plan.script = func(tr *trace, beat int) {
 		switch {
 		case beat < 5:
-			tr.change("drain", fleet.Draining, false, tr.replicas[4*beat-4:4*beat-1]...)
+			tr.change("drain", model.Draining, false, tr.replicas[4*beat-4:4*beat-1]...)
 		case beat == 12:
-			tr.change("ready", fleet.Ready, false, tr.replicas...)
+			tr.change("ready", model.Ready, false, tr.replicas...)
 		case beat%90 == 0:
 			tr.leave(tr.proxies[:10]...)
 			tr.join(tr.proxies[:10]...)
-			tr.change("drain", fleet.Draining, false, tr.replicas[:6]...)
+			tr.change("drain", model.Draining, false, tr.replicas[:6]...)
 		case beat%90 == 40:
-			tr.change("restart", fleet.Ready, true, tr.replicas[:10]...)
+			tr.change("restart", model.Ready, true, tr.replicas[:10]...)
 		}
 	}
 	expect(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
@@ -94,7 +94,7 @@
 
 func TestGoldenTraceOfAnOverload(t *testing.T) {
 	plan := scenario{name: "overload", seed: 4, terms: tracedTerms(), replicas: 24, proxies: 24, beats: 400, usual: 25,
-		tries: 15, ackDelay: 200 * fleet.Millisecond, load: func(beat int) float64 {
+		tries: 15, ackDelay: 200 * model.Millisecond, load: func(beat int) float64 {
 			return []float64{0.2, 0.75, 1.1, 0.45, 0.15, 0.3, 0.9, 0.2}[beat/50%8]
 		}}
 	plan.terms.BusyField = 1
@@ -105,7 +105,7 @@
 
 func TestGoldenTraceOfAHerd(t *testing.T) {
 	plan := scenario{name: "herd", seed: 5, terms: tracedTerms(), replicas: 90, proxies: 150, beats: 240, usual: 20,
-		tries: 10, ackDelay: 600 * fleet.Millisecond, ackLoss: 0.01, load: steady(0.25), allAtOnce: true}
+		tries: 10, ackDelay: 600 * model.Millisecond, ackLoss: 0.01, load: steady(0.25), allAtOnce: true}
 	plan.terms.Proxies, plan.terms.QueueMost, plan.terms.StandingSize = 150, 12000, 6
 	plan.terms.ConnsLeast = 40
 	plan.churn = churn{join: 0.1, leave: 0.05, restart: 0.1, ready: 0.1, failed: 0.01, contradict: 0.01}
@@ -114,18 +114,18 @@
 	plan.script = func(tr *trace, beat int) {
 		switch {
 		case beat == 2:
-			tr.change("drain", fleet.Draining, false, tr.replicas[:30]...)
+			tr.change("drain", model.Draining, false, tr.replicas[:30]...)
 		case beat == 12:
-			tr.change("ready", fleet.Ready, false, tr.replicas[:30]...)
+			tr.change("ready", model.Ready, false, tr.replicas[:30]...)
 		case beat >= 40 && beat%40 == 0:
 			first := beat % 120
 			tr.leave(tr.proxies[first : first+30]...)
 			tr.join(tr.proxies[first : first+30]...)
-			tr.change("drain", fleet.Draining, false, tr.replicas[beat%60:beat%60+25]...)
+			tr.change("drain", model.Draining, false, tr.replicas[beat%60:beat%60+25]...)
 		case beat >= 40 && beat%40 == 1:
-			tr.change("drain", fleet.Draining, false, tr.replicas[60:70]...)
+			tr.change("drain", model.Draining, false, tr.replicas[60:70]...)
 		case beat >= 40 && beat%40 == 20:
-			tr.change("restart", fleet.Ready, true, tr.replicas...)
+			tr.change("restart", model.Ready, true, tr.replicas...)
 		}
 	}
 	expect(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
@@ -133,7 +133,7 @@
 
 func TestGoldenTraceWithoutAvoidanceAndAdmission(t *testing.T) {
 	plan := scenario{name: "plain-proxies", seed: 6, terms: tracedTerms(), replicas: 8, proxies: 20, beats: 250,
-		usual: 30, tries: 12, ackDelay: 300 * fleet.Millisecond, ackLoss: 0.02, load: func(beat int) float64 {
+		usual: 30, tries: 12, ackDelay: 300 * model.Millisecond, ackLoss: 0.02, load: func(beat int) float64 {
 			return 0.2 + 0.4*float64(beat/50%3)
 		}}
 	plan.terms.Avoids, plan.terms.Admits, plan.terms.AdmitAll = false, false, 5000
@@ -144,13 +144,13 @@
 	plan.script = func(tr *trace, beat int) {
 		switch beat {
 		case 1:
-			tr.change("drain", fleet.Draining, false, tr.replicas[:4]...)
+			tr.change("drain", model.Draining, false, tr.replicas[:4]...)
 		case 10:
-			tr.change("ready", fleet.Ready, false, tr.replicas[:4]...)
+			tr.change("ready", model.Ready, false, tr.replicas[:4]...)
 		case 120:
-			tr.change("drain", fleet.Draining, false, tr.replicas...)
+			tr.change("drain", model.Draining, false, tr.replicas...)
 		case 140:
-			tr.change("ready", fleet.Ready, false, tr.replicas...)
+			tr.change("ready", model.Ready, false, tr.replicas...)
 		}
 	}
 	expect(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
@@ -169,7 +169,7 @@
 
 func fullQueue(name string, seed uint64) scenario {
 	plan := scenario{name: name, seed: seed, terms: tracedTerms(), replicas: 24, proxies: 48, beats: 600, usual: 20,
-		tries: 12, ackDelay: 1500 * fleet.Millisecond, ackLoss: 0.005, allAtOnce: true, load: func(beat int) float64 {
+		tries: 12, ackDelay: 1500 * model.Millisecond, ackLoss: 0.005, allAtOnce: true, load: func(beat int) float64 {
 			return 0.3 + 0.35*float64(beat/15%2)
 		}}
 	plan.terms.QueueMost = 900
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -13,7 +13,7 @@
 	"testing"
 
 	"peppervale/decide"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // The golden traces pin what the balancer orders, bit for bit: seeded event sequences are driven through its public
@@ -28,10 +28,10 @@
 
 // tracedReplica is a replica of the simulated fleet.
 type tracedReplica struct {
-	id      fleet.ReplicaID
+	id      model.ReplicaID
 	zone    int
-	life    fleet.Life
-	since   fleet.Micros
+	life    model.Life
+	since   model.Micros
 	slow    float64 // its latency relative to the fleet's
 	failing bool    // answers every request with an error
 	silent  bool    // is named in no load report
@@ -39,15 +39,15 @@
 
 // tracedProxy is a proxy of the simulated fleet.
 type tracedProxy struct {
-	id     fleet.ProxyID
+	id     model.ProxyID
 	zone   int
 	joined bool
 }
 
 // pendingAck is an acknowledgement on its way to the balancer.
 type pendingAck struct {
-	at     fleet.Micros
-	proxy  fleet.ProxyID
+	at     model.Micros
+	proxy  model.ProxyID
 	number uint32
 }
 
@@ -57,8 +57,8 @@
 	plan     scenario
 	random   *rand.Rand
 	balancer *decide.Governor
-	now      fleet.Micros
-	ring     fleet.Micros // when the timer fires next, as ordered by Wake
+	now      model.Micros
+	ring     model.Micros // when the timer fires next, as ordered by Wake
 	beat     int
 	follows  bool // a subscription was ordered and not answered yet
 	replicas []*tracedReplica
@@ -77,13 +77,13 @@
 type scenario struct {
 	name      string
 	seed      uint64
-	terms     fleet.Terms
+	terms     model.Terms
 	replicas  int
 	proxies   int
 	beats     int
 	usual     float64 // invocations a second of a proxy
 	tries     int     // mean tries in a load report
-	ackDelay  fleet.Micros
+	ackDelay  model.Micros
 	ackLoss   float64
 	churn     churn
 	load      func(beat int) float64 // mean latency over the objective
@@ -109,15 +109,15 @@
 
 func bits(f float64) string { return strconv.FormatUint(math.Float64bits(f), 16) }
 
-func replicaText(r fleet.ReplicaID) string {
+func replicaText(r model.ReplicaID) string {
 	return fmt.Sprintf("%d.%d.%d.%d:%d", r.Addr[0], r.Addr[1], r.Addr[2], r.Addr[3], r.Port)
 }
 
-func (tr *trace) Assign(t fleet.TableID, r fleet.ReplicaID, weight float64) {
+func (tr *trace) Assign(t model.TableID, r model.ReplicaID, weight float64) {
 	tr.record("assign %d %s %s", int(t), replicaText(r), bits(weight))
 }
 
-func (tr *trace) Bind(p fleet.ProxyID, t fleet.TableID, operations uint16, back []fleet.ReplicaID) {
+func (tr *trace) Bind(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
 	var names []string
 	for _, r := range back {
 		names = append(names, replicaText(r))
@@ -125,11 +125,11 @@
 	tr.record("bind %d %d %d [%s]", int(p), int(t), operations, strings.Join(names, ","))
 }
 
-func (tr *trace) Withdraw(r fleet.ReplicaID, out bool) {
+func (tr *trace) Withdraw(r model.ReplicaID, out bool) {
 	tr.record("withdraw %s %t", replicaText(r), out)
 }
 
-func (tr *trace) Level(operations uint16, share float64, w fleet.Way) {
+func (tr *trace) Level(operations uint16, share float64, w model.Way) {
 	tr.record("level %d %s %d", operations, bits(share), int(w))
 }
 
@@ -141,12 +141,12 @@
 		if !p.joined || tr.random.Float64() < tr.plan.ackLoss {
 			continue
 		}
-		delay := fleet.Micros(tr.random.Int64N(int64(tr.plan.ackDelay) + 1))
+		delay := model.Micros(tr.random.Int64N(int64(tr.plan.ackDelay) + 1))
 		tr.acks = append(tr.acks, pendingAck{tr.now + delay, p.id, number})
 	}
 }
 
-func (tr *trace) Wake(after fleet.Micros) {
+func (tr *trace) Wake(after model.Micros) {
 	tr.ring = tr.now + after
 	tr.record("wake %d", int64(after))
 }
@@ -233,7 +233,7 @@
 // goldenTrace drives a scenario from its start to its end.
 func goldenTrace(t *testing.T, plan scenario) map[string]int {
 	tr := &trace{t: t, plan: plan, random: rand.New(rand.NewPCG(plan.seed, 0x9e3779b97f4a7c15)),
-		now: 100 * fleet.Second, kinds: map[string]int{}}
+		now: 100 * model.Second, kinds: map[string]int{}}
 	path := filepath.Join("testdata", "trace-"+plan.name+".txt")
 	if !*updateTraces {
 		data, err := os.ReadFile(path)
@@ -268,15 +268,15 @@
 
 func (tr *trace) start() {
 	for n := range tr.plan.replicas {
-		tr.replicas = append(tr.replicas, &tracedReplica{zone: n % tr.plan.terms.Zones, life: fleet.Ready,
-			id:   fleet.ReplicaID{Addr: [4]byte{10, 0, byte(n / 200), byte(n % 200)}, Port: uint16(5000 + n%3)},
+		tr.replicas = append(tr.replicas, &tracedReplica{zone: n % tr.plan.terms.Zones, life: model.Ready,
+			id:   model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 200), byte(n % 200)}, Port: uint16(5000 + n%3)},
 			slow: 0.7 + 0.6*tr.random.Float64()})
 	}
 	for n := range tr.plan.proxies {
-		tr.proxies = append(tr.proxies, &tracedProxy{id: fleet.ProxyID(n + 1), zone: n % tr.plan.terms.Zones})
+		tr.proxies = append(tr.proxies, &tracedProxy{id: model.ProxyID(n + 1), zone: n % tr.plan.terms.Zones})
 	}
 	tr.step("new", func() { tr.balancer = decide.New(tr.plan.terms, tr, tr.now) })
-	tr.list("cached", fleet.Cached, tr.replicas)
+	tr.list("cached", model.Cached, tr.replicas)
 	count := len(tr.proxies)
 	if !tr.plan.allAtOnce {
 		count /= 2
@@ -288,7 +288,7 @@
 // between is a moment between two rings of the timer.
 func (tr *trace) between() {
 	before := len(tr.got)
-	tr.now += 1 + fleet.Micros(tr.random.Int64N(int64(tr.ring-tr.now-1)))
+	tr.now += 1 + model.Micros(tr.random.Int64N(int64(tr.ring-tr.now-1)))
 	tr.answerFollow()
 	tr.deliver()
 	tr.churnList()
@@ -317,7 +317,7 @@
 func (tr *trace) answerFollow() {
 	if tr.follows && tr.random.Float64() < 0.5 {
 		tr.follows = false
-		tr.list("complete", fleet.Whole, tr.replicas)
+		tr.list("complete", model.Whole, tr.replicas)
 	}
 }
 
@@ -342,24 +342,24 @@
 	})
 }
 
-func (tr *trace) list(name string, scope fleet.Scope, replicas []*tracedReplica) {
-	var entries []fleet.Listing
+func (tr *trace) list(name string, scope model.Scope, replicas []*tracedReplica) {
+	var entries []model.Listing
 	for _, r := range replicas {
-		if scope == fleet.Change || r.life != fleet.Gone {
-			entries = append(entries, fleet.Listing{ID: r.id, Zone: r.zone, Life: r.life, Since: r.since})
+		if scope == model.Change || r.life != model.Gone {
+			entries = append(entries, model.Listing{ID: r.id, Zone: r.zone, Life: r.life, Since: r.since})
 		}
 	}
 	tr.step(fmt.Sprintf("list %s %d", name, len(entries)), func() { tr.balancer.Listed(tr.now, scope, entries) })
 }
 
 // change gives some replicas a new life and tells of it; a ready one is restarted where restart is set.
-func (tr *trace) change(name string, life fleet.Life, restart bool, replicas ...*tracedReplica) {
+func (tr *trace) change(name string, life model.Life, restart bool, replicas ...*tracedReplica) {
 	for _, r := range replicas {
 		if r.life = life; restart {
-			r.since, r.failing, r.silent = tr.now-fleet.Micros(tr.random.Int64N(int64(2*fleet.Second))), false, false
+			r.since, r.failing, r.silent = tr.now-model.Micros(tr.random.Int64N(int64(2*model.Second))), false, false
 		}
 	}
-	tr.list(name, fleet.Change, replicas)
+	tr.list(name, model.Change, replicas)
 }
 
 func (tr *trace) anyReplica() *tracedReplica { return tr.replicas[tr.random.IntN(len(tr.replicas))] }
@@ -369,25 +369,25 @@
 func (tr *trace) churnList() {
 	c := tr.plan.churn
 	if tr.happens(c.drain) {
-		tr.change("drain", fleet.Draining, false, tr.anyReplica())
+		tr.change("drain", model.Draining, false, tr.anyReplica())
 	}
 	if tr.happens(c.gone) {
-		tr.change("gone", fleet.Gone, false, tr.anyReplica())
+		tr.change("gone", model.Gone, false, tr.anyReplica())
 	}
 	if tr.happens(c.restart) {
-		tr.change("restart", fleet.Ready, true, tr.anyReplica())
+		tr.change("restart", model.Ready, true, tr.anyReplica())
 	}
 	if tr.happens(c.ready) {
-		tr.change("ready", fleet.Ready, false, tr.anyReplica())
+		tr.change("ready", model.Ready, false, tr.anyReplica())
 	}
 	if tr.happens(c.whole) {
-		tr.list("complete", fleet.Whole, tr.replicas)
+		tr.list("complete", model.Whole, tr.replicas)
 	}
 	if tr.happens(c.cached) {
-		tr.list("cached", fleet.Cached, tr.replicas[:len(tr.replicas)-1])
+		tr.list("cached", model.Cached, tr.replicas[:len(tr.replicas)-1])
 	}
 	if tr.happens(c.failed) {
-		tr.list("failed", fleet.Failed, nil)
+		tr.list("failed", model.Failed, nil)
 	}
 	if r := tr.anyReplica(); tr.happens(c.fail) {
 		r.failing, r.silent = tr.happens(0.5), false
@@ -436,7 +436,7 @@
 	tr.step("reports", func() {
 		for _, r := range tr.replicas {
 			for zone := range tr.plan.terms.Zones {
-				if r.life != fleet.Gone && !r.silent && tr.happens(0.95) {
+				if r.life != model.Gone && !r.silent && tr.happens(0.95) {
 					tr.heard(tr.loadReport(r, zone, load))
 				}
 			}
@@ -444,16 +444,16 @@
 	})
 }
 
-func (tr *trace) heard(s fleet.Sum) {
+func (tr *trace) heard(s model.Sum) {
 	tr.note("report %s %d %d %d %d %d", replicaText(s.Replica), s.Zone, s.Tries, s.Errored, int64(s.Latency),
 		int64(s.Span))
 	tr.balancer.Heard(tr.now, s)
 }
 
-func (tr *trace) loadReport(r *tracedReplica, zone int, load float64) fleet.Sum {
+func (tr *trace) loadReport(r *tracedReplica, zone int, load float64) model.Sum {
 	objective := float64(tr.plan.terms.Operations[0].Objective)
-	s := fleet.Sum{Zone: zone, Replica: r.id, Tries: 1 + tr.random.IntN(2*tr.plan.tries), Span: fleet.Second}
-	s.Latency = fleet.Micros(objective * load * r.slow * (0.8 + 0.4*tr.random.Float64()))
+	s := model.Sum{Zone: zone, Replica: r.id, Tries: 1 + tr.random.IntN(2*tr.plan.tries), Span: model.Second}
+	s.Latency = model.Micros(objective * load * r.slow * (0.8 + 0.4*tr.random.Float64()))
 	s.Errored = min(s.Tries, int(float64(s.Tries)*load*load*0.3*tr.random.Float64()))
 	s.Report = []float64{tr.random.Float64(), min(1.2, load*(0.8+0.4*tr.random.Float64()))}
 	if r.failing {
@@ -472,7 +472,7 @@
 	case 3:
 		s.Span = 0
 	case 4:
-		s.Replica = fleet.ReplicaID{Addr: [4]byte{192, 0, 2, 1}, Port: 1}
+		s.Replica = model.ReplicaID{Addr: [4]byte{192, 0, 2, 1}, Port: 1}
 	case 5:
 		s.Report = s.Report[:1]
 	default:
--- a/decide/host_test.go
+++ b/decide/host_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // fakeHost plays a fleet by hand: it keeps what was ordered and, where acks is set, acknowledges it at once.
@@ -12,58 +12,58 @@
 	said    []string // the module's log
 	t       *testing.T
 	g       *Governor
-	now     fleet.Micros
+	now     model.Micros
 	acks    bool
-	weights map[fleet.ReplicaID]float64 // of table 0
-	tables  map[fleet.TableID]int       // lines ordered
-	bound   map[fleet.ProxyID]int       // binds
-	back    map[fleet.ProxyID][]fleet.ReplicaID
-	binds   map[bindKey]fleet.TableID
-	lines   map[fleet.TableID]map[fleet.ReplicaID]float64
-	out     map[fleet.ReplicaID]bool
+	weights map[model.ReplicaID]float64 // of table 0
+	tables  map[model.TableID]int       // lines ordered
+	bound   map[model.ProxyID]int       // binds
+	back    map[model.ProxyID][]model.ReplicaID
+	binds   map[bindKey]model.TableID
+	lines   map[model.TableID]map[model.ReplicaID]float64
+	out     map[model.ReplicaID]bool
 	shares  map[uint16]float64
-	ways    map[fleet.Way]bool
+	ways    map[model.Way]bool
 	orders  []string
 	follows int
-	batches []fleet.Micros
-	joined  []fleet.ProxyID
+	batches []model.Micros
+	joined  []model.ProxyID
 	due     []receipt // to be acknowledged after Settle
 }
 
 type bindKey struct {
-	proxy      fleet.ProxyID
+	proxy      model.ProxyID
 	operations uint16
 }
 
 type receipt struct {
-	proxy  fleet.ProxyID
+	proxy  model.ProxyID
 	number uint32
 }
 
-func (h *fakeHost) Assign(t fleet.TableID, r fleet.ReplicaID, w float64) {
+func (h *fakeHost) Assign(t model.TableID, r model.ReplicaID, w float64) {
 	h.orders = append(h.orders, fmt.Sprint(t, r, w))
 	if !(w >= 0) || w > 1e6 {
 		h.t.Errorf("weight %v", w)
 	}
 	h.tables[t]++
 	if h.lines[t] == nil {
-		h.lines[t] = map[fleet.ReplicaID]float64{}
+		h.lines[t] = map[model.ReplicaID]float64{}
 	}
 	h.lines[t][r] = w
 	if t == 0 {
 		h.weights[r] = w
 	}
 }
-func (h *fakeHost) Bind(p fleet.ProxyID, t fleet.TableID, operations uint16, back []fleet.ReplicaID) {
+func (h *fakeHost) Bind(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
 	h.back[p], h.binds[bindKey{p, operations}] = back, t
 	h.orders = append(h.orders, fmt.Sprint(p, t))
 	h.bound[p]++
 }
-func (h *fakeHost) Withdraw(r fleet.ReplicaID, out bool) {
+func (h *fakeHost) Withdraw(r model.ReplicaID, out bool) {
 	h.orders = append(h.orders, fmt.Sprint(r, out))
 	h.out[r] = out
 }
-func (h *fakeHost) Level(operations uint16, share float64, w fleet.Way) {
+func (h *fakeHost) Level(operations uint16, share float64, w model.Way) {
 	h.orders = append(h.orders, fmt.Sprint(operations, share, w))
 	h.shares[operations], h.ways[w] = share, true
 }
@@ -74,7 +74,7 @@
 		}
 	}
 }
-func (h *fakeHost) Wake(after fleet.Micros) {}
+func (h *fakeHost) Wake(after model.Micros) {}
 func (h *fakeHost) Follow()                 { h.follows++ }
 func (h *fakeHost) Log(text string)         { h.said = append(h.said, text) }
 
@@ -85,30 +85,30 @@
 	}
 }
 
-func id(n int) fleet.ReplicaID { return fleet.ReplicaID{Addr: [4]byte{10, 0, 0, byte(n)}, Port: 5000} }
+func id(n int) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{10, 0, 0, byte(n)}, Port: 5000} }
 
-func ready(n, zone int) fleet.Listing { return fleet.Listing{ID: id(n), Zone: zone, Life: fleet.Ready} }
+func ready(n, zone int) model.Listing { return model.Listing{ID: id(n), Zone: zone, Life: model.Ready} }
 
 // begin starts a governor with replicas 1 to n ready in zone 0 and two proxies joined there.
-func begin(t *testing.T, n int, change func(*fleet.Terms)) *fakeHost {
-	terms := fleet.Terms{
-		Operations: []fleet.Operation{{Objective: 500000, Value: 1}, {Objective: 500000, Value: 3}}, Zones: 2,
-		Subscribe: true, Avoids: true, Admits: true, AdmitAll: 1, StandingSize: 4, Period: fleet.Second,
-		Overhead: 6, QueueMost: 5000, CrossPrice: 0.05, BusyField: -1, Cold: 17 * fleet.Second,
+func begin(t *testing.T, n int, change func(*model.Terms)) *fakeHost {
+	terms := model.Terms{
+		Operations: []model.Operation{{Objective: 500000, Value: 1}, {Objective: 500000, Value: 3}}, Zones: 2,
+		Subscribe: true, Avoids: true, Admits: true, AdmitAll: 1, StandingSize: 4, Period: model.Second,
+		Overhead: 6, QueueMost: 5000, CrossPrice: 0.05, BusyField: -1, Cold: 17 * model.Second,
 	}
 	if change != nil {
 		change(&terms)
 	}
-	h := &fakeHost{t: t, now: fleet.Second, acks: true, weights: map[fleet.ReplicaID]float64{},
-		tables: map[fleet.TableID]int{}, bound: map[fleet.ProxyID]int{}, back: map[fleet.ProxyID][]fleet.ReplicaID{}, binds: map[bindKey]fleet.TableID{},
-		lines: map[fleet.TableID]map[fleet.ReplicaID]float64{}, out: map[fleet.ReplicaID]bool{},
-		shares: map[uint16]float64{}, ways: map[fleet.Way]bool{}}
+	h := &fakeHost{t: t, now: model.Second, acks: true, weights: map[model.ReplicaID]float64{},
+		tables: map[model.TableID]int{}, bound: map[model.ProxyID]int{}, back: map[model.ProxyID][]model.ReplicaID{}, binds: map[bindKey]model.TableID{},
+		lines: map[model.TableID]map[model.ReplicaID]float64{}, out: map[model.ReplicaID]bool{},
+		shares: map[uint16]float64{}, ways: map[model.Way]bool{}}
 	h.g = New(terms, h, h.now)
-	var entries []fleet.Listing
+	var entries []model.Listing
 	for k := range n {
 		entries = append(entries, ready(k+1, 0))
 	}
-	h.g.Listed(h.now, fleet.Cached, entries)
+	h.g.Listed(h.now, model.Cached, entries)
 	h.join(1)
 	h.join(2)
 	h.settle()
@@ -116,13 +116,13 @@
 }
 
 // warm lets twelve good seconds pass after that: the gate is open and all is learnt.
-func warm(t *testing.T, n int, change func(*fleet.Terms)) *fakeHost {
+func warm(t *testing.T, n int, change func(*model.Terms)) *fakeHost {
 	h := begin(t, n, change)
 	h.run(12, h.all(n))
 	return h
 }
 
-func (h *fakeHost) join(p fleet.ProxyID) {
+func (h *fakeHost) join(p model.ProxyID) {
 	h.joined = append(h.joined, p)
 	h.g.Joined(h.now, p, 0, 10)
 }
@@ -136,15 +136,15 @@
 }
 
 // heard reports tries at a replica over a second.
-func (h *fakeHost) heard(n, tries, errored int, latency fleet.Micros) {
-	h.g.Heard(h.now, fleet.Sum{Replica: id(n), Tries: tries, Errored: errored, Latency: latency, Span: fleet.Second,
+func (h *fakeHost) heard(n, tries, errored int, latency model.Micros) {
+	h.g.Heard(h.now, model.Sum{Replica: id(n), Tries: tries, Errored: errored, Latency: latency, Span: model.Second,
 		Report: []float64{0.5}})
 }
 
 // run lets seconds pass in beats of 200 ms; report is called once a second.
 func (h *fakeHost) run(seconds int, report func()) {
 	for k := range seconds * 5 {
-		h.now += 200 * fleet.Millisecond
+		h.now += 200 * model.Millisecond
 		if report != nil && k%5 == 0 {
 			report()
 		}
@@ -154,7 +154,7 @@
 }
 
 // each gives a report of the same second at replicas from to to.
-func (h *fakeHost) each(from, to, tries, errored int, latency fleet.Micros) func() {
+func (h *fakeHost) each(from, to, tries, errored int, latency model.Micros) func() {
 	return func() {
 		for k := from; k <= to; k++ {
 			h.heard(k, tries, errored, latency)
@@ -162,24 +162,24 @@
 	}
 }
 
-func (h *fakeHost) all(n int) func() { return h.each(1, n, 10, 0, 100*fleet.Millisecond) }
+func (h *fakeHost) all(n int) func() { return h.each(1, n, 10, 0, 100*model.Millisecond) }
 
-func (h *fakeHost) change(life fleet.Life, since fleet.Micros, numbers ...int) {
-	var entries []fleet.Listing
+func (h *fakeHost) change(life model.Life, since model.Micros, numbers ...int) {
+	var entries []model.Listing
 	for _, n := range numbers {
-		entries = append(entries, fleet.Listing{ID: id(n), Life: life, Since: since})
+		entries = append(entries, model.Listing{ID: id(n), Life: life, Since: since})
 	}
-	h.g.Listed(h.now, fleet.Change, entries)
+	h.g.Listed(h.now, model.Change, entries)
 }
 
-func (h *fakeHost) gone(numbers ...int)  { h.change(fleet.Gone, 0, numbers...); h.settle() }
-func (h *fakeHost) drain(numbers ...int) { h.change(fleet.Draining, 0, numbers...); h.settle() }
+func (h *fakeHost) gone(numbers ...int)  { h.change(model.Gone, 0, numbers...); h.settle() }
+func (h *fakeHost) drain(numbers ...int) { h.change(model.Draining, 0, numbers...); h.settle() }
 
 // busy reports ten good tries of so many milliseconds with that share of the cores in use.
 func (h *fakeHost) busy(from, to, ms int, share float64) {
 	for k := from; k <= to; k++ {
-		h.g.Heard(h.now, fleet.Sum{Replica: id(k), Tries: 10, Latency: fleet.Micros(ms) * fleet.Millisecond,
-			Span: fleet.Second, Report: []float64{share}})
+		h.g.Heard(h.now, model.Sum{Replica: id(k), Tries: 10, Latency: model.Micros(ms) * model.Millisecond,
+			Span: model.Second, Report: []float64{share}})
 	}
 }
 
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -6,78 +6,78 @@
 
 	"pgregory.net/rapid"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // world is a fleet by chance with a channel of a pace: it carries a governor's orders to proxies late, acknowledges
 // them, and judges by what proxies hold. It knows nothing of the governor but its orders.
 type world struct {
 	t        interface{ Fatalf(string, ...any) }
-	terms    fleet.Terms
+	terms    model.Terms
 	g        *Governor
-	now      fleet.Micros
-	grace    fleet.Micros
-	bare     fleet.Micros
+	now      model.Micros
+	grace    model.Micros
+	bare     model.Micros
 	pace     float64 // lines a second, as it is now
-	late     fleet.Micros
-	free     fleet.Micros
+	late     model.Micros
+	free     model.Micros
 	queue    []*parcel
 	flying   []*parcel
-	replicas map[fleet.ReplicaID]*worldReplica
-	proxies  map[fleet.ProxyID]*worldProxy
-	tables   map[fleet.TableID]map[fleet.ReplicaID]float64
-	users    map[fleet.TableID]map[fleet.ProxyID]bool
-	out      map[fleet.ReplicaID]bool
+	replicas map[model.ReplicaID]*worldReplica
+	proxies  map[model.ProxyID]*worldProxy
+	tables   map[model.TableID]map[model.ReplicaID]float64
+	users    map[model.TableID]map[model.ProxyID]bool
+	out      map[model.ReplicaID]bool
 	levels   int
-	draft    map[fleet.ProxyID]*parcel
+	draft    map[model.ProxyID]*parcel
 	stretch  float64 // the channel's slowest against its pace: limits of time grow alike
 }
 
 type worldReplica struct {
 	zone  int
-	life  fleet.Life
-	told  fleet.Micros // of its drain or end; -1: it is ready
-	since fleet.Micros
+	life  model.Life
+	told  model.Micros // of its drain or end; -1: it is ready
+	since model.Micros
 }
 
 type worldProxy struct {
 	zone     int
 	joined   bool
-	joinedAt fleet.Micros
+	joinedAt model.Micros
 	stream   int
-	lines    map[fleet.ReplicaID]float64
-	out      map[fleet.ReplicaID]bool
-	bareFrom fleet.Micros
-	table    fleet.TableID
+	lines    map[model.ReplicaID]float64
+	out      map[model.ReplicaID]bool
+	bareFrom model.Micros
+	table    model.TableID
 	bound    bool // by the governor's orders
 }
 
 // parcel is a message: what it does to its proxy once it arrives.
 type parcel struct {
-	to      fleet.ProxyID
+	to      model.ProxyID
 	stream  int
 	cost    int
 	do      []func(*worldProxy)
 	receipt int
-	leaves  fleet.Micros
-	lands   fleet.Micros
+	leaves  model.Micros
+	lands   model.Micros
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }) *world {
-	return &world{t: t, now: 100 * fleet.Second, stretch: 1, replicas: map[fleet.ReplicaID]*worldReplica{}, proxies: map[fleet.ProxyID]*worldProxy{},
-		tables: map[fleet.TableID]map[fleet.ReplicaID]float64{}, users: map[fleet.TableID]map[fleet.ProxyID]bool{}, out: map[fleet.ReplicaID]bool{}, draft: map[fleet.ProxyID]*parcel{}}
+	return &world{t: t, now: 100 * model.Second, stretch: 1, replicas: map[model.ReplicaID]*worldReplica{}, proxies: map[model.ProxyID]*worldProxy{},
+		tables: map[model.TableID]map[model.ReplicaID]float64{}, users: map[model.TableID]map[model.ProxyID]bool{}, out: map[model.ReplicaID]bool{}, draft: map[model.ProxyID]*parcel{}}
 }
 
-func (w *world) to(p fleet.ProxyID) *parcel {
+func (w *world) to(p model.ProxyID) *parcel {
 	if w.draft[p] == nil {
 		w.draft[p] = &parcel{to: p, stream: w.proxies[p].stream, cost: w.terms.Overhead, receipt: -1}
 	}
 	return w.draft[p]
 }
 
-func (w *world) Assign(t fleet.TableID, r fleet.ReplicaID, weight float64) {
+func (w *world) Assign(t model.TableID, r model.ReplicaID, weight float64) {
 	if w.tables[t] == nil {
-		w.tables[t] = map[fleet.ReplicaID]float64{}
+		w.tables[t] = map[model.ReplicaID]float64{}
 	}
 	_, had := w.tables[t][r]
 	if w.tables[t][r] = weight; weight == 0 {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (w *world) Bind(p fleet.ProxyID, t fleet.TableID, _ uint16, back []fleet.ReplicaID) {
+func (w *world) Bind(p model.ProxyID, t model.TableID, _ uint16, back []model.ReplicaID) {
 	x := w.proxies[p]
 	if x == nil || !x.joined {
 		w.t.Fatalf("a bind for proxy %d, which is not joined", p)
@@ -105,7 +105,7 @@
 	}
 	x.bound, x.table = true, t
 	if w.users[t] == nil {
-		w.users[t] = map[fleet.ProxyID]bool{}
+		w.users[t] = map[model.ProxyID]bool{}
 	}
 	w.users[t][p] = true
 	m := w.to(p)
@@ -123,7 +123,7 @@
 	})
 }
 
-func (w *world) Withdraw(r fleet.ReplicaID, out bool) {
+func (w *world) Withdraw(r model.ReplicaID, out bool) {
 	if w.out[r] = out; !out {
 		delete(w.out, r)
 	}
@@ -136,8 +136,8 @@
 	}
 }
 
-func (w *world) Level(_ uint16, _ float64, way fleet.Way) {
-	if way > fleet.WhenUnrun {
+func (w *world) Level(_ uint16, _ float64, way model.Way) {
+	if way > model.WhenUnrun {
 		w.t.Fatalf("way %d repeats what may have run", way)
 	}
 	w.levels = len(w.terms.Operations)
@@ -160,14 +160,14 @@
 	}
 }
 
-func (w *world) Wake(fleet.Micros) {}
+func (w *world) Wake(model.Micros) {}
 func (w *world) Follow()           {}
 func (w *world) Log(string)        {}
 
 // settle has the governor settle and queues what it ordered, in the proxies' order.
 func (w *world) settle() {
 	w.g.Settle(w.now)
-	ids := make([]fleet.ProxyID, 0, len(w.draft))
+	ids := make([]model.ProxyID, 0, len(w.draft))
 	for p := range w.draft {
 		ids = append(ids, p)
 	}
@@ -178,7 +178,7 @@
 	}
 	for _, p := range ids {
 		m := w.draft[p]
-		w.free = max(w.free, w.now) + fleet.Micros(float64(m.cost)/w.pace*float64(fleet.Second))
+		w.free = max(w.free, w.now) + model.Micros(float64(m.cost)/w.pace*float64(model.Second))
 		m.leaves = w.free
 		w.queue = append(w.queue, m)
 		waiting += m.cost
@@ -190,7 +190,7 @@
 }
 
 // pass lets time pass up to a moment: messages leave, land, are applied and acknowledged.
-func (w *world) pass(to fleet.Micros) {
+func (w *world) pass(to model.Micros) {
 	for {
 		var next *parcel
 		at, flies := to, false
@@ -230,9 +230,9 @@
 func (w *world) judge() {
 	warm := false
 	for _, r := range w.replicas {
-		warm = warm || r.life == fleet.Ready && w.now-r.since >= w.terms.Cold
+		warm = warm || r.life == model.Ready && w.now-r.since >= w.terms.Cold
 	}
-	slack := func(limit fleet.Micros) fleet.Micros { return fleet.Micros(float64(limit) * w.stretch) }
+	slack := func(limit model.Micros) model.Micros { return model.Micros(float64(limit) * w.stretch) }
 	for id, x := range w.proxies {
 		if !x.joined {
 			continue
@@ -259,13 +259,13 @@
 }
 
 // join gives a proxy a stream; a fresh one holds a standing table of its zone's replicas.
-func (w *world) join(id fleet.ProxyID, zone int, fresh bool) {
+func (w *world) join(id model.ProxyID, zone int, fresh bool) {
 	x := w.proxies[id]
 	if x == nil || fresh {
-		x = &worldProxy{zone: zone, lines: map[fleet.ReplicaID]float64{}, out: map[fleet.ReplicaID]bool{}, bareFrom: -1}
+		x = &worldProxy{zone: zone, lines: map[model.ReplicaID]float64{}, out: map[model.ReplicaID]bool{}, bareFrom: -1}
 		for pass := range 2 {
 			for n := 1; n <= len(w.replicas) && len(x.lines) < w.terms.StandingSize; n++ {
-				if r := w.replicas[id2(n)]; r.life == fleet.Ready && (pass == 1 || r.zone == zone) && len(x.lines) < 3+pass*3 {
+				if r := w.replicas[id2(n)]; r.life == model.Ready && (pass == 1 || r.zone == zone) && len(x.lines) < 3+pass*3 {
 					x.lines[id2(n)] = 1
 				}
 			}
@@ -291,11 +291,11 @@
 	for _, r := range w.replicas {
 		r.told = -1
 	}
-	w.list(fleet.Cached, all...)
+	w.list(model.Cached, all...)
 }
 
 // part ends a proxy's stream: what waits or flies for it is lost.
-func (w *world) part(id fleet.ProxyID) {
+func (w *world) part(id model.ProxyID) {
 	x := w.proxies[id]
 	if x == nil || !x.joined {
 		return
@@ -310,16 +310,16 @@
 	w.g.Left(w.now, id)
 }
 
-func id2(n int) fleet.ReplicaID {
-	return fleet.ReplicaID{Addr: [4]byte{10, 0, byte(n / 250), byte(n % 250)}, Port: 5000}
+func id2(n int) model.ReplicaID {
+	return model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 250), byte(n % 250)}, Port: 5000}
 }
 
-func (w *world) list(scope fleet.Scope, numbers ...int) {
-	var entries []fleet.Listing
+func (w *world) list(scope model.Scope, numbers ...int) {
+	var entries []model.Listing
 	for _, n := range numbers {
 		r := w.replicas[id2(n)]
-		entries = append(entries, fleet.Listing{ID: id2(n), Zone: r.zone, Life: r.life, Since: r.since})
-		if r.life == fleet.Ready {
+		entries = append(entries, model.Listing{ID: id2(n), Zone: r.zone, Life: r.life, Since: r.since})
+		if r.life == model.Ready {
 			r.told = -1
 		} else if r.told < 0 {
 			r.told = w.now
@@ -336,26 +336,26 @@
 		n := rapid.IntRange(4, 24).Draw(t, "replicas")
 		p := rapid.IntRange(2, 60).Draw(t, "proxies")
 		w := newWorld(t)
-		w.late = fleet.Micros(rapid.IntRange(1, 300).Draw(t, "late")) * fleet.Millisecond
+		w.late = model.Micros(rapid.IntRange(1, 300).Draw(t, "late")) * model.Millisecond
 		// What can't be put off fits twice, with all proxies on this governor: the limits are set so for each day.
 		w.pace = float64(p*(9+n)) * rapid.Float64Range(1, 4).Draw(t, "pace")
-		w.terms = fleet.Terms{Seed: rapid.Uint64().Draw(t, "seed"), Operations: []fleet.Operation{{Objective: 500_000, Value: 1}, {Objective: 750_000, Value: 3}},
+		w.terms = model.Terms{Seed: rapid.Uint64().Draw(t, "seed"), Operations: []model.Operation{{Objective: 500_000, Value: 1}, {Objective: 750_000, Value: 3}},
 			Zones: zones, Subscribe: true, Admits: rapid.Bool().Draw(t, "admits"), AdmitAll: 1, Avoids: rapid.Bool().Draw(t, "avoids"), StandingSize: 6,
-			Period: fleet.Micros(rapid.IntRange(1, 3).Draw(t, "period")) * fleet.Second, Overhead: rapid.IntRange(0, 8).Draw(t, "overhead"), QueueMost: int(2 * w.pace), CrossPrice: 0.05, BusyField: -1,
-			Cold: 10 * fleet.Second, Proxies: p, ConnsLeast: 200}
+			Period: model.Micros(rapid.IntRange(1, 3).Draw(t, "period")) * model.Second, Overhead: rapid.IntRange(0, 8).Draw(t, "overhead"), QueueMost: int(2 * w.pace), CrossPrice: 0.05, BusyField: -1,
+			Cold: 10 * model.Second, Proxies: p, ConnsLeast: 200}
 		// A message waits for the whole queue, flies, and the governor looks up five times a second; binds take a queue too.
 		beat := w.terms.Period / 5
 		// A proxy may come back with withdrawals of an earlier life, of which this one knows nothing before it binds.
-		w.grace, w.bare = 3*fleet.Second+w.late+2*beat, max(4*fleet.Second, 3*w.terms.Period+fleet.Second)+w.late+2*beat
+		w.grace, w.bare = 3*model.Second+w.late+2*beat, max(4*model.Second, 3*w.terms.Period+model.Second)+w.late+2*beat
 		var all []int
 		for k := range n {
-			w.replicas[id2(k+1)] = &worldReplica{zone: k % zones, life: fleet.Ready, told: -1}
+			w.replicas[id2(k+1)] = &worldReplica{zone: k % zones, life: model.Ready, told: -1}
 			all = append(all, k+1)
 		}
 		w.g = New(w.terms, w, w.now)
-		w.list(fleet.Cached, all...)
+		w.list(model.Cached, all...)
 		for k := range p {
-			w.join(fleet.ProxyID(k), k%zones, true)
+			w.join(model.ProxyID(k), k%zones, true)
 		}
 		w.settle()
 		some := func(most int, name string) (ones []int) {
@@ -370,57 +370,57 @@
 				var ones []int
 				for _, n := range all {
 					if r := w.replicas[id2(n)]; r.zone == 0 {
-						r.life, ones = fleet.Draining, append(ones, n)
+						r.life, ones = model.Draining, append(ones, n)
 					}
 				}
-				w.list(fleet.Change, ones...)
+				w.list(model.Change, ones...)
 			}
-			w.pass(100*fleet.Second + fleet.Micros(k+1)*beat)
+			w.pass(100*model.Second + model.Micros(k+1)*beat)
 			switch rapid.IntRange(0, 19).Draw(t, "event") {
 			case 0:
 				ones := some(1+n/3, "drains")
 				for _, k := range ones {
-					w.replicas[id2(k)].life = fleet.Draining
+					w.replicas[id2(k)].life = model.Draining
 				}
-				w.list(fleet.Change, ones...)
+				w.list(model.Change, ones...)
 			case 1:
 				ones := some(1+n/4, "gone")
 				for _, k := range ones {
-					w.replicas[id2(k)].life = fleet.Gone
+					w.replicas[id2(k)].life = model.Gone
 				}
-				w.list(fleet.Change, ones...)
+				w.list(model.Change, ones...)
 			case 2:
 				ones := some(1+n/4, "start")
 				for _, k := range ones {
-					if r := w.replicas[id2(k)]; r.life != fleet.Ready {
-						r.life, r.since = fleet.Ready, w.now
+					if r := w.replicas[id2(k)]; r.life != model.Ready {
+						r.life, r.since = model.Ready, w.now
 					}
 				}
-				w.list(fleet.Change, ones...)
+				w.list(model.Change, ones...)
 			case 3:
 				for range rapid.IntRange(1, 1+p/2).Draw(t, "breaks") {
-					w.part(fleet.ProxyID(rapid.IntRange(0, p-1).Draw(t, "proxy")))
+					w.part(model.ProxyID(rapid.IntRange(0, p-1).Draw(t, "proxy")))
 				}
 			case 4, 5:
-				for id, k := fleet.ProxyID(0), rapid.IntRange(0, p-1).Draw(t, "come back"); int(id) < p && k >= 0; id++ {
+				for id, k := model.ProxyID(0), rapid.IntRange(0, p-1).Draw(t, "come back"); int(id) < p && k >= 0; id++ {
 					if x := w.proxies[id]; !x.joined {
 						w.join(id, x.zone, rapid.Bool().Draw(t, "fresh"))
 						k--
 					}
 				}
 			case 6:
-				w.g.Listed(w.now, fleet.Failed, nil)
+				w.g.Listed(w.now, model.Failed, nil)
 			case 7: // a zone is lost, seen from here
 				zone, ones := rapid.IntRange(0, zones-1).Draw(t, "zone"), []int(nil)
 				for _, k := range all {
 					if r := w.replicas[id2(k)]; r.zone == zone {
-						r.life, ones = fleet.Gone, append(ones, k)
+						r.life, ones = model.Gone, append(ones, k)
 					}
 				}
-				w.list(fleet.Change, ones...)
+				w.list(model.Change, ones...)
 			case 8: // the governor starts again with its last list; proxies come back with what they hold
 				w.restart(all)
-				for id := range fleet.ProxyID(p) {
+				for id := range model.ProxyID(p) {
 					if rapid.Bool().Draw(t, "back at once") {
 						w.join(id, w.proxies[id].zone, false)
 					}
@@ -428,9 +428,9 @@
 			}
 			if k%5 == 0 && rapid.IntRange(0, 4).Draw(t, "sums") > 0 {
 				for _, k := range all {
-					if w.replicas[id2(k)].life == fleet.Ready {
-						w.g.Heard(w.now, fleet.Sum{Replica: id2(k), Tries: 10, Errored: rapid.IntRange(0, 1).Draw(t, "errors"),
-							Latency: fleet.Micros(rapid.IntRange(50, 300).Draw(t, "latency")) * fleet.Millisecond, Span: fleet.Second})
+					if w.replicas[id2(k)].life == model.Ready {
+						w.g.Heard(w.now, model.Sum{Replica: id2(k), Tries: 10, Errored: rapid.IntRange(0, 1).Draw(t, "errors"),
+							Latency: model.Micros(rapid.IntRange(50, 300).Draw(t, "latency")) * model.Millisecond, Span: model.Second})
 					}
 				}
 			}
@@ -447,24 +447,24 @@
 func TestManyDrainsMeetManyJoiners(t *testing.T) {
 	const n, own, over = 200, 19, 185
 	w := newWorld(t)
-	w.pace, w.late, w.grace, w.bare = 2900, 122*fleet.Millisecond, 3*fleet.Second, 4100*fleet.Millisecond
-	w.terms = fleet.Terms{Seed: 7, Operations: []fleet.Operation{{Objective: 500_000, Value: 1}, {Objective: 750_000, Value: 3}}, Zones: 4, Subscribe: true,
-		Admits: true, AdmitAll: 1, StandingSize: 6, Period: fleet.Second, Overhead: 6, QueueMost: 6300, CrossPrice: 0.08, PushPrice: 0.02, BusyField: -1,
-		Cold: 17 * fleet.Second, Proxies: 240, ConnsLeast: 200}
+	w.pace, w.late, w.grace, w.bare = 2900, 122*model.Millisecond, 3*model.Second, 4100*model.Millisecond
+	w.terms = model.Terms{Seed: 7, Operations: []model.Operation{{Objective: 500_000, Value: 1}, {Objective: 750_000, Value: 3}}, Zones: 4, Subscribe: true,
+		Admits: true, AdmitAll: 1, StandingSize: 6, Period: model.Second, Overhead: 6, QueueMost: 6300, CrossPrice: 0.08, PushPrice: 0.02, BusyField: -1,
+		Cold: 17 * model.Second, Proxies: 240, ConnsLeast: 200}
 	var all, drained []int
 	for k := range n {
-		w.replicas[id2(k+1)] = &worldReplica{zone: k % 4, life: fleet.Ready, told: -1}
+		w.replicas[id2(k+1)] = &worldReplica{zone: k % 4, life: model.Ready, told: -1}
 		if all = append(all, k+1); k%10 < 3 {
 			drained = append(drained, k+1)
 		}
 	}
 	w.g = New(w.terms, w, w.now)
-	w.list(fleet.Cached, all...)
+	w.list(model.Cached, all...)
 	began, joined := w.now, 0
 	for beat := 1; beat <= 90; beat++ { // 0.2 s each
-		w.pass(began + fleet.Micros(beat)*200*fleet.Millisecond)
+		w.pass(began + model.Micros(beat)*200*model.Millisecond)
 		for joined < min(own+max(0, (beat-50)*over/6), own+over) {
-			p := fleet.ProxyID(joined)
+			p := model.ProxyID(joined)
 			w.join(p, joined%4, true)
 			for k := range 12 { // what others laid
 				w.proxies[p].lines[id2((joined*37+k*17)%n+1)] = 1
@@ -473,14 +473,14 @@
 		}
 		if beat == 58 {
 			for _, k := range drained {
-				w.replicas[id2(k)].life = fleet.Draining
+				w.replicas[id2(k)].life = model.Draining
 			}
-			w.list(fleet.Change, drained...)
+			w.list(model.Change, drained...)
 		}
 		if beat%5 == 0 {
 			for _, k := range all {
-				if r := w.replicas[id2(k)]; r.life == fleet.Ready {
-					w.g.Heard(w.now, fleet.Sum{Replica: id2(k), Zone: r.zone, Tries: 10, Latency: 120 * fleet.Millisecond, Span: fleet.Second})
+				if r := w.replicas[id2(k)]; r.life == model.Ready {
+					w.g.Heard(w.now, model.Sum{Replica: id2(k), Zone: r.zone, Tries: 10, Latency: 120 * model.Millisecond, Span: model.Second})
 				}
 			}
 		}
--- a/decide/state.go
+++ b/decide/state.go
@@ -7,7 +7,7 @@
 	"slices"
 	"sort"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // What a governor keeps of the fleet. Nothing is decided here.
@@ -39,7 +39,7 @@
 
 // table is a shared table for a part of a zone's proxies.
 type table struct {
-	id    fleet.TableID
+	id    model.TableID
 	zone  int
 	list  int     // its place in zones
 	own   bool    // for operations that stay in the zone: it has no far lines
@@ -61,38 +61,38 @@
 }
 
 type replica struct {
-	id                           fleet.ReplicaID
+	id                           model.ReplicaID
 	zone                         int
 	state                        state
-	since, easedAt, heardAt      fleet.Micros
+	since, easedAt, heardAt      model.Micros
 	lines                        []*line
 	fresh, all, brief            sums    // what proxies met there: since the last report, over ten, over two
 	busy, pace, risk, due, draws float64 // cores in use; see learn; see weigh
-	busyAt                       fleet.Micros
+	busyAt                       model.Micros
 	rests, stamp                 int  // rests in a row; for dueTime
 	heard, told, back            bool // named in a report; its withdrawal was sent, last at toldAt; it restarted
 	doubt                        bool // others may have shut it out
-	toldAt                       fleet.Micros
+	toldAt                       model.Micros
 }
 
 type proxy struct {
-	id          fleet.ProxyID
+	id          model.ProxyID
 	zone, lines int // lines in the reply being written
 	usual       float64
 	state       state
 	tables      []*table // one, or one more for operations that stay in its zone
 	unacked     []message
-	sent        []fleet.Micros
+	sent        []model.Micros
 }
 
 type message struct {
 	number, lines int
-	at            fleet.Micros
+	at            model.Micros
 }
 
 // dueTime is an input that comes at a set time; a replica's only while its stamp stands.
 type dueTime struct {
-	at    fleet.Micros
+	at    model.Micros
 	on    input
 	r     *replica // nil: for the governor itself
 	stamp int
@@ -169,7 +169,7 @@
 func (r *replica) member() bool { return r.state&(easing|serving|resting) != 0 }
 func (r *replica) in() bool     { return r.state&(easing|serving) != 0 }
 
-func (g *Governor) after(span fleet.Micros, d dueTime) {
+func (g *Governor) after(span model.Micros, d dueTime) {
 	d.at = g.now + span
 	i := sort.Search(len(g.due), func(i int) bool { return g.due[i].at > d.at })
 	g.due = slices.Insert(g.due, i, d)
@@ -224,11 +224,11 @@
 // View is what a governor believes, copied: nothing in it is written again.
 type View struct {
 	Open                bool              // the gate
-	Waits               []fleet.ReplicaID // listed, and not named in a report yet
+	Waits               []model.ReplicaID // listed, and not named in a report yet
 	Stress, Pace, Colds float64           // see learn
 	Unacked             int               // lines
 	Shares              []float64         // let in, by operation
-	Way                 fleet.Way
+	Way                 model.Way
 	Replicas            []ReplicaView
 	Tables              []TableView
 	Proxies             []ProxyView // in the order joined
@@ -236,13 +236,13 @@
 
 // ReplicaView is what is believed of a replica.
 type ReplicaView struct {
-	ID                     fleet.ReplicaID
+	ID                     model.ReplicaID
 	Zone                   int
 	State                  string // away, draining, easing, serving or resting
 	Out                    bool   // its withdrawal was sent
 	Cold                   bool
-	OutAt, HeardAt, BusyAt fleet.Micros // 0: never
-	Since, EasedAt         fleet.Micros
+	OutAt, HeardAt, BusyAt model.Micros // 0: never
+	Since, EasedAt         model.Micros
 	Busy, Pace             float64 // share of its cores; time of good tries over the objective
 	Part                   float64 // of its full weight
 	Rate, Errors           float64 // tries a second and share of errors, over about ten reports
@@ -251,7 +251,7 @@
 
 // TableView is a shared table.
 type TableView struct {
-	ID    fleet.TableID
+	ID    model.TableID
 	Zone  int
 	Usual float64
 	Users int
@@ -260,18 +260,18 @@
 
 // LineView is a line as it was ordered.
 type LineView struct {
-	Replica fleet.ReplicaID
+	Replica model.ReplicaID
 	Weight  float64
 }
 
 // ProxyView is a joined proxy; Table is -1 while it is on tables of its own.
 type ProxyView struct {
-	ID      fleet.ProxyID
+	ID      model.ProxyID
 	Zone    int
 	Usual   float64
 	Table   int
 	Unacked int // messages
-	Oldest  fleet.Micros
+	Oldest  model.Micros
 }
 
 var stateNames = map[state]string{away: "away", draining: "draining", easing: "easing", serving: "serving", resting: "resting"}
@@ -287,7 +287,7 @@
 		}
 		v.Replicas = append(v.Replicas, ReplicaView{ID: r.id, Zone: r.zone, State: stateNames[r.state], Out: r.told, Cold: g.cold(r),
 			OutAt: r.toldAt, HeardAt: r.heardAt, BusyAt: r.busyAt, Since: r.since, EasedAt: r.easedAt, Busy: r.busy, Pace: r.pace,
-			Part: g.part(r), Rate: r.all.tries / max(r.all.span, 1) * float64(fleet.Second), Errors: r.all.errored / max(r.all.tries, 1),
+			Part: g.part(r), Rate: r.all.tries / max(r.all.span, 1) * float64(model.Second), Errors: r.all.errored / max(r.all.tries, 1),
 			Lines: len(r.lines), Rests: r.rests})
 	}
 	for _, t := range g.tables {
--- a/decide/step_bench_test.go
+++ b/decide/step_bench_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"peppervale/decide"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 const (
@@ -19,12 +19,12 @@
 	asked  bool
 }
 
-func (h *benchHost) Assign(fleet.TableID, fleet.ReplicaID, float64)               {}
-func (h *benchHost) Bind(fleet.ProxyID, fleet.TableID, uint16, []fleet.ReplicaID) {}
-func (h *benchHost) Withdraw(fleet.ReplicaID, bool)                               {}
-func (h *benchHost) Level(uint16, float64, fleet.Way)                             {}
+func (h *benchHost) Assign(model.TableID, model.ReplicaID, float64)               {}
+func (h *benchHost) Bind(model.ProxyID, model.TableID, uint16, []model.ReplicaID) {}
+func (h *benchHost) Withdraw(model.ReplicaID, bool)                               {}
+func (h *benchHost) Level(uint16, float64, model.Way)                             {}
 func (h *benchHost) Receipt(number uint32, _ bool)                                { h.number, h.asked = number, true }
-func (h *benchHost) Wake(fleet.Micros)                                            {}
+func (h *benchHost) Wake(model.Micros)                                            {}
 func (h *benchHost) Follow()                                                      {}
 func (h *benchHost) Log(string)                                                   {}
 
@@ -32,23 +32,23 @@
 type benchFleet struct {
 	host     benchHost
 	balancer *decide.Governor
-	now      fleet.Micros
-	entries  []fleet.Listing
+	now      model.Micros
+	entries  []model.Listing
 	beats    int
 }
 
 func newBenchFleet() *benchFleet {
-	f := &benchFleet{now: 100 * fleet.Second}
+	f := &benchFleet{now: 100 * model.Second}
 	terms := tracedTerms()
 	terms.Proxies, terms.QueueMost = benchProxies, 1000*benchProxies
 	f.balancer = decide.New(terms, &f.host, f.now)
 	for n := range benchReplicas {
-		id := fleet.ReplicaID{Addr: [4]byte{10, 0, byte(n / 100), byte(n % 100)}, Port: 5000}
-		f.entries = append(f.entries, fleet.Listing{ID: id, Zone: n % benchZones, Life: fleet.Ready})
+		id := model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 100), byte(n % 100)}, Port: 5000}
+		f.entries = append(f.entries, model.Listing{ID: id, Zone: n % benchZones, Life: model.Ready})
 	}
-	f.balancer.Listed(f.now, fleet.Cached, f.entries)
+	f.balancer.Listed(f.now, model.Cached, f.entries)
 	for p := range benchProxies {
-		f.balancer.Joined(f.now, fleet.ProxyID(p), p%benchZones, 5)
+		f.balancer.Joined(f.now, model.ProxyID(p), p%benchZones, 5)
 	}
 	return f
 }
@@ -56,11 +56,11 @@
 // step is one beat with a load report for every replica and zone, the timer and Settle.
 func (f *benchFleet) step() {
 	f.beats++
-	f.now += fleet.Second
+	f.now += model.Second
 	for n, e := range f.entries {
 		for zone := range benchZones {
-			latency := fleet.Micros(100+(n*7+f.beats+zone)%40) * fleet.Millisecond
-			f.balancer.Heard(f.now, fleet.Sum{Zone: zone, Replica: e.ID, Tries: 17, Latency: latency, Span: fleet.Second})
+			latency := model.Micros(100+(n*7+f.beats+zone)%40) * model.Millisecond
+			f.balancer.Heard(f.now, model.Sum{Zone: zone, Replica: e.ID, Tries: 17, Latency: latency, Span: model.Second})
 		}
 	}
 	f.balancer.Rang(f.now)
@@ -73,7 +73,7 @@
 		return
 	}
 	for p := range benchProxies {
-		f.balancer.Applied(f.now, fleet.ProxyID(p), f.host.number)
+		f.balancer.Applied(f.now, model.ProxyID(p), f.host.number)
 	}
 	f.host.asked = false
 }
--- a/emulate/closed_test.go
+++ b/emulate/closed_test.go
@@ -5,7 +5,7 @@
 	"math"
 	"testing"
 
-	"peppervale/fleet"
+	"peppervale/internal/model"
 )
 
 // waiting is the mean wait of M/M/c over the mean work, by Erlang's C formula; load is that of one core.
@@ -31,13 +31,13 @@
 // run plays a stream at so much load of each core, and gives the mean time of an invocation over the mean work.
 func run(seed uint64, stations, cores int, load float64, seconds int, pick func(Chance) Pick) (time float64, s *Stream) {
 	core := &Core{}
-	s = &Stream{Core: core, Arrivals: NewChance(seed, "arrivals"), Work: NewChance(seed, "work"), Mean: 10 * fleet.Millisecond,
-		Gap: float64(10*fleet.Millisecond) / (load * float64(stations*cores)), Pick: pick(NewChance(seed, "pick")), From: fleet.Micros(seconds) * fleet.Second / 10}
+	s = &Stream{Core: core, Arrivals: NewChance(seed, "arrivals"), Work: NewChance(seed, "work"), Mean: 10 * model.Millisecond,
+		Gap: float64(10*model.Millisecond) / (load * float64(stations*cores)), Pick: pick(NewChance(seed, "pick")), From: model.Micros(seconds) * model.Second / 10}
 	for range stations {
 		s.Stations = append(s.Stations, NewStation(core, cores))
 	}
 	s.Start()
-	core.Run(fleet.Micros(seconds) * fleet.Second)
+	core.Run(model.Micros(seconds) * model.Second)
 	return s.Took / float64(s.Count) / float64(s.Mean), s
 }
 
@@ -105,9 +105,9 @@
 // Events of one moment happen in the order booked, whatever the heap does with them.
 func TestTheOrderOfAMoment(t *testing.T) {
 	core, chance := &Core{}, NewChance(1, "order")
-	last, at := -1, fleet.Micros(-1)
+	last, at := -1, model.Micros(-1)
 	for n := range 10_000 {
-		due := fleet.Micros(chance.IntN(50))
+		due := model.Micros(chance.IntN(50))
 		core.After(due, func() {
 			if core.Now() != due || due < at || due == at && n < last {
 				t.Fatalf("%d, due at %d, happens at %d after %d", n, due, core.Now(), last)
@@ -115,8 +115,8 @@
 			last, at = n, due
 		})
 	}
-	core.Run(fleet.Second)
-	if core.Events != 10_000 || core.Now() != fleet.Second {
+	core.Run(model.Second)
+	if core.Events != 10_000 || core.Now() != model.Second {
 		t.Errorf("%d events, the clock at %d", core.Events, core.Now())
 	}
 }
@@ -128,11 +128,11 @@
 	s.Waiting = 3
 	done, taken := 0, 0
 	for range 10 {
-		if s.Take(fleet.Millisecond, func() { done++ }) {
+		if s.Take(model.Millisecond, func() { done++ }) {
 			taken++
 		}
 	}
-	core.Run(fleet.Second)
+	core.Run(model.Second)
 	if taken != 5 || done != 5 || s.Turned != 5 || s.Here() != 0 {
 		t.Errorf("%d taken, %d done, %d turned away, %d here", taken, done, s.Turned, s.Here())
 	}
--- a/emulate/station.go
+++ b/emulate/station.go
@@ -1,6 +1,6 @@
 package emulate
 
-import "peppervale/fleet"
+import "peppervale/internal/model"
 
 // Station works invocations off, first come first served, on some cores, each as fast as the other. It stands for a replica's inside.
 type Station struct {
@@ -11,7 +11,7 @@
 	busy    int
 	queue   []job
 	head    int // of the queue: what is before it was served
-	seen    fleet.Micros
+	seen    model.Micros
 	area    float64 // invocations here, over time
 	used    float64 // cores in use, over time
 	Served  uint64
@@ -19,7 +19,7 @@
 }
 
 type job struct {
-	work fleet.Micros
+	work model.Micros
 	done func()
 }
 
@@ -32,7 +32,7 @@
 func (s *Station) Here() int { return s.busy + len(s.queue) - s.head }
 
 // Take takes an invocation of so much work and calls done at its end; false: it is full.
-func (s *Station) Take(work fleet.Micros, done func()) bool {
+func (s *Station) Take(work model.Micros, done func()) bool {
 	s.look()
 	switch {
 	case s.busy < s.cores:
@@ -48,7 +48,7 @@
 
 func (s *Station) serve(j job) {
 	s.busy++
-	s.core.After(fleet.Micros(float64(j.work)*s.Slow), func() {
+	s.core.After(model.Micros(float64(j.work)*s.Slow), func() {
 		s.look()
 		s.busy--
 		s.Served++
@@ -122,10 +122,10 @@
 	Arrivals Chance
 	Work     Chance
 	Gap      float64      // mean, between two arrivals, microseconds and parts of one: a whole number of them would change a high rate
-	Mean     fleet.Micros // of the work
+	Mean     model.Micros // of the work
 	Stations []*Station
 	Pick     Pick
-	From     fleet.Micros
+	From     model.Micros
 	Took     float64 // microseconds, of Count
 	Count    uint64
 	carry    float64
@@ -135,9 +135,9 @@
 func (s *Stream) Start() { s.Core.After(s.gap(), s.arrive) }
 
 // gap draws the next one and carries what whole microseconds leave of it, so that the rate is kept.
-func (s *Stream) gap() fleet.Micros {
+func (s *Stream) gap() model.Micros {
 	s.carry += s.Arrivals.ExpFloat64() * s.Gap
-	whole := fleet.Micros(s.carry)
+	whole := model.Micros(s.carry)
 	s.carry -= float64(whole)
 	return whole
 }
--- a/governor/governor.go
+++ b/governor/governor.go
@@ -10,13 +10,13 @@
 
 	"peppervale/board"
 	"peppervale/decide"
-	"peppervale/fleet"
+	"peppervale/internal/model"
 	"peppervale/tablewire"
 )
 
 // Channel carries orders to forwarders; channel.Server and platform.Server are the real ones.
 type Channel interface {
-	Admit(p fleet.ProxyID, stream uint64)
+	Admit(p model.ProxyID, stream uint64)
 	Publish(b *board.Batch)
 }
 
@@ -26,44 +26,44 @@
 // Host owns one governor. Make it with New, hand it to the channel and the roster as their receiver, then Run it.
 type Host struct {
 	*mailbox
-	terms   fleet.Terms
+	terms   model.Terms
 	intake  atomic.Int64 // sums a second
-	now     func() fleet.Micros
+	now     func() model.Micros
 	log     zerolog.Logger
 	module  *decide.Governor
 	channel Channel
 	roster  Roster
 	batch   *board.Batch
-	wakeAt  fleet.Micros
+	wakeAt  model.Micros
 	stop    chan struct{}
 	stopped chan struct{}
 	view    atomic.Pointer[View]
 	budget  float64
-	filled  fleet.Micros
+	filled  model.Micros
 	open    bool
-	list    map[fleet.ReplicaID]fleet.Listing
+	list    map[model.ReplicaID]model.Listing
 	ready   int // of them
-	listed  fleet.Micros
-	known   map[fleet.ProxyID]Forwarder
-	worst   fleet.Micros
+	listed  model.Micros
+	known   map[model.ProxyID]Forwarder
+	worst   model.Micros
 	steps   uint64
 	causes  *causes
 	newest  newest
 	wanted  atomic.Int64 // when somebody last looked, by the clock
-	lookAt  fleet.Micros // when the module was last copied
+	lookAt  model.Micros // when the module was last copied
 	look    *Look
 }
 
 // View is what a governor believes after a step. It is never written again.
 type View struct {
-	At        fleet.Micros
+	At        model.Micros
 	GateOpen  bool
 	Joined    int
 	Ready     int // replicas listed as ready
 	Listed    int // replicas in the list
-	ListAt    fleet.Micros
+	ListAt    model.Micros
 	Steps     uint64
-	WorstStep fleet.Micros // the longest that a step took
+	WorstStep model.Micros // the longest that a step took
 	Waiting   int          // sums that wait for their turn
 	Folds     uint64       // sums that were folded because the module took no more
 	Look      *Look        // nil, or old, while nobody looks
@@ -71,10 +71,10 @@
 
 // Look is the whole of what a governor believes, copied while somebody looks.
 type Look struct {
-	At         fleet.Micros
+	At         model.Micros
 	Module     *decide.View
-	Forwarders map[fleet.ProxyID]Forwarder
-	List       map[fleet.ReplicaID]fleet.Listing
+	Forwarders map[model.ProxyID]Forwarder
+	List       map[model.ReplicaID]model.Listing
 }
 
 // Forwarder is what a joined one said of itself.
@@ -83,28 +83,28 @@
 	Zone     int
 	Rate     float64
 	Fresh    bool
-	JoinedAt fleet.Micros
+	JoinedAt model.Micros
 }
 
 // A look costs a copy of the fleet, so it is taken at most each lookEvery, and only within lookFor of somebody's asking: a
 // console of 200 viewers costs no more than one.
 const (
-	lookEvery = 200 * fleet.Millisecond
-	lookFor   = 5 * fleet.Second
+	lookEvery = 200 * model.Millisecond
+	lookFor   = 5 * model.Second
 )
 
 // Clock gives a monotonic clock in microseconds since 1970, by the wall's time at this call.
-func Clock() func() fleet.Micros {
+func Clock() func() model.Micros {
 	start := time.Now()
-	base := fleet.Micros(start.UnixMicro())
-	return func() fleet.Micros { return base + fleet.Micros(time.Since(start)/time.Microsecond) }
+	base := model.Micros(start.UnixMicro())
+	return func() model.Micros { return base + model.Micros(time.Since(start)/time.Microsecond) }
 }
 
 // New makes a host; intake is the most sums a second that the module is handed.
-func New(terms fleet.Terms, intake int, now func() fleet.Micros, log zerolog.Logger) *Host {
+func New(terms model.Terms, intake int, now func() model.Micros, log zerolog.Logger) *Host {
 	h := &Host{mailbox: newMailbox(), terms: terms, now: now, log: log,
-		stop: make(chan struct{}), stopped: make(chan struct{}), list: map[fleet.ReplicaID]fleet.Listing{},
-		known: map[fleet.ProxyID]Forwarder{}, causes: newCauses(), newest: newest{sums: map[key]stamped{}}}
+		stop: make(chan struct{}), stopped: make(chan struct{}), list: map[model.ReplicaID]model.Listing{},
+		known: map[model.ProxyID]Forwarder{}, causes: newCauses(), newest: newest{sums: map[key]stamped{}}}
 	h.intake.Store(int64(intake))
 	return h
 }
@@ -123,14 +123,14 @@
 func (h *Host) OldestCause() uint64 { return h.causes.oldest() }
 
 // Run starts the module on what was last known of the list (nil: nothing) and goes on until Stop.
-func (h *Host) Run(ch Channel, roster Roster, cached []fleet.Listing) {
+func (h *Host) Run(ch Channel, roster Roster, cached []model.Listing) {
 	defer close(h.stopped)
 	h.channel, h.roster = ch, roster
 	h.filled = h.now()
 	h.batch = &board.Batch{Receipt: -1}
 	h.module = decide.New(h.terms, h, h.now())
 	if len(cached) > 0 {
-		h.take(h.now(), taken{list: &news{fleet.Cached, cached}})
+		h.take(h.now(), taken{list: &news{model.Cached, cached}})
 	}
 	h.settle(h.now())
 	timer := time.NewTimer(0)
@@ -175,7 +175,7 @@
 func (h *Host) step() {
 	now := h.now()
 	intake := float64(h.intake.Load())
-	h.budget = min(h.budget+float64(now-h.filled)/float64(fleet.Second)*intake, intake)
+	h.budget = min(h.budget+float64(now-h.filled)/float64(model.Second)*intake, intake)
 	h.filled = now
 	t := h.mailbox.take(int(h.budget))
 	h.budget -= float64(len(t.sums))
@@ -187,7 +187,7 @@
 	h.settle(now)
 }
 
-func (h *Host) take(now fleet.Micros, t taken) {
+func (h *Host) take(now model.Micros, t taken) {
 	if t.list != nil {
 		h.causes.input("list %s of %d", scopeNames[t.list.scope], len(t.list.entries))
 		h.module.Listed(now, t.list.scope, t.list.entries)
@@ -218,11 +218,11 @@
 	h.causes.sums += len(t.sums)
 }
 
-func (h *Host) keepList(now fleet.Micros, n *news) {
-	if n.scope == fleet.Failed {
+func (h *Host) keepList(now model.Micros, n *news) {
+	if n.scope == model.Failed {
 		return
 	}
-	if n.scope != fleet.Change {
+	if n.scope != model.Change {
 		clear(h.list)
 	}
 	for _, e := range n.entries {
@@ -230,17 +230,17 @@
 	}
 	h.ready = 0
 	for _, e := range h.list {
-		if e.Life == fleet.Ready {
+		if e.Life == model.Ready {
 			h.ready++
 		}
 	}
-	if n.scope == fleet.Whole {
+	if n.scope == model.Whole {
 		h.newest.listed(h.list)
 		h.listed = now
 	}
 }
 
-func (h *Host) settle(now fleet.Micros) {
+func (h *Host) settle(now model.Micros) {
 	h.module.Settle(now)
 	if !h.batch.Empty() || h.batch.Receipt >= 0 {
 		h.batch.At = now
@@ -254,7 +254,7 @@
 	h.mailbox.mu.Lock()
 	v.Waiting, v.Folds = len(h.mailbox.turn), h.mailbox.folds
 	h.mailbox.mu.Unlock()
-	if now-fleet.Micros(h.wanted.Load()) < lookFor && now-h.lookAt >= lookEvery {
+	if now-model.Micros(h.wanted.Load()) < lookFor && now-h.lookAt >= lookEvery {
 		h.lookAt = now
 		h.look = &Look{At: now, Module: h.module.View(), Forwarders: maps.Clone(h.known), List: maps.Clone(h.list)}
 	}
@@ -267,22 +267,22 @@
 func (h *Host) order(o board.Order) { h.batch.Orders = append(h.batch.Orders, o) }
 
 // Assign is an order of the module, see fleet.Host.
-func (h *Host) Assign(t fleet.TableID, r fleet.ReplicaID, weight float64) {
+func (h *Host) Assign(t model.TableID, r model.ReplicaID, weight float64) {
 	h.order(board.Order{What: board.Assign, Table: t, Replica: r, Weight: weight})
 }
 
 // Bind is an order of the module, see fleet.Host.
-func (h *Host) Bind(p fleet.ProxyID, t fleet.TableID, operations uint16, back []fleet.ReplicaID) {
+func (h *Host) Bind(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
 	h.order(board.Order{What: board.Bind, Proxy: p, Table: t, Operations: operations, Back: back})
 }
 
 // Withdraw is an order of the module, see fleet.Host.
-func (h *Host) Withdraw(r fleet.ReplicaID, out bool) {
+func (h *Host) Withdraw(r model.ReplicaID, out bool) {
 	h.order(board.Order{What: board.Withdraw, Replica: r, Out: out})
 }
 
 // Level is an order of the module, see fleet.Host.
-func (h *Host) Level(operations uint16, share float64, w fleet.Way) {
+func (h *Host) Level(operations uint16, share float64, w model.Way) {
 	h.order(board.Order{What: board.SetLevel, Level: tablewire.Level{Operations: operations, Share: share, Way: w}})
 }
 
@@ -290,7 +290,7 @@
 func (h *Host) Receipt(number uint32, all bool) { h.batch.Receipt, h.batch.All = int(number), all }
 
 // Wake is an order of the module, see fleet.Host.
-func (h *Host) Wake(after fleet.Micros) { h.wakeAt = h.now() + after }
+func (h *Host) Wake(after model.Micros) { h.wakeAt = h.now() + after }
 
 // Follow is an order of the module, see fleet.Host.
 func (h *Host) Follow() { h.roster.Follow() }
@@ -304,10 +304,10 @@
 	h.log.Info().Str("from", "decide").Msg(text)
 }
 
-var _ fleet.Host = (*Host)(nil)
+var _ model.Host = (*Host)(nil)
 
 // Check tells start settings that the module cannot use.
-func Check(t fleet.Terms) error {
+func Check(t model.Terms) error {
 	switch {
 	case len(t.Operations) == 0 || len(t.Operations) > 16:
 		return fmt.Errorf("%d operations; 1 to 16 are handled", len(t.Operations))
