--- a/channel/channel_test.go
+++ b/channel/channel_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/goleak"
 
 	"peppervale/admission"
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
 	"peppervale/resp"
 	"peppervale/rules"
@@ -96,8 +96,8 @@
 	return h
 }
 
-func (h *host) publish(receipt int, orders ...board.Order) {
-	h.server.Publish(&board.Batch{Orders: orders, Receipt: receipt, At: h.now()})
+func (h *host) publish(receipt int, orders ...snapshot.Order) {
+	h.server.Publish(&snapshot.Batch{Orders: orders, Receipt: receipt, At: h.now()})
 }
 
 // client is a forwarder by hand over a plain socket.
@@ -174,12 +174,12 @@
 
 func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
-func line(r byte, weight float64) board.Order {
-	return board.Order{What: board.Assign, Table: 1, Replica: id(r), Weight: weight}
+func line(r byte, weight float64) snapshot.Order {
+	return snapshot.Order{What: snapshot.Assign, Table: 1, Replica: id(r), Weight: weight}
 }
 
-func shut(r byte, out bool) board.Order {
-	return board.Order{What: board.Withdraw, Replica: id(r), Out: out}
+func shut(r byte, out bool) snapshot.Order {
+	return snapshot.Order{What: snapshot.Withdraw, Replica: id(r), Out: out}
 }
 
 func TestAForwarderJoinsAndFollows(t *testing.T) {
@@ -188,7 +188,7 @@
 	if !first.Whole || first.Bound || first.Life != 3 {
 		t.Fatalf("the first message is %+v", first)
 	}
-	h.publish(7, line(1, 0.5), line(2, 1), board.Order{What: board.Bind, Proxy: 0, Table: 1}, shut(2, true))
+	h.publish(7, line(1, 0.5), line(2, 1), snapshot.Order{What: snapshot.Bind, Proxy: 0, Table: 1}, shut(2, true))
 	bound := c.message()
 	if !bound.Whole || !bound.Bound || len(bound.Lines) != 2 || len(bound.Shuts) != 1 || bound.Receipt != 7 || bound.Prev != first.Version {
 		t.Fatalf("bound by %+v", bound)
@@ -216,14 +216,14 @@
 func TestReconnectBetweenSnapshotAndChange(t *testing.T) {
 	h := start(t, func(l *Line) { l.Pace = 60 }) // a message of 6 + 2 lines waits 130 ms
 	c, _ := join(t, h, "till")
-	h.publish(1, line(1, 1), board.Order{What: board.Bind, Proxy: 0, Table: 1})
+	h.publish(1, line(1, 1), snapshot.Order{What: snapshot.Bind, Proxy: 0, Table: 1})
 	c.conn.Close()
 	h.wait("left 0")
 	again, first := join(t, h, "till")
 	if first.Bound || first.Receipt != -1 {
 		t.Fatalf("the new stream begins with %+v", first)
 	}
-	h.publish(2, board.Order{What: board.Bind, Proxy: 0, Table: 1})
+	h.publish(2, snapshot.Order{What: snapshot.Bind, Proxy: 0, Table: 1})
 	if m := again.message(); m.Receipt != 2 || m.Prev != first.Version || !m.Bound {
 		t.Fatalf("after it %+v", m)
 	}
@@ -235,7 +235,7 @@
 func TestAGapBringsASnapshot(t *testing.T) {
 	h := start(t, func(l *Line) { l.Now = func() model.Micros { return 5 * model.Second } })
 	c, _ := join(t, h, "till")
-	h.publish(1, line(1, 1), board.Order{What: board.Bind, Proxy: 0, Table: 1})
+	h.publish(1, line(1, 1), snapshot.Order{What: snapshot.Bind, Proxy: 0, Table: 1})
 	bound := c.message()
 	c.say(resp.AppendCommand(nil, "RESYNC"))
 	if m := c.message(); !m.Whole || !m.Bound || m.Version != bound.Version || m.Receipt != 1 || len(m.Lines) != 1 {
@@ -255,14 +255,14 @@
 	slow, _ := join(t, h, "slow")
 	quick, _ := join(t, h, "quick")
 	_ = slow.conn.(*net.TCPConn).SetReadBuffer(64 << 10)
-	var bind []board.Order
+	var bind []snapshot.Order
 	for p := range model.ProxyID(2) {
-		bind = append(bind, board.Order{What: board.Bind, Proxy: p, Table: 1})
+		bind = append(bind, snapshot.Order{What: snapshot.Bind, Proxy: p, Table: 1})
 	}
 	h.publish(-1, append(bind, line(1, 1))...)
 	last := 0
 	for n := 1; h.server.Stats().Folds == 0; n++ {
-		var orders []board.Order
+		var orders []snapshot.Order
 		for r := range byte(200) {
 			orders = append(orders, line(r+1, float64(n)))
 		}
@@ -284,7 +284,7 @@
 func TestAnObserverByRedisClient(t *testing.T) {
 	h := start(t, nil)
 	join(t, h, "till")
-	h.publish(-1, line(1, 1), board.Order{What: board.Bind, Proxy: 0, Table: 1})
+	h.publish(-1, line(1, 1), snapshot.Order{What: snapshot.Bind, Proxy: 0, Table: 1})
 	rdb := redis.NewClient(&redis.Options{Addr: h.server.Addr(), Protocol: 3, PoolSize: 2})
 	defer rdb.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -413,7 +413,7 @@
 // What waits is counted in lines and leaves at the pace; what waits for a stream that ended does not count.
 func TestThePacer(t *testing.T) {
 	p := pacer{perSecond: 1000}
-	out := func(cost int) board.Outgoing { return board.Outgoing{Message: &tablewire.Message{Cost: cost}} }
+	out := func(cost int) snapshot.Outgoing { return snapshot.Outgoing{Message: &tablewire.Message{Cost: cost}} }
 	p.put(0, out(100), 1)
 	p.put(0, out(50), 2)
 	p.put(0, out(50), 1)
@@ -558,17 +558,17 @@
 	const slow, all = 20, 64 << 10
 	h := start(t, func(l *Line) { l.Limits.Unsent, l.Pace = 4096, 1e9 }) // and as little in the kernel
 	reader, _ := join(t, h, "reads")
-	bind := []board.Order{{What: board.Bind, Proxy: 0, Table: 1}}
+	bind := []snapshot.Order{{What: snapshot.Bind, Proxy: 0, Table: 1}}
 	for n := range slow {
 		c, _ := join(t, h, fmt.Sprint("slow", n))
 		_ = c.conn.(*net.TCPConn).SetReadBuffer(4096)
-		bind = append(bind, board.Order{What: board.Bind, Proxy: model.ProxyID(n + 1), Table: 1})
+		bind = append(bind, snapshot.Order{What: snapshot.Bind, Proxy: model.ProxyID(n + 1), Table: 1})
 	}
 	h.server.SetBounds(Limits{Unsent: 1 << 20, UnsentAll: all}, admission.Bounds{})
 	h.publish(-1, bind...)
 	var most int64
 	for n := 1; h.server.Stats().Folds < slow; n++ {
-		var orders []board.Order
+		var orders []snapshot.Order
 		for r := range byte(200) {
 			orders = append(orders, line(r+1, float64(n)))
 		}
--- a/channel/golden_test.go
+++ b/channel/golden_test.go
@@ -9,7 +9,7 @@
 	"reflect"
 	"testing"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
 	"peppervale/tablewire"
 )
@@ -19,17 +19,17 @@
 // TestObserverMessages compares what observers are sent, and what is stored of it, with the bytes that programs read today: its keys
 // must not change.
 func TestObserverMessages(t *testing.T) {
-	published := board.New(3, 6)
+	published := snapshot.New(3, 6)
 	published.Join(7, "till-1")
 	published.Join(8, "till-2")
-	batch := &board.Batch{Receipt: -1, Orders: []board.Order{
-		{What: board.Assign, Table: 5, Replica: id(1), Weight: 0.25},
-		{What: board.Assign, Table: 5, Replica: id(2), Weight: 0.75},
-		{What: board.Bind, Proxy: 7, Table: 5},
-		{What: board.Withdraw, Replica: id(3), Out: true},
-		{What: board.Withdraw, Replica: id(4), Out: true},
-		{What: board.Withdraw, Replica: id(4), Out: false},
-		{What: board.SetLevel, Level: tablewire.Level{Operations: 3, Share: 0.5, Way: model.AnyFailure}},
+	batch := &snapshot.Batch{Receipt: -1, Orders: []snapshot.Order{
+		{What: snapshot.Assign, Table: 5, Replica: id(1), Weight: 0.25},
+		{What: snapshot.Assign, Table: 5, Replica: id(2), Weight: 0.75},
+		{What: snapshot.Bind, Proxy: 7, Table: 5},
+		{What: snapshot.Withdraw, Replica: id(3), Out: true},
+		{What: snapshot.Withdraw, Replica: id(4), Out: true},
+		{What: snapshot.Withdraw, Replica: id(4), Out: false},
+		{What: snapshot.SetLevel, Level: tablewire.Level{Operations: 3, Share: 0.5, Way: model.AnyFailure}},
 	}}
 	published.Apply(batch)
 	server := &Server{board: published}
--- a/channel/pacer.go
+++ b/channel/pacer.go
@@ -1,7 +1,7 @@
 package channel
 
 import (
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
 )
 
@@ -15,14 +15,14 @@
 }
 
 type waiting struct {
-	out    board.Outgoing
+	out    snapshot.Outgoing
 	stream uint64
 	leaves model.Micros
 	dead   bool // its stream ended first
 }
 
 // put adds a message and says when it leaves.
-func (p *pacer) put(now model.Micros, out board.Outgoing, stream uint64) {
+func (p *pacer) put(now model.Micros, out snapshot.Outgoing, stream uint64) {
 	span := model.Micros(float64(out.Message.Cost) / p.perSecond * float64(model.Second))
 	p.free = max(p.free, now) + span
 	p.queue = append(p.queue, &waiting{out: out, stream: stream, leaves: p.free})
--- a/channel/server.go
+++ b/channel/server.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/admission"
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
 	"peppervale/resp"
 	"peppervale/sockets"
@@ -123,7 +123,7 @@
 
 	mu        sync.Mutex
 	gate      *admission.Gate
-	board     *board.Board
+	board     *snapshot.Board
 	pacer     pacer
 	peers     map[*nbio.Conn]*peer
 	streams   map[model.ProxyID]*peer // joined, or waiting for Admit
@@ -142,7 +142,7 @@
 func Listen(line Line, events Events) (*Server, error) {
 	line.Limits = line.Limits.filled()
 	s := &Server{line: line, events: events, wake: make(chan struct{}, 1), done: make(chan struct{}),
-		gate: admission.New(line.Joins, line.Now()), board: board.New(line.Life, line.Overhead), pacer: pacer{perSecond: line.Pace},
+		gate: admission.New(line.Joins, line.Now()), board: snapshot.New(line.Life, line.Overhead), pacer: pacer{perSecond: line.Pace},
 		peers: map[*nbio.Conn]*peer{}, streams: map[model.ProxyID]*peer{}, numbers: map[string]model.ProxyID{},
 		folded: map[*peer]bool{}, strays: map[string]*stray{}}
 	var err error
@@ -244,7 +244,7 @@
 }
 
 // Publish carries orders out: one message for each forwarder concerned, queued at the channel's pace.
-func (s *Server) Publish(batch *board.Batch) {
+func (s *Server) Publish(batch *snapshot.Batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	made := s.board.Apply(batch)
@@ -512,23 +512,23 @@
 	Level     *LevelOut `json:"level,omitempty"`
 }
 
-func (s *Server) step(batch *board.Batch) Step {
+func (s *Server) step(batch *snapshot.Batch) Step {
 	st := Step{Kind: "change", Life: s.board.Life, Version: s.board.Version, Orders: []StepOne{}}
 	for _, o := range batch.Orders {
 		var one StepOne
 		switch o.What {
-		case board.Assign:
+		case snapshot.Assign:
 			one = StepOne{Do: "assign", Table: fmt.Sprint(o.Table), Replica: tablewire.Address(o.Replica), Weight: o.Weight}
-		case board.Bind:
+		case snapshot.Bind:
 			one = StepOne{Do: "bind", Table: fmt.Sprint(o.Table)}
 			if h := s.board.ByProxy[o.Proxy]; h != nil {
 				one.Forwarder = h.Name
 			}
-		case board.Withdraw:
+		case snapshot.Withdraw:
 			if one = (StepOne{Do: "restore", Replica: tablewire.Address(o.Replica)}); o.Out {
 				one.Do = "withdraw"
 			}
-		case board.SetLevel:
+		case snapshot.SetLevel:
 			one = StepOne{Do: "level", Level: &LevelOut{o.Level.Operations, o.Level.Share, uint8(o.Level.Way)}}
 		}
 		st.Orders = append(st.Orders, one)
@@ -536,7 +536,7 @@
 	return st
 }
 
-func (s *Server) tellObservers(batch *board.Batch) {
+func (s *Server) tellObservers(batch *snapshot.Batch) {
 	text, err := json.Marshal(s.step(batch))
 	if err != nil {
 		return // weights are finite: the module's tests hold that
@@ -668,7 +668,7 @@
 	part     int
 	proxy    model.ProxyID
 	stream   uint64        // 0: not joined
-	holder   *board.Holder // nil until admitted
+	holder   *snapshot.Holder // nil until admitted
 	sums     uint64        // number of the newest report
 	meter    admission.Meter
 	resyncAt model.Micros
--- a/console/console_test.go
+++ b/console/console_test.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/channel"
 	"peppervale/internal/model"
 	"peppervale/governor"
@@ -32,7 +32,7 @@
 }
 
 func (d *desk) Admit(model.ProxyID, uint64) {}
-func (d *desk) Publish(b *board.Batch) {
+func (d *desk) Publish(b *snapshot.Batch) {
 	time.Sleep(d.take)
 	if b.Receipt >= 0 {
 		for p := range model.ProxyID(3) {
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/group"
@@ -304,7 +304,7 @@
 type quietChannel struct{}
 
 func (quietChannel) Admit(model.ProxyID, uint64) {}
-func (quietChannel) Publish(*board.Batch)        {}
+func (quietChannel) Publish(*snapshot.Batch)        {}
 
 // A governor that stood by begins with a part. In a planned move it was told what the one before had heard, and its gate opens on that;
 // unplanned it waits, as after any start.
--- a/day/rogue.go
+++ b/day/rogue.go
@@ -5,7 +5,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/channel"
 	"peppervale/internal/model"
 	"peppervale/roster"
@@ -68,7 +68,7 @@
 	r.loop.Post(func() {
 		r.server.Admit(p, stream)
 		r.streams[p] = true
-		r.publish(board.Order{What: board.Bind, Proxy: p, Table: rogueTable})
+		r.publish(snapshot.Order{What: snapshot.Bind, Proxy: p, Table: rogueTable})
 	})
 }
 
@@ -86,7 +86,7 @@
 			return
 		}
 		named := map[model.ReplicaID]bool{}
-		var orders []board.Order
+		var orders []snapshot.Order
 		for _, e := range entries {
 			if named[e.ID] = e.Life == model.Ready; e.Life != model.Ready {
 				continue
@@ -96,8 +96,8 @@
 				if r.kind == "full-to-cold" && e.Since > r.began {
 					weight = 1000
 				}
-				orders = append(orders, board.Order{What: board.Assign, Table: rogueTable, Replica: e.ID, Weight: weight},
-					board.Order{What: board.Withdraw, Replica: e.ID})
+				orders = append(orders, snapshot.Order{What: snapshot.Assign, Table: rogueTable, Replica: e.ID, Weight: weight},
+					snapshot.Order{What: snapshot.Withdraw, Replica: e.ID})
 			}
 			r.ready[e.ID] = e
 		}
@@ -105,7 +105,7 @@
 			if !named[id] {
 				delete(r.ready, id)
 				if r.kind != "hides-drains" {
-					orders = append(orders, board.Order{What: board.Withdraw, Replica: id, Out: true})
+					orders = append(orders, snapshot.Order{What: snapshot.Withdraw, Replica: id, Out: true})
 				}
 			}
 		}
@@ -113,10 +113,10 @@
 	})
 }
 
-func (r *rogue) publish(orders ...board.Order) {
+func (r *rogue) publish(orders ...snapshot.Order) {
 	if len(orders) > 0 {
 		r.receipt = (r.receipt + 1) % 65536
-		r.server.Publish(&board.Batch{Orders: orders, Receipt: r.receipt, At: r.line.Now()})
+		r.server.Publish(&snapshot.Batch{Orders: orders, Receipt: r.receipt, At: r.line.Now()})
 	}
 }
 
@@ -128,18 +128,18 @@
 	}
 	switch r.kind {
 	case "empty-table":
-		var orders []board.Order
+		var orders []snapshot.Order
 		for id := range r.ready {
-			orders = append(orders, board.Order{What: board.Assign, Table: rogueTable, Replica: id})
+			orders = append(orders, snapshot.Order{What: snapshot.Assign, Table: rogueTable, Replica: id})
 		}
 		r.publish(orders...)
 	case "repeats-anything":
-		r.publish(board.Order{What: board.SetLevel, Level: tablewire.Level{Operations: 0, Share: 1, Way: model.TwoMore}})
+		r.publish(snapshot.Order{What: snapshot.SetLevel, Level: tablewire.Level{Operations: 0, Share: 1, Way: model.TwoMore}})
 	case "floods":
 		for range 20 {
-			var orders []board.Order
+			var orders []snapshot.Order
 			for id := range r.ready {
-				orders = append(orders, board.Order{What: board.Assign, Table: rogueTable, Replica: id, Weight: 1})
+				orders = append(orders, snapshot.Order{What: snapshot.Assign, Table: rogueTable, Replica: id, Weight: 1})
 			}
 			r.publish(orders...)
 		}
--- a/governor/causes.go
+++ b/governor/causes.go
@@ -6,7 +6,7 @@
 	"strings"
 	"sync"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
 	"peppervale/tablewire"
 )
@@ -75,7 +75,7 @@
 }
 
 // step closes a step. One in which only sums, receipts or the timer came, and nothing followed, is not kept.
-func (c *causes) step(now model.Micros, b *board.Batch) {
+func (c *causes) step(now model.Micros, b *snapshot.Batch) {
 	if c.off {
 		c.said = nil
 		return
@@ -117,14 +117,14 @@
 	c.next = (c.next + 1) % causesMost
 }
 
-func describe(o board.Order) string {
+func describe(o snapshot.Order) string {
 	r := tablewire.Address(o.Replica)
 	switch o.What {
-	case board.Assign:
+	case snapshot.Assign:
 		return fmt.Sprintf("table %d: %s weighs %.4g", o.Table, r, o.Weight)
-	case board.Bind:
+	case snapshot.Bind:
 		return fmt.Sprintf("forwarder %d on table %d", o.Proxy, o.Table)
-	case board.Withdraw:
+	case snapshot.Withdraw:
 		if o.Out {
 			return "withdraw " + r
 		}
--- a/governor/governor.go
+++ b/governor/governor.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/decide"
 	"peppervale/internal/model"
 	"peppervale/tablewire"
@@ -17,7 +17,7 @@
 // Channel carries orders to forwarders; channel.Server and platform.Server are the real ones.
 type Channel interface {
 	Admit(p model.ProxyID, stream uint64)
-	Publish(b *board.Batch)
+	Publish(b *snapshot.Batch)
 }
 
 // Roster follows the machine list; each Follow subscribes anew and is answered by Listed.
@@ -33,7 +33,7 @@
 	module  *decide.Governor
 	channel Channel
 	roster  Roster
-	batch   *board.Batch
+	batch   *snapshot.Batch
 	wakeAt  model.Micros
 	stop    chan struct{}
 	stopped chan struct{}
@@ -127,7 +127,7 @@
 	defer close(h.stopped)
 	h.channel, h.roster = ch, roster
 	h.filled = h.now()
-	h.batch = &board.Batch{Receipt: -1}
+	h.batch = &snapshot.Batch{Receipt: -1}
 	h.module = decide.New(h.terms, h, h.now())
 	if len(cached) > 0 {
 		h.take(h.now(), taken{list: &news{model.Cached, cached}})
@@ -247,7 +247,7 @@
 		h.channel.Publish(h.batch)
 	}
 	h.causes.step(now, h.batch)
-	h.batch = &board.Batch{Receipt: -1}
+	h.batch = &snapshot.Batch{Receipt: -1}
 	h.steps++
 	h.worst = max(h.worst, h.now()-now)
 	v := &View{At: now, GateOpen: h.open, Joined: len(h.known), Ready: h.ready, Listed: len(h.list), ListAt: h.listed, Steps: h.steps, WorstStep: h.worst}
@@ -264,26 +264,26 @@
 
 // The orders of the module: they are gathered and leave after Settle.
 
-func (h *Host) order(o board.Order) { h.batch.Orders = append(h.batch.Orders, o) }
+func (h *Host) order(o snapshot.Order) { h.batch.Orders = append(h.batch.Orders, o) }
 
 // Assign is an order of the module, see fleet.Host.
 func (h *Host) Assign(t model.TableID, r model.ReplicaID, weight float64) {
-	h.order(board.Order{What: board.Assign, Table: t, Replica: r, Weight: weight})
+	h.order(snapshot.Order{What: snapshot.Assign, Table: t, Replica: r, Weight: weight})
 }
 
 // Bind is an order of the module, see fleet.Host.
 func (h *Host) Bind(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
-	h.order(board.Order{What: board.Bind, Proxy: p, Table: t, Operations: operations, Back: back})
+	h.order(snapshot.Order{What: snapshot.Bind, Proxy: p, Table: t, Operations: operations, Back: back})
 }
 
 // Withdraw is an order of the module, see fleet.Host.
 func (h *Host) Withdraw(r model.ReplicaID, out bool) {
-	h.order(board.Order{What: board.Withdraw, Replica: r, Out: out})
+	h.order(snapshot.Order{What: snapshot.Withdraw, Replica: r, Out: out})
 }
 
 // Level is an order of the module, see fleet.Host.
 func (h *Host) Level(operations uint16, share float64, w model.Way) {
-	h.order(board.Order{What: board.SetLevel, Level: tablewire.Level{Operations: operations, Share: share, Way: w}})
+	h.order(snapshot.Order{What: snapshot.SetLevel, Level: tablewire.Level{Operations: operations, Share: share, Way: w}})
 }
 
 // Receipt is an order of the module, see fleet.Host.
--- a/governor/governor_test.go
+++ b/governor/governor_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/decide"
 	"peppervale/internal/model"
 	"peppervale/tablewire"
@@ -107,14 +107,14 @@
 
 // outside is the channel and the list by hand.
 type outside struct {
-	batches chan *board.Batch
+	batches chan *snapshot.Batch
 	events  chan string
 }
 
 func (o *outside) Admit(p model.ProxyID, stream uint64) {
 	o.events <- fmt.Sprint("admit ", p, " ", stream)
 }
-func (o *outside) Publish(b *board.Batch) { o.batches <- b }
+func (o *outside) Publish(b *snapshot.Batch) { o.batches <- b }
 func (o *outside) Follow()                { o.events <- "follow" }
 
 func (o *outside) event(t *testing.T, want string) {
@@ -130,7 +130,7 @@
 }
 
 // until takes batches until one holds such an order.
-func (o *outside) until(t *testing.T, what What, about string) *board.Batch {
+func (o *outside) until(t *testing.T, what What, about string) *snapshot.Batch {
 	t.Helper()
 	late := time.After(20 * time.Second)
 	for {
@@ -148,7 +148,7 @@
 }
 
 // What tells an order.
-type What func(o board.Order) bool
+type What func(o snapshot.Order) bool
 
 func start(t *testing.T, cached []model.Listing, change func(*model.Terms)) (*Host, *outside) {
 	terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: 500_000, Value: 1}}, Zones: 1, Subscribe: true, Admits: true,
@@ -157,7 +157,7 @@
 		change(&terms)
 	}
 	h := New(terms, 1000, Clock(), zerolog.Nop())
-	o := &outside{batches: make(chan *board.Batch, 10_000), events: make(chan string, 10_000)}
+	o := &outside{batches: make(chan *snapshot.Batch, 10_000), events: make(chan string, 10_000)}
 	go h.Run(o, o, cached)
 	t.Cleanup(h.Stop)
 	o.event(t, "follow")
@@ -171,7 +171,7 @@
 	return all
 }
 
-func bind(o board.Order) bool { return o.What == board.Bind }
+func bind(o snapshot.Order) bool { return o.What == snapshot.Bind }
 
 // After a start nobody is bound before each listed replica is named in a report, and drains go out meanwhile.
 func TestTheGateHoldsAndDrainsGoOut(t *testing.T) {
@@ -180,7 +180,7 @@
 	h.Joined(7, 70, tablewire.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
 	h.Listed(model.Whole, append(ready(1, 2), model.Listing{ID: id(3), Life: model.Draining}))
-	b := o.until(t, func(o board.Order) bool { return o.What == board.Withdraw && o.Out && o.Replica == id(3) }, "the drain")
+	b := o.until(t, func(o snapshot.Order) bool { return o.What == snapshot.Withdraw && o.Out && o.Replica == id(3) }, "the drain")
 	for _, one := range b.Orders {
 		if bind(one) {
 			t.Fatal("bound while the gate is shut")
@@ -222,13 +222,13 @@
 func TestCauses(t *testing.T) {
 	c := newCauses()
 	c.timer = true
-	c.step(1, &board.Batch{})
+	c.step(1, &snapshot.Batch{})
 	if got := c.find(10, nil); len(got) != 0 {
 		t.Fatalf("an idle step is kept: %+v", got)
 	}
 	for n := range causesMost + 5 {
 		c.input("joined till-%d", n)
-		c.step(model.Micros(n), &board.Batch{Orders: []board.Order{{What: board.Withdraw, Replica: id(byte(n % 7)), Out: true}}})
+		c.step(model.Micros(n), &snapshot.Batch{Orders: []snapshot.Order{{What: snapshot.Withdraw, Replica: id(byte(n % 7)), Out: true}}})
 	}
 	if got := c.find(2, nil); len(got) != 2 || got[0].Number != causesMost+5 || got[1].Number != causesMost+4 {
 		t.Fatalf("the newest are %+v", got)
@@ -239,12 +239,12 @@
 	if got := c.find(3, func(c *Cause) bool { return c.Names("withdraw 127.0.0.3:80") }); len(got) != 3 {
 		t.Fatalf("%d found", len(got))
 	}
-	var many []board.Order
+	var many []snapshot.Order
 	for range 1000 {
-		many = append(many, board.Order{What: board.Bind})
+		many = append(many, snapshot.Order{What: snapshot.Bind})
 		c.input("joined")
 	}
-	c.step(9, &board.Batch{Orders: many})
+	c.step(9, &snapshot.Batch{Orders: many})
 	if got := c.find(1, nil)[0]; len(got.Orders) != ordersMost || got.Cut != 1000-ordersMost || len(got.Came) != inputsMost+1 {
 		t.Fatalf("%d orders, %d cut, %d inputs", len(got.Orders), got.Cut, len(got.Came))
 	}
@@ -276,8 +276,8 @@
 		terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: 500_000, Value: 1}}, Zones: 4, Admits: true, AdmitAll: 1, StandingSize: 6,
 			Period: model.Second, Overhead: 6, QueueMost: 1000 * size[0], BusyField: -1, Cold: 17 * model.Second, Proxies: size[0], ConnsLeast: 200}
 		h := New(terms, 100_000, Clock(), zerolog.Nop())
-		h.channel, h.roster = &outside{batches: make(chan *board.Batch, 1), events: make(chan string, 1)}, nil
-		h.batch = &board.Batch{Receipt: -1}
+		h.channel, h.roster = &outside{batches: make(chan *snapshot.Batch, 1), events: make(chan string, 1)}, nil
+		h.batch = &snapshot.Batch{Receipt: -1}
 		now := model.Micros(100 * model.Second)
 		h.module = decide.New(terms, h, now)
 		var list []model.Listing
@@ -307,7 +307,7 @@
 							h.module.Applied(now, model.ProxyID(p), uint32(n))
 						}
 					}
-					h.batch = &board.Batch{Receipt: -1}
+					h.batch = &snapshot.Batch{Receipt: -1}
 					if look {
 						h.look = &Look{At: now, Module: h.module.View(), Forwarders: maps.Clone(h.known), List: maps.Clone(h.list)}
 					}
@@ -328,7 +328,7 @@
 	for n := range 100 {
 		c.input("joined %d", n)
 		c.said = append(c.said, "gate open")
-		c.step(model.Micros(n), &board.Batch{Orders: []board.Order{{What: board.Bind}}})
+		c.step(model.Micros(n), &snapshot.Batch{Orders: []snapshot.Order{{What: snapshot.Bind}}})
 	}
 	if len(c.ring)+len(c.came)+len(c.said) > 0 || len(c.find(10, nil)) > 0 {
 		t.Fatalf("%d entries", len(c.ring))
--- a/board/board.go
+++ b/internal/snapshot/board.go
@@ -1,7 +1,7 @@
 // Package board is what a governor has ordered and what each joined forwarder was sent of it: orders go in, one message for each
 // forwarder concerned comes out. It is free of I/O; package channel puts the messages on RESP3, package platform on the operators'
 // protocol. One goroutine at a time may use a Board.
-package board
+package snapshot
 
 import (
 	"slices"
--- a/board/board_test.go
+++ b/internal/snapshot/board_test.go
@@ -1,4 +1,4 @@
-package board
+package snapshot
 
 import (
 	"testing"
--- a/measure/channel.go
+++ b/measure/channel.go
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/channel"
 	"peppervale/internal/model"
 	"peppervale/governor"
@@ -93,14 +93,14 @@
 	defer loop.Stop()
 	_, kill := listeners(loop, engine, n, p.server.Addr(), model.Second, func(rules.Seen) {})
 	defer kill()
-	var orders []board.Order
+	var orders []snapshot.Order
 	for k := range lines {
-		orders = append(orders, board.Order{What: board.Assign, Table: 1, Replica: replicaID(k), Weight: 1})
+		orders = append(orders, snapshot.Order{What: snapshot.Assign, Table: 1, Replica: replicaID(k), Weight: 1})
 	}
 	for range n {
 		select {
 		case proxy := <-p.joined:
-			orders = append(orders, board.Order{What: board.Bind, Proxy: proxy, Table: 1})
+			orders = append(orders, snapshot.Order{What: snapshot.Bind, Proxy: proxy, Table: 1})
 		case <-time.After(30 * time.Second):
 			return nil, fmt.Errorf("measure: not all of %d forwarders joined", n)
 		}
@@ -135,9 +135,9 @@
 	return model.ReplicaID{Addr: [4]byte{10, 1, byte(k / 200), byte(k%200 + 1)}, Port: 8080}
 }
 
-func (p *publisher) round(orders []board.Order, number, n int, now func() model.Micros) (time.Duration, error) {
+func (p *publisher) round(orders []snapshot.Order, number, n int, now func() model.Micros) (time.Duration, error) {
 	began := time.Now()
-	p.server.Publish(&board.Batch{Orders: orders, Receipt: number, At: now()})
+	p.server.Publish(&snapshot.Batch{Orders: orders, Receipt: number, At: now()})
 	late := time.After(30 * time.Second)
 	for got := 0; got < n; {
 		select {
--- a/stand/forwarder/takeover_test.go
+++ b/stand/forwarder/takeover_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/board"
+	"peppervale/internal/snapshot"
 	"peppervale/channel"
 	"peppervale/internal/model"
 	"peppervale/rules"
@@ -58,12 +58,12 @@
 
 // order publishes a table of both replicas, and how batch-log is tried again.
 func (h *holder) order(p model.ProxyID, way model.Way, replicas ...model.ReplicaID) {
-	b := &board.Batch{Receipt: -1, At: 1}
+	b := &snapshot.Batch{Receipt: -1, At: 1}
 	for _, r := range replicas {
-		b.Orders = append(b.Orders, board.Order{What: board.Assign, Table: 1, Replica: r, Weight: 1})
+		b.Orders = append(b.Orders, snapshot.Order{What: snapshot.Assign, Table: 1, Replica: r, Weight: 1})
 	}
-	b.Orders = append(b.Orders, board.Order{What: board.Bind, Proxy: p, Table: 1},
-		board.Order{What: board.SetLevel, Level: tablewire.Level{Operations: 1, Share: 1, Way: way}})
+	b.Orders = append(b.Orders, snapshot.Order{What: snapshot.Bind, Proxy: p, Table: 1},
+		snapshot.Order{What: snapshot.SetLevel, Level: tablewire.Level{Operations: 1, Share: 1, Way: way}})
 	h.Publish(b)
 }
 
