--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -9,7 +9,7 @@
 	"io"
 	"os"
 
-	"peppervale/decide"
+	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/simwire"
 )
@@ -17,7 +17,7 @@
 // instance is one governor with the orders that it has given in this batch.
 type instance struct {
 	number   uint16
-	governor *decide.Governor
+	governor *balancer.Governor
 	reply    *simwire.Reply
 	touched  bool
 }
@@ -117,7 +117,7 @@
 			inst.reply.Exception(err.Error())
 			return nil
 		}
-		inst.governor = decide.New(terms, inst.reply, now)
+		inst.governor = balancer.New(terms, inst.reply, now)
 		return nil
 	}
 	if e.Code() == simwire.CodeRosterChange {
--- a/console/body.go
+++ b/console/body.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"peppervale/channel"
-	"peppervale/decide"
+	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/group"
@@ -102,7 +102,7 @@
 
 var lives = map[model.Life]string{model.Ready: "ready", model.Draining: "draining", model.Gone: "gone"}
 
-func (s *Server) row(p *page, r *decide.ReplicaView) replicaRow {
+func (s *Server) row(p *page, r *balancer.ReplicaView) replicaRow {
 	row := replicaRow{Address: tablewire.Address(r.ID), Zone: s.zone(r.Zone), Listed: "not listed", State: r.State, Out: r.Out, Cold: r.Cold, Part: r.Part, Rate: r.Rate,
 		Errors: r.Errors, Pace: r.Pace, Busy: r.Busy, Heard: Ago(p.Now, r.HeardAt), Report: Ago(p.Now, r.BusyAt), Lines: r.Lines, Rests: r.Rests, Started: "long ago"}
 	if l, listed := p.View.Look.List[r.ID]; listed {
@@ -166,8 +166,8 @@
 	return nil, fmt.Errorf("replica %.60q: %w in this life", rest, errNone)
 }
 
-func (s *Server) lines(m *decide.View, t decide.TableView) (rows []lineRow) {
-	states := map[model.ReplicaID]*decide.ReplicaView{}
+func (s *Server) lines(m *balancer.View, t balancer.TableView) (rows []lineRow) {
+	states := map[model.ReplicaID]*balancer.ReplicaView{}
 	for i := range m.Replicas {
 		states[m.Replicas[i].ID] = &m.Replicas[i]
 	}
--- a/console/golden_test.go
+++ b/console/golden_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"peppervale/channel"
-	"peppervale/decide"
+	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/governor"
 	"peppervale/group"
@@ -44,14 +44,14 @@
 // stillView is a view with every field set.
 func stillView(open bool) *governor.View {
 	one, two := model.ReplicaID{Addr: [4]byte{10, 0, 0, 1}, Port: 81}, model.ReplicaID{Addr: [4]byte{10, 0, 0, 2}, Port: 82}
-	module := &decide.View{Open: open, Waits: []model.ReplicaID{two}, Stress: 0.31, Pace: 0.32, Colds: 0.33, Unacked: 34, Shares: []float64{0.35, 0.36}, Way: model.AnyFailure,
-		Replicas: []decide.ReplicaView{
+	module := &balancer.View{Open: open, Waits: []model.ReplicaID{two}, Stress: 0.31, Pace: 0.32, Colds: 0.33, Unacked: 34, Shares: []float64{0.35, 0.36}, Way: model.AnyFailure,
+		Replicas: []balancer.ReplicaView{
 			{ID: one, Zone: 1, State: "resting", Out: true, Cold: true, OutAt: 91 * model.Second, HeardAt: 92 * model.Second, BusyAt: 93 * model.Second, Since: 94 * model.Second,
 				EasedAt: 95 * model.Second, Busy: 0.41, Pace: 0.42, Part: 0.43, Rate: 44, Errors: 0.45, Lines: 46, Rests: 47},
 			{ID: two, Zone: 0, State: "serving", HeardAt: 98 * model.Second, BusyAt: 99 * model.Second, Busy: 0.51, Pace: 0.52, Part: 0.53, Rate: 54, Errors: 0.55, Lines: 56, Rests: 57},
 		},
-		Tables:  []decide.TableView{{ID: 6, Zone: 1, Usual: 61, Users: 62, Lines: []decide.LineView{{Replica: one, Weight: 0.63}, {Replica: two, Weight: 0.64}}}},
-		Proxies: []decide.ProxyView{{ID: 7, Zone: 1, Usual: 71, Table: 6, Unacked: 72, Oldest: 90 * model.Second}},
+		Tables:  []balancer.TableView{{ID: 6, Zone: 1, Usual: 61, Users: 62, Lines: []balancer.LineView{{Replica: one, Weight: 0.63}, {Replica: two, Weight: 0.64}}}},
+		Proxies: []balancer.ProxyView{{ID: 7, Zone: 1, Usual: 71, Table: 6, Unacked: 72, Oldest: 90 * model.Second}},
 	}
 	look := &governor.Look{At: 99_500_000, Module: module,
 		Forwarders: map[model.ProxyID]governor.Forwarder{7: {Name: "till-1", Zone: 1, Rate: 73, Fresh: true, JoinedAt: 89 * model.Second}},
--- a/governor/governor.go
+++ b/governor/governor.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/snapshot"
-	"peppervale/decide"
+	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/tablewire"
 )
@@ -30,7 +30,7 @@
 	intake  atomic.Int64 // sums a second
 	now     func() model.Micros
 	log     zerolog.Logger
-	module  *decide.Governor
+	module  *balancer.Governor
 	channel Channel
 	roster  Roster
 	batch   *snapshot.Batch
@@ -72,7 +72,7 @@
 // Look is the whole of what a governor believes, copied while somebody looks.
 type Look struct {
 	At         model.Micros
-	Module     *decide.View
+	Module     *balancer.View
 	Forwarders map[model.ProxyID]Forwarder
 	List       map[model.ReplicaID]model.Listing
 }
@@ -128,7 +128,7 @@
 	h.channel, h.roster = ch, roster
 	h.filled = h.now()
 	h.batch = &snapshot.Batch{Receipt: -1}
-	h.module = decide.New(h.terms, h, h.now())
+	h.module = balancer.New(h.terms, h, h.now())
 	if len(cached) > 0 {
 		h.take(h.now(), taken{list: &news{model.Cached, cached}})
 	}
--- a/governor/governor_test.go
+++ b/governor/governor_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/goleak"
 
 	"peppervale/internal/snapshot"
-	"peppervale/decide"
+	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/tablewire"
 )
@@ -279,7 +279,7 @@
 		h.channel, h.roster = &outside{batches: make(chan *snapshot.Batch, 1), events: make(chan string, 1)}, nil
 		h.batch = &snapshot.Batch{Receipt: -1}
 		now := model.Micros(100 * model.Second)
-		h.module = decide.New(terms, h, now)
+		h.module = balancer.New(terms, h, now)
 		var list []model.Listing
 		for n := range size[1] {
 			list = append(list, model.Listing{ID: model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 250), byte(n % 250)}, Port: 80}, Zone: n % 4, Life: model.Ready})
--- a/decide/decide.go
+++ b/internal/balancer/decide.go
@@ -12,7 +12,7 @@
 //  4. levels (learn, admit): the cheapest operation is let in less, none repeated, while the fleet is short
 //  5. early bind, early hold (bare, out): what the rules need of proxies still on untold standing tables
 //  6. ledger (pay): the queue is bounded by lines not acknowledged, messages by the limit for a proxy
-package decide
+package balancer
 
 import (
 	"cmp"
--- a/decide/golden_plans_test.go
+++ b/internal/balancer/golden_plans_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 import (
 	"testing"
--- a/decide/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 import (
 	"flag"
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"peppervale/decide"
+	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 )
 
@@ -56,7 +56,7 @@
 	t        *testing.T
 	plan     scenario
 	random   *rand.Rand
-	balancer *decide.Governor
+	balancer *balancer.Governor
 	now      model.Micros
 	ring     model.Micros // when the timer fires next, as ordered by Wake
 	beat     int
@@ -198,7 +198,7 @@
 var stateCodes = map[string]int{"away": 1, "draining": 2, "easing": 3, "serving": 4, "resting": 5}
 
 // viewText writes every value of a View, in the order given, floats by their bits.
-func viewText(t *testing.T, v *decide.View) (lines []string) {
+func viewText(t *testing.T, v *balancer.View) (lines []string) {
 	t.Helper()
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	add("fleet %t %s %s %s %d %d", v.Open, bits(v.Stress), bits(v.Pace), bits(v.Colds), v.Unacked, int(v.Way))
@@ -275,7 +275,7 @@
 	for n := range tr.plan.proxies {
 		tr.proxies = append(tr.proxies, &tracedProxy{id: model.ProxyID(n + 1), zone: n % tr.plan.terms.Zones})
 	}
-	tr.step("new", func() { tr.balancer = decide.New(tr.plan.terms, tr, tr.now) })
+	tr.step("new", func() { tr.balancer = balancer.New(tr.plan.terms, tr, tr.now) })
 	tr.list("cached", model.Cached, tr.replicas)
 	count := len(tr.proxies)
 	if !tr.plan.allAtOnce {
--- a/decide/step_bench_test.go
+++ b/internal/balancer/step_bench_test.go
@@ -1,9 +1,9 @@
-package decide_test
+package balancer_test
 
 import (
 	"testing"
 
-	"peppervale/decide"
+	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 )
 
@@ -31,7 +31,7 @@
 // benchFleet is a fleet whose proxies acknowledge at once.
 type benchFleet struct {
 	host     benchHost
-	balancer *decide.Governor
+	balancer *balancer.Governor
 	now      model.Micros
 	entries  []model.Listing
 	beats    int
@@ -41,7 +41,7 @@
 	f := &benchFleet{now: 100 * model.Second}
 	terms := tracedTerms()
 	terms.Proxies, terms.QueueMost = benchProxies, 1000*benchProxies
-	f.balancer = decide.New(terms, &f.host, f.now)
+	f.balancer = balancer.New(terms, &f.host, f.now)
 	for n := range benchReplicas {
 		id := model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 100), byte(n % 100)}, Port: 5000}
 		f.entries = append(f.entries, model.Listing{ID: id, Zone: n % benchZones, Life: model.Ready})
--- a/site/settings_test.go
+++ b/site/settings_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"peppervale/decide"
+	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 )
 
@@ -69,7 +69,7 @@
 			return
 		}
 		started++
-		g := decide.New(p.Terms, silent{}, model.Second)
+		g := balancer.New(p.Terms, silent{}, model.Second)
 		var entries []model.Listing
 		n := rapid.IntRange(0, 12).Draw(t, "replicas")
 		for k := range n { // zones beyond the settings' are not listed; one may have none
