--- a/command/command.go
+++ b/command/command.go
@@ -22,7 +22,7 @@
 	"peppervale/daemon"
 	"peppervale/day"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/measure"
 	"peppervale/site"
 )
@@ -58,7 +58,7 @@
 	if err != nil {
 		return fmt.Errorf("%w:\n%w", ErrInput, err)
 	}
-	if err := governor.Check(g.Terms); err != nil {
+	if err := controller.Check(g.Terms); err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	if c.Pretty {
@@ -111,7 +111,7 @@
 			return fmt.Errorf("%w: --governors: %q is no host:port and no URL, as 127.0.0.1:7780 or http://127.0.0.1:7780", ErrInput, g)
 		}
 	}
-	pages, err := across.Listen(c.Listen, c.Governors, governor.Clock())
+	pages, err := across.Listen(c.Listen, c.Governors, controller.Clock())
 	if err != nil {
 		return err
 	}
--- a/command/stand.go
+++ b/command/stand.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/rules"
 	"peppervale/site"
 	"peppervale/stand"
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	loop := stand.NewLoop(governor.Clock())
+	loop := stand.NewLoop(controller.Clock())
 	defer loop.Stop()
 	var r *replica.Replica
 	loop.Do(func() {
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	loop := stand.NewLoop(governor.Clock())
+	loop := stand.NewLoop(controller.Clock())
 	defer loop.Stop()
 	var r *registry.Registry
 	loop.Do(func() { r, err = registry.New(loop, f.listen, f.service, unseen) })
@@ -242,7 +242,7 @@
 		return err
 	}
 	defer engine.Stop()
-	loop := stand.NewLoop(governor.Clock())
+	loop := stand.NewLoop(controller.Clock())
 	defer loop.Stop()
 	chance := stand.NewChance(f.seed, "load")
 	var asked, inTime uint64
--- a/console/across/across_test.go
+++ b/console/across/across_test.go
@@ -13,7 +13,7 @@
 
 	"go.uber.org/goleak"
 
-	"peppervale/governor"
+	"peppervale/internal/controller"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -94,7 +94,7 @@
 	defer one.Close()
 	defer two.Close()
 	defer close(b.hang)
-	s, err := Listen("127.0.0.1:0", []string{strings.TrimPrefix(one.URL, "http://"), two.URL + "/", "127.0.0.1:1"}, governor.Clock())
+	s, err := Listen("127.0.0.1:0", []string{strings.TrimPrefix(one.URL, "http://"), two.URL + "/", "127.0.0.1:1"}, controller.Clock())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/console/body.go
+++ b/console/body.go
@@ -12,7 +12,7 @@
 	"peppervale/channel"
 	"peppervale/internal/balancer"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 	"peppervale/tablewire"
 )
@@ -75,7 +75,7 @@
 			o.Sick = append(o.Sick, s.row(p, r))
 		}
 	}
-	o.Lately = s.causeRows(p, s.from.Causes(12, func(c *governor.Cause) bool { return len(c.Said) > 0 }))
+	o.Lately = s.causeRows(p, s.from.Causes(12, func(c *controller.Cause) bool { return len(c.Said) > 0 }))
 	return o, nil
 }
 
@@ -157,7 +157,7 @@
 					}
 				}
 			}
-			one.Causes = s.causeRows(p, s.from.Causes(50, func(c *governor.Cause) bool {
+			one.Causes = s.causeRows(p, s.from.Causes(50, func(c *controller.Cause) bool {
 				return c.Names(rest) || c.Names(fmt.Sprintf("%v:%d", r.ID.Addr, r.ID.Port))
 			}))
 			return one, nil
@@ -233,7 +233,7 @@
 				about = append(about, fmt.Sprintf("table %d:", t.ID))
 			}
 		}
-		one.Causes = s.causeRows(p, s.from.Causes(50, func(c *governor.Cause) bool { return slices.ContainsFunc(about, c.Names) }))
+		one.Causes = s.causeRows(p, s.from.Causes(50, func(c *controller.Cause) bool { return slices.ContainsFunc(about, c.Names) }))
 		return one, nil
 	}
 	if rest != "" {
@@ -328,7 +328,7 @@
 	Cut    int      `json:"orders_left_out,omitempty"`
 }
 
-func (s *Server) causeRows(p *page, all []governor.Cause) []causeRow {
+func (s *Server) causeRows(p *page, all []controller.Cause) []causeRow {
 	rows := make([]causeRow, 0, len(all))
 	for _, c := range all {
 		rows = append(rows, causeRow{c.Number, c.Life, Ago(p.Now, c.At), c.Came, c.Said, c.Orders, c.Cut})
@@ -350,7 +350,7 @@
 	if len(about) > 200 {
 		about = about[:200]
 	}
-	return ordersPage{about, s.causeRows(p, s.from.Causes(200, func(c *governor.Cause) bool { return about == "" || c.Names(about) }))}, nil
+	return ordersPage{about, s.causeRows(p, s.from.Causes(200, func(c *controller.Cause) bool { return about == "" || c.Names(about) }))}, nil
 }
 
 func (s *Server) settings(_ *page, rest string, _ *http.Request) (any, error) {
--- a/console/console.go
+++ b/console/console.go
@@ -15,15 +15,15 @@
 	"peppervale/channel"
 	"peppervale/console/frame"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 )
 
 // Source is what the console reads; governor.Host and channel.Server are the real ones.
 type Source interface {
-	View() *governor.View  // costs nothing
-	Watch() *governor.View // asks for looks, for pages
-	Causes(most int, match func(*governor.Cause) bool) []governor.Cause
+	View() *controller.View  // costs nothing
+	Watch() *controller.View // asks for looks, for pages
+	Causes(most int, match func(*controller.Cause) bool) []controller.Cause
 	Stats() channel.Stats
 }
 
@@ -137,7 +137,7 @@
 	At    model.Micros   `json:"at_us"`  // of the view
 	Age   string         `json:"age"`    // of the view when the page was made
 	Now   model.Micros   `json:"now_us"` // when it was made
-	View  *governor.View `json:"-"`
+	View  *controller.View `json:"-"`
 	Stats channel.Stats  `json:"channel"`
 	Body  any            `json:"body"`
 }
@@ -193,7 +193,7 @@
 		v = s.from.Watch()
 	}
 	if first == "group" && (v == nil || v.Look == nil) { // a governor that stands by has not begun to step
-		v = &governor.View{Look: &governor.Look{}}
+		v = &controller.View{Look: &controller.Look{}}
 	}
 	if v == nil || v.Look == nil {
 		w.Header().Set("Retry-After", "1")
--- a/console/console_test.go
+++ b/console/console_test.go
@@ -16,7 +16,7 @@
 	"peppervale/internal/snapshot"
 	"peppervale/channel"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/tablewire"
 )
 
@@ -25,7 +25,7 @@
 // desk is a governor's host with a channel by hand, and its console.
 type desk struct {
 	t     *testing.T
-	host  *governor.Host
+	host  *controller.Host
 	pages *Server
 	now   func() model.Micros
 	take  time.Duration // that each batch takes the channel
@@ -54,10 +54,10 @@
 // open starts a governor with that many replicas in two zones and three forwarders, one of a hostile name and one of a
 // long one, and lets its gate open.
 func open(t *testing.T, replicas int, take time.Duration) *desk {
-	d := &desk{t: t, now: governor.Clock(), take: take}
+	d := &desk{t: t, now: controller.Clock(), take: take}
 	terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: 500_000, Value: 1}}, Zones: 2, Subscribe: true, Admits: true,
 		AdmitAll: 1, StandingSize: 4, Period: 200 * model.Millisecond, Overhead: 6, QueueMost: 100_000, BusyField: -1, Cold: 17 * model.Second}
-	d.host = governor.New(terms, 10_000, d.now, zerolog.Nop())
+	d.host = controller.New(terms, 10_000, d.now, zerolog.Nop())
 	var list []model.Listing
 	var sums []model.Sum
 	for n := range replicas {
@@ -74,7 +74,7 @@
 		Settings: func() [][2]string { return [][2]string{{"state", hostile}} }, Before: []byte(before)}
 	var err error
 	d.pages, err = Listen("127.0.0.1:0", about, struct {
-		*governor.Host
+		*controller.Host
 		*desk
 	}{d.host, d})
 	if err != nil {
--- a/console/golden_test.go
+++ b/console/golden_test.go
@@ -12,25 +12,25 @@
 	"peppervale/channel"
 	"peppervale/internal/balancer"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 )
 
 var update = flag.Bool("update", false, "write the golden pages in testdata anew")
 
 // still is a source that always tells the same.
-type still struct{ view *governor.View }
+type still struct{ view *controller.View }
 
-func (s still) View() *governor.View  { return s.view }
-func (s still) Watch() *governor.View { return s.view }
+func (s still) View() *controller.View  { return s.view }
+func (s still) Watch() *controller.View { return s.view }
 
 func (s still) Stats() channel.Stats {
 	return channel.Stats{Forwarders: 1, Observers: 2, Connections: 3, Version: 4, Queue: 5, QueueMost: 6, Messages: 7, Lines: 8, Bytes: 9, Folds: 10,
 		Resyncs: 11, Faults: 12, Replaced: 13, Deferred: 14, Shed: 15, Storms: 16, Unsent: 17, PutOff: 18, Moved: 19, Fenced: 20}
 }
 
-func (s still) Causes(most int, match func(*governor.Cause) bool) (found []governor.Cause) {
-	for _, cause := range []governor.Cause{
+func (s still) Causes(most int, match func(*controller.Cause) bool) (found []controller.Cause) {
+	for _, cause := range []controller.Cause{
 		{At: 97 * model.Second, Number: 3, Life: 21, Came: []string{"timer"}, Said: []string{"withdrew 10.0.0.1:81"}, Orders: []string{"table 6: 10.0.0.1:81 weighs 0.5"}, Cut: 22},
 		{At: 96 * model.Second, Number: 2, Life: 20, Came: []string{"joined till-1"}, Said: []string{"gate open"}, Orders: []string{"forwarder 7 on table 6"}, Cut: 23},
 	} {
@@ -42,7 +42,7 @@
 }
 
 // stillView is a view with every field set.
-func stillView(open bool) *governor.View {
+func stillView(open bool) *controller.View {
 	one, two := model.ReplicaID{Addr: [4]byte{10, 0, 0, 1}, Port: 81}, model.ReplicaID{Addr: [4]byte{10, 0, 0, 2}, Port: 82}
 	module := &balancer.View{Open: open, Waits: []model.ReplicaID{two}, Stress: 0.31, Pace: 0.32, Colds: 0.33, Unacked: 34, Shares: []float64{0.35, 0.36}, Way: model.AnyFailure,
 		Replicas: []balancer.ReplicaView{
@@ -53,11 +53,11 @@
 		Tables:  []balancer.TableView{{ID: 6, Zone: 1, Usual: 61, Users: 62, Lines: []balancer.LineView{{Replica: one, Weight: 0.63}, {Replica: two, Weight: 0.64}}}},
 		Proxies: []balancer.ProxyView{{ID: 7, Zone: 1, Usual: 71, Table: 6, Unacked: 72, Oldest: 90 * model.Second}},
 	}
-	look := &governor.Look{At: 99_500_000, Module: module,
-		Forwarders: map[model.ProxyID]governor.Forwarder{7: {Name: "till-1", Zone: 1, Rate: 73, Fresh: true, JoinedAt: 89 * model.Second}},
+	look := &controller.Look{At: 99_500_000, Module: module,
+		Forwarders: map[model.ProxyID]controller.Forwarder{7: {Name: "till-1", Zone: 1, Rate: 73, Fresh: true, JoinedAt: 89 * model.Second}},
 		List: map[model.ReplicaID]model.Listing{one: {ID: one, Zone: 1, Life: model.Ready, Since: 94 * model.Second},
 			two: {ID: two, Zone: 0, Life: model.Draining, Since: 88 * model.Second}}}
-	return &governor.View{At: 99_600_000, GateOpen: open, Joined: 81, Ready: 82, Listed: 83, ListAt: 87 * model.Second, Steps: 84, WorstStep: 85, Waiting: 86, Folds: 87, Look: look}
+	return &controller.View{At: 99_600_000, GateOpen: open, Joined: 81, Ready: 82, Listed: 83, ListAt: 87 * model.Second, Steps: 84, WorstStep: 85, Waiting: 86, Folds: 87, Look: look}
 }
 
 // stillStatus is a group's status with every field set.
--- a/console/group_test.go
+++ b/console/group_test.go
@@ -8,17 +8,17 @@
 
 	"peppervale/channel"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 )
 
 // standby is a governor of a group that has not begun to step: it holds no part.
 type standby struct{}
 
-func (standby) View() *governor.View                                    { return nil }
-func (standby) Watch() *governor.View                                   { return nil }
+func (standby) View() *controller.View                                    { return nil }
+func (standby) Watch() *controller.View                                   { return nil }
 func (standby) Stats() channel.Stats                                    { return channel.Stats{} }
-func (standby) Causes(int, func(*governor.Cause) bool) []governor.Cause { return nil }
+func (standby) Causes(int, func(*controller.Cause) bool) []controller.Cause { return nil }
 
 // A governor that stands by has nothing to show but its group, and says so on every other page; the group's page tells why it holds
 // nothing, who holds what and how it came to be.
--- a/daemon/archive.go
+++ b/daemon/archive.go
@@ -6,20 +6,20 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/store"
 )
 
 // archive keeps on disk what the host says and answers from it what is no longer in memory.
 type archive struct {
-	host   *governor.Host
+	host   *controller.Host
 	folder *store.Folder
 	writer *store.Writer
 	life   uint64
 	log    zerolog.Logger
 }
 
-func newArchive(host *governor.Host, folder *store.Folder, life uint64, log zerolog.Logger) *archive {
+func newArchive(host *controller.Host, folder *store.Folder, life uint64, log zerolog.Logger) *archive {
 	a := &archive{host: host, folder: folder, life: life, log: log}
 	a.writer = store.NewWriter(folder, func(err error, leftOut uint64) {
 		if err != nil {
@@ -32,7 +32,7 @@
 	return a
 }
 
-func (a *archive) keep(c *governor.Cause) {
+func (a *archive) keep(c *controller.Cause) {
 	if body, err := json.Marshal(c); err == nil {
 		a.writer.Cause(store.Record{Life: a.life, Number: c.Number, Body: body})
 	}
@@ -47,14 +47,14 @@
 }
 
 // Causes gives the newest entries that match: those in memory, and then those on disk, of earlier lives too.
-func (a *archive) Causes(most int, match func(*governor.Cause) bool) []governor.Cause {
+func (a *archive) Causes(most int, match func(*controller.Cause) bool) []controller.Cause {
 	oldest := a.host.OldestCause()
 	found := a.host.Causes(most, match)
 	if len(found) >= most {
 		return found
 	}
 	_, err := a.folder.Causes(a.life, oldest, most-len(found), func(r store.Record) bool {
-		var one governor.Cause
+		var one controller.Cause
 		if json.Unmarshal(r.Body, &one) != nil || match != nil && !match(&one) {
 			return false
 		}
--- a/daemon/fixture_test.go
+++ b/daemon/fixture_test.go
@@ -14,7 +14,7 @@
 
 	"peppervale/channel"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/store"
 )
 
@@ -35,7 +35,7 @@
 
 // fixtureCauses are the decision log of the fixture, by the life that took the steps. The last one carries a life of its own,
 // which the archive replaces by the life that it is stored under.
-var fixtureCauses = map[uint64][]governor.Cause{
+var fixtureCauses = map[uint64][]controller.Cause{
 	1: {
 		{At: 101, Number: 1, Came: []string{"list whole of 3", "joined till-1"}, Said: []string{"gate open"}, Orders: []string{"forwarder 1 on table 2"}, Cut: 7},
 		{At: 102, Number: 2, Came: []string{"left till-1", "4 sums"}, Said: []string{"replica [10 1 2 3]:8081 zone 1 failing"}, Orders: []string{"withdraw 10.1.2.3:8081", "table 2: 10.4.5.6:8082 weighs 0.5"}, Cut: 8},
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host := governor.New(model.Terms{Operations: []model.Operation{{Objective: 1, Value: 1}}, Zones: 4, Period: model.Second, QueueMost: 1}, 1, governor.Clock(), zerolog.Nop())
+	host := controller.New(model.Terms{Operations: []model.Operation{{Objective: 1, Value: 1}}, Zones: 4, Period: model.Second, QueueMost: 1}, 1, controller.Clock(), zerolog.Nop())
 	a := newArchive(host, folder, found.Life, zerolog.Nop())
 	t.Cleanup(func() {
 		a.writer.Close()
@@ -133,7 +133,7 @@
 	if err := json.Unmarshal(found.Published, &picture); err != nil || !reflect.DeepEqual(picture, fixturePicture) {
 		t.Errorf("published state %+v, %v; want %+v", picture, err, fixturePicture)
 	}
-	var want []governor.Cause // newest first, each with the life that it is stored under
+	var want []controller.Cause // newest first, each with the life that it is stored under
 	for _, life := range []uint64{2, 1} {
 		for k := len(fixtureCauses[life]) - 1; k >= 0; k-- {
 			cause := fixtureCauses[life][k]
@@ -145,7 +145,7 @@
 		t.Errorf("decision log %+v; want %+v", got, want)
 	}
 	for word, number := range map[string]int{"joined till-1": 3, "zone 2 drains": 0, "let back 10.1.2.3:8081": 1} {
-		got := a.Causes(1, func(c *governor.Cause) bool { return c.Names(word) })
+		got := a.Causes(1, func(c *controller.Cause) bool { return c.Names(word) })
 		if len(got) != 1 || !reflect.DeepEqual(got[0], want[number]) {
 			t.Errorf("search for %q found %+v; want %+v", word, got, want[number])
 		}
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/platform"
 	"peppervale/platformwire"
 	"peppervale/roster"
@@ -38,15 +38,15 @@
 // ServePlatform runs one governor on the operators' platform until the context ends. It has no state folder, console or group: there
 // is no disk that outlives it, and no room for them in its limits. Errors are those of the address.
 func ServePlatform(ctx context.Context, p *site.Platform, out PlatformOutside, log zerolog.Logger) error {
-	if err := governor.Check(p.Terms); err != nil {
+	if err := controller.Check(p.Terms); err != nil {
 		return err
 	}
 	// The limit counts the whole process; a third is left for what Go's own limit does not see: stacks of the kernel, the text.
 	debug.SetMemoryLimit(p.Memory / 3 * 2)
 	debug.SetGCPercent(50)
 	runtime.GOMAXPROCS(min(runtime.NumCPU(), 4)) // two pollers, an acceptor, the host: more only adds idle stacks
-	now := governor.Clock()
-	host := governor.New(p.Terms, intakeMost, now, log)
+	now := controller.Clock()
+	host := controller.New(p.Terms, intakeMost, now, log)
 	host.KeepNoCauses()
 	names := platformwire.NewNames()
 	list, err := roster.NewWatch(roster.Discovery{Address: p.Discovery, Zones: p.Zones, Names: names, Known: p.Known,
@@ -103,7 +103,7 @@
 	bindMost  = 20 * time.Second
 )
 
-func listen(ctx context.Context, line platform.Line, host *governor.Host) (*platform.Server, error) {
+func listen(ctx context.Context, line platform.Line, host *controller.Host) (*platform.Server, error) {
 	for late := time.Now().Add(bindMost); ; {
 		server, err := platform.Listen(line, host)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(late) {
@@ -123,7 +123,7 @@
 // tellEvery is how often the figures go to the log.
 const tellEvery = 5 * time.Second
 
-func tellPlatform(log zerolog.Logger, host *governor.Host, server *platform.Server) {
+func tellPlatform(log zerolog.Logger, host *controller.Host, server *platform.Server) {
 	st, v := server.Stats(), host.Watch()
 	if v == nil {
 		return
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -22,7 +22,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/listwire"
 	"peppervale/resp"
 	"peppervale/rules"
@@ -73,7 +73,7 @@
 const spell = 200 * time.Millisecond // the report period
 
 func openYard(t *testing.T, replicas int) *yard {
-	y := &yard{t: t, listen: free(t), now: governor.Clock(), hosts: map[string]entry{}, changed: make(chan struct{}), met: map[string]int{},
+	y := &yard{t: t, listen: free(t), now: controller.Clock(), hosts: map[string]entry{}, changed: make(chan struct{}), met: map[string]int{},
 		over: make(chan struct{}), reload: make(chan struct{}), ended: make(chan error, 1), file: filepath.Join(t.TempDir(), "config.json")}
 	for n := range replicas {
 		y.hosts[host(n+1)] = entry{host(n + 1), "127.0.0.1:1", zonesOf[n%2], "ready", 0}
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -7,7 +7,7 @@
 
 	"peppervale/admission"
 	"peppervale/channel"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/site"
 )
 
@@ -27,7 +27,7 @@
 func (f *inForce) Settings() [][2]string { return f.get().InForce() }
 
 // reload reads the file again and takes it if a running governor can; a refusal is told and changes nothing.
-func (f *inForce) reload(read func() (*site.Governor, error), host *governor.Host, server *channel.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
+func (f *inForce) reload(read func() (*site.Governor, error), host *controller.Host, server *channel.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
 	next, err := read()
 	if err != nil {
 		log.Error().Err(err).Msg("reload refused: the file cannot be read; the old settings stay in force")
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -11,7 +11,7 @@
 	"peppervale/channel"
 	"peppervale/console"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 	"peppervale/roster"
 	"peppervale/site"
@@ -33,10 +33,10 @@
 // Serve runs one governor until the context ends; then forwarders are told to go elsewhere within the file's
 // farewell, and nothing is left open. Errors are those of starting: the state folder, the address.
 func Serve(ctx context.Context, g *site.Governor, out Outside, log zerolog.Logger) error {
-	if err := governor.Check(g.Terms); err != nil {
+	if err := controller.Check(g.Terms); err != nil {
 		return err
 	}
-	now := governor.Clock()
+	now := controller.Clock()
 	folder, found, err := store.Open(g.State, uint64(now()/model.Second))
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 	tellFound(log, found)
 	terms := g.Terms
 	terms.Seed += found.Life << 32 // a fresh one at each start, the same for the same start
-	host := governor.New(terms, g.Intake, now, log)
+	host := controller.New(terms, g.Intake, now, log)
 	kept := newArchive(host, folder, found.Life, log)
 	defer kept.writer.Close()
 	var shared *sharing
@@ -121,15 +121,15 @@
 
 // desk is what the console reads.
 type desk struct {
-	host    *governor.Host
+	host    *controller.Host
 	channel *channel.Server
 	archive *archive
 }
 
-func (d desk) View() *governor.View  { return d.host.View() }
-func (d desk) Watch() *governor.View { return d.host.Watch() }
+func (d desk) View() *controller.View  { return d.host.View() }
+func (d desk) Watch() *controller.View { return d.host.Watch() }
 func (d desk) Stats() channel.Stats  { return d.channel.Stats() }
-func (d desk) Causes(most int, match func(*governor.Cause) bool) []governor.Cause {
+func (d desk) Causes(most int, match func(*controller.Cause) bool) []controller.Cause {
 	return d.archive.Causes(most, match)
 }
 
@@ -158,7 +158,7 @@
 	return picture.Version
 }
 
-func report(log zerolog.Logger, host *governor.Host, server *channel.Server) {
+func report(log zerolog.Logger, host *controller.Host, server *channel.Server) {
 	st, v := server.Stats(), host.View()
 	if v == nil {
 		return
--- a/daemon/share.go
+++ b/daemon/share.go
@@ -12,7 +12,7 @@
 	"peppervale/assign"
 	"peppervale/channel"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 	"peppervale/lease"
 	"peppervale/site"
@@ -27,7 +27,7 @@
 	done   chan struct{}
 	wait   sync.WaitGroup
 	server *channel.Server
-	host   *governor.Host
+	host   *controller.Host
 	begin  func() // starts the host
 	mu     sync.Mutex
 	begun  bool
@@ -151,7 +151,7 @@
 }
 
 // stop ends the host if it was begun.
-func (s *sharing) stop(host *governor.Host) {
+func (s *sharing) stop(host *controller.Host) {
 	if s == nil {
 		host.Stop()
 		return
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -14,7 +14,7 @@
 
 	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 	"peppervale/rules"
 	"peppervale/site"
@@ -313,7 +313,7 @@
 		terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: model.Second, Value: 1}}, Zones: 1, Subscribe: true, AdmitAll: 1, StandingSize: 6,
 			Period: 2500 * model.Millisecond, QueueMost: 1000, Proxies: 10, ConnsLeast: 100, BusyField: -1, Cold: model.Second}
 		s := newSharing(&site.Governor{Zones: []string{"govan"}, Group: &site.Group{Parts: 1}})
-		s.host = governor.New(terms, 1000, governor.Clock(), zerolog.Nop())
+		s.host = controller.New(terms, 1000, controller.Clock(), zerolog.Nop())
 		s.begin = func() { go s.host.Run(quietChannel{}, quietRoster{}, nil) }
 		if planned {
 			s.take(group.Handover{Sums: []model.Sum{{Replica: replica(1), Tries: 50, Latency: 1000, Span: model.Second}, {Replica: replica(2), Tries: 50, Latency: 1000, Span: model.Second}}})
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -20,7 +20,7 @@
 
 	"peppervale/console/across"
 	"peppervale/daemon"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/rules"
 	"peppervale/site"
 	"peppervale/stand"
@@ -203,7 +203,7 @@
 			consoles[name] = strings.TrimSpace(address)
 			if len(consoles) == len(two) {
 				var err error
-				if both, err = across.Listen("127.0.0.1:0", []string{consoles["govan-1"], consoles["partick-2"]}, governor.Clock()); err != nil {
+				if both, err = across.Listen("127.0.0.1:0", []string{consoles["govan-1"], consoles["partick-2"]}, controller.Clock()); err != nil {
 					return err
 				}
 				defer both.Close()
--- a/day/run.go
+++ b/day/run.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/rules"
 	"peppervale/site"
 	"peppervale/sockets"
@@ -35,7 +35,7 @@
 
 // Run plays a day; ctx cuts it off. An error means that the day could not be played, not that a rule broke.
 func Run(ctx context.Context, s *Script, set Setting) (*Report, error) {
-	d := &play{Script: s, set: set, now: governor.Clock(), chance: stand.NewChance(s.Seed, "day")}
+	d := &play{Script: s, set: set, now: controller.Clock(), chance: stand.NewChance(s.Seed, "day")}
 	defer d.close()
 	if err := d.open(); err != nil {
 		return nil, err
--- a/governor/causes.go
+++ b/internal/controller/causes.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"sync"
 
-	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/tablewire"
 )
 
--- a/governor/doc.go
+++ b/internal/controller/doc.go
@@ -13,4 +13,4 @@
 // Caveats: time is this process's monotonic clock set to the wall's time at the start, in whole microseconds, so
 // a wall clock that is set later moves nothing here; start times in the machine list go by the wall clocks of
 // other machines.
-package governor
+package controller
--- a/governor/governor.go
+++ b/internal/controller/governor.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/snapshot"
 	"peppervale/internal/balancer"
 	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/tablewire"
 )
 
--- a/governor/governor_test.go
+++ b/internal/controller/governor_test.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/internal/snapshot"
 	"peppervale/internal/balancer"
 	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/tablewire"
 )
 
@@ -115,7 +115,7 @@
 	o.events <- fmt.Sprint("admit ", p, " ", stream)
 }
 func (o *outside) Publish(b *snapshot.Batch) { o.batches <- b }
-func (o *outside) Follow()                { o.events <- "follow" }
+func (o *outside) Follow()                   { o.events <- "follow" }
 
 func (o *outside) event(t *testing.T, want string) {
 	t.Helper()
--- a/governor/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -1,4 +1,4 @@
-package governor
+package controller
 
 import (
 	"sync"
--- a/measure/channel.go
+++ b/measure/channel.go
@@ -16,7 +16,7 @@
 	"peppervale/internal/snapshot"
 	"peppervale/channel"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/rules"
 	"peppervale/sockets"
 	"peppervale/stand"
@@ -74,7 +74,7 @@
 
 // Channel publishes changes of so many lines to n forwarders, round after round, at no pace.
 func Channel(n, lines, rounds int) (*ChannelFigures, error) {
-	now := governor.Clock()
+	now := controller.Clock()
 	p := &publisher{joined: make(chan model.ProxyID, n), applied: make(chan uint32, 2*n)}
 	before := memory()
 	var err error
--- a/measure/quiet.go
+++ b/measure/quiet.go
@@ -14,7 +14,7 @@
 
 	"peppervale/assign"
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 	"peppervale/lease"
 )
@@ -79,7 +79,7 @@
 func quiet(ctx context.Context, dir string, peers []group.Peer, terms group.Terms, while time.Duration) (*QuietFigures, error) {
 	var counts []*counting
 	var groups []*group.Group
-	now := governor.Clock()
+	now := controller.Clock()
 	for k, p := range peers {
 		c := &counting{name: p.Name}
 		l := group.Line{Name: p.Name, Zone: terms.Zones[k], Channel: "127.0.0.1:1", Listen: p.Address, Gossip: p.Gossip, Folder: filepath.Join(dir, p.Name), Life: 1,
--- a/measure/restart.go
+++ b/measure/restart.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/rules"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
@@ -98,7 +98,7 @@
 
 // Restart restarts a governor's process so many times under n forwarders that have no other; program is the command that runs one.
 func Restart(ctx context.Context, program []string, way RestartWay, n, rounds int) (*RestartFigures, error) {
-	now := governor.Clock()
+	now := controller.Clock()
 	dir, err := os.MkdirTemp("", "peppervale-restart-")
 	if err != nil {
 		return nil, err
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"peppervale/internal/model"
-	"peppervale/governor"
+	"peppervale/internal/controller"
 	"peppervale/group"
 	"peppervale/rules"
 	"peppervale/stand"
@@ -116,7 +116,7 @@
 // Takeover kills one of three governors so many times under n forwarders, and waits each time until all are ordered again, and until the
 // killed one has its parts back; program is the command that runs one.
 func Takeover(ctx context.Context, program []string, n, rounds int, span model.Micros, shared bool, seed uint64, progress io.Writer) (*TakeoverFigures, error) {
-	now := governor.Clock()
+	now := controller.Clock()
 	chance := stand.NewChance(seed, "takeover")
 	dir, err := os.MkdirTemp("", "peppervale-takeover-")
 	if err != nil {
