--- a/console/body.go
+++ b/console/body.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
@@ -372,14 +372,14 @@
 
 type beforeTable struct {
 	Table string            `json:"table"`
-	Lines []channel.LineOut `json:"lines"`
+	Lines []pubsub.LineOut `json:"lines"`
 }
 
 func (s *Server) before(_ *page, rest string, _ *http.Request) (any, error) {
 	if rest != "" {
 		return nil, errNone
 	}
-	var was channel.Picture
+	var was pubsub.Picture
 	if s.about.Before == nil || json.Unmarshal(s.about.Before, &was) != nil {
 		return beforePage{}, nil
 	}
--- a/console/console.go
+++ b/console/console.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/console/frame"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
@@ -24,7 +24,7 @@
 	View() *controller.View  // costs nothing
 	Watch() *controller.View // asks for looks, for pages
 	Causes(most int, match func(*controller.Cause) bool) []controller.Cause
-	Stats() channel.Stats
+	Stats() pubsub.Stats
 }
 
 // About is what does not change while a governor runs.
@@ -138,7 +138,7 @@
 	Age   string         `json:"age"`    // of the view when the page was made
 	Now   model.Micros   `json:"now_us"` // when it was made
 	View  *controller.View `json:"-"`
-	Stats channel.Stats  `json:"channel"`
+	Stats pubsub.Stats  `json:"channel"`
 	Body  any            `json:"body"`
 }
 
--- a/console/console_test.go
+++ b/console/console_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"peppervale/internal/snapshot"
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/tablewire"
@@ -41,7 +41,7 @@
 	}
 }
 func (d *desk) Follow()              {}
-func (d *desk) Stats() channel.Stats { return channel.Stats{Forwarders: 3, Version: 7, Queue: 12} }
+func (d *desk) Stats() pubsub.Stats { return pubsub.Stats{Forwarders: 3, Version: 7, Queue: 12} }
 
 func id(n int) model.ReplicaID {
 	return model.ReplicaID{Addr: [4]byte{127, 0, byte(n / 200), byte(n%200 + 1)}, Port: 80}
--- a/console/golden_test.go
+++ b/console/golden_test.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"testing"
 
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
@@ -24,8 +24,8 @@
 func (s still) View() *controller.View  { return s.view }
 func (s still) Watch() *controller.View { return s.view }
 
-func (s still) Stats() channel.Stats {
-	return channel.Stats{Forwarders: 1, Observers: 2, Connections: 3, Version: 4, Queue: 5, QueueMost: 6, Messages: 7, Lines: 8, Bytes: 9, Folds: 10,
+func (s still) Stats() pubsub.Stats {
+	return pubsub.Stats{Forwarders: 1, Observers: 2, Connections: 3, Version: 4, Queue: 5, QueueMost: 6, Messages: 7, Lines: 8, Bytes: 9, Folds: 10,
 		Resyncs: 11, Faults: 12, Replaced: 13, Deferred: 14, Shed: 15, Storms: 16, Unsent: 17, PutOff: 18, Moved: 19, Fenced: 20}
 }
 
--- a/console/group_test.go
+++ b/console/group_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/group"
@@ -17,7 +17,7 @@
 
 func (standby) View() *controller.View                                    { return nil }
 func (standby) Watch() *controller.View                                   { return nil }
-func (standby) Stats() channel.Stats                                    { return channel.Stats{} }
+func (standby) Stats() pubsub.Stats                                    { return pubsub.Stats{} }
 func (standby) Causes(int, func(*controller.Cause) bool) []controller.Cause { return nil }
 
 // A governor that stands by has nothing to show but its group, and says so on every other page; the group's page tells why it holds
--- a/daemon/fixture_test.go
+++ b/daemon/fixture_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/store"
@@ -47,10 +47,10 @@
 }
 
 // fixturePicture is the published state of the fixture.
-var fixturePicture = channel.Picture{Kind: "snapshot", Life: 2, Version: 34,
-	Tables:     map[string][]channel.LineOut{"5": {{Replica: "10.1.2.3:8081", Weight: 0.25}, {Replica: "10.4.5.6:8082", Weight: 0.75}}},
+var fixturePicture = pubsub.Picture{Kind: "snapshot", Life: 2, Version: 34,
+	Tables:     map[string][]pubsub.LineOut{"5": {{Replica: "10.1.2.3:8081", Weight: 0.25}, {Replica: "10.4.5.6:8082", Weight: 0.75}}},
 	Withdrawn:  []string{"10.7.8.9:8083"},
-	Levels:     []channel.LevelOut{{Operations: 3, Share: 0.5, Way: 2}},
+	Levels:     []pubsub.LevelOut{{Operations: 3, Share: 0.5, Way: 2}},
 	Forwarders: map[string]string{"till-1": "5"}}
 
 // openArchive opens a state folder as Serve does.
@@ -129,7 +129,7 @@
 	if !reflect.DeepEqual(found.List, fixtureListing) {
 		t.Errorf("endpoint list %+v; want %+v", found.List, fixtureListing)
 	}
-	var picture channel.Picture
+	var picture pubsub.Picture
 	if err := json.Unmarshal(found.Published, &picture); err != nil || !reflect.DeepEqual(picture, fixturePicture) {
 		t.Errorf("published state %+v, %v; want %+v", picture, err, fixturePicture)
 	}
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/admission"
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/controller"
 	"peppervale/site"
 )
@@ -27,7 +27,7 @@
 func (f *inForce) Settings() [][2]string { return f.get().InForce() }
 
 // reload reads the file again and takes it if a running governor can; a refusal is told and changes nothing.
-func (f *inForce) reload(read func() (*site.Governor, error), host *controller.Host, server *channel.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
+func (f *inForce) reload(read func() (*site.Governor, error), host *controller.Host, server *pubsub.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
 	next, err := read()
 	if err != nil {
 		log.Error().Err(err).Msg("reload refused: the file cannot be read; the old settings stay in force")
@@ -49,9 +49,9 @@
 	log.Info().Strs("changed", changed).Msg("reloaded")
 }
 
-func limits(g *site.Governor) channel.Limits {
+func limits(g *site.Governor) pubsub.Limits {
 	p := g.Peers
-	return channel.Limits{Connections: p.Connections, Observers: p.Observers, Unsent: p.Unsent, UnsentAll: p.UnsentAll, Greeting: p.Greeting,
+	return pubsub.Limits{Connections: p.Connections, Observers: p.Observers, Unsent: p.Unsent, UnsentAll: p.UnsentAll, Greeting: p.Greeting,
 		Commands: admission.Rate{PerSecond: p.CommandRate, Burst: p.CommandBurst}}
 }
 
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/console"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
@@ -49,12 +49,12 @@
 	kept := newArchive(host, folder, found.Life, log)
 	defer kept.writer.Close()
 	var shared *sharing
-	var leases channel.Leases
+	var leases pubsub.Leases
 	if g.Group != nil {
 		shared = newSharing(g)
 		leases = shared
 	}
-	server, err := channel.Listen(channel.Line{Listen: g.Listen, Leases: leases, Life: found.Life, Zones: g.Zones, Period: terms.Period,
+	server, err := pubsub.Listen(pubsub.Line{Listen: g.Listen, Leases: leases, Life: found.Life, Zones: g.Zones, Period: terms.Period,
 		Overhead: terms.Overhead, Pace: g.Pace, Now: now, Joins: joins(g, terms.Seed), Log: log, Limits: limits(g)}, host)
 	if err != nil {
 		return fmt.Errorf("%w; another process may have the address", err)
@@ -122,13 +122,13 @@
 // desk is what the console reads.
 type desk struct {
 	host    *controller.Host
-	channel *channel.Server
+	channel *pubsub.Server
 	archive *archive
 }
 
 func (d desk) View() *controller.View  { return d.host.View() }
 func (d desk) Watch() *controller.View { return d.host.Watch() }
-func (d desk) Stats() channel.Stats  { return d.channel.Stats() }
+func (d desk) Stats() pubsub.Stats  { return d.channel.Stats() }
 func (d desk) Causes(most int, match func(*controller.Cause) bool) []controller.Cause {
 	return d.archive.Causes(most, match)
 }
@@ -146,7 +146,7 @@
 }
 
 // published puts down what stands published, unless the version put down last still stands.
-func (a *archive) published(server *channel.Server, down uint64) uint64 {
+func (a *archive) published(server *pubsub.Server, down uint64) uint64 {
 	version := server.Stats().Version
 	if version == down {
 		return down
@@ -158,7 +158,7 @@
 	return picture.Version
 }
 
-func report(log zerolog.Logger, host *controller.Host, server *channel.Server) {
+func report(log zerolog.Logger, host *controller.Host, server *pubsub.Server) {
 	st, v := server.Stats(), host.View()
 	if v == nil {
 		return
--- a/daemon/share.go
+++ b/daemon/share.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/assign"
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/group"
@@ -26,7 +26,7 @@
 	group  atomic.Pointer[group.Group] // nil until it is open: nothing is held before
 	done   chan struct{}
 	wait   sync.WaitGroup
-	server *channel.Server
+	server *pubsub.Server
 	host   *controller.Host
 	begin  func() // starts the host
 	mu     sync.Mutex
@@ -44,7 +44,7 @@
 // were given one name and a folder each begin with the same number there.
 func holderLife(life uint64) uint64 { return life<<20 | rand.Uint64N(1<<20) }
 
-func (s *sharing) open(g *site.Governor, life uint64, server *channel.Server, now func() model.Micros, links group.Links, log zerolog.Logger) (err error) {
+func (s *sharing) open(g *site.Governor, life uint64, server *pubsub.Server, now func() model.Micros, links group.Links, log zerolog.Logger) (err error) {
 	s.server = server
 	of := g.Group
 	line := group.Line{Name: g.Name, Zone: of.Zone, Channel: server.Addr(), Listen: of.Listen, Gossip: of.Gossip, Folder: filepath.Join(g.State, "group"),
--- a/day/rogue.go
+++ b/day/rogue.go
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/snapshot"
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/roster"
 	"peppervale/stand"
@@ -28,9 +28,9 @@
 	kind    string
 	name    string
 	loop    *stand.Loop
-	server  *channel.Server
+	server  *pubsub.Server
 	list    *roster.Consul
-	line    channel.Line
+	line    pubsub.Line
 	streams map[model.ProxyID]bool
 	ready   map[model.ReplicaID]model.Listing
 	receipt int
@@ -42,9 +42,9 @@
 func newRogue(d *play) (*rogue, error) {
 	r := &rogue{kind: d.Rogue, name: "rogue", loop: d.loop, streams: map[model.ProxyID]bool{}, ready: map[model.ReplicaID]model.Listing{}, began: d.now()}
 	var err error
-	r.line = channel.Line{Listen: fmt.Sprintf("127.%d.254.1:7700", d.octet), Life: 1, Zones: d.Zones, Period: d.Terms.Period,
+	r.line = pubsub.Line{Listen: fmt.Sprintf("127.%d.254.1:7700", d.octet), Life: 1, Zones: d.Zones, Period: d.Terms.Period,
 		Overhead: d.Terms.Overhead, Pace: 1e6, Now: d.now, Log: zerolog.Nop()}
-	if r.server, err = channel.Listen(r.line, r); err != nil {
+	if r.server, err = pubsub.Listen(r.line, r); err != nil {
 		return nil, err
 	}
 	r.list, err = roster.NewConsul(roster.Query{Address: d.list.Addr(), Service: serviceName, Caller: "peppervale/" + r.name, Zones: d.Zones,
--- a/channel/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -1,4 +1,4 @@
-package channel
+package pubsub
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"go.uber.org/goleak"
 
 	"peppervale/admission"
-	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/resp"
 	"peppervale/rules"
 	"peppervale/stand"
--- a/channel/doc.go
+++ b/internal/pubsub/doc.go
@@ -17,4 +17,4 @@
 //
 // One mechanism a file: board.go what each forwarder was sent, pacer.go the queue, peer.go a connection's words,
 // server.go the sockets.
-package channel
+package pubsub
--- a/channel/golden_test.go
+++ b/internal/pubsub/golden_test.go
@@ -1,4 +1,4 @@
-package channel
+package pubsub
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"reflect"
 	"testing"
 
-	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/tablewire"
 )
 
--- a/channel/pacer.go
+++ b/internal/pubsub/pacer.go
@@ -1,8 +1,8 @@
-package channel
+package pubsub
 
 import (
-	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 )
 
 // pacer is the queue: messages leave one after the other, each taking its lines' time. It is free of I/O.
--- a/channel/peer.go
+++ b/internal/pubsub/peer.go
@@ -1,4 +1,4 @@
-package channel
+package pubsub
 
 import (
 	"fmt"
--- a/channel/server.go
+++ b/internal/pubsub/server.go
@@ -1,4 +1,4 @@
-package channel
+package pubsub
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/admission"
-	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/resp"
 	"peppervale/sockets"
 	"peppervale/tablewire"
@@ -667,9 +667,9 @@
 	zone     int
 	part     int
 	proxy    model.ProxyID
-	stream   uint64        // 0: not joined
+	stream   uint64           // 0: not joined
 	holder   *snapshot.Holder // nil until admitted
-	sums     uint64        // number of the newest report
+	sums     uint64           // number of the newest report
 	meter    admission.Meter
 	resyncAt model.Micros
 }
--- a/measure/channel.go
+++ b/measure/channel.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/snapshot"
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/rules"
@@ -57,7 +57,7 @@
 
 // publisher admits whoever joins and waits for receipts.
 type publisher struct {
-	server  *channel.Server
+	server  *pubsub.Server
 	joined  chan model.ProxyID
 	applied chan uint32
 }
@@ -78,8 +78,8 @@
 	p := &publisher{joined: make(chan model.ProxyID, n), applied: make(chan uint32, 2*n)}
 	before := memory()
 	var err error
-	p.server, err = channel.Listen(channel.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"zone"}, Period: 3600 * model.Second, Overhead: 6,
-		Pace: 1e12, Now: now, Log: zerolog.Nop(), Limits: channel.Limits{Connections: n + 10, Unsent: 4 << 20}}, p)
+	p.server, err = pubsub.Listen(pubsub.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"zone"}, Period: 3600 * model.Second, Overhead: 6,
+		Pace: 1e12, Now: now, Log: zerolog.Nop(), Limits: pubsub.Limits{Connections: n + 10, Unsent: 4 << 20}}, p)
 	if err != nil {
 		return nil, err
 	}
--- a/measure/storm.go
+++ b/measure/storm.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/admission"
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/rules"
@@ -46,8 +46,8 @@
 func Storm(n int, rate float64) (*StormFigures, error) {
 	now := controller.Clock()
 	c := &counter{&publisher{joined: make(chan model.ProxyID, n), applied: make(chan uint32, n)}, now, make(chan model.Micros, 10*n)}
-	server, err := channel.Listen(channel.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"zone"}, Period: 3600 * model.Second, Overhead: 6, Pace: 1e9,
-		Now: now, Log: zerolog.Nop(), Limits: channel.Limits{Connections: 2 * n}, Joins: admission.Bounds{Rate: rate, Burst: 50, Spread: 1, Seed: 1}}, c)
+	server, err := pubsub.Listen(pubsub.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"zone"}, Period: 3600 * model.Second, Overhead: 6, Pace: 1e9,
+		Now: now, Log: zerolog.Nop(), Limits: pubsub.Limits{Connections: 2 * n}, Joins: admission.Bounds{Rate: rate, Burst: 50, Spread: 1, Seed: 1}}, c)
 	if err != nil {
 		return nil, err
 	}
--- a/stand/forwarder/takeover_test.go
+++ b/stand/forwarder/takeover_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/goleak"
 
 	"peppervale/internal/snapshot"
-	"peppervale/channel"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/rules"
 	"peppervale/stand"
@@ -25,7 +25,7 @@
 
 // holder is a governor's channel that holds the one part there is, or not, as the test says; it orders what the test says.
 type holder struct {
-	*channel.Server
+	*pubsub.Server
 	mu     sync.Mutex
 	epoch  uint64 // 0: it holds nothing
 	other  *holder
@@ -93,7 +93,7 @@
 	open := func() *holder {
 		h := &holder{joined: make(chan model.ProxyID, 10)}
 		var err error
-		if h.Server, err = channel.Listen(channel.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"govan"}, Period: model.Second, Pace: 1e6, Leases: h,
+		if h.Server, err = pubsub.Listen(pubsub.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"govan"}, Period: model.Second, Pace: 1e6, Leases: h,
 			Now: now, Log: zerolog.Nop()}, h); err != nil {
 			t.Fatal(err)
 		}
