--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -12,7 +12,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/platform"
+	"peppervale/internal/platform"
 	"peppervale/platformwire"
 	"peppervale/roster"
 	"peppervale/site"
--- a/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,8 +23,8 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/platformwire"
 	"peppervale/resp"
 	"peppervale/sockets"
@@ -132,7 +132,7 @@
 	stream   uint64 // 0: none
 	zone     int
 	fresh    bool
-	holder   *snapshot.Holder            // nil until admitted
+	holder   *snapshot.Holder         // nil until admitted
 	settled  map[model.ReplicaID]bool // what it was told out or back on this stream, or will be; only where it came with withdrawals of its own
 	later    []model.ReplicaID        // of a bind's lines, those that are told back when there is room
 	owed     []owed
--- a/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,9 +12,9 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/internal/snapshot"
-	"peppervale/internal/model"
 	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/platformwire"
 	"peppervale/resp"
 	"peppervale/tablewire"
@@ -157,7 +157,9 @@
 	return snapshot.Order{What: snapshot.Withdraw, Replica: h.id(n), Out: out}
 }
 
-func bind(p model.ProxyID) snapshot.Order { return snapshot.Order{What: snapshot.Bind, Proxy: p, Table: 1} }
+func bind(p model.ProxyID) snapshot.Order {
+	return snapshot.Order{What: snapshot.Bind, Proxy: p, Table: 1}
+}
 
 // client is the other end of a connection, by hand.
 type client struct {
