--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -14,7 +14,7 @@
 	"peppervale/internal/controller"
 	"peppervale/internal/platform"
 	"peppervale/platformwire"
-	"peppervale/roster"
+	"peppervale/internal/discovery"
 	"peppervale/site"
 )
 
@@ -49,7 +49,7 @@
 	host := controller.New(p.Terms, intakeMost, now, log)
 	host.KeepNoCauses()
 	names := platformwire.NewNames()
-	list, err := roster.NewWatch(roster.Discovery{Address: p.Discovery, Zones: p.Zones, Names: names, Known: p.Known,
+	list, err := discovery.NewWatch(discovery.Discovery{Address: p.Discovery, Zones: p.Zones, Names: names, Known: p.Known,
 		Seed: p.Terms.Seed, Log: log}, host)
 	if err != nil {
 		return err
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/group"
-	"peppervale/roster"
+	"peppervale/internal/discovery"
 	"peppervale/site"
 	"peppervale/store"
 )
@@ -60,7 +60,7 @@
 		return fmt.Errorf("%w; another process may have the address", err)
 	}
 	defer server.Close()
-	list, err := roster.NewConsul(roster.Query{Address: g.List.Address, Service: g.List.Service, Zones: g.Zones,
+	list, err := discovery.NewConsul(discovery.Query{Address: g.List.Address, Service: g.List.Service, Zones: g.Zones,
 		Caller: "peppervale/" + g.Name, Wait: g.List.Wait, Slack: g.List.Slack, Log: log}, kept)
 	if err != nil {
 		return err
--- a/day/rogue.go
+++ b/day/rogue.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/snapshot"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
-	"peppervale/roster"
+	"peppervale/internal/discovery"
 	"peppervale/stand"
 	"peppervale/tablewire"
 )
@@ -29,7 +29,7 @@
 	name    string
 	loop    *stand.Loop
 	server  *pubsub.Server
-	list    *roster.Consul
+	list    *discovery.Consul
 	line    pubsub.Line
 	streams map[model.ProxyID]bool
 	ready   map[model.ReplicaID]model.Listing
@@ -47,7 +47,7 @@
 	if r.server, err = pubsub.Listen(r.line, r); err != nil {
 		return nil, err
 	}
-	r.list, err = roster.NewConsul(roster.Query{Address: d.list.Addr(), Service: serviceName, Caller: "peppervale/" + r.name, Zones: d.Zones,
+	r.list, err = discovery.NewConsul(discovery.Query{Address: d.list.Addr(), Service: serviceName, Caller: "peppervale/" + r.name, Zones: d.Zones,
 		Wait: (5 * model.Second).Duration(), Slack: (2 * model.Second).Duration(), Log: zerolog.Nop()}, r)
 	if err != nil {
 		r.server.Close()
--- a/roster/roster.go
+++ b/internal/discovery/roster.go
@@ -9,7 +9,7 @@
 //
 // Caveats: an entry that cannot be read (no IPv4 address, an unknown zone) is left out and counted in the log; the
 // list does not fail for it.
-package roster
+package discovery
 
 import "peppervale/internal/model"
 
--- a/roster/roster_test.go
+++ b/internal/discovery/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"fmt"
--- a/roster/watch.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/model"
 	"peppervale/httpwire"
+	"peppervale/internal/model"
 	"peppervale/platformwire"
 	"peppervale/sockets"
 )
