--- a/command/group.go
+++ b/command/group.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"peppervale/group"
+	"peppervale/internal/cluster"
 )
 
 // Group is peppervale group.
@@ -26,7 +26,7 @@
 }
 
 func (m member) ask(words ...string) error {
-	_, err := group.Ask(m.At, m.Wait, words...)
+	_, err := cluster.Ask(m.At, m.Wait, words...)
 	return err
 }
 
@@ -38,7 +38,7 @@
 
 // Run is the command.
 func (c *GroupStatus) Run(out io.Writer) error {
-	text, err := group.Ask(c.At, c.Wait, "STATUS")
+	text, err := cluster.Ask(c.At, c.Wait, "STATUS")
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 		_, err = fmt.Fprintln(out, text)
 		return err
 	}
-	var s group.Status
+	var s cluster.Status
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
 		return fmt.Errorf("%s: %w", c.At, err)
 	}
--- a/console/body.go
+++ b/console/body.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 	"peppervale/tablewire"
 )
 
@@ -399,7 +399,7 @@
 // groupPage is who holds which part, by what this member knows.
 type groupPage struct {
 	Alone bool `json:"alone,omitempty"`
-	group.Status
+	cluster.Status
 }
 
 func (s *Server) group(_ *page, rest string, _ *http.Request) (any, error) {
--- a/console/console.go
+++ b/console/console.go
@@ -16,7 +16,7 @@
 	"peppervale/console/frame"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 )
 
 // Source is what the console reads; governor.Host and channel.Server are the real ones.
@@ -37,7 +37,7 @@
 	Before     []byte             // what the life before last published, a channel.Picture in JSON; nil if none is known
 	QueueMost  int
 	Now        func() model.Micros
-	Group      func() group.Status // nil: it shares the fleet with nobody
+	Group      func() cluster.Status // nil: it shares the fleet with nobody
 }
 
 // Bounds on viewers.
--- a/console/golden_test.go
+++ b/console/golden_test.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/balancer"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 )
 
 var update = flag.Bool("update", false, "write the golden pages in testdata anew")
@@ -61,12 +61,12 @@
 }
 
 // stillStatus is a group's status with every field set.
-func stillStatus() group.Status {
-	return group.Status{Member: "govan-1", Leader: "partick-1", Term: 4, Agreed: 5, Trouble: "no majority", SpanUs: 2_000_000, DriftUs: 30_000,
-		Members: []group.MemberStatus{{Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Limit: 100.5, Votes: true, Seems: true, Leaving: true, Struck: true, Life: 6, Parts: 7, Load: 8.5}},
-		Parts: []group.PartStatus{{Number: 9, Zone: "govan", Holder: "govan-1", Wanted: "partick-1", ByHand: true, Epoch: 10, Load: 11.5, Here: true, LeftUs: 1_200_000,
+func stillStatus() cluster.Status {
+	return cluster.Status{Member: "govan-1", Leader: "partick-1", Term: 4, Agreed: 5, Trouble: "no majority", SpanUs: 2_000_000, DriftUs: 30_000,
+		Members: []cluster.MemberStatus{{Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Limit: 100.5, Votes: true, Seems: true, Leaving: true, Struck: true, Life: 6, Parts: 7, Load: 8.5}},
+		Parts: []cluster.PartStatus{{Number: 9, Zone: "govan", Holder: "govan-1", Wanted: "partick-1", ByHand: true, Epoch: 10, Load: 11.5, Here: true, LeftUs: 1_200_000,
 			Why: "waits for partick-1"}},
-		Events: []group.Event{{At: 13, Leader: "partick-1", Part: 9, Epoch: 10, From: "partick-1", To: "govan-1", Planned: true, Why: "its member leaves"},
+		Events: []cluster.Event{{At: 13, Leader: "partick-1", Part: 9, Epoch: 10, From: "partick-1", To: "govan-1", Planned: true, Why: "its member leaves"},
 			{At: 14, Leader: "govan-1", Part: 15, Epoch: 16, From: "govan-1", To: "partick-1", Planned: true, Why: "evener"}}}
 }
 
--- a/console/group_test.go
+++ b/console/group_test.go
@@ -9,7 +9,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 )
 
 // standby is a governor of a group that has not begun to step: it holds no part.
@@ -23,12 +23,12 @@
 // A governor that stands by has nothing to show but its group, and says so on every other page; the group's page tells why it holds
 // nothing, who holds what and how it came to be.
 func TestTheGroupOfOneThatStandsBy(t *testing.T) {
-	status := group.Status{Member: "govan-1", Leader: "partick-1", Term: 4, Trouble: "a majority is <not> there", SpanUs: 2 * model.Second,
-		Members: []group.MemberStatus{{Name: "govan-1", Zone: "govan", Seems: true, Votes: true}, {Name: "partick-1", Zone: "partick", Leaving: true, Parts: 1, Load: 12}},
-		Parts:   []group.PartStatus{{Number: 0, Zone: "govan", Holder: "partick-1", Wanted: "govan-1", Epoch: 7, Why: "evener: waits for partick-1"}},
-		Events:  []group.Event{{Part: 0, Epoch: 6, To: "govan-1", Why: "with nobody"}, {Part: 0, Epoch: 7, From: "govan-1", To: "partick-1", Why: "its member is gone"}}}
+	status := cluster.Status{Member: "govan-1", Leader: "partick-1", Term: 4, Trouble: "a majority is <not> there", SpanUs: 2 * model.Second,
+		Members: []cluster.MemberStatus{{Name: "govan-1", Zone: "govan", Seems: true, Votes: true}, {Name: "partick-1", Zone: "partick", Leaving: true, Parts: 1, Load: 12}},
+		Parts:   []cluster.PartStatus{{Number: 0, Zone: "govan", Holder: "partick-1", Wanted: "govan-1", Epoch: 7, Why: "evener: waits for partick-1"}},
+		Events:  []cluster.Event{{Part: 0, Epoch: 6, To: "govan-1", Why: "with nobody"}, {Part: 0, Epoch: 7, From: "govan-1", To: "partick-1", Why: "its member is gone"}}}
 	pages, err := Listen("127.0.0.1:0", About{Name: "govan-1", Zones: []string{"govan", "partick"}, Now: func() model.Micros { return 10 * model.Second },
-		Settings: func() [][2]string { return nil }, Group: func() group.Status { return status }}, standby{})
+		Settings: func() [][2]string { return nil }, Group: func() cluster.Status { return status }}, standby{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -12,7 +12,7 @@
 	"peppervale/console"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 	"peppervale/internal/discovery"
 	"peppervale/site"
 	"peppervale/store"
@@ -23,7 +23,7 @@
 	Reload    <-chan struct{}                // asks that the file is read again
 	Read      func() (*site.Governor, error) // reads it
 	Threshold *Threshold                     // of the log
-	Links     group.Links                    // between members of its group; tests cut them
+	Links     cluster.Links                    // between members of its group; tests cut them
 }
 
 // publishedEvery is how often what stands published is put down, if it changed: the console of a successor shows it until it has
--- a/daemon/share.go
+++ b/daemon/share.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 	"peppervale/lease"
 	"peppervale/site"
 )
@@ -22,8 +22,8 @@
 // the design says of a start (bind nobody, hold weights until each listed replica is named) is then true of an unplanned takeover by
 // a governor that stood by. A nil sharing is a governor alone.
 type sharing struct {
-	terms  group.Terms
-	group  atomic.Pointer[group.Group] // nil until it is open: nothing is held before
+	terms  cluster.Terms
+	group  atomic.Pointer[cluster.Group] // nil until it is open: nothing is held before
 	done   chan struct{}
 	wait   sync.WaitGroup
 	server *pubsub.Server
@@ -36,7 +36,7 @@
 
 func newSharing(g *site.Governor) *sharing {
 	of := g.Group
-	return &sharing{done: make(chan struct{}), terms: group.Terms{Lease: lease.Terms{Span: of.Span, Drift: of.Drift},
+	return &sharing{done: make(chan struct{}), terms: cluster.Terms{Lease: lease.Terms{Span: of.Span, Drift: of.Drift},
 		Assign: assign.Terms{Settle: of.Settle, Pace: of.Pace}, Zones: g.Zones, PartsEach: of.Parts}}
 }
 
@@ -44,15 +44,15 @@
 // were given one name and a folder each begin with the same number there.
 func holderLife(life uint64) uint64 { return life<<20 | rand.Uint64N(1<<20) }
 
-func (s *sharing) open(g *site.Governor, life uint64, server *pubsub.Server, now func() model.Micros, links group.Links, log zerolog.Logger) (err error) {
+func (s *sharing) open(g *site.Governor, life uint64, server *pubsub.Server, now func() model.Micros, links cluster.Links, log zerolog.Logger) (err error) {
 	s.server = server
 	of := g.Group
-	line := group.Line{Name: g.Name, Zone: of.Zone, Channel: server.Addr(), Listen: of.Listen, Gossip: of.Gossip, Folder: filepath.Join(g.State, "group"),
-		Life: holderLife(life), Join: of.Join, Limit: of.Limit, Loads: server.Loads, Strays: func() map[int]int { return server.Strays(of.Span / 2) }, Hands: group.Hands{Give: s.give, Take: s.take}, Now: now, Links: links, Log: log, Terms: s.terms}
+	line := cluster.Line{Name: g.Name, Zone: of.Zone, Channel: server.Addr(), Listen: of.Listen, Gossip: of.Gossip, Folder: filepath.Join(g.State, "group"),
+		Life: holderLife(life), Join: of.Join, Limit: of.Limit, Loads: server.Loads, Strays: func() map[int]int { return server.Strays(of.Span / 2) }, Hands: cluster.Hands{Give: s.give, Take: s.take}, Now: now, Links: links, Log: log, Terms: s.terms}
 	for _, m := range of.Members {
-		line.Peers = append(line.Peers, group.Peer{Name: m.Name, Address: m.Address, Gossip: m.Gossip})
+		line.Peers = append(line.Peers, cluster.Peer{Name: m.Name, Address: m.Address, Gossip: m.Gossip})
 	}
-	opened, err := group.Open(line, s)
+	opened, err := cluster.Open(line, s)
 	if err == nil {
 		s.group.Store(opened)
 	}
@@ -75,8 +75,8 @@
 }
 
 // give is what this governor tells the next holder of parts that it gives away.
-func (s *sharing) give() group.Handover {
-	picture, h := s.server.Picture(), group.Handover{Sums: s.host.Newest()}
+func (s *sharing) give() cluster.Handover {
+	picture, h := s.server.Picture(), cluster.Handover{Sums: s.host.Newest()}
 	h.Withdrawn = picture.Withdrawn
 	if v := s.host.View(); v != nil && v.Look != nil {
 		h.Unacknowledged = v.Look.Module.Unacked
@@ -86,7 +86,7 @@
 
 // take keeps what a holder told of its parts, if the module here has not begun: it opens its gate on what is named there, while an
 // unplanned takeover waits as after any start. A module that runs has heard of the replicas by itself.
-func (s *sharing) take(h group.Handover) {
+func (s *sharing) take(h cluster.Handover) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.begun {
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/snapshot"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 	"peppervale/rules"
 	"peppervale/site"
 	"peppervale/stand"
@@ -171,7 +171,7 @@
 		}
 		if time.Now().After(until) {
 			for _, port := range w.ports {
-				text, err := group.Ask(port, time.Second, "STATUS")
+				text, err := cluster.Ask(port, time.Second, "STATUS")
 				w.t.Log(text, err)
 			}
 			w.t.Fatalf("never: %s; they are at %v", what, where)
@@ -187,7 +187,7 @@
 	w.await("each at home", home)
 	w.isolate(w.names[1], true)
 	w.await("taken over", func(k int, governor string) bool { return governor != "" && governor != w.names[1] })
-	text, err := group.Ask(w.ports[1], 5*time.Second, "STATUS")
+	text, err := cluster.Ask(w.ports[1], 5*time.Second, "STATUS")
 	if err != nil || !strings.Contains(text, "majority") {
 		t.Errorf("the one that is cut off says %v %.300s", err, text)
 	}
@@ -261,7 +261,7 @@
 	all("ordered by nobody", func(f *forwarder.Forwarder) bool { return f.Joined() == "" })
 	all("on what it holds", func(f *forwarder.Forwarder) bool { return len(f.Holds()) > 0 && !sends(f) })
 	for _, port := range w.ports {
-		if text, err := group.Ask(port, 5*time.Second, "STATUS"); err != nil || !strings.Contains(text, "majority") {
+		if text, err := cluster.Ask(port, 5*time.Second, "STATUS"); err != nil || !strings.Contains(text, "majority") {
 			t.Errorf("%v %.300s", err, text)
 		}
 	}
@@ -316,7 +316,7 @@
 		s.host = controller.New(terms, 1000, controller.Clock(), zerolog.Nop())
 		s.begin = func() { go s.host.Run(quietChannel{}, quietRoster{}, nil) }
 		if planned {
-			s.take(group.Handover{Sums: []model.Sum{{Replica: replica(1), Tries: 50, Latency: 1000, Span: model.Second}, {Replica: replica(2), Tries: 50, Latency: 1000, Span: model.Second}}})
+			s.take(cluster.Handover{Sums: []model.Sum{{Replica: replica(1), Tries: 50, Latency: 1000, Span: model.Second}, {Replica: replica(2), Tries: 50, Latency: 1000, Span: model.Second}}})
 		}
 		s.Gained(0, 1)
 		s.host.Listed(model.Whole, []model.Listing{{ID: replica(1), Life: model.Ready}, {ID: replica(2), Life: model.Ready}})
--- a/group/doc.go
+++ b/internal/cluster/doc.go
@@ -20,4 +20,4 @@
 // One mechanism a file: register.go what is agreed on, member.go what one member does about it (both free of I/O), engine.go
 // raft, disk.go its store, gossip.go memberlist, links.go connections between members, wire.go requests between members and of
 // operators, hand.go what a holder tells the next one, status.go what a member knows, group.go the whole.
-package group
+package cluster
--- a/group/engine.go
+++ b/internal/cluster/engine.go
@@ -1,4 +1,4 @@
-package group
+package cluster
 
 import (
 	"errors"
--- a/group/state_want_test.go
+++ b/internal/cluster/state_want_test.go
@@ -1,4 +1,4 @@
-package group
+package cluster
 
 // The values that the folder of each member in testdata/folders holds, under their names in CBOR. They are literals: a value
 // that is read otherwise is lost to groups that run already.
--- a/measure/quiet.go
+++ b/measure/quiet.go
@@ -15,7 +15,7 @@
 	"peppervale/assign"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 	"peppervale/lease"
 )
 
@@ -54,9 +54,9 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	terms := group.Terms{Lease: lease.Terms{Span: model.Micros(span / time.Microsecond), Drift: model.Micros(span / time.Microsecond / 20)},
+	terms := cluster.Terms{Lease: lease.Terms{Span: model.Micros(span / time.Microsecond), Drift: model.Micros(span / time.Microsecond / 20)},
 		Assign: assign.Terms{Settle: model.Second, Pace: model.Second}, PartsEach: partsEach}
-	var peers []group.Peer
+	var peers []cluster.Peer
 	var taken []net.Listener // held until all are drawn, so that no two are the same
 	for k := range members {
 		var at [2]string
@@ -67,7 +67,7 @@
 			}
 			at[i], taken = l.Addr().String(), append(taken, l)
 		}
-		peers = append(peers, group.Peer{Name: fmt.Sprint("g", k), Address: at[0], Gossip: at[1]})
+		peers = append(peers, cluster.Peer{Name: fmt.Sprint("g", k), Address: at[0], Gossip: at[1]})
 		terms.Zones = append(terms.Zones, fmt.Sprint("zone-", k))
 	}
 	for _, l := range taken {
@@ -76,15 +76,15 @@
 	return quiet(ctx, dir, peers, terms, while)
 }
 
-func quiet(ctx context.Context, dir string, peers []group.Peer, terms group.Terms, while time.Duration) (*QuietFigures, error) {
+func quiet(ctx context.Context, dir string, peers []cluster.Peer, terms cluster.Terms, while time.Duration) (*QuietFigures, error) {
 	var counts []*counting
-	var groups []*group.Group
+	var groups []*cluster.Group
 	now := controller.Clock()
 	for k, p := range peers {
 		c := &counting{name: p.Name}
-		l := group.Line{Name: p.Name, Zone: terms.Zones[k], Channel: "127.0.0.1:1", Listen: p.Address, Gossip: p.Gossip, Folder: filepath.Join(dir, p.Name), Life: 1,
+		l := cluster.Line{Name: p.Name, Zone: terms.Zones[k], Channel: "127.0.0.1:1", Listen: p.Address, Gossip: p.Gossip, Folder: filepath.Join(dir, p.Name), Life: 1,
 			Peers: peers, Terms: terms, Now: now, Links: c, Log: zerolog.Nop()}
-		g, err := group.Open(l, nobody{})
+		g, err := cluster.Open(l, nobody{})
 		if err != nil {
 			return nil, err
 		}
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -15,7 +15,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/group"
+	"peppervale/internal/cluster"
 	"peppervale/rules"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
@@ -257,8 +257,8 @@
 	if !shared {
 		return 0
 	}
-	text, err := group.Ask(s.group, 5*time.Second, "STATUS")
-	var status group.Status
+	text, err := cluster.Ask(s.group, 5*time.Second, "STATUS")
+	var status cluster.Status
 	if err != nil || json.Unmarshal([]byte(text), &status) != nil {
 		return 0
 	}
