--- a/daemon/share.go
+++ b/daemon/share.go
@@ -14,7 +14,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
-	"peppervale/lease"
+	"peppervale/internal/lease"
 	"peppervale/site"
 )
 
--- a/internal/cluster/group_test.go
+++ b/internal/cluster/group_test.go
@@ -16,8 +16,8 @@
 	"go.uber.org/goleak"
 
 	"peppervale/assign"
+	"peppervale/internal/lease"
 	"peppervale/internal/model"
-	"peppervale/lease"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"peppervale/assign"
+	"peppervale/internal/lease"
 	"peppervale/internal/model"
-	"peppervale/lease"
 )
 
 // Member is what one life of a member decides: what it asks for and gives up, when it may order, and, while it leads, who should hold
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 
 	"peppervale/assign"
+	"peppervale/internal/lease"
 	"peppervale/internal/model"
-	"peppervale/lease"
 )
 
 var town = Terms{Lease: lease.Terms{Span: 2 * model.Second, Drift: 100 * model.Millisecond},
--- a/internal/cluster/register.go
+++ b/internal/cluster/register.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"peppervale/assign"
+	"peppervale/internal/lease"
 	"peppervale/internal/model"
-	"peppervale/lease"
 )
 
 // form is that of commands and snapshots. One of a higher form stops this program: it cannot know what the others agreed on.
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -21,8 +21,8 @@
 	"github.com/hashicorp/raft"
 
 	"peppervale/assign"
+	"peppervale/internal/lease"
 	"peppervale/internal/model"
-	"peppervale/lease"
 )
 
 // update rewrites testdata. The files there were written before any stored field was renamed: they are to be rewritten only together
--- a/measure/quiet.go
+++ b/measure/quiet.go
@@ -16,7 +16,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
-	"peppervale/lease"
+	"peppervale/internal/lease"
 )
 
 // QuietFigures are of a group in which nothing happens.
--- a/stand/forwarder/forwarder.go
+++ b/stand/forwarder/forwarder.go
@@ -11,7 +11,7 @@
 	"github.com/lesismal/nbio"
 
 	"peppervale/internal/model"
-	"peppervale/lease"
+	"peppervale/internal/lease"
 	"peppervale/rules"
 	"peppervale/sockets"
 	"peppervale/stand"
