--- a/daemon/share.go
+++ b/daemon/share.go
@@ -9,7 +9,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/assign"
+	"peppervale/internal/placement"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
@@ -37,7 +37,7 @@
 func newSharing(g *site.Governor) *sharing {
 	of := g.Group
 	return &sharing{done: make(chan struct{}), terms: cluster.Terms{Lease: lease.Terms{Span: of.Span, Drift: of.Drift},
-		Assign: assign.Terms{Settle: of.Settle, Pace: of.Pace}, Zones: g.Zones, PartsEach: of.Parts}}
+		Assign: placement.Terms{Settle: of.Settle, Pace: of.Pace}, Zones: g.Zones, PartsEach: of.Parts}}
 }
 
 // holderLife is the life that a group knows a process by: the folder's, which grows with each start, and chance, as two processes that
--- a/internal/cluster/group_test.go
+++ b/internal/cluster/group_test.go
@@ -15,16 +15,16 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/assign"
 	"peppervale/internal/lease"
 	"peppervale/internal/model"
+	"peppervale/internal/placement"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // quick are terms for tests over sockets: a lease of a second.
 var quick = Terms{Lease: lease.Terms{Span: model.Second, Drift: 50 * model.Millisecond},
-	Assign: assign.Terms{Settle: 2 * model.Second, Pace: 200 * model.Millisecond}, Zones: []string{"govan", "partick", "dalmarnock"}, PartsEach: 2}
+	Assign: placement.Terms{Settle: 2 * model.Second, Pace: 200 * model.Millisecond}, Zones: []string{"govan", "partick", "dalmarnock"}, PartsEach: 2}
 
 // hands is what members were told that they hold; it fails the test where two hold a part at once, judged as the events come.
 type hands struct {
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
-	"peppervale/assign"
 	"peppervale/internal/lease"
 	"peppervale/internal/model"
+	"peppervale/internal/placement"
 )
 
 // Member is what one life of a member decides: what it asks for and gives up, when it may order, and, while it leads, who should hold
@@ -42,7 +42,7 @@
 	seen  []model.Micros          // when each part's newest renewal came from the log, by this clock; 0: none did
 	heard map[string]model.Micros // the same of members
 
-	mover  assign.Mover
+	mover  placement.Mover
 	here   map[string]model.Micros // since when, by this leader
 	lonely map[int]model.Micros    // parts whose forwarders ask elsewhere, since when
 	planAt model.Micros            // a plan left: none before
@@ -93,7 +93,7 @@
 	}
 	if c.Kind == Plan {
 		m.planAt = 0
-		if slices.ContainsFunc(c.Moves, func(mv assign.Move) bool { return mv.To == m.Name }) {
+		if slices.ContainsFunc(c.Moves, func(mv placement.Move) bool { return mv.To == m.Name }) {
 			m.askAt = now // at once: the part may be free
 		}
 	}
@@ -244,7 +244,7 @@
 	}
 	if m.led != m.reg.Term { // a new leader has seen nobody yet
 		m.led, m.ledAt, m.planAt = m.reg.Term, now, 0
-		m.mover, m.here, m.lonely = assign.Mover{}, map[string]model.Micros{}, map[int]model.Micros{}
+		m.mover, m.here, m.lonely = placement.Mover{}, map[string]model.Micros{}, map[int]model.Micros{}
 	}
 	// Members that start together enrol within some round trips. A plan made at once gave the first of them the whole fleet, to be moved
 	// part by part after.
@@ -254,9 +254,9 @@
 	if m.planAt > 0 && now-m.planAt < planFor {
 		return nil
 	}
-	var members []assign.Member
+	var members []placement.Member
 	for _, s := range m.reg.Members {
-		a := assign.Member{Name: s.Name, Zone: s.Record.Zone, Limit: s.Record.Limit, Leaving: s.Leaving || s.Struck, Ending: s.Ending, Here: m.isHere(s, now, alive)}
+		a := placement.Member{Name: s.Name, Zone: s.Record.Zone, Limit: s.Record.Limit, Leaving: s.Leaving || s.Struck, Ending: s.Ending, Here: m.isHere(s, now, alive)}
 		since, was := m.here[s.Name]
 		switch {
 		case !a.Here:
@@ -268,9 +268,9 @@
 		a.Since = since
 		members = append(members, a)
 	}
-	var parts []assign.Part
+	var parts []placement.Part
 	for _, p := range m.reg.Parts {
-		parts = append(parts, assign.Part{Number: p.Number, Zone: p.Zone, Load: p.Load, Wanted: p.Wanted, ByHand: p.ByHand, Asked: m.askedInstead(p, now)})
+		parts = append(parts, placement.Part{Number: p.Number, Zone: p.Zone, Load: p.Load, Wanted: p.Wanted, ByHand: p.ByHand, Asked: m.askedInstead(p, now)})
 	}
 	moves := m.mover.Decide(m.terms.Assign, now, members, parts)
 	if len(moves) == 0 {
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -6,13 +6,13 @@
 
 	"pgregory.net/rapid"
 
-	"peppervale/assign"
 	"peppervale/internal/lease"
 	"peppervale/internal/model"
+	"peppervale/internal/placement"
 )
 
 var town = Terms{Lease: lease.Terms{Span: 2 * model.Second, Drift: 100 * model.Millisecond},
-	Assign: assign.Terms{Settle: 5 * model.Second, Pace: model.Second}, Zones: []string{"govan", "partick", "dalmarnock"}, PartsEach: 2}
+	Assign: placement.Terms{Settle: 5 * model.Second, Pace: model.Second}, Zones: []string{"govan", "partick", "dalmarnock"}, PartsEach: 2}
 
 // circle is a group on a log in memory: agreed on at once, carried to each member unless it is cut off or down.
 type circle struct {
--- a/internal/cluster/register.go
+++ b/internal/cluster/register.go
@@ -6,9 +6,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"peppervale/assign"
 	"peppervale/internal/lease"
 	"peppervale/internal/model"
+	"peppervale/internal/placement"
 )
 
 // form is that of commands and snapshots. One of a higher form stops this program: it cannot know what the others agreed on.
@@ -39,7 +39,7 @@
 	Record *Record                 `cbor:"Record,omitempty"`
 	Asks   []PartAsk               `cbor:"Asks,omitempty"`
 	Strays []Stray                 `cbor:"Strays,omitempty"` // Renew: forwarders that ask this member over and over for parts of others
-	Moves  []assign.Move           `cbor:"Moves,omitempty"`
+	Moves  []placement.Move        `cbor:"Moves,omitempty"`
 	Seen   []PartSeen              `cbor:"Seen,omitempty"`  // Lead: of each part, by its number
 	Heard  map[string]model.Micros `cbor:"Heard,omitempty"` // Lead: how long ago members renewed
 	ByHand bool                    `cbor:"ByHand"`
@@ -145,7 +145,7 @@
 // Terms are the settings that all members have alike.
 type Terms struct {
 	Lease     lease.Terms
-	Assign    assign.Terms
+	Assign    placement.Terms
 	Zones     []string
 	PartsEach int // of each zone
 }
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -20,9 +20,9 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"peppervale/assign"
 	"peppervale/internal/lease"
 	"peppervale/internal/model"
+	"peppervale/internal/placement"
 )
 
 // update rewrites testdata. The files there were written before any stored field was renamed: they are to be rewritten only together
@@ -158,7 +158,7 @@
 		"release": command(Release, func(c *Command) { c.Asks = []PartAsk{{Part: 2, Number: 9}} }),
 		"plan": command(Plan, func(c *Command) {
 			c.ByHand = true
-			c.Moves = []assign.Move{{Part: 2, From: "m0", To: "m1", Why: "moved by hand"}}
+			c.Moves = []placement.Move{{Part: 2, From: "m0", To: "m1", Why: "moved by hand"}}
 		}),
 		"leave":  command(Leave, func(c *Command) { c.ByHand, c.On = true, true }),
 		"strike": command(Strike, func(c *Command) { c.Member = "m2" }),
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"peppervale/assign"
+	"peppervale/internal/placement"
 	"peppervale/resp"
 )
 
@@ -316,7 +316,7 @@
 			return err
 		}
 		return g.engine.propose(&Command{Form: form, Kind: Plan, Member: g.line.Name, ByHand: true,
-			Moves: []assign.Move{{Part: part, To: words[1], Why: "moved by hand"}}})
+			Moves: []placement.Move{{Part: part, To: words[1], Why: "moved by hand"}}})
 	}},
 	"LEAVE": {2, func(g *Group, words []string) error {
 		if err := g.mustBeKnown(words[0]); err != nil {
--- a/assign/assign.go
+++ b/internal/placement/assign.go
@@ -21,7 +21,7 @@
 //	its member beyond its limit                another with room                given      one each Pace from it
 //	away from its zone                         a steady member there with room  given      one each Pace to it
 //	its member has more than another as near   a steady one, evener after       given      one each Pace to it
-package assign
+package placement
 
 import (
 	"cmp"
--- a/assign/seed_test.go
+++ b/internal/placement/seed_test.go
@@ -1,4 +1,4 @@
-package assign
+package placement
 
 import "flag"
 
--- a/measure/quiet.go
+++ b/measure/quiet.go
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/assign"
+	"peppervale/internal/placement"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
@@ -55,7 +55,7 @@
 	}
 	defer os.RemoveAll(dir)
 	terms := cluster.Terms{Lease: lease.Terms{Span: model.Micros(span / time.Microsecond), Drift: model.Micros(span / time.Microsecond / 20)},
-		Assign: assign.Terms{Settle: model.Second, Pace: model.Second}, PartsEach: partsEach}
+		Assign: placement.Terms{Settle: model.Second, Pace: model.Second}, PartsEach: partsEach}
 	var peers []cluster.Peer
 	var taken []net.Listener // held until all are drawn, so that no two are the same
 	for k := range members {
