--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -5,7 +5,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/admission"
+	"peppervale/internal/admission"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/controller"
 	"peppervale/site"
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/admission"
+	"peppervale/internal/admission"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
 	"peppervale/resp"
--- a/internal/pubsub/peer.go
+++ b/internal/pubsub/peer.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"peppervale/admission"
+	"peppervale/internal/admission"
 	"peppervale/internal/model"
 	"peppervale/resp"
 	"peppervale/tablewire"
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -11,7 +11,7 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
-	"peppervale/admission"
+	"peppervale/internal/admission"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
 	"peppervale/resp"
--- a/measure/storm.go
+++ b/measure/storm.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/admission"
+	"peppervale/internal/admission"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
