--- a/daemon/archive.go
+++ b/daemon/archive.go
@@ -7,21 +7,21 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/store"
+	"peppervale/internal/statestore"
 )
 
 // archive keeps on disk what the host says and answers from it what is no longer in memory.
 type archive struct {
 	host   *controller.Host
-	folder *store.Folder
-	writer *store.Writer
+	folder *statestore.Folder
+	writer *statestore.Writer
 	life   uint64
 	log    zerolog.Logger
 }
 
-func newArchive(host *controller.Host, folder *store.Folder, life uint64, log zerolog.Logger) *archive {
+func newArchive(host *controller.Host, folder *statestore.Folder, life uint64, log zerolog.Logger) *archive {
 	a := &archive{host: host, folder: folder, life: life, log: log}
-	a.writer = store.NewWriter(folder, func(err error, leftOut uint64) {
+	a.writer = statestore.NewWriter(folder, func(err error, leftOut uint64) {
 		if err != nil {
 			log.Error().Err(err).Msg("the state cannot be put down; a restart will know an older one. It is tried again")
 			return
@@ -34,7 +34,7 @@
 
 func (a *archive) keep(c *controller.Cause) {
 	if body, err := json.Marshal(c); err == nil {
-		a.writer.Cause(store.Record{Life: a.life, Number: c.Number, Body: body})
+		a.writer.Cause(statestore.Record{Life: a.life, Number: c.Number, Body: body})
 	}
 }
 
@@ -53,7 +53,7 @@
 	if len(found) >= most {
 		return found
 	}
-	_, err := a.folder.Causes(a.life, oldest, most-len(found), func(r store.Record) bool {
+	_, err := a.folder.Causes(a.life, oldest, most-len(found), func(r statestore.Record) bool {
 		var one controller.Cause
 		if json.Unmarshal(r.Body, &one) != nil || match != nil && !match(&one) {
 			return false
--- a/daemon/fixture_test.go
+++ b/daemon/fixture_test.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/store"
+	"peppervale/internal/statestore"
 )
 
 var update = flag.Bool("update", false, "write the state fixtures in store/testdata anew")
@@ -54,9 +54,9 @@
 	Forwarders: map[string]string{"till-1": "5"}}
 
 // openArchive opens a state folder as Serve does.
-func openArchive(t *testing.T, dir string) (*archive, *store.Found) {
+func openArchive(t *testing.T, dir string) (*archive, *statestore.Found) {
 	t.Helper()
-	folder, found, err := store.Open(dir, 0)
+	folder, found, err := statestore.Open(dir, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/cluster"
 	"peppervale/internal/discovery"
 	"peppervale/site"
-	"peppervale/store"
+	"peppervale/internal/statestore"
 )
 
 // Outside is what a governor is handed of the process that it runs in. All of it may be missing.
@@ -37,7 +37,7 @@
 		return err
 	}
 	now := controller.Clock()
-	folder, found, err := store.Open(g.State, uint64(now()/model.Second))
+	folder, found, err := statestore.Open(g.State, uint64(now()/model.Second))
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 	return d.archive.Causes(most, match)
 }
 
-func tellFound(log zerolog.Logger, f *store.Found) {
+func tellFound(log zerolog.Logger, f *statestore.Found) {
 	for _, lost := range f.Lost {
 		log.Warn().Err(lost).Msg("of the state this cannot be trusted; going on with the rest")
 	}
--- a/store/doc.go
+++ b/internal/statestore/doc.go
@@ -14,4 +14,4 @@
 // Caveats: values are written behind the decisions (see Writer): a cut loses what came in the last part of a second. The lock is the
 // kernel's (flock): it ends with the process and does not reach over network file systems. A start writes the file once more, so it
 // takes as long as the disk takes for causesBytes at most.
-package store
+package statestore
--- a/store/fixture_test.go
+++ b/internal/statestore/fixture_test.go
@@ -1,4 +1,4 @@
-package store_test
+package statestore_test
 
 import (
 	"encoding/json"
@@ -7,16 +7,16 @@
 	"reflect"
 	"testing"
 
-	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/store"
+	"peppervale/internal/model"
+	"peppervale/internal/statestore"
 )
 
 // The fixtures in testdata were written by the program: go test ./daemon -run TestArchiveReadsStoredState -update
 // writes them anew, which is for a change of the stored form only.
 
 // openFixture opens a copy of a fixture, as opening writes.
-func openFixture(t *testing.T, names ...string) (*store.Folder, *store.Found) {
+func openFixture(t *testing.T, names ...string) (*statestore.Folder, *statestore.Found) {
 	t.Helper()
 	dir := t.TempDir()
 	for _, name := range names {
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 	}
-	folder, found, err := store.Open(dir, 900)
+	folder, found, err := statestore.Open(dir, 900)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	if string(found.Published) != storedPublished {
 		t.Errorf("published state %s; want %s", found.Published, storedPublished)
 	}
-	records, err := folder.Causes(3, 1, 10, func(store.Record) bool { return true })
+	records, err := folder.Causes(3, 1, 10, func(statestore.Record) bool { return true })
 	if err != nil || len(records) != len(storedCauses) {
 		t.Fatalf("%d records, %v; want %d", len(records), err, len(storedCauses))
 	}
--- a/store/store_test.go
+++ b/internal/statestore/store_test.go
@@ -1,4 +1,4 @@
-package store
+package statestore
 
 import (
 	"bytes"
