--- a/command/command.go
+++ b/command/command.go
@@ -24,7 +24,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/measure"
-	"peppervale/site"
+	"peppervale/internal/config"
 )
 
 // ErrInput is input that cannot be used: exit status 2. ErrBroken is a rule that broke: exit status 1.
@@ -54,7 +54,7 @@
 
 // Run is the command.
 func (c *Governor) Run(ctx context.Context, out io.Writer) error {
-	g, err := site.OpenGovernor(c.Config)
+	g, err := config.OpenGovernor(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w:\n%w", ErrInput, err)
 	}
@@ -71,7 +71,7 @@
 	}
 	reload := reloads(ctx)
 	return daemon.Serve(ctx, g, daemon.Outside{Reload: reload, Threshold: threshold,
-		Read: func() (*site.Governor, error) { return site.OpenGovernor(c.Config) }}, log)
+		Read: func() (*config.Governor, error) { return config.OpenGovernor(c.Config) }}, log)
 }
 
 // reloads passes SIGHUP on until the context ends: one that comes while another waits adds nothing, as the file is then read as it is.
@@ -137,7 +137,7 @@
 		kind = "a day"
 		_, err = day.Open(c.File)
 	} else {
-		_, err = site.OpenGovernor(c.File)
+		_, err = config.OpenGovernor(c.File)
 	}
 	if err != nil {
 		return fmt.Errorf("%w:\n%w", ErrInput, err)
--- a/command/platform.go
+++ b/command/platform.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/daemon"
-	"peppervale/site"
+	"peppervale/internal/config"
 )
 
 // Platform is peppervale platform.
@@ -40,7 +40,7 @@
 			os.Exit(0)
 		}
 	}()
-	p, err := site.OpenPlatform(c.Config)
+	p, err := config.OpenPlatform(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
@@ -50,5 +50,5 @@
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	return daemon.ServePlatform(ctx, p, daemon.PlatformOutside{Reload: reload,
-		Read: func() (*site.Platform, error) { return site.OpenPlatform(c.Config) }}, log)
+		Read: func() (*config.Platform, error) { return config.OpenPlatform(c.Config) }}, log)
 }
--- a/command/stand.go
+++ b/command/stand.go
@@ -11,7 +11,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/rules"
-	"peppervale/site"
+	"peppervale/internal/config"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
@@ -31,8 +31,8 @@
 func unseen(rules.Seen) {}
 
 // open reads a stand-in's file; what goes wrong is input.
-func open[T any](path string, read func(top *site.Block) T) (T, error) {
-	r, top := site.Open(path)
+func open[T any](path string, read func(top *config.Block) T) (T, error) {
+	r, top := config.Open(path)
 	var v T
 	if top != nil {
 		v = read(top)
@@ -45,7 +45,7 @@
 }
 
 // address reads an address with a port as a replica's id.
-func address(b *site.Block, name string) model.ReplicaID {
+func address(b *config.Block, name string) model.ReplicaID {
 	text := b.Address(name, false)
 	id, err := tablewire.ParseAddress(text)
 	if err != nil && text != "" {
@@ -65,8 +65,8 @@
 	cold    bool
 }
 
-func readReplica(top *site.Block) (f replicaFile) {
-	for _, o := range site.Operations(top) {
+func readReplica(top *config.Block) (f replicaFile) {
+	for _, o := range config.Operations(top) {
 		f.windows = append(f.windows, o.Window)
 	}
 	b := top.One("replica", 0, true)
@@ -128,7 +128,7 @@
 	trouble         registry.Trouble
 }
 
-func readRegistry(top *site.Block) (f registryFile) {
+func readRegistry(top *config.Block) (f registryFile) {
 	b := top.One("registry", 0, true)
 	f.listen, f.service = b.Address("listen", true), b.Text("service", "")
 	f.trouble = registry.Trouble{Fails: b.Yes("fails", false), Silent: b.Yes("silent", false), Late: b.Span("late", 0, 0, longest)}
@@ -199,14 +199,14 @@
 type forwarderFile struct {
 	facts    forwarder.Facts
 	standing []rules.Line
-	works    []site.Operation
+	works    []config.Operation
 	mean     []model.Micros
 	seed     uint64
 }
 
-func readForwarder(top *site.Block) (f forwarderFile) {
+func readForwarder(top *config.Block) (f forwarderFile) {
 	zones := top.Texts("zones", true)
-	f.works = site.Operations(top)
+	f.works = config.Operations(top)
 	b := top.One("forwarder", 1, true)
 	f.facts = forwarder.Facts{Name: b.Labels[0], Zone: b.Text("zone", "", zones...), Rate: b.Number("rate", 5, 0.01, 10_000),
 		Pick: forwarder.Pick(b.Text("pick", "pair", "lottery", "wheel", "pair")), UsualWay: model.WhenUnrun, FirstWait: 0.8,
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/platform"
 	"peppervale/platformwire"
 	"peppervale/internal/discovery"
-	"peppervale/site"
+	"peppervale/internal/config"
 )
 
 // What a governor on the platform keeps for itself of its descriptors: standard streams, pollers, the listening socket, the watch of
@@ -32,12 +32,12 @@
 // PlatformOutside is what a governor on the platform is handed of its process.
 type PlatformOutside struct {
 	Reload <-chan struct{}                // asks that the file is read again
-	Read   func() (*site.Platform, error) // reads it
+	Read   func() (*config.Platform, error) // reads it
 }
 
 // ServePlatform runs one governor on the operators' platform until the context ends. It has no state folder, console or group: there
 // is no disk that outlives it, and no room for them in its limits. Errors are those of the address.
-func ServePlatform(ctx context.Context, p *site.Platform, out PlatformOutside, log zerolog.Logger) error {
+func ServePlatform(ctx context.Context, p *config.Platform, out PlatformOutside, log zerolog.Logger) error {
 	if err := controller.Check(p.Terms); err != nil {
 		return err
 	}
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -8,16 +8,16 @@
 	"peppervale/internal/admission"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/controller"
-	"peppervale/site"
+	"peppervale/internal/config"
 )
 
 // inForce is the file that holds now; it is replaced as a whole.
 type inForce struct {
 	mu   sync.Mutex
-	file *site.Governor
+	file *config.Governor
 }
 
-func (f *inForce) get() *site.Governor {
+func (f *inForce) get() *config.Governor {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.file
@@ -27,13 +27,13 @@
 func (f *inForce) Settings() [][2]string { return f.get().InForce() }
 
 // reload reads the file again and takes it if a running governor can; a refusal is told and changes nothing.
-func (f *inForce) reload(read func() (*site.Governor, error), host *controller.Host, server *pubsub.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
+func (f *inForce) reload(read func() (*config.Governor, error), host *controller.Host, server *pubsub.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
 	next, err := read()
 	if err != nil {
 		log.Error().Err(err).Msg("reload refused: the file cannot be read; the old settings stay in force")
 		return
 	}
-	changed, err := site.Reload(f.get(), next)
+	changed, err := config.Reload(f.get(), next)
 	if err != nil {
 		log.Error().Err(err).Msg("reload refused")
 		return
@@ -49,12 +49,12 @@
 	log.Info().Strs("changed", changed).Msg("reloaded")
 }
 
-func limits(g *site.Governor) pubsub.Limits {
+func limits(g *config.Governor) pubsub.Limits {
 	p := g.Peers
 	return pubsub.Limits{Connections: p.Connections, Observers: p.Observers, Unsent: p.Unsent, UnsentAll: p.UnsentAll, Greeting: p.Greeting,
 		Commands: admission.Rate{PerSecond: p.CommandRate, Burst: p.CommandBurst}}
 }
 
-func joins(g *site.Governor, seed uint64) admission.Bounds {
+func joins(g *config.Governor, seed uint64) admission.Bounds {
 	return admission.Bounds{Rate: g.Peers.JoinRate, Burst: g.Peers.JoinBurst, Most: g.Peers.JoinMost, Spread: 1, Seed: seed}
 }
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -14,14 +14,14 @@
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
 	"peppervale/internal/discovery"
-	"peppervale/site"
+	"peppervale/internal/config"
 	"peppervale/internal/statestore"
 )
 
 // Outside is what a governor is handed of the process that it runs in. All of it may be missing.
 type Outside struct {
 	Reload    <-chan struct{}                // asks that the file is read again
-	Read      func() (*site.Governor, error) // reads it
+	Read      func() (*config.Governor, error) // reads it
 	Threshold *Threshold                     // of the log
 	Links     cluster.Links                    // between members of its group; tests cut them
 }
@@ -32,7 +32,7 @@
 
 // Serve runs one governor until the context ends; then forwarders are told to go elsewhere within the file's
 // farewell, and nothing is left open. Errors are those of starting: the state folder, the address.
-func Serve(ctx context.Context, g *site.Governor, out Outside, log zerolog.Logger) error {
+func Serve(ctx context.Context, g *config.Governor, out Outside, log zerolog.Logger) error {
 	if err := controller.Check(g.Terms); err != nil {
 		return err
 	}
--- a/daemon/share.go
+++ b/daemon/share.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
 	"peppervale/internal/lease"
-	"peppervale/site"
+	"peppervale/internal/config"
 )
 
 // sharing is a governor's place in a group. The module starts with the first part that the governor holds, not with the process: what
@@ -34,7 +34,7 @@
 	handed []model.Sum // to a governor that has not begun; its module hears them once it has a list
 }
 
-func newSharing(g *site.Governor) *sharing {
+func newSharing(g *config.Governor) *sharing {
 	of := g.Group
 	return &sharing{done: make(chan struct{}), terms: cluster.Terms{Lease: lease.Terms{Span: of.Span, Drift: of.Drift},
 		Assign: placement.Terms{Settle: of.Settle, Pace: of.Pace}, Zones: g.Zones, PartsEach: of.Parts}}
@@ -44,7 +44,7 @@
 // were given one name and a folder each begin with the same number there.
 func holderLife(life uint64) uint64 { return life<<20 | rand.Uint64N(1<<20) }
 
-func (s *sharing) open(g *site.Governor, life uint64, server *pubsub.Server, now func() model.Micros, links cluster.Links, log zerolog.Logger) (err error) {
+func (s *sharing) open(g *config.Governor, life uint64, server *pubsub.Server, now func() model.Micros, links cluster.Links, log zerolog.Logger) (err error) {
 	s.server = server
 	of := g.Group
 	line := cluster.Line{Name: g.Name, Zone: of.Zone, Channel: server.Addr(), Listen: of.Listen, Gossip: of.Gossip, Folder: filepath.Join(g.State, "group"),
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -17,7 +17,7 @@
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
 	"peppervale/rules"
-	"peppervale/site"
+	"peppervale/internal/config"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
@@ -123,7 +123,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		g, err := site.OpenGovernor(path)
+		g, err := config.OpenGovernor(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -273,7 +273,7 @@
 
 // A forwarder joins in the moment that the channel's socket is open and the group is not: it is told to come back, and nothing waits.
 func TestAJoinBeforeTheGroup(t *testing.T) {
-	s := newSharing(&site.Governor{Zones: []string{"govan"}, Group: &site.Group{Parts: 4}})
+	s := newSharing(&config.Governor{Zones: []string{"govan"}, Group: &config.Group{Parts: 4}})
 	if _, ok := s.Holds(s.Part(0, "till-1")); ok || s.Holder(0) != "" {
 		t.Error("a part is held before the group is open")
 	}
@@ -312,7 +312,7 @@
 	for _, planned := range []bool{true, false} {
 		terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: model.Second, Value: 1}}, Zones: 1, Subscribe: true, AdmitAll: 1, StandingSize: 6,
 			Period: 2500 * model.Millisecond, QueueMost: 1000, Proxies: 10, ConnsLeast: 100, BusyField: -1, Cold: model.Second}
-		s := newSharing(&site.Governor{Zones: []string{"govan"}, Group: &site.Group{Parts: 1}})
+		s := newSharing(&config.Governor{Zones: []string{"govan"}, Group: &config.Group{Parts: 1}})
 		s.host = controller.New(terms, 1000, controller.Clock(), zerolog.Nop())
 		s.begin = func() { go s.host.Run(quietChannel{}, quietRoster{}, nil) }
 		if planned {
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -22,7 +22,7 @@
 	"peppervale/daemon"
 	"peppervale/internal/controller"
 	"peppervale/rules"
-	"peppervale/site"
+	"peppervale/internal/config"
 	"peppervale/stand"
 )
 
@@ -31,7 +31,7 @@
 	if len(os.Args) == 4 && os.Args[1] == "governor" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
-		g, err := site.OpenGovernor(os.Args[3])
+		g, err := config.OpenGovernor(os.Args[3])
 		if err == nil {
 			err = daemon.Serve(ctx, g, daemon.Outside{}, zerolog.New(os.Stdout).With().Timestamp().Logger())
 		}
--- a/day/report.go
+++ b/day/report.go
@@ -10,7 +10,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/rules"
-	"peppervale/site"
+	"peppervale/internal/config"
 	"peppervale/stand/forwarder"
 )
 
@@ -106,7 +106,7 @@
 
 // tally counts invocations by operation, and billed value by second of asking.
 type tally struct {
-	of      []site.Operation
+	of      []config.Operation
 	ops     []opTally
 	seconds []value
 }
--- a/day/run.go
+++ b/day/run.go
@@ -17,7 +17,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/rules"
-	"peppervale/site"
+	"peppervale/internal/config"
 	"peppervale/sockets"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
@@ -223,7 +223,7 @@
 		if err := os.WriteFile(p.config, text, 0o644); err != nil {
 			return err
 		}
-		if _, err := site.OpenGovernor(p.config); err != nil {
+		if _, err := config.OpenGovernor(p.config); err != nil {
 			return fmt.Errorf("the day's governors cannot be started:\n%w", err)
 		}
 		d.governors = append(d.governors, p)
@@ -440,7 +440,7 @@
 		o := d.Operations[inv.Operation]
 		took := d.now() - first
 		again := inv.Caller+1 < d.Script.Forwarders.ClientTries && took+d.Script.Forwarders.Backoff < o.Timeout &&
-			(r == forwarder.RateLimited || r == forwarder.Failed && o.Effect == site.Idempotent)
+			(r == forwarder.RateLimited || r == forwarder.Failed && o.Effect == config.Idempotent)
 		if r != forwarder.Succeeded && again {
 			d.loop.After(d.Script.Forwarders.Backoff, func() {
 				next := *inv
--- a/day/script.go
+++ b/day/script.go
@@ -16,7 +16,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/rules"
-	"peppervale/site"
+	"peppervale/internal/config"
 )
 
 // Script is a day as its file gives it.
@@ -29,9 +29,9 @@
 	Governors  []string // the zone of each
 	Shared     *Shared  // nil: governors share nothing
 	Rogue      string   // a governor of the stand's own that does something wrong; "" for the real ones
-	Operations []site.Operation
+	Operations []config.Operation
 	Terms      model.Terms
-	Guarantees site.Guarantees
+	Guarantees config.Guarantees
 	Replicas   Replicas
 	Forwarders Forwarders
 	List       List
@@ -129,7 +129,7 @@
 
 // Open reads a script; the error is site.Faults.
 func Open(path string) (*Script, error) {
-	r, top := site.Open(path)
+	r, top := config.Open(path)
 	if top == nil {
 		return nil, r.Err()
 	}
@@ -138,7 +138,7 @@
 
 // Parse reads a script from a text, as if it stood at path.
 func Parse(path string, text []byte) (*Script, error) {
-	r, top := site.Parse(path, text)
+	r, top := config.Parse(path, text)
 	if top == nil {
 		return nil, r.Err()
 	}
@@ -147,7 +147,7 @@
 
 const hour = 3600 * model.Second
 
-func read(top *site.Block, dir string) *Script {
+func read(top *config.Block, dir string) *Script {
 	s := &Script{}
 	if base := top.Maybe("like"); base != "" { // a day of the same town
 		top.Inherit(filepath.Join(dir, base), "day", "step")
@@ -170,10 +170,10 @@
 			d.Fault("governors", "governors: %q is none of the zones", z)
 		}
 	}
-	s.Operations = site.Operations(top)
-	s.Terms, s.Guarantees = site.ReadTerms(top, s.Seed, s.Zones, s.Operations)
+	s.Operations = config.Operations(top)
+	s.Terms, s.Guarantees = config.ReadTerms(top, s.Seed, s.Zones, s.Operations)
 	c := top.One("channel", 0, true)
-	_, _ = site.ReadChannel(c, &s.Terms, &s.Guarantees)
+	_, _ = config.ReadChannel(c, &s.Terms, &s.Guarantees)
 	c.Peers()
 	c.Done()
 	s.passedOn = top.Source("zones", "operation", "fleet", "rules", "channel")
@@ -199,7 +199,7 @@
 	b = top.One("load", 0, true)
 	s.Load.Rate = b.Number("rate", 0, 0, 100_000)
 	for _, w := range b.Blocks("work", 1) {
-		one := Work{Operation: slices.IndexFunc(s.Operations, func(o site.Operation) bool { return o.Name == w.Labels[0] }),
+		one := Work{Operation: slices.IndexFunc(s.Operations, func(o config.Operation) bool { return o.Name == w.Labels[0] }),
 			Share: w.Number("share", 1, 0, 1e6), Mean: w.Span("mean", -1, 1, hour), Spread: w.Number("spread", 0.5, 0, 10)}
 		if one.Operation < 0 {
 			w.Fault("", "work: no operation %q", w.Labels[0])
@@ -218,7 +218,7 @@
 	return s
 }
 
-func (s *Script) step(b *site.Block) Step {
+func (s *Script) step(b *config.Block) Step {
 	t := Step{Kind: b.Labels[0], At: b.Span("at", -1, 0, hour), Lasts: b.Span("lasts", 5*model.Second, 0, hour),
 		Zone: b.Maybe("zone"), Part: b.Number("part", 0.25, 0, 1), Size: b.Number("size", 3, 0, 1000),
 		Number: b.Whole("number", 1, 0, 1000), Silent: b.Yes("silent", false), Group: b.Maybe("group")}
@@ -248,7 +248,7 @@
 	g := s.Guarantees
 	f := rules.Figures{Zones: s.Zones, Bare: g.Bare, Grace: g.Grace, Cold: g.Cold, TipFactor: g.TipFactor, TipSpan: g.TipSpan,
 		QueueMost: g.QueueMost, WriteMost: g.WriteMost, WriteSpan: g.WriteSpan}
-	effects := map[site.Effect]rules.Effect{site.Idempotent: rules.Idempotent, site.Fingerprinted: rules.Fingerprinted, site.SideEffecting: rules.SideEffecting}
+	effects := map[config.Effect]rules.Effect{config.Idempotent: rules.Idempotent, config.Fingerprinted: rules.Fingerprinted, config.SideEffecting: rules.SideEffecting}
 	for _, o := range s.Operations {
 		f.Operations = append(f.Operations, rules.Operation{Name: o.Name, Effect: effects[o.Effect], Window: o.Window})
 	}
--- a/day/steps.go
+++ b/day/steps.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"peppervale/internal/model"
-	"peppervale/site"
+	"peppervale/internal/config"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 )
@@ -156,7 +156,7 @@
 		d.loop.After(t.Lasts, func() { d.heavy = 0 })
 	},
 	"class_fail": func(d *play, t Step) {
-		op := slices.IndexFunc(d.Operations, func(o site.Operation) bool { return o.Name == t.Group })
+		op := slices.IndexFunc(d.Operations, func(o config.Operation) bool { return o.Name == t.Group })
 		d.each(t, func(m *machine) { m.FailOps = map[int]bool{op: true} }, func(m *machine) { m.FailOps = nil })
 	},
 	"conn_squeeze": func(d *play, t Step) {
--- a/site/platform_test.go
+++ b/internal/config/platform_test.go
@@ -1,4 +1,4 @@
-package site
+package config
 
 import (
 	"os"
--- a/site/reader.go
+++ b/internal/config/reader.go
@@ -1,7 +1,7 @@
 // Package site reads the product's files, which are HCL: what a governor is started with (governor.go), and a
 // reader for files of other rooms. Every fault is told with file, line and column, and what would be right; all faults
 // of a file are told at once.
-package site
+package config
 
 import (
 	"fmt"
--- a/site/reload_test.go
+++ b/internal/config/reload_test.go
@@ -1,4 +1,4 @@
-package site
+package config
 
 import (
 	"os"
@@ -24,7 +24,7 @@
 // Each edit of the example's file either changes in service or is refused with its place and reason, and one of each in the same file
 // is refused whole.
 func TestReload(t *testing.T) {
-	example, err := os.ReadFile("../examples/governor.hcl")
+	example, err := os.ReadFile("../../examples/governor.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
