--- a/day/run.go
+++ b/day/run.go
@@ -18,7 +18,7 @@
 	"peppervale/internal/controller"
 	"peppervale/rules"
 	"peppervale/internal/config"
-	"peppervale/sockets"
+	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
@@ -51,7 +51,7 @@
 	chance    *stand.Chance
 	folder    string
 	temporary bool
-	engine    *sockets.Engine
+	engine    *netpoll.Engine
 	loop      *stand.Loop
 	governors []*process
 	rogue     *rogue
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -13,8 +13,8 @@
 
 	"peppervale/httpwire"
 	"peppervale/internal/model"
+	"peppervale/internal/netpoll"
 	"peppervale/listwire"
-	"peppervale/sockets"
 )
 
 // Query says which list is followed.
@@ -38,7 +38,7 @@
 type Consul struct {
 	query  Query
 	to     Receiver
-	engine *sockets.Engine
+	engine *netpoll.Engine
 	asked  chan struct{}
 	done   chan struct{}
 	wait   sync.WaitGroup
@@ -48,7 +48,7 @@
 func NewConsul(q Query, to Receiver) (*Consul, error) {
 	c := &Consul{query: q, to: to, asked: make(chan struct{}, 1), done: make(chan struct{})}
 	var err error
-	c.engine, err = sockets.Start(1, sockets.Handlers{Data: func(conn *nbio.Conn, data []byte) {
+	c.engine, err = netpoll.Start(1, netpoll.Handlers{Data: func(conn *nbio.Conn, data []byte) {
 		if k, ok := conn.Session().(*call); ok {
 			k.came(data)
 		}
@@ -204,7 +204,7 @@
 			return nil, nil, err
 		}
 	} else {
-		sockets.Dial(c.engine, c.query.Address, c.query.Slack, k, func(n *nbio.Conn, err error) {
+		netpoll.Dial(c.engine, c.query.Address, c.query.Slack, k, func(n *nbio.Conn, err error) {
 			if err != nil {
 				k.end(nil, err)
 				return
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,8 +17,8 @@
 
 	"peppervale/httpwire"
 	"peppervale/internal/model"
+	"peppervale/internal/netpoll"
 	"peppervale/platformwire"
-	"peppervale/sockets"
 )
 
 // Discovery says which list of the operators' platform is watched.
@@ -50,7 +50,7 @@
 	zones  []string
 	names  *platformwire.Names
 	log    zerolog.Logger
-	engine *sockets.Engine
+	engine *netpoll.Engine
 	asked  chan struct{}
 	moved  chan struct{}
 	done   chan struct{}
@@ -72,7 +72,7 @@
 		w.take(d.Known)
 	}
 	var err error
-	w.engine, err = sockets.Start(1, sockets.Handlers{Data: func(conn *nbio.Conn, data []byte) {
+	w.engine, err = netpoll.Start(1, netpoll.Handlers{Data: func(conn *nbio.Conn, data []byte) {
 		if l, ok := conn.Session().(*look); ok {
 			l.came(data)
 		}
@@ -348,7 +348,7 @@
 	l.parser.Stream = l.part
 	request := httpwire.AppendRequest(nil, "GET", "/v1/endpoints?follow=1&since="+strconv.FormatUint(version, 10), address, nil,
 		"Accept", "application/json")
-	sockets.Dial(w.engine, address, watchHead, l, func(c *nbio.Conn, err error) {
+	netpoll.Dial(w.engine, address, watchHead, l, func(c *nbio.Conn, err error) {
 		if err != nil {
 			l.end(err)
 			return
--- a/sockets/inherit.go
+++ b/internal/netpoll/inherit.go
@@ -1,4 +1,4 @@
-package sockets
+package netpoll
 
 import (
 	"net"
--- a/sockets/sockets.go
+++ b/internal/netpoll/sockets.go
@@ -6,7 +6,7 @@
 // goes on. Open, Data and a dial's done run on the connection's poller, Close after it on another goroutine.
 //
 // Caveats: a connection should be closed by Engine.End: the poller may be adding it, or looking at it.
-package sockets
+package netpoll
 
 import (
 	"context"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -24,10 +24,10 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/model"
+	"peppervale/internal/netpoll"
 	"peppervale/internal/snapshot"
 	"peppervale/platformwire"
 	"peppervale/resp"
-	"peppervale/sockets"
 	"peppervale/tablewire"
 )
 
@@ -99,7 +99,7 @@
 type Server struct {
 	line   Line
 	events Events
-	engine *sockets.Engine
+	engine *netpoll.Engine
 	done   chan struct{}
 	wait   sync.WaitGroup
 
@@ -156,7 +156,7 @@
 	var err error
 	s.mu.Lock() // whoever comes before the engine is known here waits
 	defer s.mu.Unlock()
-	s.engine, err = sockets.Start(1, sockets.Handlers{Open: s.opened, Data: s.came, Close: s.closed, Wrote: func(c *nbio.Conn, n int) {
+	s.engine, err = netpoll.Start(1, netpoll.Handlers{Open: s.opened, Data: s.came, Close: s.closed, Wrote: func(c *nbio.Conn, n int) {
 		if p, ok := c.Session().(*peer); ok && n > 0 {
 			p.unsent.Add(-int64(n))
 		}
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -13,9 +13,9 @@
 
 	"peppervale/internal/admission"
 	"peppervale/internal/model"
+	"peppervale/internal/netpoll"
 	"peppervale/internal/snapshot"
 	"peppervale/resp"
-	"peppervale/sockets"
 	"peppervale/tablewire"
 )
 
@@ -116,7 +116,7 @@
 type Server struct {
 	line   Line
 	events Events
-	engine *sockets.Engine
+	engine *netpoll.Engine
 	wake   chan struct{}
 	done   chan struct{}
 	wait   sync.WaitGroup
@@ -146,7 +146,7 @@
 		peers: map[*nbio.Conn]*peer{}, streams: map[model.ProxyID]*peer{}, numbers: map[string]model.ProxyID{},
 		folded: map[*peer]bool{}, strays: map[string]*stray{}}
 	var err error
-	s.engine, err = sockets.Start(2, sockets.Handlers{Open: s.opened, Data: s.came, Close: s.closed, Wrote: func(c *nbio.Conn, n int) {
+	s.engine, err = netpoll.Start(2, netpoll.Handlers{Open: s.opened, Data: s.came, Close: s.closed, Wrote: func(c *nbio.Conn, n int) {
 		if p, ok := c.Session().(*peer); ok && n > 0 {
 			for { // no more than still counts: a peer that is gone was taken off as a whole
 				waits := p.unsent.Load()
--- a/measure/channel.go
+++ b/measure/channel.go
@@ -18,7 +18,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/rules"
-	"peppervale/sockets"
+	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/tablewire"
@@ -37,7 +37,7 @@
 }
 
 // listeners starts n forwarders that carry no invocations and have no other governor; kill ends them.
-func listeners(loop *stand.Loop, engine *sockets.Engine, n int, address string, redial model.Micros, seen func(rules.Seen)) (all []*forwarder.Forwarder, kill func()) {
+func listeners(loop *stand.Loop, engine *netpoll.Engine, n int, address string, redial model.Micros, seen func(rules.Seen)) (all []*forwarder.Forwarder, kill func()) {
 	loop.Do(func() {
 		for k := range n {
 			f := forwarder.New(loop, engine, forwarder.Facts{Name: fmt.Sprint("listener-", k), Zone: "zone", Redial: redial, ConnectFor: 10 * model.Second,
--- a/stand/forwarder/call.go
+++ b/stand/forwarder/call.go
@@ -9,7 +9,7 @@
 	"peppervale/internal/model"
 	"peppervale/httpwire"
 	"peppervale/rules"
-	"peppervale/sockets"
+	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/tablewire"
 )
@@ -235,7 +235,7 @@
 	failed := func() {
 		f.loop.Post(func() { t.end(rules.ConnectFailed, nil) })
 	}
-	sockets.Dial(f.engine, tablewire.Address(at.id), max(f.ConnectFor, 100*model.Millisecond).Duration(), l, func(c *nbio.Conn, err error) {
+	netpoll.Dial(f.engine, tablewire.Address(at.id), max(f.ConnectFor, 100*model.Millisecond).Duration(), l, func(c *nbio.Conn, err error) {
 		if err != nil {
 			failed()
 			return
--- a/stand/forwarder/forwarder.go
+++ b/stand/forwarder/forwarder.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/lease"
 	"peppervale/rules"
-	"peppervale/sockets"
+	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/tablewire"
 )
@@ -92,7 +92,7 @@
 	// Cut keeps it from reaching a governor, by its name: a link that is down.
 	Cut     map[string]bool
 	loop    *stand.Loop
-	engine  *sockets.Engine
+	engine  *netpoll.Engine
 	chance  *stand.Chance
 	seen    func(rules.Seen)
 	alive   bool
@@ -118,13 +118,13 @@
 type held struct{ life, version uint64 }
 
 // New makes a forwarder on an engine whose data and close events go to Data and Closed.
-func New(loop *stand.Loop, engine *sockets.Engine, f Facts, seed uint64, seen func(rules.Seen)) *Forwarder {
+func New(loop *stand.Loop, engine *netpoll.Engine, f Facts, seed uint64, seen func(rules.Seen)) *Forwarder {
 	return &Forwarder{Facts: f, loop: loop, engine: engine, chance: stand.NewChance(seed, f.Name), seen: seen, Cut: map[string]bool{}}
 }
 
 // NewEngine makes the sockets' engine that any number of forwarders share.
-func NewEngine() (*sockets.Engine, error) {
-	return sockets.Start(2, sockets.Handlers{Data: func(c *nbio.Conn, data []byte) {
+func NewEngine() (*netpoll.Engine, error) {
+	return netpoll.Start(2, netpoll.Handlers{Data: func(c *nbio.Conn, data []byte) {
 		if s, ok := c.Session().(session); ok {
 			s.came(append([]byte(nil), data...))
 		}
--- a/stand/forwarder/stream.go
+++ b/stand/forwarder/stream.go
@@ -11,7 +11,7 @@
 	"peppervale/internal/model"
 	"peppervale/resp"
 	"peppervale/rules"
-	"peppervale/sockets"
+	"peppervale/internal/netpoll"
 	"peppervale/tablewire"
 )
 
@@ -65,7 +65,7 @@
 			}
 		})
 	}
-	sockets.Dial(f.engine, g.Address, max(f.ConnectFor, 100*model.Millisecond).Duration(), s, func(c *nbio.Conn, err error) {
+	netpoll.Dial(f.engine, g.Address, max(f.ConnectFor, 100*model.Millisecond).Duration(), s, func(c *nbio.Conn, err error) {
 		if err != nil {
 			failed()
 			return
--- a/stand/registry/registry.go
+++ b/stand/registry/registry.go
@@ -17,7 +17,7 @@
 	"peppervale/httpwire"
 	"peppervale/listwire"
 	"peppervale/rules"
-	"peppervale/sockets"
+	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/tablewire"
 )
@@ -46,7 +46,7 @@
 	loop    *stand.Loop
 	service string
 	seen    func(rules.Seen)
-	engine  *sockets.Engine
+	engine  *netpoll.Engine
 	entries []Entry
 	index   uint64
 	waiting []*waiter
@@ -64,7 +64,7 @@
 func New(loop *stand.Loop, listen, service string, seen func(rules.Seen)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, seen: seen, index: 100}
 	var err error
-	h := sockets.Handlers{Open: func(c *nbio.Conn) { c.SetSession(httpwire.NewParser(false, httpwire.Bounds{})) }, Data: func(c *nbio.Conn, data []byte) {
+	h := netpoll.Handlers{Open: func(c *nbio.Conn) { c.SetSession(httpwire.NewParser(false, httpwire.Bounds{})) }, Data: func(c *nbio.Conn, data []byte) {
 		parser, ok := c.Session().(*httpwire.Parser)
 		if !ok {
 			return
@@ -81,7 +81,7 @@
 			r.waiting = slices.DeleteFunc(r.waiting, func(w *waiter) bool { return w.conn == c })
 		})
 	}}
-	if r.engine, err = sockets.Start(1, h, listen); err != nil {
+	if r.engine, err = netpoll.Start(1, h, listen); err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
 	return r, nil
--- a/stand/replica/replica.go
+++ b/stand/replica/replica.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/model"
 	"peppervale/httpwire"
 	"peppervale/rules"
-	"peppervale/sockets"
+	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/tablewire"
 )
@@ -74,7 +74,7 @@
 	bay      *Bay
 	windows  []model.Micros // by operation; 0: not fingerprinted
 	seen     func(rules.Seen)
-	engine   *sockets.Engine
+	engine   *netpoll.Engine
 	life     int // grows with each start and stop: what is left of an earlier one does nothing
 	conns    int
 	running  int
@@ -112,7 +112,7 @@
 	r.life++
 	life := r.life
 	var err error
-	h := sockets.Handlers{Open: func(c *nbio.Conn) {
+	h := netpoll.Handlers{Open: func(c *nbio.Conn) {
 		c.SetSession(httpwire.NewParser(false, httpwire.Bounds{}))
 		r.loop.Post(func() { r.opened(c, life) })
 	}, Data: func(c *nbio.Conn, data []byte) {
@@ -138,7 +138,7 @@
 			}
 		})
 	}}
-	if r.engine, err = sockets.Start(1, h, tablewire.Address(r.ID)); err != nil {
+	if r.engine, err = netpoll.Start(1, h, tablewire.Address(r.ID)); err != nil {
 		return fmt.Errorf("replica %s: %w", tablewire.Address(r.ID), err)
 	}
 	now := r.loop.Now()
