--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -24,7 +24,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/listwire"
-	"peppervale/resp"
+	"peppervale/internal/codec/resp"
 	"peppervale/rules"
 	"peppervale/internal/config"
 	"peppervale/tablewire"
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -13,8 +13,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"peppervale/internal/codec/resp"
 	"peppervale/internal/placement"
-	"peppervale/resp"
 )
 
 // What the first byte of a connection asks for; the name of who dials follows, its length first. Operators have none.
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
-	"peppervale/resp"
 )
 
 func words(line string) string { return string(resp.AppendCommand(nil, strings.Fields(line)...)) }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,11 +23,11 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
+	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/snapshot"
 	"peppervale/platformwire"
-	"peppervale/resp"
 	"peppervale/tablewire"
 )
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,11 +12,11 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
+	"peppervale/internal/codec/resp"
 	"peppervale/internal/controller"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
 	"peppervale/platformwire"
-	"peppervale/resp"
 	"peppervale/tablewire"
 )
 
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -15,9 +15,9 @@
 	"go.uber.org/goleak"
 
 	"peppervale/internal/admission"
+	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
-	"peppervale/resp"
 	"peppervale/rules"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
--- a/internal/pubsub/peer.go
+++ b/internal/pubsub/peer.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"peppervale/internal/admission"
+	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
-	"peppervale/resp"
 	"peppervale/tablewire"
 )
 
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -12,10 +12,10 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/admission"
+	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/snapshot"
-	"peppervale/resp"
 	"peppervale/tablewire"
 )
 
--- a/platformwire/golden_test.go
+++ b/platformwire/golden_test.go
@@ -13,7 +13,7 @@
 	"testing"
 
 	"peppervale/internal/model"
-	"peppervale/resp"
+	"peppervale/internal/codec/resp"
 )
 
 // pinned gives the bytes of a golden file.
--- a/platformwire/platformwire.go
+++ b/platformwire/platformwire.go
@@ -16,7 +16,7 @@
 	"strings"
 
 	"peppervale/internal/model"
-	"peppervale/resp"
+	"peppervale/internal/codec/resp"
 )
 
 // Kind is the first word of a message.
--- a/platformwire/platformwire_test.go
+++ b/platformwire/platformwire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"peppervale/internal/model"
-	"peppervale/resp"
+	"peppervale/internal/codec/resp"
 )
 
 // read gives the messages of some bytes.
--- a/rules/judge.go
+++ b/rules/judge.go
@@ -8,7 +8,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/listwire"
-	"peppervale/resp"
+	"peppervale/internal/codec/resp"
 	"peppervale/tablewire"
 )
 
--- a/stand/forwarder/stream.go
+++ b/stand/forwarder/stream.go
@@ -9,7 +9,7 @@
 	"github.com/lesismal/nbio"
 
 	"peppervale/internal/model"
-	"peppervale/resp"
+	"peppervale/internal/codec/resp"
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
 	"peppervale/tablewire"
--- a/tablewire/tablewire.go
+++ b/tablewire/tablewire.go
@@ -14,7 +14,7 @@
 	"strconv"
 
 	"peppervale/internal/model"
-	"peppervale/resp"
+	"peppervale/internal/codec/resp"
 )
 
 // Line is a replica in a table with its weight, 0 to remove it.
--- a/tablewire/tablewire_test.go
+++ b/tablewire/tablewire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"peppervale/internal/model"
-	"peppervale/resp"
+	"peppervale/internal/codec/resp"
 )
 
 // parsed reads one value back from bytes.
