--- a/httpwire/httpwire.go
+++ b/internal/codec/http1/httpwire.go
@@ -6,7 +6,7 @@
 //
 // Caveats: bodies are handed over whole, but where a Stream is set. Trailers are read and dropped. Upgrades, CONNECT and answers that end
 // with their connection are turned down; header names are given in lower case, repeated ones joined by a comma.
-package httpwire
+package http1
 
 import (
 	"bytes"
--- a/httpwire/httpwire_test.go
+++ b/internal/codec/http1/httpwire_test.go
@@ -1,4 +1,4 @@
-package httpwire
+package http1
 
 import (
 	"bufio"
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -11,7 +11,7 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
-	"peppervale/httpwire"
+	"peppervale/internal/codec/http1"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/listwire"
@@ -108,7 +108,7 @@
 	}()
 	for {
 		began := time.Now()
-		var m *httpwire.Message
+		var m *http1.Message
 		var err error
 		if m, conn, err = c.ask(conn, index); err != nil || m == nil {
 			return err
@@ -154,23 +154,23 @@
 
 // call is one request in work.
 type call struct {
-	parser *httpwire.Parser
+	parser *http1.Parser
 	once   sync.Once
 	got    chan reply
 	over   chan struct{} // the call is given up: a connection that comes now is not wanted
 }
 
 type reply struct {
-	m   *httpwire.Message
+	m   *http1.Message
 	err error
 }
 
-func (k *call) end(m *httpwire.Message, err error) {
+func (k *call) end(m *http1.Message, err error) {
 	k.once.Do(func() { k.got <- reply{m, err} })
 }
 
 func (k *call) came(data []byte) {
-	err := k.parser.Feed(data, func(m *httpwire.Message) error {
+	err := k.parser.Feed(data, func(m *http1.Message) error {
 		k.end(m, nil)
 		return nil
 	})
@@ -180,7 +180,7 @@
 }
 
 // ask sends one query, on the open connection if there is one. A nil message with a nil error: the client closed.
-func (c *Consul) ask(conn *nbio.Conn, index uint64) (*httpwire.Message, *nbio.Conn, error) {
+func (c *Consul) ask(conn *nbio.Conn, index uint64) (*http1.Message, *nbio.Conn, error) {
 	q := url.Values{}
 	limit := c.query.Slack
 	if index > 0 {
@@ -192,10 +192,10 @@
 	if len(q) > 0 {
 		target += "?" + q.Encode()
 	}
-	k := &call{parser: httpwire.NewParser(true, httpwire.Bounds{Body: answerMost}), got: make(chan reply, 1),
+	k := &call{parser: http1.NewParser(true, http1.Bounds{Body: answerMost}), got: make(chan reply, 1),
 		over: make(chan struct{})}
 	defer close(k.over)
-	request := httpwire.AppendRequest(nil, "GET", target, c.query.Address, nil, "Accept", "application/json",
+	request := http1.AppendRequest(nil, "GET", target, c.query.Address, nil, "Accept", "application/json",
 		"User-Agent", c.query.Caller)
 	dialled := make(chan *nbio.Conn, 1)
 	if conn != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,7 +15,7 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
-	"peppervale/httpwire"
+	"peppervale/internal/codec/http1"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/platformwire"
@@ -225,7 +225,7 @@
 // look is one call, and the watch that it leads to.
 type look struct {
 	watch  *Watch
-	parser *httpwire.Parser
+	parser *http1.Parser
 	line   []byte
 	once   sync.Once
 	ended  chan error
@@ -283,7 +283,7 @@
 	if !l.heard {
 		l.heard, l.last = true, time.Now()
 	}
-	if err := l.parser.Feed(data, func(m *httpwire.Message) error {
+	if err := l.parser.Feed(data, func(m *http1.Message) error {
 		return fmt.Errorf("status %d, and the answer ended: %.80q", m.Status, m.Body)
 	}); err != nil {
 		l.over = true
@@ -292,7 +292,7 @@
 }
 
 // part takes content of the answer.
-func (l *look) part(m *httpwire.Message, part []byte) error {
+func (l *look) part(m *http1.Message, part []byte) error {
 	if m.Status != 200 {
 		return fmt.Errorf("status %d", m.Status)
 	}
@@ -344,9 +344,9 @@
 	w.mu.Unlock()
 	now := time.Now()
 	l := &look{watch: w, ended: make(chan error, 1), began: now, last: now}
-	l.parser = httpwire.NewParser(true, httpwire.Bounds{})
+	l.parser = http1.NewParser(true, http1.Bounds{})
 	l.parser.Stream = l.part
-	request := httpwire.AppendRequest(nil, "GET", "/v1/endpoints?follow=1&since="+strconv.FormatUint(version, 10), address, nil,
+	request := http1.AppendRequest(nil, "GET", "/v1/endpoints?follow=1&since="+strconv.FormatUint(version, 10), address, nil,
 		"Accept", "application/json")
 	netpoll.Dial(w.engine, address, watchHead, l, func(c *nbio.Conn, err error) {
 		if err != nil {
--- a/stand/forwarder/call.go
+++ b/stand/forwarder/call.go
@@ -7,7 +7,7 @@
 	"github.com/lesismal/nbio"
 
 	"peppervale/internal/model"
-	"peppervale/httpwire"
+	"peppervale/internal/codec/http1"
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
@@ -119,14 +119,14 @@
 	f, inv := t.c.f, t.c.inv
 	t.link, l.try = l, t
 	f.seen(rules.Tried{At: f.loop.Now(), Forwarder: f.Name, Replica: t.at.id, Operation: inv.Operation, Invocation: inv.Number, Caller: inv.Caller, N: t.n})
-	b := httpwire.AppendRequest(nil, "POST", "/invoke", tablewire.Address(t.at.id), nil,
+	b := http1.AppendRequest(nil, "POST", "/invoke", tablewire.Address(t.at.id), nil,
 		"Operation", strconv.Itoa(inv.Operation), "Invocation", strconv.FormatUint(inv.Number, 10), "Caller-Try", strconv.Itoa(inv.Caller),
 		"Forwarder", f.Name, "Work-Us", strconv.FormatFloat(inv.Work, 'f', 0, 64))
 	_, _ = l.conn.Write(b)
 }
 
 // end takes a try's end and decides by the way ordered what follows.
-func (t *try) end(o rules.Outcome, m *httpwire.Message) {
+func (t *try) end(o rules.Outcome, m *http1.Message) {
 	if t.over {
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // count puts a try into the sums of its replica.
-func (t *try) count(o rules.Outcome, m *httpwire.Message, now model.Micros) {
+func (t *try) count(o rules.Outcome, m *http1.Message, now model.Micros) {
 	at, f := t.at, t.c.f
 	at.tries++
 	if o == rules.Succeeded {
@@ -213,7 +213,7 @@
 	at     *there
 	conn   *nbio.Conn
 	life   int
-	parser *httpwire.Parser
+	parser *http1.Parser
 	try    *try
 	gone   bool
 	idleAt model.Micros
@@ -231,7 +231,7 @@
 		t.onLink(l)
 		return
 	}
-	l := &link{f: f, at: at, life: f.life, parser: httpwire.NewParser(true, httpwire.Bounds{})}
+	l := &link{f: f, at: at, life: f.life, parser: http1.NewParser(true, http1.Bounds{})}
 	failed := func() {
 		f.loop.Post(func() { t.end(rules.ConnectFailed, nil) })
 	}
@@ -281,7 +281,7 @@
 }
 
 func (l *link) read(data []byte) {
-	err := l.parser.Feed(data, func(m *httpwire.Message) error {
+	err := l.parser.Feed(data, func(m *http1.Message) error {
 		t := l.try
 		if t == nil {
 			return nil
--- a/stand/registry/registry.go
+++ b/stand/registry/registry.go
@@ -14,7 +14,7 @@
 	"github.com/lesismal/nbio"
 
 	"peppervale/internal/model"
-	"peppervale/httpwire"
+	"peppervale/internal/codec/http1"
 	"peppervale/listwire"
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
@@ -64,12 +64,12 @@
 func New(loop *stand.Loop, listen, service string, seen func(rules.Seen)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, seen: seen, index: 100}
 	var err error
-	h := netpoll.Handlers{Open: func(c *nbio.Conn) { c.SetSession(httpwire.NewParser(false, httpwire.Bounds{})) }, Data: func(c *nbio.Conn, data []byte) {
-		parser, ok := c.Session().(*httpwire.Parser)
+	h := netpoll.Handlers{Open: func(c *nbio.Conn) { c.SetSession(http1.NewParser(false, http1.Bounds{})) }, Data: func(c *nbio.Conn, data []byte) {
+		parser, ok := c.Session().(*http1.Parser)
 		if !ok {
 			return
 		}
-		err := parser.Feed(data, func(m *httpwire.Message) error {
+		err := parser.Feed(data, func(m *http1.Message) error {
 			loop.Post(func() { r.asked(c, m) })
 			return nil
 		})
@@ -124,28 +124,28 @@
 	}
 }
 
-func (r *Registry) asked(c *nbio.Conn, m *httpwire.Message) {
+func (r *Registry) asked(c *nbio.Conn, m *http1.Message) {
 	target, err := url.Parse(m.Target)
 	name, found := "", false
 	if err == nil {
 		name, found = strings.CutPrefix(target.Path, "/v1/health/service/")
 	}
 	if !found {
-		_, _ = c.Write(httpwire.AppendAnswer(nil, 404, nil))
+		_, _ = c.Write(http1.AppendAnswer(nil, 404, nil))
 		return
 	}
 	w := &waiter{conn: c}
 	w.caller, _ = strings.CutPrefix(m.Header["user-agent"], "peppervale/")
 	query := target.Query()
 	if name != r.service {
-		_, _ = c.Write(httpwire.AppendAnswer(nil, 200, []byte("[]"), "X-Consul-Index", "1", "Content-Type", "application/json"))
+		_, _ = c.Write(http1.AppendAnswer(nil, 200, []byte("[]"), "X-Consul-Index", "1", "Content-Type", "application/json"))
 		return
 	}
 	switch {
 	case r.Trouble.Silent:
 		return
 	case r.Trouble.Fails:
-		_, _ = c.Write(httpwire.AppendAnswer(nil, 500, []byte("No cluster leader")))
+		_, _ = c.Write(http1.AppendAnswer(nil, 500, []byte("No cluster leader")))
 		return
 	}
 	if w.index, _ = strconv.ParseUint(query.Get("index"), 10, 64); w.index != r.index || w.index == 0 {
@@ -177,7 +177,7 @@
 		return
 	}
 	if r.Trouble.Fails {
-		_, _ = w.conn.Write(httpwire.AppendAnswer(nil, 500, []byte("No cluster leader")))
+		_, _ = w.conn.Write(http1.AppendAnswer(nil, 500, []byte("No cluster leader")))
 		return
 	}
 	index := r.index
@@ -185,7 +185,7 @@
 		index = 7
 	}
 	body := r.Body()
-	whole := httpwire.AppendAnswer(nil, 200, body, "Content-Type", "application/json", "X-Consul-Index", strconv.FormatUint(index, 10))
+	whole := http1.AppendAnswer(nil, 200, body, "Content-Type", "application/json", "X-Consul-Index", strconv.FormatUint(index, 10))
 	if r.Trouble.Half {
 		_, _ = w.conn.Write(whole[:len(whole)-len(body)/2-1])
 		_ = w.conn.Close()
--- a/stand/replica/replica.go
+++ b/stand/replica/replica.go
@@ -10,7 +10,7 @@
 	"github.com/lesismal/nbio"
 
 	"peppervale/internal/model"
-	"peppervale/httpwire"
+	"peppervale/internal/codec/http1"
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
@@ -113,14 +113,14 @@
 	life := r.life
 	var err error
 	h := netpoll.Handlers{Open: func(c *nbio.Conn) {
-		c.SetSession(httpwire.NewParser(false, httpwire.Bounds{}))
+		c.SetSession(http1.NewParser(false, http1.Bounds{}))
 		r.loop.Post(func() { r.opened(c, life) })
 	}, Data: func(c *nbio.Conn, data []byte) {
-		parser, ok := c.Session().(*httpwire.Parser)
+		parser, ok := c.Session().(*http1.Parser)
 		if !ok {
 			return
 		}
-		err := parser.Feed(data, func(m *httpwire.Message) error {
+		err := parser.Feed(data, func(m *http1.Message) error {
 			r.loop.Post(func() {
 				if r.life == life {
 					r.asked(c, m)
@@ -187,7 +187,7 @@
 	r.busy += r.Handshake
 }
 
-func (r *Replica) asked(c *nbio.Conn, m *httpwire.Message) {
+func (r *Replica) asked(c *nbio.Conn, m *http1.Message) {
 	if r.Silent || r.Tipped {
 		return
 	}
@@ -278,5 +278,5 @@
 
 func (r *Replica) write(c *nbio.Conn, status int, ran string) {
 	load := fmt.Sprintf("TEXT cpu_utilization=%.3f", r.utilisation())
-	_, _ = c.Write(httpwire.AppendAnswer(nil, status, nil, "Ran", ran, "endpoint-load-metrics", load))
+	_, _ = c.Write(http1.AppendAnswer(nil, status, nil, "Ran", ran, "endpoint-load-metrics", load))
 }
