--- a/command/stand.go
+++ b/command/stand.go
@@ -16,7 +16,7 @@
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 	"peppervale/stand/replica"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Stand is peppervale stand: one stand-in, to try a governor against by hand.
@@ -47,7 +47,7 @@
 // address reads an address with a port as a replica's id.
 func address(b *config.Block, name string) model.ReplicaID {
 	text := b.Address(name, false)
-	id, err := tablewire.ParseAddress(text)
+	id, err := pubsubmsg.ParseAddress(text)
 	if err != nil && text != "" {
 		b.Fault(name, "%s: %v", name, err)
 	}
@@ -96,7 +96,7 @@
 		return err
 	}
 	defer loop.Do(r.Stop)
-	fmt.Fprintf(out, "replica %s serves\n", tablewire.Address(f.facts.ID))
+	fmt.Fprintf(out, "replica %s serves\n", pubsubmsg.Address(f.facts.ID))
 	every(ctx, 5*time.Second, func() {
 		loop.Do(func() { fmt.Fprintf(out, "served %d\n", r.Served) })
 	})
@@ -134,7 +134,7 @@
 	f.trouble = registry.Trouble{Fails: b.Yes("fails", false), Silent: b.Yes("silent", false), Late: b.Span("late", 0, 0, longest)}
 	b.Done()
 	for _, e := range top.Blocks("entry", 1) {
-		id, err := tablewire.ParseAddress(e.Labels[0])
+		id, err := pubsubmsg.ParseAddress(e.Labels[0])
 		if err != nil {
 			e.Fault("", "entry: %v", err)
 		}
@@ -215,7 +215,7 @@
 		f.facts.Governors = append(f.facts.Governors, forwarder.Governor{Name: fmt.Sprint("governor-", i+1), Address: at})
 	}
 	for _, at := range b.Texts("standing", true) {
-		id, err := tablewire.ParseAddress(at)
+		id, err := pubsubmsg.ParseAddress(at)
 		if err != nil {
 			b.Fault("standing", "standing: %v", err)
 		}
--- a/console/body.go
+++ b/console/body.go
@@ -14,7 +14,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // overview is the first page: is all well, and if not, where to look.
@@ -56,7 +56,7 @@
 		o.Gate = "open"
 	} else {
 		for _, id := range m.Waits[:min(len(m.Waits), 50)] {
-			o.Waits = append(o.Waits, tablewire.Address(id))
+			o.Waits = append(o.Waits, pubsubmsg.Address(id))
 		}
 	}
 	for i, share := range m.Shares {
@@ -103,7 +103,7 @@
 var lives = map[model.Life]string{model.Ready: "ready", model.Draining: "draining", model.Gone: "gone"}
 
 func (s *Server) row(p *page, r *balancer.ReplicaView) replicaRow {
-	row := replicaRow{Address: tablewire.Address(r.ID), Zone: s.zone(r.Zone), Listed: "not listed", State: r.State, Out: r.Out, Cold: r.Cold, Part: r.Part, Rate: r.Rate,
+	row := replicaRow{Address: pubsubmsg.Address(r.ID), Zone: s.zone(r.Zone), Listed: "not listed", State: r.State, Out: r.Out, Cold: r.Cold, Part: r.Part, Rate: r.Rate,
 		Errors: r.Errors, Pace: r.Pace, Busy: r.Busy, Heard: Ago(p.Now, r.HeardAt), Report: Ago(p.Now, r.BusyAt), Lines: r.Lines, Rests: r.Rests, Started: "long ago"}
 	if l, listed := p.View.Look.List[r.ID]; listed {
 		row.Listed = lives[l.Life]
@@ -147,7 +147,7 @@
 		return rows[:min(len(rows), rowsMost)], nil
 	}
 	for i := range m.Replicas {
-		if r := &m.Replicas[i]; tablewire.Address(r.ID) == rest {
+		if r := &m.Replicas[i]; pubsubmsg.Address(r.ID) == rest {
 			p.Title, p.Kind = "Replica "+rest, "replica"
 			one := replicaPage{replicaRow: s.row(p, r)}
 			for _, t := range m.Tables {
@@ -173,7 +173,7 @@
 	}
 	sum := 0.0
 	for _, l := range t.Lines {
-		row := lineRow{Table: int(t.ID), Zone: s.zone(t.Zone), Replica: tablewire.Address(l.Replica), Weight: l.Weight}
+		row := lineRow{Table: int(t.ID), Zone: s.zone(t.Zone), Replica: pubsubmsg.Address(l.Replica), Weight: l.Weight}
 		if r := states[l.Replica]; r != nil {
 			row.State, row.Out = r.State, r.Out
 		}
@@ -286,7 +286,7 @@
 	}
 	home := map[string]string{}
 	for _, r := range m.Replicas {
-		home[tablewire.Address(r.ID)] = s.zone(r.Zone)
+		home[pubsubmsg.Address(r.ID)] = s.zone(r.Zone)
 		if r.Zone < len(rows) {
 			rows[r.Zone].Replicas[r.State]++
 		}
--- a/console/console_test.go
+++ b/console/console_test.go
@@ -17,7 +17,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -67,7 +67,7 @@
 	go d.host.Run(d, d, list)
 	t.Cleanup(d.host.Stop)
 	for p, name := range []string{"till", hostile, strings.Repeat("long", 32)} {
-		d.host.Joined(model.ProxyID(p), uint64(p)+1, tablewire.Join{Name: name, Rate: 5}, p%2)
+		d.host.Joined(model.ProxyID(p), uint64(p)+1, pubsubmsg.Join{Name: name, Rate: 5}, p%2)
 	}
 	d.host.Heard(0, sums)
 	about := About{Name: "govan-1", Life: 3, Zones: []string{"govan", hostile}, Operations: []string{"recipe-read"}, QueueMost: 100, Now: d.now,
@@ -195,7 +195,7 @@
 			}
 			d.host.Heard(n%2, sums)
 			p := model.ProxyID(10 + n%500)
-			d.host.Joined(p, uint64(1000+n), tablewire.Join{Name: fmt.Sprint("flood-", p), Rate: 1}, n%2)
+			d.host.Joined(p, uint64(1000+n), pubsubmsg.Join{Name: fmt.Sprint("flood-", p), Rate: 1}, n%2)
 		}
 	}()
 	defer func() { close(stop); <-flooded }()
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -27,7 +27,7 @@
 	"peppervale/internal/codec/resp"
 	"peppervale/rules"
 	"peppervale/internal/config"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // yard stands for the operators' platform around one governor: discovery, collectors, proxies that try replicas by what they were
@@ -229,7 +229,7 @@
 	go func() {
 		defer y.wait.Done()
 		r, buf := resp.NewReader(resp.Limits{}), make([]byte, 64<<10)
-		m := &tablewire.Message{Receipt: -1}
+		m := &pubsubmsg.Message{Receipt: -1}
 		for {
 			n, err := conn.Read(buf)
 			if err != nil {
@@ -238,12 +238,12 @@
 			if err := r.Feed(buf[:n], func(v resp.Value) error {
 				if y.obey(p, m, v) {
 					y.mu.Lock()
-					y.saw(rules.Received{At: y.now(), Forwarder: name, Data: tablewire.Append(nil, m)})
+					y.saw(rules.Received{At: y.now(), Forwarder: name, Data: pubsubmsg.Append(nil, m)})
 					y.mu.Unlock()
 					if m.Receipt >= 0 {
 						_, _ = conn.Write(resp.AppendCommand(nil, "applied", "id", fmt.Sprint(p.id), "seq", fmt.Sprint(m.Receipt), "ms", "3"))
 					}
-					m = &tablewire.Message{Receipt: -1}
+					m = &pubsubmsg.Message{Receipt: -1}
 				}
 				return nil
 			}); err != nil {
@@ -255,7 +255,7 @@
 }
 
 // obey takes one part of an update, and tells whether it was the last. m is the same message for the judge.
-func (y *yard) obey(p *platformProxy, m *tablewire.Message, v resp.Value) bool {
+func (y *yard) obey(p *platformProxy, m *pubsubmsg.Message, v resp.Value) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if v.Items[0].Text != "update" || len(v.Items)%2 == 0 {
@@ -281,7 +281,7 @@
 		clear(p.lines)
 		p.binds++
 		for name := range p.out { // what others shut stays shut
-			m.Shuts = append(m.Shuts, tablewire.Shut{Replica: address(name), Out: true})
+			m.Shuts = append(m.Shuts, pubsubmsg.Shut{Replica: address(name), Out: true})
 		}
 	}
 	for _, pair := range list("lines") {
@@ -293,7 +293,7 @@
 		if p.lines[name] = w; w == 0 {
 			delete(p.lines, name)
 		}
-		m.Lines = append(m.Lines, tablewire.Line{Replica: address(name), Weight: w})
+		m.Lines = append(m.Lines, pubsubmsg.Line{Replica: address(name), Weight: w})
 		m.Cost++
 	}
 	for word, out := range map[string]bool{"out": true, "back": false} {
@@ -301,7 +301,7 @@
 			if delete(p.out, name); out {
 				p.out[name] = true
 			}
-			m.Shuts = append(m.Shuts, tablewire.Shut{Replica: address(name), Out: out})
+			m.Shuts = append(m.Shuts, pubsubmsg.Shut{Replica: address(name), Out: out})
 			m.Cost++
 		}
 	}
--- a/day/rogue.go
+++ b/day/rogue.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/discovery"
 	"peppervale/stand"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // RogueKinds are the governors of the stand's own that break one rule each, so that the checker is seen to fail. Each
@@ -64,7 +64,7 @@
 }
 
 // Joined and the rest are what the channel and the list tell.
-func (r *rogue) Joined(p model.ProxyID, stream uint64, _ tablewire.Join, _ int) {
+func (r *rogue) Joined(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
 	r.loop.Post(func() {
 		r.server.Admit(p, stream)
 		r.streams[p] = true
@@ -134,7 +134,7 @@
 		}
 		r.publish(orders...)
 	case "repeats-anything":
-		r.publish(snapshot.Order{What: snapshot.SetLevel, Level: tablewire.Level{Operations: 0, Share: 1, Way: model.TwoMore}})
+		r.publish(snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 0, Share: 1, Way: model.TwoMore}})
 	case "floods":
 		for range 20 {
 			var orders []snapshot.Order
--- a/tablewire/tablewire.go
+++ b/internal/codec/pubsubmsg/tablewire.go
@@ -5,7 +5,7 @@
 // message sent to this forwarder before: where Prev is not what the forwarder holds, something is missing and
 // it asks for a snapshot (RESYNC). Life grows with each start of the governor; nothing of an earlier life is
 // taken for the present one. docs/channel.md is the page for writers of forwarders.
-package tablewire
+package pubsubmsg
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"net/netip"
 	"strconv"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
 )
 
 // Line is a replica in a table with its weight, 0 to remove it.
--- a/tablewire/tablewire_test.go
+++ b/internal/codec/pubsubmsg/tablewire_test.go
@@ -1,12 +1,12 @@
-package tablewire
+package pubsubmsg
 
 import (
 	"math"
 	"reflect"
 	"testing"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
 )
 
 // parsed reads one value back from bytes.
--- a/internal/controller/causes.go
+++ b/internal/controller/causes.go
@@ -6,9 +6,9 @@
 	"strings"
 	"sync"
 
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
-	"peppervale/tablewire"
 )
 
 // Cause is one step that ordered something or changed what is believed: what came in, what the module said of it,
@@ -118,7 +118,7 @@
 }
 
 func describe(o snapshot.Order) string {
-	r := tablewire.Address(o.Replica)
+	r := pubsubmsg.Address(o.Replica)
 	switch o.What {
 	case snapshot.Assign:
 		return fmt.Sprintf("table %d: %s weighs %.4g", o.Table, r, o.Weight)
--- a/internal/controller/governor.go
+++ b/internal/controller/governor.go
@@ -9,9 +9,9 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/balancer"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
-	"peppervale/tablewire"
 )
 
 // Channel carries orders to forwarders; channel.Server and platform.Server are the real ones.
@@ -283,7 +283,7 @@
 
 // Level is an order of the module, see fleet.Host.
 func (h *Host) Level(operations uint16, share float64, w model.Way) {
-	h.order(snapshot.Order{What: snapshot.SetLevel, Level: tablewire.Level{Operations: operations, Share: share, Way: w}})
+	h.order(snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: operations, Share: share, Way: w}})
 }
 
 // Receipt is an order of the module, see fleet.Host.
--- a/internal/controller/governor_test.go
+++ b/internal/controller/governor_test.go
@@ -11,9 +11,9 @@
 	"go.uber.org/goleak"
 
 	"peppervale/internal/balancer"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
-	"peppervale/tablewire"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -23,10 +23,10 @@
 // What a forwarder's newest state is, whatever came in which order, is one slot; the module hears of each end once.
 func TestTheMailboxKeepsTheNewest(t *testing.T) {
 	m := newMailbox()
-	m.Joined(1, 10, tablewire.Join{Name: "a", Rate: 1}, 0)
+	m.Joined(1, 10, pubsubmsg.Join{Name: "a", Rate: 1}, 0)
 	m.Applied(1, 10, 3) // before its join was taken: nothing was ordered yet
 	m.Left(1, 10)
-	m.Joined(1, 11, tablewire.Join{Name: "a", Rate: 2}, 1)
+	m.Joined(1, 11, pubsubmsg.Join{Name: "a", Rate: 2}, 1)
 	m.Left(1, 10) // the old stream's end comes late
 	got := m.take(10)
 	if len(got.slots) != 1 || !got.slots[0].joined || got.slots[0].stream != 11 || got.slots[0].join.Rate != 2 || got.slots[0].receipt != -1 {
@@ -52,7 +52,7 @@
 	m := newMailbox()
 	for n := range 100_000 {
 		p := model.ProxyID(n % 50)
-		m.Joined(p, uint64(n+1), tablewire.Join{}, 0)
+		m.Joined(p, uint64(n+1), pubsubmsg.Join{}, 0)
 		m.Heard(n%2, []model.Sum{{Replica: id(byte(n % 30)), Tries: 2, Errored: 1, Latency: 100, Span: model.Second}})
 		m.Listed(model.Whole, nil)
 	}
@@ -177,7 +177,7 @@
 func TestTheGateHoldsAndDrainsGoOut(t *testing.T) {
 	// A period of 10 s: the start window does not end within this test.
 	h, o := start(t, ready(1, 2, 3), func(x *model.Terms) { x.Period = 5 * model.Second })
-	h.Joined(7, 70, tablewire.Join{Name: "till", Rate: 5}, 0)
+	h.Joined(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
 	h.Listed(model.Whole, append(ready(1, 2), model.Listing{ID: id(3), Life: model.Draining}))
 	b := o.until(t, func(o snapshot.Order) bool { return o.What == snapshot.Withdraw && o.Out && o.Replica == id(3) }, "the drain")
@@ -194,7 +194,7 @@
 // Once each replica was heard of, forwarders are bound, and a receipt is asked for with the same batch.
 func TestTheGateOpensOnReports(t *testing.T) {
 	h, o := start(t, ready(1, 2), nil)
-	h.Joined(7, 70, tablewire.Join{Name: "till", Rate: 5}, 0)
+	h.Joined(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
 	h.Heard(0, []model.Sum{{Replica: id(1), Tries: 5, Latency: 1000, Span: model.Second}, {Replica: id(2), Tries: 5, Latency: 1000, Span: model.Second}})
 	b := o.until(t, bind, "a bind")
@@ -203,7 +203,7 @@
 	}
 	h.Applied(7, 70, uint32(b.Receipt))
 	h.Left(7, 70)
-	h.Joined(7, 71, tablewire.Join{Name: "till", Rate: 5}, 0)
+	h.Joined(7, 71, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 71")
 	o.until(t, bind, "a bind for the new stream")
 }
@@ -253,7 +253,7 @@
 // A look is taken only while somebody asks for it.
 func TestLooks(t *testing.T) {
 	h, o := start(t, ready(1, 2), nil)
-	h.Joined(7, 70, tablewire.Join{Name: "till", Rate: 5}, 0)
+	h.Joined(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
 	o.until(t, bind, "a bind")
 	if v := h.View(); v.Look != nil {
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
-	"peppervale/tablewire"
 )
 
 // mailbox keeps what came for the module. It is free of I/O; every method returns at once.
@@ -25,7 +25,7 @@
 	proxy   model.ProxyID
 	dirty   bool
 	stream  uint64 // the newest that came; 0: none is open
-	join    tablewire.Join
+	join    pubsubmsg.Join
 	zone    int
 	joined  bool // a join waits
 	left    bool // the stream that the module knows of has ended
@@ -74,7 +74,7 @@
 }
 
 // Joined notes a forwarder's new stream; a join that still waited is replaced by it.
-func (m *mailbox) Joined(p model.ProxyID, stream uint64, j tablewire.Join, zone int) {
+func (m *mailbox) Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.of(p)
--- a/internal/controller/newest.go
+++ b/internal/controller/newest.go
@@ -5,8 +5,8 @@
 	"strings"
 	"sync"
 
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
-	"peppervale/tablewire"
 )
 
 // newest keeps the last sum of each replica and zone, for a governor that takes parts of the fleet over in a planned move. It is no
@@ -56,7 +56,7 @@
 		if a.Zone != b.Zone {
 			return a.Zone - b.Zone
 		}
-		return strings.Compare(tablewire.Address(a.Replica), tablewire.Address(b.Replica))
+		return strings.Compare(pubsubmsg.Address(a.Replica), pubsubmsg.Address(b.Replica))
 	})
 	return all
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,18 +23,18 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/snapshot"
 	"peppervale/platformwire"
-	"peppervale/tablewire"
 )
 
 // Events is told what comes, from network goroutines and in order: it must not block, nor call the server from within. A stream is one
 // connection of one proxy, numbered anew each time.
 type Events interface {
-	Joined(p model.ProxyID, stream uint64, j tablewire.Join, zone int)
+	Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int)
 	Left(p model.ProxyID, stream uint64)
 	Applied(p model.ProxyID, stream uint64, receipt uint32)
 	Heard(zone int, sums []model.Sum)
@@ -472,7 +472,7 @@
 	s.lastID++
 	p.proxy, p.stream, p.zone, p.fresh = id, s.lastID, zone, m.Fresh
 	s.streams[id] = p
-	s.events.Joined(id, p.stream, tablewire.Join{Name: strconv.Itoa(m.Proxy), Zone: m.Site, Rate: m.Rate, Fresh: m.Fresh}, zone)
+	s.events.Joined(id, p.stream, pubsubmsg.Join{Name: strconv.Itoa(m.Proxy), Zone: m.Site, Rate: m.Rate, Fresh: m.Fresh}, zone)
 	s.mu.Unlock()
 	if old != nil {
 		s.close(old)
@@ -598,7 +598,7 @@
 func (s *Server) send(p *peer, out snapshot.Outgoing) bool {
 	m := out.Message
 	u := platformwire.Update{Whole: m.Whole, Ticket: m.Receipt}
-	lines := func(of []tablewire.Line) (all []platformwire.Line) {
+	lines := func(of []pubsubmsg.Line) (all []platformwire.Line) {
 		for _, l := range of {
 			all = append(all, platformwire.Line{Replica: s.line.Names.Name(l.Replica), Weight: l.Weight})
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,12 +12,12 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/controller"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
 	"peppervale/platformwire"
-	"peppervale/tablewire"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -54,7 +54,7 @@
 	h.events = append(h.events, fmt.Sprintf(format, args...))
 }
 
-func (h *host) Joined(p model.ProxyID, stream uint64, j tablewire.Join, zone int) {
+func (h *host) Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
 	h.tell(event{1, p, stream}, func() {
 		h.server.Admit(p, stream)
 		h.note("joined %d zone %d rate %g fresh %t", p, zone, j.Rate, j.Fresh)
@@ -239,7 +239,7 @@
 	h.wait("joined 7 zone 1 rate 21.5 fresh true")
 	h.publish(3, h.shut(9, true))
 	c.expect("update out s-9 ticket 3")
-	h.publish(4, h.line(1, 0.5), h.line(2, 1), h.shut(2, true), bind(7), snapshot.Order{What: snapshot.SetLevel, Level: tablewire.Level{Operations: 1, Share: 0.9, Way: model.WhenUnrun}})
+	h.publish(4, h.line(1, 0.5), h.line(2, 1), h.shut(2, true), bind(7), snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 1, Share: 0.9, Way: model.WhenUnrun}})
 	c.expect("update whole 1 lines s-1:0.5,s-2:1 out s-2 more 1")
 	c.expect("update classes read level 0.9 retry 1 ticket 4")
 	h.publish(-1, h.line(1, 0.55), h.line(2, 0))
@@ -262,7 +262,7 @@
 	// The others follow, two with each message, in the place of levels that it is charged for; a new line brings along its own.
 	h.publish(-1, h.line(1, 2), h.line(3, 1))
 	c.expect("update lines s-1:2,s-3:1 back s-3,s-4,s-5")
-	h.publish(-1, h.line(1, 1), snapshot.Order{What: snapshot.SetLevel, Level: tablewire.Level{Operations: 1, Share: 0.9, Way: model.WhenUnrun}})
+	h.publish(-1, h.line(1, 1), snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 1, Share: 0.9, Way: model.WhenUnrun}})
 	c.expect("update lines s-1:1 back s-6 more 1")
 	c.expect("update classes read level 0.9 retry 1")
 	h.publish(-1, h.line(1, 2))
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -15,13 +15,13 @@
 	"go.uber.org/goleak"
 
 	"peppervale/internal/admission"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
 	"peppervale/rules"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
-	"peppervale/tablewire"
 )
 
 func TestMain(m *testing.M) {
@@ -48,7 +48,7 @@
 	}
 }
 
-func (h *host) Joined(p model.ProxyID, stream uint64, j tablewire.Join, zone int) {
+func (h *host) Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
 	h.server.Admit(p, stream)
 	h.note("joined %s %d", j.Name, zone)
 }
@@ -146,13 +146,13 @@
 	return v, true
 }
 
-func (c *client) message() *tablewire.Message {
+func (c *client) message() *pubsubmsg.Message {
 	c.t.Helper()
 	v, ok := c.next()
 	if !ok {
 		c.t.Fatal("the connection ended")
 	}
-	m, err := tablewire.Parse(v)
+	m, err := pubsubmsg.Parse(v)
 	if err != nil {
 		c.t.Fatalf("%v: %v", v, err)
 	}
@@ -160,10 +160,10 @@
 }
 
 // join says hello and joins, and gives the snapshot that follows.
-func join(t *testing.T, h *host, name string) (*client, *tablewire.Message) {
+func join(t *testing.T, h *host, name string) (*client, *pubsubmsg.Message) {
 	t.Helper()
 	c := dial(t, h)
-	c.say(tablewire.AppendJoin(resp.AppendCommand(nil, "HELLO", "3"), tablewire.Join{Name: name, Zone: "partick", Rate: 2, Fresh: true}))
+	c.say(pubsubmsg.AppendJoin(resp.AppendCommand(nil, "HELLO", "3"), pubsubmsg.Join{Name: name, Zone: "partick", Rate: 2, Fresh: true}))
 	for range 2 {
 		if v, _ := c.next(); v.Kind != resp.Map {
 			t.Fatalf("no answer to a join: %v", v)
@@ -198,10 +198,10 @@
 	if m.Whole || len(m.Lines) != 2 || m.Lines[1].Weight != 0 || m.Prev != bound.Version || m.Cost != 6+2+1 {
 		t.Fatalf("changed by %+v", m)
 	}
-	c.say(tablewire.AppendAck(nil, tablewire.Ack{Life: 2, Version: m.Version, Receipt: 99})) // of an earlier life
-	c.say(tablewire.AppendAck(nil, tablewire.Ack{Life: 3, Version: m.Version, Receipt: 8}))
-	c.say(tablewire.AppendSums(nil, tablewire.Sums{Number: 1, Span: model.Second, Of: []model.Sum{{Replica: id(1), Tries: 2}}}))
-	c.say(tablewire.AppendSums(nil, tablewire.Sums{Number: 1, Span: model.Second, Of: make([]model.Sum, 0)})) // came before
+	c.say(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{Life: 2, Version: m.Version, Receipt: 99})) // of an earlier life
+	c.say(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{Life: 3, Version: m.Version, Receipt: 8}))
+	c.say(pubsubmsg.AppendSums(nil, pubsubmsg.Sums{Number: 1, Span: model.Second, Of: []model.Sum{{Replica: id(1), Tries: 2}}}))
+	c.say(pubsubmsg.AppendSums(nil, pubsubmsg.Sums{Number: 1, Span: model.Second, Of: make([]model.Sum, 0)})) // came before
 	h.wait("applied 0 8")
 	h.wait("heard 1 1")
 	c.conn.Close()
@@ -321,17 +321,17 @@
 	h := start(t, func(l *Line) { l.Limits.Greeting = time.Minute })
 	good, _ := join(t, h, "till")
 	hello := string(resp.AppendCommand(nil, "HELLO", "3"))
-	joined := hello + string(tablewire.AppendJoin(nil, tablewire.Join{Name: "other", Zone: "govan"}))
+	joined := hello + string(pubsubmsg.AppendJoin(nil, pubsubmsg.Join{Name: "other", Zone: "govan"}))
 	for name, c := range map[string]struct{ bytes, why string }{
 		"no RESP":                  {"GET / HTTP/1.1\r\n\r\n", "opens no value"},
 		"a length of 2^62":         {"$4611686018427387904\r\n", "a string of"},
 		"nesting":                  {strings.Repeat("*1\r\n", 1000), "nesting deeper"},
 		"a value, not a command":   {":1\r\n", "a command is an array"},
-		"a join without hello":     {string(tablewire.AppendJoin(nil, tablewire.Join{Name: "x", Zone: "govan"})), "HELLO 3 first"},
-		"an unknown zone":          {hello + string(tablewire.AppendJoin(nil, tablewire.Join{Name: "x", Zone: "leith"})), "there are govan, partick"},
+		"a join without hello":     {string(pubsubmsg.AppendJoin(nil, pubsubmsg.Join{Name: "x", Zone: "govan"})), "HELLO 3 first"},
+		"an unknown zone":          {hello + string(pubsubmsg.AppendJoin(nil, pubsubmsg.Join{Name: "x", Zone: "leith"})), "there are govan, partick"},
 		"sums that contradict":     {joined + string(resp.AppendCommand(nil, "SUMS", "1", "1000000", "127.0.0.1:80", "1", "2", "0", "")), "tries"},
 		"a receipt without join":   {hello + string(resp.AppendCommand(nil, "ACK", "1", "1", "1")), "JOIN first"},
-		"a second join":            {joined + string(tablewire.AppendJoin(nil, tablewire.Join{Name: "y", Zone: "govan"})), "has joined as"},
+		"a second join":            {joined + string(pubsubmsg.AppendJoin(nil, pubsubmsg.Join{Name: "y", Zone: "govan"})), "has joined as"},
 		"a subscription unasked":   {string(resp.AppendCommand(nil, "SUBSCRIBE", "tables")), "HELLO 3 first"},
 		"a join that is cut":       {hello + string(resp.AppendCommand(nil, "JOIN", "x")), "JOIN takes"},
 		"sums over no time at all": {joined + string(resp.AppendCommand(nil, "SUMS", "1", "0")), "a span of"},
@@ -413,7 +413,7 @@
 // What waits is counted in lines and leaves at the pace; what waits for a stream that ended does not count.
 func TestThePacer(t *testing.T) {
 	p := pacer{perSecond: 1000}
-	out := func(cost int) snapshot.Outgoing { return snapshot.Outgoing{Message: &tablewire.Message{Cost: cost}} }
+	out := func(cost int) snapshot.Outgoing { return snapshot.Outgoing{Message: &pubsubmsg.Message{Cost: cost}} }
 	p.put(0, out(100), 1)
 	p.put(0, out(50), 2)
 	p.put(0, out(50), 1)
@@ -442,7 +442,7 @@
 	}
 	// One that comes meanwhile is not taken in only to be sent away again: it is told when to come.
 	late := dial(t, h)
-	late.say(tablewire.AppendJoin(resp.AppendCommand(nil, "HELLO", "3"), tablewire.Join{Name: "late", Zone: "partick"}))
+	late.say(pubsubmsg.AppendJoin(resp.AppendCommand(nil, "HELLO", "3"), pubsubmsg.Join{Name: "late", Zone: "partick"}))
 	late.next()
 	if v, _ := late.next(); v.Kind != resp.Failure || !strings.HasPrefix(v.Text, "ENDING ") {
 		t.Fatalf("during the farewell a join is answered by %v", v)
--- a/internal/pubsub/peer.go
+++ b/internal/pubsub/peer.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"peppervale/internal/admission"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
-	"peppervale/tablewire"
 )
 
 // words are the commands that a peer may send. ACK and SUMS have no reply: a fault in one comes as an
@@ -161,7 +161,7 @@
 	if !p.greeted {
 		return fmt.Errorf("say HELLO 3 first")
 	}
-	j, err := tablewire.ParseJoin(args)
+	j, err := pubsubmsg.ParseJoin(args)
 	if err != nil {
 		return err
 	}
@@ -237,7 +237,7 @@
 
 // ack takes a receipt. One of an earlier life says nothing about the messages of this one.
 func (p *peer) ack(args []resp.Value) error {
-	a, err := tablewire.ParseAck(args)
+	a, err := pubsubmsg.ParseAck(args)
 	if err == nil {
 		err = p.joined()
 	}
@@ -248,7 +248,7 @@
 }
 
 func (p *peer) sumsWord(args []resp.Value) error {
-	sums, err := tablewire.ParseSums(args)
+	sums, err := pubsubmsg.ParseSums(args)
 	if err == nil {
 		err = p.joined()
 	}
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -12,17 +12,17 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/admission"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/snapshot"
-	"peppervale/tablewire"
 )
 
 // Events is told what comes over the channel, from network goroutines: it must not block. A stream is one
 // connection of one forwarder, numbered anew each time; a stream's events come in order.
 type Events interface {
-	Joined(p model.ProxyID, stream uint64, j tablewire.Join, zone int)
+	Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int)
 	Left(p model.ProxyID, stream uint64)
 	Applied(p model.ProxyID, stream uint64, receipt uint32)
 	Heard(zone int, sums []model.Sum)
@@ -316,7 +316,7 @@
 }
 
 // send writes a message, or folds it into a later snapshot if the peer does not read.
-func (s *Server) send(p *peer, m *tablewire.Message) {
+func (s *Server) send(p *peer, m *pubsubmsg.Message) {
 	if s.folded[p] {
 		return
 	}
@@ -336,7 +336,7 @@
 	}
 	s.stats.Messages++
 	s.stats.Lines += uint64(m.Cost)
-	s.write(p, tablewire.Append(nil, m))
+	s.write(p, pubsubmsg.Append(nil, m))
 }
 
 // moved ends a peer whose part this governor does not hold, and says who should.
@@ -474,12 +474,12 @@
 	for id, t := range b.Tables {
 		lines := make([]LineOut, 0, len(t.Lines))
 		for _, l := range t.Lines {
-			lines = append(lines, LineOut{tablewire.Address(l.Replica), l.Weight})
+			lines = append(lines, LineOut{pubsubmsg.Address(l.Replica), l.Weight})
 		}
 		pic.Tables[fmt.Sprint(id)] = lines
 	}
 	for _, r := range b.Outs {
-		pic.Withdrawn = append(pic.Withdrawn, tablewire.Address(r))
+		pic.Withdrawn = append(pic.Withdrawn, pubsubmsg.Address(r))
 	}
 	for _, l := range b.Levels {
 		pic.Levels = append(pic.Levels, LevelOut{l.Operations, l.Share, uint8(l.Way)})
@@ -518,14 +518,14 @@
 		var one StepOne
 		switch o.What {
 		case snapshot.Assign:
-			one = StepOne{Do: "assign", Table: fmt.Sprint(o.Table), Replica: tablewire.Address(o.Replica), Weight: o.Weight}
+			one = StepOne{Do: "assign", Table: fmt.Sprint(o.Table), Replica: pubsubmsg.Address(o.Replica), Weight: o.Weight}
 		case snapshot.Bind:
 			one = StepOne{Do: "bind", Table: fmt.Sprint(o.Table)}
 			if h := s.board.ByProxy[o.Proxy]; h != nil {
 				one.Forwarder = h.Name
 			}
 		case snapshot.Withdraw:
-			if one = (StepOne{Do: "restore", Replica: tablewire.Address(o.Replica)}); o.Out {
+			if one = (StepOne{Do: "restore", Replica: pubsubmsg.Address(o.Replica)}); o.Out {
 				one.Do = "withdraw"
 			}
 		case snapshot.SetLevel:
@@ -663,7 +663,7 @@
 	ended    atomic.Bool
 	greeted  bool
 	observer bool
-	join     tablewire.Join
+	join     pubsubmsg.Join
 	zone     int
 	part     int
 	proxy    model.ProxyID
--- a/internal/snapshot/board.go
+++ b/internal/snapshot/board.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
-	"peppervale/tablewire"
 )
 
 // Order is one order of a governor; which fields count follows from What.
@@ -19,7 +19,7 @@
 	Replica model.ReplicaID
 	Weight  float64
 	Out     bool
-	Level   tablewire.Level
+	Level   pubsubmsg.Level
 	// With a bind: the operations that the table is for, by 1 << their place (0: all), and what others may have shut out.
 	Operations uint16
 	Back       []model.ReplicaID
@@ -54,7 +54,7 @@
 	Tables        map[model.TableID]*Table
 	out           map[model.ReplicaID]bool
 	Outs          []model.ReplicaID // withdrawn, in that order
-	Levels        []tablewire.Level
+	Levels        []pubsubmsg.Level
 	Holders       []*Holder // in the order joined
 	ByProxy       map[model.ProxyID]*Holder
 }
@@ -62,7 +62,7 @@
 // Table is a shared table as it stands.
 type Table struct {
 	ID    model.TableID
-	Lines []tablewire.Line
+	Lines []pubsubmsg.Line
 	at    map[model.ReplicaID]int
 	users []*Holder
 }
@@ -94,7 +94,7 @@
 // Outgoing is a message made.
 type Outgoing struct {
 	To      *Holder
-	Message *tablewire.Message
+	Message *pubsubmsg.Message
 	Back    []model.ReplicaID // of its table, what others may have shut out: of a bind
 	Parts   []Part            // where operations have tables of their own: these, in place of the message's lines
 }
@@ -103,7 +103,7 @@
 type Part struct {
 	Operations uint16
 	Whole      bool
-	Lines      []tablewire.Line
+	Lines      []pubsubmsg.Line
 }
 
 // New makes a board for one life of a governor; overhead is the lines that a message costs beyond its own.
@@ -163,7 +163,7 @@
 		}
 	case weight > 0:
 		t.at[r] = len(t.Lines)
-		t.Lines = append(t.Lines, tablewire.Line{Replica: r, Weight: weight})
+		t.Lines = append(t.Lines, pubsubmsg.Line{Replica: r, Weight: weight})
 	}
 }
 
@@ -259,7 +259,7 @@
 			}
 		}
 	case SetLevel:
-		i := slices.IndexFunc(b.Levels, func(l tablewire.Level) bool { return l.Operations == o.Level.Operations })
+		i := slices.IndexFunc(b.Levels, func(l pubsubmsg.Level) bool { return l.Operations == o.Level.Operations })
 		if i >= 0 {
 			b.Levels[i] = o.Level
 		} else {
@@ -272,13 +272,13 @@
 }
 
 // message makes what a draft asks for, from the board as it now stands.
-func (b *Board) message(h *Holder, d *draft) *tablewire.Message {
+func (b *Board) message(h *Holder, d *draft) *pubsubmsg.Message {
 	if d.bind {
 		m := b.Snapshot(h)
 		m.Prev, h.version, m.Version = h.version, b.Version, b.Version
 		return m
 	}
-	m := &tablewire.Message{Life: b.Life, Prev: h.version, Version: b.Version}
+	m := &pubsubmsg.Message{Life: b.Life, Prev: h.version, Version: b.Version}
 	h.version = b.Version
 	if d.levels {
 		m.Levels = slices.Clone(b.Levels)
@@ -288,7 +288,7 @@
 	for _, r := range d.shuts {
 		if !seen[r] {
 			seen[r] = true
-			m.Shuts = append(m.Shuts, tablewire.Shut{Replica: r, Out: b.out[r]})
+			m.Shuts = append(m.Shuts, pubsubmsg.Shut{Replica: r, Out: b.out[r]})
 			if delete(h.shut, r); b.out[r] {
 				h.shut[r] = true
 			}
@@ -299,7 +299,7 @@
 }
 
 // parts takes the lines of a message whose tables are for some operations each out of it.
-func (h *Holder) parts(d *draft, m *tablewire.Message) (all []Part) {
+func (h *Holder) parts(d *draft, m *pubsubmsg.Message) (all []Part) {
 	if h.For == 0 {
 		return nil
 	}
@@ -324,12 +324,12 @@
 }
 
 // changed gives lines as they stand, each once, in the order of their first change.
-func (t *Table) changed(replicas []model.ReplicaID) (lines []tablewire.Line) {
+func (t *Table) changed(replicas []model.ReplicaID) (lines []pubsubmsg.Line) {
 	seen := map[model.ReplicaID]bool{}
 	for _, r := range replicas {
 		if !seen[r] {
 			seen[r] = true
-			lines = append(lines, tablewire.Line{Replica: r, Weight: t.weight(r)})
+			lines = append(lines, pubsubmsg.Line{Replica: r, Weight: t.weight(r)})
 		}
 	}
 	return lines
@@ -345,22 +345,22 @@
 }
 
 // Snapshot is all that a holder should hold by now; it covers every message made for it before.
-func (b *Board) Snapshot(h *Holder) *tablewire.Message {
-	m := &tablewire.Message{Whole: true, Life: b.Life, Prev: h.version, Version: h.version, Receipt: h.receipt,
+func (b *Board) Snapshot(h *Holder) *pubsubmsg.Message {
+	m := &pubsubmsg.Message{Whole: true, Life: b.Life, Prev: h.version, Version: h.version, Receipt: h.receipt,
 		Levels: slices.Clone(b.Levels)}
 	// Bound, it forgets every withdrawal but these; else it keeps those of others, and is told the end of ours.
 	for r := range h.shut {
 		if h.Table == nil && !b.out[r] {
-			m.Shuts = append(m.Shuts, tablewire.Shut{Replica: r})
+			m.Shuts = append(m.Shuts, pubsubmsg.Shut{Replica: r})
 		}
 	}
-	slices.SortFunc(m.Shuts, func(x, y tablewire.Shut) int { // the same bytes from the same orders
-		return strings.Compare(tablewire.Address(x.Replica), tablewire.Address(y.Replica))
+	slices.SortFunc(m.Shuts, func(x, y pubsubmsg.Shut) int { // the same bytes from the same orders
+		return strings.Compare(pubsubmsg.Address(x.Replica), pubsubmsg.Address(y.Replica))
 	})
 	clear(h.shut)
 	for _, r := range b.Outs {
 		if h.holds(r) {
-			m.Shuts = append(m.Shuts, tablewire.Shut{Replica: r, Out: true})
+			m.Shuts = append(m.Shuts, pubsubmsg.Shut{Replica: r, Out: true})
 			h.shut[r] = true
 		}
 	}
--- a/internal/snapshot/parts_test.go
+++ b/internal/snapshot/parts_test.go
@@ -4,8 +4,8 @@
 	"reflect"
 	"testing"
 
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
-	"peppervale/tablewire"
 )
 
 // A forwarder with a table for some operations and one for the others is sent parts; a change reaches it in that of its table, and a
@@ -19,12 +19,12 @@
 	}
 	made := b.Apply(&Batch{Receipt: 4, Orders: []Order{assign(1, 1, 1), assign(1, 2, 1), assign(2, 1, 0.5),
 		{What: Bind, Proxy: 7, Table: 1, Operations: 1, Back: []model.ReplicaID{r(2)}}, {What: Bind, Proxy: 7, Table: 2, Operations: 2, Back: []model.ReplicaID{r(1)}}}})
-	want := []Part{{1, true, []tablewire.Line{{Replica: r(1), Weight: 1}, {Replica: r(2), Weight: 1}}}, {2, true, []tablewire.Line{{Replica: r(1), Weight: 0.5}}}}
+	want := []Part{{1, true, []pubsubmsg.Line{{Replica: r(1), Weight: 1}, {Replica: r(2), Weight: 1}}}, {2, true, []pubsubmsg.Line{{Replica: r(1), Weight: 0.5}}}}
 	if len(made) != 1 || !reflect.DeepEqual(made[0].Parts, want) || made[0].Message.Lines != nil || made[0].Message.Cost != 6+1+2+1+1+1 || len(made[0].Back) != 2 {
 		t.Fatalf("%+v", made)
 	}
 	made = b.Apply(&Batch{Receipt: -1, Orders: []Order{assign(2, 1, 0.6), assign(2, 3, 1)}})
-	if want := []Part{{2, false, []tablewire.Line{{Replica: r(1), Weight: 0.6}, {Replica: r(3), Weight: 1}}}}; len(made) != 1 || !reflect.DeepEqual(made[0].Parts, want) || made[0].Message.Cost != 8 {
+	if want := []Part{{2, false, []pubsubmsg.Line{{Replica: r(1), Weight: 0.6}, {Replica: r(3), Weight: 1}}}}; len(made) != 1 || !reflect.DeepEqual(made[0].Parts, want) || made[0].Message.Cost != 8 {
 		t.Fatalf("%+v", made)
 	}
 	made = b.Apply(&Batch{Receipt: -1, Orders: []Order{{What: Withdraw, Replica: r(3), Out: true}, {What: Withdraw, Replica: r(1), Out: true}}})
--- a/listwire/listwire.go
+++ b/listwire/listwire.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"peppervale/internal/model"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Entry is what is read and written of one entry of /v1/health/service/NAME.
@@ -64,7 +64,7 @@
 		if address == "" {
 			address = e.Node.Address
 		}
-		id, err := tablewire.ParseAddress(address + ":" + strconv.Itoa(e.Service.Port))
+		id, err := pubsubmsg.ParseAddress(address + ":" + strconv.Itoa(e.Service.Port))
 		zone := slices.Index(zones, e.Service.Meta["zone"])
 		if err != nil || zone < 0 || seen[id] {
 			skipped++
--- a/measure/channel.go
+++ b/measure/channel.go
@@ -21,7 +21,7 @@
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // ChannelFigures are of one size. Times are from Publish to the last acknowledgement of all.
@@ -62,7 +62,7 @@
 	applied chan uint32
 }
 
-func (p *publisher) Joined(proxy model.ProxyID, stream uint64, _ tablewire.Join, _ int) {
+func (p *publisher) Joined(proxy model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
 	go func() { // the server holds the peer's turn
 		p.server.Admit(proxy, stream)
 		p.joined <- proxy
--- a/measure/storm.go
+++ b/measure/storm.go
@@ -15,7 +15,7 @@
 	"peppervale/rules"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // StormFigures are of one storm: all dial within a tenth of a second.
@@ -37,7 +37,7 @@
 	seconds chan model.Micros
 }
 
-func (c *counter) Joined(p model.ProxyID, stream uint64, j tablewire.Join, zone int) {
+func (c *counter) Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
 	c.seconds <- c.now() / model.Second
 	c.publisher.Joined(p, stream, j, zone)
 }
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -20,7 +20,7 @@
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // TakeoverFigures are of governors that are killed one at a time at random moments, and come back.
@@ -69,7 +69,7 @@
 	}
 }
 
-func (w *watch) obeyed(now model.Micros, f, governor string, m *tablewire.Message) {
+func (w *watch) obeyed(now model.Micros, f, governor string, m *pubsubmsg.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ordered, orphan := w.orphans[f]
@@ -157,7 +157,7 @@
 		for k := range n {
 			zone := k % takeoverMembers
 			facts := forwarder.Facts{Name: fmt.Sprint("listener-", k), Zone: fmt.Sprint("zone-", zone), Rate: 1, Redial: 150 * model.Millisecond, ConnectFor: model.Second,
-				StreamsOnly: true, Obeyed: func(f *forwarder.Forwarder, governor string, m *tablewire.Message) {
+				StreamsOnly: true, Obeyed: func(f *forwarder.Forwarder, governor string, m *pubsubmsg.Message) {
 					w.obeyed(now(), f.Name, governor, m)
 				}}
 			for i := range takeoverMembers {
--- a/rules/judge.go
+++ b/rules/judge.go
@@ -9,7 +9,7 @@
 	"peppervale/internal/model"
 	"peppervale/listwire"
 	"peppervale/internal/codec/resp"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Effect says what a repeat of an operation does.
@@ -249,7 +249,7 @@
 	case Ran:
 		c := call{e.Invocation, e.Caller}
 		if j.ran[c]++; j.ran[c] > 1 && j.effect(e.Operation) != Idempotent {
-			j.near(Double, 2, "%s: invocation %d took effect %d times, last at %s", j.clock(e.At), e.Invocation, j.ran[c], tablewire.Address(e.Replica))
+			j.near(Double, 2, "%s: invocation %d took effect %d times, last at %s", j.clock(e.At), e.Invocation, j.ran[c], pubsubmsg.Address(e.Replica))
 		}
 	case Arrived:
 		j.arrivals = append(j.arrivals, e)
@@ -269,10 +269,10 @@
 
 // pushed carries a message out on what the forwarder holds, as docs/channel.md has it.
 func (j *judge) pushed(f *forwarder, v resp.Value, now model.Micros) {
-	if !tablewire.IsMessage(v) {
+	if !pubsubmsg.IsMessage(v) {
 		return
 	}
-	m, err := tablewire.Parse(v)
+	m, err := pubsubmsg.Parse(v)
 	if err != nil {
 		return
 	}
@@ -386,7 +386,7 @@
 		if told, gone := f.governor.gone[e.Replica]; gone {
 			late := e.At - max(told, f.joinedAt)
 			j.near(Drain, share(late, j.fig.Grace), "%s: %s sent to %s %s after %s was told that it drains or is gone, %s are allowed",
-				j.clock(e.At), f.name, tablewire.Address(e.Replica), seconds(late), f.governor.name, seconds(j.fig.Grace))
+				j.clock(e.At), f.name, pubsubmsg.Address(e.Replica), seconds(late), f.governor.name, seconds(j.fig.Grace))
 		}
 	}
 	if len(tries) < 2 {
@@ -401,7 +401,7 @@
 			continue
 		}
 		where := fmt.Sprintf("%s: %s sent invocation %d (%s) to %s after a try at %s that may have run", j.clock(e.At), e.Forwarder,
-			e.Invocation, op.Name, tablewire.Address(e.Replica), tablewire.Address(t.Replica))
+			e.Invocation, op.Name, pubsubmsg.Address(e.Replica), pubsubmsg.Address(t.Replica))
 		switch bay := j.replicaOf(t.Replica).bay; {
 		case op.Effect == SideEffecting:
 			j.near(Double, 2, "%s", where)
@@ -433,7 +433,7 @@
 	for id := range j.replicas {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(a, b model.ReplicaID) int { return strings.Compare(tablewire.Address(a), tablewire.Address(b)) })
+	slices.SortFunc(ids, func(a, b model.ReplicaID) int { return strings.Compare(pubsubmsg.Address(a), pubsubmsg.Address(b)) })
 	for _, id := range ids {
 		for _, up := range j.replicas[id].ups {
 			if up.Share < 1 && up.Span > 0 {
@@ -471,7 +471,7 @@
 		can := up.Full * (up.Share + (1-up.Share)*middle) * float64(j.fig.TipSpan)
 		if s := (sum - largest) / (j.fig.TipFactor * can); s <= 1 || known >= sum*2/3 {
 			j.near(Failback, s, "%s: %s, up for %s, was sent %.1f times what it can do within %s, %.1f are allowed",
-				j.clock(a.At), tablewire.Address(id), seconds(a.At-up.At), sum/can, seconds(j.fig.TipSpan), j.fig.TipFactor)
+				j.clock(a.At), pubsubmsg.Address(id), seconds(a.At-up.At), sum/can, seconds(j.fig.TipSpan), j.fig.TipFactor)
 		}
 	}
 }
--- a/stand/forwarder/call.go
+++ b/stand/forwarder/call.go
@@ -11,7 +11,7 @@
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Result is how an invocation ended for its caller.
@@ -119,7 +119,7 @@
 	f, inv := t.c.f, t.c.inv
 	t.link, l.try = l, t
 	f.seen(rules.Tried{At: f.loop.Now(), Forwarder: f.Name, Replica: t.at.id, Operation: inv.Operation, Invocation: inv.Number, Caller: inv.Caller, N: t.n})
-	b := http1.AppendRequest(nil, "POST", "/invoke", tablewire.Address(t.at.id), nil,
+	b := http1.AppendRequest(nil, "POST", "/invoke", pubsubmsg.Address(t.at.id), nil,
 		"Operation", strconv.Itoa(inv.Operation), "Invocation", strconv.FormatUint(inv.Number, 10), "Caller-Try", strconv.Itoa(inv.Caller),
 		"Forwarder", f.Name, "Work-Us", strconv.FormatFloat(inv.Work, 'f', 0, 64))
 	_, _ = l.conn.Write(b)
@@ -235,7 +235,7 @@
 	failed := func() {
 		f.loop.Post(func() { t.end(rules.ConnectFailed, nil) })
 	}
-	netpoll.Dial(f.engine, tablewire.Address(at.id), max(f.ConnectFor, 100*model.Millisecond).Duration(), l, func(c *nbio.Conn, err error) {
+	netpoll.Dial(f.engine, pubsubmsg.Address(at.id), max(f.ConnectFor, 100*model.Millisecond).Duration(), l, func(c *nbio.Conn, err error) {
 		if err != nil {
 			failed()
 			return
--- a/stand/forwarder/forwarder.go
+++ b/stand/forwarder/forwarder.go
@@ -15,7 +15,7 @@
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Pick says how a line is picked.
@@ -49,7 +49,7 @@
 	ConnectFor  model.Micros
 	IdleFor     model.Micros
 	StallFor    model.Micros                                              // it stands still for so long for each line that it is sent
-	Obeyed      func(f *Forwarder, governor string, m *tablewire.Message) // told each message that it carries out; nil: nobody is
+	Obeyed      func(f *Forwarder, governor string, m *pubsubmsg.Message) // told each message that it carries out; nil: nobody is
 	StreamsOnly bool                                                      // it carries no invocations: a listener for measuring the channel
 }
 
@@ -102,7 +102,7 @@
 
 	lines   []*line
 	shut    map[model.ReplicaID]bool
-	levels  []tablewire.Level // by the order in which they came, a mask each
+	levels  []pubsubmsg.Level // by the order in which they came, a mask each
 	bound   bool
 	at      map[model.ReplicaID]*there
 	govLife map[string]held // what it holds of each governor
@@ -334,7 +334,7 @@
 }
 
 // apply takes a message that is due in order.
-func (f *Forwarder) apply(m *tablewire.Message) {
+func (f *Forwarder) apply(m *pubsubmsg.Message) {
 	if m.Bound || len(m.Levels) > 0 {
 		f.caution = false
 	}
@@ -362,7 +362,7 @@
 		}
 	}
 	for _, n := range m.Levels {
-		i := slices.IndexFunc(f.levels, func(l tablewire.Level) bool { return l.Operations == n.Operations })
+		i := slices.IndexFunc(f.levels, func(l pubsubmsg.Level) bool { return l.Operations == n.Operations })
 		if i >= 0 {
 			f.levels[i] = n
 		} else {
--- a/stand/forwarder/stream.go
+++ b/stand/forwarder/stream.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/codec/resp"
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // stream is a connection to a governor.
@@ -85,7 +85,7 @@
 	f := s.f
 	h := f.govLife[s.governor.Name]
 	b := resp.AppendCommand(nil, "HELLO", "3")
-	b = tablewire.AppendJoin(b, tablewire.Join{Name: f.Name, Zone: f.Zone, Rate: f.Rate, Fresh: len(f.govLife) == 0, Life: h.life, Version: h.version, Epoch: f.fence.Epoch})
+	b = pubsubmsg.AppendJoin(b, pubsubmsg.Join{Name: f.Name, Zone: f.Zone, Rate: f.Rate, Fresh: len(f.govLife) == 0, Life: h.life, Version: h.version, Epoch: f.fence.Epoch})
 	_, _ = s.conn.Write(b)
 }
 
@@ -192,8 +192,8 @@
 			f.seen(rules.Stream{At: f.loop.Now(), Forwarder: f.Name, Governor: s.governor.Name, Up: true})
 			f.loop.After(model.Micros(f.chance.Float()*float64(s.period)), s.report)
 		}
-	case tablewire.IsMessage(v):
-		if m, err := tablewire.Parse(v); err == nil {
+	case pubsubmsg.IsMessage(v):
+		if m, err := pubsubmsg.Parse(v); err == nil {
 			s.message(m)
 		}
 	case v.Kind == resp.Push && len(v.Items) == 2 && v.Items[0].Text == "elsewhere":
@@ -230,7 +230,7 @@
 
 // message takes a table message: in order it is applied, an old one only acknowledged, and after a gap a snapshot is
 // asked for. Nothing is guessed.
-func (s *stream) message(m *tablewire.Message) {
+func (s *stream) message(m *pubsubmsg.Message) {
 	f := s.f
 	if !f.epoch(m.Epoch) {
 		f.Fenced++
@@ -264,11 +264,11 @@
 	f.run(func() { s.ack(m) })
 }
 
-func (s *stream) ack(m *tablewire.Message) {
+func (s *stream) ack(m *pubsubmsg.Message) {
 	if s.f.Disobey.NeverAcks || m.Receipt < 0 || s.ended {
 		return
 	}
-	_, _ = s.conn.Write(tablewire.AppendAck(nil, tablewire.Ack{Life: m.Life, Version: m.Version, Receipt: m.Receipt}))
+	_, _ = s.conn.Write(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{Life: m.Life, Version: m.Version, Receipt: m.Receipt}))
 }
 
 // report sends the sums of a period and books the next.
@@ -283,7 +283,7 @@
 			return
 		}
 		s.reports++
-		sums := tablewire.Sums{Number: s.reports, Span: s.period}
+		sums := pubsubmsg.Sums{Number: s.reports, Span: s.period}
 		for _, t := range f.at {
 			if t.tries == 0 {
 				continue
@@ -296,9 +296,9 @@
 			t.tries, t.errored, t.latency, t.report = 0, 0, 0, nil
 		}
 		slices.SortFunc(sums.Of, func(a, b model.Sum) int {
-			return strings.Compare(tablewire.Address(a.Replica), tablewire.Address(b.Replica))
+			return strings.Compare(pubsubmsg.Address(a.Replica), pubsubmsg.Address(b.Replica))
 		})
-		b := tablewire.AppendSums(nil, sums)
+		b := pubsubmsg.AppendSums(nil, sums)
 		if f.SumsLate > 0 {
 			f.loop.After(f.SumsLate, func() { _, _ = s.conn.Write(b) })
 			return
--- a/stand/forwarder/takeover_test.go
+++ b/stand/forwarder/takeover_test.go
@@ -16,7 +16,7 @@
 	"peppervale/rules"
 	"peppervale/stand"
 	"peppervale/stand/replica"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 func TestMain(m *testing.M) {
@@ -48,7 +48,7 @@
 	h.mu.Unlock()
 }
 
-func (h *holder) Joined(p model.ProxyID, stream uint64, _ tablewire.Join, _ int) {
+func (h *holder) Joined(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
 	h.Admit(p, stream)
 	h.joined <- p
 }
@@ -63,7 +63,7 @@
 		b.Orders = append(b.Orders, snapshot.Order{What: snapshot.Assign, Table: 1, Replica: r, Weight: 1})
 	}
 	b.Orders = append(b.Orders, snapshot.Order{What: snapshot.Bind, Proxy: p, Table: 1},
-		snapshot.Order{What: snapshot.SetLevel, Level: tablewire.Level{Operations: 1, Share: 1, Way: way}})
+		snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 1, Share: 1, Way: way}})
 	h.Publish(b)
 }
 
--- a/stand/registry/registry.go
+++ b/stand/registry/registry.go
@@ -19,7 +19,7 @@
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Entry is a replica as the list has it.
@@ -200,7 +200,7 @@
 func (r *Registry) Body() []byte {
 	all := []listwire.Entry{}
 	for _, e := range r.entries {
-		address, port, _ := strings.Cut(tablewire.Address(e.ID), ":")
+		address, port, _ := strings.Cut(pubsubmsg.Address(e.ID), ":")
 		n, _ := strconv.Atoi(port)
 		id := r.service + "-" + port
 		one := listwire.Entry{Node: listwire.Node{Node: "node-" + port, Address: address},
--- a/stand/replica/replica.go
+++ b/stand/replica/replica.go
@@ -14,7 +14,7 @@
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
-	"peppervale/tablewire"
+	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Facts is what a replica is.
@@ -138,8 +138,8 @@
 			}
 		})
 	}}
-	if r.engine, err = netpoll.Start(1, h, tablewire.Address(r.ID)); err != nil {
-		return fmt.Errorf("replica %s: %w", tablewire.Address(r.ID), err)
+	if r.engine, err = netpoll.Start(1, h, pubsubmsg.Address(r.ID)); err != nil {
+		return fmt.Errorf("replica %s: %w", pubsubmsg.Address(r.ID), err)
 	}
 	now := r.loop.Now()
 	r.Up, r.Tipped, r.Silent, r.Draining = true, false, false, false
