--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/platform"
-	"peppervale/platformwire"
+	"peppervale/internal/codec/platformmsg"
 	"peppervale/internal/discovery"
 	"peppervale/internal/config"
 )
@@ -48,7 +48,7 @@
 	now := controller.Clock()
 	host := controller.New(p.Terms, intakeMost, now, log)
 	host.KeepNoCauses()
-	names := platformwire.NewNames()
+	names := platformmsg.NewNames()
 	list, err := discovery.NewWatch(discovery.Discovery{Address: p.Discovery, Zones: p.Zones, Names: names, Known: p.Known,
 		Seed: p.Terms.Seed, Log: log}, host)
 	if err != nil {
--- a/platformwire/golden_test.go
+++ b/internal/codec/platformmsg/golden_test.go
@@ -1,4 +1,4 @@
-package platformwire
+package platformmsg
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"strings"
 	"testing"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
 )
 
 // pinned gives the bytes of a golden file.
--- a/platformwire/list.go
+++ b/internal/codec/platformmsg/list.go
@@ -1,4 +1,4 @@
-package platformwire
+package platformmsg
 
 import (
 	"encoding/json"
--- a/platformwire/platformwire.go
+++ b/internal/codec/platformmsg/platformwire.go
@@ -6,7 +6,7 @@
 // skipped, so that the platform can add some.
 //
 // Caveats: whether a zone, a replica or a proxy of that name exists is for the caller to say; see Names.
-package platformwire
+package platformmsg
 
 import (
 	"fmt"
@@ -15,8 +15,8 @@
 	"strconv"
 	"strings"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
 )
 
 // Kind is the first word of a message.
--- a/platformwire/platformwire_test.go
+++ b/internal/codec/platformmsg/platformwire_test.go
@@ -1,12 +1,12 @@
-package platformwire
+package platformmsg
 
 import (
 	"reflect"
 	"strings"
 	"testing"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
 )
 
 // read gives the messages of some bytes.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -4,8 +4,8 @@
 	"reflect"
 	"testing"
 
+	"peppervale/internal/codec/platformmsg"
 	"peppervale/internal/model"
-	"peppervale/platformwire"
 )
 
 // goldenPlatform is what the golden platform's file means, with every field set.
@@ -19,7 +19,7 @@
 		Overhead: 6, QueueMost: 6400, MessagesMost: 12, MessagesSpan: 10_000_000, CrossPrice: 0.08, PushPrice: 0.02,
 		BusyField: 1, Cold: 17_000_000, Proxies: 60, ConnsLeast: 160, OwnZone: 2,
 	},
-	Known: &platformwire.List{Version: 41, Whole: true, Entries: []platformwire.Entry{
+	Known: &platformmsg.List{Version: 41, Whole: true, Entries: []platformmsg.Entry{
 		{Host: "s-1", Site: "govan", Life: model.Ready, Since: 1_796_152_905_047_500}}},
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,18 +16,18 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/codec/http1"
+	"peppervale/internal/codec/platformmsg"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
-	"peppervale/platformwire"
 )
 
 // Discovery says which list of the operators' platform is watched.
 type Discovery struct {
 	Address string // host:port
 	Zones   []string
-	Names   *platformwire.Names // learns each replica that is listed
-	Known   *platformwire.List  // what the list was when this governor last held it; nil: never
-	Seed    uint64              // of the pauses
+	Names   *platformmsg.Names // learns each replica that is listed
+	Known   *platformmsg.List  // what the list was when this governor last held it; nil: never
+	Seed    uint64             // of the pauses
 	Log     zerolog.Logger
 }
 
@@ -48,7 +48,7 @@
 type Watch struct {
 	to     Receiver
 	zones  []string
-	names  *platformwire.Names
+	names  *platformmsg.Names
 	log    zerolog.Logger
 	engine *netpoll.Engine
 	asked  chan struct{}
@@ -60,14 +60,14 @@
 
 	mu      sync.Mutex
 	address string
-	held    map[string]platformwire.Entry
+	held    map[string]platformmsg.Entry
 	version uint64
 }
 
 // NewWatch starts a client that does nothing until Follow.
 func NewWatch(d Discovery, to Receiver) (*Watch, error) {
 	w := &Watch{to: to, zones: d.Zones, names: d.Names, log: d.Log, seed: d.Seed, address: d.Address, asked: make(chan struct{}, 1),
-		moved: make(chan struct{}, 1), done: make(chan struct{}), held: map[string]platformwire.Entry{}}
+		moved: make(chan struct{}, 1), done: make(chan struct{}), held: map[string]platformmsg.Entry{}}
 	if d.Known != nil {
 		w.take(d.Known)
 	}
@@ -187,7 +187,7 @@
 }
 
 // take folds one object of the watch in.
-func (w *Watch) take(l *platformwire.List) {
+func (w *Watch) take(l *platformmsg.List) {
 	if l.Whole {
 		clear(w.held)
 	}
@@ -318,7 +318,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		list, err := platformwire.ParseList(text)
+		list, err := platformmsg.ParseList(text)
 		if err != nil {
 			return err
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,12 +23,12 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
+	"peppervale/internal/codec/platformmsg"
 	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/snapshot"
-	"peppervale/platformwire"
 )
 
 // Events is told what comes, from network goroutines and in order: it must not block, nor call the server from within. A stream is one
@@ -57,7 +57,7 @@
 	LoadFields []string // of a load report, in the order of a sum's
 	Proxies    int      // ids run from 0 to one less; 0: not told
 	Overhead   int      // lines that a message costs beyond its own
-	Names      *platformwire.Names
+	Names      *platformmsg.Names
 	Limits     Limits
 	Now        func() model.Micros
 	Log        zerolog.Logger
@@ -274,12 +274,12 @@
 		s.sent++
 		p.owed = append(p.owed, owed{p.asked, now, s.sent})
 	}
-	b, _ := (&platformwire.Update{Ticket: int(p.asked)}).Append(nil)
+	b, _ := (&platformmsg.Update{Ticket: int(p.asked)}).Append(nil)
 	s.write(p, b)
 }
 
 func (s *Server) opened(c *nbio.Conn) {
-	p := &peer{server: s, conn: c, reader: resp.NewReader(platformwire.Limits), collects: -1}
+	p := &peer{server: s, conn: c, reader: resp.NewReader(platformmsg.Limits), collects: -1}
 	s.mu.Lock()
 	p.openedAt = s.line.Now()
 	p.heardAt.Store(int64(p.openedAt))
@@ -329,7 +329,7 @@
 func (s *Server) refuse(p *peer, why string) {
 	s.mu.Lock()
 	s.stats.Refused++
-	s.write(p, platformwire.AppendRefused(nil, why))
+	s.write(p, platformmsg.AppendRefused(nil, why))
 	s.mu.Unlock()
 	s.end(p)
 }
@@ -388,25 +388,25 @@
 		return errEnded
 	}
 	s := p.server
-	m, err := platformwire.Parse(v)
+	m, err := platformmsg.Parse(v)
 	s.mu.Lock()
 	stranger := p.stranger != nil
 	s.mu.Unlock()
 	switch {
-	case err == nil && m.Kind == platformwire.Ping:
+	case err == nil && m.Kind == platformmsg.Ping:
 		return s.pong(p)
-	case err == nil && stranger && m.Kind == platformwire.Joined:
+	case err == nil && stranger && m.Kind == platformmsg.Joined:
 		err = s.join(p, m)
-	case err == nil && stranger && m.Kind == platformwire.Collector:
+	case err == nil && stranger && m.Kind == platformmsg.Collector:
 		err = s.collector(p, m)
 	case stranger && err == nil:
 		err = fmt.Errorf("%s: nothing has joined on this connection", m.Kind)
-	case m.Kind == platformwire.Applied && p.stream != 0:
+	case m.Kind == platformmsg.Applied && p.stream != 0:
 		s.applied(p, m, err)
 		err = nil
-	case err == nil && m.Kind == platformwire.Heard && p.collects >= 0:
+	case err == nil && m.Kind == platformmsg.Heard && p.collects >= 0:
 		err = s.heard(m)
-	case err == nil && m.Kind == platformwire.Usage:
+	case err == nil && m.Kind == platformmsg.Usage:
 		s.mu.Lock()
 		s.stats.Usage += uint64(m.Tries)
 		s.mu.Unlock()
@@ -435,7 +435,7 @@
 // pong answers a sign of life. Whoever asks and reads none is ended: the answers are bounded like all else that waits.
 func (s *Server) pong(p *peer) error {
 	s.mu.Lock()
-	s.write(p, platformwire.AppendPong(nil))
+	s.write(p, platformmsg.AppendPong(nil))
 	slow := p.unsent.Load() > int64(s.line.Limits.Unsent)
 	if slow {
 		s.stats.Slow++
@@ -449,7 +449,7 @@
 	return nil
 }
 
-func (s *Server) join(p *peer, m platformwire.Message) error {
+func (s *Server) join(p *peer, m platformmsg.Message) error {
 	zone := slices.Index(s.line.Zones, m.Site)
 	switch {
 	case s.line.Proxies > 0 && m.Proxy >= s.line.Proxies:
@@ -486,7 +486,7 @@
 	p.stranger = nil
 }
 
-func (s *Server) collector(p *peer, m platformwire.Message) error {
+func (s *Server) collector(p *peer, m platformmsg.Message) error {
 	zone := slices.Index(s.line.Zones, m.Site)
 	if zone < 0 {
 		return fmt.Errorf("collector: there is no site %.40q", m.Site)
@@ -511,7 +511,7 @@
 
 // applied takes an answer. Answers come in the order in which they were asked for, so one that is spoilt is still known to be that to
 // the oldest that is owed: without it what it covers would count in the queue until the next one.
-func (s *Server) applied(p *peer, m platformwire.Message, fault error) {
+func (s *Server) applied(p *peer, m platformmsg.Message, fault error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.peers[p.conn] != p { // ended meanwhile
@@ -538,7 +538,7 @@
 	s.events.Applied(p.proxy, p.stream, ticket)
 }
 
-func (s *Server) heard(m platformwire.Message) error {
+func (s *Server) heard(m platformmsg.Message) error {
 	zone := slices.Index(s.line.Zones, m.Site)
 	id, known := s.line.Names.ID(m.Target)
 	if zone < 0 || !known {
@@ -548,7 +548,7 @@
 	if len(m.Load) > 0 {
 		sum.Report = make([]float64, len(s.line.LoadFields))
 		for i, name := range s.line.LoadFields {
-			k := slices.IndexFunc(m.Load, func(r platformwire.Reading) bool { return r.Name == name })
+			k := slices.IndexFunc(m.Load, func(r platformmsg.Reading) bool { return r.Name == name })
 			if sum.Report[i] = -1; k >= 0 {
 				sum.Report[i] = m.Load[k].Value
 			}
@@ -597,10 +597,10 @@
 // send writes a message in the platform's words; false once too much waits there. s.mu is held.
 func (s *Server) send(p *peer, out snapshot.Outgoing) bool {
 	m := out.Message
-	u := platformwire.Update{Whole: m.Whole, Ticket: m.Receipt}
-	lines := func(of []pubsubmsg.Line) (all []platformwire.Line) {
+	u := platformmsg.Update{Whole: m.Whole, Ticket: m.Receipt}
+	lines := func(of []pubsubmsg.Line) (all []platformmsg.Line) {
 		for _, l := range of {
-			all = append(all, platformwire.Line{Replica: s.line.Names.Name(l.Replica), Weight: l.Weight})
+			all = append(all, platformmsg.Line{Replica: s.line.Names.Name(l.Replica), Weight: l.Weight})
 		}
 		return all
 	}
@@ -608,7 +608,7 @@
 		u.Whole = false
 	}
 	for _, p := range out.Parts {
-		u.Parts = append(u.Parts, platformwire.Part{Operations: s.named(p.Operations), Whole: p.Whole, Lines: lines(p.Lines)})
+		u.Parts = append(u.Parts, platformmsg.Part{Operations: s.named(p.Operations), Whole: p.Whole, Lines: lines(p.Lines)})
 	}
 	for _, x := range m.Shuts {
 		if name := s.line.Names.Name(x.Replica); x.Out {
@@ -623,7 +623,7 @@
 	s.tellBack(p, out, &u)
 	for _, l := range m.Levels {
 		for _, name := range s.named(l.Operations) {
-			u.Levels = append(u.Levels, platformwire.Level{Operation: name, Share: l.Share, Way: l.Way})
+			u.Levels = append(u.Levels, platformmsg.Level{Operation: name, Share: l.Share, Way: l.Way})
 		}
 	}
 	b, err := u.Append(nil)
@@ -657,7 +657,7 @@
 // its replica is told back. A bind brings along those that the governor thinks may be out, and a new line its own, as both are charged for;
 // the rest of a bind's follows in the place of the levels that every message is charged for and few have, where nothing waits behind it.
 // s.mu is held.
-func (s *Server) tellBack(p *peer, out snapshot.Outgoing, u *platformwire.Update) {
+func (s *Server) tellBack(p *peer, out snapshot.Outgoing, u *platformmsg.Update) {
 	if p.settled == nil {
 		return
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,12 +12,12 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
+	"peppervale/internal/codec/platformmsg"
 	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/controller"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
-	"peppervale/platformwire"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -26,7 +26,7 @@
 type host struct {
 	t      *testing.T
 	server *Server
-	names  *platformwire.Names
+	names  *platformmsg.Names
 	steps  chan func()
 	mu     sync.Mutex
 	events []string
@@ -97,7 +97,7 @@
 // start opens an address with two zones, two operations, twenty proxies and nine listed replicas, s-1 to s-9.
 func start(t *testing.T, change func(*Line)) *host {
 	t.Helper()
-	h := &host{t: t, names: platformwire.NewNames(), steps: make(chan func(), 100_000)}
+	h := &host{t: t, names: platformmsg.NewNames(), steps: make(chan func(), 100_000)}
 	for n := range 9 {
 		h.names.Listed(fmt.Sprint("s-", n+1))
 	}
