--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -23,7 +23,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/listwire"
+	"peppervale/internal/codec/consulcatalog"
 	"peppervale/internal/codec/resp"
 	"peppervale/rules"
 	"peppervale/internal/config"
@@ -138,14 +138,14 @@
 
 // told notes the list as the judge reads it; y.mu is held.
 func (y *yard) told() {
-	var all []listwire.Entry
+	var all []consulcatalog.Entry
 	for _, e := range y.hosts {
-		var l listwire.Entry
+		var l consulcatalog.Entry
 		id := address(e.Host)
 		l.Service.Address, l.Service.Port = net.IP(id.Addr[:]).String(), int(id.Port)
 		l.Service.Meta = map[string]string{"zone": e.Site, "started": strconv.FormatInt(e.Born, 10)}
 		if e.Health == "draining" {
-			l.Checks = append(l.Checks, listwire.Check{CheckID: "_service_maintenance"})
+			l.Checks = append(l.Checks, consulcatalog.Check{CheckID: "_service_maintenance"})
 		}
 		all = append(all, l)
 	}
--- a/listwire/golden_test.go
+++ b/internal/codec/consulcatalog/golden_test.go
@@ -1,4 +1,4 @@
-package listwire
+package consulcatalog
 
 import (
 	"bytes"
--- a/listwire/listwire.go
+++ b/internal/codec/consulcatalog/listwire.go
@@ -1,6 +1,6 @@
 // Package listwire is the machine list on the wire: the JSON of Consul's health endpoint, as its HTTP interface is
 // published, read into plain listings. Nothing here does I/O.
-package listwire
+package consulcatalog
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
 )
 
 // Entry is what is read and written of one entry of /v1/health/service/NAME.
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -11,10 +11,10 @@
 	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
+	"peppervale/internal/codec/consulcatalog"
 	"peppervale/internal/codec/http1"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
-	"peppervale/listwire"
 )
 
 // Query says which list is followed.
@@ -120,7 +120,7 @@
 		if err != nil {
 			return fmt.Errorf("no index in the answer: %.40q", m.Header["x-consul-index"])
 		}
-		entries, skipped, err := listwire.Parse(m.Body, c.query.Zones)
+		entries, skipped, err := consulcatalog.Parse(m.Body, c.query.Zones)
 		if err != nil {
 			return err
 		}
--- a/rules/judge.go
+++ b/rules/judge.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"peppervale/internal/model"
-	"peppervale/listwire"
+	"peppervale/internal/codec/consulcatalog"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/codec/pubsubmsg"
 )
@@ -316,7 +316,7 @@
 }
 
 func (j *judge) told(e Told) {
-	entries, _, err := listwire.Parse(e.Body, j.fig.Zones)
+	entries, _, err := consulcatalog.Parse(e.Body, j.fig.Zones)
 	if err != nil {
 		return
 	}
--- a/stand/registry/registry.go
+++ b/stand/registry/registry.go
@@ -15,7 +15,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/codec/http1"
-	"peppervale/listwire"
+	"peppervale/internal/codec/consulcatalog"
 	"peppervale/rules"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
@@ -198,20 +198,20 @@
 
 // Body is the list as JSON.
 func (r *Registry) Body() []byte {
-	all := []listwire.Entry{}
+	all := []consulcatalog.Entry{}
 	for _, e := range r.entries {
 		address, port, _ := strings.Cut(pubsubmsg.Address(e.ID), ":")
 		n, _ := strconv.Atoi(port)
 		id := r.service + "-" + port
-		one := listwire.Entry{Node: listwire.Node{Node: "node-" + port, Address: address},
-			Service: listwire.Service{ID: id, Service: r.service, Address: address, Port: n,
+		one := consulcatalog.Entry{Node: consulcatalog.Node{Node: "node-" + port, Address: address},
+			Service: consulcatalog.Service{ID: id, Service: r.service, Address: address, Port: n,
 				Meta: map[string]string{"zone": e.Zone, "cell": e.Bay, "kind": e.Kind}},
-			Checks: []listwire.Check{{Node: "node-" + port, CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"}}}
+			Checks: []consulcatalog.Check{{Node: "node-" + port, CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"}}}
 		if e.Started > 0 {
 			one.Service.Meta["started"] = strconv.FormatInt(int64(e.Started/model.Millisecond), 10)
 		}
 		if e.Draining {
-			one.Checks = append(one.Checks, listwire.Check{Node: "node-" + port, CheckID: "_service_maintenance:" + id,
+			one.Checks = append(one.Checks, consulcatalog.Check{Node: "node-" + port, CheckID: "_service_maintenance:" + id,
 				Name: "Service Maintenance Mode", Status: "critical"})
 		}
 		all = append(all, one)
