--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -10,19 +10,21 @@
 	"os"
 
 	"peppervale/internal/balancer"
+	"peppervale/internal/codec/simulator"
 	"peppervale/internal/model"
-	"peppervale/simwire"
 )
 
 // instance is one governor with the orders that it has given in this batch.
 type instance struct {
 	number   uint16
 	governor *balancer.Governor
-	reply    *simwire.Reply
+	reply    *simulator.Reply
 	touched  bool
 }
 
-func newInstance(number uint16) *instance { return &instance{number: number, reply: &simwire.Reply{}} }
+func newInstance(number uint16) *instance {
+	return &instance{number: number, reply: &simulator.Reply{}}
+}
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -35,7 +37,7 @@
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint16]*instance{}
 	for {
-		b, err := simwire.Read(r)
+		b, err := simulator.Read(r)
 		if errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
@@ -54,11 +56,11 @@
 	}
 }
 
-func answer(instances map[uint16]*instance, b *simwire.Batch) (*simwire.Reply, error) {
+func answer(instances map[uint16]*instance, b *simulator.Batch) (*simulator.Reply, error) {
 	var order []*instance
 	var current *instance
 	for _, e := range b.Events() {
-		if e.Code() == simwire.CodeTarget {
+		if e.Code() == simulator.CodeTarget {
 			current = instances[e.Target()]
 			if current == nil {
 				current = newInstance(e.Target())
@@ -77,7 +79,7 @@
 			return nil, err
 		}
 	}
-	all := &simwire.Reply{}
+	all := &simulator.Reply{}
 	for _, inst := range order {
 		_ = inst.guard(func() error {
 			if inst.governor != nil {
@@ -89,7 +91,7 @@
 			all.OnBehalf(inst.number)
 			all.Append(inst.reply)
 		}
-		*inst.reply, inst.touched = simwire.Reply{}, false
+		*inst.reply, inst.touched = simulator.Reply{}, false
 	}
 	return all, nil
 }
@@ -105,13 +107,13 @@
 	return f()
 }
 
-func (inst *instance) take(e simwire.Event, now model.Micros) error {
-	if e.Code() == simwire.CodeHello {
+func (inst *instance) take(e simulator.Event, now model.Micros) error {
+	if e.Code() == simulator.CodeHello {
 		seed, text, err := e.Hello()
 		if err != nil {
 			return err
 		}
-		terms, err := simwire.Terms(seed, text)
+		terms, err := simulator.Terms(seed, text)
 		if err != nil {
 			inst.governor = nil
 			inst.reply.Exception(err.Error())
@@ -120,7 +122,7 @@
 		inst.governor = balancer.New(terms, inst.reply, now)
 		return nil
 	}
-	if e.Code() == simwire.CodeRosterChange {
+	if e.Code() == simulator.CodeRosterChange {
 		scope, entries, err := e.RosterChange()
 		if err == nil && inst.governor != nil {
 			inst.governor.Listed(now, scope, entries)
@@ -132,19 +134,19 @@
 		return nil
 	}
 	switch e.Code() {
-	case simwire.CodeKill:
+	case simulator.CodeKill:
 		inst.governor = nil
-	case simwire.CodeBell:
+	case simulator.CodeBell:
 		g.Rang(now)
-	case simwire.CodeDialledIn:
+	case simulator.CodeDialledIn:
 		p, zone, usual := e.DialledIn()
 		g.Joined(now, p, zone, usual)
-	case simwire.CodeDisconnected:
+	case simulator.CodeDisconnected:
 		g.Left(now, e.Left())
-	case simwire.CodeTookEffect:
+	case simulator.CodeTookEffect:
 		p, number := e.TookEffect()
 		g.Applied(now, p, number)
-	case simwire.CodeRoundup:
+	case simulator.CodeRoundup:
 		g.Heard(now, e.Roundup())
 	}
 	return nil
--- a/simwire/simwire.go
+++ b/internal/codec/simulator/simwire.go
@@ -1,5 +1,5 @@
 // Package simwire reads and writes the bench's binary frames and decodes its start settings.
-package simwire
+package simulator
 
 import (
 	"bufio"
--- a/simwire/simwire_test.go
+++ b/internal/codec/simulator/simwire_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simulator
 
 import (
 	"bufio"
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -8,8 +8,8 @@
 	"strconv"
 
 	"peppervale/internal/codec/platformmsg"
+	"peppervale/internal/codec/simulator"
 	"peppervale/internal/model"
-	"peppervale/simwire"
 )
 
 // Platform is what the operators' platform tells a governor that it starts.
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("limits: %g MB and %d sockets; 8 MB and 64 sockets at least are wanted", o.Limits.Memory, o.Limits.Sockets)
 	}
 	p := &Platform{Name: o.Name, Listen: o.Listen, Discovery: o.Discovery, Memory: int64(o.Limits.Memory * (1 << 20)), Sockets: o.Limits.Sockets}
-	if p.Terms, err = simwire.Terms(seed, o.Settings); err != nil {
+	if p.Terms, err = simulator.Terms(seed, o.Settings); err != nil {
 		return nil, err
 	}
 	var names struct {
