--- a/console/across/pages.go
+++ b/console/across/pages.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"peppervale/console"
+	"peppervale/internal/console"
 	"peppervale/console/frame"
 	"peppervale/internal/model"
 )
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/pubsub"
-	"peppervale/console"
+	"peppervale/internal/console"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
--- a/console/body.go
+++ b/internal/console/body.go
@@ -9,12 +9,12 @@
 	"strconv"
 	"strings"
 
-	"peppervale/internal/pubsub"
 	"peppervale/internal/balancer"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
 	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
 )
 
 // overview is the first page: is all well, and if not, where to look.
@@ -371,7 +371,7 @@
 }
 
 type beforeTable struct {
-	Table string            `json:"table"`
+	Table string           `json:"table"`
 	Lines []pubsub.LineOut `json:"lines"`
 }
 
--- a/console/console.go
+++ b/internal/console/console.go
@@ -12,11 +12,11 @@
 	"sync"
 	"time"
 
-	"peppervale/internal/pubsub"
 	"peppervale/console/frame"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
 )
 
 // Source is what the console reads; governor.Host and channel.Server are the real ones.
@@ -129,17 +129,17 @@
 
 // page is what a template is given, and what JSON shows.
 type page struct {
-	Title string         `json:"title"`
-	Kind  string         `json:"-"`
-	About About          `json:"-"`
-	Name  string         `json:"governor"`
-	Life  uint64         `json:"life"`
-	At    model.Micros   `json:"at_us"`  // of the view
-	Age   string         `json:"age"`    // of the view when the page was made
-	Now   model.Micros   `json:"now_us"` // when it was made
+	Title string           `json:"title"`
+	Kind  string           `json:"-"`
+	About About            `json:"-"`
+	Name  string           `json:"governor"`
+	Life  uint64           `json:"life"`
+	At    model.Micros     `json:"at_us"`  // of the view
+	Age   string           `json:"age"`    // of the view when the page was made
+	Now   model.Micros     `json:"now_us"` // when it was made
 	View  *controller.View `json:"-"`
-	Stats pubsub.Stats  `json:"channel"`
-	Body  any            `json:"body"`
+	Stats pubsub.Stats     `json:"channel"`
+	Body  any              `json:"body"`
 }
 
 // Shares tells whether this governor shares the fleet out with others.
--- a/console/console_test.go
+++ b/internal/console/console_test.go
@@ -13,11 +13,11 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/internal/snapshot"
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+	"peppervale/internal/snapshot"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -40,7 +40,7 @@
 		}
 	}
 }
-func (d *desk) Follow()              {}
+func (d *desk) Follow()             {}
 func (d *desk) Stats() pubsub.Stats { return pubsub.Stats{Forwarders: 3, Version: 7, Queue: 12} }
 
 func id(n int) model.ReplicaID {
--- a/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -9,11 +9,11 @@
 	"path/filepath"
 	"testing"
 
-	"peppervale/internal/pubsub"
 	"peppervale/internal/balancer"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
 )
 
 var update = flag.Bool("update", false, "write the golden pages in testdata anew")
--- a/console/group_test.go
+++ b/internal/console/group_test.go
@@ -6,18 +6,18 @@
 	"strings"
 	"testing"
 
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
 )
 
 // standby is a governor of a group that has not begun to step: it holds no part.
 type standby struct{}
 
-func (standby) View() *controller.View                                    { return nil }
-func (standby) Watch() *controller.View                                   { return nil }
-func (standby) Stats() pubsub.Stats                                    { return pubsub.Stats{} }
+func (standby) View() *controller.View                                      { return nil }
+func (standby) Watch() *controller.View                                     { return nil }
+func (standby) Stats() pubsub.Stats                                         { return pubsub.Stats{} }
 func (standby) Causes(int, func(*controller.Cause) bool) []controller.Cause { return nil }
 
 // A governor that stands by has nothing to show but its group, and says so on every other page; the group's page tells why it holds
--- a/console/metrics.go
+++ b/internal/console/metrics.go
@@ -7,9 +7,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
 	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
 )
 
 // figures are what /metrics tells, each read from the figures that the pages read. A counter only grows within a life.
