--- a/command/command.go
+++ b/command/command.go
@@ -18,7 +18,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/console/across"
+	"peppervale/internal/console/comparison"
 	"peppervale/daemon"
 	"peppervale/day"
 	"peppervale/internal/model"
@@ -111,7 +111,7 @@
 			return fmt.Errorf("%w: --governors: %q is no host:port and no URL, as 127.0.0.1:7780 or http://127.0.0.1:7780", ErrInput, g)
 		}
 	}
-	pages, err := across.Listen(c.Listen, c.Governors, controller.Clock())
+	pages, err := comparison.Listen(c.Listen, c.Governors, controller.Clock())
 	if err != nil {
 		return err
 	}
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/console/across"
+	"peppervale/internal/console/comparison"
 	"peppervale/daemon"
 	"peppervale/internal/controller"
 	"peppervale/rules"
@@ -196,14 +196,14 @@
 func drive(lines chan string) error {
 	defer http.DefaultClient.CloseIdleConnections()
 	consoles := map[string]string{}
-	var both *across.Server
+	var both *comparison.Server
 	for line := range lines {
 		if _, at, found := strings.Cut(line, "console of "); found {
 			name, address, _ := strings.Cut(at, ": ")
 			consoles[name] = strings.TrimSpace(address)
 			if len(consoles) == len(two) {
 				var err error
-				if both, err = across.Listen("127.0.0.1:0", []string{consoles["govan-1"], consoles["partick-2"]}, controller.Clock()); err != nil {
+				if both, err = comparison.Listen("127.0.0.1:0", []string{consoles["govan-1"], consoles["partick-2"]}, controller.Clock()); err != nil {
 					return err
 				}
 				defer both.Close()
--- a/console/across/belief.go
+++ b/internal/console/comparison/belief.go
@@ -1,4 +1,4 @@
-package across
+package comparison
 
 import (
 	"encoding/json"
--- a/console/across/doc.go
+++ b/internal/console/comparison/doc.go
@@ -9,4 +9,4 @@
 //
 // belief.go is what a governor's console said, compare.go finds and follows disagreements (free of I/O), poll.go asks, pages.go
 // answers viewers.
-package across
+package comparison
--- a/console/across/pages.go
+++ b/internal/console/comparison/pages.go
@@ -1,4 +1,4 @@
-package across
+package comparison
 
 import (
 	"embed"
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"peppervale/internal/console"
 	"peppervale/console/frame"
+	"peppervale/internal/console"
 	"peppervale/internal/model"
 )
 
