--- a/internal/console/comparison/pages.go
+++ b/internal/console/comparison/pages.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"peppervale/console/frame"
 	"peppervale/internal/console"
+	"peppervale/internal/console/httpserver"
 	"peppervale/internal/model"
 )
 
@@ -26,7 +26,7 @@
 // Server is a console of several governors. Make it with Listen.
 type Server struct {
 	poller *Poller
-	frame  *frame.Server
+	frame  *httpserver.Server
 	now    func() model.Micros
 	done   chan struct{}
 	wait   sync.WaitGroup
@@ -42,7 +42,7 @@
 func Listen(address string, governors []string, now func() model.Micros) (*Server, error) {
 	s := &Server{now: now, done: make(chan struct{}), ledger: NewLedger(), poller: NewPoller(governors, now)}
 	var err error
-	if s.frame, err = frame.Listen(address, s.serve, nil); err != nil {
+	if s.frame, err = httpserver.Listen(address, s.serve, nil); err != nil {
 		s.poller.Close()
 		return nil, err
 	}
@@ -172,10 +172,10 @@
 			return cell{Says: says, Link: address + "/forwarders/" + url.PathEscape(about)}, known
 		})
 	default:
-		frame.Fail(w, http.StatusNotFound, "no page here; there are / /replicas /forwarders, each with ?about=")
+		httpserver.Fail(w, http.StatusNotFound, "no page here; there are / /replicas /forwarders, each with ?about=")
 		return
 	}
-	frame.Write(w, r, pages, p)
+	httpserver.Write(w, r, pages, p)
 }
 
 func (s *Server) overview(now model.Micros, seen []Seen) overview {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"peppervale/console/frame"
 	"peppervale/internal/cluster"
+	"peppervale/internal/console/httpserver"
 	"peppervale/internal/controller"
 	"peppervale/internal/model"
 	"peppervale/internal/pubsub"
@@ -61,7 +61,7 @@
 type Server struct {
 	about About
 	from  Source
-	frame *frame.Server
+	frame *httpserver.Server
 	wait  sync.WaitGroup
 
 	mu      sync.Mutex
@@ -81,7 +81,7 @@
 func Listen(address string, about About, from Source) (*Server, error) {
 	s := &Server{about: about, from: from, metrics: newMetrics(about, from)}
 	var err error
-	if s.frame, err = frame.Listen(address, s.serve, s.live); err != nil {
+	if s.frame, err = httpserver.Listen(address, s.serve, s.live); err != nil {
 		return nil, err
 	}
 	s.wait.Add(1)
@@ -179,7 +179,7 @@
 	}
 	route, known := routes[first]
 	if !known {
-		frame.Fail(w, http.StatusNotFound, "no page here; there are / /zones /replicas /forwarders /tables /orders /settings /before /group")
+		httpserver.Fail(w, http.StatusNotFound, "no page here; there are / /zones /replicas /forwarders /tables /orders /settings /before /group")
 		return
 	}
 	// The first to look for a while waits for a step that carries a look: five a second, if the governor steps at all.
@@ -201,21 +201,21 @@
 		if v == nil && s.about.Group != nil {
 			why = "this governor stands by: it holds no part of the fleet yet; see /group"
 		}
-		frame.Fail(w, http.StatusServiceUnavailable, why)
+		httpserver.Fail(w, http.StatusServiceUnavailable, why)
 		return
 	}
 	now := s.about.Now()
 	p := &page{Title: route.title, Kind: first, About: s.about, Name: s.about.Name, Life: s.about.Life, At: v.Look.At, Now: now, Age: Ago(now, v.Look.At), View: v, Stats: s.from.Stats()}
 	body, err := route.make(s, p, rest, r)
 	if err != nil {
-		frame.Fail(w, http.StatusNotFound, err.Error())
+		httpserver.Fail(w, http.StatusNotFound, err.Error())
 		return
 	}
 	p.Body = body
 	if p.Kind == "" {
 		p.Kind = "overview"
 	}
-	frame.Write(w, r, pages, p)
+	httpserver.Write(w, r, pages, p)
 }
 
 // ready is for machines: the gate is open and the list is fresh.
@@ -223,11 +223,11 @@
 	v := s.from.View()
 	switch {
 	case v == nil || !v.GateOpen:
-		frame.Fail(w, http.StatusServiceUnavailable, "the gate is shut")
+		httpserver.Fail(w, http.StatusServiceUnavailable, "the gate is shut")
 	case v.ListAt == 0:
-		frame.Fail(w, http.StatusServiceUnavailable, "no list came in this life")
+		httpserver.Fail(w, http.StatusServiceUnavailable, "no list came in this life")
 	default:
-		frame.Fail(w, http.StatusOK, "ready")
+		httpserver.Fail(w, http.StatusOK, "ready")
 	}
 }
 
@@ -241,7 +241,7 @@
 	s.mu.Unlock()
 	if full {
 		w.Header().Set("Retry-After", "5")
-		frame.Fail(w, http.StatusServiceUnavailable, "many viewers hold live streams; reload by hand")
+		httpserver.Fail(w, http.StatusServiceUnavailable, "many viewers hold live streams; reload by hand")
 		return
 	}
 	defer func() {
@@ -264,7 +264,7 @@
 			}
 			text += fmt.Sprintf(", gate %s, %d of %d replicas ready, last step %s", gate, v.Ready, v.Listed, Ago(now, v.At))
 		}
-		_ = control.SetWriteDeadline(time.Now().Add(frame.WriteFor))
+		_ = control.SetWriteDeadline(time.Now().Add(httpserver.WriteFor))
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", text); err != nil || control.Flush() != nil {
 			return
 		}
--- a/console/frame/frame.go
+++ b/internal/console/httpserver/frame.go
@@ -2,7 +2,7 @@
 // for. Each page is HTML, or JSON under the same address.
 //
 // Caveat: there is no login. What listens beyond loopback shows all that it knows to whoever asks.
-package frame
+package httpserver
 
 import (
 	"bytes"
