--- a/command/stand.go
+++ b/command/stand.go
@@ -10,7 +10,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
@@ -28,7 +28,7 @@
 
 const longest = 3600 * model.Second
 
-func unseen(rules.Seen) {}
+func unseen(invariants.Seen) {}
 
 // open reads a stand-in's file; what goes wrong is input.
 func open[T any](path string, read func(top *config.Block) T) (T, error) {
@@ -198,7 +198,7 @@
 
 type forwarderFile struct {
 	facts    forwarder.Facts
-	standing []rules.Line
+	standing []invariants.Line
 	works    []config.Operation
 	mean     []model.Micros
 	seed     uint64
@@ -219,7 +219,7 @@
 		if err != nil {
 			b.Fault("standing", "standing: %v", err)
 		}
-		f.standing = append(f.standing, rules.Line{Replica: id, Weight: 1})
+		f.standing = append(f.standing, invariants.Line{Replica: id, Weight: 1})
 	}
 	mean := b.Span("work", 100*model.Millisecond, 1, longest)
 	f.seed = uint64(b.Whole("seed", 1, 0, 1<<30))
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -19,7 +19,7 @@
 	"go.uber.org/goleak"
 
 	"peppervale/internal/model"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.Stop)
-	if h.list, err = registry.New(h.loop, "127.0.0.1:0", "recipe", func(rules.Seen) {}); err != nil {
+	if h.list, err = registry.New(h.loop, "127.0.0.1:0", "recipe", func(invariants.Seen) {}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.list.Close)
@@ -93,7 +93,7 @@
 		}
 		for k := range forwarders {
 			f := forwarder.New(h.loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Rate: 2, Redial: 50 * model.Millisecond,
-				ConnectFor: model.Second, StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.listen}}}, uint64(k), func(rules.Seen) {})
+				ConnectFor: model.Second, StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.listen}}}, uint64(k), func(invariants.Seen) {})
 			f.Start(nil)
 			h.forwarders = append(h.forwarders, f)
 		}
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -25,7 +25,7 @@
 	"peppervale/internal/controller"
 	"peppervale/internal/codec/consulcatalog"
 	"peppervale/internal/codec/resp"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/internal/codec/pubsubmsg"
 )
@@ -42,7 +42,7 @@
 	ended  chan error
 
 	mu      sync.Mutex
-	seen    []rules.Seen
+	seen    []invariants.Seen
 	hosts   map[string]entry // by name
 	version int
 	changed chan struct{}
@@ -91,7 +91,7 @@
 	return replica(byte(n))
 }
 
-func (y *yard) saw(s rules.Seen) { y.seen = append(y.seen, s) }
+func (y *yard) saw(s invariants.Seen) { y.seen = append(y.seen, s) }
 
 // discovery serves the list at a new address until the test, or end, ends it.
 func (y *yard) discovery() (at string, end func()) {
@@ -150,7 +150,7 @@
 		all = append(all, l)
 	}
 	body, _ := json.Marshal(all)
-	y.saw(rules.Told{At: y.now(), Governor: "n0", Body: body})
+	y.saw(invariants.Told{At: y.now(), Governor: "n0", Body: body})
 }
 
 // change alters the list.
@@ -223,7 +223,7 @@
 	p.conn = y.dial("joined", "id", fmt.Sprint(p.id), "site", zonesOf[p.id%2], "rps", "20", "new", fresh)
 	conn, name := p.conn, fmt.Sprint("proxy-", p.id)
 	y.mu.Lock()
-	y.saw(rules.Stream{At: y.now(), Forwarder: name, Governor: "n0", Up: true})
+	y.saw(invariants.Stream{At: y.now(), Forwarder: name, Governor: "n0", Up: true})
 	y.mu.Unlock()
 	y.wait.Add(1)
 	go func() {
@@ -238,7 +238,7 @@
 			if err := r.Feed(buf[:n], func(v resp.Value) error {
 				if y.obey(p, m, v) {
 					y.mu.Lock()
-					y.saw(rules.Received{At: y.now(), Forwarder: name, Data: pubsubmsg.Append(nil, m)})
+					y.saw(invariants.Received{At: y.now(), Forwarder: name, Data: pubsubmsg.Append(nil, m)})
 					y.mu.Unlock()
 					if m.Receipt >= 0 {
 						_, _ = conn.Write(resp.AppendCommand(nil, "applied", "id", fmt.Sprint(p.id), "seq", fmt.Sprint(m.Receipt), "ms", "3"))
@@ -372,10 +372,10 @@
 		}
 		y.calls++
 		who, now := fmt.Sprint("proxy-", p.id), y.now()
-		y.saw(rules.Tried{At: now, Forwarder: who, Replica: address(name), Operation: 1, Invocation: y.calls})
-		y.saw(rules.Arrived{At: now, Replica: address(name), Forwarder: who, Work: 10_000})
-		y.saw(rules.Ran{At: now, Replica: address(name), Operation: 1, Invocation: y.calls})
-		y.saw(rules.Ended{At: now, Invocation: y.calls, Outcome: rules.Succeeded})
+		y.saw(invariants.Tried{At: now, Forwarder: who, Replica: address(name), Operation: 1, Invocation: y.calls})
+		y.saw(invariants.Arrived{At: now, Replica: address(name), Forwarder: who, Work: 10_000})
+		y.saw(invariants.Ran{At: now, Replica: address(name), Operation: 1, Invocation: y.calls})
+		y.saw(invariants.Ended{At: now, Invocation: y.calls, Outcome: invariants.Succeeded})
 		y.met[name]++
 		return
 	}
@@ -416,8 +416,8 @@
 		p.conn.Close()
 	}
 	y.wait.Wait()
-	for _, v := range rules.Judge(y.seen, rules.Figures{Zones: zonesOf, Operations: []rules.Operation{{Name: "read", Effect: rules.Idempotent},
-		{Name: "log", Effect: rules.Fingerprinted, Window: 1200 * model.Millisecond}}, Bare: 3100 * model.Millisecond, Grace: 2800 * model.Millisecond,
+	for _, v := range invariants.Judge(y.seen, invariants.Figures{Zones: zonesOf, Operations: []invariants.Operation{{Name: "read", Effect: invariants.Idempotent},
+		{Name: "log", Effect: invariants.Fingerprinted, Window: 1200 * model.Millisecond}}, Bare: 3100 * model.Millisecond, Grace: 2800 * model.Millisecond,
 		Cold: 17 * model.Second, TipFactor: 4, TipSpan: 3 * model.Second, QueueMost: 2000}, y.now()) {
 		if len(v.Breaks) > 0 {
 			y.t.Errorf("%s: %q", v.Rule, v.Breaks)
@@ -437,13 +437,13 @@
 	y.serve()
 	for id := range 8 {
 		p := &platformProxy{id: id, lines: map[string]float64{}, out: map[string]bool{}}
-		var standing []rules.Line
+		var standing []invariants.Line
 		for n := range 6 {
 			p.lines[host(n+1)] = 1
-			standing = append(standing, rules.Line{Replica: address(host(n + 1)), Weight: 1})
+			standing = append(standing, invariants.Line{Replica: address(host(n + 1)), Weight: 1})
 		}
 		y.mu.Lock()
-		y.saw(rules.Began{At: y.now(), Forwarder: fmt.Sprint("proxy-", id), Zone: id % 2, Standing: standing})
+		y.saw(invariants.Began{At: y.now(), Forwarder: fmt.Sprint("proxy-", id), Zone: id % 2, Standing: standing})
 		y.proxies = append(y.proxies, p)
 		y.mu.Unlock()
 		y.join(p, "1")
@@ -463,7 +463,7 @@
 	broken := y.proxies[3]
 	broken.conn.Close()
 	y.mu.Lock()
-	y.saw(rules.Stream{At: y.now(), Forwarder: "proxy-3", Governor: "n0"})
+	y.saw(invariants.Stream{At: y.now(), Forwarder: "proxy-3", Governor: "n0"})
 	broken.out[host(4)] = true // by another governor, that it met meanwhile
 	y.mu.Unlock()
 	y.join(broken, "0")
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -16,7 +16,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
@@ -34,7 +34,7 @@
 	list       *registry.Registry
 	mu         sync.Mutex
 	cut        map[string]bool // members that reach no other and are reached by none
-	seen       []rules.Seen
+	seen       []invariants.Seen
 }
 
 func (w *town) Open(from, to string) bool {
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.Stop)
-	w.list, err = registry.New(w.loop, "127.0.0.1:0", "recipe", func(rules.Seen) {})
+	w.list, err = registry.New(w.loop, "127.0.0.1:0", "recipe", func(invariants.Seen) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,8 +140,8 @@
 	w.loop.Do(func() {
 		for k := range 6 {
 			f := forwarder.New(w.loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: zones[k%3], ZoneIndex: k % 3, Rate: 2, Redial: 50 * model.Millisecond,
-				ConnectFor: model.Second, StreamsOnly: true, Governors: append(channels[k%3:3:3], channels[:k%3]...)}, uint64(k), func(s rules.Seen) { w.seen = append(w.seen, s) })
-			f.Start([]rules.Line{{Replica: replica(1), Weight: 1}})
+				ConnectFor: model.Second, StreamsOnly: true, Governors: append(channels[k%3:3:3], channels[:k%3]...)}, uint64(k), func(s invariants.Seen) { w.seen = append(w.seen, s) })
+			f.Start([]invariants.Line{{Replica: replica(1), Weight: 1}})
 			w.forwarders = append(w.forwarders, f)
 		}
 	})
@@ -194,7 +194,7 @@
 	w.isolate(w.names[1], false)
 	w.await("home again", home)
 	w.loop.Do(func() {
-		for _, v := range rules.Judge(w.seen, rules.Figures{Zones: []string{"govan", "partick", "dalmarnock"}, Bare: 2 * model.Second, Grace: 2 * model.Second,
+		for _, v := range invariants.Judge(w.seen, invariants.Figures{Zones: []string{"govan", "partick", "dalmarnock"}, Bare: 2 * model.Second, Grace: 2 * model.Second,
 			Cold: model.Second, TipFactor: 4, TipSpan: model.Second, QueueMost: 6000}, w.loop.Now()) {
 			if len(v.Breaks) > 0 {
 				t.Errorf("%s: %v", v.Rule, v.Breaks)
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -21,7 +21,7 @@
 	"peppervale/internal/console/comparison"
 	"peppervale/daemon"
 	"peppervale/internal/controller"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/stand"
 )
@@ -87,14 +87,14 @@
 
 // Each rogue breaks its own rule and no other, and the break names who, where and when.
 func TestTheCheckerCanFail(t *testing.T) {
-	for kind, rule := range map[string]string{"empty-table": rules.Lost, "repeats-anything": rules.Double, "hides-drains": rules.Drain,
-		"full-to-cold": rules.Failback, "floods": rules.Backlog} {
+	for kind, rule := range map[string]string{"empty-table": invariants.Lost, "repeats-anything": invariants.Double, "hides-drains": invariants.Drain,
+		"full-to-cold": invariants.Failback, "floods": invariants.Backlog} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			for _, v := range playDay(t, "broken/"+kind+".hcl", nil).Rules {
 				if broken := len(v.Breaks) > 0; broken != (v.Rule == rule) {
 					t.Errorf("%s: %.2f of the limit, %v", v.Rule, v.Nearest, v.Breaks)
-				} else if broken && (!strings.Contains(v.Breaks[0], " s: ") || !strings.Contains(v.Breaks[0], "allowed") && rule != rules.Double) {
+				} else if broken && (!strings.Contains(v.Breaks[0], " s: ") || !strings.Contains(v.Breaks[0], "allowed") && rule != invariants.Double) {
 					t.Errorf("%s tells too little: %s", rule, v.Breaks[0])
 				}
 			}
--- a/day/report.go
+++ b/day/report.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"peppervale/internal/model"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/stand/forwarder"
 )
@@ -26,7 +26,7 @@
 	Operations []OperationReport `json:"operations"`
 	Tries      TryReport         `json:"tries"`
 	Channel    ChannelReport     `json:"channel"`
-	Rules      []rules.Verdict   `json:"rules"`
+	Rules      []invariants.Verdict   `json:"rules"`
 	Tipped     int               `json:"replicas_tipped"`
 }
 
@@ -168,7 +168,7 @@
 	return sum.served / math.Max(sum.asked, 1), worst
 }
 
-func (d *play) report(verdicts []rules.Verdict) *Report {
+func (d *play) report(verdicts []invariants.Verdict) *Report {
 	r := &Report{Day: d.Name, Seconds: float64(d.Length) / float64(model.Second), Forwarders: len(d.forwarders), Replicas: len(d.replicas),
 		Governors: max(len(d.governors), 1), Rules: verdicts}
 	r.Service, r.WorstTen = d.tally.service()
@@ -199,22 +199,22 @@
 	}
 	for _, s := range d.seen {
 		switch e := s.(type) {
-		case rules.Tried:
+		case invariants.Tried:
 			if r.Tries.Sent++; e.N > 1 {
 				r.Tries.Again++
 			}
 			if zones[e.Replica] != zoneOf[e.Forwarder] {
 				r.Tries.CrossZone++
 			}
-		case rules.Ended:
+		case invariants.Ended:
 			switch e.Outcome {
-			case rules.Refused:
+			case invariants.Refused:
 				r.Tries.Refused++
-			case rules.ConnectFailed:
+			case invariants.ConnectFailed:
 				r.Tries.Connect++
-			case rules.Errored, rules.Broken:
+			case invariants.Errored, invariants.Broken:
 				r.Tries.Errored++
-			case rules.TimedOut:
+			case invariants.TimedOut:
 				r.Tries.TimedOut++
 			}
 		}
--- a/day/run.go
+++ b/day/run.go
@@ -16,7 +16,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
@@ -57,7 +57,7 @@
 	rogue     *rogue
 
 	began      model.Micros
-	seen       []rules.Seen
+	seen       []invariants.Seen
 	list       *registry.Registry
 	replicas   []*machine
 	forwarders []*caller
@@ -143,7 +143,7 @@
 // end is leave, and waits.
 func (p *process) end(sig syscall.Signal, within time.Duration) { p.usage += p.leave(sig, within)() }
 
-func (d *play) see(s rules.Seen) { d.seen = append(d.seen, s) }
+func (d *play) see(s invariants.Seen) { d.seen = append(d.seen, s) }
 
 func (d *play) say(format string, args ...any) {
 	if d.set.Progress != nil {
@@ -326,7 +326,7 @@
 }
 
 // standing draws a forwarder's first table from the list: in its zone if three are there.
-func (d *play) standing(c *caller) (lines []rules.Line) {
+func (d *play) standing(c *caller) (lines []invariants.Line) {
 	var near, all []*machine
 	for _, m := range d.replicas {
 		if m.Up && !m.Draining {
@@ -341,7 +341,7 @@
 	near = slices.Clone(near)
 	for len(lines) < d.Terms.StandingSize && len(near) > 0 {
 		k := d.chance.Below(len(near))
-		lines = append(lines, rules.Line{Replica: near[k].ID, Weight: 1})
+		lines = append(lines, invariants.Line{Replica: near[k].ID, Weight: 1})
 		near = slices.Delete(near, k, k+1)
 	}
 	return lines
@@ -394,7 +394,7 @@
 	var report *Report
 	d.loop.Do(func() {
 		end := d.now()
-		report = d.report(rules.Judge(d.seen, d.figures(), end))
+		report = d.report(invariants.Judge(d.seen, d.figures(), end))
 	})
 	for _, p := range d.governors {
 		p.signal(syscall.SIGCONT)
--- a/day/script.go
+++ b/day/script.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"peppervale/internal/model"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 )
 
@@ -244,13 +244,13 @@
 }
 
 // figures are what the checker is given.
-func (s *Script) figures() rules.Figures {
+func (s *Script) figures() invariants.Figures {
 	g := s.Guarantees
-	f := rules.Figures{Zones: s.Zones, Bare: g.Bare, Grace: g.Grace, Cold: g.Cold, TipFactor: g.TipFactor, TipSpan: g.TipSpan,
+	f := invariants.Figures{Zones: s.Zones, Bare: g.Bare, Grace: g.Grace, Cold: g.Cold, TipFactor: g.TipFactor, TipSpan: g.TipSpan,
 		QueueMost: g.QueueMost, WriteMost: g.WriteMost, WriteSpan: g.WriteSpan}
-	effects := map[config.Effect]rules.Effect{config.Idempotent: rules.Idempotent, config.Fingerprinted: rules.Fingerprinted, config.SideEffecting: rules.SideEffecting}
+	effects := map[config.Effect]invariants.Effect{config.Idempotent: invariants.Idempotent, config.Fingerprinted: invariants.Fingerprinted, config.SideEffecting: invariants.SideEffecting}
 	for _, o := range s.Operations {
-		f.Operations = append(f.Operations, rules.Operation{Name: o.Name, Effect: effects[o.Effect], Window: o.Window})
+		f.Operations = append(f.Operations, invariants.Operation{Name: o.Name, Effect: effects[o.Effect], Window: o.Window})
 	}
 	return f
 }
--- a/internal/discovery/roster_test.go
+++ b/internal/discovery/roster_test.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
+	"peppervale/internal/invariants"
 	"peppervale/internal/model"
-	"peppervale/rules"
 	"peppervale/stand"
 	"peppervale/stand/registry"
 )
@@ -88,7 +88,7 @@
 	t.Cleanup(w.loop.Stop)
 	w.do(func() {
 		var err error
-		if w.list, err = registry.New(w.loop, "127.0.0.1:0", "recipe", func(rules.Seen) {}); err != nil {
+		if w.list, err = registry.New(w.loop, "127.0.0.1:0", "recipe", func(invariants.Seen) {}); err != nil {
 			t.Fatal(err)
 		}
 		w.list.Set(registry.Entry{ID: id(1), Zone: "govan", Bay: "a", Kind: "two-core"})
--- a/rules/judge.go
+++ b/internal/invariants/judge.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"slices"
 	"strings"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/consulcatalog"
-	"peppervale/internal/codec/resp"
 	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
 )
 
 // Effect says what a repeat of an operation does.
--- a/rules/judge_test.go
+++ b/internal/invariants/judge_test.go
@@ -1,12 +1,12 @@
-package rules
+package invariants
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
 )
 
 const s = model.Second
--- a/rules/seen.go
+++ b/internal/invariants/seen.go
@@ -5,7 +5,7 @@
 // Caveats: a message that never arrived is not seen, so what waited for a broken stream is not counted in the queue. A
 // replica that was never in a list handed to a governor cannot drain for it. How near a rule came is told as a share of
 // its limit; above 1 it broke.
-package rules
+package invariants
 
 import "peppervale/internal/model"
 
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -17,9 +17,9 @@
 	"peppervale/internal/admission"
 	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
+	"peppervale/internal/invariants"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
-	"peppervale/rules"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 )
@@ -467,7 +467,7 @@
 	loop.Do(func() {
 		for k := range n {
 			f := forwarder.New(loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Redial: model.Second, ConnectFor: 5 * model.Second,
-				StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.server.Addr()}}}, 1, func(rules.Seen) {})
+				StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.server.Addr()}}}, 1, func(invariants.Seen) {})
 			f.Start(nil)
 			all = append(all, f)
 		}
--- a/measure/channel.go
+++ b/measure/channel.go
@@ -17,7 +17,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
@@ -37,7 +37,7 @@
 }
 
 // listeners starts n forwarders that carry no invocations and have no other governor; kill ends them.
-func listeners(loop *stand.Loop, engine *netpoll.Engine, n int, address string, redial model.Micros, seen func(rules.Seen)) (all []*forwarder.Forwarder, kill func()) {
+func listeners(loop *stand.Loop, engine *netpoll.Engine, n int, address string, redial model.Micros, seen func(invariants.Seen)) (all []*forwarder.Forwarder, kill func()) {
 	loop.Do(func() {
 		for k := range n {
 			f := forwarder.New(loop, engine, forwarder.Facts{Name: fmt.Sprint("listener-", k), Zone: "zone", Redial: redial, ConnectFor: 10 * model.Second,
@@ -91,7 +91,7 @@
 	defer engine.Stop()
 	loop := stand.NewLoop(now)
 	defer loop.Stop()
-	_, kill := listeners(loop, engine, n, p.server.Addr(), model.Second, func(rules.Seen) {})
+	_, kill := listeners(loop, engine, n, p.server.Addr(), model.Second, func(invariants.Seen) {})
 	defer kill()
 	var orders []snapshot.Order
 	for k := range lines {
--- a/measure/restart.go
+++ b/measure/restart.go
@@ -16,7 +16,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
@@ -52,8 +52,8 @@
 	up   map[string]bool
 }
 
-func (g *gaps) seen(s rules.Seen) {
-	one, ok := s.(rules.Stream)
+func (g *gaps) seen(s invariants.Seen) {
+	one, ok := s.(invariants.Stream)
 	if !ok {
 		return
 	}
@@ -106,7 +106,7 @@
 	defer os.RemoveAll(dir)
 	loop := stand.NewLoop(now)
 	defer loop.Stop()
-	list, err := registry.New(loop, "127.0.0.1:0", "recipe", func(rules.Seen) {})
+	list, err := registry.New(loop, "127.0.0.1:0", "recipe", func(invariants.Seen) {})
 	if err != nil {
 		return nil, err
 	}
--- a/measure/storm.go
+++ b/measure/storm.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/internal/codec/pubsubmsg"
@@ -61,7 +61,7 @@
 	loop := stand.NewLoop(now)
 	defer loop.Stop()
 	began, start := time.Now(), cpu()
-	all, kill := listeners(loop, engine, n, server.Addr(), model.Second, func(rules.Seen) {})
+	all, kill := listeners(loop, engine, n, server.Addr(), model.Second, func(invariants.Seen) {})
 	defer kill()
 	for range n {
 		select {
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -16,7 +16,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
@@ -50,14 +50,14 @@
 	binds   []model.Micros
 	of      map[string]string // a forwarder's governor
 	broke   int
-	seen    []rules.Seen
+	seen    []invariants.Seen
 }
 
-func (w *watch) saw(s rules.Seen) {
+func (w *watch) saw(s invariants.Seen) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.seen = append(w.seen, s)
-	one, ok := s.(rules.Stream)
+	one, ok := s.(invariants.Stream)
 	switch {
 	case !ok:
 	case one.Up:
@@ -165,7 +165,7 @@
 				facts.Governors = append(facts.Governors, forwarder.Governor{Name: m.name, Address: m.channel})
 			}
 			f := forwarder.New(loop, engine, facts, seed, w.saw)
-			f.Start([]rules.Line{{Replica: replicaID(k % 12), Weight: 1}})
+			f.Start([]invariants.Line{{Replica: replicaID(k % 12), Weight: 1}})
 			all = append(all, f)
 		}
 	})
@@ -225,7 +225,7 @@
 	fig.Bound50, fig.BoundWorst = at(w.binds, 0.5), at(w.binds, 1)
 	fig.Untouched = w.broke
 	fig.Grants, fig.Fewest, fig.Home = fig.Grants/float64(rounds), fig.Fewest/float64(rounds), fig.Home/float64(rounds)
-	for _, v := range rules.Judge(w.seen, rules.Figures{Zones: []string{"zone-0", "zone-1", "zone-2"}, Bare: 2600 * model.Millisecond, Grace: 2500 * model.Millisecond,
+	for _, v := range invariants.Judge(w.seen, invariants.Figures{Zones: []string{"zone-0", "zone-1", "zone-2"}, Bare: 2600 * model.Millisecond, Grace: 2500 * model.Millisecond,
 		Cold: 10 * model.Second, TipFactor: 4, TipSpan: 3 * model.Second, QueueMost: 1 << 30}, now()) {
 		fig.Breaks = append(fig.Breaks, v.Breaks...)
 	}
--- a/stand/forwarder/call.go
+++ b/stand/forwarder/call.go
@@ -8,7 +8,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/codec/http1"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/internal/codec/pubsubmsg"
@@ -110,7 +110,7 @@
 	if c.more > 0 && c.way >= model.AnyFailure {
 		wait = min(left, model.Micros(f.FirstWait*float64(op.Objective)))
 	}
-	t.first = f.loop.After(max(wait, 0), func() { t.end(rules.TimedOut, nil) })
+	t.first = f.loop.After(max(wait, 0), func() { t.end(invariants.TimedOut, nil) })
 	f.get(at, t)
 }
 
@@ -118,7 +118,7 @@
 func (t *try) onLink(l *link) {
 	f, inv := t.c.f, t.c.inv
 	t.link, l.try = l, t
-	f.seen(rules.Tried{At: f.loop.Now(), Forwarder: f.Name, Replica: t.at.id, Operation: inv.Operation, Invocation: inv.Number, Caller: inv.Caller, N: t.n})
+	f.seen(invariants.Tried{At: f.loop.Now(), Forwarder: f.Name, Replica: t.at.id, Operation: inv.Operation, Invocation: inv.Number, Caller: inv.Caller, N: t.n})
 	b := http1.AppendRequest(nil, "POST", "/invoke", pubsubmsg.Address(t.at.id), nil,
 		"Operation", strconv.Itoa(inv.Operation), "Invocation", strconv.FormatUint(inv.Number, 10), "Caller-Try", strconv.Itoa(inv.Caller),
 		"Forwarder", f.Name, "Work-Us", strconv.FormatFloat(inv.Work, 'f', 0, 64))
@@ -126,7 +126,7 @@
 }
 
 // end takes a try's end and decides by the way ordered what follows.
-func (t *try) end(o rules.Outcome, m *http1.Message) {
+func (t *try) end(o invariants.Outcome, m *http1.Message) {
 	if t.over {
 		return
 	}
@@ -140,13 +140,13 @@
 		return
 	}
 	if t.link != nil {
-		f.seen(rules.Ended{At: now, Invocation: c.inv.Number, Caller: c.inv.Caller, N: t.n, Outcome: o})
-		if t.link.try = nil; o == rules.TimedOut {
+		f.seen(invariants.Ended{At: now, Invocation: c.inv.Number, Caller: c.inv.Caller, N: t.n, Outcome: o})
+		if t.link.try = nil; o == invariants.TimedOut {
 			t.link.drop() // HTTP/1.1 has no other way to give an answer up
 		}
 	}
 	t.count(o, m, now)
-	if o == rules.Succeeded {
+	if o == invariants.Succeeded {
 		c.finish(Succeeded)
 		return
 	}
@@ -165,7 +165,7 @@
 	}
 	switch {
 	case c.pending > 0:
-	case o == rules.Refused || o == rules.ConnectFailed:
+	case o == invariants.Refused || o == invariants.ConnectFailed:
 		c.finish(RateLimited)
 	default:
 		c.finish(Failed)
@@ -173,10 +173,10 @@
 }
 
 // count puts a try into the sums of its replica.
-func (t *try) count(o rules.Outcome, m *http1.Message, now model.Micros) {
+func (t *try) count(o invariants.Outcome, m *http1.Message, now model.Micros) {
 	at, f := t.at, t.c.f
 	at.tries++
-	if o == rules.Succeeded {
+	if o == invariants.Succeeded {
 		at.latency += float64(now - t.sent)
 		at.failures = 0
 	} else {
@@ -233,7 +233,7 @@
 	}
 	l := &link{f: f, at: at, life: f.life, parser: http1.NewParser(true, http1.Bounds{})}
 	failed := func() {
-		f.loop.Post(func() { t.end(rules.ConnectFailed, nil) })
+		f.loop.Post(func() { t.end(invariants.ConnectFailed, nil) })
 	}
 	netpoll.Dial(f.engine, pubsubmsg.Address(at.id), max(f.ConnectFor, 100*model.Millisecond).Duration(), l, func(c *nbio.Conn, err error) {
 		if err != nil {
@@ -288,11 +288,11 @@
 		}
 		switch {
 		case m.Status == 200:
-			t.end(rules.Succeeded, m)
+			t.end(invariants.Succeeded, m)
 		case m.Status == 503 && m.Header["ran"] == "no":
-			t.end(rules.Refused, m)
+			t.end(invariants.Refused, m)
 		default:
-			t.end(rules.Errored, m)
+			t.end(invariants.Errored, m)
 		}
 		if m.Close {
 			l.drop()
@@ -310,7 +310,7 @@
 	l.f.loop.Post(func() {
 		l.gone = true
 		if t := l.try; t != nil && l.life == l.f.life {
-			t.end(rules.Broken, nil)
+			t.end(invariants.Broken, nil)
 		}
 	})
 }
--- a/stand/forwarder/forwarder.go
+++ b/stand/forwarder/forwarder.go
@@ -12,7 +12,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/lease"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/internal/codec/pubsubmsg"
@@ -94,7 +94,7 @@
 	loop    *stand.Loop
 	engine  *netpoll.Engine
 	chance  *stand.Chance
-	seen    func(rules.Seen)
+	seen    func(invariants.Seen)
 	alive   bool
 	life    int
 	stalled model.Micros // until
@@ -118,7 +118,7 @@
 type held struct{ life, version uint64 }
 
 // New makes a forwarder on an engine whose data and close events go to Data and Closed.
-func New(loop *stand.Loop, engine *netpoll.Engine, f Facts, seed uint64, seen func(rules.Seen)) *Forwarder {
+func New(loop *stand.Loop, engine *netpoll.Engine, f Facts, seed uint64, seen func(invariants.Seen)) *Forwarder {
 	return &Forwarder{Facts: f, loop: loop, engine: engine, chance: stand.NewChance(seed, f.Name), seen: seen, Cut: map[string]bool{}}
 }
 
@@ -142,7 +142,7 @@
 }
 
 // Start begins with a standing table; what an earlier life held is gone.
-func (f *Forwarder) Start(standing []rules.Line) {
+func (f *Forwarder) Start(standing []invariants.Line) {
 	if f.alive {
 		return
 	}
@@ -153,7 +153,7 @@
 		f.lines = append(f.lines, &line{id: l.Replica, weight: l.Weight})
 	}
 	f.next, f.fence, f.caution = 0, lease.Fence{}, false
-	f.seen(rules.Began{At: f.loop.Now(), Forwarder: f.Name, Zone: f.ZoneIndex, Standing: standing})
+	f.seen(invariants.Began{At: f.loop.Now(), Forwarder: f.Name, Zone: f.ZoneIndex, Standing: standing})
 	f.dialIn(0)
 }
 
@@ -164,7 +164,7 @@
 	}
 	f.alive = false
 	f.life++
-	f.seen(rules.Died{At: f.loop.Now(), Forwarder: f.Name})
+	f.seen(invariants.Died{At: f.loop.Now(), Forwarder: f.Name})
 	if f.stream != nil {
 		f.stream.end()
 	}
--- a/stand/forwarder/stream.go
+++ b/stand/forwarder/stream.go
@@ -10,7 +10,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/codec/resp"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/codec/pubsubmsg"
 )
@@ -97,7 +97,7 @@
 	s.ended = true
 	if s.joined {
 		s.joined = false
-		s.f.seen(rules.Stream{At: s.f.loop.Now(), Forwarder: s.f.Name, Governor: s.governor.Name})
+		s.f.seen(invariants.Stream{At: s.f.loop.Now(), Forwarder: s.f.Name, Governor: s.governor.Name})
 	}
 	if s.conn != nil {
 		_ = s.conn.Close()
@@ -132,7 +132,7 @@
 	if !s.joined {
 		s.early = append(s.early, data...)
 	} else {
-		f.seen(rules.Received{At: f.loop.Now(), Forwarder: f.Name, Data: data})
+		f.seen(invariants.Received{At: f.loop.Now(), Forwarder: f.Name, Data: data})
 	}
 	err := s.reader.Feed(data, func(v resp.Value) error {
 		s.take(v)
@@ -140,7 +140,7 @@
 	})
 	if s.joined && s.early != nil {
 		// The answer to the join may bring the first messages with it: a checker reads the stream from its start.
-		f.seen(rules.Received{At: f.loop.Now(), Forwarder: f.Name, Data: s.early})
+		f.seen(invariants.Received{At: f.loop.Now(), Forwarder: f.Name, Data: s.early})
 		s.early = nil
 	}
 	if err != nil {
@@ -189,7 +189,7 @@
 					s.period = model.Micros(v.Items[i+1].Int)
 				}
 			}
-			f.seen(rules.Stream{At: f.loop.Now(), Forwarder: f.Name, Governor: s.governor.Name, Up: true})
+			f.seen(invariants.Stream{At: f.loop.Now(), Forwarder: f.Name, Governor: s.governor.Name, Up: true})
 			f.loop.After(model.Micros(f.chance.Float()*float64(s.period)), s.report)
 		}
 	case pubsubmsg.IsMessage(v):
--- a/stand/forwarder/takeover_test.go
+++ b/stand/forwarder/takeover_test.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/snapshot"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/stand"
 	"peppervale/stand/replica"
 	"peppervale/internal/codec/pubsubmsg"
@@ -103,8 +103,8 @@
 	p.a, p.b = open(), open()
 	p.a.other, p.b.other = p.b, p.a
 	p.a.set(1)
-	seen := func(s rules.Seen) {
-		if one, is := s.(rules.Tried); is {
+	seen := func(s invariants.Seen) {
+		if one, is := s.(invariants.Tried); is {
 			p.tried[one.Invocation]++
 		}
 	}
--- a/stand/registry/registry.go
+++ b/stand/registry/registry.go
@@ -16,7 +16,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/codec/http1"
 	"peppervale/internal/codec/consulcatalog"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/internal/codec/pubsubmsg"
@@ -45,7 +45,7 @@
 	Trouble Trouble
 	loop    *stand.Loop
 	service string
-	seen    func(rules.Seen)
+	seen    func(invariants.Seen)
 	engine  *netpoll.Engine
 	entries []Entry
 	index   uint64
@@ -61,7 +61,7 @@
 }
 
 // New listens; seen is told each answer to a governor.
-func New(loop *stand.Loop, listen, service string, seen func(rules.Seen)) (*Registry, error) {
+func New(loop *stand.Loop, listen, service string, seen func(invariants.Seen)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, seen: seen, index: 100}
 	var err error
 	h := netpoll.Handlers{Open: func(c *nbio.Conn) { c.SetSession(http1.NewParser(false, http1.Bounds{})) }, Data: func(c *nbio.Conn, data []byte) {
@@ -192,7 +192,7 @@
 		return
 	}
 	r.Calls++
-	r.seen(rules.Told{At: r.loop.Now(), Governor: w.caller, Body: body})
+	r.seen(invariants.Told{At: r.loop.Now(), Governor: w.caller, Body: body})
 	_, _ = w.conn.Write(whole)
 }
 
--- a/stand/replica/replica.go
+++ b/stand/replica/replica.go
@@ -11,7 +11,7 @@
 
 	"peppervale/internal/model"
 	"peppervale/internal/codec/http1"
-	"peppervale/rules"
+	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/internal/codec/pubsubmsg"
@@ -73,7 +73,7 @@
 	loop     *stand.Loop
 	bay      *Bay
 	windows  []model.Micros // by operation; 0: not fingerprinted
-	seen     func(rules.Seen)
+	seen     func(invariants.Seen)
 	engine   *netpoll.Engine
 	life     int // grows with each start and stop: what is left of an earlier one does nothing
 	conns    int
@@ -100,7 +100,7 @@
 }
 
 // New makes a replica that is down. windows gives each operation's window in a bay, 0 where it has no fingerprint.
-func New(loop *stand.Loop, f Facts, bay *Bay, windows []model.Micros, seen func(rules.Seen)) *Replica {
+func New(loop *stand.Loop, f Facts, bay *Bay, windows []model.Micros, seen func(invariants.Seen)) *Replica {
 	return &Replica{Facts: f, Slow: 1, loop: loop, bay: bay, windows: windows, seen: seen}
 }
 
@@ -144,7 +144,7 @@
 	now := r.loop.Now()
 	r.Up, r.Tipped, r.Silent, r.Draining = true, false, false, false
 	r.conns, r.running, r.queue, r.recent, r.busy, r.report, r.reportAt = 0, 0, nil, nil, 0, 0, now
-	up := rules.Up{At: now, Replica: r.ID, Bay: r.Bay, Full: r.full(), Share: 1}
+	up := invariants.Up{At: now, Replica: r.ID, Bay: r.Bay, Full: r.full(), Share: 1}
 	r.Started = 0
 	if cold {
 		r.Started, up.Share, up.Span = now, r.ColdShare, r.ColdSpan
@@ -202,7 +202,7 @@
 		r.write(c, 400, "no")
 		return
 	}
-	r.seen(rules.Arrived{At: now, Replica: r.ID, Forwarder: m.Header["forwarder"], Work: j.work})
+	r.seen(invariants.Arrived{At: now, Replica: r.ID, Forwarder: m.Header["forwarder"], Work: j.work})
 	if r.tips(now, j.work) {
 		return
 	}
@@ -255,7 +255,7 @@
 			r.busy += takes
 			if !r.Silent && !r.Tipped {
 				r.Served++
-				r.seen(rules.Ran{At: r.loop.Now(), Replica: r.ID, Operation: j.op, Invocation: j.inv, Caller: j.call})
+				r.seen(invariants.Ran{At: r.loop.Now(), Replica: r.ID, Operation: j.op, Invocation: j.inv, Caller: j.call})
 				r.write(j.conn, 200, "yes")
 			}
 			r.next()
