--- a/command/command.go
+++ b/command/command.go
@@ -20,7 +20,7 @@
 
 	"peppervale/internal/console/comparison"
 	"peppervale/daemon"
-	"peppervale/day"
+	"peppervale/internal/scenario"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/measure"
@@ -135,7 +135,7 @@
 	kind := "a governor's file"
 	if isDay(text) {
 		kind = "a day"
-		_, err = day.Open(c.File)
+		_, err = scenario.Open(c.File)
 	} else {
 		_, err = config.OpenGovernor(c.File)
 	}
@@ -172,7 +172,7 @@
 
 // Run is the command.
 func (c *DayRun) Run(ctx context.Context, out io.Writer) error {
-	s, err := day.Open(c.File)
+	s, err := scenario.Open(c.File)
 	if err != nil {
 		return fmt.Errorf("%w:\n%w", ErrInput, err)
 	}
@@ -180,11 +180,11 @@
 	if err != nil {
 		return err
 	}
-	set := day.Setting{Program: []string{self, "governor"}, Folder: c.Folder}
+	set := scenario.Setting{Program: []string{self, "governor"}, Folder: c.Folder}
 	if !c.Quiet {
 		set.Progress = os.Stderr
 	}
-	r, err := day.Run(ctx, s, set)
+	r, err := scenario.Run(ctx, s, set)
 	if err != nil {
 		return err
 	}
@@ -216,11 +216,11 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
-	script, notes, err := day.FromBench(text, c.Forwarders)
+	script, notes, err := scenario.FromBench(text, c.Forwarders)
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrInput, c.File, err)
 	}
-	if _, err := day.Parse(c.Out, script); err != nil {
+	if _, err := scenario.Parse(c.Out, script); err != nil {
 		return fmt.Errorf("%w: the day cannot be carried over:\n%w", ErrInput, err)
 	}
 	if err := os.WriteFile(c.Out, script, 0o644); err != nil {
@@ -244,7 +244,7 @@
 		return fmt.Errorf("%w: no day scripts (*.hcl) in %s", ErrInput, c.Folder)
 	}
 	for _, file := range files {
-		s, err := day.Open(file)
+		s, err := scenario.Open(file)
 		if err != nil {
 			fmt.Fprintf(out, "%-32s cannot be used: %v\n", filepath.Base(file), err)
 			continue
--- a/day/frombench_test.go
+++ b/internal/scenario/frombench_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"strings"
--- a/day/report.go
+++ b/internal/scenario/report.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -8,26 +8,26 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"peppervale/internal/model"
-	"peppervale/internal/invariants"
 	"peppervale/internal/config"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/stand/forwarder"
 )
 
 // Report is what a day came to. Service is billed value answered within the latency objective over the value asked for.
 type Report struct {
-	Day        string            `json:"day"`
-	Seconds    float64           `json:"seconds"`
-	Forwarders int               `json:"forwarders"`
-	Replicas   int               `json:"replicas"`
-	Governors  int               `json:"governors"`
-	Service    float64           `json:"service"`
-	WorstTen   float64           `json:"service_worst_10s"`
-	Operations []OperationReport `json:"operations"`
-	Tries      TryReport         `json:"tries"`
-	Channel    ChannelReport     `json:"channel"`
-	Rules      []invariants.Verdict   `json:"rules"`
-	Tipped     int               `json:"replicas_tipped"`
+	Day        string               `json:"day"`
+	Seconds    float64              `json:"seconds"`
+	Forwarders int                  `json:"forwarders"`
+	Replicas   int                  `json:"replicas"`
+	Governors  int                  `json:"governors"`
+	Service    float64              `json:"service"`
+	WorstTen   float64              `json:"service_worst_10s"`
+	Operations []OperationReport    `json:"operations"`
+	Tries      TryReport            `json:"tries"`
+	Channel    ChannelReport        `json:"channel"`
+	Rules      []invariants.Verdict `json:"rules"`
+	Tipped     int                  `json:"replicas_tipped"`
 }
 
 // OperationReport is one operation's; latencies are milliseconds of those that succeeded.
--- a/day/rogue.go
+++ b/internal/scenario/rogue.go
@@ -1,16 +1,16 @@
-package day
+package scenario
 
 import (
 	"fmt"
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/snapshot"
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/discovery"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+	"peppervale/internal/snapshot"
 	"peppervale/stand"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // RogueKinds are the governors of the stand's own that break one rule each, so that the checker is seen to fail. Each
--- a/day/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"peppervale/internal/model"
+	"peppervale/internal/config"
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
-	"peppervale/internal/config"
+	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
--- a/day/script.go
+++ b/internal/scenario/script.go
@@ -5,7 +5,7 @@
 // Guarantees: all a day starts it ends, also when it fails on the way; nothing listens on anything but loopback. The
 // script's draws (work, arrivals, who is struck) follow from its seed; times on sockets do not, so two runs of a day
 // differ a little.
-package day
+package scenario
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 	"slices"
 	"time"
 
-	"peppervale/internal/model"
-	"peppervale/internal/invariants"
 	"peppervale/internal/config"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 )
 
 // Script is a day as its file gives it.
--- a/day/steps.go
+++ b/internal/scenario/steps.go
@@ -1,12 +1,12 @@
-package day
+package scenario
 
 import (
 	"slices"
 	"syscall"
 	"time"
 
-	"peppervale/internal/model"
 	"peppervale/internal/config"
+	"peppervale/internal/model"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 )
