--- a/command/command.go
+++ b/command/command.go
@@ -23,7 +23,7 @@
 	"peppervale/internal/scenario"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/measure"
+	"peppervale/internal/benchmark"
 	"peppervale/internal/config"
 )
 
@@ -278,15 +278,15 @@
 	if err != nil {
 		return err
 	}
-	var all []*measure.RestartFigures
-	for _, way := range measure.RestartWays {
-		f, err := measure.Restart(ctx, []string{self}, way, c.Forwarders, c.Rounds)
+	var all []*benchmark.RestartFigures
+	for _, way := range benchmark.RestartWays {
+		f, err := benchmark.Restart(ctx, []string{self}, way, c.Forwarders, c.Rounds)
 		if err != nil {
 			return err
 		}
 		all = append(all, f)
 	}
-	measure.PrintRestarts(out, all)
+	benchmark.PrintRestarts(out, all)
 	return nil
 }
 
@@ -308,18 +308,18 @@
 	if err != nil {
 		return err
 	}
-	var all []*measure.TakeoverFigures
+	var all []*benchmark.TakeoverFigures
 	for _, shared := range []bool{true, false} {
 		if c.Only == "shared" && !shared || c.Only == "alone" && shared {
 			continue
 		}
-		f, err := measure.Takeover(ctx, []string{self}, c.Forwarders, c.Rounds, model.Micros(c.Span/time.Microsecond), shared, c.Seed, os.Stderr)
+		f, err := benchmark.Takeover(ctx, []string{self}, c.Forwarders, c.Rounds, model.Micros(c.Span/time.Microsecond), shared, c.Seed, os.Stderr)
 		if err != nil {
 			return err
 		}
 		all = append(all, f)
 	}
-	measure.PrintTakeovers(out, all)
+	benchmark.PrintTakeovers(out, all)
 	return nil
 }
 
@@ -336,11 +336,11 @@
 	if c.Members < 1 || c.Members > 9 || c.Parts < 1 || c.Parts > 256 || c.Span < 300*time.Millisecond || c.While < time.Second || c.While > time.Hour {
 		return fmt.Errorf("%w: 1 to 9 members, 1 to 256 parts, a lease of 300ms at least and 1s to 1h are wanted", ErrInput)
 	}
-	f, err := measure.Quiet(ctx, c.Members, c.Parts, c.Span, c.While)
+	f, err := benchmark.Quiet(ctx, c.Members, c.Parts, c.Span, c.While)
 	if err != nil {
 		return err
 	}
-	measure.PrintQuiet(out, f)
+	benchmark.PrintQuiet(out, f)
 	return nil
 }
 
@@ -355,15 +355,15 @@
 	if c.Forwarders < 1 || c.Forwarders > 10_000 {
 		return fmt.Errorf("%w: 1 to 10000 forwarders are wanted", ErrInput)
 	}
-	var all []*measure.StormFigures
+	var all []*benchmark.StormFigures
 	for _, rate := range c.Rates {
-		f, err := measure.Storm(c.Forwarders, rate)
+		f, err := benchmark.Storm(c.Forwarders, rate)
 		if err != nil {
 			return err
 		}
 		all = append(all, f)
 	}
-	measure.PrintStorms(out, all)
+	benchmark.PrintStorms(out, all)
 	return nil
 }
 
@@ -376,18 +376,18 @@
 
 // Run is the command.
 func (c *MeasureChannel) Run(out io.Writer) error {
-	var all []*measure.ChannelFigures
+	var all []*benchmark.ChannelFigures
 	for _, n := range c.Forwarders {
 		if n < 1 || n > 10_000 || c.Lines < 1 || c.Lines > 10_000 || c.Rounds < 1 {
 			return fmt.Errorf("%w: 1 to 10000 forwarders and lines, and a round, are wanted", ErrInput)
 		}
-		f, err := measure.Channel(n, c.Lines, c.Rounds)
+		f, err := benchmark.Channel(n, c.Lines, c.Rounds)
 		if err != nil {
 			return err
 		}
 		all = append(all, f)
 	}
-	measure.Print(out, all)
+	benchmark.Print(out, all)
 	return nil
 }
 
--- a/measure/channel.go
+++ b/internal/benchmark/channel.go
@@ -1,6 +1,6 @@
 // Package measure times parts of the program at sizes that are stated, beside a raw cost measured in the same run. Its
 // figures are of one machine and say nothing absolute; the ratios are what to keep.
-package measure
+package benchmark
 
 import (
 	"fmt"
@@ -13,15 +13,15 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/snapshot"
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
+	"peppervale/internal/pubsub"
+	"peppervale/internal/snapshot"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // ChannelFigures are of one size. Times are from Publish to the last acknowledgement of all.
--- a/measure/quiet.go
+++ b/internal/benchmark/quiet.go
@@ -1,4 +1,4 @@
-package measure
+package benchmark
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/placement"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
+	"peppervale/internal/controller"
 	"peppervale/internal/lease"
+	"peppervale/internal/model"
+	"peppervale/internal/placement"
 )
 
 // QuietFigures are of a group in which nothing happens.
--- a/measure/restart.go
+++ b/internal/benchmark/restart.go
@@ -1,4 +1,4 @@
-package measure
+package benchmark
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"peppervale/internal/model"
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
--- a/measure/storm.go
+++ b/internal/benchmark/storm.go
@@ -1,4 +1,4 @@
-package measure
+package benchmark
 
 import (
 	"fmt"
@@ -9,13 +9,13 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/admission"
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // StormFigures are of one storm: all dial within a tenth of a second.
--- a/measure/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -1,4 +1,4 @@
-package measure
+package benchmark
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 	"syscall"
 	"time"
 
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/stand"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // TakeoverFigures are of governors that are killed one at a time at random moments, and come back.
