--- a/emulate/doc.go
+++ b/internal/simulation/doc.go
@@ -5,4 +5,4 @@
 // stream's draws depend on its own name and seed only, so that a new one changes none of the others.
 //
 // Caveats: one core a run. Times are whole microseconds; a stream carries the parts of one, so that its rate is kept.
-package emulate
+package simulation
--- a/emulate/station.go
+++ b/internal/simulation/station.go
@@ -1,4 +1,4 @@
-package emulate
+package simulation
 
 import "peppervale/internal/model"
 
