--- a/command/stand.go
+++ b/command/stand.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
 	"peppervale/internal/config"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 	"peppervale/stand/replica"
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	loop := stand.NewLoop(controller.Clock())
+	loop := standin.NewLoop(controller.Clock())
 	defer loop.Stop()
 	var r *replica.Replica
 	loop.Do(func() {
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	loop := stand.NewLoop(controller.Clock())
+	loop := standin.NewLoop(controller.Clock())
 	defer loop.Stop()
 	var r *registry.Registry
 	loop.Do(func() { r, err = registry.New(loop, f.listen, f.service, unseen) })
@@ -242,9 +242,9 @@
 		return err
 	}
 	defer engine.Stop()
-	loop := stand.NewLoop(controller.Clock())
+	loop := standin.NewLoop(controller.Clock())
 	defer loop.Stop()
-	chance := stand.NewChance(f.seed, "load")
+	chance := standin.NewChance(f.seed, "load")
 	var asked, inTime uint64
 	var one *forwarder.Forwarder
 	var ask func()
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -21,7 +21,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/invariants"
 	"peppervale/internal/config"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 )
@@ -36,7 +36,7 @@
 	dir           string
 	listen, pages string
 	list          *registry.Registry
-	loop          *stand.Loop
+	loop          *standin.Loop
 	forwarders    []*forwarder.Forwarder
 	log           *logLines
 	cancel        context.CancelFunc
@@ -76,7 +76,7 @@
 func build(t *testing.T, forwarders int) *house {
 	h := &house{t: t, dir: t.TempDir(), listen: free(t), pages: free(t)}
 	began := time.Now()
-	h.loop = stand.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
+	h.loop = standin.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
 	t.Cleanup(h.loop.Stop)
 	engine, err := forwarder.NewEngine()
 	if err != nil {
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -18,7 +18,7 @@
 	"peppervale/internal/cluster"
 	"peppervale/internal/invariants"
 	"peppervale/internal/config"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 )
@@ -26,7 +26,7 @@
 // town is three governors that share six forwarders out, a zone each, with links between the governors that can be cut.
 type town struct {
 	t          *testing.T
-	loop       *stand.Loop
+	loop       *standin.Loop
 	names      []string
 	pages      []string
 	ports      []string
@@ -54,7 +54,7 @@
 	w := &town{t: t, cut: map[string]bool{}}
 	dir := t.TempDir()
 	began := time.Now()
-	w.loop = stand.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
+	w.loop = standin.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
 	t.Cleanup(w.loop.Stop)
 	engine, err := forwarder.NewEngine()
 	if err != nil {
--- a/internal/benchmark/channel.go
+++ b/internal/benchmark/channel.go
@@ -20,7 +20,7 @@
 	"peppervale/internal/netpoll"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/snapshot"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // listeners starts n forwarders that carry no invocations and have no other governor; kill ends them.
-func listeners(loop *stand.Loop, engine *netpoll.Engine, n int, address string, redial model.Micros, seen func(invariants.Seen)) (all []*forwarder.Forwarder, kill func()) {
+func listeners(loop *standin.Loop, engine *netpoll.Engine, n int, address string, redial model.Micros, seen func(invariants.Seen)) (all []*forwarder.Forwarder, kill func()) {
 	loop.Do(func() {
 		for k := range n {
 			f := forwarder.New(loop, engine, forwarder.Facts{Name: fmt.Sprint("listener-", k), Zone: "zone", Redial: redial, ConnectFor: 10 * model.Second,
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	defer engine.Stop()
-	loop := stand.NewLoop(now)
+	loop := standin.NewLoop(now)
 	defer loop.Stop()
 	_, kill := listeners(loop, engine, n, p.server.Addr(), model.Second, func(invariants.Seen) {})
 	defer kill()
--- a/internal/benchmark/restart.go
+++ b/internal/benchmark/restart.go
@@ -17,7 +17,7 @@
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 )
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	loop := stand.NewLoop(now)
+	loop := standin.NewLoop(now)
 	defer loop.Stop()
 	list, err := registry.New(loop, "127.0.0.1:0", "recipe", func(invariants.Seen) {})
 	if err != nil {
--- a/internal/benchmark/storm.go
+++ b/internal/benchmark/storm.go
@@ -14,7 +14,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
 	"peppervale/internal/pubsub"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 )
 
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	defer engine.Stop()
-	loop := stand.NewLoop(now)
+	loop := standin.NewLoop(now)
 	defer loop.Stop()
 	began, start := time.Now(), cpu()
 	all, kill := listeners(loop, engine, n, server.Addr(), model.Second, func(invariants.Seen) {})
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -18,7 +18,7 @@
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 )
@@ -117,13 +117,13 @@
 // killed one has its parts back; program is the command that runs one.
 func Takeover(ctx context.Context, program []string, n, rounds int, span model.Micros, shared bool, seed uint64, progress io.Writer) (*TakeoverFigures, error) {
 	now := controller.Clock()
-	chance := stand.NewChance(seed, "takeover")
+	chance := standin.NewChance(seed, "takeover")
 	dir, err := os.MkdirTemp("", "peppervale-takeover-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	loop := stand.NewLoop(now)
+	loop := standin.NewLoop(now)
 	defer loop.Stop()
 	w := &watch{of: map[string]string{}}
 	list, err := registry.New(loop, "127.0.0.1:0", "recipe", w.saw)
--- a/internal/discovery/roster_test.go
+++ b/internal/discovery/roster_test.go
@@ -14,7 +14,7 @@
 
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/registry"
 )
 
@@ -27,7 +27,7 @@
 // world is a stand-in list with a client that follows it.
 type world struct {
 	t    *testing.T
-	loop *stand.Loop
+	loop *standin.Loop
 	list *registry.Registry
 	c    *Consul
 	mu   sync.Mutex
@@ -84,7 +84,7 @@
 func begin(t *testing.T) *world {
 	w := &world{t: t, came: make(chan struct{}, 1000)}
 	start := time.Now()
-	w.loop = stand.NewLoop(func() model.Micros { return model.Micros(time.Since(start) / time.Microsecond) })
+	w.loop = standin.NewLoop(func() model.Micros { return model.Micros(time.Since(start) / time.Microsecond) })
 	t.Cleanup(w.loop.Stop)
 	w.do(func() {
 		var err error
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -20,7 +20,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 )
 
@@ -461,7 +461,7 @@
 		t.Fatal(err)
 	}
 	defer engine.Stop()
-	loop := stand.NewLoop(h.now)
+	loop := standin.NewLoop(h.now)
 	defer loop.Stop()
 	var all []*forwarder.Forwarder
 	loop.Do(func() {
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -23,7 +23,7 @@
 	"peppervale/internal/console/comparison"
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 )
 
 // The test binary is the governors' program too: started with "governor --config FILE" it is one.
@@ -144,7 +144,7 @@
 		},
 		"a governor restarts twenty times at random moments": func(t *testing.T) {
 			var steps []Step
-			chance := stand.NewChance(3, "restarts")
+			chance := standin.NewChance(3, "restarts")
 			for at := 4.0; len(steps) < 20; at += chance.Between(0.5, 1.5) {
 				steps = append(steps, Step{Kind: []string{"governor_crash", "governor_roll"}[len(steps)%2], At: seconds(at), Lasts: seconds(chance.Between(0.05, 0.4)), Part: 0.5})
 			}
--- a/internal/scenario/rogue.go
+++ b/internal/scenario/rogue.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/snapshot"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 )
 
 // RogueKinds are the governors of the stand's own that break one rule each, so that the checker is seen to fail. Each
@@ -27,7 +27,7 @@
 type rogue struct {
 	kind    string
 	name    string
-	loop    *stand.Loop
+	loop    *standin.Loop
 	server  *pubsub.Server
 	list    *discovery.Consul
 	line    pubsub.Line
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -19,7 +19,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/forwarder"
 	"peppervale/stand/registry"
 	"peppervale/stand/replica"
@@ -35,7 +35,7 @@
 
 // Run plays a day; ctx cuts it off. An error means that the day could not be played, not that a rule broke.
 func Run(ctx context.Context, s *Script, set Setting) (*Report, error) {
-	d := &play{Script: s, set: set, now: controller.Clock(), chance: stand.NewChance(s.Seed, "day")}
+	d := &play{Script: s, set: set, now: controller.Clock(), chance: standin.NewChance(s.Seed, "day")}
 	defer d.close()
 	if err := d.open(); err != nil {
 		return nil, err
@@ -48,11 +48,11 @@
 	*Script
 	set       Setting
 	now       func() model.Micros
-	chance    *stand.Chance
+	chance    *standin.Chance
 	folder    string
 	temporary bool
 	engine    *netpoll.Engine
-	loop      *stand.Loop
+	loop      *standin.Loop
 	governors []*process
 	rogue     *rogue
 
@@ -184,7 +184,7 @@
 	if d.engine, err = forwarder.NewEngine(); err != nil {
 		return err
 	}
-	d.loop = stand.NewLoop(d.now)
+	d.loop = standin.NewLoop(d.now)
 	d.began = d.now()
 	d.bays, d.tally = map[string]*replica.Bay{}, newTally(d.Script)
 	var made error
--- a/stand/loop.go
+++ b/internal/standin/loop.go
@@ -1,6 +1,6 @@
 // Package stand holds what stand-ins share: a loop that runs all of a day's stand-ins one step at a time, so that
 // none of them needs a lock, and a day's facts have one order.
-package stand
+package standin
 
 import (
 	"container/heap"
--- a/stand/forwarder/call.go
+++ b/stand/forwarder/call.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/codec/http1"
 	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/internal/codec/pubsubmsg"
 )
 
@@ -39,7 +39,7 @@
 	inv     *Invocation
 	life    int
 	began   model.Micros
-	give    *stand.Timer
+	give    *standin.Timer
 	tries   int
 	more    int // tries that may follow
 	way     model.Way
@@ -54,7 +54,7 @@
 	n     int
 	at    *there
 	sent  model.Micros
-	first *stand.Timer
+	first *standin.Timer
 	over  bool
 	link  *link
 }
--- a/stand/forwarder/forwarder.go
+++ b/stand/forwarder/forwarder.go
@@ -14,7 +14,7 @@
 	"peppervale/internal/lease"
 	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/internal/codec/pubsubmsg"
 )
 
@@ -91,9 +91,9 @@
 	SumsLate model.Micros
 	// Cut keeps it from reaching a governor, by its name: a link that is down.
 	Cut     map[string]bool
-	loop    *stand.Loop
+	loop    *standin.Loop
 	engine  *netpoll.Engine
-	chance  *stand.Chance
+	chance  *standin.Chance
 	seen    func(invariants.Seen)
 	alive   bool
 	life    int
@@ -118,8 +118,8 @@
 type held struct{ life, version uint64 }
 
 // New makes a forwarder on an engine whose data and close events go to Data and Closed.
-func New(loop *stand.Loop, engine *netpoll.Engine, f Facts, seed uint64, seen func(invariants.Seen)) *Forwarder {
-	return &Forwarder{Facts: f, loop: loop, engine: engine, chance: stand.NewChance(seed, f.Name), seen: seen, Cut: map[string]bool{}}
+func New(loop *standin.Loop, engine *netpoll.Engine, f Facts, seed uint64, seen func(invariants.Seen)) *Forwarder {
+	return &Forwarder{Facts: f, loop: loop, engine: engine, chance: standin.NewChance(seed, f.Name), seen: seen, Cut: map[string]bool{}}
 }
 
 // NewEngine makes the sockets' engine that any number of forwarders share.
--- a/stand/forwarder/takeover_test.go
+++ b/stand/forwarder/takeover_test.go
@@ -14,7 +14,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/model"
 	"peppervale/internal/invariants"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/stand/replica"
 	"peppervale/internal/codec/pubsubmsg"
 )
@@ -70,7 +70,7 @@
 // pair is two holders, a forwarder and two replicas that answer nothing until they are told to.
 type pair struct {
 	t        *testing.T
-	loop     *stand.Loop
+	loop     *standin.Loop
 	a, b     *holder
 	f        *Forwarder
 	replicas []*replica.Replica
@@ -83,7 +83,7 @@
 func newPair(t *testing.T) *pair {
 	began := time.Now()
 	now := func() model.Micros { return model.Second + model.Micros(time.Since(began)/time.Microsecond) }
-	p := &pair{t: t, loop: stand.NewLoop(now), tried: map[uint64]int{}, done: make(chan Result, 1)}
+	p := &pair{t: t, loop: standin.NewLoop(now), tried: map[uint64]int{}, done: make(chan Result, 1)}
 	t.Cleanup(p.loop.Stop)
 	engine, err := NewEngine()
 	if err != nil {
--- a/stand/registry/registry.go
+++ b/stand/registry/registry.go
@@ -18,7 +18,7 @@
 	"peppervale/internal/codec/consulcatalog"
 	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/internal/codec/pubsubmsg"
 )
 
@@ -43,7 +43,7 @@
 // Registry runs on a loop; all its methods are to be called there, but for Close.
 type Registry struct {
 	Trouble Trouble
-	loop    *stand.Loop
+	loop    *standin.Loop
 	service string
 	seen    func(invariants.Seen)
 	engine  *netpoll.Engine
@@ -57,11 +57,11 @@
 	conn   *nbio.Conn
 	caller string
 	index  uint64
-	timer  *stand.Timer
+	timer  *standin.Timer
 }
 
 // New listens; seen is told each answer to a governor.
-func New(loop *stand.Loop, listen, service string, seen func(invariants.Seen)) (*Registry, error) {
+func New(loop *standin.Loop, listen, service string, seen func(invariants.Seen)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, seen: seen, index: 100}
 	var err error
 	h := netpoll.Handlers{Open: func(c *nbio.Conn) { c.SetSession(http1.NewParser(false, http1.Bounds{})) }, Data: func(c *nbio.Conn, data []byte) {
--- a/stand/replica/replica.go
+++ b/stand/replica/replica.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/codec/http1"
 	"peppervale/internal/invariants"
 	"peppervale/internal/netpoll"
-	"peppervale/stand"
+	"peppervale/internal/standin"
 	"peppervale/internal/codec/pubsubmsg"
 )
 
@@ -70,7 +70,7 @@
 	Started  model.Micros // 0: before the day, warm
 	Up       bool
 	Tipped   bool
-	loop     *stand.Loop
+	loop     *standin.Loop
 	bay      *Bay
 	windows  []model.Micros // by operation; 0: not fingerprinted
 	seen     func(invariants.Seen)
@@ -100,7 +100,7 @@
 }
 
 // New makes a replica that is down. windows gives each operation's window in a bay, 0 where it has no fingerprint.
-func New(loop *stand.Loop, f Facts, bay *Bay, windows []model.Micros, seen func(invariants.Seen)) *Replica {
+func New(loop *standin.Loop, f Facts, bay *Bay, windows []model.Micros, seen func(invariants.Seen)) *Replica {
 	return &Replica{Facts: f, Slow: 1, loop: loop, bay: bay, windows: windows, seen: seen}
 }
 
