--- a/command/stand.go
+++ b/command/stand.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 	"peppervale/stand/registry"
 	"peppervale/stand/replica"
 	"peppervale/internal/codec/pubsubmsg"
@@ -197,7 +197,7 @@
 }
 
 type forwarderFile struct {
-	facts    forwarder.Facts
+	facts    proxy.Facts
 	standing []invariants.Line
 	works    []config.Operation
 	mean     []model.Micros
@@ -208,11 +208,11 @@
 	zones := top.Texts("zones", true)
 	f.works = config.Operations(top)
 	b := top.One("forwarder", 1, true)
-	f.facts = forwarder.Facts{Name: b.Labels[0], Zone: b.Text("zone", "", zones...), Rate: b.Number("rate", 5, 0.01, 10_000),
-		Pick: forwarder.Pick(b.Text("pick", "pair", "lottery", "wheel", "pair")), UsualWay: model.WhenUnrun, FirstWait: 0.8,
+	f.facts = proxy.Facts{Name: b.Labels[0], Zone: b.Text("zone", "", zones...), Rate: b.Number("rate", 5, 0.01, 10_000),
+		Pick: proxy.Pick(b.Text("pick", "pair", "lottery", "wheel", "pair")), UsualWay: model.WhenUnrun, FirstWait: 0.8,
 		Redial: b.Span("redial", 200*model.Millisecond, model.Millisecond, longest), ConnectFor: 250 * model.Millisecond, IdleFor: 15 * model.Second}
 	for i, at := range b.Texts("governors", true) {
-		f.facts.Governors = append(f.facts.Governors, forwarder.Governor{Name: fmt.Sprint("governor-", i+1), Address: at})
+		f.facts.Governors = append(f.facts.Governors, proxy.Governor{Name: fmt.Sprint("governor-", i+1), Address: at})
 	}
 	for _, at := range b.Texts("standing", true) {
 		id, err := pubsubmsg.ParseAddress(at)
@@ -225,7 +225,7 @@
 	f.seed = uint64(b.Whole("seed", 1, 0, 1<<30))
 	b.Done()
 	for _, o := range f.works {
-		f.facts.Operations = append(f.facts.Operations, forwarder.Operation{Objective: o.Objective, Timeout: o.Timeout})
+		f.facts.Operations = append(f.facts.Operations, proxy.Operation{Objective: o.Objective, Timeout: o.Timeout})
 		f.mean = append(f.mean, mean)
 	}
 	return f
@@ -237,7 +237,7 @@
 	if err != nil {
 		return err
 	}
-	engine, err := forwarder.NewEngine()
+	engine, err := proxy.NewEngine()
 	if err != nil {
 		return err
 	}
@@ -246,14 +246,14 @@
 	defer loop.Stop()
 	chance := standin.NewChance(f.seed, "load")
 	var asked, inTime uint64
-	var one *forwarder.Forwarder
+	var one *proxy.Forwarder
 	var ask func()
 	ask = func() {
 		loop.After(model.Micros(chance.Wait(f.facts.Rate)*float64(model.Second)), func() {
 			asked++
 			op := chance.Below(len(f.works))
-			one.Invoke(&forwarder.Invocation{Number: asked, Operation: op, Work: float64(f.mean[op]) * chance.Spread(0.5), Done: func(r forwarder.Result, took model.Micros) {
-				if r == forwarder.Succeeded && took <= f.works[op].Objective {
+			one.Invoke(&proxy.Invocation{Number: asked, Operation: op, Work: float64(f.mean[op]) * chance.Spread(0.5), Done: func(r proxy.Result, took model.Micros) {
+				if r == proxy.Succeeded && took <= f.works[op].Objective {
 					inTime++
 				}
 			}})
@@ -261,7 +261,7 @@
 		})
 	}
 	loop.Do(func() {
-		one = forwarder.New(loop, engine, f.facts, f.seed, unseen)
+		one = proxy.New(loop, engine, f.facts, f.seed, unseen)
 		one.Start(f.standing)
 		ask()
 	})
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -22,7 +22,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 	"peppervale/stand/registry"
 )
 
@@ -37,7 +37,7 @@
 	listen, pages string
 	list          *registry.Registry
 	loop          *standin.Loop
-	forwarders    []*forwarder.Forwarder
+	forwarders    []*proxy.Forwarder
 	log           *logLines
 	cancel        context.CancelFunc
 	ended         chan error
@@ -78,7 +78,7 @@
 	began := time.Now()
 	h.loop = standin.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
 	t.Cleanup(h.loop.Stop)
-	engine, err := forwarder.NewEngine()
+	engine, err := proxy.NewEngine()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,8 +92,8 @@
 			h.list.Set(registry.Entry{ID: replica(n + 1), Zone: "govan"})
 		}
 		for k := range forwarders {
-			f := forwarder.New(h.loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Rate: 2, Redial: 50 * model.Millisecond,
-				ConnectFor: model.Second, StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.listen}}}, uint64(k), func(invariants.Seen) {})
+			f := proxy.New(h.loop, engine, proxy.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Rate: 2, Redial: 50 * model.Millisecond,
+				ConnectFor: model.Second, StreamsOnly: true, Governors: []proxy.Governor{{Name: "g", Address: h.listen}}}, uint64(k), func(invariants.Seen) {})
 			f.Start(nil)
 			h.forwarders = append(h.forwarders, f)
 		}
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -19,7 +19,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/config"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 	"peppervale/stand/registry"
 )
 
@@ -30,7 +30,7 @@
 	names      []string
 	pages      []string
 	ports      []string
-	forwarders []*forwarder.Forwarder
+	forwarders []*proxy.Forwarder
 	list       *registry.Registry
 	mu         sync.Mutex
 	cut        map[string]bool // members that reach no other and are reached by none
@@ -56,7 +56,7 @@
 	began := time.Now()
 	w.loop = standin.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
 	t.Cleanup(w.loop.Stop)
-	engine, err := forwarder.NewEngine()
+	engine, err := proxy.NewEngine()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,9 +79,9 @@
 		k := len(w.names) - 1
 		members += fmt.Sprintf("member %q {\n address = %q\n gossip = %q\n}\n", w.names[k], w.ports[k], gossip[k])
 	}
-	var channels []forwarder.Governor
+	var channels []proxy.Governor
 	for k, zone := range zones {
-		channels = append(channels, forwarder.Governor{Name: w.names[k], Address: free(t)})
+		channels = append(channels, proxy.Governor{Name: w.names[k], Address: free(t)})
 		text := fmt.Sprintf(`governor %q {
   listen = %q
   state = %q
@@ -139,7 +139,7 @@
 	}
 	w.loop.Do(func() {
 		for k := range 6 {
-			f := forwarder.New(w.loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: zones[k%3], ZoneIndex: k % 3, Rate: 2, Redial: 50 * model.Millisecond,
+			f := proxy.New(w.loop, engine, proxy.Facts{Name: fmt.Sprint("till-", k), Zone: zones[k%3], ZoneIndex: k % 3, Rate: 2, Redial: 50 * model.Millisecond,
 				ConnectFor: model.Second, StreamsOnly: true, Governors: append(channels[k%3:3:3], channels[:k%3]...)}, uint64(k), func(s invariants.Seen) { w.seen = append(w.seen, s) })
 			f.Start([]invariants.Line{{Replica: replica(1), Weight: 1}})
 			w.forwarders = append(w.forwarders, f)
@@ -232,7 +232,7 @@
 		w.isolate(name, true)
 	}
 	w.loop.Do(func() { w.list.Set(registry.Entry{ID: replica(1), Zone: "govan", Draining: true}) })
-	all := func(what string, is func(f *forwarder.Forwarder) bool) {
+	all := func(what string, is func(f *proxy.Forwarder) bool) {
 		t.Helper()
 		for until := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			so := true
@@ -249,7 +249,7 @@
 			}
 		}
 	}
-	sends := func(f *forwarder.Forwarder) bool { // to the replica that drains
+	sends := func(f *proxy.Forwarder) bool { // to the replica that drains
 		for _, l := range f.Holds() {
 			if l.Replica == replica(1) && l.Weight > 0 && !l.Shut {
 				return true
@@ -257,9 +257,9 @@
 		}
 		return false
 	}
-	all("withdrawn", func(f *forwarder.Forwarder) bool { return f.Joined() != "" && !sends(f) })
-	all("ordered by nobody", func(f *forwarder.Forwarder) bool { return f.Joined() == "" })
-	all("on what it holds", func(f *forwarder.Forwarder) bool { return len(f.Holds()) > 0 && !sends(f) })
+	all("withdrawn", func(f *proxy.Forwarder) bool { return f.Joined() != "" && !sends(f) })
+	all("ordered by nobody", func(f *proxy.Forwarder) bool { return f.Joined() == "" })
+	all("on what it holds", func(f *proxy.Forwarder) bool { return len(f.Holds()) > 0 && !sends(f) })
 	for _, port := range w.ports {
 		if text, err := cluster.Ask(port, 5*time.Second, "STATUS"); err != nil || !strings.Contains(text, "majority") {
 			t.Errorf("%v %.300s", err, text)
--- a/internal/benchmark/channel.go
+++ b/internal/benchmark/channel.go
@@ -21,7 +21,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/snapshot"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 )
 
 // ChannelFigures are of one size. Times are from Publish to the last acknowledgement of all.
@@ -37,11 +37,11 @@
 }
 
 // listeners starts n forwarders that carry no invocations and have no other governor; kill ends them.
-func listeners(loop *standin.Loop, engine *netpoll.Engine, n int, address string, redial model.Micros, seen func(invariants.Seen)) (all []*forwarder.Forwarder, kill func()) {
+func listeners(loop *standin.Loop, engine *netpoll.Engine, n int, address string, redial model.Micros, seen func(invariants.Seen)) (all []*proxy.Forwarder, kill func()) {
 	loop.Do(func() {
 		for k := range n {
-			f := forwarder.New(loop, engine, forwarder.Facts{Name: fmt.Sprint("listener-", k), Zone: "zone", Redial: redial, ConnectFor: 10 * model.Second,
-				StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: address}}}, 1, seen)
+			f := proxy.New(loop, engine, proxy.Facts{Name: fmt.Sprint("listener-", k), Zone: "zone", Redial: redial, ConnectFor: 10 * model.Second,
+				StreamsOnly: true, Governors: []proxy.Governor{{Name: "g", Address: address}}}, 1, seen)
 			f.Start(nil)
 			all = append(all, f)
 		}
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	defer p.server.Close()
-	engine, err := forwarder.NewEngine()
+	engine, err := proxy.NewEngine()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/restart.go
+++ b/internal/benchmark/restart.go
@@ -18,7 +18,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 	"peppervale/stand/registry"
 )
 
@@ -127,7 +127,7 @@
 	if err := os.WriteFile(r.config, fmt.Appendf(nil, restartFile, address, list.Addr()), 0o644); err != nil {
 		return nil, err
 	}
-	engine, err := forwarder.NewEngine()
+	engine, err := proxy.NewEngine()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/storm.go
+++ b/internal/benchmark/storm.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/pubsub"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 )
 
 // StormFigures are of one storm: all dial within a tenth of a second.
@@ -53,7 +53,7 @@
 	}
 	c.server = server
 	defer server.Close()
-	engine, err := forwarder.NewEngine()
+	engine, err := proxy.NewEngine()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -19,7 +19,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 	"peppervale/stand/registry"
 )
 
@@ -136,7 +136,7 @@
 			list.Set(registry.Entry{ID: replicaID(k), Zone: fmt.Sprint("zone-", k%takeoverMembers)})
 		}
 	})
-	engine, err := forwarder.NewEngine()
+	engine, err := proxy.NewEngine()
 	if err != nil {
 		return nil, err
 	}
@@ -152,19 +152,19 @@
 		}
 		defer func() { m.end(syscall.SIGKILL) }()
 	}
-	var all []*forwarder.Forwarder
+	var all []*proxy.Forwarder
 	loop.Do(func() {
 		for k := range n {
 			zone := k % takeoverMembers
-			facts := forwarder.Facts{Name: fmt.Sprint("listener-", k), Zone: fmt.Sprint("zone-", zone), Rate: 1, Redial: 150 * model.Millisecond, ConnectFor: model.Second,
-				StreamsOnly: true, Obeyed: func(f *forwarder.Forwarder, governor string, m *pubsubmsg.Message) {
+			facts := proxy.Facts{Name: fmt.Sprint("listener-", k), Zone: fmt.Sprint("zone-", zone), Rate: 1, Redial: 150 * model.Millisecond, ConnectFor: model.Second,
+				StreamsOnly: true, Obeyed: func(f *proxy.Forwarder, governor string, m *pubsubmsg.Message) {
 					w.obeyed(now(), f.Name, governor, m)
 				}}
 			for i := range takeoverMembers {
 				m := members[(zone+i)%takeoverMembers]
-				facts.Governors = append(facts.Governors, forwarder.Governor{Name: m.name, Address: m.channel})
+				facts.Governors = append(facts.Governors, proxy.Governor{Name: m.name, Address: m.channel})
 			}
-			f := forwarder.New(loop, engine, facts, seed, w.saw)
+			f := proxy.New(loop, engine, facts, seed, w.saw)
 			f.Start([]invariants.Line{{Replica: replicaID(k % 12), Weight: 1}})
 			all = append(all, f)
 		}
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -21,7 +21,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 )
 
 func TestMain(m *testing.M) {
@@ -456,18 +456,18 @@
 func TestAStormOfJoinsSettles(t *testing.T) {
 	const n, rate = 300, 150
 	h := start(t, func(l *Line) { l.Joins = admission.Bounds{Rate: rate, Burst: 30, Spread: 1, Seed: 3} })
-	engine, err := forwarder.NewEngine()
+	engine, err := proxy.NewEngine()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer engine.Stop()
 	loop := standin.NewLoop(h.now)
 	defer loop.Stop()
-	var all []*forwarder.Forwarder
+	var all []*proxy.Forwarder
 	loop.Do(func() {
 		for k := range n {
-			f := forwarder.New(loop, engine, forwarder.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Redial: model.Second, ConnectFor: 5 * model.Second,
-				StreamsOnly: true, Governors: []forwarder.Governor{{Name: "g", Address: h.server.Addr()}}}, 1, func(invariants.Seen) {})
+			f := proxy.New(loop, engine, proxy.Facts{Name: fmt.Sprint("till-", k), Zone: "govan", Redial: model.Second, ConnectFor: 5 * model.Second,
+				StreamsOnly: true, Governors: []proxy.Governor{{Name: "g", Address: h.server.Addr()}}}, 1, func(invariants.Seen) {})
 			f.Start(nil)
 			all = append(all, f)
 		}
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -11,7 +11,7 @@
 	"peppervale/internal/config"
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 )
 
 // Report is what a day came to. Service is billed value answered within the latency objective over the value asked for.
@@ -127,13 +127,13 @@
 }
 
 // count takes an invocation's end: how long it took from its first asking, and when that was in the day.
-func (t *tally) count(op int, r forwarder.Result, took, at model.Micros) {
+func (t *tally) count(op int, r proxy.Result, took, at model.Micros) {
 	o, of := &t.ops[op], t.of[op]
 	sec := &t.seconds[min(max(int(at/model.Second), 0), len(t.seconds)-1)]
 	o.asked++
 	sec.asked += of.Value
 	switch {
-	case r == forwarder.Succeeded:
+	case r == proxy.Succeeded:
 		_ = o.latency.RecordValue(max(1, int64(took)))
 		if took <= of.Objective {
 			o.inTime++
@@ -141,7 +141,7 @@
 		} else {
 			o.late++
 		}
-	case r == forwarder.RateLimited:
+	case r == proxy.RateLimited:
 		o.limited++
 	default:
 		o.failed++
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -20,7 +20,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/standin"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 	"peppervale/stand/registry"
 	"peppervale/stand/replica"
 )
@@ -80,7 +80,7 @@
 
 // caller is a forwarder with the clients behind it.
 type caller struct {
-	*forwarder.Forwarder
+	*proxy.Forwarder
 	zone int
 	rate float64
 }
@@ -181,7 +181,7 @@
 	if d.octet, err = freeNet(); err != nil {
 		return err
 	}
-	if d.engine, err = forwarder.NewEngine(); err != nil {
+	if d.engine, err = proxy.NewEngine(); err != nil {
 		return err
 	}
 	d.loop = standin.NewLoop(d.now)
@@ -288,31 +288,31 @@
 		weights[i] = d.chance.Spread(f.RateSpread)
 		sum += weights[i]
 	}
-	var ops []forwarder.Operation
+	var ops []proxy.Operation
 	for _, o := range d.Operations {
-		ops = append(ops, forwarder.Operation{Objective: o.Objective, Timeout: o.Timeout})
+		ops = append(ops, proxy.Operation{Objective: o.Objective, Timeout: o.Timeout})
 	}
 	for i := range n {
 		zone := i % len(d.Zones)
 		rate := d.Load.Rate * weights[i] / sum
-		facts := forwarder.Facts{Name: fmt.Sprintf("%s-till-%d", d.Zones[zone], i/len(d.Zones)+1), Zone: d.Zones[zone], ZoneIndex: zone,
-			Rate: rate, Pick: forwarder.Pick(f.Pick), Operations: ops, UsualWay: d.Guarantees.DefaultWay, FirstWait: d.Guarantees.FirstWait,
+		facts := proxy.Facts{Name: fmt.Sprintf("%s-till-%d", d.Zones[zone], i/len(d.Zones)+1), Zone: d.Zones[zone], ZoneIndex: zone,
+			Rate: rate, Pick: proxy.Pick(f.Pick), Operations: ops, UsualWay: d.Guarantees.DefaultWay, FirstWait: d.Guarantees.FirstWait,
 			Ejects: f.Ejects, EjectFor: f.EjectFor, Redial: f.Redial, ConnectFor: 250 * model.Millisecond, IdleFor: 15 * model.Second, StallFor: f.StallLine}
-		d.forwarders = append(d.forwarders, &caller{Forwarder: forwarder.New(d.loop, d.engine, facts, d.Seed, d.see), zone: zone, rate: rate})
+		d.forwarders = append(d.forwarders, &caller{Forwarder: proxy.New(d.loop, d.engine, facts, d.Seed, d.see), zone: zone, rate: rate})
 	}
 }
 
 // addresses gives a forwarder's governors, its own zone's first, the rest dealt by its place.
-func (d *play) addresses(c *caller, i int) (all []forwarder.Governor) {
+func (d *play) addresses(c *caller, i int) (all []proxy.Governor) {
 	if d.rogue != nil {
-		return []forwarder.Governor{{Name: d.rogue.name, Address: d.rogue.server.Addr()}}
+		return []proxy.Governor{{Name: d.rogue.name, Address: d.rogue.server.Addr()}}
 	}
 	n := len(d.governors)
 	for k := range n {
 		p := d.governors[(i+k)%n]
-		all = append(all, forwarder.Governor{Name: p.name, Address: p.address})
+		all = append(all, proxy.Governor{Name: p.name, Address: p.address})
 	}
-	slices.SortStableFunc(all, func(a, b forwarder.Governor) int { return d.near(a.Name, c) - d.near(b.Name, c) })
+	slices.SortStableFunc(all, func(a, b proxy.Governor) int { return d.near(a.Name, c) - d.near(b.Name, c) })
 	return all
 }
 
@@ -431,17 +431,17 @@
 	if d.heavy > 0 && d.chance.Float() < d.heavy {
 		work *= d.heavySize
 	}
-	d.invoke(c, &forwarder.Invocation{Number: d.numbers, Operation: w.Operation, Work: work}, d.now())
+	d.invoke(c, &proxy.Invocation{Number: d.numbers, Operation: w.Operation, Work: work}, d.now())
 }
 
 // invoke asks, and asks again as clients do: idempotent work after any failure, the rest after a refusal.
-func (d *play) invoke(c *caller, inv *forwarder.Invocation, first model.Micros) {
-	inv.Done = func(r forwarder.Result, _ model.Micros) {
+func (d *play) invoke(c *caller, inv *proxy.Invocation, first model.Micros) {
+	inv.Done = func(r proxy.Result, _ model.Micros) {
 		o := d.Operations[inv.Operation]
 		took := d.now() - first
 		again := inv.Caller+1 < d.Script.Forwarders.ClientTries && took+d.Script.Forwarders.Backoff < o.Timeout &&
-			(r == forwarder.RateLimited || r == forwarder.Failed && o.Effect == config.Idempotent)
-		if r != forwarder.Succeeded && again {
+			(r == proxy.RateLimited || r == proxy.Failed && o.Effect == config.Idempotent)
+		if r != proxy.Succeeded && again {
 			d.loop.After(d.Script.Forwarders.Backoff, func() {
 				next := *inv
 				next.Caller++
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -7,7 +7,7 @@
 
 	"peppervale/internal/config"
 	"peppervale/internal/model"
-	"peppervale/stand/forwarder"
+	"peppervale/internal/standin/proxy"
 	"peppervale/stand/registry"
 )
 
@@ -124,8 +124,8 @@
 	},
 	"disobey": func(d *play, t Step) {
 		for _, c := range d.struckForwarders(t) {
-			c.Disobey = forwarder.Disobey{IgnoresShuts: t.Group == "shuts", RepeatsAnything: t.Group == "repeats"}
-			d.loop.After(t.Lasts, func() { c.Disobey = forwarder.Disobey{} })
+			c.Disobey = proxy.Disobey{IgnoresShuts: t.Group == "shuts", RepeatsAnything: t.Group == "repeats"}
+			d.loop.After(t.Lasts, func() { c.Disobey = proxy.Disobey{} })
 		}
 	},
 	"list_down":   func(d *play, t Step) { d.listTrouble(t, registry.Trouble{Fails: true}) },
--- a/stand/forwarder/call.go
+++ b/internal/standin/proxy/call.go
@@ -1,4 +1,4 @@
-package forwarder
+package proxy
 
 import (
 	"strconv"
@@ -6,12 +6,12 @@
 
 	"github.com/lesismal/nbio"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/http1"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/standin"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Result is how an invocation ended for its caller.
--- a/stand/forwarder/forwarder.go
+++ b/internal/standin/proxy/forwarder.go
@@ -3,19 +3,19 @@
 // be; it sends invocations to replicas over HTTP/1.1 and its sums to the governor each period.
 //
 // stream.go is its side of the channel, call.go what it does with an invocation, pool.go its connections.
-package forwarder
+package proxy
 
 import (
 	"slices"
 
 	"github.com/lesismal/nbio"
 
-	"peppervale/internal/model"
-	"peppervale/internal/lease"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/invariants"
+	"peppervale/internal/lease"
+	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/standin"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Pick says how a line is picked.
--- a/stand/forwarder/stream.go
+++ b/internal/standin/proxy/stream.go
@@ -1,4 +1,4 @@
-package forwarder
+package proxy
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	"github.com/lesismal/nbio"
 
-	"peppervale/internal/model"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // stream is a connection to a governor.
--- a/stand/forwarder/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -1,4 +1,4 @@
-package forwarder
+package proxy
 
 import (
 	"fmt"
@@ -10,13 +10,13 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/internal/snapshot"
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+	"peppervale/internal/snapshot"
 	"peppervale/internal/standin"
 	"peppervale/stand/replica"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 func TestMain(m *testing.M) {
