--- a/command/stand.go
+++ b/command/stand.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
 	"peppervale/stand/registry"
-	"peppervale/stand/replica"
+	"peppervale/internal/standin/replica"
 	"peppervale/internal/codec/pubsubmsg"
 )
 
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -21,8 +21,8 @@
 	"peppervale/internal/netpoll"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
+	"peppervale/internal/standin/replica"
 	"peppervale/stand/registry"
-	"peppervale/stand/replica"
 )
 
 // Setting is where a day is played.
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -16,7 +16,7 @@
 	"peppervale/internal/pubsub"
 	"peppervale/internal/snapshot"
 	"peppervale/internal/standin"
-	"peppervale/stand/replica"
+	"peppervale/internal/standin/replica"
 )
 
 func TestMain(m *testing.M) {
--- a/stand/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -9,12 +9,12 @@
 
 	"github.com/lesismal/nbio"
 
-	"peppervale/internal/model"
 	"peppervale/internal/codec/http1"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/standin"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Facts is what a replica is.
