--- a/command/stand.go
+++ b/command/stand.go
@@ -14,7 +14,7 @@
 	"peppervale/internal/config"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
-	"peppervale/stand/registry"
+	"peppervale/internal/standin/registry"
 	"peppervale/internal/standin/replica"
 	"peppervale/internal/codec/pubsubmsg"
 )
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -23,7 +23,7 @@
 	"peppervale/internal/config"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
-	"peppervale/stand/registry"
+	"peppervale/internal/standin/registry"
 )
 
 func TestMain(m *testing.M) {
--- a/daemon/share_test.go
+++ b/daemon/share_test.go
@@ -20,7 +20,7 @@
 	"peppervale/internal/config"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
-	"peppervale/stand/registry"
+	"peppervale/internal/standin/registry"
 )
 
 // town is three governors that share six forwarders out, a zone each, with links between the governors that can be cut.
--- a/internal/benchmark/restart.go
+++ b/internal/benchmark/restart.go
@@ -19,7 +19,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
-	"peppervale/stand/registry"
+	"peppervale/internal/standin/registry"
 )
 
 // RestartWay is how a governor is restarted under its forwarders.
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -20,7 +20,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
-	"peppervale/stand/registry"
+	"peppervale/internal/standin/registry"
 )
 
 // TakeoverFigures are of governors that are killed one at a time at random moments, and come back.
--- a/internal/discovery/roster_test.go
+++ b/internal/discovery/roster_test.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/invariants"
 	"peppervale/internal/model"
 	"peppervale/internal/standin"
-	"peppervale/stand/registry"
+	"peppervale/internal/standin/registry"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -21,8 +21,8 @@
 	"peppervale/internal/netpoll"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
+	"peppervale/internal/standin/registry"
 	"peppervale/internal/standin/replica"
-	"peppervale/stand/registry"
 )
 
 // Setting is where a day is played.
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/config"
 	"peppervale/internal/model"
 	"peppervale/internal/standin/proxy"
-	"peppervale/stand/registry"
+	"peppervale/internal/standin/registry"
 )
 
 // some draws a part of the indices below n, one at least.
--- a/stand/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -13,13 +13,13 @@
 
 	"github.com/lesismal/nbio"
 
-	"peppervale/internal/model"
-	"peppervale/internal/codec/http1"
 	"peppervale/internal/codec/consulcatalog"
+	"peppervale/internal/codec/http1"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/internal/netpoll"
 	"peppervale/internal/standin"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Entry is a replica as the list has it.
