--- a/command/command.go
+++ b/command/command.go
@@ -19,7 +19,7 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/console/comparison"
-	"peppervale/daemon"
+	"peppervale/internal/server"
 	"peppervale/internal/scenario"
 	"peppervale/internal/model"
 	"peppervale/internal/controller"
@@ -65,12 +65,12 @@
 		out = zerolog.ConsoleWriter{Out: out}
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log, threshold, err := daemon.NewLog(out, g.LogLevel)
+	log, threshold, err := server.NewLog(out, g.LogLevel)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	reload := reloads(ctx)
-	return daemon.Serve(ctx, g, daemon.Outside{Reload: reload, Threshold: threshold,
+	return server.Serve(ctx, g, server.Outside{Reload: reload, Threshold: threshold,
 		Read: func() (*config.Governor, error) { return config.OpenGovernor(c.Config) }}, log)
 }
 
--- a/command/platform.go
+++ b/command/platform.go
@@ -9,7 +9,7 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/daemon"
+	"peppervale/internal/server"
 	"peppervale/internal/config"
 )
 
@@ -45,10 +45,10 @@
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log, _, err := daemon.NewLog(out, c.Log)
+	log, _, err := server.NewLog(out, c.Log)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
-	return daemon.ServePlatform(ctx, p, daemon.PlatformOutside{Reload: reload,
+	return server.ServePlatform(ctx, p, server.PlatformOutside{Reload: reload,
 		Read: func() (*config.Platform, error) { return config.OpenPlatform(c.Config) }}, log)
 }
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -18,11 +18,11 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"peppervale/daemon"
 	"peppervale/internal/config"
 	"peppervale/internal/console/comparison"
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
+	"peppervale/internal/server"
 	"peppervale/internal/standin"
 )
 
@@ -33,7 +33,7 @@
 		defer stop()
 		g, err := config.OpenGovernor(os.Args[3])
 		if err == nil {
-			err = daemon.Serve(ctx, g, daemon.Outside{}, zerolog.New(os.Stdout).With().Timestamp().Logger())
+			err = server.Serve(ctx, g, server.Outside{}, zerolog.New(os.Stdout).With().Timestamp().Logger())
 		}
 		if err != nil {
 			os.Stderr.WriteString(err.Error())
--- a/daemon/archive.go
+++ b/internal/server/archive.go
@@ -1,12 +1,12 @@
-package daemon
+package server
 
 import (
 	"encoding/json"
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/model"
 	"peppervale/internal/controller"
+	"peppervale/internal/model"
 	"peppervale/internal/statestore"
 )
 
--- a/daemon/daemon_test.go
+++ b/internal/server/daemon_test.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"bytes"
@@ -18,9 +18,9 @@
 	bolt "go.etcd.io/bbolt"
 	"go.uber.org/goleak"
 
-	"peppervale/internal/model"
-	"peppervale/internal/invariants"
 	"peppervale/internal/config"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
 	"peppervale/internal/standin/registry"
--- a/daemon/doc.go
+++ b/internal/server/doc.go
@@ -7,4 +7,4 @@
 //
 // Caveats: at a kill the last quarter of a second of the journal, and a list that came within it, are lost; a restart then begins with the
 // list before.
-package daemon
+package server
--- a/daemon/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"encoding/json"
@@ -12,9 +12,9 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
 	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/statestore"
 )
 
--- a/daemon/log.go
+++ b/internal/server/log.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"io"
--- a/daemon/platform.go
+++ b/internal/server/platform.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
-	"peppervale/internal/platform"
 	"peppervale/internal/codec/platformmsg"
-	"peppervale/internal/discovery"
 	"peppervale/internal/config"
+	"peppervale/internal/controller"
+	"peppervale/internal/discovery"
+	"peppervale/internal/model"
+	"peppervale/internal/platform"
 )
 
 // What a governor on the platform keeps for itself of its descriptors: standard streams, pollers, the listening socket, the watch of
@@ -31,7 +31,7 @@
 
 // PlatformOutside is what a governor on the platform is handed of its process.
 type PlatformOutside struct {
-	Reload <-chan struct{}                // asks that the file is read again
+	Reload <-chan struct{}                  // asks that the file is read again
 	Read   func() (*config.Platform, error) // reads it
 }
 
--- a/daemon/platform_test.go
+++ b/internal/server/platform_test.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"bufio"
@@ -21,13 +21,13 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/codec/consulcatalog"
+	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/codec/resp"
-	"peppervale/internal/invariants"
 	"peppervale/internal/config"
-	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/controller"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
 )
 
 // yard stands for the operators' platform around one governor: discovery, collectors, proxies that try replicas by what they were
--- a/daemon/reload.go
+++ b/internal/server/reload.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"sync"
@@ -6,9 +6,9 @@
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/admission"
-	"peppervale/internal/pubsub"
-	"peppervale/internal/controller"
 	"peppervale/internal/config"
+	"peppervale/internal/controller"
+	"peppervale/internal/pubsub"
 )
 
 // inForce is the file that holds now; it is replaced as a whole.
--- a/daemon/serve.go
+++ b/internal/server/serve.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"context"
@@ -8,21 +8,21 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/pubsub"
+	"peppervale/internal/cluster"
+	"peppervale/internal/config"
 	"peppervale/internal/console"
-	"peppervale/internal/model"
 	"peppervale/internal/controller"
-	"peppervale/internal/cluster"
 	"peppervale/internal/discovery"
-	"peppervale/internal/config"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
 	"peppervale/internal/statestore"
 )
 
 // Outside is what a governor is handed of the process that it runs in. All of it may be missing.
 type Outside struct {
-	Reload    <-chan struct{}                // asks that the file is read again
+	Reload    <-chan struct{}                  // asks that the file is read again
 	Read      func() (*config.Governor, error) // reads it
-	Threshold *Threshold                     // of the log
+	Threshold *Threshold                       // of the log
 	Links     cluster.Links                    // between members of its group; tests cut them
 }
 
@@ -128,7 +128,7 @@
 
 func (d desk) View() *controller.View  { return d.host.View() }
 func (d desk) Watch() *controller.View { return d.host.Watch() }
-func (d desk) Stats() pubsub.Stats  { return d.channel.Stats() }
+func (d desk) Stats() pubsub.Stats     { return d.channel.Stats() }
 func (d desk) Causes(most int, match func(*controller.Cause) bool) []controller.Cause {
 	return d.archive.Causes(most, match)
 }
--- a/daemon/share.go
+++ b/internal/server/share.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"math/rand/v2"
@@ -9,13 +9,13 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/placement"
-	"peppervale/internal/pubsub"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
-	"peppervale/internal/lease"
 	"peppervale/internal/config"
+	"peppervale/internal/controller"
+	"peppervale/internal/lease"
+	"peppervale/internal/model"
+	"peppervale/internal/placement"
+	"peppervale/internal/pubsub"
 )
 
 // sharing is a governor's place in a group. The module starts with the first part that the governor holds, not with the process: what
--- a/daemon/share_test.go
+++ b/internal/server/share_test.go
@@ -1,4 +1,4 @@
-package daemon
+package server
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/snapshot"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/cluster"
-	"peppervale/internal/invariants"
 	"peppervale/internal/config"
+	"peppervale/internal/controller"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
 	"peppervale/internal/standin/registry"
@@ -304,7 +304,7 @@
 type quietChannel struct{}
 
 func (quietChannel) Admit(model.ProxyID, uint64) {}
-func (quietChannel) Publish(*snapshot.Batch)        {}
+func (quietChannel) Publish(*snapshot.Batch)     {}
 
 // A governor that stood by begins with a part. In a planned move it was told what the one before had heard, and its gate opens on that;
 // unplanned it waits, as after any start.
