--- a/cmd/peppervale/golden_test.go
+++ b/cmd/peppervale/golden_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"peppervale/command"
+	"peppervale/internal/cli"
 )
 
 // callMost bounds a command that ought to refuse its file: one that took it would serve until then.
@@ -117,7 +117,7 @@
 // parse gives what the command line makes of the words, and runs nothing.
 func parse(t *testing.T, words ...string) (*kong.Context, error) {
 	t.Helper()
-	var line command.Line
+	var line cli.Line
 	parser, err := kong.New(&line, kong.Name("peppervale"))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/peppervale/main.go
+++ b/cmd/peppervale/main.go
@@ -13,7 +13,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"peppervale/command"
+	"peppervale/internal/cli"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 
 // run gives the exit status: 0 done; 1 it ran, and a rule broke or it failed on the way; 2 input that cannot be used.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	var line command.Line
+	var line cli.Line
 	parser, err := kong.New(&line, kong.Name("peppervale"), kong.Writers(out, errs), kong.UsageOnError(),
 		kong.Description("Publishes weights to plain proxies."), kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)))
 	if err != nil {
@@ -35,16 +35,16 @@
 	if err == nil {
 		err = parsed.Run()
 	} else {
-		err = fmt.Errorf("%w: %w; try peppervale --help", command.ErrInput, err)
+		err = fmt.Errorf("%w: %w; try peppervale --help", cli.ErrInput, err)
 	}
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, command.ErrBroken):
+	case errors.Is(err, cli.ErrBroken):
 	default:
 		fmt.Fprintln(errs, "peppervale:", err)
 	}
-	if errors.Is(err, command.ErrInput) {
+	if errors.Is(err, cli.ErrInput) {
 		return 2
 	}
 	return 1
--- a/command/command.go
+++ b/internal/cli/command.go
@@ -1,5 +1,5 @@
 // Package command is what the command line offers: a type for each command, with a Run that calls one room.
-package command
+package cli
 
 import (
 	"context"
@@ -18,13 +18,13 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/console/comparison"
-	"peppervale/internal/server"
-	"peppervale/internal/scenario"
-	"peppervale/internal/model"
-	"peppervale/internal/controller"
 	"peppervale/internal/benchmark"
 	"peppervale/internal/config"
+	"peppervale/internal/console/comparison"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/scenario"
+	"peppervale/internal/server"
 )
 
 // ErrInput is input that cannot be used: exit status 2. ErrBroken is a rule that broke: exit status 1.
--- a/command/group.go
+++ b/internal/cli/group.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"encoding/json"
--- a/command/platform.go
+++ b/internal/cli/platform.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"github.com/rs/zerolog"
 
-	"peppervale/internal/server"
 	"peppervale/internal/config"
+	"peppervale/internal/server"
 )
 
 // Platform is peppervale platform.
--- a/command/stand.go
+++ b/internal/cli/stand.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"context"
@@ -8,15 +8,15 @@
 	"slices"
 	"time"
 
-	"peppervale/internal/model"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/config"
 	"peppervale/internal/controller"
 	"peppervale/internal/invariants"
-	"peppervale/internal/config"
+	"peppervale/internal/model"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/proxy"
 	"peppervale/internal/standin/registry"
 	"peppervale/internal/standin/replica"
-	"peppervale/internal/codec/pubsubmsg"
 )
 
 // Stand is peppervale stand: one stand-in, to try a governor against by hand.
