--- a/cmd/peppervale/main_test.go
+++ b/cmd/peppervale/main_test.go
@@ -31,8 +31,8 @@
 	}{
 		"a version":                {[]string{"version"}, 0, "peppervale 0."},
 		"a good governor":          {[]string{"check", "../../examples/governor.hcl"}, 0, "a governor's file, no fault"},
-		"a good day":               {[]string{"check", "../../days/hall-lost.hcl"}, 0, "a day, no fault"},
-		"the days":                 {[]string{"day", "list", "../../days"}, 0, "hall-lost.hcl"},
+		"a good day":               {[]string{"check", "../../scenarios/hall-lost.hcl"}, 0, "a day, no fault"},
+		"the days":                 {[]string{"day", "list", "../../scenarios"}, 0, "hall-lost.hcl"},
 		"a bad file":               {[]string{"check", bad}, 2, "bad.hcl:2:12: listen: a text in quotes is wanted"},
 		"a bad file to run":        {[]string{"governor", "--config", bad}, 2, "bad.hcl:2:12"},
 		"a file that is not there": {[]string{"check", "nowhere.hcl"}, 2, "nowhere.hcl"},
--- a/cmd/peppervale/testdata/faulty/day-values.hcl
+++ b/cmd/peppervale/testdata/faulty/day-values.hcl
@@ -1,4 +1,4 @@
-like = "../../../../days/lib/town.hcl"
+like = "../../../../scenarios/lib/town.hcl"
 day "a" {
   length    = "20s"
   governors = ["nowhere"]
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -234,7 +234,7 @@
 
 // DayList is peppervale day list.
 type DayList struct {
-	Folder string `arg:"" optional:"" default:"days" help:"Where the scripts are." type:"path"`
+	Folder string `arg:"" optional:"" default:"scenarios" help:"Where the scripts are." type:"path"`
 }
 
 // Run is the command.
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -47,7 +47,7 @@
 // playDay plays a day of the folder days, shortened and with its steps replaced where the story wants that.
 func playDay(t *testing.T, path string, change func(s *Script)) *Report {
 	t.Helper()
-	s, err := Open(filepath.Join("..", "..", "days", path))
+	s, err := Open(filepath.Join("..", "..", "scenarios", path))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 		t.Skip("a day takes seconds of sockets")
 	}
 	t.Parallel()
-	s, err := Open("../../days/hall-lost.hcl")
+	s, err := Open("../../scenarios/hall-lost.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -272,7 +272,7 @@
 
 func TestScriptsOfTheRepository(t *testing.T) {
 	for _, pattern := range []string{"*.hcl", "broken/*.hcl"} {
-		files, err := filepath.Glob(filepath.Join("..", "..", "days", pattern))
+		files, err := filepath.Glob(filepath.Join("..", "..", "scenarios", pattern))
 		if err != nil || len(files) == 0 {
 			t.Fatal("no scripts: ", err)
 		}
@@ -285,7 +285,7 @@
 }
 
 func TestFaultsOfAScript(t *testing.T) {
-	text, err := os.ReadFile("../../days/hall-lost.hcl")
+	text, err := os.ReadFile("../../scenarios/hall-lost.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,7 +296,7 @@
 		"a governor without a zone": {`["govan", "partick"]`, `["leith"]`, `"leith" is none of the zones`},
 		"a town that is not there":  {"lib/town.hcl", "lib/city.hcl", "no such file"},
 	} {
-		_, err := Parse("../../days/x.hcl", []byte(strings.Replace(string(text), c.from, c.to, 1)))
+		_, err := Parse("../../scenarios/x.hcl", []byte(strings.Replace(string(text), c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -305,7 +305,7 @@
 
 // A day that is cut off ends all that it started.
 func TestADayCutOff(t *testing.T) {
-	s, err := Open("../../days/hall-lost.hcl")
+	s, err := Open("../../scenarios/hall-lost.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/days/hour.hcl
+++ b/scenarios/hour.hcl
@@ -1,5 +1,5 @@
 # An hour of an ordinary bad day, for what grows slowly: memory, the journal on disk, streams that are not given up. Not
-# part of the tests; peppervale day run days/hour.hcl takes an hour.
+# part of the tests; peppervale day run scenarios/hour.hcl takes an hour.
 like = "lib/town.hcl"
 
 day "hour" {
