--- a/internal/controller/governor.go
+++ b/internal/controller/governor.go
@@ -26,55 +26,55 @@
 // Host owns one governor. Make it with New, hand it to the channel and the roster as their receiver, then Run it.
 type Host struct {
 	*mailbox
-	terms   model.Terms
+	terms   model.Config
 	intake  atomic.Int64 // sums a second
-	now     func() model.Micros
+	now     func() model.Microseconds
 	log     zerolog.Logger
 	module  *balancer.Governor
 	channel Channel
 	roster  Roster
 	batch   *snapshot.Batch
-	wakeAt  model.Micros
+	wakeAt  model.Microseconds
 	stop    chan struct{}
 	stopped chan struct{}
 	view    atomic.Pointer[View]
 	budget  float64
-	filled  model.Micros
+	filled  model.Microseconds
 	open    bool
-	list    map[model.ReplicaID]model.Listing
+	list    map[model.ReplicaID]model.Endpoint
 	ready   int // of them
-	listed  model.Micros
+	listed  model.Microseconds
 	known   map[model.ProxyID]Forwarder
-	worst   model.Micros
+	worst   model.Microseconds
 	steps   uint64
 	causes  *causes
 	newest  newest
-	wanted  atomic.Int64 // when somebody last looked, by the clock
-	lookAt  model.Micros // when the module was last copied
+	wanted  atomic.Int64       // when somebody last looked, by the clock
+	lookAt  model.Microseconds // when the module was last copied
 	look    *Look
 }
 
 // View is what a governor believes after a step. It is never written again.
 type View struct {
-	At        model.Micros
+	At        model.Microseconds
 	GateOpen  bool
 	Joined    int
 	Ready     int // replicas listed as ready
 	Listed    int // replicas in the list
-	ListAt    model.Micros
+	ListAt    model.Microseconds
 	Steps     uint64
-	WorstStep model.Micros // the longest that a step took
-	Waiting   int          // sums that wait for their turn
-	Folds     uint64       // sums that were folded because the module took no more
-	Look      *Look        // nil, or old, while nobody looks
+	WorstStep model.Microseconds // the longest that a step took
+	Waiting   int                // sums that wait for their turn
+	Folds     uint64             // sums that were folded because the module took no more
+	Look      *Look              // nil, or old, while nobody looks
 }
 
 // Look is the whole of what a governor believes, copied while somebody looks.
 type Look struct {
-	At         model.Micros
+	At         model.Microseconds
 	Module     *balancer.View
 	Forwarders map[model.ProxyID]Forwarder
-	List       map[model.ReplicaID]model.Listing
+	List       map[model.ReplicaID]model.Endpoint
 }
 
 // Forwarder is what a joined one said of itself.
@@ -83,7 +83,7 @@
 	Zone     int
 	Rate     float64
 	Fresh    bool
-	JoinedAt model.Micros
+	JoinedAt model.Microseconds
 }
 
 // A look costs a copy of the fleet, so it is taken at most each lookEvery, and only within lookFor of somebody's asking: a
@@ -94,16 +94,16 @@
 )
 
 // Clock gives a monotonic clock in microseconds since 1970, by the wall's time at this call.
-func Clock() func() model.Micros {
+func Clock() func() model.Microseconds {
 	start := time.Now()
-	base := model.Micros(start.UnixMicro())
-	return func() model.Micros { return base + model.Micros(time.Since(start)/time.Microsecond) }
+	base := model.Microseconds(start.UnixMicro())
+	return func() model.Microseconds { return base + model.Microseconds(time.Since(start)/time.Microsecond) }
 }
 
 // New makes a host; intake is the most sums a second that the module is handed.
-func New(terms model.Terms, intake int, now func() model.Micros, log zerolog.Logger) *Host {
+func New(terms model.Config, intake int, now func() model.Microseconds, log zerolog.Logger) *Host {
 	h := &Host{mailbox: newMailbox(), terms: terms, now: now, log: log,
-		stop: make(chan struct{}), stopped: make(chan struct{}), list: map[model.ReplicaID]model.Listing{},
+		stop: make(chan struct{}), stopped: make(chan struct{}), list: map[model.ReplicaID]model.Endpoint{},
 		known: map[model.ProxyID]Forwarder{}, causes: newCauses(), newest: newest{sums: map[key]stamped{}}}
 	h.intake.Store(int64(intake))
 	return h
@@ -123,14 +123,14 @@
 func (h *Host) OldestCause() uint64 { return h.causes.oldest() }
 
 // Run starts the module on what was last known of the list (nil: nothing) and goes on until Stop.
-func (h *Host) Run(ch Channel, roster Roster, cached []model.Listing) {
+func (h *Host) Run(ch Channel, roster Roster, cached []model.Endpoint) {
 	defer close(h.stopped)
 	h.channel, h.roster = ch, roster
 	h.filled = h.now()
 	h.batch = &snapshot.Batch{Receipt: -1}
 	h.module = balancer.New(h.terms, h, h.now())
 	if len(cached) > 0 {
-		h.take(h.now(), taken{list: &news{model.Cached, cached}})
+		h.take(h.now(), taken{list: &news{model.CachedList, cached}})
 	}
 	h.settle(h.now())
 	timer := time.NewTimer(0)
@@ -187,7 +187,7 @@
 	h.settle(now)
 }
 
-func (h *Host) take(now model.Micros, t taken) {
+func (h *Host) take(now model.Microseconds, t taken) {
 	if t.list != nil {
 		h.causes.input("list %s of %d", scopeNames[t.list.scope], len(t.list.entries))
 		h.module.Listed(now, t.list.scope, t.list.entries)
@@ -218,11 +218,11 @@
 	h.causes.sums += len(t.sums)
 }
 
-func (h *Host) keepList(now model.Micros, n *news) {
-	if n.scope == model.Failed {
+func (h *Host) keepList(now model.Microseconds, n *news) {
+	if n.scope == model.PollFailed {
 		return
 	}
-	if n.scope != model.Change {
+	if n.scope != model.ChangedEntries {
 		clear(h.list)
 	}
 	for _, e := range n.entries {
@@ -230,17 +230,17 @@
 	}
 	h.ready = 0
 	for _, e := range h.list {
-		if e.Life == model.Ready {
+		if e.Status == model.EndpointReady {
 			h.ready++
 		}
 	}
-	if n.scope == model.Whole {
+	if n.scope == model.FullList {
 		h.newest.listed(h.list)
 		h.listed = now
 	}
 }
 
-func (h *Host) settle(now model.Micros) {
+func (h *Host) settle(now model.Microseconds) {
 	h.module.Settle(now)
 	if !h.batch.Empty() || h.batch.Receipt >= 0 {
 		h.batch.At = now
@@ -254,7 +254,7 @@
 	h.mailbox.mu.Lock()
 	v.Waiting, v.Folds = len(h.mailbox.turn), h.mailbox.folds
 	h.mailbox.mu.Unlock()
-	if now-model.Micros(h.wanted.Load()) < lookFor && now-h.lookAt >= lookEvery {
+	if now-model.Microseconds(h.wanted.Load()) < lookFor && now-h.lookAt >= lookEvery {
 		h.lookAt = now
 		h.look = &Look{At: now, Module: h.module.View(), Forwarders: maps.Clone(h.known), List: maps.Clone(h.list)}
 	}
@@ -266,34 +266,34 @@
 
 func (h *Host) order(o snapshot.Order) { h.batch.Orders = append(h.batch.Orders, o) }
 
-// Assign is an order of the module, see fleet.Host.
-func (h *Host) Assign(t model.TableID, r model.ReplicaID, weight float64) {
+// SetWeight is an order of the module, see fleet.Host.
+func (h *Host) SetWeight(t model.TableID, r model.ReplicaID, weight float64) {
 	h.order(snapshot.Order{What: snapshot.Assign, Table: t, Replica: r, Weight: weight})
 }
 
-// Bind is an order of the module, see fleet.Host.
-func (h *Host) Bind(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
+// BindProxy is an order of the module, see fleet.Host.
+func (h *Host) BindProxy(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
 	h.order(snapshot.Order{What: snapshot.Bind, Proxy: p, Table: t, Operations: operations, Back: back})
 }
 
-// Withdraw is an order of the module, see fleet.Host.
-func (h *Host) Withdraw(r model.ReplicaID, out bool) {
+// SetWithdrawn is an order of the module, see fleet.Host.
+func (h *Host) SetWithdrawn(r model.ReplicaID, out bool) {
 	h.order(snapshot.Order{What: snapshot.Withdraw, Replica: r, Out: out})
 }
 
-// Level is an order of the module, see fleet.Host.
-func (h *Host) Level(operations uint16, share float64, w model.Way) {
+// SetQuota is an order of the module, see fleet.Host.
+func (h *Host) SetQuota(operations uint16, share float64, w model.RetryPolicy) {
 	h.order(snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: operations, Share: share, Way: w}})
 }
 
-// Receipt is an order of the module, see fleet.Host.
-func (h *Host) Receipt(number uint32, all bool) { h.batch.Receipt, h.batch.All = int(number), all }
+// RequestAck is an order of the module, see fleet.Host.
+func (h *Host) RequestAck(number uint32, all bool) { h.batch.Receipt, h.batch.All = int(number), all }
 
-// Wake is an order of the module, see fleet.Host.
-func (h *Host) Wake(after model.Micros) { h.wakeAt = h.now() + after }
+// SetTimer is an order of the module, see fleet.Host.
+func (h *Host) SetTimer(after model.Microseconds) { h.wakeAt = h.now() + after }
 
-// Follow is an order of the module, see fleet.Host.
-func (h *Host) Follow() { h.roster.Follow() }
+// Subscribe is an order of the module, see fleet.Host.
+func (h *Host) Subscribe() { h.roster.Follow() }
 
 // Log is an order of the module, see fleet.Host.
 func (h *Host) Log(text string) {
@@ -304,16 +304,16 @@
 	h.log.Info().Str("from", "decide").Msg(text)
 }
 
-var _ model.Host = (*Host)(nil)
+var _ model.Publisher = (*Host)(nil)
 
 // Check tells start settings that the module cannot use.
-func Check(t model.Terms) error {
+func Check(t model.Config) error {
 	switch {
 	case len(t.Operations) == 0 || len(t.Operations) > 16:
 		return fmt.Errorf("%d operations; 1 to 16 are handled", len(t.Operations))
 	case t.Zones == 0:
 		return fmt.Errorf("no zones")
-	case t.Period <= 0 || t.QueueMost <= 0:
+	case t.ReportPeriod <= 0 || t.QueueLimit <= 0:
 		return fmt.Errorf("the period and the queue must be above 0")
 	}
 	return nil
--- a/internal/controller/governor_test.go
+++ b/internal/controller/governor_test.go
@@ -53,8 +53,8 @@
 	for n := range 100_000 {
 		p := model.ProxyID(n % 50)
 		m.Joined(p, uint64(n+1), pubsubmsg.Join{}, 0)
-		m.Heard(n%2, []model.Sum{{Replica: id(byte(n % 30)), Tries: 2, Errored: 1, Latency: 100, Span: model.Second}})
-		m.Listed(model.Whole, nil)
+		m.Heard(n%2, []model.LoadReport{{Replica: id(byte(n % 30)), Attempts: 2, Errors: 1, MeanLatency: 100, Window: model.Second}})
+		m.Listed(model.FullList, nil)
 	}
 	if len(m.dirty) != 50 || len(m.sums) != 30 || len(m.turn) != 30 {
 		t.Fatalf("%d slots, %d sums", len(m.dirty), len(m.sums))
@@ -65,8 +65,8 @@
 	}
 	tries, errored := 0, 0
 	for _, s := range append(got.sums, m.take(100).sums...) {
-		tries, errored = tries+s.Tries, errored+s.Errored
-		if s.Latency != 100 {
+		tries, errored = tries+s.Attempts, errored+s.Errors
+		if s.MeanLatency != 100 {
 			t.Fatalf("folded to %+v", s)
 		}
 	}
@@ -78,14 +78,14 @@
 // Sums that wait for their turn longer than a step fold, and the folds are counted; means weigh by good tries.
 func TestFoldsAreCounted(t *testing.T) {
 	m := newMailbox()
-	one := func(tries int, latency model.Micros) {
-		m.Heard(0, []model.Sum{{Replica: id(1), Tries: tries, Latency: latency, Span: model.Second, Report: []float64{float64(tries)}}})
+	one := func(tries int, latency model.Microseconds) {
+		m.Heard(0, []model.LoadReport{{Replica: id(1), Attempts: tries, MeanLatency: latency, Window: model.Second, Readings: []float64{float64(tries)}}})
 	}
 	one(1, 100)
 	m.take(0)
 	one(3, 200)
 	got := m.take(1).sums
-	want := []model.Sum{{Replica: id(1), Tries: 4, Latency: 175, Span: model.Second, Report: []float64{3}}}
+	want := []model.LoadReport{{Replica: id(1), Attempts: 4, MeanLatency: 175, Window: model.Second, Readings: []float64{3}}}
 	if m.folds != 1 || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%d folds, %+v", m.folds, got)
 	}
@@ -94,13 +94,13 @@
 // A failed call never hides a list that waits, and neither is lost.
 func TestNewsOfTheList(t *testing.T) {
 	m := newMailbox()
-	m.Listed(model.Whole, []model.Listing{{ID: id(1)}})
-	m.Listed(model.Failed, nil)
-	if got := m.take(0).list; got == nil || got.scope != model.Whole || len(got.entries) != 1 {
+	m.Listed(model.FullList, []model.Endpoint{{ID: id(1)}})
+	m.Listed(model.PollFailed, nil)
+	if got := m.take(0).list; got == nil || got.scope != model.FullList || len(got.entries) != 1 {
 		t.Fatalf("%+v", got)
 	}
-	m.Listed(model.Failed, nil)
-	if got := m.take(0).list; got == nil || got.scope != model.Failed {
+	m.Listed(model.PollFailed, nil)
+	if got := m.take(0).list; got == nil || got.scope != model.PollFailed {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -150,9 +150,9 @@
 // What tells an order.
 type What func(o snapshot.Order) bool
 
-func start(t *testing.T, cached []model.Listing, change func(*model.Terms)) (*Host, *outside) {
-	terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: 500_000, Value: 1}}, Zones: 1, Subscribe: true, Admits: true,
-		AdmitAll: 1, StandingSize: 4, Period: 200 * model.Millisecond, Overhead: 6, QueueMost: 100_000, BusyField: -1, Cold: 17 * model.Second}
+func start(t *testing.T, cached []model.Endpoint, change func(*model.Config)) (*Host, *outside) {
+	terms := model.Config{Seed: 1, Operations: []model.Operation{{LatencyObjective: 500_000, PriorityWeight: 1}}, Zones: 1, SubscriptionRequired: true, AdmissionControl: true,
+		FullQuota: 1, StandingTableSize: 4, ReportPeriod: 200 * model.Millisecond, MessageOverhead: 6, QueueLimit: 100_000, UtilizationField: -1, WarmUpPeriod: 17 * model.Second}
 	if change != nil {
 		change(&terms)
 	}
@@ -164,9 +164,9 @@
 	return h, o
 }
 
-func ready(numbers ...byte) (all []model.Listing) {
+func ready(numbers ...byte) (all []model.Endpoint) {
 	for _, n := range numbers {
-		all = append(all, model.Listing{ID: id(n), Life: model.Ready})
+		all = append(all, model.Endpoint{ID: id(n), Status: model.EndpointReady})
 	}
 	return all
 }
@@ -176,10 +176,10 @@
 // After a start nobody is bound before each listed replica is named in a report, and drains go out meanwhile.
 func TestTheGateHoldsAndDrainsGoOut(t *testing.T) {
 	// A period of 10 s: the start window does not end within this test.
-	h, o := start(t, ready(1, 2, 3), func(x *model.Terms) { x.Period = 5 * model.Second })
+	h, o := start(t, ready(1, 2, 3), func(x *model.Config) { x.ReportPeriod = 5 * model.Second })
 	h.Joined(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
-	h.Listed(model.Whole, append(ready(1, 2), model.Listing{ID: id(3), Life: model.Draining}))
+	h.Listed(model.FullList, append(ready(1, 2), model.Endpoint{ID: id(3), Status: model.EndpointDraining}))
 	b := o.until(t, func(o snapshot.Order) bool { return o.What == snapshot.Withdraw && o.Out && o.Replica == id(3) }, "the drain")
 	for _, one := range b.Orders {
 		if bind(one) {
@@ -196,7 +196,7 @@
 	h, o := start(t, ready(1, 2), nil)
 	h.Joined(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
-	h.Heard(0, []model.Sum{{Replica: id(1), Tries: 5, Latency: 1000, Span: model.Second}, {Replica: id(2), Tries: 5, Latency: 1000, Span: model.Second}})
+	h.Heard(0, []model.LoadReport{{Replica: id(1), Attempts: 5, MeanLatency: 1000, Window: model.Second}, {Replica: id(2), Attempts: 5, MeanLatency: 1000, Window: model.Second}})
 	b := o.until(t, bind, "a bind")
 	if b.Receipt < 0 || b.At == 0 {
 		t.Fatalf("%+v", b)
@@ -211,7 +211,7 @@
 // A list out of reach is asked for again, and what is known stays.
 func TestAFailedListIsAskedForAgain(t *testing.T) {
 	h, o := start(t, ready(1, 2), nil)
-	h.Listed(model.Failed, nil)
+	h.Listed(model.PollFailed, nil)
 	o.event(t, "follow")
 	if v := h.View(); v.Ready != 2 {
 		t.Fatalf("%+v", v)
@@ -228,7 +228,7 @@
 	}
 	for n := range causesMost + 5 {
 		c.input("joined till-%d", n)
-		c.step(model.Micros(n), &snapshot.Batch{Orders: []snapshot.Order{{What: snapshot.Withdraw, Replica: id(byte(n % 7)), Out: true}}})
+		c.step(model.Microseconds(n), &snapshot.Batch{Orders: []snapshot.Order{{What: snapshot.Withdraw, Replica: id(byte(n % 7)), Out: true}}})
 	}
 	if got := c.find(2, nil); len(got) != 2 || got[0].Number != causesMost+5 || got[1].Number != causesMost+4 {
 		t.Fatalf("the newest are %+v", got)
@@ -273,18 +273,18 @@
 // BenchmarkLook times what a look and the journal cost beside a step's own work, at three sizes, in one run.
 func BenchmarkLook(b *testing.B) {
 	for _, size := range [][2]int{{100, 30}, {482, 305}, {5000, 1000}} {
-		terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: 500_000, Value: 1}}, Zones: 4, Admits: true, AdmitAll: 1, StandingSize: 6,
-			Period: model.Second, Overhead: 6, QueueMost: 1000 * size[0], BusyField: -1, Cold: 17 * model.Second, Proxies: size[0], ConnsLeast: 200}
+		terms := model.Config{Seed: 1, Operations: []model.Operation{{LatencyObjective: 500_000, PriorityWeight: 1}}, Zones: 4, AdmissionControl: true, FullQuota: 1, StandingTableSize: 6,
+			ReportPeriod: model.Second, MessageOverhead: 6, QueueLimit: 1000 * size[0], UtilizationField: -1, WarmUpPeriod: 17 * model.Second, ProxyCount: size[0], MinReplicaConnections: 200}
 		h := New(terms, 100_000, Clock(), zerolog.Nop())
 		h.channel, h.roster = &outside{batches: make(chan *snapshot.Batch, 1), events: make(chan string, 1)}, nil
 		h.batch = &snapshot.Batch{Receipt: -1}
-		now := model.Micros(100 * model.Second)
+		now := model.Microseconds(100 * model.Second)
 		h.module = balancer.New(terms, h, now)
-		var list []model.Listing
+		var list []model.Endpoint
 		for n := range size[1] {
-			list = append(list, model.Listing{ID: model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 250), byte(n % 250)}, Port: 80}, Zone: n % 4, Life: model.Ready})
+			list = append(list, model.Endpoint{ID: model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 250), byte(n % 250)}, Port: 80}, Zone: n % 4, Status: model.EndpointReady})
 		}
-		h.module.Listed(now, model.Cached, list)
+		h.module.Listed(now, model.CachedList, list)
 		for p := range size[0] {
 			h.module.Joined(now, model.ProxyID(p), p%4, 5)
 			h.known[model.ProxyID(p)] = Forwarder{Name: fmt.Sprint("till-", p)}
@@ -294,7 +294,7 @@
 				for b.Loop() {
 					now += 200 * model.Millisecond
 					for _, l := range list {
-						h.module.Heard(now, model.Sum{Replica: l.ID, Tries: 10, Latency: 100_000, Span: model.Second})
+						h.module.Heard(now, model.LoadReport{Replica: l.ID, Attempts: 10, MeanLatency: 100_000, Window: model.Second})
 					}
 					h.module.Rang(now)
 					h.module.Settle(now)
@@ -328,7 +328,7 @@
 	for n := range 100 {
 		c.input("joined %d", n)
 		c.said = append(c.said, "gate open")
-		c.step(model.Micros(n), &snapshot.Batch{Orders: []snapshot.Order{{What: snapshot.Bind}}})
+		c.step(model.Microseconds(n), &snapshot.Batch{Orders: []snapshot.Order{{What: snapshot.Bind}}})
 	}
 	if len(c.ring)+len(c.came)+len(c.said) > 0 || len(c.find(10, nil)) > 0 {
 		t.Fatalf("%d entries", len(c.ring))
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -33,8 +33,8 @@
 }
 
 type news struct {
-	scope   model.Scope
-	entries []model.Listing
+	scope   model.EndpointUpdate
+	entries []model.Endpoint
 }
 
 type key struct {
@@ -43,7 +43,7 @@
 }
 
 type folded struct {
-	sum   model.Sum
+	sum   model.LoadReport
 	time  float64 // of the good tries together, microseconds
 	ready bool    // its period has passed once: it waits for its turn only
 }
@@ -104,38 +104,38 @@
 }
 
 // Heard folds a forwarder's sums into those of its zone.
-func (m *mailbox) Heard(zone int, sums []model.Sum) {
+func (m *mailbox) Heard(zone int, sums []model.LoadReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range sums {
-		if n.Tries <= 0 {
+		if n.Attempts <= 0 {
 			continue
 		}
 		k := key{zone, n.Replica}
 		f := m.sums[k]
 		if f == nil {
-			f = &folded{sum: model.Sum{Zone: zone, Replica: n.Replica}}
+			f = &folded{sum: model.LoadReport{Zone: zone, Replica: n.Replica}}
 			m.sums[k] = f
 			m.turn = append(m.turn, k)
 		} else if f.ready {
 			m.folds++
 		}
-		f.sum.Tries += n.Tries
-		f.sum.Errored += n.Errored
-		f.sum.Span = max(f.sum.Span, n.Span)
-		f.time += float64(n.Tries-n.Errored) * float64(n.Latency)
-		if len(n.Report) > 0 {
-			f.sum.Report = n.Report
+		f.sum.Attempts += n.Attempts
+		f.sum.Errors += n.Errors
+		f.sum.Window = max(f.sum.Window, n.Window)
+		f.time += float64(n.Attempts-n.Errors) * float64(n.MeanLatency)
+		if len(n.Readings) > 0 {
+			f.sum.Readings = n.Readings
 		}
 	}
 }
 
 // Listed notes news of the machine list. A whole list replaces what waits; a failed call never hides one.
-func (m *mailbox) Listed(scope model.Scope, entries []model.Listing) {
+func (m *mailbox) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if scope == model.Failed && m.list != nil && m.list.scope != model.Failed {
-		m.list.scope = model.Whole // the module asks again at its next failure
+	if scope == model.PollFailed && m.list != nil && m.list.scope != model.PollFailed {
+		m.list.scope = model.FullList // the module asks again at its next failure
 		return
 	}
 	m.list = &news{scope, entries}
@@ -146,7 +146,7 @@
 type taken struct {
 	list  *news
 	slots []slot
-	sums  []model.Sum
+	sums  []model.LoadReport
 }
 
 // take empties the mailbox but for sums beyond most.
@@ -165,8 +165,8 @@
 	n := min(most, len(m.turn))
 	for _, k := range m.turn[:n] {
 		f := m.sums[k]
-		if good := f.sum.Tries - f.sum.Errored; good > 0 {
-			f.sum.Latency = model.Micros(f.time / float64(good))
+		if good := f.sum.Attempts - f.sum.Errors; good > 0 {
+			f.sum.MeanLatency = model.Microseconds(f.time / float64(good))
 		}
 		t.sums = append(t.sums, f.sum)
 		delete(m.sums, k)
--- a/internal/controller/newest.go
+++ b/internal/controller/newest.go
@@ -17,14 +17,14 @@
 }
 
 type stamped struct {
-	sum model.Sum
-	at  model.Micros
+	sum model.LoadReport
+	at  model.Microseconds
 }
 
 // freshFor is how old a sum may be that is handed over, in report periods: one may be under way, and one was missed.
 const freshFor = 3
 
-func (n *newest) note(now model.Micros, sums []model.Sum) {
+func (n *newest) note(now model.Microseconds, sums []model.LoadReport) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range sums {
@@ -33,7 +33,7 @@
 }
 
 // listed drops what is not in the list any more, so that no more is kept than the list has, a zone each.
-func (n *newest) listed(list map[model.ReplicaID]model.Listing) {
+func (n *newest) listed(list map[model.ReplicaID]model.Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for k := range n.sums {
@@ -44,15 +44,15 @@
 }
 
 // Newest gives the last sum that each replica was named in, of each zone, as far as it is fresh.
-func (h *Host) Newest() (all []model.Sum) {
+func (h *Host) Newest() (all []model.LoadReport) {
 	h.newest.mu.Lock()
 	defer h.newest.mu.Unlock()
 	for _, s := range h.newest.sums {
-		if h.now()-s.at <= freshFor*h.terms.Period {
+		if h.now()-s.at <= freshFor*h.terms.ReportPeriod {
 			all = append(all, s.sum)
 		}
 	}
-	slices.SortFunc(all, func(a, b model.Sum) int {
+	slices.SortFunc(all, func(a, b model.LoadReport) int {
 		if a.Zone != b.Zone {
 			return a.Zone - b.Zone
 		}
@@ -62,9 +62,9 @@
 }
 
 // HandedOver has the module hear, in its next step, what another governor was told last.
-func (h *Host) HandedOver(sums []model.Sum) {
+func (h *Host) HandedOver(sums []model.LoadReport) {
 	for _, s := range sums {
-		h.Heard(s.Zone, []model.Sum{s})
+		h.Heard(s.Zone, []model.LoadReport{s})
 	}
 	h.ring()
 }
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -90,7 +90,7 @@
 		}
 		if err := c.follow(); err != nil {
 			c.query.Log.Warn().Err(err).Msg("machine list: call failed")
-			c.to.Listed(model.Failed, nil)
+			c.to.Listed(model.PollFailed, nil)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		}
 		// A list may change under the same index where that is wrong (set back, or stuck): the text tells it.
 		if told != index || index == 0 || !bytes.Equal(m.Body, body) {
-			c.to.Listed(model.Whole, entries)
+			c.to.Listed(model.FullList, entries)
 		}
 		body = m.Body
 		switch {
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -209,7 +209,7 @@
 	w.Move(to.l.Addr().String())
 	to.request(8, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	n.next(t, "scope 3")
-	if held := w.Entries(); len(held) != 1 || held[0].Life != model.Ready {
+	if held := w.Entries(); len(held) != 1 || held[0].Status != model.EndpointReady {
 		t.Fatalf("held: %v", held)
 	}
 	w.Follow()
--- a/internal/discovery/roster_test.go
+++ b/internal/discovery/roster_test.go
@@ -35,10 +35,10 @@
 	came chan struct{}
 }
 
-func (w *world) Listed(scope model.Scope, entries []model.Listing) {
+func (w *world) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
 	text := fmt.Sprint("scope ", scope)
 	for _, e := range entries {
-		text += fmt.Sprintf(" %d/%d/%d/%d", e.ID.Addr[3], e.Zone, e.Life, e.Since/model.Millisecond)
+		text += fmt.Sprintf(" %d/%d/%d/%d", e.ID.Addr[3], e.Zone, e.Status, e.StartedAt/model.Millisecond)
 	}
 	w.mu.Lock()
 	w.told = append(w.told, text)
@@ -84,7 +84,7 @@
 func begin(t *testing.T) *world {
 	w := &world{t: t, came: make(chan struct{}, 1000)}
 	start := time.Now()
-	w.loop = standin.NewLoop(func() model.Micros { return model.Micros(time.Since(start) / time.Microsecond) })
+	w.loop = standin.NewLoop(func() model.Microseconds { return model.Microseconds(time.Since(start) / time.Microsecond) })
 	t.Cleanup(w.loop.Stop)
 	w.do(func() {
 		var err error
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -119,7 +119,7 @@
 }
 
 // Entries is the list as it is held.
-func (w *Watch) Entries() []model.Listing {
+func (w *Watch) Entries() []model.Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.listings()
@@ -165,7 +165,7 @@
 			case <-w.asked: // asked for before this
 			default:
 			}
-			w.to.Listed(model.Failed, nil)
+			w.to.Listed(model.PollFailed, nil)
 			return
 		}
 		pause := time.NewTimer(w.pause())
@@ -201,7 +201,7 @@
 			unknown++
 			continue
 		}
-		if e.Life == model.Gone {
+		if e.Life == model.EndpointGone {
 			delete(w.held, e.Host)
 		} else {
 			w.held[e.Host] = e
@@ -213,11 +213,11 @@
 }
 
 // listings is what is held, always in the same order.
-func (w *Watch) listings() (all []model.Listing) {
+func (w *Watch) listings() (all []model.Endpoint) {
 	for _, host := range slices.Sorted(maps.Keys(w.held)) {
 		e := w.held[host]
 		id, _ := w.names.ID(host)
-		all = append(all, model.Listing{ID: id, Zone: slices.Index(w.zones, e.Site), Life: e.Life, Since: e.Since})
+		all = append(all, model.Endpoint{ID: id, Zone: slices.Index(w.zones, e.Site), Status: e.Life, StartedAt: e.Since})
 	}
 	return all
 }
@@ -332,7 +332,7 @@
 		w.take(list)
 		all := w.listings()
 		w.mu.Unlock()
-		w.to.Listed(model.Whole, all)
+		w.to.Listed(model.FullList, all)
 	}
 	return nil
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -61,10 +61,10 @@
 
 type news chan string
 
-func (n news) Listed(scope model.Scope, entries []model.Listing) {
+func (n news) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
 	text := fmt.Sprint("scope ", scope)
 	for _, e := range entries {
-		text += fmt.Sprintf(" %d/%d/%d/%d", e.ID.Addr[3], e.Zone, e.Life, e.Since/model.Millisecond)
+		text += fmt.Sprintf(" %d/%d/%d/%d", e.ID.Addr[3], e.Zone, e.Status, e.StartedAt/model.Millisecond)
 	}
 	n <- text
 }
@@ -110,7 +110,7 @@
 // The list that was known is the base; changes fold into it however their bytes are cut, and what is gone leaves it.
 func TestAWatchFoldsChanges(t *testing.T) {
 	d := openDesk(t)
-	w, n := watch(t, d, &platformmsg.List{Version: 41, Whole: true, Entries: []platformmsg.Entry{{Host: "s-1", Site: "partick", Life: model.Ready}}})
+	w, n := watch(t, d, &platformmsg.List{Version: 41, Whole: true, Entries: []platformmsg.Entry{{Host: "s-1", Site: "partick", Life: model.EndpointReady}}})
 	if known := w.Entries(); len(known) != 1 {
 		t.Fatalf("known: %v", known)
 	}
@@ -145,7 +145,7 @@
 // What is no list, no HTTP, or a whole answer where a watch was asked for, fails the call and changes nothing.
 func TestAnswersThatAreNoWatch(t *testing.T) {
 	d := openDesk(t)
-	w, n := watch(t, d, &platformmsg.List{Version: 3, Whole: true, Entries: []platformmsg.Entry{{Host: "s-1", Site: "govan", Life: model.Ready}}})
+	w, n := watch(t, d, &platformmsg.List{Version: 3, Whole: true, Entries: []platformmsg.Entry{{Host: "s-1", Site: "govan", Life: model.EndpointReady}}})
 	for k, answer := range []string{"SSH-2.0\r\n", watching + "5\r\nno, \n\r\n", watching + "3\r\n{}\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", watching + "0\r\n\r\n",
 		"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n"} {
 		if k > 0 {
--- a/internal/invariants/judge.go
+++ b/internal/invariants/judge.go
@@ -26,20 +26,20 @@
 type Operation struct {
 	Name   string
 	Effect Effect
-	Window model.Micros
+	Window model.Microseconds
 }
 
 // Figures are the limits, the same that governors are given.
 type Figures struct {
 	Zones       []string
 	Operations  []Operation
-	Bare, Grace model.Micros
-	Cold        model.Micros
+	Bare, Grace model.Microseconds
+	Cold        model.Microseconds
 	TipFactor   float64
-	TipSpan     model.Micros
+	TipSpan     model.Microseconds
 	QueueMost   int
 	WriteMost   int
-	WriteSpan   model.Micros
+	WriteSpan   model.Microseconds
 }
 
 // Verdict is a rule's: how near it came to its limit as a share, where, and each break.
@@ -64,7 +64,7 @@
 )
 
 // Judge reads what was seen, in its order, up to the end of the day.
-func Judge(seen []Seen, fig Figures, end model.Micros) []Verdict {
+func Judge(seen []Seen, fig Figures, end model.Microseconds) []Verdict {
 	j := &judge{fig: fig, began: end, forwarders: map[string]*forwarder{}, governors: map[string]*governor{},
 		replicas: map[model.ReplicaID]*replica{}, calls: map[call][]*try{}, ran: map[call]int{},
 		verdicts: map[string]*Verdict{}}
@@ -91,7 +91,7 @@
 
 type judge struct {
 	fig        Figures
-	began      model.Micros
+	began      model.Microseconds
 	forwarders map[string]*forwarder
 	order      []string
 	governors  map[string]*governor
@@ -109,27 +109,27 @@
 	holders   map[uint64]string // who ordered in each
 	alive     bool
 	governor  *governor // nil: not joined
-	joinedAt  model.Micros
+	joinedAt  model.Microseconds
 	reader    *resp.Reader
 	lines     map[model.ReplicaID]float64
 	out       map[model.ReplicaID]bool
-	bareFrom  model.Micros // -1: it has a line, or is not joined
-	orderedAt model.Micros // of its last message
-	wrote     []model.Micros
+	bareFrom  model.Microseconds // -1: it has a line, or is not joined
+	orderedAt model.Microseconds // of its last message
+	wrote     []model.Microseconds
 }
 
 type governor struct {
 	name     string
-	gone     map[model.ReplicaID]model.Micros // told that it drains or is gone, at
-	started  map[model.ReplicaID]model.Micros // told of its newest start, at
-	since    map[model.ReplicaID]model.Micros
+	gone     map[model.ReplicaID]model.Microseconds // told that it drains or is gone, at
+	started  map[model.ReplicaID]model.Microseconds // told of its newest start, at
+	since    map[model.ReplicaID]model.Microseconds
 	listed   map[model.ReplicaID]bool
-	warmFrom model.Micros // from when a ready warm replica is listed; never: see never
+	warmFrom model.Microseconds // from when a ready warm replica is listed; never: see never
 	messages []written
 }
 
 type written struct {
-	ordered, came model.Micros
+	ordered, came model.Microseconds
 	cost          int
 }
 
@@ -148,9 +148,9 @@
 	outcome Outcome
 }
 
-const never = model.Micros(math.MaxInt64)
+const never = model.Microseconds(math.MaxInt64)
 
-func at(s Seen) model.Micros {
+func at(s Seen) model.Microseconds {
 	switch e := s.(type) {
 	case Began:
 		return e.At
@@ -178,19 +178,21 @@
 }
 
 // clock is a time as the day counts it.
-func (j *judge) clock(t model.Micros) string {
+func (j *judge) clock(t model.Microseconds) string {
 	return fmt.Sprintf("%.3f s", float64(t-j.began)/float64(model.Second))
 }
 
-func seconds(t model.Micros) string { return fmt.Sprintf("%.3f s", float64(t)/float64(model.Second)) }
+func seconds(t model.Microseconds) string {
+	return fmt.Sprintf("%.3f s", float64(t)/float64(model.Second))
+}
 
-func share(t, limit model.Micros) float64 { return float64(t) / float64(max(limit, 1)) }
+func share(t, limit model.Microseconds) float64 { return float64(t) / float64(max(limit, 1)) }
 
 func (j *judge) governorOf(name string) *governor {
 	g := j.governors[name]
 	if g == nil {
-		g = &governor{name: name, gone: map[model.ReplicaID]model.Micros{}, started: map[model.ReplicaID]model.Micros{},
-			since: map[model.ReplicaID]model.Micros{}, listed: map[model.ReplicaID]bool{}, warmFrom: never}
+		g = &governor{name: name, gone: map[model.ReplicaID]model.Microseconds{}, started: map[model.ReplicaID]model.Microseconds{},
+			since: map[model.ReplicaID]model.Microseconds{}, listed: map[model.ReplicaID]bool{}, warmFrom: never}
 		j.governors[name] = g
 	}
 	return g
@@ -268,7 +270,7 @@
 }
 
 // pushed carries a message out on what the forwarder holds, as docs/channel.md has it.
-func (j *judge) pushed(f *forwarder, v resp.Value, now model.Micros) {
+func (j *judge) pushed(f *forwarder, v resp.Value, now model.Microseconds) {
 	if !pubsubmsg.IsMessage(v) {
 		return
 	}
@@ -330,12 +332,12 @@
 	warm := never
 	for _, l := range entries {
 		g.listed[l.ID] = true
-		if l.Life == model.Ready {
+		if l.Status == model.EndpointReady {
 			ready[l.ID] = true
-			warm = min(warm, max(e.At, l.Since+j.fig.Cold))
+			warm = min(warm, max(e.At, l.StartedAt+j.fig.Cold))
 			delete(g.gone, l.ID)
-			if l.Since > 0 && g.since[l.ID] != l.Since {
-				g.since[l.ID], g.started[l.ID] = l.Since, e.At
+			if l.StartedAt > 0 && g.since[l.ID] != l.StartedAt {
+				g.since[l.ID], g.started[l.ID] = l.StartedAt, e.At
 			}
 		}
 	}
@@ -350,7 +352,7 @@
 }
 
 // lookBare starts or ends a spell without a line to pick.
-func (j *judge) lookBare(f *forwarder, now model.Micros) {
+func (j *judge) lookBare(f *forwarder, now model.Microseconds) {
 	bare := f.governor != nil
 	for r, w := range f.lines {
 		if w > 0 && !f.out[r] {
@@ -365,7 +367,7 @@
 }
 
 // countBare counts a spell up to now, as far as its governor listed a warm replica.
-func (j *judge) countBare(f *forwarder, now model.Micros) {
+func (j *judge) countBare(f *forwarder, now model.Microseconds) {
 	if f.bareFrom >= 0 && f.governor != nil && f.governor.warmFrom < now {
 		from := max(f.bareFrom, f.governor.warmFrom)
 		j.near(Lost, share(now-from, j.fig.Bare), "%s: %s, joined to %s, had no line to pick for %s, %s are allowed",
@@ -373,7 +375,7 @@
 	}
 }
 
-func (j *judge) endBare(f *forwarder, now model.Micros) {
+func (j *judge) endBare(f *forwarder, now model.Microseconds) {
 	j.countBare(f, now)
 	f.bareFrom = -1
 }
@@ -484,7 +486,7 @@
 	}
 	slices.Sort(names)
 	type edge struct {
-		at    model.Micros
+		at    model.Microseconds
 		lines int
 	}
 	for _, name := range names {
--- a/internal/invariants/judge_test.go
+++ b/internal/invariants/judge_test.go
@@ -25,7 +25,7 @@
 		Up{At: 0, Replica: id(2), Bay: "b", Full: 1, Share: 1}, list(0, 1, 2), Stream{At: 1 * s, Forwarder: "till", Governor: "g", Up: true}}
 }
 
-func list(at model.Micros, numbers ...byte) Told {
+func list(at model.Microseconds, numbers ...byte) Told {
 	var all []string
 	for _, n := range numbers {
 		all = append(all, fmt.Sprintf(`{"Service":{"Address":"127.0.0.%d","Port":80,"Meta":{"zone":"govan"}}}`, n))
@@ -33,11 +33,11 @@
 	return Told{At: at, Governor: "g", Body: []byte("[" + strings.Join(all, ",") + "]")}
 }
 
-func listCold(at model.Micros, n byte, since model.Micros) Told {
+func listCold(at model.Microseconds, n byte, since model.Microseconds) Told {
 	return Told{At: at, Governor: "g", Body: fmt.Appendf(nil, `[{"Service":{"Address":"127.0.0.%d","Port":80,"Meta":{"zone":"govan","started":"%d"}}}]`, n, since/model.Millisecond)}
 }
 
-func pushed(at model.Micros, m pubsubmsg.Message) Received {
+func pushed(at model.Microseconds, m pubsubmsg.Message) Received {
 	if m.Ordered == 0 {
 		m.Ordered = at
 	}
@@ -45,20 +45,20 @@
 	return Received{At: at, Forwarder: "till", Data: pubsubmsg.Append(nil, &m)}
 }
 
-func out(at model.Micros, n byte) Received {
+func out(at model.Microseconds, n byte) Received {
 	return pushed(at, pubsubmsg.Message{Shuts: []pubsubmsg.Shut{{Replica: id(n), Out: true}}})
 }
 
-func tried(at model.Micros, op int, n byte, count int) Tried {
+func tried(at model.Microseconds, op int, n byte, count int) Tried {
 	return Tried{At: at, Forwarder: "till", Replica: id(n), Operation: op, Invocation: 5, N: count}
 }
 
-func ended(at model.Micros, n int, o Outcome) Ended {
+func ended(at model.Microseconds, n int, o Outcome) Ended {
 	return Ended{At: at, Invocation: 5, N: n, Outcome: o}
 }
 
 // load is work that reaches a replica evenly.
-func load(replica byte, from, to model.Micros, work float64) (all story) {
+func load(replica byte, from, to model.Microseconds, work float64) (all story) {
 	for at := from; at < to; at += s / 10 {
 		all = append(all, Arrived{At: at, Replica: id(replica), Forwarder: "till", Work: work})
 	}
@@ -127,7 +127,7 @@
 func TestBreaksAreBounded(t *testing.T) {
 	all := append(begin(), list(4*s, 2))
 	for n := range 1000 {
-		all = append(all, Tried{At: 8*s + model.Micros(n), Forwarder: "till", Replica: id(1), Invocation: uint64(n), N: 1})
+		all = append(all, Tried{At: 8*s + model.Microseconds(n), Forwarder: "till", Replica: id(1), Invocation: uint64(n), N: 1})
 	}
 	if v := Judge(all, figures, 15*s)[2]; len(v.Breaks) != breaksMost+1 {
 		t.Fatalf("%d lines", len(v.Breaks))
@@ -136,10 +136,10 @@
 
 // Two governors that order in one epoch are found; orders of an older epoch than was seen are not obeyed, and so not judged.
 func TestHoldersAndEpochs(t *testing.T) {
-	up := func(at model.Micros, governor string) Stream {
+	up := func(at model.Microseconds, governor string) Stream {
 		return Stream{At: at, Forwarder: "till", Governor: governor, Up: true}
 	}
-	in := func(at model.Micros, epoch uint64, lines ...pubsubmsg.Line) Received {
+	in := func(at model.Microseconds, epoch uint64, lines ...pubsubmsg.Line) Received {
 		return pushed(at, pubsubmsg.Message{Whole: true, Bound: true, Lines: lines, Epoch: epoch})
 	}
 	full, bare := pubsubmsg.Line{Replica: id(1), Weight: 1}, []pubsubmsg.Line(nil)
--- a/internal/invariants/seen.go
+++ b/internal/invariants/seen.go
@@ -37,7 +37,7 @@
 
 // Began is a forwarder that starts, holding only its standing table.
 type Began struct {
-	At        model.Micros
+	At        model.Microseconds
 	Forwarder string
 	Zone      int
 	Standing  []Line
@@ -45,34 +45,34 @@
 
 // Died is a forwarder that is gone.
 type Died struct {
-	At        model.Micros
+	At        model.Microseconds
 	Forwarder string
 }
 
 // Stream is a forwarder's stream to a governor: Up when its join is answered.
 type Stream struct {
-	At                  model.Micros
+	At                  model.Microseconds
 	Forwarder, Governor string
 	Up                  bool
 }
 
 // Received is bytes that a forwarder read from its stream, in order; a Stream that goes up starts afresh.
 type Received struct {
-	At        model.Micros
+	At        model.Microseconds
 	Forwarder string
 	Data      []byte
 }
 
 // Told is an answer of the machine list to a governor, sent whole.
 type Told struct {
-	At       model.Micros
+	At       model.Microseconds
 	Governor string
 	Body     []byte
 }
 
 // Tried is a try sent. Caller counts a client's own repeats of an invocation, N the forwarder's tries for one of them.
 type Tried struct {
-	At         model.Micros
+	At         model.Microseconds
 	Forwarder  string
 	Replica    model.ReplicaID
 	Operation  int
@@ -82,7 +82,7 @@
 
 // Ended is a try's end at the forwarder.
 type Ended struct {
-	At         model.Micros
+	At         model.Microseconds
 	Invocation uint64
 	Caller, N  int
 	Outcome    Outcome
@@ -90,7 +90,7 @@
 
 // Arrived is work that reached a replica, in microseconds of a core of speed 1.
 type Arrived struct {
-	At        model.Micros
+	At        model.Microseconds
 	Replica   model.ReplicaID
 	Forwarder string
 	Work      float64
@@ -98,7 +98,7 @@
 
 // Ran is an invocation that took effect at a replica.
 type Ran struct {
-	At         model.Micros
+	At         model.Microseconds
 	Replica    model.ReplicaID
 	Operation  int
 	Invocation uint64
@@ -108,12 +108,12 @@
 // Up is a replica that starts; Full is its capacity when warm, in core microseconds a microsecond. Share of it 1: it
 // starts warm.
 type Up struct {
-	At      model.Micros
+	At      model.Microseconds
 	Replica model.ReplicaID
 	Bay     string
 	Full    float64
 	Share   float64
-	Span    model.Micros // in which it warms evenly
+	Span    model.Microseconds // in which it warms evenly
 }
 
 func (Began) seen()    {}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -36,8 +36,8 @@
 
 // Terms are what all members of a group have alike.
 type Terms struct {
-	Span  model.Micros // that a lease lasts after it was asked for, by the holder's clock
-	Drift model.Micros // that the holder's clock may lose against the register's within a Span
+	Span  model.Microseconds // that a lease lasts after it was asked for, by the holder's clock
+	Drift model.Microseconds // that the holder's clock may lose against the register's within a Span
 }
 
 // Holder identifies one life of a member: a life that crashed cannot go on with the lease of the one before, as nobody knows what that
@@ -49,10 +49,10 @@
 
 // Part is what is agreed on about one part of the fleet. The zero Part is free and was never held.
 type Part struct {
-	Epoch   uint64       `cbor:"Epoch"`   // of the newest grant; it only grows
-	Holder  Holder       `cbor:"Holder"`  // of it; the zero Holder: free
-	Number  uint32       `cbor:"Number"`  // of the holder's newest ask
-	Renewed model.Micros `cbor:"Renewed"` // by the leader's clock
+	Epoch   uint64             `cbor:"Epoch"`   // of the newest grant; it only grows
+	Holder  Holder             `cbor:"Holder"`  // of it; the zero Holder: free
+	Number  uint32             `cbor:"Number"`  // of the holder's newest ask
+	Renewed model.Microseconds `cbor:"Renewed"` // by the leader's clock
 }
 
 // Ask is a holder's message: for a part or, if it holds it, to go on. Number tells asks of one holder apart.
@@ -70,7 +70,7 @@
 }
 
 // Apply takes an ask, agreed on, at a time of the leader's clock.
-func (p *Part) Apply(t Terms, a Ask, now model.Micros) Answer {
+func (p *Part) Apply(t Terms, a Ask, now model.Microseconds) Answer {
 	mine := p.Holder == a.From
 	if !mine && p.Holder != (Holder{}) && now-p.Renewed < t.Span+t.Drift {
 		return Answer{To: a.From, Number: a.Number}
@@ -84,12 +84,12 @@
 }
 
 // Lead begins a leader's time. It knows nothing of when leases were renewed, by its own clock, so it counts them from now.
-func (p *Part) Lead(now model.Micros) { p.Renewed = now }
+func (p *Part) Lead(now model.Microseconds) { p.Renewed = now }
 
 // LeadSeen begins the time of a leader that saw the part renewed, by its own clock, age before now: as its log then ended with the given
 // epoch and ask. What was agreed on before its word but not seen by it counts as Lead has it. A renewal that came doubled or late does
 // not show in the ask's number, and need not: it gave its holder no time.
-func (p *Part) LeadSeen(now, age model.Micros, epoch uint64, number uint32) {
+func (p *Part) LeadSeen(now, age model.Microseconds, epoch uint64, number uint32) {
 	if p.Epoch == epoch && p.Number == number && age >= 0 {
 		p.Renewed = now - age
 		return
@@ -108,14 +108,14 @@
 // Claim is a holder's side, for one part. The zero Claim holds nothing.
 type Claim struct {
 	Epoch  uint64
-	until  model.Micros // by its own clock
+	until  model.Microseconds // by its own clock
 	holds  bool
-	asked  model.Micros // when the newest ask was noted
+	asked  model.Microseconds // when the newest ask was noted
 	number uint32
 }
 
 // Ask notes the time and gives the message, which may leave only after that.
-func (c *Claim) Ask(from Holder, now model.Micros) Ask {
+func (c *Claim) Ask(from Holder, now model.Microseconds) Ask {
 	c.number++
 	c.asked = now
 	return Ask{from, c.number}
@@ -134,10 +134,10 @@
 }
 
 // MayOrder tells whether this holder may order now.
-func (c *Claim) MayOrder(now model.Micros) bool { return c.holds && now < c.until }
+func (c *Claim) MayOrder(now model.Microseconds) bool { return c.holds && now < c.until }
 
 // Left is for how long this holder may still order, without another renewal.
-func (c *Claim) Left(now model.Micros) model.Micros {
+func (c *Claim) Left(now model.Microseconds) model.Microseconds {
 	if !c.MayOrder(now) {
 		return 0
 	}
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -31,12 +31,12 @@
 	glances bool  // the next leader sees the part before it leads
 	stops   bool  // holders give up what they hold
 	slow    uint8 // ticks that a member's clock may lose
-	ticks   model.Micros
+	ticks   model.Microseconds
 }
 
 // world is a state. All of it is values, so that it is its own key.
 type world struct {
-	now     model.Micros // of the register's clock
+	now     model.Microseconds // of the register's clock
 	parts   [parts]Part
 	claims  [members][parts]Claim
 	lives   [members]uint64
@@ -53,7 +53,7 @@
 type glance struct {
 	epoch  uint64
 	number uint32
-	at     model.Micros
+	at     model.Microseconds
 }
 
 // flight is a message about a part.
@@ -62,7 +62,7 @@
 	says T
 }
 
-func (w *world) clock(m int) model.Micros { return w.now - model.Micros(w.lost[m]) }
+func (w *world) clock(m int) model.Microseconds { return w.now - model.Microseconds(w.lost[m]) }
 
 func put[T comparable](slots *[flying]T, v T) bool {
 	var none T
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -4,12 +4,12 @@
 
 import "time"
 
-// Micros is a time or a span in whole microseconds.
-type Micros int64
+// Microseconds is a time or a span in whole microseconds.
+type Microseconds int64
 
 const (
-	Millisecond Micros = 1000
-	Second             = 1000 * Millisecond
+	Millisecond Microseconds = 1000
+	Second                   = 1000 * Millisecond
 )
 
 // ReplicaID is a replica's address and port as the list gives them; it is returned untouched. It is stored as JSON within
@@ -25,98 +25,98 @@
 	TableID uint16
 )
 
-// Way says when a proxy tries another replica.
-type Way uint8
+// RetryPolicy says when a proxy tries another replica.
+type RetryPolicy uint8
 
 const (
-	Never      Way = iota // no further try
-	WhenUnrun             // one more, after proof that the first never ran
-	AnyFailure            // one more after any failure
-	TwoMore               // two more after any failure
+	RetryNever             RetryPolicy = iota // no further try
+	RetryIfNotExecuted                        // one more, after proof that the first never ran
+	RetryOnAnyFailure                         // one more after any failure
+	RetryTwiceOnAnyFailure                    // two more after any failure
 )
 
 // Operation is one kind of invocation.
 type Operation struct {
-	Objective Micros  // latency objective
-	Value     float64 // billed value
+	LatencyObjective Microseconds // latency objective
+	PriorityWeight   float64      // billed value
 }
 
-// Terms holds the start settings that the governor reads.
-type Terms struct {
-	Seed         uint64 // of this instance's chance
-	Operations   []Operation
-	Zones        int
-	Subscribe    bool    // the list answers only those who ask
-	Admits       bool    // proxies honour an admitted share
-	AdmitAll     float64 // the quota that lets everything in, whether it is read as a share or as a rate
-	Avoids       bool    // proxies keep away for some seconds from a replica that keeps failing
-	StandingSize int     // most lines of a proxy's standing table
-	Period       Micros
-	Overhead     int // lines that a message costs beyond its own
-	QueueMost    int // lines that may wait in the channel
-	MessagesMost int // messages to one proxy within MessagesSpan; 0: no limit
-	MessagesSpan Micros
-	CrossPrice   float64
-	PushPrice    float64 // of the channel in use all day
-	BusyField    int     // place in a load report of the share of its cores in use; -1: not reported
-	Cold         Micros  // within which a started replica is warm
-	Proxies      int     // of all governors
-	ConnsLeast   int     // connections that the smallest replica accepts
-	OwnZone      uint16  // operations, by 1 << their place, that go to replicas of the proxy's zone only
+// Config holds the start settings that the governor reads.
+type Config struct {
+	Seed                  uint64 // of this instance's chance
+	Operations            []Operation
+	Zones                 int
+	SubscriptionRequired  bool    // the list answers only those who ask
+	AdmissionControl      bool    // proxies honour an admitted share
+	FullQuota             float64 // the quota that lets everything in, whether it is read as a share or as a rate
+	ProxiesAvoidFailing   bool    // proxies keep away for some seconds from a replica that keeps failing
+	StandingTableSize     int     // most lines of a proxy's standing table
+	ReportPeriod          Microseconds
+	MessageOverhead       int // lines that a message costs beyond its own
+	QueueLimit            int // lines that may wait in the channel
+	MessageLimit          int // messages to one proxy within MessagesSpan; 0: no limit
+	MessageWindow         Microseconds
+	CrossZoneCost         float64
+	PublishCost           float64      // of the channel in use all day
+	UtilizationField      int          // place in a load report of the share of its cores in use; -1: not reported
+	WarmUpPeriod          Microseconds // within which a started replica is warm
+	ProxyCount            int          // of all governors
+	MinReplicaConnections int          // connections that the smallest replica accepts
+	ZoneLocalOperations   uint16       // operations, by 1 << their place, that go to replicas of the proxy's zone only
 }
 
-// Life is what the list says of a replica.
-type Life uint8
+// EndpointStatus is what the list says of a replica.
+type EndpointStatus uint8
 
 const (
-	Gone Life = iota
-	Ready
-	Draining
+	EndpointGone EndpointStatus = iota
+	EndpointReady
+	EndpointDraining
 )
 
-// Listing is one entry of the list. It is stored as JSON; its tags are names in stored data and must not change.
-type Listing struct {
-	ID    ReplicaID `json:"ID"`
-	Zone  int       `json:"Zone"`
-	Life  Life      `json:"Life"`
-	Since Micros    `json:"Since"` // when it last started; 0: long ago
+// Endpoint is one entry of the list. It is stored as JSON; its tags are names in stored data and must not change.
+type Endpoint struct {
+	ID        ReplicaID      `json:"ID"`
+	Zone      int            `json:"Zone"`
+	Status    EndpointStatus `json:"Life"`
+	StartedAt Microseconds   `json:"Since"` // when it last started; 0: long ago
 }
 
-// Scope says what kind of news from the list this is.
-type Scope uint8
+// EndpointUpdate says what kind of news from the list this is.
+type EndpointUpdate uint8
 
 const (
-	Whole  Scope = iota // the complete list
-	Change              // changed entries only
-	Cached              // the complete list as last held, maybe stale
-	Failed              // a call failed; no entries
+	FullList       EndpointUpdate = iota // the complete list
+	ChangedEntries                       // changed entries only
+	CachedList                           // the complete list as last held, maybe stale
+	PollFailed                           // a call failed; no entries
 )
 
-// Sum is what the joined proxies of a zone met at a replica over a span.
-type Sum struct {
-	Zone    int       `cbor:"Zone"`
-	Replica ReplicaID `cbor:"Replica"`
-	Tries   int       `cbor:"Tries"`
-	Errored int       `cbor:"Errored"`
-	Latency Micros    `cbor:"Latency"` // mean of the good ones; 0 if none
-	Span    Micros    `cbor:"Span"`
-	Report  []float64 `cbor:"Report"` // the replica's newest load report; empty if none came
+// LoadReport is what the joined proxies of a zone met at a replica over a span.
+type LoadReport struct {
+	Zone        int          `cbor:"Zone"`
+	Replica     ReplicaID    `cbor:"Replica"`
+	Attempts    int          `cbor:"Tries"`
+	Errors      int          `cbor:"Errored"`
+	MeanLatency Microseconds `cbor:"Latency"` // mean of the good ones; 0 if none
+	Window      Microseconds `cbor:"Span"`
+	Readings    []float64    `cbor:"Report"` // the replica's newest load report; empty if none came
 }
 
-// Host carries out a governor's orders. All orders given between two calls of Governor.Settle leave as one
+// Publisher carries out a governor's orders. All orders given between two calls of Governor.Settle leave as one
 // message for each proxy concerned.
-type Host interface {
-	Assign(t TableID, r ReplicaID, weight float64) // one table line; 0 removes it
-	// Bind puts a proxy on a table for some operations, by 1 << their place, or for all (0). Other governors may have shut out those of back, and not let them in again: where
+type Publisher interface {
+	SetWeight(t TableID, r ReplicaID, weight float64) // one table line; 0 removes it
+	// BindProxy puts a proxy on a table for some operations, by 1 << their place, or for all (0). Other governors may have shut out those of back, and not let them in again: where
 	// that outlasts a bind, the proxy is told with it.
-	Bind(p ProxyID, t TableID, operations uint16, back []ReplicaID)
-	Withdraw(r ReplicaID, out bool)                // shut a replica out of every table, or let it back
-	Level(operations uint16, share float64, w Way) // what all joined proxies let in and when they try again
-	Receipt(number uint32, all bool)               // ask the proxies reached for an answer, or all joined
-	Wake(after Micros)
-	Follow() // subscribe to the list
+	BindProxy(p ProxyID, t TableID, operations uint16, back []ReplicaID)
+	SetWithdrawn(r ReplicaID, out bool)                       // shut a replica out of every table, or let it back
+	SetQuota(operations uint16, share float64, w RetryPolicy) // what all joined proxies let in and when they try again
+	RequestAck(number uint32, all bool)                       // ask the proxies reached for an answer, or all joined
+	SetTimer(after Microseconds)
+	Subscribe() // subscribe to the list
 	Log(text string)
 }
 
 // Duration is a span as the standard library has it.
-func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
+func (m Microseconds) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/model/stored_test.go
+++ b/internal/model/stored_test.go
@@ -7,13 +7,13 @@
 
 // TestListingStoredNames fixes the JSON of a stored endpoint list entry: state folders of earlier versions hold these bytes.
 func TestListingStoredNames(t *testing.T) {
-	listing := Listing{ID: ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 4, Life: Draining, Since: 5_000_006}
+	listing := Endpoint{ID: ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 4, Status: EndpointDraining, StartedAt: 5_000_006}
 	const stored = `{"ID":{"Addr":[10,1,2,3],"Port":8081},"Zone":4,"Life":2,"Since":5000006}`
 	body, err := json.Marshal(listing)
 	if err != nil || string(body) != stored {
 		t.Errorf("stored as %s, %v; want %s", body, err, stored)
 	}
-	var decoded Listing
+	var decoded Endpoint
 	if err := json.Unmarshal([]byte(stored), &decoded); err != nil || decoded != listing {
 		t.Errorf("read back as %+v, %v; want %+v", decoded, err, listing)
 	}
@@ -21,10 +21,10 @@
 
 // TestStoredNumbers fixes the numbers that stand for named values in stored data.
 func TestStoredNumbers(t *testing.T) {
-	if Gone != 0 || Ready != 1 || Draining != 2 {
-		t.Errorf("lives are stored as gone %d, ready %d, draining %d; want 0, 1, 2", Gone, Ready, Draining)
+	if EndpointGone != 0 || EndpointReady != 1 || EndpointDraining != 2 {
+		t.Errorf("lives are stored as gone %d, ready %d, draining %d; want 0, 1, 2", EndpointGone, EndpointReady, EndpointDraining)
 	}
-	if Never != 0 || WhenUnrun != 1 || AnyFailure != 2 || TwoMore != 3 {
-		t.Errorf("ways are published as %d, %d, %d, %d; want 0 to 3", Never, WhenUnrun, AnyFailure, TwoMore)
+	if RetryNever != 0 || RetryIfNotExecuted != 1 || RetryOnAnyFailure != 2 || RetryTwiceOnAnyFailure != 3 {
+		t.Errorf("ways are published as %d, %d, %d, %d; want 0 to 3", RetryNever, RetryIfNotExecuted, RetryOnAnyFailure, RetryTwiceOnAnyFailure)
 	}
 }
--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -32,18 +32,18 @@
 
 // Terms are the group's settings.
 type Terms struct {
-	Settle model.Micros // that a member must have been there before parts are moved to it without need
-	Pace   model.Micros // between two moves from or to one member that nothing forces
+	Settle model.Microseconds // that a member must have been there before parts are moved to it without need
+	Pace   model.Microseconds // between two moves from or to one member that nothing forces
 }
 
 // Member is one of the group, as the leader sees it.
 type Member struct {
 	Name, Zone string
-	Here       bool         // it renews, or seems alive
-	Since      model.Micros // Here
-	Leaving    bool         // told to give everything away
-	Ending     bool         // its process is about to end
-	Limit      float64      // invocations a second that it may govern; 0: any
+	Here       bool               // it renews, or seems alive
+	Since      model.Microseconds // Here
+	Leaving    bool               // told to give everything away
+	Ending     bool               // its process is about to end
+	Limit      float64            // invocations a second that it may govern; 0: any
 }
 
 // Part is one part of the fleet. Wanted is the member that should hold it; "" for none.
@@ -67,8 +67,8 @@
 // Mover remembers when it last moved a part from or to a member, and from whom it was moved as nobody reached that one. The zero Mover has
 // moved nothing; a new leader's is one.
 type Mover struct {
-	touched map[string]model.Micros
-	away    map[away]model.Micros
+	touched map[string]model.Microseconds
+	away    map[away]model.Microseconds
 }
 
 type away struct {
@@ -116,16 +116,16 @@
 // deal is one call of Decide.
 type deal struct {
 	Terms
-	now   model.Micros
+	now   model.Microseconds
 	mover *Mover
 	seats []*seat
 	by    map[string]*seat
 }
 
 // Decide gives the moves of now.
-func (m *Mover) Decide(t Terms, now model.Micros, members []Member, parts []Part) (moves []Move) {
+func (m *Mover) Decide(t Terms, now model.Microseconds, members []Member, parts []Part) (moves []Move) {
 	if m.touched == nil {
-		m.touched, m.away = map[string]model.Micros{}, map[away]model.Micros{}
+		m.touched, m.away = map[string]model.Microseconds{}, map[away]model.Microseconds{}
 	}
 	d := &deal{Terms: t, now: now, mover: m, by: map[string]*seat{}}
 	for i := range members {
--- a/internal/placement/assign_test.go
+++ b/internal/placement/assign_test.go
@@ -16,7 +16,7 @@
 	members []Member
 	parts   []Part
 	mover   Mover
-	now     model.Micros
+	now     model.Microseconds
 }
 
 func newHall(zones, each int, load float64) *hall {
@@ -32,7 +32,7 @@
 }
 
 // step decides and carries the moves out.
-func (h *hall) step(span model.Micros) []Move {
+func (h *hall) step(span model.Microseconds) []Move {
 	h.now += span
 	return h.mover.Decide(terms, h.now, h.members, h.parts)
 }
@@ -78,7 +78,7 @@
 			t.Fatalf("after %v: %v", h.now-h.members[0].Since, moves)
 		}
 	}
-	last := model.Micros(0)
+	last := model.Microseconds(0)
 	for h.held("member-zone0") < 4 {
 		moves := h.step(100 * model.Millisecond)
 		if len(moves) > 1 || len(moves) == 1 && last > 0 && h.now-last < terms.Pace {
@@ -135,7 +135,7 @@
 	if moves := h.step(model.Second); len(moves) != 1 || moves[0].Part != 0 || moves[0].To != "member-zone1" {
 		t.Fatalf("%v", moves)
 	}
-	for span := model.Micros(0); span < AwayFor-terms.Pace; span += terms.Pace {
+	for span := model.Microseconds(0); span < AwayFor-terms.Pace; span += terms.Pace {
 		for _, m := range h.step(terms.Pace) {
 			if m.Part == 0 {
 				t.Fatalf("after %d us: %+v", span, m)
@@ -188,7 +188,7 @@
 					gone++
 				}
 			}
-			moves := h.step(model.Micros(rapid.IntRange(0, 3).Draw(t, "seconds")) * model.Second)
+			moves := h.step(model.Microseconds(rapid.IntRange(0, 3).Draw(t, "seconds")) * model.Second)
 			forced := 0
 			for _, mv := range moves {
 				to := h.members[find(h, mv.To)]
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -37,7 +37,7 @@
 	Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int)
 	Left(p model.ProxyID, stream uint64)
 	Applied(p model.ProxyID, stream uint64, receipt uint32)
-	Heard(zone int, sums []model.Sum)
+	Heard(zone int, sums []model.LoadReport)
 }
 
 // Limits bounds what peers may cost.
@@ -59,7 +59,7 @@
 	Overhead   int      // lines that a message costs beyond its own
 	Names      *platformmsg.Names
 	Limits     Limits
-	Now        func() model.Micros
+	Now        func() model.Microseconds
 	Log        zerolog.Logger
 }
 
@@ -125,7 +125,7 @@
 	ended    atomic.Bool
 	unsent   atomic.Int64
 	heardAt  atomic.Int64 // when something came last
-	openedAt model.Micros
+	openedAt model.Microseconds
 	stranger *list.Element // nil once it has joined
 	collects int           // zone whose reports it brings; -1: none
 	proxy    model.ProxyID
@@ -136,16 +136,16 @@
 	settled  map[model.ReplicaID]bool // what it was told out or back on this stream, or will be; only where it came with withdrawals of its own
 	later    []model.ReplicaID        // of a bind's lines, those that are told back when there is room
 	owed     []owed
-	asked    uint32       // the newest ticket on this stream
-	againAt  model.Micros // when it was last asked again, if ever
-	again    uint32       // for that ticket
-	passedAt model.Micros // when a message sent after the oldest that it owes was answered elsewhere; 0: not yet
+	asked    uint32             // the newest ticket on this stream
+	againAt  model.Microseconds // when it was last asked again, if ever
+	again    uint32             // for that ticket
+	passedAt model.Microseconds // when a message sent after the oldest that it owes was answered elsewhere; 0: not yet
 }
 
 // owed is an answer that a stream owes.
 type owed struct {
 	ticket uint32
-	at     model.Micros
+	at     model.Microseconds
 	sent   uint64 // its number among all that were sent
 }
 
@@ -219,7 +219,7 @@
 	}
 }
 
-func span(d time.Duration) model.Micros { return model.Micros(d / time.Microsecond) }
+func span(d time.Duration) model.Microseconds { return model.Microseconds(d / time.Microsecond) }
 
 // look ends strangers that did not join in time, and streams whose machine has vanished: TCP does not tell, but what they owe does not
 // come, nor anything else. The platform's channel carries messages one after another at a pace of its own, so an answer is owed in earnest
@@ -241,7 +241,7 @@
 	}
 	var lost *peer
 	for _, p := range s.streams {
-		quiet, late := now-model.Micros(p.heardAt.Load()), model.Micros(0)
+		quiet, late := now-model.Microseconds(p.heardAt.Load()), model.Microseconds(0)
 		if len(p.owed) > 0 && p.passedAt == 0 && s.passed > p.owed[0].sent {
 			p.passedAt = now
 		}
@@ -267,7 +267,7 @@
 }
 
 // askAgain asks a stream for its newest answer once more; s.mu is held.
-func (s *Server) askAgain(p *peer, now model.Micros) {
+func (s *Server) askAgain(p *peer, now model.Microseconds) {
 	p.againAt, p.again = now, p.asked
 	s.stats.AskedAgain++
 	if len(p.owed) == 0 {
@@ -544,20 +544,20 @@
 	if zone < 0 || !known {
 		return fmt.Errorf("heard: no site %.40q, or no replica %.40q", m.Site, m.Target)
 	}
-	sum := model.Sum{Zone: zone, Replica: id, Tries: m.Tries, Errored: m.Errors, Latency: m.Mean, Span: m.Over}
+	sum := model.LoadReport{Zone: zone, Replica: id, Attempts: m.Tries, Errors: m.Errors, MeanLatency: m.Mean, Window: m.Over}
 	if len(m.Load) > 0 {
-		sum.Report = make([]float64, len(s.line.LoadFields))
+		sum.Readings = make([]float64, len(s.line.LoadFields))
 		for i, name := range s.line.LoadFields {
 			k := slices.IndexFunc(m.Load, func(r platformmsg.Reading) bool { return r.Name == name })
-			if sum.Report[i] = -1; k >= 0 {
-				sum.Report[i] = m.Load[k].Value
+			if sum.Readings[i] = -1; k >= 0 {
+				sum.Readings[i] = m.Load[k].Value
 			}
 		}
 	}
 	s.mu.Lock()
 	s.stats.Sums++
 	s.stats.Tries += uint64(m.Tries)
-	s.events.Heard(zone, []model.Sum{sum})
+	s.events.Heard(zone, []model.LoadReport{sum})
 	s.mu.Unlock()
 	return nil
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -31,7 +31,7 @@
 	mu     sync.Mutex
 	events []string
 	raw    []event // in the order told, at once
-	sums   []model.Sum
+	sums   []model.LoadReport
 }
 
 // event is a join (1), an end (2) or an answer (3) of a stream.
@@ -69,7 +69,7 @@
 	h.tell(event{3, p, stream}, func() { h.note("applied %d %d", p, ticket) })
 }
 
-func (h *host) Heard(_ int, sums []model.Sum) {
+func (h *host) Heard(_ int, sums []model.LoadReport) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sums = append(h.sums, sums...)
@@ -125,10 +125,10 @@
 // clock is one that the test moves.
 type clock struct {
 	mu  sync.Mutex
-	now model.Micros
+	now model.Microseconds
 }
 
-func (c *clock) read() model.Micros {
+func (c *clock) read() model.Microseconds {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
@@ -137,7 +137,7 @@
 func (c *clock) move(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now += model.Micros(by / time.Microsecond)
+	c.now += model.Microseconds(by / time.Microsecond)
 }
 
 func (h *host) id(n int) model.ReplicaID {
@@ -239,7 +239,7 @@
 	h.wait("joined 7 zone 1 rate 21.5 fresh true")
 	h.publish(3, h.shut(9, true))
 	c.expect("update out s-9 ticket 3")
-	h.publish(4, h.line(1, 0.5), h.line(2, 1), h.shut(2, true), bind(7), snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 1, Share: 0.9, Way: model.WhenUnrun}})
+	h.publish(4, h.line(1, 0.5), h.line(2, 1), h.shut(2, true), bind(7), snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 1, Share: 0.9, Way: model.RetryIfNotExecuted}})
 	c.expect("update whole 1 lines s-1:0.5,s-2:1 out s-2 more 1")
 	c.expect("update classes read level 0.9 retry 1 ticket 4")
 	h.publish(-1, h.line(1, 0.55), h.line(2, 0))
@@ -262,7 +262,7 @@
 	// The others follow, two with each message, in the place of levels that it is charged for; a new line brings along its own.
 	h.publish(-1, h.line(1, 2), h.line(3, 1))
 	c.expect("update lines s-1:2,s-3:1 back s-3,s-4,s-5")
-	h.publish(-1, h.line(1, 1), snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 1, Share: 0.9, Way: model.WhenUnrun}})
+	h.publish(-1, h.line(1, 1), snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 1, Share: 0.9, Way: model.RetryIfNotExecuted}})
 	c.expect("update lines s-1:1 back s-6 more 1")
 	c.expect("update classes read level 0.9 retry 1")
 	h.publish(-1, h.line(1, 2))
@@ -300,8 +300,8 @@
 	dial(t, h).say("collector site govan", "heard site govan target s-1 count 4 fail 1 mean 131.3 over 989.9 util cpu_share:0.105",
 		"heard site govan target s-2 count 2 fail 0 mean 1 over 989.9")
 	h.until("sums", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.sums) == 2 })
-	want := model.Sum{Zone: 0, Replica: h.id(1), Tries: 4, Errored: 1, Latency: 131_300, Span: 989_900, Report: []float64{-1, 0.105}}
-	if got := h.sums[0]; fmt.Sprint(got) != fmt.Sprint(want) || h.sums[1].Report != nil {
+	want := model.LoadReport{Zone: 0, Replica: h.id(1), Attempts: 4, Errors: 1, MeanLatency: 131_300, Window: 989_900, Readings: []float64{-1, 0.105}}
+	if got := h.sums[0]; fmt.Sprint(got) != fmt.Sprint(want) || h.sums[1].Readings != nil {
 		t.Fatalf("%+v, want %+v", h.sums, want)
 	}
 }
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -56,9 +56,11 @@
 func (h *host) Applied(p model.ProxyID, _ uint64, receipt uint32) {
 	h.note("applied %d %d", p, receipt)
 }
-func (h *host) Heard(zone int, sums []model.Sum) { h.note("heard %d %d", zone, len(sums)) }
+func (h *host) Heard(zone int, sums []model.LoadReport) { h.note("heard %d %d", zone, len(sums)) }
 
-func (h *host) now() model.Micros { return model.Micros(time.Since(h.began) / time.Microsecond) }
+func (h *host) now() model.Microseconds {
+	return model.Microseconds(time.Since(h.began) / time.Microsecond)
+}
 
 // wait blocks until an event came; the events of one forwarder come in order.
 func (h *host) wait(event string) {
@@ -200,8 +202,8 @@
 	}
 	c.say(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{Life: 2, Version: m.Version, Receipt: 99})) // of an earlier life
 	c.say(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{Life: 3, Version: m.Version, Receipt: 8}))
-	c.say(pubsubmsg.AppendSums(nil, pubsubmsg.Sums{Number: 1, Span: model.Second, Of: []model.Sum{{Replica: id(1), Tries: 2}}}))
-	c.say(pubsubmsg.AppendSums(nil, pubsubmsg.Sums{Number: 1, Span: model.Second, Of: make([]model.Sum, 0)})) // came before
+	c.say(pubsubmsg.AppendSums(nil, pubsubmsg.Sums{Number: 1, Span: model.Second, Of: []model.LoadReport{{Replica: id(1), Attempts: 2}}}))
+	c.say(pubsubmsg.AppendSums(nil, pubsubmsg.Sums{Number: 1, Span: model.Second, Of: make([]model.LoadReport, 0)})) // came before
 	h.wait("applied 0 8")
 	h.wait("heard 1 1")
 	c.conn.Close()
@@ -233,7 +235,7 @@
 }
 
 func TestAGapBringsASnapshot(t *testing.T) {
-	h := start(t, func(l *Line) { l.Now = func() model.Micros { return 5 * model.Second } })
+	h := start(t, func(l *Line) { l.Now = func() model.Microseconds { return 5 * model.Second } })
 	c, _ := join(t, h, "till")
 	h.publish(1, line(1, 1), snapshot.Order{What: snapshot.Bind, Proxy: 0, Table: 1})
 	bound := c.message()
--- a/internal/pubsub/golden_test.go
+++ b/internal/pubsub/golden_test.go
@@ -29,7 +29,7 @@
 		{What: snapshot.Withdraw, Replica: id(3), Out: true},
 		{What: snapshot.Withdraw, Replica: id(4), Out: true},
 		{What: snapshot.Withdraw, Replica: id(4), Out: false},
-		{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 3, Share: 0.5, Way: model.AnyFailure}},
+		{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 3, Share: 0.5, Way: model.RetryOnAnyFailure}},
 	}}
 	published.Apply(batch)
 	server := &Server{board: published}
--- a/internal/pubsub/pacer.go
+++ b/internal/pubsub/pacer.go
@@ -8,7 +8,7 @@
 // pacer is the queue: messages leave one after the other, each taking its lines' time. It is free of I/O.
 type pacer struct {
 	perSecond float64
-	free      model.Micros // when the last one taken will have left
+	free      model.Microseconds // when the last one taken will have left
 	queue     []*waiting
 	lines     int // that wait
 	most      int // the most lines that waited
@@ -17,13 +17,13 @@
 type waiting struct {
 	out    snapshot.Outgoing
 	stream uint64
-	leaves model.Micros
+	leaves model.Microseconds
 	dead   bool // its stream ended first
 }
 
 // put adds a message and says when it leaves.
-func (p *pacer) put(now model.Micros, out snapshot.Outgoing, stream uint64) {
-	span := model.Micros(float64(out.Message.Cost) / p.perSecond * float64(model.Second))
+func (p *pacer) put(now model.Microseconds, out snapshot.Outgoing, stream uint64) {
+	span := model.Microseconds(float64(out.Message.Cost) / p.perSecond * float64(model.Second))
 	p.free = max(p.free, now) + span
 	p.queue = append(p.queue, &waiting{out: out, stream: stream, leaves: p.free})
 	p.lines += out.Message.Cost
@@ -31,7 +31,7 @@
 }
 
 // take gives the next message that leaves by now, nil if none does.
-func (p *pacer) take(now model.Micros) *waiting {
+func (p *pacer) take(now model.Microseconds) *waiting {
 	for len(p.queue) > 0 && p.queue[0].leaves <= now {
 		w := p.queue[0]
 		if p.queue = p.queue[1:]; !w.dead {
@@ -43,7 +43,7 @@
 }
 
 // next is when the first one leaves; ok is false for an empty queue.
-func (p *pacer) next() (at model.Micros, ok bool) {
+func (p *pacer) next() (at model.Microseconds, ok bool) {
 	if len(p.queue) == 0 {
 		return 0, false
 	}
--- a/internal/pubsub/peer.go
+++ b/internal/pubsub/peer.go
@@ -260,7 +260,7 @@
 	}
 	p.sums = sums.Number
 	for i := range sums.Of {
-		sums.Of[i].Zone, sums.Of[i].Span = p.zone, sums.Span
+		sums.Of[i].Zone, sums.Of[i].Window = p.zone, sums.Span
 	}
 	p.server.events.Heard(p.zone, sums.Of)
 	return nil
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -25,7 +25,7 @@
 	Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int)
 	Left(p model.ProxyID, stream uint64)
 	Applied(p model.ProxyID, stream uint64, receipt uint32)
-	Heard(zone int, sums []model.Sum)
+	Heard(zone int, sums []model.LoadReport)
 }
 
 // Limits bounds what peers may cost. Zero fields take the values of Ordinary.
@@ -70,13 +70,13 @@
 	Listen   string // host:port
 	Life     uint64
 	Zones    []string
-	Period   model.Micros // in which forwarders gather their sums
-	Overhead int          // lines that a message costs beyond its own
-	Pace     float64      // lines a second
+	Period   model.Microseconds // in which forwarders gather their sums
+	Overhead int                // lines that a message costs beyond its own
+	Pace     float64            // lines a second
 	Limits   Limits
 	Joins    admission.Bounds // how many may join; zero: all
 	Leases   Leases           // nil: this governor may order whoever joins
-	Now      func() model.Micros
+	Now      func() model.Microseconds
 	Log      zerolog.Logger
 }
 
@@ -359,7 +359,7 @@
 // stray is a forwarder that asks here for a part of another governor.
 type stray struct {
 	part        int
-	first, last model.Micros
+	first, last model.Microseconds
 }
 
 // straysMost bounds those that are remembered; the rest is not counted.
@@ -379,7 +379,7 @@
 }
 
 // Strays counts the forwarders that went on asking here for at least so long, though they were told where to join, by part.
-func (s *Server) Strays(since model.Micros) map[int]int {
+func (s *Server) Strays(since model.Microseconds) map[int]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, counts := s.line.Now(), map[int]int{}
@@ -671,5 +671,5 @@
 	holder   *snapshot.Holder // nil until admitted
 	sums     uint64           // number of the newest report
 	meter    admission.Meter
-	resyncAt model.Micros
+	resyncAt model.Microseconds
 }
--- a/internal/scenario/frombench_test.go
+++ b/internal/scenario/frombench_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, script)
 	}
-	if s.Forwarders.EachZone != 20 || s.Replicas.EachZone != 10 || s.Terms.QueueMost != 4000 || len(s.Governors) != 2 ||
+	if s.Forwarders.EachZone != 20 || s.Replicas.EachZone != 10 || s.Terms.QueueLimit != 4000 || len(s.Governors) != 2 ||
 		s.Guarantees.Cold != 17*model.Second || s.Load.Rate < 199 || s.Load.Rate > 201 {
 		t.Fatalf("%+v", s)
 	}
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -127,7 +127,7 @@
 }
 
 // count takes an invocation's end: how long it took from its first asking, and when that was in the day.
-func (t *tally) count(op int, r proxy.Result, took, at model.Micros) {
+func (t *tally) count(op int, r proxy.Result, took, at model.Microseconds) {
 	o, of := &t.ops[op], t.of[op]
 	sec := &t.seconds[min(max(int(at/model.Second), 0), len(t.seconds)-1)]
 	o.asked++
--- a/internal/scenario/rogue.go
+++ b/internal/scenario/rogue.go
@@ -32,18 +32,18 @@
 	list    *discovery.Consul
 	line    pubsub.Line
 	streams map[model.ProxyID]bool
-	ready   map[model.ReplicaID]model.Listing
+	ready   map[model.ReplicaID]model.Endpoint
 	receipt int
-	began   model.Micros
+	began   model.Microseconds
 }
 
 const rogueTable = model.TableID(1)
 
 func newRogue(d *play) (*rogue, error) {
-	r := &rogue{kind: d.Rogue, name: "rogue", loop: d.loop, streams: map[model.ProxyID]bool{}, ready: map[model.ReplicaID]model.Listing{}, began: d.now()}
+	r := &rogue{kind: d.Rogue, name: "rogue", loop: d.loop, streams: map[model.ProxyID]bool{}, ready: map[model.ReplicaID]model.Endpoint{}, began: d.now()}
 	var err error
-	r.line = pubsub.Line{Listen: fmt.Sprintf("127.%d.254.1:7700", d.octet), Life: 1, Zones: d.Zones, Period: d.Terms.Period,
-		Overhead: d.Terms.Overhead, Pace: 1e6, Now: d.now, Log: zerolog.Nop()}
+	r.line = pubsub.Line{Listen: fmt.Sprintf("127.%d.254.1:7700", d.octet), Life: 1, Zones: d.Zones, Period: d.Terms.ReportPeriod,
+		Overhead: d.Terms.MessageOverhead, Pace: 1e6, Now: d.now, Log: zerolog.Nop()}
 	if r.server, err = pubsub.Listen(r.line, r); err != nil {
 		return nil, err
 	}
@@ -76,24 +76,24 @@
 
 func (r *rogue) Applied(model.ProxyID, uint64, uint32) {}
 
-func (r *rogue) Heard(int, []model.Sum) {}
+func (r *rogue) Heard(int, []model.LoadReport) {}
 
 // Listed takes the list; but for what it hides it withdraws as it should.
-func (r *rogue) Listed(scope model.Scope, entries []model.Listing) {
+func (r *rogue) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
 	r.loop.Post(func() {
-		if scope == model.Failed {
+		if scope == model.PollFailed {
 			r.list.Follow()
 			return
 		}
 		named := map[model.ReplicaID]bool{}
 		var orders []snapshot.Order
 		for _, e := range entries {
-			if named[e.ID] = e.Life == model.Ready; e.Life != model.Ready {
+			if named[e.ID] = e.Status == model.EndpointReady; e.Status != model.EndpointReady {
 				continue
 			}
-			if old, known := r.ready[e.ID]; !known || old.Since != e.Since {
+			if old, known := r.ready[e.ID]; !known || old.StartedAt != e.StartedAt {
 				weight := 1.0
-				if r.kind == "full-to-cold" && e.Since > r.began {
+				if r.kind == "full-to-cold" && e.StartedAt > r.began {
 					weight = 1000
 				}
 				orders = append(orders, snapshot.Order{What: snapshot.Assign, Table: rogueTable, Replica: e.ID, Weight: weight},
@@ -134,7 +134,7 @@
 		}
 		r.publish(orders...)
 	case "repeats-anything":
-		r.publish(snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 0, Share: 1, Way: model.TwoMore}})
+		r.publish(snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: 0, Share: 1, Way: model.RetryTwiceOnAnyFailure}})
 	case "floods":
 		for range 20 {
 			var orders []snapshot.Order
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -47,7 +47,7 @@
 type play struct {
 	*Script
 	set       Setting
-	now       func() model.Micros
+	now       func() model.Microseconds
 	chance    *standin.Chance
 	folder    string
 	temporary bool
@@ -56,7 +56,7 @@
 	governors []*process
 	rogue     *rogue
 
-	began      model.Micros
+	began      model.Microseconds
 	seen       []invariants.Seen
 	list       *registry.Registry
 	replicas   []*machine
@@ -238,7 +238,7 @@
 	if d.bays[bay] == nil {
 		d.bays[bay] = replica.NewBay()
 	}
-	windows := make([]model.Micros, len(d.Operations))
+	windows := make([]model.Microseconds, len(d.Operations))
 	for i, o := range d.Operations {
 		windows[i] = o.Window
 	}
@@ -261,7 +261,7 @@
 }
 
 // listed puts a replica, as it is by then, into the list after a while.
-func (d *play) listed(m *machine, after model.Micros) {
+func (d *play) listed(m *machine, after model.Microseconds) {
 	life := m.Started
 	d.loop.After(after, func() {
 		if m.Up && m.Started == life {
@@ -272,7 +272,7 @@
 }
 
 // unlisted takes a replica that is down out of the list after a while.
-func (d *play) unlisted(m *machine, after model.Micros) {
+func (d *play) unlisted(m *machine, after model.Microseconds) {
 	d.loop.After(after, func() {
 		if !m.Up || m.Silent {
 			d.list.Remove(m.ID)
@@ -339,7 +339,7 @@
 		near = all
 	}
 	near = slices.Clone(near)
-	for len(lines) < d.Terms.StandingSize && len(near) > 0 {
+	for len(lines) < d.Terms.StandingTableSize && len(near) > 0 {
 		k := d.chance.Below(len(near))
 		lines = append(lines, invariants.Line{Replica: near[k].ID, Weight: 1})
 		near = slices.Delete(near, k, k+1)
@@ -382,7 +382,7 @@
 	case <-time.After(d.Length.Duration()):
 	}
 	// What was asked before the end still ends, and rules still count.
-	var longest model.Micros
+	var longest model.Microseconds
 	for _, o := range d.Operations {
 		longest = max(longest, o.Timeout)
 	}
@@ -409,7 +409,7 @@
 	if c.rate <= 0 {
 		return
 	}
-	d.loop.After(model.Micros(d.chance.Wait(c.rate)*float64(model.Second)), func() {
+	d.loop.After(model.Microseconds(d.chance.Wait(c.rate)*float64(model.Second)), func() {
 		if d.now()-d.began < d.Length {
 			d.ask(c)
 			d.arrive(c)
@@ -435,8 +435,8 @@
 }
 
 // invoke asks, and asks again as clients do: idempotent work after any failure, the rest after a refusal.
-func (d *play) invoke(c *caller, inv *proxy.Invocation, first model.Micros) {
-	inv.Done = func(r proxy.Result, _ model.Micros) {
+func (d *play) invoke(c *caller, inv *proxy.Invocation, first model.Microseconds) {
+	inv.Done = func(r proxy.Result, _ model.Microseconds) {
 		o := d.Operations[inv.Operation]
 		took := d.now() - first
 		again := inv.Caller+1 < d.Script.Forwarders.ClientTries && took+d.Script.Forwarders.Backoff < o.Timeout &&
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -23,14 +23,14 @@
 type Script struct {
 	Name       string
 	About      string
-	Length     model.Micros
+	Length     model.Microseconds
 	Seed       uint64
 	Zones      []string
 	Governors  []string // the zone of each
 	Shared     *Shared  // nil: governors share nothing
 	Rogue      string   // a governor of the stand's own that does something wrong; "" for the real ones
 	Operations []config.Operation
-	Terms      model.Terms
+	Terms      model.Config
 	Guarantees config.Guarantees
 	Replicas   Replicas
 	Forwarders Forwarders
@@ -43,7 +43,7 @@
 // Shared says how the governors share the fleet out.
 type Shared struct {
 	Parts               int // of each zone
-	Lease, Settle, Pace model.Micros
+	Lease, Settle, Pace model.Microseconds
 }
 
 // Replicas says what each zone has.
@@ -51,20 +51,20 @@
 	EachZone, Cores, Waiting, Connections, BaySize int
 	SpeedFrom, SpeedTo                             float64
 	ColdShare                                      float64
-	ColdSpan, ReportEvery, Handshake               model.Micros
+	ColdSpan, ReportEvery, Handshake               model.Microseconds
 }
 
 // Forwarders says what each zone has.
 type Forwarders struct {
 	EachZone, Ejects, ClientTries int
 	Pick                          string
-	Redial, EjectFor, StallLine   model.Micros
-	Backoff                       model.Micros
+	Redial, EjectFor, StallLine   model.Microseconds
+	Backoff                       model.Microseconds
 	RateSpread                    float64
 }
 
 // List says how late the machine list learns.
-type List struct{ Notice, Silent, Add model.Micros }
+type List struct{ Notice, Silent, Add model.Microseconds }
 
 // Load says what callers ask.
 type Load struct {
@@ -76,15 +76,15 @@
 type Work struct {
 	Operation int
 	Share     float64
-	Mean      model.Micros
+	Mean      model.Microseconds
 	Spread    float64
 }
 
 // Step is a trouble.
 type Step struct {
 	Kind   string
-	At     model.Micros
-	Lasts  model.Micros
+	At     model.Microseconds
+	Lasts  model.Microseconds
 	Zone   string
 	Part   float64 // of what it strikes
 	Size   float64 // how much, by kind
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -73,7 +73,7 @@
 	if t.Kind == "governor_crash" && t.Number > 1 {
 		more := t
 		more.Number--
-		d.loop.After(model.Micros(d.chance.Between(0.7, 1.3)*float64(seconds(t.Size))), func() { d.strike(more) })
+		d.loop.After(model.Microseconds(d.chance.Between(0.7, 1.3)*float64(seconds(t.Size))), func() { d.strike(more) })
 	}
 	switch do := troubles[t.Kind]; {
 	case do != nil:
@@ -93,7 +93,7 @@
 	"forwarder_stall": func(d *play, t Step) {
 		for _, c := range d.struckForwarders(t) {
 			for k := range max(t.Number, 1) {
-				d.loop.After(model.Micros(2*k)*seconds(t.Size), func() { c.Stall(seconds(t.Size)) })
+				d.loop.After(model.Microseconds(2*k)*seconds(t.Size), func() { c.Stall(seconds(t.Size)) })
 			}
 		}
 	},
@@ -174,7 +174,7 @@
 	},
 }
 
-func seconds(f float64) model.Micros { return model.Micros(f * float64(model.Second)) }
+func seconds(f float64) model.Microseconds { return model.Microseconds(f * float64(model.Second)) }
 
 func slower(times float64) func(*machine) {
 	return func(m *machine) { m.Slow = times }
@@ -230,7 +230,7 @@
 }
 
 // age slows a replica evenly up to the step's size.
-func (d *play) age(m *machine, mine int, t Step, began model.Micros) {
+func (d *play) age(m *machine, mine int, t Step, began model.Microseconds) {
 	if m.strike != mine {
 		return
 	}
@@ -238,7 +238,7 @@
 	d.loop.After(500*model.Millisecond, func() { d.age(m, mine, t, began) })
 }
 
-func (d *play) killForwarder(c *caller, down model.Micros) {
+func (d *play) killForwarder(c *caller, down model.Microseconds) {
 	c.Kill()
 	d.loop.After(down, func() { c.Start(d.standing(c)) })
 }
@@ -281,7 +281,7 @@
 	groups := (len(all) + group - 1) / group
 	for g := range groups {
 		for _, m := range all[g*group : min(len(all), (g+1)*group)] {
-			d.loop.After(t.Lasts*model.Micros(g)/model.Micros(groups), func() {
+			d.loop.After(t.Lasts*model.Microseconds(g)/model.Microseconds(groups), func() {
 				if !m.Up {
 					return
 				}
@@ -339,7 +339,7 @@
 }
 
 // crash kills a governor outright and starts it again: it has its state folder and nothing else.
-func (d *play) crash(p *process, down model.Micros) {
+func (d *play) crash(p *process, down model.Microseconds) {
 	p.end(syscall.SIGKILL, time.Second)
 	d.loop.After(down, func() { d.again(p) })
 }
@@ -370,7 +370,7 @@
 			p.signal(syscall.SIGSTOP)
 			d.loop.After(t.Lasts, func() { p.signal(syscall.SIGCONT) })
 		case "governor_roll":
-			d.loop.After(t.Lasts*model.Micros(n)/model.Micros(len(all)), func() {
+			d.loop.After(t.Lasts*model.Microseconds(n)/model.Microseconds(len(all)), func() {
 				ended := p.leave(syscall.SIGTERM, 5*time.Second)
 				go func() { // its farewell takes a while
 					usage := ended()
--- a/internal/server/archive.go
+++ b/internal/server/archive.go
@@ -39,9 +39,9 @@
 }
 
 // Listed passes the list on, and puts a whole one down behind it: a drain does not wait for the disk.
-func (a *archive) Listed(scope model.Scope, entries []model.Listing) {
+func (a *archive) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
 	a.host.Listed(scope, entries)
-	if scope == model.Whole {
+	if scope == model.FullList {
 		a.writer.List(entries)
 	}
 }
--- a/internal/server/daemon_test.go
+++ b/internal/server/daemon_test.go
@@ -76,7 +76,7 @@
 func build(t *testing.T, forwarders int) *house {
 	h := &house{t: t, dir: t.TempDir(), listen: free(t), pages: free(t)}
 	began := time.Now()
-	h.loop = standin.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
+	h.loop = standin.NewLoop(func() model.Microseconds { return model.Microseconds(time.Since(began) / time.Microsecond) })
 	t.Cleanup(h.loop.Stop)
 	engine, err := proxy.NewEngine()
 	if err != nil {
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -27,10 +27,10 @@
 )
 
 // fixtureListing is the endpoint list of the fixtures.
-var fixtureListing = []model.Listing{
-	{ID: model.ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 1, Life: model.Ready, Since: 1_700_000_000_000_001},
-	{ID: model.ReplicaID{Addr: [4]byte{10, 4, 5, 6}, Port: 8082}, Zone: 2, Life: model.Draining, Since: 1_700_000_000_000_002},
-	{ID: model.ReplicaID{Addr: [4]byte{10, 7, 8, 9}, Port: 8083}, Zone: 3, Life: model.Gone, Since: 1_700_000_000_000_003},
+var fixtureListing = []model.Endpoint{
+	{ID: model.ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 1, Status: model.EndpointReady, StartedAt: 1_700_000_000_000_001},
+	{ID: model.ReplicaID{Addr: [4]byte{10, 4, 5, 6}, Port: 8082}, Zone: 2, Status: model.EndpointDraining, StartedAt: 1_700_000_000_000_002},
+	{ID: model.ReplicaID{Addr: [4]byte{10, 7, 8, 9}, Port: 8083}, Zone: 3, Status: model.EndpointGone, StartedAt: 1_700_000_000_000_003},
 }
 
 // fixtureCauses are the decision log of the fixture, by the life that took the steps. The last one carries a life of its own,
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host := controller.New(model.Terms{Operations: []model.Operation{{Objective: 1, Value: 1}}, Zones: 4, Period: model.Second, QueueMost: 1}, 1, controller.Clock(), zerolog.Nop())
+	host := controller.New(model.Config{Operations: []model.Operation{{LatencyObjective: 1, PriorityWeight: 1}}, Zones: 4, ReportPeriod: model.Second, QueueLimit: 1}, 1, controller.Clock(), zerolog.Nop())
 	a := newArchive(host, folder, found.Life, zerolog.Nop())
 	t.Cleanup(func() {
 		a.writer.Close()
@@ -78,7 +78,7 @@
 			if found.Life != life {
 				t.Fatalf("life %d, want %d", found.Life, life)
 			}
-			a.Listed(model.Whole, fixtureListing)
+			a.Listed(model.FullList, fixtureListing)
 			for _, cause := range fixtureCauses[life] {
 				a.keep(&cause)
 			}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -57,12 +57,12 @@
 	defer list.Close()
 	// Proxies speak each report period; three without a word, and the way of a message, are silence. A segment that is lost comes again
 	// after a second, and after two more (RFC 6298): no less than that, however short the period.
-	silence := (max(3*p.Terms.Period, 3*model.Second) + p.Carries).Duration()
+	silence := (max(3*p.Terms.ReportPeriod, 3*model.Second) + p.Carries).Duration()
 	// An answer that is three times as late is lost, not slow; and one more message a span is what the module leaves free.
 	server, err := listen(ctx, platform.Line{Listen: p.Listen, Zones: p.Zones, Operations: p.Operations, LoadFields: p.LoadFields,
-		Proxies: p.Terms.Proxies, Overhead: p.Terms.Overhead, Names: names, Now: now, Log: log, Limits: platform.Limits{
+		Proxies: p.Terms.ProxyCount, Overhead: p.Terms.MessageOverhead, Names: names, Now: now, Log: log, Limits: platform.Limits{
 			Connections: p.Sockets - ownDescriptors, Greeting: greeting, Unsent: unsentMost, Silence: silence,
-			AskAgain: max(3*silence, p.Terms.MessagesSpan.Duration())}}, host)
+			AskAgain: max(3*silence, p.Terms.MessageWindow.Duration())}}, host)
 	if err != nil || server == nil { // nil: ended while the address was waited for
 		return err
 	}
@@ -71,7 +71,7 @@
 	log.Info().Str("governor", p.Name).Str("listen", server.Addr()).Int("known", len(known)).Int64("memory_mb", p.Memory>>20).Int("sockets", p.Sockets).Msg("serving")
 	go host.Run(server, list, known)
 	defer host.Stop()
-	if !p.Terms.Subscribe {
+	if !p.Terms.SubscriptionRequired {
 		list.Follow() // the module does not ask where the platform tells unasked; here nobody tells
 	}
 	tell := time.NewTicker(tellEvery)
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -36,7 +36,7 @@
 	t      *testing.T
 	listen string
 	file   string
-	now    func() model.Micros
+	now    func() model.Microseconds
 	reload chan struct{}
 	cancel context.CancelFunc
 	ended  chan error
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -54,8 +54,8 @@
 		shared = newSharing(g)
 		leases = shared
 	}
-	server, err := pubsub.Listen(pubsub.Line{Listen: g.Listen, Leases: leases, Life: found.Life, Zones: g.Zones, Period: terms.Period,
-		Overhead: terms.Overhead, Pace: g.Pace, Now: now, Joins: joins(g, terms.Seed), Log: log, Limits: limits(g)}, host)
+	server, err := pubsub.Listen(pubsub.Line{Listen: g.Listen, Leases: leases, Life: found.Life, Zones: g.Zones, Period: terms.ReportPeriod,
+		Overhead: terms.MessageOverhead, Pace: g.Pace, Now: now, Joins: joins(g, terms.Seed), Log: log, Limits: limits(g)}, host)
 	if err != nil {
 		return fmt.Errorf("%w; another process may have the address", err)
 	}
@@ -79,7 +79,7 @@
 	}
 	file := &inForce{file: g}
 	if g.Console != "" {
-		about := console.About{Name: g.Name, Life: found.Life, Zones: g.Zones, Settings: file.Settings, QueueMost: terms.QueueMost, Now: now,
+		about := console.About{Name: g.Name, Life: found.Life, Zones: g.Zones, Settings: file.Settings, QueueMost: terms.QueueLimit, Now: now,
 			Before: found.Published}
 		for _, o := range g.Operations {
 			about.Operations = append(about.Operations, o.Name)
--- a/internal/server/share.go
+++ b/internal/server/share.go
@@ -31,7 +31,7 @@
 	begin  func() // starts the host
 	mu     sync.Mutex
 	begun  bool
-	handed []model.Sum // to a governor that has not begun; its module hears them once it has a list
+	handed []model.LoadReport // to a governor that has not begun; its module hears them once it has a list
 }
 
 func newSharing(g *config.Governor) *sharing {
@@ -44,7 +44,7 @@
 // were given one name and a folder each begin with the same number there.
 func holderLife(life uint64) uint64 { return life<<20 | rand.Uint64N(1<<20) }
 
-func (s *sharing) open(g *config.Governor, life uint64, server *pubsub.Server, now func() model.Micros, links cluster.Links, log zerolog.Logger) (err error) {
+func (s *sharing) open(g *config.Governor, life uint64, server *pubsub.Server, now func() model.Microseconds, links cluster.Links, log zerolog.Logger) (err error) {
 	s.server = server
 	of := g.Group
 	line := cluster.Line{Name: g.Name, Zone: of.Zone, Channel: server.Addr(), Listen: of.Listen, Gossip: of.Gossip, Folder: filepath.Join(g.State, "group"),
@@ -98,7 +98,7 @@
 const tellFor = 3 * time.Second
 
 // tell has the module hear sums as soon as it has a list to know the replicas by.
-func (s *sharing) tell(sums []model.Sum) {
+func (s *sharing) tell(sums []model.LoadReport) {
 	late := time.After(tellFor)
 	for {
 		if v := s.host.View(); v != nil && v.ListAt > 0 {
--- a/internal/server/share_test.go
+++ b/internal/server/share_test.go
@@ -54,7 +54,7 @@
 	w := &town{t: t, cut: map[string]bool{}}
 	dir := t.TempDir()
 	began := time.Now()
-	w.loop = standin.NewLoop(func() model.Micros { return model.Micros(time.Since(began) / time.Microsecond) })
+	w.loop = standin.NewLoop(func() model.Microseconds { return model.Microseconds(time.Since(began) / time.Microsecond) })
 	t.Cleanup(w.loop.Stop)
 	engine, err := proxy.NewEngine()
 	if err != nil {
@@ -310,17 +310,17 @@
 // unplanned it waits, as after any start.
 func TestTheGateAtATakeover(t *testing.T) {
 	for _, planned := range []bool{true, false} {
-		terms := model.Terms{Seed: 1, Operations: []model.Operation{{Objective: model.Second, Value: 1}}, Zones: 1, Subscribe: true, AdmitAll: 1, StandingSize: 6,
-			Period: 2500 * model.Millisecond, QueueMost: 1000, Proxies: 10, ConnsLeast: 100, BusyField: -1, Cold: model.Second}
+		terms := model.Config{Seed: 1, Operations: []model.Operation{{LatencyObjective: model.Second, PriorityWeight: 1}}, Zones: 1, SubscriptionRequired: true, FullQuota: 1, StandingTableSize: 6,
+			ReportPeriod: 2500 * model.Millisecond, QueueLimit: 1000, ProxyCount: 10, MinReplicaConnections: 100, UtilizationField: -1, WarmUpPeriod: model.Second}
 		s := newSharing(&config.Governor{Zones: []string{"govan"}, Group: &config.Group{Parts: 1}})
 		s.host = controller.New(terms, 1000, controller.Clock(), zerolog.Nop())
 		s.begin = func() { go s.host.Run(quietChannel{}, quietRoster{}, nil) }
 		if planned {
-			s.take(cluster.Handover{Sums: []model.Sum{{Replica: replica(1), Tries: 50, Latency: 1000, Span: model.Second}, {Replica: replica(2), Tries: 50, Latency: 1000, Span: model.Second}}})
+			s.take(cluster.Handover{Sums: []model.LoadReport{{Replica: replica(1), Attempts: 50, MeanLatency: 1000, Window: model.Second}, {Replica: replica(2), Attempts: 50, MeanLatency: 1000, Window: model.Second}}})
 		}
 		s.Gained(0, 1)
-		s.host.Listed(model.Whole, []model.Listing{{ID: replica(1), Life: model.Ready}, {ID: replica(2), Life: model.Ready}})
-		s.host.Heard(0, []model.Sum{{Replica: replica(1), Tries: 1, Latency: 1000, Span: model.Second}}) // of one that joined since
+		s.host.Listed(model.FullList, []model.Endpoint{{ID: replica(1), Status: model.EndpointReady}, {ID: replica(2), Status: model.EndpointReady}})
+		s.host.Heard(0, []model.LoadReport{{Replica: replica(1), Attempts: 1, MeanLatency: 1000, Window: model.Second}}) // of one that joined since
 		open := func() bool { v := s.host.View(); return v != nil && v.GateOpen }
 		for end := time.Now().Add(6 * time.Second); planned && !open(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
--- a/internal/simulation/closed_test.go
+++ b/internal/simulation/closed_test.go
@@ -32,12 +32,12 @@
 func run(seed uint64, stations, cores int, load float64, seconds int, pick func(Chance) Pick) (time float64, s *Stream) {
 	core := &Core{}
 	s = &Stream{Core: core, Arrivals: NewChance(seed, "arrivals"), Work: NewChance(seed, "work"), Mean: 10 * model.Millisecond,
-		Gap: float64(10*model.Millisecond) / (load * float64(stations*cores)), Pick: pick(NewChance(seed, "pick")), From: model.Micros(seconds) * model.Second / 10}
+		Gap: float64(10*model.Millisecond) / (load * float64(stations*cores)), Pick: pick(NewChance(seed, "pick")), From: model.Microseconds(seconds) * model.Second / 10}
 	for range stations {
 		s.Stations = append(s.Stations, NewStation(core, cores))
 	}
 	s.Start()
-	core.Run(model.Micros(seconds) * model.Second)
+	core.Run(model.Microseconds(seconds) * model.Second)
 	return s.Took / float64(s.Count) / float64(s.Mean), s
 }
 
@@ -105,9 +105,9 @@
 // Events of one moment happen in the order booked, whatever the heap does with them.
 func TestTheOrderOfAMoment(t *testing.T) {
 	core, chance := &Core{}, NewChance(1, "order")
-	last, at := -1, model.Micros(-1)
+	last, at := -1, model.Microseconds(-1)
 	for n := range 10_000 {
-		due := model.Micros(chance.IntN(50))
+		due := model.Microseconds(chance.IntN(50))
 		core.After(due, func() {
 			if core.Now() != due || due < at || due == at && n < last {
 				t.Fatalf("%d, due at %d, happens at %d after %d", n, due, core.Now(), last)
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -11,7 +11,7 @@
 
 // Core is simulated time. The zero Core stands at 0 with nothing booked.
 type Core struct {
-	now    model.Micros
+	now    model.Microseconds
 	booked uint64
 	queue  []event
 	Events uint64 // that have happened
@@ -19,7 +19,7 @@
 
 // event is something that happens at a time; of one moment the one booked first goes first.
 type event struct {
-	at     model.Micros
+	at     model.Microseconds
 	number uint64
 	do     func()
 }
@@ -27,11 +27,11 @@
 func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.number < b.number }
 
 // Now is the simulated time, microseconds from the start.
-func (c *Core) Now() model.Micros { return c.now }
+func (c *Core) Now() model.Microseconds { return c.now }
 
 // After books something; a span below 0 counts as 0. The queue is a heap of four children a node, which has half the levels of one with
 // two: most of an event's cost is in its way up and down.
-func (c *Core) After(span model.Micros, do func()) {
+func (c *Core) After(span model.Microseconds, do func()) {
 	c.booked++
 	c.queue = append(c.queue, event{c.now + max(span, 0), c.booked, do})
 	q := c.queue
@@ -46,7 +46,7 @@
 }
 
 // Run lets everything happen that is due until the time, and leaves the clock there.
-func (c *Core) Run(until model.Micros) {
+func (c *Core) Run(until model.Microseconds) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := c.pop()
 		c.now = e.at
@@ -89,14 +89,14 @@
 }
 
 // Exponential draws a span of this mean.
-func (c Chance) Exponential(mean model.Micros) model.Micros {
-	return model.Micros(distuv.Exponential{Rate: 1 / float64(mean), Src: c}.Rand() + 0.5)
+func (c Chance) Exponential(mean model.Microseconds) model.Microseconds {
+	return model.Microseconds(distuv.Exponential{Rate: 1 / float64(mean), Src: c}.Rand() + 0.5)
 }
 
 // LogNormal draws a span of this mean; spread is the deviation of its logarithm, 0 for none.
-func (c Chance) LogNormal(mean model.Micros, spread float64) model.Micros {
+func (c Chance) LogNormal(mean model.Microseconds, spread float64) model.Microseconds {
 	if spread <= 0 {
 		return mean
 	}
-	return model.Micros(float64(mean)*distuv.LogNormal{Mu: -spread * spread / 2, Sigma: spread, Src: c}.Rand() + 0.5)
+	return model.Microseconds(float64(mean)*distuv.LogNormal{Mu: -spread * spread / 2, Sigma: spread, Src: c}.Rand() + 0.5)
 }
--- a/internal/simulation/station.go
+++ b/internal/simulation/station.go
@@ -11,7 +11,7 @@
 	busy    int
 	queue   []job
 	head    int // of the queue: what is before it was served
-	seen    model.Micros
+	seen    model.Microseconds
 	area    float64 // invocations here, over time
 	used    float64 // cores in use, over time
 	Served  uint64
@@ -19,7 +19,7 @@
 }
 
 type job struct {
-	work model.Micros
+	work model.Microseconds
 	done func()
 }
 
@@ -32,7 +32,7 @@
 func (s *Station) Here() int { return s.busy + len(s.queue) - s.head }
 
 // Take takes an invocation of so much work and calls done at its end; false: it is full.
-func (s *Station) Take(work model.Micros, done func()) bool {
+func (s *Station) Take(work model.Microseconds, done func()) bool {
 	s.look()
 	switch {
 	case s.busy < s.cores:
@@ -48,7 +48,7 @@
 
 func (s *Station) serve(j job) {
 	s.busy++
-	s.core.After(model.Micros(float64(j.work)*s.Slow), func() {
+	s.core.After(model.Microseconds(float64(j.work)*s.Slow), func() {
 		s.look()
 		s.busy--
 		s.Served++
@@ -121,11 +121,11 @@
 	Core     *Core
 	Arrivals Chance
 	Work     Chance
-	Gap      float64      // mean, between two arrivals, microseconds and parts of one: a whole number of them would change a high rate
-	Mean     model.Micros // of the work
+	Gap      float64            // mean, between two arrivals, microseconds and parts of one: a whole number of them would change a high rate
+	Mean     model.Microseconds // of the work
 	Stations []*Station
 	Pick     Pick
-	From     model.Micros
+	From     model.Microseconds
 	Took     float64 // microseconds, of Count
 	Count    uint64
 	carry    float64
@@ -135,9 +135,9 @@
 func (s *Stream) Start() { s.Core.After(s.gap(), s.arrive) }
 
 // gap draws the next one and carries what whole microseconds leave of it, so that the rate is kept.
-func (s *Stream) gap() model.Micros {
+func (s *Stream) gap() model.Microseconds {
 	s.carry += s.Arrivals.ExpFloat64() * s.Gap
-	whole := model.Micros(s.carry)
+	whole := model.Microseconds(s.carry)
 	s.carry -= float64(whole)
 	return whole
 }
--- a/internal/snapshot/board.go
+++ b/internal/snapshot/board.go
@@ -41,7 +41,7 @@
 	Orders  []Order
 	Receipt int
 	All     bool
-	At      model.Micros
+	At      model.Microseconds
 }
 
 // Empty tells a batch that reaches nobody.
--- a/internal/standin/loop.go
+++ b/internal/standin/loop.go
@@ -14,7 +14,7 @@
 
 // Loop runs posted functions and due timers on one goroutine. Make it with NewLoop, end it with Stop.
 type Loop struct {
-	now   func() model.Micros
+	now   func() model.Microseconds
 	mu    sync.Mutex
 	posts []func()
 	wake  chan struct{}
@@ -25,14 +25,14 @@
 }
 
 // NewLoop starts a loop by this clock.
-func NewLoop(now func() model.Micros) *Loop {
+func NewLoop(now func() model.Microseconds) *Loop {
 	l := &Loop{now: now, wake: make(chan struct{}, 1), done: make(chan struct{}), ended: make(chan struct{})}
 	go l.run()
 	return l
 }
 
 // Now is the clock.
-func (l *Loop) Now() model.Micros { return l.now() }
+func (l *Loop) Now() model.Microseconds { return l.now() }
 
 // Post has the loop run f; from any goroutine.
 func (l *Loop) Post(f func()) {
@@ -57,7 +57,7 @@
 
 // Timer is a function that is due; Cancel keeps it from running.
 type Timer struct {
-	at     model.Micros
+	at     model.Microseconds
 	number uint64
 	do     func()
 }
@@ -70,10 +70,10 @@
 }
 
 // After runs f in so long; on the loop only.
-func (l *Loop) After(span model.Micros, f func()) *Timer { return l.At(l.now()+span, f) }
+func (l *Loop) After(span model.Microseconds, f func()) *Timer { return l.At(l.now()+span, f) }
 
 // At runs f at a time; on the loop only.
-func (l *Loop) At(at model.Micros, f func()) *Timer {
+func (l *Loop) At(at model.Microseconds, f func()) *Timer {
 	l.made++
 	t := &Timer{at: at, number: l.made, do: f}
 	heap.Push(&l.due, t)
--- a/internal/standin/proxy/call.go
+++ b/internal/standin/proxy/call.go
@@ -30,7 +30,7 @@
 	Caller    int // the client's own repeats, from 0
 	Operation int
 	Work      float64 // microseconds of a core of speed 1
-	Done      func(r Result, took model.Micros)
+	Done      func(r Result, took model.Microseconds)
 }
 
 // call is an invocation in work.
@@ -38,11 +38,11 @@
 	f       *Forwarder
 	inv     *Invocation
 	life    int
-	began   model.Micros
+	began   model.Microseconds
 	give    *standin.Timer
 	tries   int
 	more    int // tries that may follow
-	way     model.Way
+	way     model.RetryPolicy
 	epoch   uint64 // in which it began
 	pending int    // tries without an end
 	ended   bool
@@ -53,7 +53,7 @@
 	c     *call
 	n     int
 	at    *there
-	sent  model.Micros
+	sent  model.Microseconds
 	first *standin.Timer
 	over  bool
 	link  *link
@@ -75,9 +75,9 @@
 	}
 	c := &call{f: f, inv: inv, life: f.life, began: now, way: way, epoch: f.fence.Epoch}
 	switch way {
-	case model.WhenUnrun, model.AnyFailure:
+	case model.RetryIfNotExecuted, model.RetryOnAnyFailure:
 		c.more = 1
-	case model.TwoMore:
+	case model.RetryTwiceOnAnyFailure:
 		c.more = 2
 	}
 	t := f.pick(model.ReplicaID{})
@@ -107,8 +107,8 @@
 	op := f.Operations[c.inv.Operation]
 	left := op.Timeout - (t.sent - c.began)
 	wait := left
-	if c.more > 0 && c.way >= model.AnyFailure {
-		wait = min(left, model.Micros(f.FirstWait*float64(op.Objective)))
+	if c.more > 0 && c.way >= model.RetryOnAnyFailure {
+		wait = min(left, model.Microseconds(f.FirstWait*float64(op.Objective)))
 	}
 	t.first = f.loop.After(max(wait, 0), func() { t.end(invariants.TimedOut, nil) })
 	f.get(at, t)
@@ -152,9 +152,9 @@
 	}
 	op := f.Operations[c.inv.Operation]
 	if c.epoch != f.fence.Epoch { // its way was ordered by a holder that is none any more
-		c.way = min(c.way, model.WhenUnrun)
+		c.way = min(c.way, model.RetryIfNotExecuted)
 	}
-	again := c.more > 0 && !c.ended && (o.Unrun() || c.way >= model.AnyFailure) &&
+	again := c.more > 0 && !c.ended && (o.Unrun() || c.way >= model.RetryOnAnyFailure) &&
 		op.Timeout-(now-c.began) > op.Objective/10
 	if again {
 		if next := f.pick(t.at.id); next != nil {
@@ -173,7 +173,7 @@
 }
 
 // count puts a try into the sums of its replica.
-func (t *try) count(o invariants.Outcome, m *http1.Message, now model.Micros) {
+func (t *try) count(o invariants.Outcome, m *http1.Message, now model.Microseconds) {
 	at, f := t.at, t.c.f
 	at.tries++
 	if o == invariants.Succeeded {
@@ -216,7 +216,7 @@
 	parser *http1.Parser
 	try    *try
 	gone   bool
-	idleAt model.Micros
+	idleAt model.Microseconds
 }
 
 // get finds an idle connection for a try, or dials a new one.
--- a/internal/standin/proxy/forwarder.go
+++ b/internal/standin/proxy/forwarder.go
@@ -30,7 +30,7 @@
 
 // Operation is what a forwarder knows of one.
 type Operation struct {
-	Objective, Timeout model.Micros
+	Objective, Timeout model.Microseconds
 }
 
 // Facts is what a forwarder is.
@@ -41,14 +41,14 @@
 	Rate        float64    // that it tells when it joins
 	Pick        Pick
 	Operations  []Operation
-	UsualWay    model.Way
+	UsualWay    model.RetryPolicy
 	FirstWait   float64 // of the objective
 	Ejects      int     // own failures in a row after which it avoids a replica; 0: never
-	EjectFor    model.Micros
-	Redial      model.Micros // at least, and up to three times that
-	ConnectFor  model.Micros
-	IdleFor     model.Micros
-	StallFor    model.Micros                                              // it stands still for so long for each line that it is sent
+	EjectFor    model.Microseconds
+	Redial      model.Microseconds // at least, and up to three times that
+	ConnectFor  model.Microseconds
+	IdleFor     model.Microseconds
+	StallFor    model.Microseconds                                        // it stands still for so long for each line that it is sent
 	Obeyed      func(f *Forwarder, governor string, m *pubsubmsg.Message) // told each message that it carries out; nil: nobody is
 	StreamsOnly bool                                                      // it carries no invocations: a listener for measuring the channel
 }
@@ -75,7 +75,7 @@
 	id       model.ReplicaID
 	out      int
 	failures int
-	avoid    model.Micros // until
+	avoid    model.Microseconds // until
 	idle     []*link
 	// since the last report
 	tries, errored int
@@ -88,7 +88,7 @@
 	Facts
 	Disobey Disobey
 	// SumsLate holds its sums back for so long.
-	SumsLate model.Micros
+	SumsLate model.Microseconds
 	// Cut keeps it from reaching a governor, by its name: a link that is down.
 	Cut     map[string]bool
 	loop    *standin.Loop
@@ -97,8 +97,8 @@
 	seen    func(invariants.Seen)
 	alive   bool
 	life    int
-	stalled model.Micros // until
-	waiting []func()     // what came while it stood still
+	stalled model.Microseconds // until
+	waiting []func()           // what came while it stood still
 
 	lines   []*line
 	shut    map[model.ReplicaID]bool
@@ -183,7 +183,7 @@
 }
 
 // Stall makes it stand still: what comes waits, what it should do waits.
-func (f *Forwarder) Stall(span model.Micros) {
+func (f *Forwarder) Stall(span model.Microseconds) {
 	until := max(f.stalled, f.loop.Now()) + span
 	f.stalled = until
 	f.loop.At(until, func() {
@@ -248,7 +248,7 @@
 }
 
 // level gives what is let in of an operation and how it is tried again; the newest order for it counts.
-func (f *Forwarder) level(op int) (share float64, way model.Way) {
+func (f *Forwarder) level(op int) (share float64, way model.RetryPolicy) {
 	share, way = 1, f.UsualWay
 	for _, l := range f.levels {
 		if l.Operations == 0 || l.Operations&(1<<op) != 0 {
@@ -256,10 +256,10 @@
 		}
 	}
 	if f.caution {
-		way = min(way, model.WhenUnrun)
+		way = min(way, model.RetryIfNotExecuted)
 	}
 	if f.Disobey.RepeatsAnything {
-		way = model.TwoMore
+		way = model.RetryTwiceOnAnyFailure
 	}
 	return share, way
 }
--- a/internal/standin/proxy/stream.go
+++ b/internal/standin/proxy/stream.go
@@ -25,14 +25,14 @@
 	replies  int // that came
 	joined   bool
 	ended    bool
-	period   model.Micros
+	period   model.Microseconds
 	reports  uint64
-	asked    model.Micros // a snapshot, at
-	early    []byte       // read before the join was answered
+	asked    model.Microseconds // a snapshot, at
+	early    []byte             // read before the join was answered
 }
 
 // dialIn dials the next governor after a while.
-func (f *Forwarder) dialIn(span model.Micros) {
+func (f *Forwarder) dialIn(span model.Microseconds) {
 	life := f.life
 	f.loop.After(span, func() {
 		if f.life != life || f.stream != nil && !f.stream.ended {
@@ -43,7 +43,7 @@
 }
 
 func (f *Forwarder) redial() {
-	f.dialIn(model.Micros(f.chance.Between(1, 3) * float64(max(f.Redial, model.Millisecond))))
+	f.dialIn(model.Microseconds(f.chance.Between(1, 3) * float64(max(f.Redial, model.Millisecond))))
 }
 
 func (f *Forwarder) dial() {
@@ -157,7 +157,7 @@
 		var wait int
 		if n, _ := fmt.Sscanf(v.Text, "LATER %d ", &wait); n == 1 && wait >= 0 && wait < 600_000 {
 			f.Deferred++
-			f.dialIn(model.Micros(wait) * model.Millisecond)
+			f.dialIn(model.Microseconds(wait) * model.Millisecond)
 			return
 		}
 		if n, _ := fmt.Sscanf(v.Text, "ENDING this governor ends: join another, or here again in %d ", &wait); n == 1 {
@@ -186,11 +186,11 @@
 			f.Joins++
 			for i := 0; i+1 < len(v.Items); i += 2 {
 				if v.Items[i].Text == "period" {
-					s.period = model.Micros(v.Items[i+1].Int)
+					s.period = model.Microseconds(v.Items[i+1].Int)
 				}
 			}
 			f.seen(invariants.Stream{At: f.loop.Now(), Forwarder: f.Name, Governor: s.governor.Name, Up: true})
-			f.loop.After(model.Micros(f.chance.Float()*float64(s.period)), s.report)
+			f.loop.After(model.Microseconds(f.chance.Float()*float64(s.period)), s.report)
 		}
 	case pubsubmsg.IsMessage(v):
 		if m, err := pubsubmsg.Parse(v); err == nil {
@@ -225,7 +225,7 @@
 		f.redial()
 		return
 	}
-	f.dialIn(model.Micros(milliseconds)*model.Millisecond + model.Micros(f.chance.Between(0, 2)*float64(max(f.Redial, model.Millisecond))))
+	f.dialIn(model.Microseconds(milliseconds)*model.Millisecond + model.Microseconds(f.chance.Between(0, 2)*float64(max(f.Redial, model.Millisecond))))
 }
 
 // message takes a table message: in order it is applied, an old one only acknowledged, and after a gap a snapshot is
@@ -259,7 +259,7 @@
 		f.Obeyed(f, s.governor.Name, m)
 	}
 	if f.StallFor > 0 {
-		f.Stall(f.StallFor * model.Micros(len(m.Lines)))
+		f.Stall(f.StallFor * model.Microseconds(len(m.Lines)))
 	}
 	f.run(func() { s.ack(m) })
 }
@@ -288,14 +288,14 @@
 			if t.tries == 0 {
 				continue
 			}
-			one := model.Sum{Replica: t.id, Tries: t.tries, Errored: t.errored, Report: t.report}
+			one := model.LoadReport{Replica: t.id, Attempts: t.tries, Errors: t.errored, Readings: t.report}
 			if good := t.tries - t.errored; good > 0 {
-				one.Latency = model.Micros(t.latency / float64(good))
+				one.MeanLatency = model.Microseconds(t.latency / float64(good))
 			}
 			sums.Of = append(sums.Of, one)
 			t.tries, t.errored, t.latency, t.report = 0, 0, 0, nil
 		}
-		slices.SortFunc(sums.Of, func(a, b model.Sum) int {
+		slices.SortFunc(sums.Of, func(a, b model.LoadReport) int {
 			return strings.Compare(pubsubmsg.Address(a.Replica), pubsubmsg.Address(b.Replica))
 		})
 		b := pubsubmsg.AppendSums(nil, sums)
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -54,10 +54,10 @@
 }
 func (h *holder) Left(model.ProxyID, uint64)            {}
 func (h *holder) Applied(model.ProxyID, uint64, uint32) {}
-func (h *holder) Heard(int, []model.Sum)                {}
+func (h *holder) Heard(int, []model.LoadReport)         {}
 
 // order publishes a table of both replicas, and how batch-log is tried again.
-func (h *holder) order(p model.ProxyID, way model.Way, replicas ...model.ReplicaID) {
+func (h *holder) order(p model.ProxyID, way model.RetryPolicy, replicas ...model.ReplicaID) {
 	b := &snapshot.Batch{Receipt: -1, At: 1}
 	for _, r := range replicas {
 		b.Orders = append(b.Orders, snapshot.Order{What: snapshot.Assign, Table: 1, Replica: r, Weight: 1})
@@ -82,7 +82,9 @@
 
 func newPair(t *testing.T) *pair {
 	began := time.Now()
-	now := func() model.Micros { return model.Second + model.Micros(time.Since(began)/time.Microsecond) }
+	now := func() model.Microseconds {
+		return model.Second + model.Microseconds(time.Since(began)/time.Microsecond)
+	}
 	p := &pair{t: t, loop: standin.NewLoop(now), tried: map[uint64]int{}, done: make(chan Result, 1)}
 	t.Cleanup(p.loop.Stop)
 	engine, err := NewEngine()
@@ -118,7 +120,7 @@
 			free.Close()
 			id := model.ReplicaID{Addr: [4]byte{127, 0, 0, 1}, Port: uint16(free.Addr().(*net.TCPAddr).Port)}
 			r := replica.New(p.loop, replica.Facts{ID: id, Zone: "govan", Bay: fmt.Sprint(n), Cores: 1, Speed: 1, Waiting: 10, Connections: 100, ColdShare: 1, TipFactor: 1000,
-				TipSpan: model.Second}, replica.NewBay(), []model.Micros{model.Second}, seen)
+				TipSpan: model.Second}, replica.NewBay(), []model.Microseconds{model.Second}, seen)
 			if err := r.Start(false); err != nil {
 				t.Error(err)
 				return
@@ -126,7 +128,7 @@
 			p.replicas, p.ids = append(p.replicas, r), append(p.ids, r.ID)
 		}
 		p.f = New(p.loop, engine, Facts{Name: "till", Zone: "govan", Rate: 1, Pick: Wheel, Operations: []Operation{{100 * model.Millisecond, 1600 * model.Millisecond}},
-			UsualWay: model.TwoMore, FirstWait: 5, Redial: 10 * model.Millisecond, ConnectFor: model.Second, IdleFor: model.Second,
+			UsualWay: model.RetryTwiceOnAnyFailure, FirstWait: 5, Redial: 10 * model.Millisecond, ConnectFor: model.Second, IdleFor: model.Second,
 			Governors: []Governor{{"a", p.a.Addr()}, {"b", p.b.Addr()}}}, 1, seen)
 		p.f.Start(nil)
 	})
@@ -164,7 +166,7 @@
 		for _, r := range p.replicas {
 			r.Silent = true
 		}
-		p.f.Invoke(&Invocation{Number: number, Work: 1000, Done: func(r Result, _ model.Micros) { p.done <- r }})
+		p.f.Invoke(&Invocation{Number: number, Work: 1000, Done: func(r Result, _ model.Microseconds) { p.done <- r }})
 	})
 	return number
 }
@@ -180,7 +182,7 @@
 // so; nor is any other until the new holder has ordered it.
 func TestATakeoverInTheMiddleOfRepeats(t *testing.T) {
 	p := newPair(t)
-	p.a.order(<-p.a.joined, model.TwoMore, p.ids...)
+	p.a.order(<-p.a.joined, model.RetryTwiceOnAnyFailure, p.ids...)
 	p.until("bound", func() bool { return p.f.Bound() && len(p.f.levels) == 1 })
 	if n := p.tries(p.invoke()); n != 3 {
 		t.Fatalf("under one holder it is sent %d times, 3 were ordered", n)
@@ -197,7 +199,7 @@
 	if n := p.tries(p.invoke()); n != 1 {
 		t.Errorf("before the new holder has ordered it is sent %d times", n)
 	}
-	p.b.order(moved, model.AnyFailure, p.ids...)
+	p.b.order(moved, model.RetryOnAnyFailure, p.ids...)
 	p.until("ordered", func() bool { return !p.f.caution && p.f.Joined() == "b" })
 	if n := p.tries(p.invoke()); n != 2 {
 		t.Errorf("once the new holder has ordered one repeat it is sent %d times", n)
@@ -209,10 +211,10 @@
 func TestAnOldHolderIsNotObeyed(t *testing.T) {
 	p := newPair(t)
 	proxy := <-p.a.joined
-	p.a.order(proxy, model.Never, p.ids[0])
+	p.a.order(proxy, model.RetryNever, p.ids[0])
 	p.until("bound", func() bool { return p.f.Bound() })
 	p.loop.Do(func() { p.f.epoch(7) }) // as another holder's word would
-	p.a.order(proxy, model.Never, p.ids[1])
+	p.a.order(proxy, model.RetryNever, p.ids[1])
 	p.until("not obeyed", func() bool { return p.f.Fenced == 1 })
 	p.loop.Do(func() {
 		if held := p.f.Holds(); len(held) != 1 || held[0].Replica != p.ids[0] {
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -27,17 +27,17 @@
 	ID        model.ReplicaID
 	Zone, Bay string
 	Kind      string
-	Started   model.Micros // 0: long ago
+	Started   model.Microseconds // 0: long ago
 	Draining  bool
 }
 
 // Trouble is what the list does wrong; several hold at once. The zero value is none.
 type Trouble struct {
-	Fails     bool         // answers 500 at once
-	Silent    bool         // takes calls and never answers
-	Half      bool         // ends the connection in the middle of a body
-	IndexBack bool         // gives an index far below the last one
-	Late      model.Micros // answers so much later
+	Fails     bool               // answers 500 at once
+	Silent    bool               // takes calls and never answers
+	Half      bool               // ends the connection in the middle of a body
+	IndexBack bool               // gives an index far below the last one
+	Late      model.Microseconds // answers so much later
 }
 
 // Registry runs on a loop; all its methods are to be called there, but for Close.
@@ -156,7 +156,7 @@
 	if d, err := time.ParseDuration(query.Get("wait")); err == nil && d > 0 {
 		wait = min(d, 10*time.Minute)
 	}
-	w.timer = r.loop.After(model.Micros(wait/time.Microsecond), func() {
+	w.timer = r.loop.After(model.Microseconds(wait/time.Microsecond), func() {
 		r.waiting = slices.DeleteFunc(r.waiting, func(o *waiter) bool { return o == w })
 		r.answer(w)
 	})
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -26,23 +26,23 @@
 	Waiting     int     // invocations in the waiting room
 	Connections int     // accepted at once
 	ColdShare   float64
-	ColdSpan    model.Micros
+	ColdSpan    model.Microseconds
 	TipFactor   float64 // sent so many times what it can do...
-	TipSpan     model.Micros
-	ReportEvery model.Micros // its load report is that old at most
-	Handshake   float64      // work of a new connection
+	TipSpan     model.Microseconds
+	ReportEvery model.Microseconds // its load report is that old at most
+	Handshake   float64            // work of a new connection
 }
 
 // Bay is a group of replicas that drop repeats of fingerprinted work among themselves for a while.
 type Bay struct {
-	ran map[string]model.Micros // fingerprint to when it was first taken
+	ran map[string]model.Microseconds // fingerprint to when it was first taken
 }
 
 // NewBay makes an empty one.
-func NewBay() *Bay { return &Bay{ran: map[string]model.Micros{}} }
+func NewBay() *Bay { return &Bay{ran: map[string]model.Microseconds{}} }
 
 // taken notes a fingerprint and tells whether it is a repeat within the window. What is old is forgotten in passing.
-func (b *Bay) taken(fingerprint string, now, window model.Micros) bool {
+func (b *Bay) taken(fingerprint string, now, window model.Microseconds) bool {
 	if len(b.ran) > 10_000 {
 		for f, at := range b.ran {
 			if now-at > window {
@@ -67,12 +67,12 @@
 	Lies     bool    // reports that it is idle
 	FailOps  map[int]bool
 
-	Started  model.Micros // 0: before the day, warm
+	Started  model.Microseconds // 0: before the day, warm
 	Up       bool
 	Tipped   bool
 	loop     *standin.Loop
 	bay      *Bay
-	windows  []model.Micros // by operation; 0: not fingerprinted
+	windows  []model.Microseconds // by operation; 0: not fingerprinted
 	seen     func(invariants.Seen)
 	engine   *netpoll.Engine
 	life     int // grows with each start and stop: what is left of an earlier one does nothing
@@ -82,12 +82,12 @@
 	recent   []arrival
 	busy     float64 // core microseconds used since reportAt
 	report   float64
-	reportAt model.Micros
+	reportAt model.Microseconds
 	Served   int
 }
 
 type arrival struct {
-	at   model.Micros
+	at   model.Microseconds
 	work float64
 }
 
@@ -100,7 +100,7 @@
 }
 
 // New makes a replica that is down. windows gives each operation's window in a bay, 0 where it has no fingerprint.
-func New(loop *standin.Loop, f Facts, bay *Bay, windows []model.Micros, seen func(invariants.Seen)) *Replica {
+func New(loop *standin.Loop, f Facts, bay *Bay, windows []model.Microseconds, seen func(invariants.Seen)) *Replica {
 	return &Replica{Facts: f, Slow: 1, loop: loop, bay: bay, windows: windows, seen: seen}
 }
 
@@ -167,7 +167,7 @@
 func (r *Replica) full() float64 { return float64(r.Cores) * r.Speed }
 
 // share is what it can do now of its full capacity.
-func (r *Replica) share(now model.Micros) float64 {
+func (r *Replica) share(now model.Microseconds) float64 {
 	if r.Started == 0 || now >= r.Started+r.ColdSpan {
 		return 1
 	}
@@ -222,7 +222,7 @@
 }
 
 // tips counts what came within the span against what it can do, and falls over for good where that is too much.
-func (r *Replica) tips(now model.Micros, work float64) bool {
+func (r *Replica) tips(now model.Microseconds, work float64) bool {
 	if r.share(now) >= 1 || r.TipFactor <= 0 {
 		return false
 	}
@@ -247,7 +247,7 @@
 		r.running++
 		life := r.life
 		takes := j.work / r.Speed / r.share(r.loop.Now()) * r.Slow
-		r.loop.After(model.Micros(takes), func() {
+		r.loop.After(model.Microseconds(takes), func() {
 			if r.life != life {
 				return
 			}
--- a/internal/statestore/fixture_test.go
+++ b/internal/statestore/fixture_test.go
@@ -37,14 +37,14 @@
 }
 
 // checkListing asserts the endpoint list of the fixtures, field by field.
-func checkListing(t *testing.T, list []model.Listing) {
+func checkListing(t *testing.T, list []model.Endpoint) {
 	t.Helper()
 	want := []struct {
 		address [4]byte
 		port    uint16
 		zone    int
-		life    model.Life
-		since   model.Micros
+		life    model.EndpointStatus
+		since   model.Microseconds
 	}{
 		{[4]byte{10, 1, 2, 3}, 8081, 1, 1, 1_700_000_000_000_001},
 		{[4]byte{10, 4, 5, 6}, 8082, 2, 2, 1_700_000_000_000_002},
@@ -54,7 +54,7 @@
 		t.Fatalf("%d entries, want %d: %+v", len(list), len(want), list)
 	}
 	for i, entry := range list {
-		if w := want[i]; entry.ID.Addr != w.address || entry.ID.Port != w.port || entry.Zone != w.zone || entry.Life != w.life || entry.Since != w.since {
+		if w := want[i]; entry.ID.Addr != w.address || entry.ID.Port != w.port || entry.Zone != w.zone || entry.Status != w.life || entry.StartedAt != w.since {
 			t.Errorf("entry %d is %+v, want %+v", i, entry, w)
 		}
 	}
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -56,13 +56,13 @@
 
 // Found is what opening found.
 type Found struct {
-	Life      uint64          // of this start, from 1
-	List      []model.Listing // the last whole list; nil if there is none to trust
-	Published []byte          // what was last published, by the writer's own format; nil if there is none to trust
-	Before    uint64          // the life that the folder told; 0 if it told none
-	Fresh     bool            // nothing was there
-	Older     int             // the form that was carried over; 0 if it was this one
-	Lost      []error         // what could not be trusted, each with its place
+	Life      uint64           // of this start, from 1
+	List      []model.Endpoint // the last whole list; nil if there is none to trust
+	Published []byte           // what was last published, by the writer's own format; nil if there is none to trust
+	Before    uint64           // the life that the folder told; 0 if it told none
+	Fresh     bool             // nothing was there
+	Older     int              // the form that was carried over; 0 if it was this one
+	Lost      []error          // what could not be trusted, each with its place
 }
 
 // Folder is an open state folder. Make it with Open and Close it.
@@ -298,8 +298,8 @@
 
 // Change is what one write puts down together.
 type Change struct {
-	List      []model.Listing // nil: as it was
-	Published []byte          // nil: as it was
+	List      []model.Endpoint // nil: as it was
+	Published []byte           // nil: as it was
 	Causes    []Record
 }
 
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -43,8 +43,8 @@
 	return f, found
 }
 
-func listing(port uint16) []model.Listing {
-	return []model.Listing{{ID: model.ReplicaID{Addr: [4]byte{127, 0, 0, 1}, Port: port}, Zone: 2, Life: model.Ready, Since: 5}}
+func listing(port uint16) []model.Endpoint {
+	return []model.Endpoint{{ID: model.ReplicaID{Addr: [4]byte{127, 0, 0, 1}, Port: port}, Zone: 2, Status: model.EndpointReady, StartedAt: 5}}
 }
 
 func records(life uint64, from, to int) (all []Record) {
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -46,9 +46,9 @@
 }
 
 // List puts a whole list down.
-func (w *Writer) List(entries []model.Listing) {
+func (w *Writer) List(entries []model.Endpoint) {
 	if entries == nil {
-		entries = []model.Listing{}
+		entries = []model.Endpoint{}
 	}
 	w.add(func(c *Change) { c.List = entries })
 }
