--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -17,7 +17,7 @@
 // instance is one governor with the orders that it has given in this batch.
 type instance struct {
 	number   uint16
-	governor *balancer.Governor
+	governor *balancer.Balancer
 	reply    *simulator.Reply
 	touched  bool
 }
@@ -83,7 +83,7 @@
 	for _, inst := range order {
 		_ = inst.guard(func() error {
 			if inst.governor != nil {
-				inst.governor.Settle(b.Clock)
+				inst.governor.Flush(b.Clock)
 			}
 			return nil
 		})
@@ -125,7 +125,7 @@
 	if e.Code() == simulator.CodeRosterChange {
 		scope, entries, err := e.RosterChange()
 		if err == nil && inst.governor != nil {
-			inst.governor.Listed(now, scope, entries)
+			inst.governor.EndpointsChanged(now, scope, entries)
 		}
 		return err
 	}
@@ -137,17 +137,17 @@
 	case simulator.CodeKill:
 		inst.governor = nil
 	case simulator.CodeBell:
-		g.Rang(now)
+		g.TimerFired(now)
 	case simulator.CodeDialledIn:
 		p, zone, usual := e.DialledIn()
-		g.Joined(now, p, zone, usual)
+		g.ProxyConnected(now, p, zone, usual)
 	case simulator.CodeDisconnected:
-		g.Left(now, e.Left())
+		g.ProxyDisconnected(now, e.Left())
 	case simulator.CodeTookEffect:
 		p, number := e.TookEffect()
-		g.Applied(now, p, number)
+		g.Acknowledged(now, p, number)
 	case simulator.CodeRoundup:
-		g.Heard(now, e.Roundup())
+		g.LoadReported(now, e.Roundup())
 	}
 	return nil
 }
--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -35,27 +35,27 @@
 const allHeard, windowOver, turn, atRisk, left input = 1, 2, 4, 8, 16
 const listed, started, drains, gone, failing, eased, rested, askAgain input = 1, 2, 4, 8, 16, 32, 64, 128
 
-var gateMoves = []move[*Governor]{
-	{shut, allHeard | windowOver, open, func(g, _ *Governor) { g.host.Log("gate open") }},
+var gateMoves = []move[*Balancer]{
+	{shut, allHeard | windowOver, open, func(g, _ *Balancer) { g.host.Log("gate open") }},
 }
 
 var replicaMoves = []move[*replica]{
-	{away | draining, listed, serving, (*Governor).settle},
-	{away | draining | easing | serving | resting, started, easing, (*Governor).ease},
-	{away | easing | serving | resting, drains, draining, (*Governor).settle},
-	{draining | easing | serving | resting, gone, away, (*Governor).settle},
-	{easing | serving, failing, resting, (*Governor).rest},
-	{easing, eased, serving, (*Governor).settle},
-	{resting, rested, easing, (*Governor).ease},
+	{away | draining, listed, serving, (*Balancer).settle},
+	{away | draining | easing | serving | resting, started, easing, (*Balancer).ease},
+	{away | easing | serving | resting, drains, draining, (*Balancer).settle},
+	{draining | easing | serving | resting, gone, away, (*Balancer).settle},
+	{easing | serving, failing, resting, (*Balancer).rest},
+	{easing, eased, serving, (*Balancer).settle},
+	{resting, rested, easing, (*Balancer).ease},
 }
 
 var proxyMoves = []move[*proxy]{
-	{loose, turn | atRisk, bound, (*Governor).bind},
-	{loose | bound, left, parted, (*Governor).forget},
+	{loose, turn | atRisk, bound, (*Balancer).bind},
+	{loose | bound, left, parted, (*Balancer).forget},
 }
 
-// Governor is one instance.
-type Governor struct {
+// Balancer is one instance.
+type Balancer struct {
 	terms                           model.Config
 	host                            model.Publisher
 	now, joinedAt                   model.Microseconds
@@ -83,11 +83,11 @@
 }
 
 // New makes a governor, subscribes it to the list and starts its gate's window.
-func New(t model.Config, host model.Publisher, now model.Microseconds) *Governor {
+func New(t model.Config, host model.Publisher, now model.Microseconds) *Balancer {
 	// The start window: a report is gathered in one period and comes in a second; a third serves replicas whose
 	// first line waits its turn. Who is unheard then stands in no table. The design's 10 s is the most.
 	window := min(3*t.ReportPeriod, 10*model.Second)
-	g := &Governor{terms: t, host: host, now: now, foldedAt: now, gate: shut, way: model.RetryIfNotExecuted,
+	g := &Balancer{terms: t, host: host, now: now, foldedAt: now, gate: shut, way: model.RetryIfNotExecuted,
 		byID: map[model.ReplicaID]*replica{}, byProxy: map[model.ProxyID]*proxy{},
 		told: make([]float64, len(t.Operations)), zones: make([][]*table, t.Zones),
 		costs: make([]int, 2*t.Zones)}
@@ -109,12 +109,12 @@
 }
 
 // beat is the one timer: five to a report, so that a round of binds takes about one report.
-func (g *Governor) beat() model.Microseconds {
+func (g *Balancer) beat() model.Microseconds {
 	return max(g.terms.ReportPeriod/5, 50*model.Millisecond)
 }
 
-// Listed takes news of the list. After a failure it asks again in a second: at once would add to the cause.
-func (g *Governor) Listed(now model.Microseconds, scope model.EndpointUpdate, entries []model.Endpoint) {
+// EndpointsChanged takes news of the list. After a failure it asks again in a second: at once would add to the cause.
+func (g *Balancer) EndpointsChanged(now model.Microseconds, scope model.EndpointUpdate, entries []model.Endpoint) {
 	g.now = now
 	if scope == model.PollFailed {
 		g.after(model.Second, dueTime{on: askAgain})
@@ -153,7 +153,7 @@
 var inputNames = map[input]string{listed: "listed", started: "started", drains: "drains", gone: "gone",
 	failing: "failing", eased: "eased", rested: "rested"}
 
-func (g *Governor) tell(r *replica, on input) {
+func (g *Balancer) tell(r *replica, on input) {
 	from := r.state
 	apply(g, replicaMoves, &r.state, on, r)
 	// Whoever was out here, or started lately, may have been shut out by other governors too.
@@ -167,11 +167,11 @@
 // easeSpan is the design's default: a newly started replica reaches its full part after it.
 const easeSpan = 30 * model.Second
 
-func (g *Governor) settle(r *replica) { r.stamp, r.rests = r.stamp+1, 0 }
+func (g *Balancer) settle(r *replica) { r.stamp, r.rests = r.stamp+1, 0 }
 
 // ease starts a replica at a quarter, knowing nothing of it. It may stand in our tables at full weight. The 30 s
 // run from its start, if that is why: a governor that starts amid a release would hold all for equally young.
-func (g *Governor) ease(r *replica) {
+func (g *Balancer) ease(r *replica) {
 	r.stamp, r.back = r.stamp+1, r.all.span > 0
 	if r.easedAt = g.now; r.rests == 0 && g.now-r.since < easeSpan {
 		r.easedAt = r.since
@@ -184,14 +184,14 @@
 }
 
 // rest withdraws a replica. Eight seconds outlast most silences short of a restart; further rests double.
-func (g *Governor) rest(r *replica) {
+func (g *Balancer) rest(r *replica) {
 	r.stamp++
 	g.after(8*model.Second<<min(r.rests, 2), dueTime{on: rested, r: r, stamp: r.stamp})
 	r.rests++
 }
 
 // part is the share of its full weight that a replica may have now.
-func (g *Governor) part(r *replica) float64 {
+func (g *Balancer) part(r *replica) float64 {
 	if r.state != easing {
 		return 1
 	}
@@ -203,7 +203,7 @@
 
 // out tells whether a replica is shut out everywhere: a cold one while the gate is shut, as untold tables
 // hold it in full, and in a table near a jam, or of one proxy, whose run no sum tells, unless half is new.
-func (g *Governor) out(r *replica) bool {
+func (g *Balancer) out(r *replica) bool {
 	// The younger it is the less a run may bring: the level falls to 0.64 at its start. From 0.58 and 0.45 no
 	// more of the broken days are kept, and releases beside errors lose far more.
 	young := 1 - min(1, float64(g.now-r.since)/float64(max(g.terms.WarmUpPeriod, 1)))
@@ -212,35 +212,35 @@
 	return !r.in() || g.cold(r) && (g.gate == shut || g.terms.ProxiesAvoidFailing && jam && g.colds < 0.5)
 }
 
-func (g *Governor) cold(r *replica) bool {
+func (g *Balancer) cold(r *replica) bool {
 	return r.state == easing && g.now-r.since < g.terms.WarmUpPeriod
 }
 
-// Joined takes a proxy whose stream is established. It may hold old withdrawals, and not know ours.
-func (g *Governor) Joined(now model.Microseconds, id model.ProxyID, zone int, usual float64) {
-	g.Left(now, id)
+// ProxyConnected takes a proxy whose stream is established. It may hold old withdrawals, and not know ours.
+func (g *Balancer) ProxyConnected(now model.Microseconds, id model.ProxyID, zone int, usual float64) {
+	g.ProxyDisconnected(now, id)
 	p := &proxy{id: id, zone: zone % g.terms.Zones, usual: usual, state: loose}
 	g.byProxy[id], g.proxies, g.changed, g.joinedAt = p, append(g.proxies, p), true, now
 }
 
-// Left takes the end of a proxy's stream; what it had not acknowledged is lost.
-func (g *Governor) Left(now model.Microseconds, id model.ProxyID) {
+// ProxyDisconnected takes the end of a proxy's stream; what it had not acknowledged is lost.
+func (g *Balancer) ProxyDisconnected(now model.Microseconds, id model.ProxyID) {
 	g.now = now
 	if p := g.byProxy[id]; p != nil {
 		apply(g, proxyMoves, &p.state, left, p)
 	}
 }
 
-// Applied takes a receipt; it covers every earlier message too.
-func (g *Governor) Applied(now model.Microseconds, id model.ProxyID, number uint32) {
+// Acknowledged takes a receipt; it covers every earlier message too.
+func (g *Balancer) Acknowledged(now model.Microseconds, id model.ProxyID, number uint32) {
 	g.now = now
 	if p := g.byProxy[id]; p != nil {
 		g.acknowledge(p, 1+slices.IndexFunc(p.unacked, func(m message) bool { return m.number == int(number) }))
 	}
 }
 
-// Heard takes what a zone's proxies met at a replica. Figures that contradict themselves are dropped.
-func (g *Governor) Heard(now model.Microseconds, s model.LoadReport) {
+// LoadReported takes what a zone's proxies met at a replica. Figures that contradict themselves are dropped.
+func (g *Balancer) LoadReported(now model.Microseconds, s model.LoadReport) {
 	g.now = now
 	r := g.byID[s.Replica]
 	if r == nil || s.Attempts <= 0 || s.Window <= 0 || s.Errors < 0 || s.Errors > s.Attempts || s.MeanLatency < 0 {
@@ -257,8 +257,8 @@
 	g.came += float64(s.Attempts)
 }
 
-// Rang takes the one timer.
-func (g *Governor) Rang(now model.Microseconds) {
+// TimerFired takes the one timer.
+func (g *Balancer) TimerFired(now model.Microseconds) {
 	g.now, g.beaten = now, true
 	g.host.SetTimer(g.beat())
 	for len(g.due) > 0 && g.due[0].at <= now {
@@ -282,7 +282,7 @@
 // learn folds in what reports brought, over about ten. A line may cover several periods: rates go by the time
 // since the last. Stress is the time of good tries over the objective, more with errors, at the median
 // replica; or, where reported, the busy cores at the median, or of all over the room of those that stay in.
-func (g *Governor) learn() {
+func (g *Balancer) learn() {
 	waiting, work, room := false, 0.0, 0.0
 	var paces, busy []float64
 	for _, r := range g.replicas {
@@ -338,7 +338,7 @@
 
 // admit lets the cheapest operation in less while the fleet is short, and more again once it is calm. It
 // covers any shortage, whatever made it; it hurts if replicas are slow by nature yet not full.
-func (g *Governor) admit() {
+func (g *Balancer) admit() {
 	// Some of each operation stays, to see its speed. A step shows in sums a second or two later: the next cut
 	// waits for that, the next rise half as long.
 	const floor, pause = 0.1, 2 * model.Second
@@ -368,7 +368,7 @@
 
 // sendLevels orders the shares, and one way for all: a further try on proof that the first never ran, safe
 // for every effect and table; none while the fleet is short or a quarter new, as tries turned away treble.
-func (g *Governor) sendLevels() {
+func (g *Balancer) sendLevels() {
 	copy(g.told, g.shares)
 	for i, s := range g.shares {
 		g.host.SetQuota(1<<i, s, g.way)
@@ -377,7 +377,7 @@
 
 // judge tells replicas that answer nothing: first errors, then no lines. Late sums leave all quiet and
 // overload errs alike, so each is judged beside the others; with a third out the rest stay in.
-func (g *Governor) judge() {
+func (g *Balancer) judge() {
 	all, ages := sums{}, []float64{}
 	for _, r := range g.replicas {
 		if r.in() && r.due > 0 {
@@ -413,7 +413,7 @@
 }
 
 // prior is a line's weight before anything is learnt of the replica's speed.
-func (g *Governor) prior(l *line) float64 {
+func (g *Balancer) prior(l *line) float64 {
 	if !l.r.member() {
 		return 0
 	} else if l.r.zone == l.t.zone {
@@ -425,7 +425,7 @@
 // weigh works out what replicas can take by the design: served rate times the fleet's mean latency over the
 // replica's own, the unheard as average. The rate counts beside what the priors of its lines are due, and by
 // the root, or a weight would feed on the traffic that it drew; the little heard leans to the average.
-func (g *Governor) weigh() {
+func (g *Balancer) weigh() {
 	all, usual := sums{}, 0.0
 	g.rate = 0
 	for _, r := range g.replicas {
@@ -489,7 +489,7 @@
 // lay makes a zone's tables. A line costs connections, handshakes and orders: it is wanted for a try each 2.5
 // s, or more where orders are dear, up to a quarter of the connections of the smallest replica. Eight at
 // least, to lose a few, and so many that eighteen proxies feed each replica, to even them out; 2/3 near.
-func (g *Governor) lay(list int) {
+func (g *Balancer) lay(list int) {
 	usual, n, proxies := 0.0, float64(len(g.replicas)), float64(max(g.terms.ProxyCount, 1))
 	for _, p := range g.proxies {
 		usual += p.usual / float64(len(g.proxies))
@@ -517,7 +517,7 @@
 // fill gives a zone's shortest table one more line, until all have enough and each near replica is in one.
 // Tables for operations that stay in the zone have near ones only.
 // Those with the fewest lines in the zone come first, near ones before others, then the fewest in all.
-func (g *Governor) fill(list int) {
+func (g *Balancer) fill(list int) {
 	zone := list % g.terms.Zones
 	here := func(l *line) bool { return l.t.list == list }
 	unplaced := func(r *replica) bool { return r.zone == zone && r.in() && !slices.ContainsFunc(r.lines, here) }
@@ -561,8 +561,8 @@
 // urgent is the share of the backlog that may be filled by what can't be put off.
 const urgent = 0.9
 
-// Settle sends what this moment calls for.
-func (g *Governor) Settle(now model.Microseconds) {
+// Flush sends what this moment calls for.
+func (g *Balancer) Flush(now model.Microseconds) {
 	g.now = now
 	if g.beaten || g.changed {
 		g.weighQueue()
@@ -587,7 +587,7 @@
 
 // weighQueue counts lines again for each second beyond the first that they wait for their answer: a channel
 // that turned slow keeps what was written then, and what drains must not wait behind weights.
-func (g *Governor) weighQueue() {
+func (g *Balancer) weighQueue() {
 	g.aged = 0
 	for _, p := range g.proxies {
 		for _, m := range p.unacked {
@@ -598,7 +598,7 @@
 
 // pay books lines for some proxies if they may be ordered now. The channel may be slower than told: all that
 // is not acknowledged is queued, by its age too. Spare messages are kept for what is more urgent.
-func (g *Governor) pay(proxies []*proxy, lines int, most float64, spare int) bool {
+func (g *Balancer) pay(proxies []*proxy, lines int, most float64, spare int) bool {
 	head, total, waits := g.terms.MessageOverhead+1+len(g.shares), g.unacked, 0
 	if most < urgent {
 		waits = g.aged
@@ -628,7 +628,7 @@
 
 // shutOut orders replicas out, or back in, if that fits all proxies that hold a line to one. What is charged
 // must be answered, or the ledger fills up: while a proxy is on untold tables, all answer.
-func (g *Governor) shutOut(out bool, most float64, spare int, replicas ...*replica) bool {
+func (g *Balancer) shutOut(out bool, most float64, spare int, replicas ...*replica) bool {
 	holders := g.proxies
 	if g.loose == 0 {
 		holders = nil
@@ -656,7 +656,7 @@
 // a proxy is on untold tables each message goes to all, and its head is most of it: one a replica would keep
 // the queue full of heads (many proxies come over from a lost governor while replicas are lost too). So what
 // waits leaves together, what nobody was told of first, and binds and weights hold back until it has left.
-func (g *Governor) withdraw() {
+func (g *Balancer) withdraw() {
 	none := make([]bool, g.terms.Zones) // nothing is left in, of all or for operations that stay in a zone
 	for zone := range none {
 		none[zone] = !slices.ContainsFunc(g.replicas, func(r *replica) bool {
@@ -712,7 +712,7 @@
 
 // takeOut takes lines that proxies must not pick out of the tables while binds carry the withdrawals: who is bound
 // already is told so, and a bind has less to tell. Binds come first: who is loose has waited longer.
-func (g *Governor) takeOut() {
+func (g *Balancer) takeOut() {
 	for _, t := range g.tables {
 		if g.rush {
 			g.order(t, urgent, 1, func(l *line) bool { return l.weight > 0 && !l.r.member() })
@@ -721,7 +721,7 @@
 }
 
 // bindTurn binds a fifth of the proxies a beat once the gate is open; before that only one that may be bare.
-func (g *Governor) bindTurn() {
+func (g *Balancer) bindTurn() {
 	quota, risk := 1+len(g.proxies)/5, make([]bool, g.terms.Zones)
 	for zone := range risk {
 		risk[zone] = g.gate == shut && g.bare(zone)
@@ -744,7 +744,7 @@
 
 // bindCost is what a bind in a zone costs beyond its head at most: each line of a table, and as much for each whose
 // replica is out or told back: in a rush only of those that others may have shut out, as far as known here.
-func (g *Governor) bindCost(zone int, rush bool) (cost int) {
+func (g *Balancer) bindCost(zone int, rush bool) (cost int) {
 	known := &g.costs[zone]
 	if rush {
 		known = &g.costs[zone+g.terms.Zones]
@@ -775,7 +775,7 @@
 }
 
 // bare tells whether withdrawals may have emptied a standing table: few lines, of its zone if it has three.
-func (g *Governor) bare(zone int) bool {
+func (g *Balancer) bare(zone int) bool {
 	near := func(r *replica) bool { return r.zone == zone }
 	if g.count(near) < 3 {
 		near = func(*replica) bool { return true }
@@ -785,7 +785,7 @@
 }
 
 // bind puts a proxy on a table of its zone, and for operations that stay there on one more, if not all do.
-func (g *Governor) bind(p *proxy) {
+func (g *Balancer) bind(p *proxy) {
 	if len(g.zones) == g.terms.Zones {
 		g.put(p, p.zone, 0)
 		return
@@ -795,7 +795,7 @@
 }
 
 // put binds a proxy to that of a list's tables that has the least traffic for its open lines.
-func (g *Governor) put(p *proxy, list int, operations uint16) {
+func (g *Balancer) put(p *proxy, list int, operations uint16) {
 	if g.zones[list] == nil {
 		g.lay(list)
 	}
@@ -812,7 +812,7 @@
 }
 
 // order sends the asked lines that change, if they fit; none new to what is out: its withdrawal missed it.
-func (g *Governor) order(t *table, most float64, spare int, asked func(*line) bool) bool {
+func (g *Balancer) order(t *table, most float64, spare int, asked func(*line) bool) bool {
 	var lines []*line
 	for _, l := range t.lines {
 		l.next = g.prior(l) * l.r.draws
@@ -847,7 +847,7 @@
 
 // solve moves the weights once a report, within half of the messages that a proxy may get. Tables take turns:
 // the one that finds no room is the first next time. New quarters leave at once, as do lines where few are.
-func (g *Governor) solve() {
+func (g *Balancer) solve() {
 	span := g.terms.ReportPeriod
 	if g.terms.MessageLimit > 0 {
 		span = max(span, 2*g.terms.MessageWindow/model.Microseconds(g.terms.MessageLimit))
--- a/internal/balancer/decide_test.go
+++ b/internal/balancer/decide_test.go
@@ -47,7 +47,7 @@
 		for k := 1; k <= 3; k++ {
 			entries = append(entries, model.Endpoint{ID: id(k), Status: model.EndpointDraining})
 		}
-		h.g.Listed(h.now, model.ChangedEntries, entries)
+		h.g.EndpointsChanged(h.now, model.ChangedEntries, entries)
 		h.settle()
 		failIf(t, len(h.bound) != 0, "three out of standing tables of four leave a line")
 		h.drain(4)
@@ -97,13 +97,13 @@
 		failIf(t, !h.out[id(2)], "never said to the proxy that joined")
 	})
 	t.Run("absent from a whole list is gone", func(t *testing.T) {
-		h.g.Listed(h.now, model.FullList, []model.Endpoint{ready(1, 0), ready(4, 0)})
+		h.g.EndpointsChanged(h.now, model.FullList, []model.Endpoint{ready(1, 0), ready(4, 0)})
 		h.settle()
 		failIf(t, !h.out[id(3)] || h.out[id(4)], "out %v", h.out)
 	})
 	t.Run("a failed list keeps what was known and is asked again", func(t *testing.T) {
 		asked := h.follows
-		h.g.Listed(h.now, model.PollFailed, nil)
+		h.g.EndpointsChanged(h.now, model.PollFailed, nil)
 		h.run(1, nil)
 		failIf(t, h.follows != asked+1 || h.out[id(4)], "asked %d times, out %v", h.follows-asked, h.out)
 	})
@@ -179,7 +179,7 @@
 func TestOneProxy(t *testing.T) {
 	// Found by the hunt for broken rules: a table's one heavy proxy ran to its cold replicas within a second.
 	h := begin(t, 8, nil)
-	h.g.Left(h.now, 2)
+	h.g.ProxyDisconnected(h.now, 2)
 	h.run(5, h.all(8))
 	h.change(model.EndpointReady, h.now-1, 1)
 	h.settle()
@@ -216,7 +216,7 @@
 		h.acks = false
 		h.run(12, h.all(8))
 		for k := range 8 {
-			h.g.Listed(h.now, model.ChangedEntries, []model.Endpoint{{ID: id(k + 1), Status: model.EndpointDraining}, ready(20+k, 0)})
+			h.g.EndpointsChanged(h.now, model.ChangedEntries, []model.Endpoint{{ID: id(k + 1), Status: model.EndpointDraining}, ready(20+k, 0)})
 			h.run(1, h.all(8))
 		}
 		failIf(t, h.g.unacked > 300, "%d lines wait", h.g.unacked)
@@ -237,8 +237,8 @@
 		h := begin(t, 8, nil)
 		h.acks = false
 		h.run(12, h.all(8))
-		h.g.Left(h.now, 1)
-		h.g.Left(h.now, 2)
+		h.g.ProxyDisconnected(h.now, 1)
+		h.g.ProxyDisconnected(h.now, 2)
 		failIf(t, h.g.unacked != 0, "%d lines are held for nobody", h.g.unacked)
 	})
 }
@@ -261,7 +261,7 @@
 	t.Run("only proxies that hold a line are charged for its withdrawal", func(t *testing.T) {
 		// Found with it: lines charged to proxies that no message reached were never acknowledged.
 		h := warm(t, 8, nil)
-		h.g.Listed(h.now, model.ChangedEntries, []model.Endpoint{ready(20, 0)})
+		h.g.EndpointsChanged(h.now, model.ChangedEntries, []model.Endpoint{ready(20, 0)})
 		h.gone(20)
 		failIf(t, h.g.unacked != 0, "%d lines wait for an answer that nobody owes", h.g.unacked)
 	})
@@ -308,10 +308,10 @@
 		for k := range 144 {
 			more = append(more, model.Endpoint{ID: id(49 + k), Status: model.EndpointReady, StartedAt: h.now - model.Second})
 		}
-		h.g.Listed(h.now, model.ChangedEntries, more)
+		h.g.EndpointsChanged(h.now, model.ChangedEntries, more)
 		h.run(6, h.all(192))
 		failIf(t, h.weights[id(150)]+h.weights[id(151)]+h.weights[id(152)] == 0, "new replicas have no lines")
-		h.g.Listed(h.now, model.FullList, more[:3])
+		h.g.EndpointsChanged(h.now, model.FullList, more[:3])
 		h.run(2, h.all(52))
 		for _, tab := range h.g.tables {
 			failIf(t, tab.open() < 3, "%d open lines", tab.open())
@@ -329,7 +329,7 @@
 		h.run(6, h.all(200))
 		failIf(t, h.g.unacked > 900, "%d lines wait", h.g.unacked)
 		for p := 1; p <= 400; p++ {
-			h.g.Left(h.now, model.ProxyID(p))
+			h.g.ProxyDisconnected(h.now, model.ProxyID(p))
 		}
 		h.run(2, nil)
 		failIf(t, h.g.unacked != 0, "%d lines are held for nobody", h.g.unacked)
@@ -344,7 +344,7 @@
 				entries[k-1].StartedAt = h.now
 			}
 		}
-		h.g.Listed(h.now, model.FullList, entries)
+		h.g.EndpointsChanged(h.now, model.FullList, entries)
 		h.run(5, h.all(24))
 		failIf(t, h.weights[id(9)] < 2.5*h.weights[id(2)], "far %v, near and cold %v", h.weights[id(9)], h.weights[id(2)])
 	})
@@ -353,7 +353,7 @@
 		k := 0
 		h.run(20, func() {
 			for range 12 {
-				h.g.Heard(h.now, model.LoadReport{Replica: id(1 + k%48), Attempts: 40, MeanLatency: 100 * model.Millisecond,
+				h.g.LoadReported(h.now, model.LoadReport{Replica: id(1 + k%48), Attempts: 40, MeanLatency: 100 * model.Millisecond,
 					Window: 4 * model.Second})
 				k++
 			}
@@ -442,7 +442,7 @@
 	})
 	t.Run("near replicas come first while calm, but not where they are slower", func(t *testing.T) {
 		h := begin(t, 6, nil)
-		h.g.Listed(h.now, model.FullList, []model.Endpoint{ready(1, 0), ready(2, 0), ready(3, 0), ready(4, 1), ready(5, 1),
+		h.g.EndpointsChanged(h.now, model.FullList, []model.Endpoint{ready(1, 0), ready(2, 0), ready(3, 0), ready(4, 1), ready(5, 1),
 			ready(6, 1)})
 		h.run(12, h.all(6))
 		calm := h.weights[id(4)]
@@ -506,16 +506,16 @@
 
 func TestContradictions(t *testing.T) {
 	for name, do := range map[string]func(h *fakeHost){
-		"no listed replica": func(h *fakeHost) { h.g.Listed(h.now, model.FullList, nil) },
+		"no listed replica": func(h *fakeHost) { h.g.EndpointsChanged(h.now, model.FullList, nil) },
 		"all draining": func(h *fakeHost) {
 			for k := range 6 {
 				h.drain(k + 1)
 			}
 		},
 		"an empty zone and a zone beyond the settings": func(h *fakeHost) {
-			h.g.Joined(h.now, 8, 1, 10)
-			h.g.Joined(h.now, 9, 77, 10)
-			h.g.Listed(h.now, model.ChangedEntries, []model.Endpoint{ready(9, 55)})
+			h.g.ProxyConnected(h.now, 8, 1, 10)
+			h.g.ProxyConnected(h.now, 9, 77, 10)
+			h.g.EndpointsChanged(h.now, model.ChangedEntries, []model.Endpoint{ready(9, 55)})
 		},
 		"sums that contradict themselves": func(h *fakeHost) {
 			for _, s := range []model.LoadReport{{Replica: id(1), Attempts: 5}, {Replica: id(1), Attempts: 5, Window: -1},
@@ -524,13 +524,13 @@
 				{Replica: id(1), Zone: 9, Attempts: 2, Window: 1}, {Replica: id(99), Attempts: 2, Window: 1},
 				{Replica: id(1), Attempts: 2, Window: 1, Readings: []float64{math.NaN()}},
 				{Replica: id(1), Attempts: 2, Window: 1, Readings: []float64{math.Inf(1)}}, {Replica: id(1), Attempts: 2, Window: 1}} {
-				h.g.Heard(h.now, s)
+				h.g.LoadReported(h.now, s)
 			}
 		},
 		"proxies and receipts not known": func(h *fakeHost) {
-			h.g.Left(h.now, 77)
-			h.g.Applied(h.now, 77, 1)
-			h.g.Applied(h.now, 1, 60000)
+			h.g.ProxyDisconnected(h.now, 77)
+			h.g.Acknowledged(h.now, 77, 1)
+			h.g.Acknowledged(h.now, 1, 60000)
 			h.join(1)
 		},
 	} {
@@ -550,7 +550,7 @@
 	for range 5 {
 		h := begin(t, 12, nil)
 		h.run(15, h.all(12))
-		h.g.Listed(h.now, model.FullList, []model.Endpoint{ready(3, 0), ready(5, 0), ready(20, 1)})
+		h.g.EndpointsChanged(h.now, model.FullList, []model.Endpoint{ready(3, 0), ready(5, 0), ready(20, 1)})
 		h.run(5, h.all(5))
 		if first == nil {
 			first = h.orders
@@ -632,7 +632,7 @@
 
 // nullHost carries nothing out and acknowledges at once: what is left is the step.
 type nullHost struct {
-	g      *Governor
+	g      *Balancer
 	now    model.Microseconds
 	joined []model.ProxyID
 	due    uint32
@@ -665,25 +665,25 @@
 				for k := range size[1] {
 					entries = append(entries, model.Endpoint{ID: id2(k + 1), Zone: k % 4, Status: model.EndpointReady})
 				}
-				h.g.Listed(h.now, model.CachedList, entries)
+				h.g.EndpointsChanged(h.now, model.CachedList, entries)
 				for p := range size[0] {
 					h.joined = append(h.joined, model.ProxyID(p))
-					h.g.Joined(h.now, model.ProxyID(p), p%4, 5)
+					h.g.ProxyConnected(h.now, model.ProxyID(p), p%4, 5)
 				}
 				for k := range 500 {
 					h.now += 200 * model.Millisecond
 					began := time.Now()
 					if k%5 == 0 {
 						for n, e := range entries {
-							h.g.Heard(h.now, model.LoadReport{Replica: e.ID, Attempts: 25, MeanLatency: model.Microseconds(100+(n*7+k)%40) * model.Millisecond, Window: model.Second})
+							h.g.LoadReported(h.now, model.LoadReport{Replica: e.ID, Attempts: 25, MeanLatency: model.Microseconds(100+(n*7+k)%40) * model.Millisecond, Window: model.Second})
 						}
 					}
-					h.g.Rang(h.now)
-					h.g.Settle(h.now)
+					h.g.TimerFired(h.now)
+					h.g.Flush(h.now)
 					times = append(times, time.Since(began))
 					if h.asked {
 						for _, p := range h.joined {
-							h.g.Applied(h.now, p, h.due)
+							h.g.Acknowledged(h.now, p, h.due)
 						}
 						h.asked = false
 					}
@@ -706,7 +706,7 @@
 	for own, keys := range map[uint16][]uint16{0: {0}, 2: {1, 2}, 3: {0}} {
 		h := begin(t, 4, func(x *model.Config) { x.ZoneLocalOperations, x.MinReplicaConnections, x.ProxyCount = own, 200, 2 })
 		for n := 5; n <= 8; n++ {
-			h.g.Listed(h.now, model.ChangedEntries, []model.Endpoint{ready(n, 1)})
+			h.g.EndpointsChanged(h.now, model.ChangedEntries, []model.Endpoint{ready(n, 1)})
 		}
 		h.run(12, h.all(8))
 		for _, p := range h.joined {
@@ -739,7 +739,7 @@
 func TestAZoneOfItsOwnIsNotLeftBare(t *testing.T) {
 	h := begin(t, 2, func(x *model.Config) { x.ZoneLocalOperations, x.MinReplicaConnections, x.ProxyCount = 2, 200, 2 })
 	for n := 3; n <= 12; n++ {
-		h.g.Listed(h.now, model.ChangedEntries, []model.Endpoint{ready(n, 1)})
+		h.g.EndpointsChanged(h.now, model.ChangedEntries, []model.Endpoint{ready(n, 1)})
 	}
 	h.run(12, h.all(12))
 	failing := func() {
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -56,7 +56,7 @@
 	t        *testing.T
 	plan     scenario
 	random   *rand.Rand
-	balancer *balancer.Governor
+	balancer *balancer.Balancer
 	now      model.Microseconds
 	ring     model.Microseconds // when the timer fires next, as ordered by Wake
 	beat     int
@@ -201,11 +201,11 @@
 func viewText(t *testing.T, v *balancer.View) (lines []string) {
 	t.Helper()
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	add("fleet %t %s %s %s %d %d", v.Open, bits(v.Stress), bits(v.Pace), bits(v.Colds), v.Unacked, int(v.Way))
-	for _, r := range v.Waits {
+	add("fleet %t %s %s %s %d %d", v.SafeModeEnded, bits(v.Saturation), bits(v.NormalizedLatency), bits(v.WarmingFraction), v.UnackedEntries, int(v.RetryPolicy))
+	for _, r := range v.UnreportedReplicas {
 		add("waits %s", replicaText(r))
 	}
-	for _, s := range v.Shares {
+	for _, s := range v.Quotas {
 		add("share %s", bits(s))
 	}
 	for _, r := range v.Replicas {
@@ -213,19 +213,19 @@
 		if !known {
 			t.Fatalf("the state %q is not in stateCodes", r.State)
 		}
-		add("replica %s %d %d %t %t", replicaText(r.ID), r.Zone, code, r.Out, r.Cold)
-		add("times %d %d %d %d %d", int64(r.OutAt), int64(r.HeardAt), int64(r.BusyAt), int64(r.Since), int64(r.EasedAt))
-		add("figures %s %s %s %s %s", bits(r.Busy), bits(r.Pace), bits(r.Part), bits(r.Rate), bits(r.Errors))
-		add("counts %d %d", r.Lines, r.Rests)
+		add("replica %s %d %d %t %t", replicaText(r.ID), r.Zone, code, r.Withdrawn, r.WarmingUp)
+		add("times %d %d %d %d %d", int64(r.WithdrawnAt), int64(r.ReportedAt), int64(r.UtilizationAt), int64(r.StartedAt), int64(r.SlowStartAt))
+		add("figures %s %s %s %s %s", bits(r.Utilization), bits(r.NormalizedLatency), bits(r.SlowStartFactor), bits(r.RequestRate), bits(r.ErrorRate))
+		add("counts %d %d", r.Entries, r.Ejections)
 	}
 	for _, table := range v.Tables {
-		add("table %d %d %s %d", int(table.ID), table.Zone, bits(table.Usual), table.Users)
-		for _, l := range table.Lines {
+		add("table %d %d %s %d", int(table.ID), table.Zone, bits(table.ExpectedRate), table.Proxies)
+		for _, l := range table.Entries {
 			add("line %s %s", replicaText(l.Replica), bits(l.Weight))
 		}
 	}
 	for _, p := range v.Proxies {
-		add("proxy %d %d %s %d %d %d", int(p.ID), p.Zone, bits(p.Usual), p.Table, p.Unacked, int64(p.Oldest))
+		add("proxy %d %d %s %d %d %d", int(p.ID), p.Zone, bits(p.ExpectedRate), p.Table, p.UnackedMessages, int64(p.OldestUnackedAt))
 	}
 	return lines
 }
@@ -308,11 +308,11 @@
 	if tr.beat%5 == 0 {
 		tr.report()
 	}
-	tr.step("timer", func() { tr.balancer.Rang(tr.now) })
+	tr.step("timer", func() { tr.balancer.TimerFired(tr.now) })
 	tr.settle()
 }
 
-func (tr *trace) settle() { tr.step("settle", func() { tr.balancer.Settle(tr.now) }) }
+func (tr *trace) settle() { tr.step("settle", func() { tr.balancer.Flush(tr.now) }) }
 
 func (tr *trace) answerFollow() {
 	if tr.follows && tr.random.Float64() < 0.5 {
@@ -337,7 +337,7 @@
 	tr.step(fmt.Sprintf("acks %d", len(due)), func() {
 		for _, a := range due {
 			tr.note("ack %d %d", int(a.proxy), a.number)
-			tr.balancer.Applied(tr.now, a.proxy, a.number)
+			tr.balancer.Acknowledged(tr.now, a.proxy, a.number)
 		}
 	})
 }
@@ -349,7 +349,7 @@
 			entries = append(entries, model.Endpoint{ID: r.id, Zone: r.zone, Status: r.life, StartedAt: r.since})
 		}
 	}
-	tr.step(fmt.Sprintf("list %s %d", name, len(entries)), func() { tr.balancer.Listed(tr.now, scope, entries) })
+	tr.step(fmt.Sprintf("list %s %d", name, len(entries)), func() { tr.balancer.EndpointsChanged(tr.now, scope, entries) })
 }
 
 // change gives some replicas a new life and tells of it; a ready one is restarted where restart is set.
@@ -415,7 +415,7 @@
 			usual := tr.plan.usual * (0.5 + tr.random.Float64())
 			tr.note("join %d %d %s", int(p.id), p.zone, bits(usual))
 			p.joined = true
-			tr.balancer.Joined(tr.now, p.id, p.zone, usual)
+			tr.balancer.ProxyConnected(tr.now, p.id, p.zone, usual)
 		}
 	})
 }
@@ -425,7 +425,7 @@
 		for _, p := range proxies {
 			tr.note("leave %d", int(p.id))
 			p.joined = false
-			tr.balancer.Left(tr.now, p.id)
+			tr.balancer.ProxyDisconnected(tr.now, p.id)
 		}
 	})
 }
@@ -447,7 +447,7 @@
 func (tr *trace) heard(s model.LoadReport) {
 	tr.note("report %s %d %d %d %d %d", replicaText(s.Replica), s.Zone, s.Attempts, s.Errors, int64(s.MeanLatency),
 		int64(s.Window))
-	tr.balancer.Heard(tr.now, s)
+	tr.balancer.LoadReported(tr.now, s)
 }
 
 func (tr *trace) loadReport(r *tracedReplica, zone int, load float64) model.LoadReport {
--- a/internal/balancer/host_test.go
+++ b/internal/balancer/host_test.go
@@ -11,7 +11,7 @@
 type fakeHost struct {
 	said    []string // the module's log
 	t       *testing.T
-	g       *Governor
+	g       *Balancer
 	now     model.Microseconds
 	acks    bool
 	weights map[model.ReplicaID]float64 // of table 0
@@ -110,7 +110,7 @@
 	for k := range n {
 		entries = append(entries, ready(k+1, 0))
 	}
-	h.g.Listed(h.now, model.CachedList, entries)
+	h.g.EndpointsChanged(h.now, model.CachedList, entries)
 	h.join(1)
 	h.join(2)
 	h.settle()
@@ -126,20 +126,20 @@
 
 func (h *fakeHost) join(p model.ProxyID) {
 	h.joined = append(h.joined, p)
-	h.g.Joined(h.now, p, 0, 10)
+	h.g.ProxyConnected(h.now, p, 0, 10)
 }
 
 func (h *fakeHost) settle() {
-	h.g.Settle(h.now)
+	h.g.Flush(h.now)
 	for _, a := range h.due {
-		h.g.Applied(h.now, a.proxy, a.number)
+		h.g.Acknowledged(h.now, a.proxy, a.number)
 	}
 	h.due = nil
 }
 
 // heard reports tries at a replica over a second.
 func (h *fakeHost) heard(n, tries, errored int, latency model.Microseconds) {
-	h.g.Heard(h.now, model.LoadReport{Replica: id(n), Attempts: tries, Errors: errored, MeanLatency: latency, Window: model.Second,
+	h.g.LoadReported(h.now, model.LoadReport{Replica: id(n), Attempts: tries, Errors: errored, MeanLatency: latency, Window: model.Second,
 		Readings: []float64{0.5}})
 }
 
@@ -150,7 +150,7 @@
 		if report != nil && k%5 == 0 {
 			report()
 		}
-		h.g.Rang(h.now)
+		h.g.TimerFired(h.now)
 		h.settle()
 	}
 }
@@ -171,7 +171,7 @@
 	for _, n := range numbers {
 		entries = append(entries, model.Endpoint{ID: id(n), Status: life, StartedAt: since})
 	}
-	h.g.Listed(h.now, model.ChangedEntries, entries)
+	h.g.EndpointsChanged(h.now, model.ChangedEntries, entries)
 }
 
 func (h *fakeHost) gone(numbers ...int)  { h.change(model.EndpointGone, 0, numbers...); h.settle() }
@@ -180,7 +180,7 @@
 // busy reports ten good tries of so many milliseconds with that share of the cores in use.
 func (h *fakeHost) busy(from, to, ms int, share float64) {
 	for k := from; k <= to; k++ {
-		h.g.Heard(h.now, model.LoadReport{Replica: id(k), Attempts: 10, MeanLatency: model.Microseconds(ms) * model.Millisecond,
+		h.g.LoadReported(h.now, model.LoadReport{Replica: id(k), Attempts: 10, MeanLatency: model.Microseconds(ms) * model.Millisecond,
 			Window: model.Second, Readings: []float64{share}})
 	}
 }
@@ -188,6 +188,6 @@
 // ack has every proxy acknowledge up to a number.
 func (h *fakeHost) ack(number int) {
 	for _, p := range h.joined {
-		h.g.Applied(h.now, p, uint32(number))
+		h.g.Acknowledged(h.now, p, uint32(number))
 	}
 }
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -14,7 +14,7 @@
 type world struct {
 	t        interface{ Fatalf(string, ...any) }
 	terms    model.Config
-	g        *Governor
+	g        *Balancer
 	now      model.Microseconds
 	grace    model.Microseconds
 	bare     model.Microseconds
@@ -166,7 +166,7 @@
 
 // settle has the governor settle and queues what it ordered, in the proxies' order.
 func (w *world) settle() {
-	w.g.Settle(w.now)
+	w.g.Flush(w.now)
 	ids := make([]model.ProxyID, 0, len(w.draft))
 	for p := range w.draft {
 		ids = append(ids, p)
@@ -221,7 +221,7 @@
 		}
 		w.judge()
 		if next.receipt >= 0 {
-			w.g.Applied(w.now, next.to, uint32(next.receipt))
+			w.g.Acknowledged(w.now, next.to, uint32(next.receipt))
 		}
 	}
 }
@@ -277,7 +277,7 @@
 	w.part(id)
 	x.joined, x.joinedAt, x.bound, x.bareFrom = true, w.now, false, -1
 	x.stream++
-	w.g.Joined(w.now, id, x.zone, 5)
+	w.g.ProxyConnected(w.now, id, x.zone, 5)
 }
 
 // restart loses all that a governor's process has.
@@ -309,7 +309,7 @@
 	lost := func(m *parcel) bool { return m.to == id }
 	w.queue = slices.DeleteFunc(w.queue, lost)
 	w.flying = slices.DeleteFunc(w.flying, lost)
-	w.g.Left(w.now, id)
+	w.g.ProxyDisconnected(w.now, id)
 }
 
 func id2(n int) model.ReplicaID {
@@ -327,7 +327,7 @@
 			r.told = w.now
 		}
 	}
-	w.g.Listed(w.now, scope, entries)
+	w.g.EndpointsChanged(w.now, scope, entries)
 }
 
 // Any fleet, any course of drains, losses, starts, streams that break and come back, late and missing receipts and sums:
@@ -411,7 +411,7 @@
 					}
 				}
 			case 6:
-				w.g.Listed(w.now, model.PollFailed, nil)
+				w.g.EndpointsChanged(w.now, model.PollFailed, nil)
 			case 7: // a zone is lost, seen from here
 				zone, ones := rapid.IntRange(0, zones-1).Draw(t, "zone"), []int(nil)
 				for _, k := range all {
@@ -431,12 +431,12 @@
 			if k%5 == 0 && rapid.IntRange(0, 4).Draw(t, "sums") > 0 {
 				for _, k := range all {
 					if w.replicas[id2(k)].life == model.EndpointReady {
-						w.g.Heard(w.now, model.LoadReport{Replica: id2(k), Attempts: 10, Errors: rapid.IntRange(0, 1).Draw(t, "errors"),
+						w.g.LoadReported(w.now, model.LoadReport{Replica: id2(k), Attempts: 10, Errors: rapid.IntRange(0, 1).Draw(t, "errors"),
 							MeanLatency: model.Microseconds(rapid.IntRange(50, 300).Draw(t, "latency")) * model.Millisecond, Window: model.Second})
 					}
 				}
 			}
-			w.g.Rang(w.now)
+			w.g.TimerFired(w.now)
 			w.settle()
 			w.judge()
 		}
@@ -482,11 +482,11 @@
 		if beat%5 == 0 {
 			for _, k := range all {
 				if r := w.replicas[id2(k)]; r.life == model.EndpointReady {
-					w.g.Heard(w.now, model.LoadReport{Replica: id2(k), Zone: r.zone, Attempts: 10, MeanLatency: 120 * model.Millisecond, Window: model.Second})
+					w.g.LoadReported(w.now, model.LoadReport{Replica: id2(k), Zone: r.zone, Attempts: 10, MeanLatency: 120 * model.Millisecond, Window: model.Second})
 				}
 			}
 		}
-		w.g.Rang(w.now)
+		w.g.TimerFired(w.now)
 		w.settle()
 		w.judge()
 	}
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -17,11 +17,11 @@
 	from state
 	on   input
 	to   state
-	do   func(*Governor, X)
+	do   func(*Balancer, X)
 }
 
 // apply reads one input; what no row names changes nothing.
-func apply[X any](g *Governor, rows []move[X], s *state, on input, x X) {
+func apply[X any](g *Balancer, rows []move[X], s *state, on input, x X) {
 	i := slices.IndexFunc(rows, func(m move[X]) bool { return m.from&*s != 0 && m.on&on != 0 })
 	if i >= 0 {
 		*s = rows[i].to
@@ -108,7 +108,7 @@
 type ranking []*ranked
 
 // rank scores the replicas that proxies may pick.
-func (g *Governor) rank(score func(*replica) int) *ranking {
+func (g *Balancer) rank(score func(*replica) int) *ranking {
 	all := make([]ranked, len(g.replicas))
 	rs := make(ranking, 0, len(all))
 	for i, r := range g.replicas {
@@ -169,13 +169,13 @@
 func (r *replica) member() bool { return r.state&(easing|serving|resting) != 0 }
 func (r *replica) in() bool     { return r.state&(easing|serving) != 0 }
 
-func (g *Governor) after(span model.Microseconds, d dueTime) {
+func (g *Balancer) after(span model.Microseconds, d dueTime) {
 	d.at = g.now + span
 	i := sort.Search(len(g.due), func(i int) bool { return g.due[i].at > d.at })
 	g.due = slices.Insert(g.due, i, d)
 }
 
-func (g *Governor) count(of func(*replica) bool) (n int) {
+func (g *Balancer) count(of func(*replica) bool) (n int) {
 	for _, r := range g.replicas {
 		if of(r) {
 			n++
@@ -185,7 +185,7 @@
 }
 
 // chance draws a number below n from the seed.
-func (g *Governor) chance(n int) int {
+func (g *Balancer) chance(n int) int {
 	h := fnv.New64a()
 	g.chances++
 	fmt.Fprint(h, g.terms.Seed, " ", g.chances)
@@ -203,7 +203,7 @@
 
 func median(of []float64) float64 { return upto(0.5, of) }
 
-func (g *Governor) forget(p *proxy) {
+func (g *Balancer) forget(p *proxy) {
 	g.acknowledge(p, len(p.unacked))
 	delete(g.byProxy, p.id)
 	other := func(q *proxy) bool { return q == p }
@@ -214,7 +214,7 @@
 	}
 }
 
-func (g *Governor) acknowledge(p *proxy, n int) {
+func (g *Balancer) acknowledge(p *proxy, n int) {
 	for _, m := range p.unacked[:n] {
 		g.unacked -= m.lines
 	}
@@ -223,87 +223,87 @@
 
 // View is what a governor believes, copied: nothing in it is written again.
 type View struct {
-	Open                bool              // the gate
-	Waits               []model.ReplicaID // listed, and not named in a report yet
-	Stress, Pace, Colds float64           // see learn
-	Unacked             int               // lines
-	Shares              []float64         // let in, by operation
-	Way                 model.RetryPolicy
-	Replicas            []ReplicaView
-	Tables              []TableView
-	Proxies             []ProxyView // in the order joined
+	SafeModeEnded                                  bool              // the gate
+	UnreportedReplicas                             []model.ReplicaID // listed, and not named in a report yet
+	Saturation, NormalizedLatency, WarmingFraction float64           // see learn
+	UnackedEntries                                 int               // lines
+	Quotas                                         []float64         // let in, by operation
+	RetryPolicy                                    model.RetryPolicy
+	Replicas                                       []ReplicaView
+	Tables                                         []TableView
+	Proxies                                        []ProxyView // in the order joined
 }
 
 // ReplicaView is what is believed of a replica.
 type ReplicaView struct {
-	ID                     model.ReplicaID
-	Zone                   int
-	State                  string // away, draining, easing, serving or resting
-	Out                    bool   // its withdrawal was sent
-	Cold                   bool
-	OutAt, HeardAt, BusyAt model.Microseconds // 0: never
-	Since, EasedAt         model.Microseconds
-	Busy, Pace             float64 // share of its cores; time of good tries over the objective
-	Part                   float64 // of its full weight
-	Rate, Errors           float64 // tries a second and share of errors, over about ten reports
-	Lines, Rests           int
+	ID                                     model.ReplicaID
+	Zone                                   int
+	State                                  string // away, draining, easing, serving or resting
+	Withdrawn                              bool   // its withdrawal was sent
+	WarmingUp                              bool
+	WithdrawnAt, ReportedAt, UtilizationAt model.Microseconds // 0: never
+	StartedAt, SlowStartAt                 model.Microseconds
+	Utilization, NormalizedLatency         float64 // share of its cores; time of good tries over the objective
+	SlowStartFactor                        float64 // of its full weight
+	RequestRate, ErrorRate                 float64 // tries a second and share of errors, over about ten reports
+	Entries, Ejections                     int
 }
 
 // TableView is a shared table.
 type TableView struct {
-	ID    model.TableID
-	Zone  int
-	Usual float64
-	Users int
-	Lines []LineView
+	ID           model.TableID
+	Zone         int
+	ExpectedRate float64
+	Proxies      int
+	Entries      []EntryView
 }
 
-// LineView is a line as it was ordered.
-type LineView struct {
+// EntryView is a line as it was ordered.
+type EntryView struct {
 	Replica model.ReplicaID
 	Weight  float64
 }
 
 // ProxyView is a joined proxy; Table is -1 while it is on tables of its own.
 type ProxyView struct {
-	ID      model.ProxyID
-	Zone    int
-	Usual   float64
-	Table   int
-	Unacked int // messages
-	Oldest  model.Microseconds
+	ID              model.ProxyID
+	Zone            int
+	ExpectedRate    float64
+	Table           int
+	UnackedMessages int // messages
+	OldestUnackedAt model.Microseconds
 }
 
 var stateNames = map[state]string{away: "away", draining: "draining", easing: "easing", serving: "serving", resting: "resting"}
 
 // View copies what is believed now; it is linear in the fleet.
-func (g *Governor) View() *View {
-	v := &View{Open: g.gate == open, Stress: g.stress, Pace: g.pace, Colds: g.colds, Unacked: g.unacked,
-		Shares: slices.Clone(g.shares), Way: g.way, Replicas: make([]ReplicaView, 0, len(g.replicas)),
+func (g *Balancer) View() *View {
+	v := &View{SafeModeEnded: g.gate == open, Saturation: g.stress, NormalizedLatency: g.pace, WarmingFraction: g.colds, UnackedEntries: g.unacked,
+		Quotas: slices.Clone(g.shares), RetryPolicy: g.way, Replicas: make([]ReplicaView, 0, len(g.replicas)),
 		Tables: make([]TableView, 0, len(g.tables)), Proxies: make([]ProxyView, 0, len(g.proxies))}
 	for _, r := range g.replicas {
 		if r.member() && !r.heard {
-			v.Waits = append(v.Waits, r.id)
+			v.UnreportedReplicas = append(v.UnreportedReplicas, r.id)
 		}
-		v.Replicas = append(v.Replicas, ReplicaView{ID: r.id, Zone: r.zone, State: stateNames[r.state], Out: r.told, Cold: g.cold(r),
-			OutAt: r.toldAt, HeardAt: r.heardAt, BusyAt: r.busyAt, Since: r.since, EasedAt: r.easedAt, Busy: r.busy, Pace: r.pace,
-			Part: g.part(r), Rate: r.all.tries / max(r.all.span, 1) * float64(model.Second), Errors: r.all.errored / max(r.all.tries, 1),
-			Lines: len(r.lines), Rests: r.rests})
+		v.Replicas = append(v.Replicas, ReplicaView{ID: r.id, Zone: r.zone, State: stateNames[r.state], Withdrawn: r.told, WarmingUp: g.cold(r),
+			WithdrawnAt: r.toldAt, ReportedAt: r.heardAt, UtilizationAt: r.busyAt, StartedAt: r.since, SlowStartAt: r.easedAt, Utilization: r.busy, NormalizedLatency: r.pace,
+			SlowStartFactor: g.part(r), RequestRate: r.all.tries / max(r.all.span, 1) * float64(model.Second), ErrorRate: r.all.errored / max(r.all.tries, 1),
+			Entries: len(r.lines), Ejections: r.rests})
 	}
 	for _, t := range g.tables {
-		tv := TableView{ID: t.id, Zone: t.zone, Usual: t.usual, Users: len(t.users)}
+		tv := TableView{ID: t.id, Zone: t.zone, ExpectedRate: t.usual, Proxies: len(t.users)}
 		for _, l := range t.lines {
-			tv.Lines = append(tv.Lines, LineView{l.r.id, l.weight})
+			tv.Entries = append(tv.Entries, EntryView{l.r.id, l.weight})
 		}
 		v.Tables = append(v.Tables, tv)
 	}
 	for _, p := range g.proxies {
-		pv := ProxyView{ID: p.id, Zone: p.zone, Usual: p.usual, Table: -1, Unacked: len(p.unacked)}
+		pv := ProxyView{ID: p.id, Zone: p.zone, ExpectedRate: p.usual, Table: -1, UnackedMessages: len(p.unacked)}
 		if len(p.tables) > 0 {
 			pv.Table = int(p.tables[0].id)
 		}
 		if len(p.unacked) > 0 {
-			pv.Oldest = p.unacked[0].at
+			pv.OldestUnackedAt = p.unacked[0].at
 		}
 		v.Proxies = append(v.Proxies, pv)
 	}
--- a/internal/balancer/step_bench_test.go
+++ b/internal/balancer/step_bench_test.go
@@ -31,7 +31,7 @@
 // benchFleet is a fleet whose proxies acknowledge at once.
 type benchFleet struct {
 	host     benchHost
-	balancer *balancer.Governor
+	balancer *balancer.Balancer
 	now      model.Microseconds
 	entries  []model.Endpoint
 	beats    int
@@ -46,9 +46,9 @@
 		id := model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 100), byte(n % 100)}, Port: 5000}
 		f.entries = append(f.entries, model.Endpoint{ID: id, Zone: n % benchZones, Status: model.EndpointReady})
 	}
-	f.balancer.Listed(f.now, model.CachedList, f.entries)
+	f.balancer.EndpointsChanged(f.now, model.CachedList, f.entries)
 	for p := range benchProxies {
-		f.balancer.Joined(f.now, model.ProxyID(p), p%benchZones, 5)
+		f.balancer.ProxyConnected(f.now, model.ProxyID(p), p%benchZones, 5)
 	}
 	return f
 }
@@ -60,11 +60,11 @@
 	for n, e := range f.entries {
 		for zone := range benchZones {
 			latency := model.Microseconds(100+(n*7+f.beats+zone)%40) * model.Millisecond
-			f.balancer.Heard(f.now, model.LoadReport{Zone: zone, Replica: e.ID, Attempts: 17, MeanLatency: latency, Window: model.Second})
+			f.balancer.LoadReported(f.now, model.LoadReport{Zone: zone, Replica: e.ID, Attempts: 17, MeanLatency: latency, Window: model.Second})
 		}
 	}
-	f.balancer.Rang(f.now)
-	f.balancer.Settle(f.now)
+	f.balancer.TimerFired(f.now)
+	f.balancer.Flush(f.now)
 }
 
 // acknowledge has every proxy answer the newest number.
@@ -73,7 +73,7 @@
 		return
 	}
 	for p := range benchProxies {
-		f.balancer.Applied(f.now, model.ProxyID(p), f.host.number)
+		f.balancer.Acknowledged(f.now, model.ProxyID(p), f.host.number)
 	}
 	f.host.asked = false
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -75,23 +75,23 @@
 		for k := range n { // zones beyond the settings' are not listed; one may have none
 			entries = append(entries, model.Endpoint{ID: model.ReplicaID{Addr: [4]byte{10, 0, 0, byte(k)}, Port: 1}, Zone: k % max(1, len(p.Zones)-1), Status: model.EndpointReady})
 		}
-		g.Listed(model.Second, model.FullList, entries)
+		g.EndpointsChanged(model.Second, model.FullList, entries)
 		for proxy := range model.ProxyID(10) {
-			g.Joined(model.Second, proxy, int(proxy)%len(p.Zones), float64(proxy))
+			g.ProxyConnected(model.Second, proxy, int(proxy)%len(p.Zones), float64(proxy))
 		}
 		for beat := range model.Microseconds(150) {
 			now := model.Second + beat*200*model.Millisecond
 			if beat%5 == 0 {
 				for k, e := range entries {
-					g.Heard(now, model.LoadReport{Zone: e.Zone, Replica: e.ID, Attempts: 5, Errors: k % 2 * 5, MeanLatency: 100 * model.Millisecond, Window: model.Second, Readings: []float64{1, 1}})
+					g.LoadReported(now, model.LoadReport{Zone: e.Zone, Replica: e.ID, Attempts: 5, Errors: k % 2 * 5, MeanLatency: 100 * model.Millisecond, Window: model.Second, Readings: []float64{1, 1}})
 				}
 			}
 			if beat == 100 && n > 0 {
 				entries[0].Status = model.EndpointDraining
-				g.Listed(now, model.ChangedEntries, entries[:1])
+				g.EndpointsChanged(now, model.ChangedEntries, entries[:1])
 			}
-			g.Rang(now)
-			g.Settle(now)
+			g.TimerFired(now)
+			g.Flush(now)
 		}
 	})
 }
--- a/internal/console/body.go
+++ b/internal/console/body.go
@@ -50,16 +50,16 @@
 		return nil, errNone
 	}
 	m := p.View.Look.Module
-	o := overview{Gate: "shut", States: map[string]int{}, Ready: p.View.Ready, Joined: len(m.Proxies), List: Ago(p.Now, p.View.ListAt), Stress: m.Stress, Pace: m.Pace,
-		Queue: p.Stats.Queue, QueueMost: s.about.QueueMost, Unacked: m.Unacked, Worst: int64(p.View.WorstStep), Folds: p.View.Folds}
-	if m.Open {
+	o := overview{Gate: "shut", States: map[string]int{}, Ready: p.View.Ready, Joined: len(m.Proxies), List: Ago(p.Now, p.View.ListAt), Stress: m.Saturation, Pace: m.NormalizedLatency,
+		Queue: p.Stats.Queue, QueueMost: s.about.QueueMost, Unacked: m.UnackedEntries, Worst: int64(p.View.WorstStep), Folds: p.View.Folds}
+	if m.SafeModeEnded {
 		o.Gate = "open"
 	} else {
-		for _, id := range m.Waits[:min(len(m.Waits), 50)] {
+		for _, id := range m.UnreportedReplicas[:min(len(m.UnreportedReplicas), 50)] {
 			o.Waits = append(o.Waits, pubsubmsg.Address(id))
 		}
 	}
-	for i, share := range m.Shares {
+	for i, share := range m.Quotas {
 		if i < len(s.about.Operations) {
 			o.Levels = append(o.Levels, level{s.about.Operations[i], share})
 		}
@@ -103,16 +103,16 @@
 var lives = map[model.EndpointStatus]string{model.EndpointReady: "ready", model.EndpointDraining: "draining", model.EndpointGone: "gone"}
 
 func (s *Server) row(p *page, r *balancer.ReplicaView) replicaRow {
-	row := replicaRow{Address: pubsubmsg.Address(r.ID), Zone: s.zone(r.Zone), Listed: "not listed", State: r.State, Out: r.Out, Cold: r.Cold, Part: r.Part, Rate: r.Rate,
-		Errors: r.Errors, Pace: r.Pace, Busy: r.Busy, Heard: Ago(p.Now, r.HeardAt), Report: Ago(p.Now, r.BusyAt), Lines: r.Lines, Rests: r.Rests, Started: "long ago"}
+	row := replicaRow{Address: pubsubmsg.Address(r.ID), Zone: s.zone(r.Zone), Listed: "not listed", State: r.State, Out: r.Withdrawn, Cold: r.WarmingUp, Part: r.SlowStartFactor, Rate: r.RequestRate,
+		Errors: r.ErrorRate, Pace: r.NormalizedLatency, Busy: r.Utilization, Heard: Ago(p.Now, r.ReportedAt), Report: Ago(p.Now, r.UtilizationAt), Lines: r.Entries, Rests: r.Ejections, Started: "long ago"}
 	if l, listed := p.View.Look.List[r.ID]; listed {
 		row.Listed = lives[l.Status]
 	}
-	if r.Out {
-		row.OutAgo = Ago(p.Now, r.OutAt)
+	if r.Withdrawn {
+		row.OutAgo = Ago(p.Now, r.WithdrawnAt)
 	}
-	if r.Since > 0 {
-		row.Started = Ago(p.Now, r.Since)
+	if r.StartedAt > 0 {
+		row.Started = Ago(p.Now, r.StartedAt)
 	}
 	return row
 }
@@ -172,10 +172,10 @@
 		states[m.Replicas[i].ID] = &m.Replicas[i]
 	}
 	sum := 0.0
-	for _, l := range t.Lines {
+	for _, l := range t.Entries {
 		row := lineRow{Table: int(t.ID), Zone: s.zone(t.Zone), Replica: pubsubmsg.Address(l.Replica), Weight: l.Weight}
 		if r := states[l.Replica]; r != nil {
-			row.State, row.Out = r.State, r.Out
+			row.State, row.Out = r.State, r.Withdrawn
 		}
 		if !row.Out {
 			sum += l.Weight
@@ -213,9 +213,9 @@
 	var rows []forwarderRow
 	for _, x := range look.Module.Proxies {
 		f := look.Forwarders[x.ID]
-		row := forwarderRow{Name: f.Name, Number: int(x.ID), Zone: s.zone(x.Zone), Table: x.Table, Rate: x.Usual, Joined: Ago(p.Now, f.JoinedAt), Unacked: x.Unacked}
-		if x.Unacked > 0 {
-			row.Oldest = Ago(p.Now, x.Oldest)
+		row := forwarderRow{Name: f.Name, Number: int(x.ID), Zone: s.zone(x.Zone), Table: x.Table, Rate: x.ExpectedRate, Joined: Ago(p.Now, f.JoinedAt), Unacked: x.UnackedMessages}
+		if x.UnackedMessages > 0 {
+			row.Oldest = Ago(p.Now, x.OldestUnackedAt)
 		}
 		if rest == "" {
 			rows = append(rows, row)
@@ -257,7 +257,7 @@
 	var rows []tableRow
 	for _, t := range m.Tables {
 		if rest == "" || rest == strconv.Itoa(int(t.ID)) {
-			rows = append(rows, tableRow{int(t.ID), s.zone(t.Zone), t.Users, t.Usual, s.lines(m, t)})
+			rows = append(rows, tableRow{int(t.ID), s.zone(t.Zone), t.Proxies, t.ExpectedRate, s.lines(m, t)})
 		}
 	}
 	if rest != "" && len(rows) == 0 {
@@ -294,7 +294,7 @@
 	for _, x := range m.Proxies {
 		if x.Zone < len(rows) {
 			rows[x.Zone].Forwarders++
-			rows[x.Zone].Rate += x.Usual
+			rows[x.Zone].Rate += x.ExpectedRate
 		}
 	}
 	bound := make([]float64, len(rows))
@@ -302,9 +302,9 @@
 		if t.Zone >= len(rows) {
 			continue
 		}
-		bound[t.Zone] += t.Usual
+		bound[t.Zone] += t.ExpectedRate
 		for _, l := range s.lines(m, t) {
-			rows[t.Zone].SendsTo[home[l.Replica]] += l.Share * t.Usual
+			rows[t.Zone].SendsTo[home[l.Replica]] += l.Share * t.ExpectedRate
 		}
 	}
 	for i := range rows {
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -44,14 +44,14 @@
 // stillView is a view with every field set.
 func stillView(open bool) *controller.View {
 	one, two := model.ReplicaID{Addr: [4]byte{10, 0, 0, 1}, Port: 81}, model.ReplicaID{Addr: [4]byte{10, 0, 0, 2}, Port: 82}
-	module := &balancer.View{Open: open, Waits: []model.ReplicaID{two}, Stress: 0.31, Pace: 0.32, Colds: 0.33, Unacked: 34, Shares: []float64{0.35, 0.36}, Way: model.RetryOnAnyFailure,
+	module := &balancer.View{SafeModeEnded: open, UnreportedReplicas: []model.ReplicaID{two}, Saturation: 0.31, NormalizedLatency: 0.32, WarmingFraction: 0.33, UnackedEntries: 34, Quotas: []float64{0.35, 0.36}, RetryPolicy: model.RetryOnAnyFailure,
 		Replicas: []balancer.ReplicaView{
-			{ID: one, Zone: 1, State: "resting", Out: true, Cold: true, OutAt: 91 * model.Second, HeardAt: 92 * model.Second, BusyAt: 93 * model.Second, Since: 94 * model.Second,
-				EasedAt: 95 * model.Second, Busy: 0.41, Pace: 0.42, Part: 0.43, Rate: 44, Errors: 0.45, Lines: 46, Rests: 47},
-			{ID: two, Zone: 0, State: "serving", HeardAt: 98 * model.Second, BusyAt: 99 * model.Second, Busy: 0.51, Pace: 0.52, Part: 0.53, Rate: 54, Errors: 0.55, Lines: 56, Rests: 57},
+			{ID: one, Zone: 1, State: "resting", Withdrawn: true, WarmingUp: true, WithdrawnAt: 91 * model.Second, ReportedAt: 92 * model.Second, UtilizationAt: 93 * model.Second, StartedAt: 94 * model.Second,
+				SlowStartAt: 95 * model.Second, Utilization: 0.41, NormalizedLatency: 0.42, SlowStartFactor: 0.43, RequestRate: 44, ErrorRate: 0.45, Entries: 46, Ejections: 47},
+			{ID: two, Zone: 0, State: "serving", ReportedAt: 98 * model.Second, UtilizationAt: 99 * model.Second, Utilization: 0.51, NormalizedLatency: 0.52, SlowStartFactor: 0.53, RequestRate: 54, ErrorRate: 0.55, Entries: 56, Ejections: 57},
 		},
-		Tables:  []balancer.TableView{{ID: 6, Zone: 1, Usual: 61, Users: 62, Lines: []balancer.LineView{{Replica: one, Weight: 0.63}, {Replica: two, Weight: 0.64}}}},
-		Proxies: []balancer.ProxyView{{ID: 7, Zone: 1, Usual: 71, Table: 6, Unacked: 72, Oldest: 90 * model.Second}},
+		Tables:  []balancer.TableView{{ID: 6, Zone: 1, ExpectedRate: 61, Proxies: 62, Entries: []balancer.EntryView{{Replica: one, Weight: 0.63}, {Replica: two, Weight: 0.64}}}},
+		Proxies: []balancer.ProxyView{{ID: 7, Zone: 1, ExpectedRate: 71, Table: 6, UnackedMessages: 72, OldestUnackedAt: 90 * model.Second}},
 	}
 	look := &controller.Look{At: 99_500_000, Module: module,
 		Forwarders: map[model.ProxyID]controller.Forwarder{7: {Name: "till-1", Zone: 1, Rate: 73, Fresh: true, JoinedAt: 89 * model.Second}},
--- a/internal/controller/governor.go
+++ b/internal/controller/governor.go
@@ -30,7 +30,7 @@
 	intake  atomic.Int64 // sums a second
 	now     func() model.Microseconds
 	log     zerolog.Logger
-	module  *balancer.Governor
+	module  *balancer.Balancer
 	channel Channel
 	roster  Roster
 	batch   *snapshot.Batch
@@ -182,7 +182,7 @@
 	h.take(now, t)
 	if now >= h.wakeAt {
 		h.causes.timer = true
-		h.module.Rang(now)
+		h.module.TimerFired(now)
 	}
 	h.settle(now)
 }
@@ -190,29 +190,29 @@
 func (h *Host) take(now model.Microseconds, t taken) {
 	if t.list != nil {
 		h.causes.input("list %s of %d", scopeNames[t.list.scope], len(t.list.entries))
-		h.module.Listed(now, t.list.scope, t.list.entries)
+		h.module.EndpointsChanged(now, t.list.scope, t.list.entries)
 		h.keepList(now, t.list)
 	}
 	for i := range t.slots {
 		s := &t.slots[i]
 		if _, known := h.known[s.proxy]; s.left && known {
-			h.module.Left(now, s.proxy)
+			h.module.ProxyDisconnected(now, s.proxy)
 			h.causes.input("left %s", h.known[s.proxy].Name)
 			delete(h.known, s.proxy)
 		}
 		if s.joined {
 			h.channel.Admit(s.proxy, s.stream)
-			h.module.Joined(now, s.proxy, s.zone, s.join.Rate)
+			h.module.ProxyConnected(now, s.proxy, s.zone, s.join.Rate)
 			h.known[s.proxy] = Forwarder{s.join.Name, s.zone, s.join.Rate, s.join.Fresh, now}
 			h.causes.input("joined %s", s.join.Name)
 		}
 		if _, known := h.known[s.proxy]; s.receipt >= 0 && known {
 			h.causes.receipts++
-			h.module.Applied(now, s.proxy, uint32(s.receipt))
+			h.module.Acknowledged(now, s.proxy, uint32(s.receipt))
 		}
 	}
 	for _, s := range t.sums {
-		h.module.Heard(now, s)
+		h.module.LoadReported(now, s)
 	}
 	h.newest.note(now, t.sums)
 	h.causes.sums += len(t.sums)
@@ -241,7 +241,7 @@
 }
 
 func (h *Host) settle(now model.Microseconds) {
-	h.module.Settle(now)
+	h.module.Flush(now)
 	if !h.batch.Empty() || h.batch.Receipt >= 0 {
 		h.batch.At = now
 		h.channel.Publish(h.batch)
--- a/internal/controller/governor_test.go
+++ b/internal/controller/governor_test.go
@@ -284,9 +284,9 @@
 		for n := range size[1] {
 			list = append(list, model.Endpoint{ID: model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 250), byte(n % 250)}, Port: 80}, Zone: n % 4, Status: model.EndpointReady})
 		}
-		h.module.Listed(now, model.CachedList, list)
+		h.module.EndpointsChanged(now, model.CachedList, list)
 		for p := range size[0] {
-			h.module.Joined(now, model.ProxyID(p), p%4, 5)
+			h.module.ProxyConnected(now, model.ProxyID(p), p%4, 5)
 			h.known[model.ProxyID(p)] = Forwarder{Name: fmt.Sprint("till-", p)}
 		}
 		step := func(look, journal bool) func(b *testing.B) {
@@ -294,17 +294,17 @@
 				for b.Loop() {
 					now += 200 * model.Millisecond
 					for _, l := range list {
-						h.module.Heard(now, model.LoadReport{Replica: l.ID, Attempts: 10, MeanLatency: 100_000, Window: model.Second})
+						h.module.LoadReported(now, model.LoadReport{Replica: l.ID, Attempts: 10, MeanLatency: 100_000, Window: model.Second})
 					}
-					h.module.Rang(now)
-					h.module.Settle(now)
+					h.module.TimerFired(now)
+					h.module.Flush(now)
 					if journal {
 						h.causes.timer = true
 						h.causes.step(now, h.batch)
 					}
 					if n := h.batch.Receipt; n >= 0 {
 						for p := range size[0] {
-							h.module.Applied(now, model.ProxyID(p), uint32(n))
+							h.module.Acknowledged(now, model.ProxyID(p), uint32(n))
 						}
 					}
 					h.batch = &snapshot.Batch{Receipt: -1}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -131,7 +131,7 @@
 	e := log.Info().Interface("figures", st).Bool("gate_open", v.GateOpen).Int("ready", v.Ready).Uint64("steps", v.Steps).Int64("worst_step_us", int64(v.WorstStep))
 	if v.Look != nil {
 		m := v.Look.Module
-		e = e.Float64("stress", m.Stress).Float64("pace", m.Pace).Int("unacked", m.Unacked).Floats64("shares", m.Shares).Int("waits", len(m.Waits))
+		e = e.Float64("stress", m.Saturation).Float64("pace", m.NormalizedLatency).Int("unacked", m.UnackedEntries).Floats64("shares", m.Quotas).Int("waits", len(m.UnreportedReplicas))
 	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
--- a/internal/server/share.go
+++ b/internal/server/share.go
@@ -79,7 +79,7 @@
 	picture, h := s.server.Picture(), cluster.Handover{Sums: s.host.Newest()}
 	h.Withdrawn = picture.Withdrawn
 	if v := s.host.View(); v != nil && v.Look != nil {
-		h.Unacknowledged = v.Look.Module.Unacked
+		h.Unacknowledged = v.Look.Module.UnackedEntries
 	}
 	return h
 }
