--- a/internal/benchmark/channel.go
+++ b/internal/benchmark/channel.go
@@ -62,15 +62,15 @@
 	applied chan uint32
 }
 
-func (p *publisher) Joined(proxy model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
+func (p *publisher) ProxyConnected(proxy model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
 	go func() { // the server holds the peer's turn
-		p.server.Admit(proxy, stream)
+		p.server.AdmitProxy(proxy, stream)
 		p.joined <- proxy
 	}()
 }
-func (p *publisher) Left(model.ProxyID, uint64)                        {}
-func (p *publisher) Applied(_ model.ProxyID, _ uint64, receipt uint32) { p.applied <- receipt }
-func (p *publisher) Heard(int, []model.LoadReport)                     {}
+func (p *publisher) ProxyDisconnected(model.ProxyID, uint64)                {}
+func (p *publisher) Acknowledged(_ model.ProxyID, _ uint64, receipt uint32) { p.applied <- receipt }
+func (p *publisher) LoadReported(int, []model.LoadReport)                   {}
 
 // Channel publishes changes of so many lines to n forwarders, round after round, at no pace.
 func Channel(n, lines, rounds int) (*ChannelFigures, error) {
--- a/internal/benchmark/quiet.go
+++ b/internal/benchmark/quiet.go
@@ -44,8 +44,8 @@
 
 type nobody struct{}
 
-func (nobody) Gained(int, uint64) {}
-func (nobody) Lost(int)           {}
+func (nobody) LeaseGained(int, uint64) {}
+func (nobody) LeaseLost(int)           {}
 
 // Quiet runs a group in this process and counts for a while.
 func Quiet(ctx context.Context, members, partsEach int, span, while time.Duration) (*QuietFigures, error) {
@@ -54,8 +54,8 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	terms := cluster.Terms{Lease: lease.Terms{Span: model.Microseconds(span / time.Microsecond), Drift: model.Microseconds(span / time.Microsecond / 20)},
-		Assign: placement.Terms{Settle: model.Second, Pace: model.Second}, PartsEach: partsEach}
+	terms := cluster.Settings{Lease: lease.Terms{Span: model.Microseconds(span / time.Microsecond), Drift: model.Microseconds(span / time.Microsecond / 20)},
+		Placement: placement.Terms{Settle: model.Second, Pace: model.Second}, ShardsPerZone: partsEach}
 	var peers []cluster.Peer
 	var taken []net.Listener // held until all are drawn, so that no two are the same
 	for k := range members {
@@ -76,14 +76,14 @@
 	return quiet(ctx, dir, peers, terms, while)
 }
 
-func quiet(ctx context.Context, dir string, peers []cluster.Peer, terms cluster.Terms, while time.Duration) (*QuietFigures, error) {
+func quiet(ctx context.Context, dir string, peers []cluster.Peer, terms cluster.Settings, while time.Duration) (*QuietFigures, error) {
 	var counts []*counting
 	var groups []*cluster.Group
 	now := controller.Clock()
 	for k, p := range peers {
 		c := &counting{name: p.Name}
 		l := cluster.Line{Name: p.Name, Zone: terms.Zones[k], Channel: "127.0.0.1:1", Listen: p.Address, Gossip: p.Gossip, Folder: filepath.Join(dir, p.Name), Life: 1,
-			Peers: peers, Terms: terms, Now: now, Links: c, Log: zerolog.Nop()}
+			Peers: peers, Settings: terms, Now: now, Links: c, Log: zerolog.Nop()}
 		g, err := cluster.Open(l, nobody{})
 		if err != nil {
 			return nil, err
@@ -91,12 +91,12 @@
 		defer g.Close()
 		counts, groups = append(counts, c), append(groups, g)
 	}
-	all := len(terms.Zones) * terms.PartsEach
+	all := len(terms.Zones) * terms.ShardsPerZone
 	held := func() bool {
 		n := 0
 		for _, g := range groups {
 			for part := range all {
-				if _, ok := g.Holds(part); ok {
+				if _, ok := g.IsLeaseHolder(part); ok {
 					n++
 				}
 			}
@@ -112,10 +112,10 @@
 		}
 		return n
 	}
-	before, log := sent(), groups[0].Status().Agreed
+	before, log := sent(), groups[0].Status().AppliedIndex
 	time.Sleep(while)
 	f := &QuietFigures{Members: len(peers), Parts: all, Span: terms.Lease.Span.Duration(), Messages: float64(sent()-before) / while.Seconds(),
-		Entries: float64(groups[0].Status().Agreed-log) / while.Seconds()}
+		Entries: float64(groups[0].Status().AppliedIndex-log) / while.Seconds()}
 	if info, err := os.Stat(filepath.Join(dir, peers[0].Name, "agreed.db")); err == nil {
 		f.LogBytes = info.Size()
 	}
--- a/internal/benchmark/storm.go
+++ b/internal/benchmark/storm.go
@@ -37,9 +37,9 @@
 	seconds chan model.Microseconds
 }
 
-func (c *counter) Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
+func (c *counter) ProxyConnected(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
 	c.seconds <- c.now() / model.Second
-	c.publisher.Joined(p, stream, j, zone)
+	c.publisher.ProxyConnected(p, stream, j, zone)
 }
 
 // Storm has n forwarders dial at once.
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -264,7 +264,7 @@
 	if err != nil || json.Unmarshal([]byte(text), &status) != nil {
 		return 0
 	}
-	for _, p := range status.Parts {
+	for _, p := range status.Shards {
 		n += p.Epoch
 	}
 	return n
--- a/internal/cli/group.go
+++ b/internal/cli/group.go
@@ -55,41 +55,41 @@
 		leads = "nobody that it knows of"
 	}
 	fmt.Fprintf(out, "as %s knows it; %s leads, term %d\n", s.Member, leads, s.Term)
-	if s.Trouble != "" {
-		fmt.Fprintf(out, "%s cannot hold what it should: %s\n", s.Member, s.Trouble)
+	if s.Fault != "" {
+		fmt.Fprintf(out, "%s cannot hold what it should: %s\n", s.Member, s.Fault)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nmember\tzone\tchannel\tparts\tusual rate\tstate")
 	for _, m := range s.Members {
 		state := "seems gone"
-		if m.Seems {
+		if m.SeemsAlive {
 			state = "seems alive"
 		}
-		if !m.Votes {
+		if !m.Voter {
 			state += ", no vote"
 		}
-		if m.Leaving {
+		if m.Draining {
 			state += ", leaving"
 		}
-		if m.Struck {
+		if m.Removed {
 			state = "struck off"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.1f\t%s\n", m.Name, m.Zone, m.Channel, m.Parts, m.Load, state)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.1f\t%s\n", m.Name, m.Zone, m.Channel, m.Shards, m.Load, state)
 	}
 	fmt.Fprintln(w, "\npart\tzone\tholder\tepoch\tusual rate\twanted")
-	for _, p := range s.Parts {
-		wanted := p.Wanted
-		if p.ByHand {
+	for _, p := range s.Shards {
+		wanted := p.Target
+		if p.Pinned {
 			wanted += ", by hand"
 		}
-		if p.Why != "" {
-			wanted += ": " + p.Why
+		if p.WaitReason != "" {
+			wanted += ": " + p.WaitReason
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%.1f\t%s\n", p.Number, p.Zone, p.Holder, p.Epoch, p.Load, wanted)
 	}
-	if n := len(s.Events); n > 0 {
+	if n := len(s.Takeovers); n > 0 {
 		fmt.Fprintln(w, "\nlast takeovers\tepoch\tfrom\tto\thow\twhy")
-		for _, e := range s.Events[max(0, n-10):] {
+		for _, e := range s.Takeovers[max(0, n-10):] {
 			how := "lease ran out"
 			switch {
 			case e.From == "":
@@ -97,7 +97,7 @@
 			case e.Planned:
 				how = "planned"
 			}
-			fmt.Fprintf(w, "part %d\t%d\t%s\t%s\t%s\t%s\n", e.Part, e.Epoch, e.From, e.To, how, e.Why)
+			fmt.Fprintf(w, "part %d\t%d\t%s\t%s\t%s\t%s\n", e.Shard, e.Epoch, e.From, e.To, how, e.Reason)
 		}
 	}
 	return w.Flush()
--- a/internal/cluster/engine.go
+++ b/internal/cluster/engine.go
@@ -44,7 +44,7 @@
 	applied(c *Command, term uint64)
 	lead() *Command
 	snapshot() ([]byte, error)
-	restored(r *Register) error
+	restored(r *State) error
 }
 
 func openEngine(l *Line, stream raft.StreamLayer, m machine, logger hclog.Logger, told func(error)) (_ *engine, err error) {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("group: %w", err)
 	}
-	span := l.Terms.Lease.Span.Duration()
+	span := l.Settings.Lease.Span.Duration()
 	e.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, MaxPool: 2, Timeout: span / 4, Logger: logger,
 		ServerAddressProvider: addresses{l}})
 	conf := raft.DefaultConfig()
@@ -127,7 +127,7 @@
 	if err != nil {
 		panic(err) // plain values
 	}
-	return e.raft.Apply(b, e.line.Terms.Lease.Span.Duration()/4)
+	return e.raft.Apply(b, e.line.Settings.Lease.Span.Duration()/4)
 }
 
 var errNotLeader = errors.New("this member does not lead")
@@ -212,7 +212,7 @@
 func (f fsm) Apply(l *raft.Log) any {
 	c := &Command{}
 	if err := cbor.Unmarshal(l.Data, c); err != nil {
-		c = &Command{Form: 255} // of a program that is not this one
+		c = &Command{SchemaVersion: 255} // of a program that is not this one
 	}
 	f.applied(c, l.Term)
 	return nil
@@ -229,7 +229,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := ReadRegister(b)
+	r, err := ReadState(b)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("group: gossip: %w", err)
 	}
-	conf := probing(l.Terms.Lease.Span)
+	conf := probing(l.Settings.Lease.Span)
 	conf.Name, conf.BindAddr, conf.AdvertiseAddr = l.Name, host, host
 	conf.BindPort, _ = strconv.Atoi(port)
 	conf.AdvertisePort = conf.BindPort
@@ -61,7 +61,7 @@
 			g.peers = append(g.peers, p.Gossip)
 		}
 	}
-	go g.run(l.Terms.Lease.Span.Duration())
+	go g.run(l.Settings.Lease.Span.Duration())
 	return g, nil
 }
 
--- a/internal/cluster/group.go
+++ b/internal/cluster/group.go
@@ -26,24 +26,24 @@
 
 // Line tells a member about itself and the group.
 type Line struct {
-	Name, Zone string
-	Channel    string // where forwarders join it
-	Listen     string // group port: raft and requests
-	Gossip     string // host:port, TCP and UDP
-	Folder     string // of raft's log and snapshots
-	Life       uint64 // it grows with each start
-	Join       bool   // asks to be taken in; else, where nothing is agreed yet, it founds the group with Peers
-	Peers      []Peer // itself among them
-	Terms      Terms
-	Limit      float64                // invocations a second that it governs at most; 0: any
-	Loads      func() map[int]float64 // traffic that joined forwarders told, by part; nil: not known
-	Now        func() model.Microseconds
-	Strays     func() map[int]int // forwarders that ask here over and over, by part; nil: not known
-	Links      Links              // nil: all reach all
-	Hands      Hands
-	full       func() error // of the disk, nil while it can be written; tests fill it
-	knows      uint8        // newest form of commands that is understood, 0: form; tests let one member be newer
-	Log        zerolog.Logger
+	Name, Zone       string
+	Channel          string // where forwarders join it
+	Listen           string // group port: raft and requests
+	Gossip           string // host:port, TCP and UDP
+	Folder           string // of raft's log and snapshots
+	Life             uint64 // it grows with each start
+	Join             bool   // asks to be taken in; else, where nothing is agreed yet, it founds the group with Peers
+	Peers            []Peer // itself among them
+	Settings         Settings
+	Capacity         float64                // invocations a second that it governs at most; 0: any
+	Loads            func() map[int]float64 // traffic that joined forwarders told, by part; nil: not known
+	Now              func() model.Microseconds
+	MisroutedProxies func() map[int]int // forwarders that ask here over and over, by part; nil: not known
+	Links            Links              // nil: all reach all
+	Handover         HandoverHooks
+	full             func() error // of the disk, nil while it can be written; tests fill it
+	knows            uint8        // newest form of commands that is understood, 0: form; tests let one member be newer
+	Log              zerolog.Logger
 }
 
 func (l *Line) address(name, otherwise string) string {
@@ -67,8 +67,8 @@
 // Events is told, from one goroutine, what this member holds from now on and what no longer. Lost returns once no order of this
 // member for the part is under way any more.
 type Events interface {
-	Gained(part int, epoch uint64)
-	Lost(part int)
+	LeaseGained(part int, epoch uint64)
+	LeaseLost(part int)
 }
 
 // Group is one running member. Make it with Open.
@@ -88,7 +88,7 @@
 	disk    error // votes cannot be written
 	trouble string
 	loads   map[int]float64
-	strays  []Stray
+	strays  []MisroutedProxies
 	moved   time.Time // it last gave up leading, as its settings are not the group's
 }
 
@@ -98,14 +98,14 @@
 		return nil, fmt.Errorf("group: %w", err)
 	}
 	g := &Group{line: &l, events: e, poke: make(chan struct{}, 1), send: make(chan *Command, 16), done: make(chan struct{})}
-	record := Record{Zone: l.Zone, Channel: l.Channel, Request: l.address(l.Name, l.Listen), Limit: l.Limit}
-	g.member = NewMember(l.Name, l.Life, record, l.Terms, func(part int) float64 {
+	record := MemberRecord{Zone: l.Zone, Channel: l.Channel, RequestAddress: l.address(l.Name, l.Listen), Capacity: l.Capacity}
+	g.member = NewMember(l.Name, l.Life, record, l.Settings, func(part int) float64 {
 		if load, any := g.loads[part]; any {
 			return load
 		}
 		return -1 // its forwarders are on their way here
 	})
-	g.member.strays = func() []Stray { return g.strays }
+	g.member.strays = func() []MisroutedProxies { return g.strays }
 	if l.knows > 0 {
 		g.member.reg.knows = l.knows
 	}
@@ -143,7 +143,7 @@
 func (g *Group) Close() {
 	close(g.done)
 	g.wait.Wait()
-	g.gossip.close(g.line.Terms.Lease.Span.Duration() / 8)
+	g.gossip.close(g.line.Settings.Lease.Span.Duration() / 8)
 	g.engine.close()
 	g.port.close()
 }
@@ -151,12 +151,12 @@
 // run ticks: each time that something was agreed on, and a hundred times a lease.
 func (g *Group) run() {
 	defer g.wait.Done()
-	every := g.line.Terms.Lease.Span.Duration() / 100
+	every := g.line.Settings.Lease.Span.Duration() / 100
 	tick := time.NewTicker(max(every, time.Millisecond))
 	defer tick.Stop()
 	var weighed time.Time
 	var loads map[int]float64
-	var strays []Stray
+	var strays []MisroutedProxies
 	for {
 		select {
 		case <-g.done:
@@ -172,7 +172,7 @@
 		// Asked for outside of the lock: who tells it may wait for this member's word on a lease.
 		if now := time.Now(); g.line.Loads != nil && now.Sub(weighed) > 10*every {
 			weighed, loads = now, g.line.Loads()
-			strays = sorted(g.line.Strays)
+			strays = sorted(g.line.MisroutedProxies)
 		}
 		g.mu.Lock()
 		g.loads, g.strays = loads, strays
@@ -185,11 +185,11 @@
 		g.mu.Unlock()
 		for _, c := range changes {
 			if c.Epoch == 0 {
-				g.line.Log.Info().Int("part", c.Part).Msg("part lost or given up")
-				g.events.Lost(c.Part)
+				g.line.Log.Info().Int("part", c.Shard).Msg("part lost or given up")
+				g.events.LeaseLost(c.Shard)
 			} else {
-				g.line.Log.Info().Int("part", c.Part).Uint64("epoch", c.Epoch).Msg("part held")
-				g.events.Gained(c.Part, c.Epoch)
+				g.line.Log.Info().Int("part", c.Shard).Uint64("epoch", c.Epoch).Msg("part held")
+				g.events.LeaseGained(c.Shard, c.Epoch)
 			}
 		}
 		if transfer {
@@ -204,14 +204,14 @@
 	}
 }
 
-func sorted(from func() map[int]int) (all []Stray) {
+func sorted(from func() map[int]int) (all []MisroutedProxies) {
 	if from == nil {
 		return nil
 	}
 	for part, n := range from() {
-		all = append(all, Stray{part, n})
+		all = append(all, MisroutedProxies{part, n})
 	}
-	slices.SortFunc(all, func(a, b Stray) int { return a.Part - b.Part })
+	slices.SortFunc(all, func(a, b MisroutedProxies) int { return a.Shard - b.Shard })
 	return all
 }
 
@@ -233,17 +233,17 @@
 	m := g.member
 	s := m.reg.Member(m.Name)
 	switch {
-	case m.reg.Newer > 0:
-		return fmt.Sprintf("the others have agreed on a command of form %d, this program knows up to %d: update it", m.reg.Newer, form)
+	case m.reg.NewerSchemaVersion > 0:
+		return fmt.Sprintf("the others have agreed on a command of form %d, this program knows up to %d: update it", m.reg.NewerSchemaVersion, form)
 	case m.OtherSettings():
 		return "span, drift, settle, pace, zones or parts differ from those that the group was begun with: make this member's file like the others'"
 	case m.Outranked():
 		return "another process runs under this name, and began later: end one of them"
 	case g.disk != nil:
 		return "votes cannot be written: " + g.disk.Error()
-	case s == nil || s.Life != m.Life:
+	case s == nil || s.Incarnation != m.Incarnation:
 		return "not on the register: nobody leads the group, or a majority is not there, or this member has not been taken in"
-	case s.Struck:
+	case s.Removed:
 		return "this member was struck off the register"
 	case m.agreed > 0 && g.line.Now()-m.agreed > m.terms.Lease.Span:
 		return "what it asks is not agreed on: nobody leads the group, or a majority is not there"
@@ -257,13 +257,13 @@
 	to := &client{}
 	defer func() { to.close() }()
 	at := ""
-	within := g.line.Terms.Lease.Span.Duration() / 4
+	within := g.line.Settings.Lease.Span.Duration() / 4
 	for {
 		select {
 		case <-g.done:
 			return
 		case c := <-g.send:
-			if c.Kind == Release {
+			if c.Kind == ReleaseLeases {
 				g.handOver(c, within)
 			}
 			if g.engine.isLeader() {
@@ -274,7 +274,7 @@
 			if address == "" && g.line.Join {
 				g.askIn(within)
 			}
-			if address == "" || c.Kind == Plan || name == g.line.Name {
+			if address == "" || c.Kind == SetPlacement || name == g.line.Name {
 				g.failed(c, errNotLeader)
 				continue
 			}
@@ -314,11 +314,11 @@
 	}
 }
 
-// Holds tells whether this member may order for a part now, and in which epoch.
-func (g *Group) Holds(part int) (epoch uint64, ok bool) {
+// IsLeaseHolder tells whether this member may order for a part now, and in which epoch.
+func (g *Group) IsLeaseHolder(part int) (epoch uint64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.member.Holds(part, g.line.Now())
+	return g.member.IsLeaseHolder(part, g.line.Now())
 }
 
 // Holder gives the channel address of the member that should hold a part; "" if that is this one, or nobody that is here.
@@ -328,8 +328,8 @@
 	return g.member.Elsewhere(part, g.line.Now())
 }
 
-// GiveAway has this member's parts moved to others in planned moves, and waits until it holds none or the time is over.
-func (g *Group) GiveAway(within time.Duration) {
+// TransferLeases has this member's parts moved to others in planned moves, and waits until it holds none or the time is over.
+func (g *Group) TransferLeases(within time.Duration) {
 	end := time.Now().Add(within)
 	words := []string{"LEAVE", g.line.Name, "ending"}
 	for time.Now().Before(end) {
@@ -347,7 +347,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for part := range g.member.claims {
-		if _, ok := g.member.Holds(part, g.line.Now()); ok {
+		if _, ok := g.member.IsLeaseHolder(part, g.line.Now()); ok {
 			return true
 		}
 	}
@@ -378,7 +378,7 @@
 	return g.member.reg.Bytes()
 }
 
-func (g *Group) restored(r *Register) error {
+func (g *Group) restored(r *State) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.member.Restore(r)
--- a/internal/cluster/group_test.go
+++ b/internal/cluster/group_test.go
@@ -23,8 +23,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // quick are terms for tests over sockets: a lease of a second.
-var quick = Terms{Lease: lease.Terms{Span: model.Second, Drift: 50 * model.Millisecond},
-	Assign: placement.Terms{Settle: 2 * model.Second, Pace: 200 * model.Millisecond}, Zones: []string{"govan", "partick", "dalmarnock"}, PartsEach: 2}
+var quick = Settings{Lease: lease.Terms{Span: model.Second, Drift: 50 * model.Millisecond},
+	Placement: placement.Terms{Settle: 2 * model.Second, Pace: 200 * model.Millisecond}, Zones: []string{"govan", "partick", "dalmarnock"}, ShardsPerZone: 2}
 
 // hands is what members were told that they hold; it fails the test where two hold a part at once, judged as the events come.
 type hands struct {
@@ -39,7 +39,7 @@
 	name string
 }
 
-func (h told) Gained(part int, epoch uint64) {
+func (h told) LeaseGained(part int, epoch uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if epoch <= h.epoch[part] && h.holds[part] != h.name {
@@ -48,7 +48,7 @@
 	h.holds[part], h.epoch[part] = h.name, max(epoch, h.epoch[part])
 }
 
-func (h told) Lost(part int) {
+func (h told) LeaseLost(part int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.holds[part] == h.name {
@@ -117,7 +117,7 @@
 	}
 	for k, peer := range peers {
 		p.lines = append(p.lines, Line{Name: peer.Name, Zone: quick.Zones[k%3], Channel: fmt.Sprint("127.0.0.1:", 7700+k), Listen: peer.Address, Gossip: peer.Gossip,
-			Folder: filepath.Join(dir, peer.Name), Peers: peers, Terms: quick, Loads: func() map[int]float64 { return map[int]float64{0: 10, 1: 10, 2: 10, 3: 10, 4: 10, 5: 10} }, Now: p.now, Links: p.links, Log: zerolog.Nop()})
+			Folder: filepath.Join(dir, peer.Name), Peers: peers, Settings: quick, Loads: func() map[int]float64 { return map[int]float64{0: 10, 1: 10, 2: 10, 3: 10, 4: 10, 5: 10} }, Now: p.now, Links: p.links, Log: zerolog.Nop()})
 	}
 	p.up, p.full = make([]*Group, n), make([]atomic.Bool, n)
 	for k := range n {
@@ -185,7 +185,7 @@
 		n := 0
 		if g != nil {
 			for part := range 6 {
-				if _, ok := g.Holds(part); ok {
+				if _, ok := g.IsLeaseHolder(part); ok {
 					n++
 				}
 			}
@@ -208,8 +208,8 @@
 	p.awaitHeld(3, 3, 0)
 	p.start(2)
 	p.awaitHeld(2, 2, 2)
-	if s := p.up[0].Status(); len(s.Events) < 10 || s.Trouble != "" {
-		t.Errorf("%d takeovers, trouble %q", len(s.Events), s.Trouble)
+	if s := p.up[0].Status(); len(s.Takeovers) < 10 || s.Fault != "" {
+		t.Errorf("%d takeovers, trouble %q", len(s.Takeovers), s.Fault)
 	}
 }
 
@@ -235,7 +235,7 @@
 	want := []int{3, 3, 3}
 	want[old] = 0
 	p.awaitHeld(want...)
-	p.await("it says why", func() bool { return strings.Contains(p.up[old].Status().Trouble, "majority") })
+	p.await("it says why", func() bool { return strings.Contains(p.up[old].Status().Fault, "majority") })
 	for k := range 3 {
 		p.links.set(false, led, fmt.Sprint("m", k))
 		p.links.set(false, fmt.Sprint("m", k), led)
@@ -262,7 +262,7 @@
 	p.stop(0)
 	p.stop(1)
 	p.awaitHeld(0, 0, 0)
-	p.await("it says why", func() bool { return strings.Contains(p.up[2].Status().Trouble, "majority") })
+	p.await("it says why", func() bool { return strings.Contains(p.up[2].Status().Fault, "majority") })
 	p.stop(2)
 	for k := range 3 {
 		p.start(k)
@@ -287,7 +287,7 @@
 		if err := ask(k, "MOVE", "0", fmt.Sprint("m", k)); err != nil {
 			t.Fatal(err)
 		}
-		p.await("the part is moved", func() bool { _, ok := p.up[k].Holds(0); return ok })
+		p.await("the part is moved", func() bool { _, ok := p.up[k].IsLeaseHolder(0); return ok })
 	}
 	led, _ := p.up[0].engine.leader()
 	leaving := 0
@@ -305,7 +305,7 @@
 	p.await("it is struck off", func() bool {
 		for _, m := range p.up[2].Status().Members {
 			if m.Name == fmt.Sprint("m", leaving) {
-				return m.Struck && !m.Votes
+				return m.Removed && !m.Voter
 			}
 		}
 		return false
@@ -316,9 +316,9 @@
 func TestAMemberEnds(t *testing.T) {
 	p := newParish(t, 3)
 	p.awaitHeld(2, 2, 2)
-	p.up[1].GiveAway(10 * time.Second)
+	p.up[1].TransferLeases(10 * time.Second)
 	p.awaitHeld(3, 0, 3)
-	for _, e := range p.up[0].Status().Events[6:] {
+	for _, e := range p.up[0].Status().Takeovers[6:] {
 		if !e.Planned || e.From != "m1" {
 			t.Errorf("%+v", e)
 		}
@@ -379,7 +379,7 @@
 		p.start(k)
 		p.awaitHeld(2, 2, 2)
 	}
-	if n := len(p.up[0].Status().Events); n < 8 {
+	if n := len(p.up[0].Status().Takeovers); n < 8 {
 		t.Errorf("%d takeovers are remembered", n)
 	}
 }
@@ -436,7 +436,7 @@
 	want := []int{3, 3, 3}
 	want[k] = 0
 	p.awaitHeld(want...)
-	p.await("it says that something is in the way", func() bool { return p.up[k].Status().Trouble != "" })
+	p.await("it says that something is in the way", func() bool { return p.up[k].Status().Fault != "" })
 	p.full[k].Store(false)
 	p.awaitHeld(2, 2, 2)
 }
@@ -461,10 +461,10 @@
 			_ = p.up[2].engine.raft.LeadershipTransfer().Error()
 			return false
 		}
-		return p.up[k].engine.propose(&Command{Form: form + 1, Kind: 99}) == nil
+		return p.up[k].engine.propose(&Command{SchemaVersion: form + 1, Kind: 99}) == nil
 	})
 	p.awaitHeld(3, 3, 0)
-	if why := p.up[2].Status().Trouble; !strings.Contains(why, "update it") {
+	if why := p.up[2].Status().Fault; !strings.Contains(why, "update it") {
 		t.Errorf("it says %q", why)
 	}
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -21,15 +21,15 @@
 //	held                     its time is up                       not held   Lost
 //	held                     a newer form, or other settings      given up   Lost, no Release: what it would do is not known
 type Member struct {
-	Name   string
-	Life   uint64 // grows with each start, and differs between two processes that run under one name
-	Record Record
-	terms  Terms
-	reg    *Register
-	claims []lease.Claim
-	told   []uint64 // epoch in which Gained was told; 0: not held
-	load   func(part int) float64
-	strays func() []Stray // nil: not known
+	Name        string
+	Incarnation uint64 // grows with each start, and differs between two processes that run under one name
+	Record      MemberRecord
+	terms       Settings
+	reg         *State
+	claims      []lease.Claim
+	told        []uint64 // epoch in which Gained was told; 0: not held
+	load        func(part int) float64
+	strays      func() []MisroutedProxies // nil: not known
 
 	askAt   model.Microseconds // the next Renew
 	asked   model.Microseconds // the newest one left
@@ -51,24 +51,24 @@
 }
 
 // NewMember makes one; load tells the traffic of a part that it holds, below 0 where it does not know.
-func NewMember(name string, life uint64, record Record, t Terms, load func(part int) float64) *Member {
+func NewMember(name string, life uint64, record MemberRecord, t Settings, load func(part int) float64) *Member {
 	record.Digest = t.Digest()
-	m := &Member{Name: name, Life: life, Record: record, terms: t, load: load, here: map[string]model.Microseconds{}, heard: map[string]model.Microseconds{}}
-	m.Restore(NewRegister(t))
-	m.seen = make([]model.Microseconds, len(m.reg.Parts))
-	m.claims, m.told = make([]lease.Claim, len(m.reg.Parts)), make([]uint64, len(m.reg.Parts))
+	m := &Member{Name: name, Incarnation: life, Record: record, terms: t, load: load, here: map[string]model.Microseconds{}, heard: map[string]model.Microseconds{}}
+	m.Restore(NewState(t))
+	m.seen = make([]model.Microseconds, len(m.reg.Shards))
+	m.claims, m.told = make([]lease.Claim, len(m.reg.Shards)), make([]uint64, len(m.reg.Shards))
 	return m
 }
 
 // Restore takes a register from a snapshot. What is held goes on: its lease was granted to this life, whatever was agreed since.
-func (m *Member) Restore(r *Register) { m.reg = r }
+func (m *Member) Restore(r *State) { m.reg = r }
 
 // Register is what the member knows to be agreed on; it is to be read under the caller's lock.
-func (m *Member) Register() *Register { return m.reg }
+func (m *Member) Register() *State { return m.reg }
 
 // Applied takes a command of the log.
 func (m *Member) Applied(c *Command, term uint64, now model.Microseconds) {
-	if c.Kind == Lead && c.Form <= m.reg.knows {
+	if c.Kind == LeaderElected && c.SchemaVersion <= m.reg.knows {
 		m.reg.Term = term
 		m.askAt, m.waits = now, false // what the leader before was asked is lost, or its answer is here already
 	}
@@ -76,45 +76,45 @@
 		m.fresh = c.At
 	}
 	for _, a := range m.reg.Apply(c, term) {
-		if a.Granted && a.Part < len(m.seen) {
-			m.seen[a.Part] = now
+		if a.Granted && a.Shard < len(m.seen) {
+			m.seen[a.Shard] = now
 		}
-		if c.Member != m.Name || c.Life != m.Life || a.Part >= len(m.claims) {
+		if c.Member != m.Name || c.Incarnation != m.Incarnation || a.Shard >= len(m.claims) {
 			continue
 		}
-		m.claims[a.Part].Answered(m.terms.Lease, a.Answer)
+		m.claims[a.Shard].Answered(m.terms.Lease, a.Answer)
 		m.waits = false
 		if !a.Granted {
 			m.refused = true
 		}
 	}
-	if c.Kind == Renew || c.Kind == Enrol {
+	if c.Kind == RenewLeases || c.Kind == RegisterMember {
 		m.heard[c.Member] = now
 	}
-	if c.Kind == Plan {
+	if c.Kind == SetPlacement {
 		m.planAt = 0
-		if slices.ContainsFunc(c.Moves, func(mv placement.Move) bool { return mv.To == m.Name }) {
+		if slices.ContainsFunc(c.Migrations, func(mv placement.Move) bool { return mv.To == m.Name }) {
 			m.askAt = now // at once: the part may be free
 		}
 	}
-	if c.Kind == Release && c.Member != m.Name {
-		for _, a := range c.Asks {
-			if p := m.reg.part(a.Part); p != nil && p.Wanted == m.Name {
+	if c.Kind == ReleaseLeases && c.Member != m.Name {
+		for _, a := range c.Requests {
+			if p := m.reg.part(a.Shard); p != nil && p.Target == m.Name {
 				m.askAt, m.waits = now, false
 			}
 		}
 	}
-	if c.Kind == Renew && c.Member == m.Name && c.Life == m.Life {
+	if c.Kind == RenewLeases && c.Member == m.Name && c.Incarnation == m.Incarnation {
 		m.agreed = now
-		if len(c.Asks) == 0 {
+		if len(c.Requests) == 0 {
 			m.waits = false
 		}
 	}
 }
 
-// Holds tells whether this member may order for a part now, and in which epoch. It needs the caller's lock and may be called often.
-func (m *Member) Holds(part int, now model.Microseconds) (epoch uint64, ok bool) {
-	if part < 0 || part >= len(m.claims) || m.reg.Newer > 0 || m.OtherSettings() || !m.claims[part].MayOrder(now) {
+// IsLeaseHolder tells whether this member may order for a part now, and in which epoch. It needs the caller's lock and may be called often.
+func (m *Member) IsLeaseHolder(part int, now model.Microseconds) (epoch uint64, ok bool) {
+	if part < 0 || part >= len(m.claims) || m.reg.NewerSchemaVersion > 0 || m.OtherSettings() || !m.claims[part].MayOrder(now) {
 		return 0, false
 	}
 	return m.claims[part].Epoch, true
@@ -122,16 +122,16 @@
 
 // Lead gives the word with which this member begins to lead.
 func (m *Member) Lead(now model.Microseconds) *Command {
-	c := &Command{Form: form, Kind: Lead, Member: m.Name, Record: &Record{Digest: m.Record.Digest}, Heard: map[string]model.Microseconds{}}
-	for part, p := range m.reg.Parts {
-		one := PartSeen{Epoch: p.Lease.Epoch, Number: p.Lease.Number, Age: -1}
+	c := &Command{SchemaVersion: form, Kind: LeaderElected, Member: m.Name, Record: &MemberRecord{Digest: m.Record.Digest}, RenewalAges: map[string]model.Microseconds{}}
+	for part, p := range m.reg.Shards {
+		one := ShardObservation{Epoch: p.Lease.Epoch, Sequence: p.Lease.Number, Age: -1}
 		if part < len(m.seen) && m.seen[part] > 0 {
 			one.Age = now - m.seen[part]
 		}
-		c.Seen = append(c.Seen, one)
+		c.Observations = append(c.Observations, one)
 	}
 	for name, at := range m.heard {
-		c.Heard[name] = now - at
+		c.RenewalAges[name] = now - at
 	}
 	return c
 }
@@ -139,38 +139,38 @@
 // Failed takes that a Renew was not agreed on, as far as its sender knows. One that is all the same brings an answer that comes too
 // late to count.
 func (m *Member) Failed(c *Command, now model.Microseconds) {
-	if c.Kind == Renew && m.waits {
+	if c.Kind == RenewLeases && m.waits {
 		m.waits, m.askAt = false, now+m.terms.Lease.Span/20
 	}
 }
 
-// Change is a part that a member holds from now on, or no longer (Epoch 0).
-type Change struct {
-	Part  int
+// LeaseChange is a part that a member holds from now on, or no longer (Epoch 0).
+type LeaseChange struct {
+	Shard int
 	Epoch uint64
 }
 
 // Tick gives what changed since the last one, and what is to be proposed once that was carried out: a Release may leave only when no
 // order is under way any more. alive tells what gossip believes of a member; nil: all are.
-func (m *Member) Tick(now model.Microseconds, leads bool, alive func(name string) bool) (changes []Change, proposals []*Command) {
-	var releases []PartAsk
+func (m *Member) Tick(now model.Microseconds, leads bool, alive func(name string) bool) (changes []LeaseChange, proposals []*Command) {
+	var releases []ShardRequest
 	for part := range m.claims {
-		if _, held := m.Holds(part, now); held && m.reg.Parts[part].Wanted != m.Name {
-			releases = append(releases, PartAsk{Part: part, Number: m.claims[part].Stop(lease.Holder{}).Number})
+		if _, held := m.IsLeaseHolder(part, now); held && m.reg.Shards[part].Target != m.Name {
+			releases = append(releases, ShardRequest{Shard: part, Sequence: m.claims[part].Stop(lease.Holder{}).Number})
 		}
-		epoch, _ := m.Holds(part, now)
+		epoch, _ := m.IsLeaseHolder(part, now)
 		if epoch != m.told[part] {
 			m.told[part] = epoch
-			changes = append(changes, Change{part, epoch})
+			changes = append(changes, LeaseChange{part, epoch})
 		}
 	}
-	if m.reg.Newer > 0 || m.OtherSettings() {
+	if m.reg.NewerSchemaVersion > 0 || m.OtherSettings() {
 		return changes, nil
 	}
 	if len(releases) > 0 {
-		proposals = append(proposals, &Command{Form: form, Kind: Release, Member: m.Name, Life: m.Life, Asks: releases})
+		proposals = append(proposals, &Command{SchemaVersion: form, Kind: ReleaseLeases, Member: m.Name, Incarnation: m.Incarnation, Requests: releases})
 	}
-	if s := m.reg.Member(m.Name); s == nil || s.Life != m.Life || s.Record != m.Record || s.Struck {
+	if s := m.reg.Member(m.Name); s == nil || s.Incarnation != m.Incarnation || s.Record != m.Record || s.Removed {
 		if c := m.enrol(now); c != nil {
 			proposals = append(proposals, c)
 		}
@@ -193,7 +193,7 @@
 	}
 	m.enrolAt = now + m.terms.Lease.Span/3
 	record := m.Record
-	return &Command{Form: form, Kind: Enrol, Member: m.Name, Life: m.Life, Record: &record, Fresh: m.fresh}
+	return &Command{SchemaVersion: form, Kind: RegisterMember, Member: m.Name, Incarnation: m.Incarnation, Record: &record, FollowedAt: m.fresh}
 }
 
 // OtherSettings tells that the group was begun with settings that differ from this member's where all must be alike.
@@ -202,7 +202,7 @@
 // Outranked tells that a later life of this member is on the register.
 func (m *Member) Outranked() bool {
 	s := m.reg.Member(m.Name)
-	return s != nil && s.Life > m.Life
+	return s != nil && s.Incarnation > m.Incarnation
 }
 
 func (m *Member) renew(now model.Microseconds) *Command {
@@ -217,19 +217,19 @@
 		return nil
 	}
 	m.asked, m.askAt, m.waits, m.refused = now, now+span/3, true, false
-	c := &Command{Form: form, Kind: Renew, Member: m.Name, Life: m.Life, Fresh: m.fresh}
+	c := &Command{SchemaVersion: form, Kind: RenewLeases, Member: m.Name, Incarnation: m.Incarnation, FollowedAt: m.fresh}
 	if m.strays != nil {
-		c.Strays = m.strays()
+		c.MisroutedProxies = m.strays()
 	}
-	for part, p := range m.reg.Parts {
-		if p.Wanted != m.Name || part >= len(m.claims) {
+	for part, p := range m.reg.Shards {
+		if p.Target != m.Name || part >= len(m.claims) {
 			continue
 		}
 		load := -1.0
-		if _, held := m.Holds(part, now); held {
+		if _, held := m.IsLeaseHolder(part, now); held {
 			load = m.load(part)
 		}
-		c.Asks = append(c.Asks, PartAsk{Part: part, Number: m.claims[part].Ask(lease.Holder{}, now).Number, Load: load})
+		c.Requests = append(c.Requests, ShardRequest{Shard: part, Sequence: m.claims[part].Ask(lease.Holder{}, now).Number, Load: load})
 	}
 	return c
 }
@@ -248,7 +248,7 @@
 	}
 	// Members that start together enrol within some round trips. A plan made at once gave the first of them the whole fleet, to be moved
 	// part by part after.
-	if now-m.ledAt < m.terms.Lease.Span/2 && slices.ContainsFunc(m.reg.Parts, func(p *PartState) bool { return p.Lease.Epoch == 0 }) {
+	if now-m.ledAt < m.terms.Lease.Span/2 && slices.ContainsFunc(m.reg.Shards, func(p *ShardState) bool { return p.Lease.Epoch == 0 }) {
 		return nil
 	}
 	if m.planAt > 0 && now-m.planAt < planFor {
@@ -256,7 +256,7 @@
 	}
 	var members []placement.Member
 	for _, s := range m.reg.Members {
-		a := placement.Member{Name: s.Name, Zone: s.Record.Zone, Limit: s.Record.Limit, Leaving: s.Leaving || s.Struck, Ending: s.Ending, Here: m.isHere(s, now, alive)}
+		a := placement.Member{Name: s.Name, Zone: s.Record.Zone, Limit: s.Record.Capacity, Leaving: s.Draining || s.Removed, Ending: s.Stopping, Here: m.isHere(s, now, alive)}
 		since, was := m.here[s.Name]
 		switch {
 		case !a.Here:
@@ -269,29 +269,29 @@
 		members = append(members, a)
 	}
 	var parts []placement.Part
-	for _, p := range m.reg.Parts {
-		parts = append(parts, placement.Part{Number: p.Number, Zone: p.Zone, Load: p.Load, Wanted: p.Wanted, ByHand: p.ByHand, Asked: m.askedInstead(p, now)})
+	for _, p := range m.reg.Shards {
+		parts = append(parts, placement.Part{Number: p.Number, Zone: p.Zone, Load: p.Load, Wanted: p.Target, ByHand: p.Pinned, Asked: m.askedInstead(p, now)})
 	}
-	moves := m.mover.Decide(m.terms.Assign, now, members, parts)
+	moves := m.mover.Decide(m.terms.Placement, now, members, parts)
 	if len(moves) == 0 {
 		return nil
 	}
 	m.planAt = now
-	return &Command{Form: form, Kind: Plan, Member: m.Name, Moves: moves}
+	return &Command{SchemaVersion: form, Kind: SetPlacement, Member: m.Name, Migrations: moves}
 }
 
 // askedInstead gives the member that most of a part's forwarders go on asking while none of them is joined to its holder, for a lease's
 // time already: their link to the holder is cut, though the group's is not. "" for none.
-func (m *Member) askedInstead(p *PartState, now model.Microseconds) string {
+func (m *Member) askedInstead(p *ShardState, now model.Microseconds) string {
 	most, name := 0, ""
 	for _, s := range m.reg.Members {
-		for _, stray := range s.Strays {
-			if stray.Part == p.Number && stray.Forwarders > most && s.Name != p.Wanted {
-				most, name = stray.Forwarders, s.Name
+		for _, stray := range s.MisroutedProxies {
+			if stray.Shard == p.Number && stray.Proxies > most && s.Name != p.Target {
+				most, name = stray.Proxies, s.Name
 			}
 		}
 	}
-	if !p.Empty || most == 0 || m.reg.Holder(p) != p.Wanted {
+	if !p.NoProxies || most == 0 || m.reg.Holder(p) != p.Target {
 		delete(m.lonely, p.Number)
 		return ""
 	}
@@ -309,9 +309,9 @@
 // isHere tells whether the leader counts on a member. Renewals are the proof; gossip only shortens the wait: it may say that one is
 // gone whose renewal is due anyway, and never that one is here who doesn't renew.
 func (m *Member) isHere(s *MemberState, now model.Microseconds, alive func(string) bool) bool {
-	silent := now - s.Heard
+	silent := now - s.RenewedAt
 	span := m.terms.Lease.Span
-	if s.Struck || s.Record.Digest != m.reg.Digest || silent >= span+m.terms.Lease.Drift {
+	if s.Removed || s.Record.Digest != m.reg.Digest || silent >= span+m.terms.Lease.Drift {
 		return false
 	}
 	return alive == nil || silent < span/2 || alive(s.Name)
@@ -321,26 +321,26 @@
 // renewed for half a lease: who is sent there would most likely find nobody, and lose the time.
 func (m *Member) Elsewhere(part int, now model.Microseconds) string {
 	p := m.reg.part(part)
-	if p == nil || p.Wanted == m.Name {
+	if p == nil || p.Target == m.Name {
 		return ""
 	}
-	s := m.reg.Member(p.Wanted)
-	if at, heard := m.heard[p.Wanted]; s == nil || !heard || now-at >= m.terms.Lease.Span/2 {
+	s := m.reg.Member(p.Target)
+	if at, heard := m.heard[p.Target]; s == nil || !heard || now-at >= m.terms.Lease.Span/2 {
 		return ""
 	}
 	return s.Record.Channel
 }
 
 // Missing tells why a part is without an order of its holder, for a reader; "" if it has one.
-func (m *Member) Missing(p *PartState) string {
-	s := m.reg.Member(p.Wanted)
+func (m *Member) Missing(p *ShardState) string {
+	s := m.reg.Member(p.Target)
 	switch {
-	case p.Wanted == "":
+	case p.Target == "":
 		return "no member has room for it, or none is here"
-	case s == nil || s.Struck:
+	case s == nil || s.Removed:
 		return "its member was struck off"
-	case m.reg.Holder(p) != p.Wanted:
-		return cmp.Or(m.reg.Whys[p.Number], "planned") + ": waits for " + cmp.Or(m.reg.Holder(p), "its member to ask")
+	case m.reg.Holder(p) != p.Target:
+		return cmp.Or(m.reg.WaitReasons[p.Number], "planned") + ": waits for " + cmp.Or(m.reg.Holder(p), "its member to ask")
 	}
 	return ""
 }
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -11,8 +11,8 @@
 	"peppervale/internal/placement"
 )
 
-var town = Terms{Lease: lease.Terms{Span: 2 * model.Second, Drift: 100 * model.Millisecond},
-	Assign: placement.Terms{Settle: 5 * model.Second, Pace: model.Second}, Zones: []string{"govan", "partick", "dalmarnock"}, PartsEach: 2}
+var town = Settings{Lease: lease.Terms{Span: 2 * model.Second, Drift: 100 * model.Millisecond},
+	Placement: placement.Terms{Settle: 5 * model.Second, Pace: model.Second}, Zones: []string{"govan", "partick", "dalmarnock"}, ShardsPerZone: 2}
 
 // circle is a group on a log in memory: agreed on at once, carried to each member unless it is cut off or down.
 type circle struct {
@@ -55,7 +55,7 @@
 	o := c.members[k]
 	o.lives++
 	zone := town.Zones[k%len(town.Zones)]
-	o.Member = NewMember(fmt.Sprint("m", k), o.lives, Record{Zone: zone, Channel: fmt.Sprint("127.0.0.1:", 7700+k)}, town, func(int) float64 { return 10 })
+	o.Member = NewMember(fmt.Sprint("m", k), o.lives, MemberRecord{Zone: zone, Channel: fmt.Sprint("127.0.0.1:", 7700+k)}, town, func(int) float64 { return 10 })
 	o.up, o.at = true, 0
 }
 
@@ -118,13 +118,13 @@
 }
 
 func (c *circle) judge() {
-	for part := range c.members[0].reg.Parts {
+	for part := range c.members[0].reg.Shards {
 		holder, in := -1, uint64(0)
 		for k, o := range c.members {
 			if !o.up {
 				continue
 			}
-			if epoch, ok := o.Holds(part, o.clock(c)); ok {
+			if epoch, ok := o.IsLeaseHolder(part, o.clock(c)); ok {
 				if holder >= 0 {
 					c.t.Fatalf("at %d: m%d and m%d order for part %d, in epochs %d and %d", c.now, holder, k, part, in, epoch)
 				}
@@ -143,8 +143,8 @@
 // held counts the parts that a member holds.
 func (c *circle) held(k int) (n int) {
 	o := c.members[k]
-	for part := range o.reg.Parts {
-		if _, ok := o.Holds(part, o.clock(c)); ok && o.up {
+	for part := range o.reg.Shards {
+		if _, ok := o.IsLeaseHolder(part, o.clock(c)); ok && o.up {
 			n++
 		}
 	}
@@ -201,7 +201,7 @@
 		t.Errorf("the time line ends with %+v", e[len(e)-1])
 	}
 	c.start(2)
-	c.run(town.Assign.Settle - model.Second)
+	c.run(town.Placement.Settle - model.Second)
 	c.want(3, 3, 0)
 	c.run(5 * model.Second)
 	c.want(2, 2, 2)
@@ -337,7 +337,7 @@
 func TestALeavingMember(t *testing.T) {
 	c := newCircle(t, 3)
 	c.run(10 * model.Second)
-	c.log = append(c.log, entry{Command{Form: form, Kind: Leave, Member: "m1", On: true, ByHand: true, At: c.now}, c.term})
+	c.log = append(c.log, entry{Command{SchemaVersion: form, Kind: DrainMember, Member: "m1", On: true, ByOperator: true, At: c.now}, c.term})
 	without := model.Microseconds(0)
 	for c.held(1) > 0 || without == 0 {
 		c.step(20 * model.Millisecond)
@@ -368,7 +368,7 @@
 	c.members = append(c.members, &one{lives: old.lives})
 	twin := c.members[3]
 	c.start(3)
-	twin.Member = NewMember("m1", 2, Record{Zone: "partick", Channel: "127.0.0.1:7800"}, town, func(int) float64 { return 10 })
+	twin.Member = NewMember("m1", 2, MemberRecord{Zone: "partick", Channel: "127.0.0.1:7800"}, town, func(int) float64 { return 10 })
 	c.run(3 * town.Lease.Span)
 	c.want(2, 0, 2, 2)
 	if !old.Outranked() || twin.Outranked() {
@@ -380,7 +380,7 @@
 func TestAnOldProgram(t *testing.T) {
 	c := newCircle(t, 3)
 	c.run(5 * model.Second)
-	c.members[1].Applied(&Command{Form: form + 1, Kind: 99}, c.term, c.now)
+	c.members[1].Applied(&Command{SchemaVersion: form + 1, Kind: 99}, c.term, c.now)
 	c.want(2, 0, 2)
 	if _, err := c.members[1].Register().Bytes(); err == nil {
 		t.Error("a snapshot of what is not known")
@@ -393,8 +393,8 @@
 func TestOtherSettings(t *testing.T) {
 	c := newCircle(t, 3)
 	other := town
-	other.PartsEach = 3
-	c.members[2].Member = NewMember("m2", 5, Record{Zone: "dalmarnock"}, other, func(int) float64 { return 1 })
+	other.ShardsPerZone = 3
+	c.members[2].Member = NewMember("m2", 5, MemberRecord{Zone: "dalmarnock"}, other, func(int) float64 { return 1 })
 	c.run(10 * model.Second)
 	c.want(3, 3, 0)
 }
@@ -406,16 +406,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := ReadRegister(b)
+	r, err := ReadState(b)
 	if err != nil {
 		t.Fatal(err)
 	}
 	again, _ := r.Bytes()
-	if string(again) != string(b) || *r.Parts[3] != *c.members[0].reg.Parts[3] {
+	if string(again) != string(b) || *r.Shards[3] != *c.members[0].reg.Shards[3] {
 		t.Error("a register from a snapshot is another one")
 	}
 	for n := range len(b) { // cut anywhere it is refused, and nothing falls over
-		if _, err := ReadRegister(b[:n]); err == nil {
+		if _, err := ReadState(b[:n]); err == nil {
 			t.Fatalf("%d bytes of %d are taken", n, len(b))
 		}
 	}
@@ -428,9 +428,9 @@
 	c.lead(1)
 	c.run(100 * model.Millisecond)
 	m := c.members[0]
-	before := *m.reg.Parts[0]
-	m.Applied(&Command{Form: form, Kind: Renew, Member: "m1", Life: 1, Asks: []PartAsk{{Part: 0, Number: 9}}, At: c.now + 3600*model.Second}, c.term-1, c.now)
-	if *m.reg.Parts[0] != before {
+	before := *m.reg.Shards[0]
+	m.Applied(&Command{SchemaVersion: form, Kind: RenewLeases, Member: "m1", Incarnation: 1, Requests: []ShardRequest{{Shard: 0, Sequence: 9}}, At: c.now + 3600*model.Second}, c.term-1, c.now)
+	if *m.reg.Shards[0] != before {
 		t.Error("a stamp of another clock was taken for one of this leader's")
 	}
 }
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -83,14 +83,14 @@
 }
 
 // describeRegister has a line for each member, part and event.
-func describeRegister(r *Register) string {
+func describeRegister(r *State) string {
 	top := *r
-	top.Members, top.Parts, top.Events = nil, nil, nil
+	top.Members, top.Shards, top.Events = nil, nil, nil
 	lines := []string{describe(top)}
 	for _, m := range r.Members {
 		lines = append(lines, "member "+describe(m))
 	}
-	for _, p := range r.Parts {
+	for _, p := range r.Shards {
 		lines = append(lines, "part "+describe(p))
 	}
 	for _, e := range r.Events {
@@ -136,8 +136,8 @@
 // goldens are the values of testdata/golden: a command of each kind, a hand-over and a register. Maps have one entry, as their order is
 // free.
 func goldens() map[string]any {
-	record := &Record{Zone: "govan", Channel: "127.0.0.1:7700", Request: "127.0.0.1:7800", Limit: 1500.5, Digest: 0xfeedfacecafebeef}
-	head := Command{Form: 1, At: 1_234_567, Fresh: 1_200_000, Member: "m0", Life: 17}
+	record := &MemberRecord{Zone: "govan", Channel: "127.0.0.1:7700", RequestAddress: "127.0.0.1:7800", Capacity: 1500.5, Digest: 0xfeedfacecafebeef}
+	head := Command{SchemaVersion: 1, At: 1_234_567, FollowedAt: 1_200_000, Member: "m0", Incarnation: 17}
 	command := func(kind Kind, fill func(c *Command)) Command {
 		c := head
 		c.Kind = kind
@@ -145,34 +145,34 @@
 		return c
 	}
 	return map[string]any{
-		"lead": command(Lead, func(c *Command) {
+		"lead": command(LeaderElected, func(c *Command) {
 			c.Record = record
-			c.Seen = []PartSeen{{Epoch: 3, Number: 40, Age: 250_000}, {Epoch: 1, Number: 7, Age: -1}}
-			c.Heard = map[string]model.Microseconds{"m1": 333_000}
+			c.Observations = []ShardObservation{{Epoch: 3, Sequence: 40, Age: 250_000}, {Epoch: 1, Sequence: 7, Age: -1}}
+			c.RenewalAges = map[string]model.Microseconds{"m1": 333_000}
 		}),
-		"enrol": command(Enrol, func(c *Command) { c.Record = record }),
-		"renew": command(Renew, func(c *Command) {
-			c.Asks = []PartAsk{{Part: 0, Number: 41, Load: 12.5}, {Part: 3, Number: 2, Load: -1}}
-			c.Strays = []Stray{{Part: 5, Forwarders: 4}}
+		"enrol": command(RegisterMember, func(c *Command) { c.Record = record }),
+		"renew": command(RenewLeases, func(c *Command) {
+			c.Requests = []ShardRequest{{Shard: 0, Sequence: 41, Load: 12.5}, {Shard: 3, Sequence: 2, Load: -1}}
+			c.MisroutedProxies = []MisroutedProxies{{Shard: 5, Proxies: 4}}
 		}),
-		"release": command(Release, func(c *Command) { c.Asks = []PartAsk{{Part: 2, Number: 9}} }),
-		"plan": command(Plan, func(c *Command) {
-			c.ByHand = true
-			c.Moves = []placement.Move{{Part: 2, From: "m0", To: "m1", Why: "moved by hand"}}
+		"release": command(ReleaseLeases, func(c *Command) { c.Requests = []ShardRequest{{Shard: 2, Sequence: 9}} }),
+		"plan": command(SetPlacement, func(c *Command) {
+			c.ByOperator = true
+			c.Migrations = []placement.Move{{Part: 2, From: "m0", To: "m1", Why: "moved by hand"}}
 		}),
-		"leave":  command(Leave, func(c *Command) { c.ByHand, c.On = true, true }),
-		"strike": command(Strike, func(c *Command) { c.Member = "m2" }),
-		"handover": Handover{From: "m0", Parts: []int{2, 5},
-			Sums: []model.LoadReport{{Zone: 1, Replica: model.ReplicaID{Addr: [4]byte{10, 0, 3, 200}, Port: 8080}, Attempts: 900, Errors: 8,
+		"leave":  command(DrainMember, func(c *Command) { c.ByOperator, c.On = true, true }),
+		"strike": command(RemoveMember, func(c *Command) { c.Member = "m2" }),
+		"handover": Handover{From: "m0", Shards: []int{2, 5},
+			LoadReports: []model.LoadReport{{Zone: 1, Replica: model.ReplicaID{Addr: [4]byte{10, 0, 3, 200}, Port: 8080}, Attempts: 900, Errors: 8,
 				MeanLatency: 23_456, Window: 5_000_000, Readings: []float64{0.25, 118}}},
-			Withdrawn: []string{"10.0.3.201:8080"}, Unacknowledged: 6},
-		"register": Register{Form: 1, Digest: 77, Span: 2_000_000, Drift: 100_000, Leader: "m1", Term: 6,
-			Members: []*MemberState{{Name: "m0", Life: 17, Record: *record, Heard: 1_111_111, Leaving: true, Ending: true,
-				Strays: []Stray{{Part: 5, Forwarders: 4}}, Struck: true}},
-			Parts: []*PartState{{Number: 4, Zone: "partick", Lease: lease.Part{Epoch: 3, Holder: lease.Holder{Member: 1, Life: 17}, Number: 41,
-				Renewed: 1_222_222}, Wanted: "m1", ByHand: true, Load: 12.5, Last: "m0", Empty: true}},
-			Events: []Event{{At: 1_000_001, Leader: "m1", Part: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Why: "evener"}},
-			Whys:   map[int]string{4: "back to its zone"}, Newer: 2},
+			Withdrawn: []string{"10.0.3.201:8080"}, UnackedEntries: 6},
+		"register": State{SchemaVersion: 1, Digest: 77, LeaseDuration: 2_000_000, MaxClockDrift: 100_000, Leader: "m1", Term: 6,
+			Members: []*MemberState{{Name: "m0", Incarnation: 17, Record: *record, RenewedAt: 1_111_111, Draining: true, Stopping: true,
+				MisroutedProxies: []MisroutedProxies{{Shard: 5, Proxies: 4}}, Removed: true}},
+			Shards: []*ShardState{{Number: 4, Zone: "partick", Lease: lease.Part{Epoch: 3, Holder: lease.Holder{Member: 1, Life: 17}, Number: 41,
+				Renewed: 1_222_222}, Target: "m1", Pinned: true, Load: 12.5, LastHolder: "m0", NoProxies: true}},
+			Events:      []Event{{At: 1_000_001, Leader: "m1", Shard: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Reason: "evener"}},
+			WaitReasons: map[int]string{4: "back to its zone"}, NewerSchemaVersion: 2},
 	}
 }
 
@@ -238,7 +238,7 @@
 			}
 		}
 	}
-	for _, stored := range []any{Command{}, Register{}, Handover{}} {
+	for _, stored := range []any{Command{}, State{}, Handover{}} {
 		walk(reflect.TypeOf(stored))
 	}
 	if len(seen) != 15 {
@@ -248,7 +248,7 @@
 
 // The status request and the console give takeovers as JSON.
 func TestTakeoversInJSON(t *testing.T) {
-	text, err := json.Marshal(Event{At: 1, Leader: "m1", Part: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Why: "evener"})
+	text, err := json.Marshal(Event{At: 1, Leader: "m1", Shard: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Reason: "evener"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,7 +275,7 @@
 		}
 		p.await("the part is moved", func() bool {
 			for k, g := range p.up {
-				if _, held := g.Holds(part); held {
+				if _, held := g.IsLeaseHolder(part); held {
 					return p.lines[k].Name == to
 				}
 			}
@@ -286,7 +286,7 @@
 	move(0, "m2")
 	p.await("all have carried that out", func() bool {
 		for _, g := range p.up {
-			if g.Status().Parts[0].Epoch != 3 {
+			if g.Status().Shards[0].Epoch != 3 {
 				return false
 			}
 		}
@@ -478,9 +478,9 @@
 }
 
 // replay gives the register after the entries behind a snapshot.
-func replay(t *testing.T, s stored) *Register {
+func replay(t *testing.T, s stored) *State {
 	t.Helper()
-	r, err := ReadRegister(s.snapshot)
+	r, err := ReadState(s.snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -492,7 +492,7 @@
 		if err := cbor.Unmarshal(entry.Data, c); err != nil {
 			t.Fatal(err)
 		}
-		if c.Kind == Lead {
+		if c.Kind == LeaderElected {
 			r.Term = entry.Term // as Member.Applied has it
 		}
 		r.Apply(c, entry.Term)
@@ -501,7 +501,7 @@
 }
 
 // logWant prints the literals for state_want_test.go.
-func logWant(t *testing.T, name string, s stored, meta string, r *Register) {
+func logWant(t *testing.T, name string, s stored, meta string, r *State) {
 	for _, want := range [][2]string{{"wantVotes", s.votes}, {"wantLog", describeLog(t, s.entries)}, {"wantMeta", meta},
 		{"wantSnapshot", describeRegister(r)}, {"wantReplayed", describeRegister(replay(t, s))}} {
 		fmt.Printf("WANT %s %s\n%s\nEND\n", want[0], name, want[1])
@@ -518,7 +518,7 @@
 		folder := filepath.Join(t.TempDir(), name)
 		unpackFolder(t, name, folder)
 		s := readFolder(t, folder)
-		r, err := ReadRegister(s.snapshot)
+		r, err := ReadState(s.snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -562,7 +562,7 @@
 func TestAGroupFromItsStoredFolders(t *testing.T) {
 	p := layParish(t, fixtureMembers)
 	p.lives = fixtureLives
-	var last *Register
+	var last *State
 	for k := range fixtureMembers {
 		unpackFolder(t, p.lines[k].Name, p.lines[k].Folder)
 		if r := replay(t, readFolder(t, p.lines[k].Folder)); last == nil || len(r.Events) > len(last.Events) {
@@ -579,11 +579,11 @@
 		}
 		for _, g := range p.up {
 			s := g.Status()
-			if len(s.Members) != fixtureMembers || slices.ContainsFunc(s.Members, func(m MemberStatus) bool { return m.Life <= fixtureLives }) {
+			if len(s.Members) != fixtureMembers || slices.ContainsFunc(s.Members, func(m MemberStatus) bool { return m.Incarnation <= fixtureLives }) {
 				return false
 			}
-			for i, part := range s.Parts {
-				if part.Epoch <= last.Parts[i].Lease.Epoch {
+			for i, part := range s.Shards {
+				if part.Epoch <= last.Shards[i].Lease.Epoch {
 					return false
 				}
 			}
@@ -592,19 +592,19 @@
 	})
 	for k, g := range p.up {
 		s := g.Status()
-		if len(s.Events) < len(last.Events) || len(last.Events) != wantEvents {
-			t.Fatalf("m%d: %d takeovers, %d were stored, want %d", k, len(s.Events), len(last.Events), wantEvents)
+		if len(s.Takeovers) < len(last.Events) || len(last.Events) != wantEvents {
+			t.Fatalf("m%d: %d takeovers, %d were stored, want %d", k, len(s.Takeovers), len(last.Events), wantEvents)
 		}
 		for i, e := range last.Events {
-			check(t, fmt.Sprintf("m%d takeover %d", k, i), describe(s.Events[i]), describe(e))
+			check(t, fmt.Sprintf("m%d takeover %d", k, i), describe(s.Takeovers[i]), describe(e))
 		}
-		for i, part := range s.Parts {
-			if before := last.Parts[i].Lease.Epoch; before != wantEpochs[i] || part.Epoch <= before {
+		for i, part := range s.Shards {
+			if before := last.Shards[i].Lease.Epoch; before != wantEpochs[i] || part.Epoch <= before {
 				t.Errorf("m%d: part %d is in epoch %d, before it was in %d, want %d then", k, i, part.Epoch, before, wantEpochs[i])
 			}
 		}
 		for i, m := range s.Members {
-			if m.Name != last.Members[i].Name || m.Leaving != (m.Name == "m1") || m.Life <= fixtureLives || !m.Votes {
+			if m.Name != last.Members[i].Name || m.Draining != (m.Name == "m1") || m.Incarnation <= fixtureLives || !m.Voter {
 				t.Errorf("m%d: %+v", k, m)
 			}
 		}
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -302,21 +302,21 @@
 		if err := cbor.Unmarshal([]byte(words[0]), c); err != nil {
 			return err
 		}
-		if c.Kind != Enrol && c.Kind != Renew && c.Kind != Release {
+		if c.Kind != RegisterMember && c.Kind != RenewLeases && c.Kind != ReleaseLeases {
 			return fmt.Errorf("a command of kind %d is not proposed from afar", c.Kind)
 		}
 		return g.engine.propose(c)
 	}},
 	"MOVE": {2, func(g *Group, words []string) error {
 		part, err := strconv.Atoi(words[0])
-		if err != nil || part < 0 || part >= len(g.line.Terms.Zones)*g.line.Terms.PartsEach {
-			return fmt.Errorf("MOVE: %.40q is no part; there are 0 to %d", words[0], len(g.line.Terms.Zones)*g.line.Terms.PartsEach-1)
+		if err != nil || part < 0 || part >= len(g.line.Settings.Zones)*g.line.Settings.ShardsPerZone {
+			return fmt.Errorf("MOVE: %.40q is no part; there are 0 to %d", words[0], len(g.line.Settings.Zones)*g.line.Settings.ShardsPerZone-1)
 		}
 		if err := g.mustBeHere(words[1]); err != nil {
 			return err
 		}
-		return g.engine.propose(&Command{Form: form, Kind: Plan, Member: g.line.Name, ByHand: true,
-			Moves: []placement.Move{{Part: part, To: words[1], Why: "moved by hand"}}})
+		return g.engine.propose(&Command{SchemaVersion: form, Kind: SetPlacement, Member: g.line.Name, ByOperator: true,
+			Migrations: []placement.Move{{Part: part, To: words[1], Why: "moved by hand"}}})
 	}},
 	"LEAVE": {2, func(g *Group, words []string) error {
 		if err := g.mustBeKnown(words[0]); err != nil {
@@ -325,7 +325,7 @@
 		if words[1] != "on" && words[1] != "off" && words[1] != "ending" {
 			return fmt.Errorf("LEAVE: on or off, not %.40q", words[1])
 		}
-		return g.engine.propose(&Command{Form: form, Kind: Leave, Member: words[0], On: words[1] != "off", ByHand: words[1] != "ending"})
+		return g.engine.propose(&Command{SchemaVersion: form, Kind: DrainMember, Member: words[0], On: words[1] != "off", ByOperator: words[1] != "ending"})
 	}},
 	"STRIKE": {1, func(g *Group, words []string) error {
 		if err := g.mustBeKnown(words[0]); err != nil {
@@ -337,7 +337,7 @@
 		if err := g.engine.remove(words[0]); err != nil {
 			return err
 		}
-		return g.engine.propose(&Command{Form: form, Kind: Strike, Member: words[0]})
+		return g.engine.propose(&Command{SchemaVersion: form, Kind: RemoveMember, Member: words[0]})
 	}},
 	"ADD": {2, func(g *Group, words []string) error {
 		if _, _, err := net.SplitHostPort(words[1]); err != nil {
--- a/internal/console/body.go
+++ b/internal/console/body.go
@@ -49,9 +49,9 @@
 	if rest != "" {
 		return nil, errNone
 	}
-	m := p.View.Look.Module
-	o := overview{Gate: "shut", States: map[string]int{}, Ready: p.View.Ready, Joined: len(m.Proxies), List: Ago(p.Now, p.View.ListAt), Stress: m.Saturation, Pace: m.NormalizedLatency,
-		Queue: p.Stats.Queue, QueueMost: s.about.QueueMost, Unacked: m.UnackedEntries, Worst: int64(p.View.WorstStep), Folds: p.View.Folds}
+	m := p.View.Detail.Balancer
+	o := overview{Gate: "shut", States: map[string]int{}, Ready: p.View.ReadyReplicas, Joined: len(m.Proxies), List: Ago(p.Now, p.View.EndpointsAt), Stress: m.Saturation, Pace: m.NormalizedLatency,
+		Queue: p.Stats.Queue, QueueMost: s.about.QueueLimit, Unacked: m.UnackedEntries, Worst: int64(p.View.LongestStep), Folds: p.View.MergedReports}
 	if m.SafeModeEnded {
 		o.Gate = "open"
 	} else {
@@ -75,7 +75,7 @@
 			o.Sick = append(o.Sick, s.row(p, r))
 		}
 	}
-	o.Lately = s.causeRows(p, s.from.Causes(12, func(c *controller.Cause) bool { return len(c.Said) > 0 }))
+	o.Lately = s.causeRows(p, s.from.Decisions(12, func(c *controller.Decision) bool { return len(c.Reasons) > 0 }))
 	return o, nil
 }
 
@@ -105,7 +105,7 @@
 func (s *Server) row(p *page, r *balancer.ReplicaView) replicaRow {
 	row := replicaRow{Address: pubsubmsg.Address(r.ID), Zone: s.zone(r.Zone), Listed: "not listed", State: r.State, Out: r.Withdrawn, Cold: r.WarmingUp, Part: r.SlowStartFactor, Rate: r.RequestRate,
 		Errors: r.ErrorRate, Pace: r.NormalizedLatency, Busy: r.Utilization, Heard: Ago(p.Now, r.ReportedAt), Report: Ago(p.Now, r.UtilizationAt), Lines: r.Entries, Rests: r.Ejections, Started: "long ago"}
-	if l, listed := p.View.Look.List[r.ID]; listed {
+	if l, listed := p.View.Detail.Endpoints[r.ID]; listed {
 		row.Listed = lives[l.Status]
 	}
 	if r.Withdrawn {
@@ -135,7 +135,7 @@
 }
 
 func (s *Server) replicas(p *page, rest string, _ *http.Request) (any, error) {
-	m := p.View.Look.Module
+	m := p.View.Detail.Balancer
 	if rest == "" {
 		var rows []replicaRow
 		for i := range m.Replicas {
@@ -157,8 +157,8 @@
 					}
 				}
 			}
-			one.Causes = s.causeRows(p, s.from.Causes(50, func(c *controller.Cause) bool {
-				return c.Names(rest) || c.Names(fmt.Sprintf("%v:%d", r.ID.Addr, r.ID.Port))
+			one.Causes = s.causeRows(p, s.from.Decisions(50, func(c *controller.Decision) bool {
+				return c.Mentions(rest) || c.Mentions(fmt.Sprintf("%v:%d", r.ID.Addr, r.ID.Port))
 			}))
 			return one, nil
 		}
@@ -209,11 +209,11 @@
 }
 
 func (s *Server) forwarders(p *page, rest string, _ *http.Request) (any, error) {
-	look := p.View.Look
+	look := p.View.Detail
 	var rows []forwarderRow
-	for _, x := range look.Module.Proxies {
-		f := look.Forwarders[x.ID]
-		row := forwarderRow{Name: f.Name, Number: int(x.ID), Zone: s.zone(x.Zone), Table: x.Table, Rate: x.ExpectedRate, Joined: Ago(p.Now, f.JoinedAt), Unacked: x.UnackedMessages}
+	for _, x := range look.Balancer.Proxies {
+		f := look.Proxies[x.ID]
+		row := forwarderRow{Name: f.Name, Number: int(x.ID), Zone: s.zone(x.Zone), Table: x.Table, Rate: x.ExpectedRate, Joined: Ago(p.Now, f.ConnectedAt), Unacked: x.UnackedMessages}
 		if x.UnackedMessages > 0 {
 			row.Oldest = Ago(p.Now, x.OldestUnackedAt)
 		}
@@ -227,13 +227,13 @@
 		p.Title, p.Kind = "Forwarder "+rest, "forwarder"
 		one := forwarderPage{forwarderRow: row}
 		about := []string{fmt.Sprintf("forwarder %d on", x.ID), "joined " + rest, "left " + rest}
-		for _, t := range look.Module.Tables {
+		for _, t := range look.Balancer.Tables {
 			if int(t.ID) == x.Table {
-				one.Lines = s.lines(look.Module, t)
+				one.Lines = s.lines(look.Balancer, t)
 				about = append(about, fmt.Sprintf("table %d:", t.ID))
 			}
 		}
-		one.Causes = s.causeRows(p, s.from.Causes(50, func(c *controller.Cause) bool { return slices.ContainsFunc(about, c.Names) }))
+		one.Causes = s.causeRows(p, s.from.Decisions(50, func(c *controller.Decision) bool { return slices.ContainsFunc(about, c.Mentions) }))
 		return one, nil
 	}
 	if rest != "" {
@@ -253,7 +253,7 @@
 }
 
 func (s *Server) tables(p *page, rest string, _ *http.Request) (any, error) {
-	m := p.View.Look.Module
+	m := p.View.Detail.Balancer
 	var rows []tableRow
 	for _, t := range m.Tables {
 		if rest == "" || rest == strconv.Itoa(int(t.ID)) {
@@ -279,7 +279,7 @@
 	if rest != "" {
 		return nil, errNone
 	}
-	m := p.View.Look.Module
+	m := p.View.Detail.Balancer
 	rows := make([]zoneRow, len(s.about.Zones))
 	for i, name := range s.about.Zones {
 		rows[i] = zoneRow{Zone: name, Replicas: map[string]int{}, SendsTo: map[string]float64{}}
@@ -328,10 +328,10 @@
 	Cut    int      `json:"orders_left_out,omitempty"`
 }
 
-func (s *Server) causeRows(p *page, all []controller.Cause) []causeRow {
+func (s *Server) causeRows(p *page, all []controller.Decision) []causeRow {
 	rows := make([]causeRow, 0, len(all))
 	for _, c := range all {
-		rows = append(rows, causeRow{c.Number, c.Life, Ago(p.Now, c.At), c.Came, c.Said, c.Orders, c.Cut})
+		rows = append(rows, causeRow{c.Number, c.Incarnation, Ago(p.Now, c.At), c.Inputs, c.Reasons, c.Updates, c.OmittedUpdates})
 	}
 	return rows
 }
@@ -350,7 +350,7 @@
 	if len(about) > 200 {
 		about = about[:200]
 	}
-	return ordersPage{about, s.causeRows(p, s.from.Causes(200, func(c *controller.Cause) bool { return about == "" || c.Names(about) }))}, nil
+	return ordersPage{about, s.causeRows(p, s.from.Decisions(200, func(c *controller.Decision) bool { return about == "" || c.Mentions(about) }))}, nil
 }
 
 func (s *Server) settings(_ *page, rest string, _ *http.Request) (any, error) {
@@ -380,7 +380,7 @@
 		return nil, errNone
 	}
 	var was pubsub.Picture
-	if s.about.Before == nil || json.Unmarshal(s.about.Before, &was) != nil {
+	if s.about.PreviousSnapshot == nil || json.Unmarshal(s.about.PreviousSnapshot, &was) != nil {
 		return beforePage{}, nil
 	}
 	b := beforePage{Known: true, Life: was.Life, Version: was.Version, Withdrawn: was.Withdrawn, Forwarders: map[string]int{}}
@@ -406,11 +406,11 @@
 	if rest != "" {
 		return nil, errNone
 	}
-	if s.about.Group == nil {
+	if s.about.Cluster == nil {
 		return groupPage{Alone: true}, nil
 	}
-	g := groupPage{Status: s.about.Group()}
-	g.Events = slices.Clone(g.Events)
-	slices.Reverse(g.Events) // the newest first
+	g := groupPage{Status: s.about.Cluster()}
+	g.Takeovers = slices.Clone(g.Takeovers)
+	slices.Reverse(g.Takeovers) // the newest first
 	return g, nil
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -21,23 +21,23 @@
 
 // Source is what the console reads; governor.Host and channel.Server are the real ones.
 type Source interface {
-	View() *controller.View  // costs nothing
-	Watch() *controller.View // asks for looks, for pages
-	Causes(most int, match func(*controller.Cause) bool) []controller.Cause
+	View() *controller.View         // costs nothing
+	DetailedView() *controller.View // asks for looks, for pages
+	Decisions(most int, match func(*controller.Decision) bool) []controller.Decision
 	Stats() pubsub.Stats
 }
 
-// About is what does not change while a governor runs.
-type About struct {
-	Name       string
-	Life       uint64
-	Zones      []string
-	Operations []string
-	Settings   func() [][2]string // in force now: name and value, in the file's order
-	Before     []byte             // what the life before last published, a channel.Picture in JSON; nil if none is known
-	QueueMost  int
-	Now        func() model.Microseconds
-	Group      func() cluster.Status // nil: it shares the fleet with nobody
+// Instance is what does not change while a governor runs.
+type Instance struct {
+	Name             string
+	Incarnation      uint64
+	Zones            []string
+	Operations       []string
+	Settings         func() [][2]string // in force now: name and value, in the file's order
+	PreviousSnapshot []byte             // what the life before last published, a channel.Picture in JSON; nil if none is known
+	QueueLimit       int
+	Now              func() model.Microseconds
+	Cluster          func() cluster.Status // nil: it shares the fleet with nobody
 }
 
 // Bounds on viewers.
@@ -59,7 +59,7 @@
 
 // Server serves one governor's pages. Make it with Listen.
 type Server struct {
-	about About
+	about Instance
 	from  Source
 	frame *httpserver.Server
 	wait  sync.WaitGroup
@@ -78,7 +78,7 @@
 }
 
 // Listen opens the address and serves until Close.
-func Listen(address string, about About, from Source) (*Server, error) {
+func Listen(address string, about Instance, from Source) (*Server, error) {
 	s := &Server{about: about, from: from, metrics: newMetrics(about, from)}
 	var err error
 	if s.frame, err = httpserver.Listen(address, s.serve, s.live); err != nil {
@@ -117,7 +117,7 @@
 	st := s.from.Stats()
 	one := sample{At: s.about.Now(), Joined: st.Forwarders, Queue: st.Queue, Messages: st.Messages, Lines: st.Lines}
 	if v := s.from.View(); v != nil {
-		one.Ready, one.SumFolds = v.Ready, v.Folds
+		one.Ready, one.SumFolds = v.ReadyReplicas, v.MergedReports
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +131,7 @@
 type page struct {
 	Title string             `json:"title"`
 	Kind  string             `json:"-"`
-	About About              `json:"-"`
+	About Instance           `json:"-"`
 	Name  string             `json:"governor"`
 	Life  uint64             `json:"life"`
 	At    model.Microseconds `json:"at_us"`  // of the view
@@ -143,7 +143,7 @@
 }
 
 // Shares tells whether this governor shares the fleet out with others.
-func (p *page) Shares() bool { return p.About.Group != nil }
+func (p *page) Shares() bool { return p.About.Cluster != nil }
 
 // errNone is a page about what is not there.
 var errNone = errors.New("there is none")
@@ -183,29 +183,29 @@
 		return
 	}
 	// The first to look for a while waits for a step that carries a look: five a second, if the governor steps at all.
-	v := s.from.Watch()
-	for k := 0; first != "group" && k < 10 && (v == nil || v.Look == nil || s.about.Now()-v.Look.At > model.Second); k++ {
+	v := s.from.DetailedView()
+	for k := 0; first != "group" && k < 10 && (v == nil || v.Detail == nil || s.about.Now()-v.Detail.At > model.Second); k++ {
 		select {
 		case <-time.After(50 * time.Millisecond):
 		case <-r.Context().Done():
 			return
 		}
-		v = s.from.Watch()
+		v = s.from.DetailedView()
 	}
-	if first == "group" && (v == nil || v.Look == nil) { // a governor that stands by has not begun to step
-		v = &controller.View{Look: &controller.Look{}}
+	if first == "group" && (v == nil || v.Detail == nil) { // a governor that stands by has not begun to step
+		v = &controller.View{Detail: &controller.Detail{}}
 	}
-	if v == nil || v.Look == nil {
+	if v == nil || v.Detail == nil {
 		w.Header().Set("Retry-After", "1")
 		why := "the governor has not finished a step since it started, or for a second; come back in a second"
-		if v == nil && s.about.Group != nil {
+		if v == nil && s.about.Cluster != nil {
 			why = "this governor stands by: it holds no part of the fleet yet; see /group"
 		}
 		httpserver.Fail(w, http.StatusServiceUnavailable, why)
 		return
 	}
 	now := s.about.Now()
-	p := &page{Title: route.title, Kind: first, About: s.about, Name: s.about.Name, Life: s.about.Life, At: v.Look.At, Now: now, Age: Ago(now, v.Look.At), View: v, Stats: s.from.Stats()}
+	p := &page{Title: route.title, Kind: first, About: s.about, Name: s.about.Name, Life: s.about.Incarnation, At: v.Detail.At, Now: now, Age: Ago(now, v.Detail.At), View: v, Stats: s.from.Stats()}
 	body, err := route.make(s, p, rest, r)
 	if err != nil {
 		httpserver.Fail(w, http.StatusNotFound, err.Error())
@@ -222,9 +222,9 @@
 func (s *Server) ready(w http.ResponseWriter) {
 	v := s.from.View()
 	switch {
-	case v == nil || !v.GateOpen:
+	case v == nil || !v.SafeModeEnded:
 		httpserver.Fail(w, http.StatusServiceUnavailable, "the gate is shut")
-	case v.ListAt == 0:
+	case v.EndpointsAt == 0:
 		httpserver.Fail(w, http.StatusServiceUnavailable, "no list came in this life")
 	default:
 		httpserver.Fail(w, http.StatusOK, "ready")
@@ -259,10 +259,10 @@
 		text := fmt.Sprintf("%d forwarders, version %d, %d lines wait", st.Forwarders, st.Version, st.Queue)
 		if v := s.from.View(); v != nil {
 			gate := "shut"
-			if v.GateOpen {
+			if v.SafeModeEnded {
 				gate = "open"
 			}
-			text += fmt.Sprintf(", gate %s, %d of %d replicas ready, last step %s", gate, v.Ready, v.Listed, Ago(now, v.At))
+			text += fmt.Sprintf(", gate %s, %d of %d replicas ready, last step %s", gate, v.ReadyReplicas, v.ListedReplicas, Ago(now, v.At))
 		}
 		_ = control.SetWriteDeadline(time.Now().Add(httpserver.WriteFor))
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", text); err != nil || control.Flush() != nil {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -25,22 +25,22 @@
 // desk is a governor's host with a channel by hand, and its console.
 type desk struct {
 	t     *testing.T
-	host  *controller.Host
+	host  *controller.Controller
 	pages *Server
 	now   func() model.Microseconds
 	take  time.Duration // that each batch takes the channel
 }
 
-func (d *desk) Admit(model.ProxyID, uint64) {}
+func (d *desk) AdmitProxy(model.ProxyID, uint64) {}
 func (d *desk) Publish(b *snapshot.Batch) {
 	time.Sleep(d.take)
 	if b.Receipt >= 0 {
 		for p := range model.ProxyID(3) {
-			d.host.Applied(p, uint64(p)+1, uint32(b.Receipt))
+			d.host.Acknowledged(p, uint64(p)+1, uint32(b.Receipt))
 		}
 	}
 }
-func (d *desk) Follow()             {}
+func (d *desk) Subscribe()          {}
 func (d *desk) Stats() pubsub.Stats { return pubsub.Stats{Forwarders: 3, Version: 7, Queue: 12} }
 
 func id(n int) model.ReplicaID {
@@ -67,14 +67,14 @@
 	go d.host.Run(d, d, list)
 	t.Cleanup(d.host.Stop)
 	for p, name := range []string{"till", hostile, strings.Repeat("long", 32)} {
-		d.host.Joined(model.ProxyID(p), uint64(p)+1, pubsubmsg.Join{Name: name, Rate: 5}, p%2)
+		d.host.ProxyConnected(model.ProxyID(p), uint64(p)+1, pubsubmsg.Join{Name: name, Rate: 5}, p%2)
 	}
-	d.host.Heard(0, sums)
-	about := About{Name: "govan-1", Life: 3, Zones: []string{"govan", hostile}, Operations: []string{"recipe-read"}, QueueMost: 100, Now: d.now,
-		Settings: func() [][2]string { return [][2]string{{"state", hostile}} }, Before: []byte(before)}
+	d.host.LoadReported(0, sums)
+	about := Instance{Name: "govan-1", Incarnation: 3, Zones: []string{"govan", hostile}, Operations: []string{"recipe-read"}, QueueLimit: 100, Now: d.now,
+		Settings: func() [][2]string { return [][2]string{{"state", hostile}} }, PreviousSnapshot: []byte(before)}
 	var err error
 	d.pages, err = Listen("127.0.0.1:0", about, struct {
-		*controller.Host
+		*controller.Controller
 		*desk
 	}{d.host, d})
 	if err != nil {
@@ -83,7 +83,7 @@
 	t.Cleanup(d.pages.Close)
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	for until := time.Now().Add(20 * time.Second); ; {
-		if v := d.host.View(); v != nil && v.GateOpen && v.Joined == 3 {
+		if v := d.host.View(); v != nil && v.SafeModeEnded && v.ConnectedProxies == 3 {
 			return d
 		}
 		if time.Now().After(until) {
@@ -193,9 +193,9 @@
 			for k := range 300 {
 				sums = append(sums, model.LoadReport{Replica: id(k), Attempts: 3, MeanLatency: 100_000, Window: model.Second})
 			}
-			d.host.Heard(n%2, sums)
+			d.host.LoadReported(n%2, sums)
 			p := model.ProxyID(10 + n%500)
-			d.host.Joined(p, uint64(1000+n), pubsubmsg.Join{Name: fmt.Sprint("flood-", p), Rate: 1}, n%2)
+			d.host.ProxyConnected(p, uint64(1000+n), pubsubmsg.Join{Name: fmt.Sprint("flood-", p), Rate: 1}, n%2)
 		}
 	}()
 	defer func() { close(stop); <-flooded }()
@@ -217,7 +217,7 @@
 			worst = max(worst, took)
 		}
 	}
-	t.Logf("slowest page %s; the host folded %d sums", worst, d.host.View().Folds)
+	t.Logf("slowest page %s; the host folded %d sums", worst, d.host.View().MergedReports)
 	if worst > 3*time.Second {
 		t.Fatalf("a page took %s", worst)
 	}
@@ -238,10 +238,10 @@
 			t.Fatal("the governor takes no step")
 		}
 	}
-	if d.host.View().Look != nil {
+	if d.host.View().Detail != nil {
 		t.Fatal("the fleet is copied though nobody looks")
 	}
-	if status, _, _ := d.get("/"); status != 200 || d.host.View().Look == nil {
+	if status, _, _ := d.get("/"); status != 200 || d.host.View().Detail == nil {
 		t.Fatal("a page does not ask for a look")
 	}
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -21,18 +21,18 @@
 // still is a source that always tells the same.
 type still struct{ view *controller.View }
 
-func (s still) View() *controller.View  { return s.view }
-func (s still) Watch() *controller.View { return s.view }
+func (s still) View() *controller.View         { return s.view }
+func (s still) DetailedView() *controller.View { return s.view }
 
 func (s still) Stats() pubsub.Stats {
 	return pubsub.Stats{Forwarders: 1, Observers: 2, Connections: 3, Version: 4, Queue: 5, QueueMost: 6, Messages: 7, Lines: 8, Bytes: 9, Folds: 10,
 		Resyncs: 11, Faults: 12, Replaced: 13, Deferred: 14, Shed: 15, Storms: 16, Unsent: 17, PutOff: 18, Moved: 19, Fenced: 20}
 }
 
-func (s still) Causes(most int, match func(*controller.Cause) bool) (found []controller.Cause) {
-	for _, cause := range []controller.Cause{
-		{At: 97 * model.Second, Number: 3, Life: 21, Came: []string{"timer"}, Said: []string{"withdrew 10.0.0.1:81"}, Orders: []string{"table 6: 10.0.0.1:81 weighs 0.5"}, Cut: 22},
-		{At: 96 * model.Second, Number: 2, Life: 20, Came: []string{"joined till-1"}, Said: []string{"gate open"}, Orders: []string{"forwarder 7 on table 6"}, Cut: 23},
+func (s still) Decisions(most int, match func(*controller.Decision) bool) (found []controller.Decision) {
+	for _, cause := range []controller.Decision{
+		{At: 97 * model.Second, Number: 3, Incarnation: 21, Inputs: []string{"timer"}, Reasons: []string{"withdrew 10.0.0.1:81"}, Updates: []string{"table 6: 10.0.0.1:81 weighs 0.5"}, OmittedUpdates: 22},
+		{At: 96 * model.Second, Number: 2, Incarnation: 20, Inputs: []string{"joined till-1"}, Reasons: []string{"gate open"}, Updates: []string{"forwarder 7 on table 6"}, OmittedUpdates: 23},
 	} {
 		if match(&cause) && len(found) < most {
 			found = append(found, cause)
@@ -53,21 +53,21 @@
 		Tables:  []balancer.TableView{{ID: 6, Zone: 1, ExpectedRate: 61, Proxies: 62, Entries: []balancer.EntryView{{Replica: one, Weight: 0.63}, {Replica: two, Weight: 0.64}}}},
 		Proxies: []balancer.ProxyView{{ID: 7, Zone: 1, ExpectedRate: 71, Table: 6, UnackedMessages: 72, OldestUnackedAt: 90 * model.Second}},
 	}
-	look := &controller.Look{At: 99_500_000, Module: module,
-		Forwarders: map[model.ProxyID]controller.Forwarder{7: {Name: "till-1", Zone: 1, Rate: 73, Fresh: true, JoinedAt: 89 * model.Second}},
-		List: map[model.ReplicaID]model.Endpoint{one: {ID: one, Zone: 1, Status: model.EndpointReady, StartedAt: 94 * model.Second},
+	look := &controller.Detail{At: 99_500_000, Balancer: module,
+		Proxies: map[model.ProxyID]controller.Proxy{7: {Name: "till-1", Zone: 1, ExpectedRate: 73, OnStandingTable: true, ConnectedAt: 89 * model.Second}},
+		Endpoints: map[model.ReplicaID]model.Endpoint{one: {ID: one, Zone: 1, Status: model.EndpointReady, StartedAt: 94 * model.Second},
 			two: {ID: two, Zone: 0, Status: model.EndpointDraining, StartedAt: 88 * model.Second}}}
-	return &controller.View{At: 99_600_000, GateOpen: open, Joined: 81, Ready: 82, Listed: 83, ListAt: 87 * model.Second, Steps: 84, WorstStep: 85, Waiting: 86, Folds: 87, Look: look}
+	return &controller.View{At: 99_600_000, SafeModeEnded: open, ConnectedProxies: 81, ReadyReplicas: 82, ListedReplicas: 83, EndpointsAt: 87 * model.Second, Steps: 84, LongestStep: 85, PendingReports: 86, MergedReports: 87, Detail: look}
 }
 
 // stillStatus is a group's status with every field set.
 func stillStatus() cluster.Status {
-	return cluster.Status{Member: "govan-1", Leader: "partick-1", Term: 4, Agreed: 5, Trouble: "no majority", SpanUs: 2_000_000, DriftUs: 30_000,
-		Members: []cluster.MemberStatus{{Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Limit: 100.5, Votes: true, Seems: true, Leaving: true, Struck: true, Life: 6, Parts: 7, Load: 8.5}},
-		Parts: []cluster.PartStatus{{Number: 9, Zone: "govan", Holder: "govan-1", Wanted: "partick-1", ByHand: true, Epoch: 10, Load: 11.5, Here: true, LeftUs: 1_200_000,
-			Why: "waits for partick-1"}},
-		Events: []cluster.Event{{At: 13, Leader: "partick-1", Part: 9, Epoch: 10, From: "partick-1", To: "govan-1", Planned: true, Why: "its member leaves"},
-			{At: 14, Leader: "govan-1", Part: 15, Epoch: 16, From: "govan-1", To: "partick-1", Planned: true, Why: "evener"}}}
+	return cluster.Status{Member: "govan-1", Leader: "partick-1", Term: 4, AppliedIndex: 5, Fault: "no majority", LeaseDuration: 2_000_000, MaxClockDrift: 30_000,
+		Members: []cluster.MemberStatus{{Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Capacity: 100.5, Voter: true, SeemsAlive: true, Draining: true, Removed: true, Incarnation: 6, Shards: 7, Load: 8.5}},
+		Shards: []cluster.ShardStatus{{Number: 9, Zone: "govan", Holder: "govan-1", Target: "partick-1", Pinned: true, Epoch: 10, Load: 11.5, HeldHere: true, LeaseRemaining: 1_200_000,
+			WaitReason: "waits for partick-1"}},
+		Takeovers: []cluster.Event{{At: 13, Leader: "partick-1", Shard: 9, Epoch: 10, From: "partick-1", To: "govan-1", Planned: true, Reason: "its member leaves"},
+			{At: 14, Leader: "govan-1", Shard: 15, Epoch: 16, From: "govan-1", To: "partick-1", Planned: true, Reason: "evener"}}}
 }
 
 // publishedBefore is the state that the life before published, as it is stored.
@@ -76,11 +76,11 @@
 
 // TestPagesAsJSON compares each page's JSON with the bytes that programs read today: its keys must not change.
 func TestPagesAsJSON(t *testing.T) {
-	about := About{Name: "govan-1", Life: 26, Zones: []string{"govan", "partick"}, Operations: []string{"recipe-read", "recipe-write"}, QueueMost: 100,
+	about := Instance{Name: "govan-1", Incarnation: 26, Zones: []string{"govan", "partick"}, Operations: []string{"recipe-read", "recipe-write"}, QueueLimit: 100,
 		Now: func() model.Microseconds { return 100 * model.Second }, Settings: func() [][2]string { return [][2]string{{"listen", "127.0.0.1:7700"}} },
-		Before: []byte(publishedBefore), Group: stillStatus}
+		PreviousSnapshot: []byte(publishedBefore), Cluster: stillStatus}
 	open, shut := &Server{about: about, from: still{stillView(true)}}, &Server{about: about, from: still{stillView(false)}}
-	about.Group, about.Before = nil, nil
+	about.Cluster, about.PreviousSnapshot = nil, nil
 	alone := &Server{about: about, from: still{stillView(true)}}
 	for _, c := range []struct {
 		file   string
--- a/internal/console/group_test.go
+++ b/internal/console/group_test.go
@@ -15,20 +15,20 @@
 // standby is a governor of a group that has not begun to step: it holds no part.
 type standby struct{}
 
-func (standby) View() *controller.View                                      { return nil }
-func (standby) Watch() *controller.View                                     { return nil }
-func (standby) Stats() pubsub.Stats                                         { return pubsub.Stats{} }
-func (standby) Causes(int, func(*controller.Cause) bool) []controller.Cause { return nil }
+func (standby) View() *controller.View                                               { return nil }
+func (standby) DetailedView() *controller.View                                       { return nil }
+func (standby) Stats() pubsub.Stats                                                  { return pubsub.Stats{} }
+func (standby) Decisions(int, func(*controller.Decision) bool) []controller.Decision { return nil }
 
 // A governor that stands by has nothing to show but its group, and says so on every other page; the group's page tells why it holds
 // nothing, who holds what and how it came to be.
 func TestTheGroupOfOneThatStandsBy(t *testing.T) {
-	status := cluster.Status{Member: "govan-1", Leader: "partick-1", Term: 4, Trouble: "a majority is <not> there", SpanUs: 2 * model.Second,
-		Members: []cluster.MemberStatus{{Name: "govan-1", Zone: "govan", Seems: true, Votes: true}, {Name: "partick-1", Zone: "partick", Leaving: true, Parts: 1, Load: 12}},
-		Parts:   []cluster.PartStatus{{Number: 0, Zone: "govan", Holder: "partick-1", Wanted: "govan-1", Epoch: 7, Why: "evener: waits for partick-1"}},
-		Events:  []cluster.Event{{Part: 0, Epoch: 6, To: "govan-1", Why: "with nobody"}, {Part: 0, Epoch: 7, From: "govan-1", To: "partick-1", Why: "its member is gone"}}}
-	pages, err := Listen("127.0.0.1:0", About{Name: "govan-1", Zones: []string{"govan", "partick"}, Now: func() model.Microseconds { return 10 * model.Second },
-		Settings: func() [][2]string { return nil }, Group: func() cluster.Status { return status }}, standby{})
+	status := cluster.Status{Member: "govan-1", Leader: "partick-1", Term: 4, Fault: "a majority is <not> there", LeaseDuration: 2 * model.Second,
+		Members:   []cluster.MemberStatus{{Name: "govan-1", Zone: "govan", SeemsAlive: true, Voter: true}, {Name: "partick-1", Zone: "partick", Draining: true, Shards: 1, Load: 12}},
+		Shards:    []cluster.ShardStatus{{Number: 0, Zone: "govan", Holder: "partick-1", Target: "govan-1", Epoch: 7, WaitReason: "evener: waits for partick-1"}},
+		Takeovers: []cluster.Event{{Shard: 0, Epoch: 6, To: "govan-1", Reason: "with nobody"}, {Shard: 0, Epoch: 7, From: "govan-1", To: "partick-1", Reason: "its member is gone"}}}
+	pages, err := Listen("127.0.0.1:0", Instance{Name: "govan-1", Zones: []string{"govan", "partick"}, Now: func() model.Microseconds { return 10 * model.Second },
+		Settings: func() [][2]string { return nil }, Cluster: func() cluster.Status { return status }}, standby{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/console/metrics.go
+++ b/internal/console/metrics.go
@@ -31,33 +31,37 @@
 	{"joins_deferred_total", "Joins put off.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Deferred) }},
 	{"peers_put_off_total", "Peers put off for sending too many commands.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.PutOff) }},
 	{"gate_open", "1 while the gate is open.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 {
-		if v.GateOpen {
+		if v.SafeModeEnded {
 			return 1
 		}
 		return 0
 	}},
-	{"replicas_ready", "Replicas listed as ready.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 { return float64(v.Ready) }},
+	{"replicas_ready", "Replicas listed as ready.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 {
+		return float64(v.ReadyReplicas)
+	}},
 	{"list_age_seconds", "Since a whole machine list came; -1: none in this life.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, now model.Microseconds) float64 {
-		if v.ListAt == 0 {
+		if v.EndpointsAt == 0 {
 			return -1
 		}
-		return (now - v.ListAt).Duration().Seconds()
+		return (now - v.EndpointsAt).Duration().Seconds()
+	}},
+	{"sum_folds_total", "Sums folded because the decisions take no more.", prometheus.CounterValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 {
+		return float64(v.MergedReports)
 	}},
-	{"sum_folds_total", "Sums folded because the decisions take no more.", prometheus.CounterValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 { return float64(v.Folds) }},
 	{"steps_total", "Steps taken.", prometheus.CounterValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 { return float64(v.Steps) }},
 	{"worst_step_seconds", "The longest step of this life.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 {
-		return v.WorstStep.Duration().Seconds()
+		return v.LongestStep.Duration().Seconds()
 	}},
 }
 
 // collector reads the figures when they are asked for.
 type collector struct {
-	about About
+	about Instance
 	from  Source
 	descs []*prometheus.Desc
 }
 
-func newMetrics(about About, from Source) http.Handler {
+func newMetrics(about Instance, from Source) http.Handler {
 	c := &collector{about: about, from: from}
 	for _, f := range figures {
 		c.descs = append(c.descs, prometheus.NewDesc("peppervale_"+f.name, f.help, nil, prometheus.Labels{"governor": about.Name}))
--- a/internal/console/plot.go
+++ b/internal/console/plot.go
@@ -71,6 +71,6 @@
 }
 
 // Plots lists the time lines of the overview.
-func (About) Plots() []string {
+func (Instance) Plots() []string {
 	return []string{"ready.svg", "joined.svg", "queue.svg", "lines.svg", "messages.svg", "folds.svg"}
 }
--- a/internal/controller/causes.go
+++ b/internal/controller/causes.go
@@ -11,22 +11,22 @@
 	"peppervale/internal/snapshot"
 )
 
-// Cause is one step that ordered something or changed what is believed: what came in, what the module said of it,
+// Decision is one step that ordered something or changed what is believed: what came in, what the module said of it,
 // and what it ordered. Together they answer why a forwarder has no line to a replica. It is stored as JSON; its tags are
 // names in stored data and must not change.
-type Cause struct {
-	At     model.Microseconds `json:"At"`
-	Number uint64             `json:"Number"`         // of the steps that are kept, from 1
-	Life   uint64             `json:"Life,omitempty"` // of an earlier one that took the step; 0: this one
-	Came   []string           `json:"Came"`           // inputs of the step: joins, leaves, the list, the timer, sums and receipts counted
-	Said   []string           `json:"Said"`           // the module's own words: which replica moved to which state on which input
-	Orders []string           `json:"Orders"`
-	Cut    int                `json:"Cut"` // orders beyond those kept
+type Decision struct {
+	At             model.Microseconds `json:"At"`
+	Number         uint64             `json:"Number"`         // of the steps that are kept, from 1
+	Incarnation    uint64             `json:"Life,omitempty"` // of an earlier one that took the step; 0: this one
+	Inputs         []string           `json:"Came"`           // inputs of the step: joins, leaves, the list, the timer, sums and receipts counted
+	Reasons        []string           `json:"Said"`           // the module's own words: which replica moved to which state on which input
+	Updates        []string           `json:"Orders"`
+	OmittedUpdates int                `json:"Cut"` // orders beyond those kept
 }
 
-// Names tells whether a word stands in any part of a cause.
-func (c *Cause) Names(word string) bool {
-	for _, part := range [][]string{c.Came, c.Said, c.Orders} {
+// Mentions tells whether a word stands in any part of a cause.
+func (c *Decision) Mentions(word string) bool {
+	for _, part := range [][]string{c.Inputs, c.Reasons, c.Updates} {
 		for _, text := range part {
 			if strings.Contains(text, word) {
 				return true
@@ -53,11 +53,11 @@
 	timer          bool
 	inputs         int
 
-	off  bool         // nothing is kept
-	keep func(*Cause) // must not block; nil: nobody keeps them
+	off  bool            // nothing is kept
+	keep func(*Decision) // must not block; nil: nobody keeps them
 
 	mu     sync.Mutex
-	ring   []*Cause // never written again once they are here
+	ring   []*Decision // never written again once they are here
 	next   int
 	number uint64
 }
@@ -80,28 +80,28 @@
 		c.said = nil
 		return
 	}
-	one := &Cause{At: now, Came: c.came, Said: c.said}
+	one := &Decision{At: now, Inputs: c.came, Reasons: c.said}
 	if c.inputs > inputsMost {
-		one.Came = append(one.Came, fmt.Sprintf("and %d more", c.inputs-inputsMost))
+		one.Inputs = append(one.Inputs, fmt.Sprintf("and %d more", c.inputs-inputsMost))
 	}
 	if c.sums > 0 {
-		one.Came = append(one.Came, fmt.Sprintf("%d sums", c.sums))
+		one.Inputs = append(one.Inputs, fmt.Sprintf("%d sums", c.sums))
 	}
 	if c.receipts > 0 {
-		one.Came = append(one.Came, fmt.Sprintf("%d receipts", c.receipts))
+		one.Inputs = append(one.Inputs, fmt.Sprintf("%d receipts", c.receipts))
 	}
 	if c.timer {
-		one.Came = append(one.Came, "timer")
+		one.Inputs = append(one.Inputs, "timer")
 	}
 	told := c.inputs > 0
 	c.came, c.said, c.receipts, c.sums, c.timer, c.inputs = nil, nil, 0, 0, false, 0
-	if !told && len(one.Said) == 0 && len(b.Orders) == 0 {
+	if !told && len(one.Reasons) == 0 && len(b.Orders) == 0 {
 		return
 	}
 	for _, o := range b.Orders[:min(len(b.Orders), ordersMost)] {
-		one.Orders = append(one.Orders, describe(o))
+		one.Updates = append(one.Updates, describe(o))
 	}
-	one.Cut = len(b.Orders) - len(one.Orders)
+	one.OmittedUpdates = len(b.Orders) - len(one.Updates)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.number++
@@ -135,9 +135,9 @@
 
 // find copies the ring's pointers and looks at the entries without the lock: a search of all of them takes some tens of
 // milliseconds, and a step must not wait for it.
-func (c *causes) find(most int, match func(*Cause) bool) (found []Cause) {
+func (c *causes) find(most int, match func(*Decision) bool) (found []Decision) {
 	c.mu.Lock()
-	ring := append(append(make([]*Cause, 0, len(c.ring)), c.ring[c.next:]...), c.ring[:c.next]...)
+	ring := append(append(make([]*Decision, 0, len(c.ring)), c.ring[c.next:]...), c.ring[:c.next]...)
 	c.mu.Unlock()
 	for _, one := range slices.Backward(ring) {
 		if match == nil || match(one) {
--- a/internal/controller/governor.go
+++ b/internal/controller/governor.go
@@ -14,25 +14,25 @@
 	"peppervale/internal/snapshot"
 )
 
-// Channel carries orders to forwarders; channel.Server and platform.Server are the real ones.
-type Channel interface {
-	Admit(p model.ProxyID, stream uint64)
+// ProxyServer carries orders to forwarders; channel.Server and platform.Server are the real ones.
+type ProxyServer interface {
+	AdmitProxy(p model.ProxyID, stream uint64)
 	Publish(b *snapshot.Batch)
 }
 
-// Roster follows the machine list; each Follow subscribes anew and is answered by Listed.
-type Roster interface{ Follow() }
+// Discovery follows the machine list; each Follow subscribes anew and is answered by Listed.
+type Discovery interface{ Subscribe() }
 
-// Host owns one governor. Make it with New, hand it to the channel and the roster as their receiver, then Run it.
-type Host struct {
+// Controller owns one governor. Make it with New, hand it to the channel and the roster as their receiver, then Run it.
+type Controller struct {
 	*mailbox
 	terms   model.Config
 	intake  atomic.Int64 // sums a second
 	now     func() model.Microseconds
 	log     zerolog.Logger
 	module  *balancer.Balancer
-	channel Channel
-	roster  Roster
+	channel ProxyServer
+	roster  Discovery
 	batch   *snapshot.Batch
 	wakeAt  model.Microseconds
 	stop    chan struct{}
@@ -44,46 +44,46 @@
 	list    map[model.ReplicaID]model.Endpoint
 	ready   int // of them
 	listed  model.Microseconds
-	known   map[model.ProxyID]Forwarder
+	known   map[model.ProxyID]Proxy
 	worst   model.Microseconds
 	steps   uint64
 	causes  *causes
 	newest  newest
 	wanted  atomic.Int64       // when somebody last looked, by the clock
 	lookAt  model.Microseconds // when the module was last copied
-	look    *Look
+	look    *Detail
 }
 
 // View is what a governor believes after a step. It is never written again.
 type View struct {
-	At        model.Microseconds
-	GateOpen  bool
-	Joined    int
-	Ready     int // replicas listed as ready
-	Listed    int // replicas in the list
-	ListAt    model.Microseconds
-	Steps     uint64
-	WorstStep model.Microseconds // the longest that a step took
-	Waiting   int                // sums that wait for their turn
-	Folds     uint64             // sums that were folded because the module took no more
-	Look      *Look              // nil, or old, while nobody looks
+	At               model.Microseconds
+	SafeModeEnded    bool
+	ConnectedProxies int
+	ReadyReplicas    int // replicas listed as ready
+	ListedReplicas   int // replicas in the list
+	EndpointsAt      model.Microseconds
+	Steps            uint64
+	LongestStep      model.Microseconds // the longest that a step took
+	PendingReports   int                // sums that wait for their turn
+	MergedReports    uint64             // sums that were folded because the module took no more
+	Detail           *Detail            // nil, or old, while nobody looks
 }
 
-// Look is the whole of what a governor believes, copied while somebody looks.
-type Look struct {
-	At         model.Microseconds
-	Module     *balancer.View
-	Forwarders map[model.ProxyID]Forwarder
-	List       map[model.ReplicaID]model.Endpoint
+// Detail is the whole of what a governor believes, copied while somebody looks.
+type Detail struct {
+	At        model.Microseconds
+	Balancer  *balancer.View
+	Proxies   map[model.ProxyID]Proxy
+	Endpoints map[model.ReplicaID]model.Endpoint
 }
 
-// Forwarder is what a joined one said of itself.
-type Forwarder struct {
-	Name     string
-	Zone     int
-	Rate     float64
-	Fresh    bool
-	JoinedAt model.Microseconds
+// Proxy is what a joined one said of itself.
+type Proxy struct {
+	Name            string
+	Zone            int
+	ExpectedRate    float64
+	OnStandingTable bool
+	ConnectedAt     model.Microseconds
 }
 
 // A look costs a copy of the fleet, so it is taken at most each lookEvery, and only within lookFor of somebody's asking: a
@@ -101,29 +101,29 @@
 }
 
 // New makes a host; intake is the most sums a second that the module is handed.
-func New(terms model.Config, intake int, now func() model.Microseconds, log zerolog.Logger) *Host {
-	h := &Host{mailbox: newMailbox(), terms: terms, now: now, log: log,
+func New(terms model.Config, intake int, now func() model.Microseconds, log zerolog.Logger) *Controller {
+	h := &Controller{mailbox: newMailbox(), terms: terms, now: now, log: log,
 		stop: make(chan struct{}), stopped: make(chan struct{}), list: map[model.ReplicaID]model.Endpoint{},
-		known: map[model.ProxyID]Forwarder{}, causes: newCauses(), newest: newest{sums: map[key]stamped{}}}
+		known: map[model.ProxyID]Proxy{}, causes: newCauses(), newest: newest{sums: map[key]stamped{}}}
 	h.intake.Store(int64(intake))
 	return h
 }
 
-// SetIntake changes the most sums a second that the module is handed.
-func (h *Host) SetIntake(intake int) { h.intake.Store(int64(intake)) }
+// SetReportLimit changes the most sums a second that the module is handed.
+func (h *Controller) SetReportLimit(intake int) { h.intake.Store(int64(intake)) }
 
-// KeepCauses hands each entry of the journal of causes on as it is made, from the host's goroutine: keep must not block nor
+// PersistDecisions hands each entry of the journal of causes on as it is made, from the host's goroutine: keep must not block nor
 // change it. To be called before Run.
-func (h *Host) KeepCauses(keep func(*Cause)) { h.causes.keep = keep }
+func (h *Controller) PersistDecisions(keep func(*Decision)) { h.causes.keep = keep }
 
-// KeepNoCauses has no journal of causes kept: where memory is short, and nobody can look at it. To be called before Run.
-func (h *Host) KeepNoCauses() { h.causes.off = true }
+// DisableDecisionLog has no journal of causes kept: where memory is short, and nobody can look at it. To be called before Run.
+func (h *Controller) DisableDecisionLog() { h.causes.off = true }
 
-// OldestCause is the number from which on the journal of causes is in memory.
-func (h *Host) OldestCause() uint64 { return h.causes.oldest() }
+// OldestDecision is the number from which on the journal of causes is in memory.
+func (h *Controller) OldestDecision() uint64 { return h.causes.oldest() }
 
 // Run starts the module on what was last known of the list (nil: nothing) and goes on until Stop.
-func (h *Host) Run(ch Channel, roster Roster, cached []model.Endpoint) {
+func (h *Controller) Run(ch ProxyServer, roster Discovery, cached []model.Endpoint) {
 	defer close(h.stopped)
 	h.channel, h.roster = ch, roster
 	h.filled = h.now()
@@ -155,24 +155,26 @@
 }
 
 // Stop ends Run and waits for it.
-func (h *Host) Stop() {
+func (h *Controller) Stop() {
 	close(h.stop)
 	<-h.stopped
 }
 
 // View is the newest view; nil before the first step.
-func (h *Host) View() *View { return h.view.Load() }
+func (h *Controller) View() *View { return h.view.Load() }
 
-// Watch asks that views carry a Look from the next step on, for a while, and gives the newest view.
-func (h *Host) Watch() *View {
+// DetailedView asks that views carry a Look from the next step on, for a while, and gives the newest view.
+func (h *Controller) DetailedView() *View {
 	h.wanted.Store(int64(h.now()))
 	return h.view.Load()
 }
 
-// Causes gives the newest entries of the journal of causes that match, newest first, most at most.
-func (h *Host) Causes(most int, match func(*Cause) bool) []Cause { return h.causes.find(most, match) }
+// Decisions gives the newest entries of the journal of causes that match, newest first, most at most.
+func (h *Controller) Decisions(most int, match func(*Decision) bool) []Decision {
+	return h.causes.find(most, match)
+}
 
-func (h *Host) step() {
+func (h *Controller) step() {
 	now := h.now()
 	intake := float64(h.intake.Load())
 	h.budget = min(h.budget+float64(now-h.filled)/float64(model.Second)*intake, intake)
@@ -187,7 +189,7 @@
 	h.settle(now)
 }
 
-func (h *Host) take(now model.Microseconds, t taken) {
+func (h *Controller) take(now model.Microseconds, t taken) {
 	if t.list != nil {
 		h.causes.input("list %s of %d", scopeNames[t.list.scope], len(t.list.entries))
 		h.module.EndpointsChanged(now, t.list.scope, t.list.entries)
@@ -201,9 +203,9 @@
 			delete(h.known, s.proxy)
 		}
 		if s.joined {
-			h.channel.Admit(s.proxy, s.stream)
+			h.channel.AdmitProxy(s.proxy, s.stream)
 			h.module.ProxyConnected(now, s.proxy, s.zone, s.join.Rate)
-			h.known[s.proxy] = Forwarder{s.join.Name, s.zone, s.join.Rate, s.join.Fresh, now}
+			h.known[s.proxy] = Proxy{s.join.Name, s.zone, s.join.Rate, s.join.Fresh, now}
 			h.causes.input("joined %s", s.join.Name)
 		}
 		if _, known := h.known[s.proxy]; s.receipt >= 0 && known {
@@ -218,7 +220,7 @@
 	h.causes.sums += len(t.sums)
 }
 
-func (h *Host) keepList(now model.Microseconds, n *news) {
+func (h *Controller) keepList(now model.Microseconds, n *news) {
 	if n.scope == model.PollFailed {
 		return
 	}
@@ -240,7 +242,7 @@
 	}
 }
 
-func (h *Host) settle(now model.Microseconds) {
+func (h *Controller) settle(now model.Microseconds) {
 	h.module.Flush(now)
 	if !h.batch.Empty() || h.batch.Receipt >= 0 {
 		h.batch.At = now
@@ -250,53 +252,55 @@
 	h.batch = &snapshot.Batch{Receipt: -1}
 	h.steps++
 	h.worst = max(h.worst, h.now()-now)
-	v := &View{At: now, GateOpen: h.open, Joined: len(h.known), Ready: h.ready, Listed: len(h.list), ListAt: h.listed, Steps: h.steps, WorstStep: h.worst}
+	v := &View{At: now, SafeModeEnded: h.open, ConnectedProxies: len(h.known), ReadyReplicas: h.ready, ListedReplicas: len(h.list), EndpointsAt: h.listed, Steps: h.steps, LongestStep: h.worst}
 	h.mailbox.mu.Lock()
-	v.Waiting, v.Folds = len(h.mailbox.turn), h.mailbox.folds
+	v.PendingReports, v.MergedReports = len(h.mailbox.turn), h.mailbox.folds
 	h.mailbox.mu.Unlock()
 	if now-model.Microseconds(h.wanted.Load()) < lookFor && now-h.lookAt >= lookEvery {
 		h.lookAt = now
-		h.look = &Look{At: now, Module: h.module.View(), Forwarders: maps.Clone(h.known), List: maps.Clone(h.list)}
+		h.look = &Detail{At: now, Balancer: h.module.View(), Proxies: maps.Clone(h.known), Endpoints: maps.Clone(h.list)}
 	}
-	v.Look = h.look
+	v.Detail = h.look
 	h.view.Store(v)
 }
 
 // The orders of the module: they are gathered and leave after Settle.
 
-func (h *Host) order(o snapshot.Order) { h.batch.Orders = append(h.batch.Orders, o) }
+func (h *Controller) order(o snapshot.Order) { h.batch.Orders = append(h.batch.Orders, o) }
 
 // SetWeight is an order of the module, see fleet.Host.
-func (h *Host) SetWeight(t model.TableID, r model.ReplicaID, weight float64) {
+func (h *Controller) SetWeight(t model.TableID, r model.ReplicaID, weight float64) {
 	h.order(snapshot.Order{What: snapshot.Assign, Table: t, Replica: r, Weight: weight})
 }
 
 // BindProxy is an order of the module, see fleet.Host.
-func (h *Host) BindProxy(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
+func (h *Controller) BindProxy(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
 	h.order(snapshot.Order{What: snapshot.Bind, Proxy: p, Table: t, Operations: operations, Back: back})
 }
 
 // SetWithdrawn is an order of the module, see fleet.Host.
-func (h *Host) SetWithdrawn(r model.ReplicaID, out bool) {
+func (h *Controller) SetWithdrawn(r model.ReplicaID, out bool) {
 	h.order(snapshot.Order{What: snapshot.Withdraw, Replica: r, Out: out})
 }
 
 // SetQuota is an order of the module, see fleet.Host.
-func (h *Host) SetQuota(operations uint16, share float64, w model.RetryPolicy) {
+func (h *Controller) SetQuota(operations uint16, share float64, w model.RetryPolicy) {
 	h.order(snapshot.Order{What: snapshot.SetLevel, Level: pubsubmsg.Level{Operations: operations, Share: share, Way: w}})
 }
 
 // RequestAck is an order of the module, see fleet.Host.
-func (h *Host) RequestAck(number uint32, all bool) { h.batch.Receipt, h.batch.All = int(number), all }
+func (h *Controller) RequestAck(number uint32, all bool) {
+	h.batch.Receipt, h.batch.All = int(number), all
+}
 
 // SetTimer is an order of the module, see fleet.Host.
-func (h *Host) SetTimer(after model.Microseconds) { h.wakeAt = h.now() + after }
+func (h *Controller) SetTimer(after model.Microseconds) { h.wakeAt = h.now() + after }
 
 // Subscribe is an order of the module, see fleet.Host.
-func (h *Host) Subscribe() { h.roster.Follow() }
+func (h *Controller) Subscribe() { h.roster.Subscribe() }
 
 // Log is an order of the module, see fleet.Host.
-func (h *Host) Log(text string) {
+func (h *Controller) Log(text string) {
 	if text == "gate open" {
 		h.open = true
 	}
@@ -304,7 +308,7 @@
 	h.log.Info().Str("from", "decide").Msg(text)
 }
 
-var _ model.Publisher = (*Host)(nil)
+var _ model.Publisher = (*Controller)(nil)
 
 // Check tells start settings that the module cannot use.
 func Check(t model.Config) error {
--- a/internal/controller/governor_test.go
+++ b/internal/controller/governor_test.go
@@ -23,22 +23,22 @@
 // What a forwarder's newest state is, whatever came in which order, is one slot; the module hears of each end once.
 func TestTheMailboxKeepsTheNewest(t *testing.T) {
 	m := newMailbox()
-	m.Joined(1, 10, pubsubmsg.Join{Name: "a", Rate: 1}, 0)
-	m.Applied(1, 10, 3) // before its join was taken: nothing was ordered yet
-	m.Left(1, 10)
-	m.Joined(1, 11, pubsubmsg.Join{Name: "a", Rate: 2}, 1)
-	m.Left(1, 10) // the old stream's end comes late
+	m.ProxyConnected(1, 10, pubsubmsg.Join{Name: "a", Rate: 1}, 0)
+	m.Acknowledged(1, 10, 3) // before its join was taken: nothing was ordered yet
+	m.ProxyDisconnected(1, 10)
+	m.ProxyConnected(1, 11, pubsubmsg.Join{Name: "a", Rate: 2}, 1)
+	m.ProxyDisconnected(1, 10) // the old stream's end comes late
 	got := m.take(10)
 	if len(got.slots) != 1 || !got.slots[0].joined || got.slots[0].stream != 11 || got.slots[0].join.Rate != 2 || got.slots[0].receipt != -1 {
 		t.Fatalf("%+v", got.slots)
 	}
-	m.Applied(1, 11, 4)
-	m.Applied(1, 11, 5)
-	m.Applied(1, 10, 9) // of the old stream
+	m.Acknowledged(1, 11, 4)
+	m.Acknowledged(1, 11, 5)
+	m.Acknowledged(1, 10, 9) // of the old stream
 	if got = m.take(10); len(got.slots) != 1 || got.slots[0].receipt != 5 || got.slots[0].joined {
 		t.Fatalf("%+v", got.slots)
 	}
-	m.Left(1, 11)
+	m.ProxyDisconnected(1, 11)
 	if got = m.take(10); len(got.slots) != 1 || !got.slots[0].left {
 		t.Fatalf("%+v", got.slots)
 	}
@@ -52,9 +52,9 @@
 	m := newMailbox()
 	for n := range 100_000 {
 		p := model.ProxyID(n % 50)
-		m.Joined(p, uint64(n+1), pubsubmsg.Join{}, 0)
-		m.Heard(n%2, []model.LoadReport{{Replica: id(byte(n % 30)), Attempts: 2, Errors: 1, MeanLatency: 100, Window: model.Second}})
-		m.Listed(model.FullList, nil)
+		m.ProxyConnected(p, uint64(n+1), pubsubmsg.Join{}, 0)
+		m.LoadReported(n%2, []model.LoadReport{{Replica: id(byte(n % 30)), Attempts: 2, Errors: 1, MeanLatency: 100, Window: model.Second}})
+		m.EndpointsChanged(model.FullList, nil)
 	}
 	if len(m.dirty) != 50 || len(m.sums) != 30 || len(m.turn) != 30 {
 		t.Fatalf("%d slots, %d sums", len(m.dirty), len(m.sums))
@@ -79,7 +79,7 @@
 func TestFoldsAreCounted(t *testing.T) {
 	m := newMailbox()
 	one := func(tries int, latency model.Microseconds) {
-		m.Heard(0, []model.LoadReport{{Replica: id(1), Attempts: tries, MeanLatency: latency, Window: model.Second, Readings: []float64{float64(tries)}}})
+		m.LoadReported(0, []model.LoadReport{{Replica: id(1), Attempts: tries, MeanLatency: latency, Window: model.Second, Readings: []float64{float64(tries)}}})
 	}
 	one(1, 100)
 	m.take(0)
@@ -94,12 +94,12 @@
 // A failed call never hides a list that waits, and neither is lost.
 func TestNewsOfTheList(t *testing.T) {
 	m := newMailbox()
-	m.Listed(model.FullList, []model.Endpoint{{ID: id(1)}})
-	m.Listed(model.PollFailed, nil)
+	m.EndpointsChanged(model.FullList, []model.Endpoint{{ID: id(1)}})
+	m.EndpointsChanged(model.PollFailed, nil)
 	if got := m.take(0).list; got == nil || got.scope != model.FullList || len(got.entries) != 1 {
 		t.Fatalf("%+v", got)
 	}
-	m.Listed(model.PollFailed, nil)
+	m.EndpointsChanged(model.PollFailed, nil)
 	if got := m.take(0).list; got == nil || got.scope != model.PollFailed {
 		t.Fatalf("%+v", got)
 	}
@@ -111,11 +111,11 @@
 	events  chan string
 }
 
-func (o *outside) Admit(p model.ProxyID, stream uint64) {
+func (o *outside) AdmitProxy(p model.ProxyID, stream uint64) {
 	o.events <- fmt.Sprint("admit ", p, " ", stream)
 }
 func (o *outside) Publish(b *snapshot.Batch) { o.batches <- b }
-func (o *outside) Follow()                   { o.events <- "follow" }
+func (o *outside) Subscribe()                { o.events <- "follow" }
 
 func (o *outside) event(t *testing.T, want string) {
 	t.Helper()
@@ -150,7 +150,7 @@
 // What tells an order.
 type What func(o snapshot.Order) bool
 
-func start(t *testing.T, cached []model.Endpoint, change func(*model.Config)) (*Host, *outside) {
+func start(t *testing.T, cached []model.Endpoint, change func(*model.Config)) (*Controller, *outside) {
 	terms := model.Config{Seed: 1, Operations: []model.Operation{{LatencyObjective: 500_000, PriorityWeight: 1}}, Zones: 1, SubscriptionRequired: true, AdmissionControl: true,
 		FullQuota: 1, StandingTableSize: 4, ReportPeriod: 200 * model.Millisecond, MessageOverhead: 6, QueueLimit: 100_000, UtilizationField: -1, WarmUpPeriod: 17 * model.Second}
 	if change != nil {
@@ -177,16 +177,16 @@
 func TestTheGateHoldsAndDrainsGoOut(t *testing.T) {
 	// A period of 10 s: the start window does not end within this test.
 	h, o := start(t, ready(1, 2, 3), func(x *model.Config) { x.ReportPeriod = 5 * model.Second })
-	h.Joined(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
+	h.ProxyConnected(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
-	h.Listed(model.FullList, append(ready(1, 2), model.Endpoint{ID: id(3), Status: model.EndpointDraining}))
+	h.EndpointsChanged(model.FullList, append(ready(1, 2), model.Endpoint{ID: id(3), Status: model.EndpointDraining}))
 	b := o.until(t, func(o snapshot.Order) bool { return o.What == snapshot.Withdraw && o.Out && o.Replica == id(3) }, "the drain")
 	for _, one := range b.Orders {
 		if bind(one) {
 			t.Fatal("bound while the gate is shut")
 		}
 	}
-	if v := h.View(); v.GateOpen || v.Ready != 2 || v.Listed != 3 {
+	if v := h.View(); v.SafeModeEnded || v.ReadyReplicas != 2 || v.ListedReplicas != 3 {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -194,16 +194,16 @@
 // Once each replica was heard of, forwarders are bound, and a receipt is asked for with the same batch.
 func TestTheGateOpensOnReports(t *testing.T) {
 	h, o := start(t, ready(1, 2), nil)
-	h.Joined(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
+	h.ProxyConnected(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
-	h.Heard(0, []model.LoadReport{{Replica: id(1), Attempts: 5, MeanLatency: 1000, Window: model.Second}, {Replica: id(2), Attempts: 5, MeanLatency: 1000, Window: model.Second}})
+	h.LoadReported(0, []model.LoadReport{{Replica: id(1), Attempts: 5, MeanLatency: 1000, Window: model.Second}, {Replica: id(2), Attempts: 5, MeanLatency: 1000, Window: model.Second}})
 	b := o.until(t, bind, "a bind")
 	if b.Receipt < 0 || b.At == 0 {
 		t.Fatalf("%+v", b)
 	}
-	h.Applied(7, 70, uint32(b.Receipt))
-	h.Left(7, 70)
-	h.Joined(7, 71, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
+	h.Acknowledged(7, 70, uint32(b.Receipt))
+	h.ProxyDisconnected(7, 70)
+	h.ProxyConnected(7, 71, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 71")
 	o.until(t, bind, "a bind for the new stream")
 }
@@ -211,9 +211,9 @@
 // A list out of reach is asked for again, and what is known stays.
 func TestAFailedListIsAskedForAgain(t *testing.T) {
 	h, o := start(t, ready(1, 2), nil)
-	h.Listed(model.PollFailed, nil)
+	h.EndpointsChanged(model.PollFailed, nil)
 	o.event(t, "follow")
-	if v := h.View(); v.Ready != 2 {
+	if v := h.View(); v.ReadyReplicas != 2 {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -233,10 +233,10 @@
 	if got := c.find(2, nil); len(got) != 2 || got[0].Number != causesMost+5 || got[1].Number != causesMost+4 {
 		t.Fatalf("the newest are %+v", got)
 	}
-	if got := c.find(10, func(c *Cause) bool { return c.Names("till-0") }); len(got) != 0 {
+	if got := c.find(10, func(c *Decision) bool { return c.Mentions("till-0") }); len(got) != 0 {
 		t.Fatalf("the ring keeps more than its bound: %+v", got[0])
 	}
-	if got := c.find(3, func(c *Cause) bool { return c.Names("withdraw 127.0.0.3:80") }); len(got) != 3 {
+	if got := c.find(3, func(c *Decision) bool { return c.Mentions("withdraw 127.0.0.3:80") }); len(got) != 3 {
 		t.Fatalf("%d found", len(got))
 	}
 	var many []snapshot.Order
@@ -245,28 +245,28 @@
 		c.input("joined")
 	}
 	c.step(9, &snapshot.Batch{Orders: many})
-	if got := c.find(1, nil)[0]; len(got.Orders) != ordersMost || got.Cut != 1000-ordersMost || len(got.Came) != inputsMost+1 {
-		t.Fatalf("%d orders, %d cut, %d inputs", len(got.Orders), got.Cut, len(got.Came))
+	if got := c.find(1, nil)[0]; len(got.Updates) != ordersMost || got.OmittedUpdates != 1000-ordersMost || len(got.Inputs) != inputsMost+1 {
+		t.Fatalf("%d orders, %d cut, %d inputs", len(got.Updates), got.OmittedUpdates, len(got.Inputs))
 	}
 }
 
 // A look is taken only while somebody asks for it.
 func TestLooks(t *testing.T) {
 	h, o := start(t, ready(1, 2), nil)
-	h.Joined(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
+	h.ProxyConnected(7, 70, pubsubmsg.Join{Name: "till", Rate: 5}, 0)
 	o.event(t, "admit 7 70")
 	o.until(t, bind, "a bind")
-	if v := h.View(); v.Look != nil {
+	if v := h.View(); v.Detail != nil {
 		t.Fatal("a look is taken though nobody asked")
 	}
-	for until := time.Now().Add(10 * time.Second); h.Watch().Look == nil; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); h.DetailedView().Detail == nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("no look comes")
 		}
 	}
 	v := h.View()
-	if m := v.Look.Module; len(m.Replicas) != 2 || len(m.Proxies) != 1 || v.Look.Forwarders[7].Name != "till" || len(v.Look.List) != 2 {
-		t.Fatalf("%+v", v.Look)
+	if m := v.Detail.Balancer; len(m.Replicas) != 2 || len(m.Proxies) != 1 || v.Detail.Proxies[7].Name != "till" || len(v.Detail.Endpoints) != 2 {
+		t.Fatalf("%+v", v.Detail)
 	}
 }
 
@@ -287,7 +287,7 @@
 		h.module.EndpointsChanged(now, model.CachedList, list)
 		for p := range size[0] {
 			h.module.ProxyConnected(now, model.ProxyID(p), p%4, 5)
-			h.known[model.ProxyID(p)] = Forwarder{Name: fmt.Sprint("till-", p)}
+			h.known[model.ProxyID(p)] = Proxy{Name: fmt.Sprint("till-", p)}
 		}
 		step := func(look, journal bool) func(b *testing.B) {
 			return func(b *testing.B) {
@@ -309,7 +309,7 @@
 					}
 					h.batch = &snapshot.Batch{Receipt: -1}
 					if look {
-						h.look = &Look{At: now, Module: h.module.View(), Forwarders: maps.Clone(h.known), List: maps.Clone(h.list)}
+						h.look = &Detail{At: now, Balancer: h.module.View(), Proxies: maps.Clone(h.known), Endpoints: maps.Clone(h.list)}
 					}
 				}
 			}
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -73,8 +73,8 @@
 	return s
 }
 
-// Joined notes a forwarder's new stream; a join that still waited is replaced by it.
-func (m *mailbox) Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
+// ProxyConnected notes a forwarder's new stream; a join that still waited is replaced by it.
+func (m *mailbox) ProxyConnected(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.of(p)
@@ -82,8 +82,8 @@
 	m.ring()
 }
 
-// Left notes a stream's end; that of an older stream than the newest says nothing.
-func (m *mailbox) Left(p model.ProxyID, stream uint64) {
+// ProxyDisconnected notes a stream's end; that of an older stream than the newest says nothing.
+func (m *mailbox) ProxyDisconnected(p model.ProxyID, stream uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s := m.streams[p]; s != nil && s.stream == stream {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Applied notes a receipt of the newest stream; it covers those before it.
-func (m *mailbox) Applied(p model.ProxyID, stream uint64, receipt uint32) {
+// Acknowledged notes a receipt of the newest stream; it covers those before it.
+func (m *mailbox) Acknowledged(p model.ProxyID, stream uint64, receipt uint32) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s := m.streams[p]; s != nil && s.stream == stream && !s.joined {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Heard folds a forwarder's sums into those of its zone.
-func (m *mailbox) Heard(zone int, sums []model.LoadReport) {
+// LoadReported folds a forwarder's sums into those of its zone.
+func (m *mailbox) LoadReported(zone int, sums []model.LoadReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range sums {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Listed notes news of the machine list. A whole list replaces what waits; a failed call never hides one.
-func (m *mailbox) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
+// EndpointsChanged notes news of the machine list. A whole list replaces what waits; a failed call never hides one.
+func (m *mailbox) EndpointsChanged(scope model.EndpointUpdate, entries []model.Endpoint) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if scope == model.PollFailed && m.list != nil && m.list.scope != model.PollFailed {
--- a/internal/controller/newest.go
+++ b/internal/controller/newest.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Newest gives the last sum that each replica was named in, of each zone, as far as it is fresh.
-func (h *Host) Newest() (all []model.LoadReport) {
+// LatestReports gives the last sum that each replica was named in, of each zone, as far as it is fresh.
+func (h *Controller) LatestReports() (all []model.LoadReport) {
 	h.newest.mu.Lock()
 	defer h.newest.mu.Unlock()
 	for _, s := range h.newest.sums {
@@ -61,10 +61,10 @@
 	return all
 }
 
-// HandedOver has the module hear, in its next step, what another governor was told last.
-func (h *Host) HandedOver(sums []model.LoadReport) {
+// AddHandedOverReports has the module hear, in its next step, what another governor was told last.
+func (h *Controller) AddHandedOverReports(sums []model.LoadReport) {
 	for _, s := range sums {
-		h.Heard(s.Zone, []model.LoadReport{s})
+		h.LoadReported(s.Zone, []model.LoadReport{s})
 	}
 	h.ring()
 }
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -65,8 +65,8 @@
 	return c, nil
 }
 
-// Follow subscribes; while subscribed it changes nothing.
-func (c *Consul) Follow() {
+// Subscribe subscribes; while subscribed it changes nothing.
+func (c *Consul) Subscribe() {
 	select {
 	case c.asked <- struct{}{}:
 	default:
@@ -90,7 +90,7 @@
 		}
 		if err := c.follow(); err != nil {
 			c.query.Log.Warn().Err(err).Msg("machine list: call failed")
-			c.to.Listed(model.PollFailed, nil)
+			c.to.EndpointsChanged(model.PollFailed, nil)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		}
 		// A list may change under the same index where that is wrong (set back, or stuck): the text tells it.
 		if told != index || index == 0 || !bytes.Equal(m.Body, body) {
-			c.to.Listed(model.FullList, entries)
+			c.to.EndpointsChanged(model.FullList, entries)
 		}
 		body = m.Body
 		switch {
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -83,7 +83,7 @@
 			}
 			if !c.lives { // the module asks again a second later, or a little more
 				n.next(t, "scope 3")
-				time.AfterFunc(1250*time.Millisecond, w.Follow)
+				time.AfterFunc(1250*time.Millisecond, w.Subscribe)
 			}
 			d.request(version, watching)
 			if took := time.Since(since); took > toldAfter || took < time.Second {
@@ -161,22 +161,22 @@
 	d := openDesk(t)
 	w, n := watch(t, d, nil)
 	for range 10 {
-		w.Follow()
+		w.Subscribe()
 	}
 	d.request(0, "")
 	for range 10 {
-		w.Follow()
+		w.Subscribe()
 	}
 	d.none(200 * time.Millisecond)
 	d.write(watching)
 	d.chunk(object(8, true, one(1, "ready")), 1000)
 	n.next(t, "scope 0 1/1/1/1")
-	w.Follow()
+	w.Subscribe()
 	d.none(200 * time.Millisecond)
 	d.conn.Close()
 	n.next(t, "scope 3")
 	d.none(200 * time.Millisecond) // what was asked before it failed does not count after it
-	w.Follow()
+	w.Subscribe()
 	d.request(8, watching)
 }
 
@@ -212,7 +212,7 @@
 	if held := w.Entries(); len(held) != 1 || held[0].Status != model.EndpointReady {
 		t.Fatalf("held: %v", held)
 	}
-	w.Follow()
+	w.Subscribe()
 	to.request(8, watching)
 	to.chunk(object(9, false, one(2, "ready")), 1000)
 	n.next(t, "scope 0 1/1/1/1 2/0/1/2")
@@ -225,7 +225,7 @@
 	w, n := unasked(t, other, nil)
 	w.Move(d.l.Addr().String())
 	d.none(100 * time.Millisecond)
-	w.Follow()
+	w.Subscribe()
 	d.request(0, watching)
 	d.chunk(object(8, true, one(1, "ready")), 1000)
 	n.next(t, "scope 0 1/1/1/1")
@@ -269,7 +269,7 @@
 			t.Fatal(err)
 		}
 		if state != "idle" {
-			w.Follow()
+			w.Subscribe()
 		}
 		if state == "asked" {
 			d.request(0, "")
--- a/internal/discovery/roster.go
+++ b/internal/discovery/roster.go
@@ -15,5 +15,5 @@
 
 // Receiver takes the news; governor.Host is the real one.
 type Receiver interface {
-	Listed(scope model.EndpointUpdate, entries []model.Endpoint)
+	EndpointsChanged(scope model.EndpointUpdate, entries []model.Endpoint)
 }
--- a/internal/discovery/roster_test.go
+++ b/internal/discovery/roster_test.go
@@ -35,7 +35,7 @@
 	came chan struct{}
 }
 
-func (w *world) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
+func (w *world) EndpointsChanged(scope model.EndpointUpdate, entries []model.Endpoint) {
 	text := fmt.Sprint("scope ", scope)
 	for _, e := range entries {
 		text += fmt.Sprintf(" %d/%d/%d/%d", e.ID.Addr[3], e.Zone, e.Status, e.StartedAt/model.Millisecond)
@@ -111,7 +111,7 @@
 
 func TestTheListIsFollowed(t *testing.T) {
 	w := begin(t)
-	w.c.Follow()
+	w.c.Subscribe()
 	w.next(both)
 	w.do(func() { w.list.Set(registry.Entry{ID: id(1), Zone: "govan", Draining: true}) })
 	w.next("scope 0 1/0/2/0 2/1/1/7000")
@@ -126,10 +126,10 @@
 		t.Run(name, func(t *testing.T) {
 			w := begin(t)
 			w.do(func() { w.list.Trouble = trouble })
-			w.c.Follow()
+			w.c.Subscribe()
 			w.next("scope 3")
 			w.do(func() { w.list.Trouble = registry.Trouble{} })
-			w.c.Follow()
+			w.c.Subscribe()
 			w.next(both)
 		})
 	}
@@ -141,7 +141,7 @@
 		}
 		l.Close()
 		w.c.query.Address = l.Addr().String()
-		w.c.Follow()
+		w.c.Subscribe()
 		w.next("scope 3")
 	})
 }
@@ -149,7 +149,7 @@
 // An index that goes back starts anew, and news after it is not missed.
 func TestAnIndexThatGoesBack(t *testing.T) {
 	w := begin(t)
-	w.c.Follow()
+	w.c.Subscribe()
 	w.next(both)
 	w.do(func() {
 		w.list.Trouble = registry.Trouble{IndexBack: true}
@@ -209,6 +209,6 @@
 		w.list.Set(registry.Entry{ID: id(3), Zone: "leith"})
 		w.list.Set(registry.Entry{ID: id(4), Zone: strings.Repeat("<b>", 300)})
 	})
-	w.c.Follow()
+	w.c.Subscribe()
 	w.next(both)
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -89,8 +89,8 @@
 	return w, nil
 }
 
-// Follow subscribes; while subscribed it changes nothing.
-func (w *Watch) Follow() {
+// Subscribe subscribes; while subscribed it changes nothing.
+func (w *Watch) Subscribe() {
 	select {
 	case w.asked <- struct{}{}:
 	default:
@@ -165,7 +165,7 @@
 			case <-w.asked: // asked for before this
 			default:
 			}
-			w.to.Listed(model.PollFailed, nil)
+			w.to.EndpointsChanged(model.PollFailed, nil)
 			return
 		}
 		pause := time.NewTimer(w.pause())
@@ -332,7 +332,7 @@
 		w.take(list)
 		all := w.listings()
 		w.mu.Unlock()
-		w.to.Listed(model.FullList, all)
+		w.to.EndpointsChanged(model.FullList, all)
 	}
 	return nil
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -61,7 +61,7 @@
 
 type news chan string
 
-func (n news) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
+func (n news) EndpointsChanged(scope model.EndpointUpdate, entries []model.Endpoint) {
 	text := fmt.Sprint("scope ", scope)
 	for _, e := range entries {
 		text += fmt.Sprintf(" %d/%d/%d/%d", e.ID.Addr[3], e.Zone, e.Status, e.StartedAt/model.Millisecond)
@@ -84,7 +84,7 @@
 // watch follows a desk.
 func watch(t *testing.T, d *desk, known *platformmsg.List) (*Watch, news) {
 	w, n := unasked(t, d, known)
-	w.Follow()
+	w.Subscribe()
 	return w, n
 }
 
@@ -133,10 +133,10 @@
 	n.next(t, "scope 0 1/1/1/1")
 	d.conn.Close()
 	n.next(t, "scope 3")
-	w.Follow()
+	w.Subscribe()
 	d.request(7, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	n.next(t, "scope 3")
-	w.Follow()
+	w.Subscribe()
 	d.request(7, watching)
 	d.chunk(object(8, false, one(2, "ready")), 1000)
 	n.next(t, "scope 0 1/1/1/1 2/0/1/2")
@@ -149,7 +149,7 @@
 	for k, answer := range []string{"SSH-2.0\r\n", watching + "5\r\nno, \n\r\n", watching + "3\r\n{}\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", watching + "0\r\n\r\n",
 		"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n"} {
 		if k > 0 {
-			w.Follow()
+			w.Subscribe()
 		}
 		d.request(3, answer)
 		n.next(t, "scope 3")
@@ -181,7 +181,7 @@
 	d.request(41, watching)
 	d.chunk(object(3, false, one(1, "ready")), 1000)
 	n.next(t, "scope 3")
-	w.Follow()
+	w.Subscribe()
 	d.request(0, watching)
 	d.chunk(object(3, true, one(2, "ready")), 1000)
 	n.next(t, "scope 0 1/0/1/2")
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -34,10 +34,10 @@
 // Events is told what comes, from network goroutines and in order: it must not block, nor call the server from within. A stream is one
 // connection of one proxy, numbered anew each time.
 type Events interface {
-	Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int)
-	Left(p model.ProxyID, stream uint64)
-	Applied(p model.ProxyID, stream uint64, receipt uint32)
-	Heard(zone int, sums []model.LoadReport)
+	ProxyConnected(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int)
+	ProxyDisconnected(p model.ProxyID, stream uint64)
+	Acknowledged(p model.ProxyID, stream uint64, receipt uint32)
+	LoadReported(zone int, sums []model.LoadReport)
 }
 
 // Limits bounds what peers may cost.
@@ -377,7 +377,7 @@
 			if p.holder != nil {
 				s.board.Leave(p.proxy)
 			}
-			s.events.Left(p.proxy, p.stream)
+			s.events.ProxyDisconnected(p.proxy, p.stream)
 		}
 	}
 }
@@ -472,7 +472,7 @@
 	s.lastID++
 	p.proxy, p.stream, p.zone, p.fresh = id, s.lastID, zone, m.Fresh
 	s.streams[id] = p
-	s.events.Joined(id, p.stream, pubsubmsg.Join{Name: strconv.Itoa(m.Proxy), Zone: m.Site, Rate: m.Rate, Fresh: m.Fresh}, zone)
+	s.events.ProxyConnected(id, p.stream, pubsubmsg.Join{Name: strconv.Itoa(m.Proxy), Zone: m.Site, Rate: m.Rate, Fresh: m.Fresh}, zone)
 	s.mu.Unlock()
 	if old != nil {
 		s.close(old)
@@ -535,7 +535,7 @@
 	ticket := p.owed[i].ticket
 	s.passed = max(s.passed, p.owed[i].sent)
 	p.owed, p.passedAt = append(p.owed[:0], p.owed[i+1:]...), 0
-	s.events.Applied(p.proxy, p.stream, ticket)
+	s.events.Acknowledged(p.proxy, p.stream, ticket)
 }
 
 func (s *Server) heard(m platformmsg.Message) error {
@@ -557,13 +557,13 @@
 	s.mu.Lock()
 	s.stats.Sums++
 	s.stats.Tries += uint64(m.Tries)
-	s.events.Heard(zone, []model.LoadReport{sum})
+	s.events.LoadReported(zone, []model.LoadReport{sum})
 	s.mu.Unlock()
 	return nil
 }
 
-// Admit puts a joined proxy on the board: it is concerned by what is published from now on. It is sent nothing for it.
-func (s *Server) Admit(proxy model.ProxyID, stream uint64) {
+// AdmitProxy puts a joined proxy on the board: it is concerned by what is published from now on. It is sent nothing for it.
+func (s *Server) AdmitProxy(proxy model.ProxyID, stream uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.streams[proxy]
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -54,22 +54,22 @@
 	h.events = append(h.events, fmt.Sprintf(format, args...))
 }
 
-func (h *host) Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
+func (h *host) ProxyConnected(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
 	h.tell(event{1, p, stream}, func() {
-		h.server.Admit(p, stream)
+		h.server.AdmitProxy(p, stream)
 		h.note("joined %d zone %d rate %g fresh %t", p, zone, j.Rate, j.Fresh)
 	})
 }
 
-func (h *host) Left(p model.ProxyID, stream uint64) {
+func (h *host) ProxyDisconnected(p model.ProxyID, stream uint64) {
 	h.tell(event{2, p, stream}, func() { h.note("left %d", p) })
 }
 
-func (h *host) Applied(p model.ProxyID, stream uint64, ticket uint32) {
+func (h *host) Acknowledged(p model.ProxyID, stream uint64, ticket uint32) {
 	h.tell(event{3, p, stream}, func() { h.note("applied %d %d", p, ticket) })
 }
 
-func (h *host) Heard(_ int, sums []model.LoadReport) {
+func (h *host) LoadReported(_ int, sums []model.LoadReport) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sums = append(h.sums, sums...)
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -48,15 +48,17 @@
 	}
 }
 
-func (h *host) Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
-	h.server.Admit(p, stream)
+func (h *host) ProxyConnected(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
+	h.server.AdmitProxy(p, stream)
 	h.note("joined %s %d", j.Name, zone)
 }
-func (h *host) Left(p model.ProxyID, _ uint64) { h.note("left %d", p) }
-func (h *host) Applied(p model.ProxyID, _ uint64, receipt uint32) {
+func (h *host) ProxyDisconnected(p model.ProxyID, _ uint64) { h.note("left %d", p) }
+func (h *host) Acknowledged(p model.ProxyID, _ uint64, receipt uint32) {
 	h.note("applied %d %d", p, receipt)
 }
-func (h *host) Heard(zone int, sums []model.LoadReport) { h.note("heard %d %d", zone, len(sums)) }
+func (h *host) LoadReported(zone int, sums []model.LoadReport) {
+	h.note("heard %d %d", zone, len(sums))
+}
 
 func (h *host) now() model.Microseconds {
 	return model.Microseconds(time.Since(h.began) / time.Microsecond)
--- a/internal/pubsub/peer.go
+++ b/internal/pubsub/peer.go
@@ -224,7 +224,7 @@
 	b = resp.AppendInt(resp.AppendBulk(b, "epoch"), int64(epoch))
 	s.write(p, b)
 	s.mu.Unlock()
-	s.events.Joined(number, p.stream, j, zone)
+	s.events.ProxyConnected(number, p.stream, j, zone)
 	return nil
 }
 
@@ -242,7 +242,7 @@
 		err = p.joined()
 	}
 	if err == nil && a.Life == p.server.line.Life && a.Receipt >= 0 && a.Receipt < 65536 {
-		p.server.events.Applied(p.proxy, p.stream, uint32(a.Receipt))
+		p.server.events.Acknowledged(p.proxy, p.stream, uint32(a.Receipt))
 	}
 	return err
 }
@@ -262,7 +262,7 @@
 	for i := range sums.Of {
 		sums.Of[i].Zone, sums.Of[i].Window = p.zone, sums.Span
 	}
-	p.server.events.Heard(p.zone, sums.Of)
+	p.server.events.LoadReported(p.zone, sums.Of)
 	return nil
 }
 
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -22,10 +22,10 @@
 // Events is told what comes over the channel, from network goroutines: it must not block. A stream is one
 // connection of one forwarder, numbered anew each time; a stream's events come in order.
 type Events interface {
-	Joined(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int)
-	Left(p model.ProxyID, stream uint64)
-	Applied(p model.ProxyID, stream uint64, receipt uint32)
-	Heard(zone int, sums []model.LoadReport)
+	ProxyConnected(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int)
+	ProxyDisconnected(p model.ProxyID, stream uint64)
+	Acknowledged(p model.ProxyID, stream uint64, receipt uint32)
+	LoadReported(zone int, sums []model.LoadReport)
 }
 
 // Limits bounds what peers may cost. Zero fields take the values of Ordinary.
@@ -230,9 +230,9 @@
 	s.gate.SetBounds(joins, s.line.Now())
 }
 
-// Admit starts a joined forwarder's stream: it is sent its snapshot, and concerned by what is published from
+// AdmitProxy starts a joined forwarder's stream: it is sent its snapshot, and concerned by what is published from
 // now on. It is to be called once for each Joined, before the next Publish.
-func (s *Server) Admit(proxy model.ProxyID, stream uint64) {
+func (s *Server) AdmitProxy(proxy model.ProxyID, stream uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.streams[proxy]
@@ -640,7 +640,7 @@
 	}
 	s.mu.Unlock()
 	if joined {
-		s.events.Left(p.proxy, p.stream)
+		s.events.ProxyDisconnected(p.proxy, p.stream)
 	}
 }
 
--- a/internal/scenario/rogue.go
+++ b/internal/scenario/rogue.go
@@ -53,7 +53,7 @@
 		r.server.Close()
 		return nil, err
 	}
-	r.list.Follow()
+	r.list.Subscribe()
 	r.loop.After(200*model.Millisecond, r.beat)
 	return r, nil
 }
@@ -63,26 +63,28 @@
 	r.server.Close()
 }
 
-// Joined and the rest are what the channel and the list tell.
-func (r *rogue) Joined(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
+// ProxyConnected and the rest are what the channel and the list tell.
+func (r *rogue) ProxyConnected(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
 	r.loop.Post(func() {
-		r.server.Admit(p, stream)
+		r.server.AdmitProxy(p, stream)
 		r.streams[p] = true
 		r.publish(snapshot.Order{What: snapshot.Bind, Proxy: p, Table: rogueTable})
 	})
 }
 
-func (r *rogue) Left(p model.ProxyID, _ uint64) { r.loop.Post(func() { delete(r.streams, p) }) }
+func (r *rogue) ProxyDisconnected(p model.ProxyID, _ uint64) {
+	r.loop.Post(func() { delete(r.streams, p) })
+}
 
-func (r *rogue) Applied(model.ProxyID, uint64, uint32) {}
+func (r *rogue) Acknowledged(model.ProxyID, uint64, uint32) {}
 
-func (r *rogue) Heard(int, []model.LoadReport) {}
+func (r *rogue) LoadReported(int, []model.LoadReport) {}
 
-// Listed takes the list; but for what it hides it withdraws as it should.
-func (r *rogue) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
+// EndpointsChanged takes the list; but for what it hides it withdraws as it should.
+func (r *rogue) EndpointsChanged(scope model.EndpointUpdate, entries []model.Endpoint) {
 	r.loop.Post(func() {
 		if scope == model.PollFailed {
-			r.list.Follow()
+			r.list.Subscribe()
 			return
 		}
 		named := map[model.ReplicaID]bool{}
--- a/internal/server/archive.go
+++ b/internal/server/archive.go
@@ -12,14 +12,14 @@
 
 // archive keeps on disk what the host says and answers from it what is no longer in memory.
 type archive struct {
-	host   *controller.Host
+	host   *controller.Controller
 	folder *statestore.Folder
 	writer *statestore.Writer
 	life   uint64
 	log    zerolog.Logger
 }
 
-func newArchive(host *controller.Host, folder *statestore.Folder, life uint64, log zerolog.Logger) *archive {
+func newArchive(host *controller.Controller, folder *statestore.Folder, life uint64, log zerolog.Logger) *archive {
 	a := &archive{host: host, folder: folder, life: life, log: log}
 	a.writer = statestore.NewWriter(folder, func(err error, leftOut uint64) {
 		if err != nil {
@@ -28,38 +28,38 @@
 		}
 		log.Info().Uint64("causes_left_out", leftOut).Msg("the state can be put down again")
 	})
-	host.KeepCauses(a.keep)
+	host.PersistDecisions(a.keep)
 	return a
 }
 
-func (a *archive) keep(c *controller.Cause) {
+func (a *archive) keep(c *controller.Decision) {
 	if body, err := json.Marshal(c); err == nil {
 		a.writer.Cause(statestore.Record{Life: a.life, Number: c.Number, Body: body})
 	}
 }
 
-// Listed passes the list on, and puts a whole one down behind it: a drain does not wait for the disk.
-func (a *archive) Listed(scope model.EndpointUpdate, entries []model.Endpoint) {
-	a.host.Listed(scope, entries)
+// EndpointsChanged passes the list on, and puts a whole one down behind it: a drain does not wait for the disk.
+func (a *archive) EndpointsChanged(scope model.EndpointUpdate, entries []model.Endpoint) {
+	a.host.EndpointsChanged(scope, entries)
 	if scope == model.FullList {
 		a.writer.List(entries)
 	}
 }
 
 // Causes gives the newest entries that match: those in memory, and then those on disk, of earlier lives too.
-func (a *archive) Causes(most int, match func(*controller.Cause) bool) []controller.Cause {
-	oldest := a.host.OldestCause()
-	found := a.host.Causes(most, match)
+func (a *archive) Causes(most int, match func(*controller.Decision) bool) []controller.Decision {
+	oldest := a.host.OldestDecision()
+	found := a.host.Decisions(most, match)
 	if len(found) >= most {
 		return found
 	}
 	_, err := a.folder.Causes(a.life, oldest, most-len(found), func(r statestore.Record) bool {
-		var one controller.Cause
+		var one controller.Decision
 		if json.Unmarshal(r.Body, &one) != nil || match != nil && !match(&one) {
 			return false
 		}
 		if r.Life != a.life {
-			one.Life = r.Life
+			one.Incarnation = r.Life
 		}
 		found = append(found, one)
 		return true
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -35,14 +35,14 @@
 
 // fixtureCauses are the decision log of the fixture, by the life that took the steps. The last one carries a life of its own,
 // which the archive replaces by the life that it is stored under.
-var fixtureCauses = map[uint64][]controller.Cause{
+var fixtureCauses = map[uint64][]controller.Decision{
 	1: {
-		{At: 101, Number: 1, Came: []string{"list whole of 3", "joined till-1"}, Said: []string{"gate open"}, Orders: []string{"forwarder 1 on table 2"}, Cut: 7},
-		{At: 102, Number: 2, Came: []string{"left till-1", "4 sums"}, Said: []string{"replica [10 1 2 3]:8081 zone 1 failing"}, Orders: []string{"withdraw 10.1.2.3:8081", "table 2: 10.4.5.6:8082 weighs 0.5"}, Cut: 8},
+		{At: 101, Number: 1, Inputs: []string{"list whole of 3", "joined till-1"}, Reasons: []string{"gate open"}, Updates: []string{"forwarder 1 on table 2"}, OmittedUpdates: 7},
+		{At: 102, Number: 2, Inputs: []string{"left till-1", "4 sums"}, Reasons: []string{"replica [10 1 2 3]:8081 zone 1 failing"}, Updates: []string{"withdraw 10.1.2.3:8081", "table 2: 10.4.5.6:8082 weighs 0.5"}, OmittedUpdates: 8},
 	},
 	2: {
-		{At: 201, Number: 1, Came: []string{"timer", "2 receipts"}, Said: []string{"replica [10 1 2 3]:8081 zone 1 rested"}, Orders: []string{"let back 10.1.2.3:8081"}, Cut: 9},
-		{At: 202, Number: 2, Life: 77, Came: []string{"list change of 1"}, Said: []string{"replica [10 4 5 6]:8082 zone 2 drains"}, Orders: []string{"level of operations 0b11: share 0.25, way 2"}, Cut: 10},
+		{At: 201, Number: 1, Inputs: []string{"timer", "2 receipts"}, Reasons: []string{"replica [10 1 2 3]:8081 zone 1 rested"}, Updates: []string{"let back 10.1.2.3:8081"}, OmittedUpdates: 9},
+		{At: 202, Number: 2, Incarnation: 77, Inputs: []string{"list change of 1"}, Reasons: []string{"replica [10 4 5 6]:8082 zone 2 drains"}, Updates: []string{"level of operations 0b11: share 0.25, way 2"}, OmittedUpdates: 10},
 	},
 }
 
@@ -78,7 +78,7 @@
 			if found.Life != life {
 				t.Fatalf("life %d, want %d", found.Life, life)
 			}
-			a.Listed(model.FullList, fixtureListing)
+			a.EndpointsChanged(model.FullList, fixtureListing)
 			for _, cause := range fixtureCauses[life] {
 				a.keep(&cause)
 			}
@@ -133,11 +133,11 @@
 	if err := json.Unmarshal(found.Published, &picture); err != nil || !reflect.DeepEqual(picture, fixturePicture) {
 		t.Errorf("published state %+v, %v; want %+v", picture, err, fixturePicture)
 	}
-	var want []controller.Cause // newest first, each with the life that it is stored under
+	var want []controller.Decision // newest first, each with the life that it is stored under
 	for _, life := range []uint64{2, 1} {
 		for k := len(fixtureCauses[life]) - 1; k >= 0; k-- {
 			cause := fixtureCauses[life][k]
-			cause.Life = life
+			cause.Incarnation = life
 			want = append(want, cause)
 		}
 	}
@@ -145,7 +145,7 @@
 		t.Errorf("decision log %+v; want %+v", got, want)
 	}
 	for word, number := range map[string]int{"joined till-1": 3, "zone 2 drains": 0, "let back 10.1.2.3:8081": 1} {
-		got := a.Causes(1, func(c *controller.Cause) bool { return c.Names(word) })
+		got := a.Causes(1, func(c *controller.Decision) bool { return c.Mentions(word) })
 		if len(got) != 1 || !reflect.DeepEqual(got[0], want[number]) {
 			t.Errorf("search for %q found %+v; want %+v", word, got, want[number])
 		}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -47,7 +47,7 @@
 	runtime.GOMAXPROCS(min(runtime.NumCPU(), 4)) // two pollers, an acceptor, the host: more only adds idle stacks
 	now := controller.Clock()
 	host := controller.New(p.Terms, intakeMost, now, log)
-	host.KeepNoCauses()
+	host.DisableDecisionLog()
 	names := platformmsg.NewNames()
 	list, err := discovery.NewWatch(discovery.Discovery{Address: p.Discovery, Zones: p.Zones, Names: names, Known: p.Known,
 		Seed: p.Terms.Seed, Log: log}, host)
@@ -72,7 +72,7 @@
 	go host.Run(server, list, known)
 	defer host.Stop()
 	if !p.Terms.SubscriptionRequired {
-		list.Follow() // the module does not ask where the platform tells unasked; here nobody tells
+		list.Subscribe() // the module does not ask where the platform tells unasked; here nobody tells
 	}
 	tell := time.NewTicker(tellEvery)
 	defer tell.Stop()
@@ -103,7 +103,7 @@
 	bindMost  = 20 * time.Second
 )
 
-func listen(ctx context.Context, line platform.Line, host *controller.Host) (*platform.Server, error) {
+func listen(ctx context.Context, line platform.Line, host *controller.Controller) (*platform.Server, error) {
 	for late := time.Now().Add(bindMost); ; {
 		server, err := platform.Listen(line, host)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(late) {
@@ -123,14 +123,14 @@
 // tellEvery is how often the figures go to the log.
 const tellEvery = 5 * time.Second
 
-func tellPlatform(log zerolog.Logger, host *controller.Host, server *platform.Server) {
-	st, v := server.Stats(), host.Watch()
+func tellPlatform(log zerolog.Logger, host *controller.Controller, server *platform.Server) {
+	st, v := server.Stats(), host.DetailedView()
 	if v == nil {
 		return
 	}
-	e := log.Info().Interface("figures", st).Bool("gate_open", v.GateOpen).Int("ready", v.Ready).Uint64("steps", v.Steps).Int64("worst_step_us", int64(v.WorstStep))
-	if v.Look != nil {
-		m := v.Look.Module
+	e := log.Info().Interface("figures", st).Bool("gate_open", v.SafeModeEnded).Int("ready", v.ReadyReplicas).Uint64("steps", v.Steps).Int64("worst_step_us", int64(v.LongestStep))
+	if v.Detail != nil {
+		m := v.Detail.Balancer
 		e = e.Float64("stress", m.Saturation).Float64("pace", m.NormalizedLatency).Int("unacked", m.UnackedEntries).Floats64("shares", m.Quotas).Int("waits", len(m.UnreportedReplicas))
 	}
 	var mem runtime.MemStats
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -27,7 +27,7 @@
 func (f *inForce) Settings() [][2]string { return f.get().InForce() }
 
 // reload reads the file again and takes it if a running governor can; a refusal is told and changes nothing.
-func (f *inForce) reload(read func() (*config.Governor, error), host *controller.Host, server *pubsub.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
+func (f *inForce) reload(read func() (*config.Governor, error), host *controller.Controller, server *pubsub.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
 	next, err := read()
 	if err != nil {
 		log.Error().Err(err).Msg("reload refused: the file cannot be read; the old settings stay in force")
@@ -38,7 +38,7 @@
 		log.Error().Err(err).Msg("reload refused")
 		return
 	}
-	host.SetIntake(next.Intake)
+	host.SetReportLimit(next.Intake)
 	server.SetBounds(limits(next), joins(next, seed))
 	if threshold != nil {
 		_ = threshold.Set(next.LogLevel) // its name was checked as the file was read
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -79,13 +79,13 @@
 	}
 	file := &inForce{file: g}
 	if g.Console != "" {
-		about := console.About{Name: g.Name, Life: found.Life, Zones: g.Zones, Settings: file.Settings, QueueMost: terms.QueueLimit, Now: now,
-			Before: found.Published}
+		about := console.Instance{Name: g.Name, Incarnation: found.Life, Zones: g.Zones, Settings: file.Settings, QueueLimit: terms.QueueLimit, Now: now,
+			PreviousSnapshot: found.Published}
 		for _, o := range g.Operations {
 			about.Operations = append(about.Operations, o.Name)
 		}
 		if shared != nil {
-			about.Group = shared.group.Load().Status
+			about.Cluster = shared.group.Load().Status
 		}
 		pages, err := console.Listen(g.Console, about, desk{host, server, kept})
 		if err != nil {
@@ -121,15 +121,15 @@
 
 // desk is what the console reads.
 type desk struct {
-	host    *controller.Host
+	host    *controller.Controller
 	channel *pubsub.Server
 	archive *archive
 }
 
-func (d desk) View() *controller.View  { return d.host.View() }
-func (d desk) Watch() *controller.View { return d.host.Watch() }
-func (d desk) Stats() pubsub.Stats     { return d.channel.Stats() }
-func (d desk) Causes(most int, match func(*controller.Cause) bool) []controller.Cause {
+func (d desk) View() *controller.View         { return d.host.View() }
+func (d desk) DetailedView() *controller.View { return d.host.DetailedView() }
+func (d desk) Stats() pubsub.Stats            { return d.channel.Stats() }
+func (d desk) Decisions(most int, match func(*controller.Decision) bool) []controller.Decision {
 	return d.archive.Causes(most, match)
 }
 
@@ -158,13 +158,13 @@
 	return picture.Version
 }
 
-func report(log zerolog.Logger, host *controller.Host, server *pubsub.Server) {
+func report(log zerolog.Logger, host *controller.Controller, server *pubsub.Server) {
 	st, v := server.Stats(), host.View()
 	if v == nil {
 		return
 	}
-	log.Info().Int("forwarders", st.Forwarders).Uint64("version", st.Version).Bool("gate_open", v.GateOpen).
-		Int("ready", v.Ready).Int("queue_most", st.QueueMost).Uint64("messages", st.Messages).Uint64("lines", st.Lines).
-		Uint64("snapshot_folds", st.Folds).Uint64("resyncs", st.Resyncs).Uint64("sum_folds", v.Folds).Uint64("faults", st.Faults).
-		Uint64("put_off", st.PutOff).Int64("unsent_bytes", st.Unsent).Int64("worst_step_us", int64(v.WorstStep)).Msg("figures")
+	log.Info().Int("forwarders", st.Forwarders).Uint64("version", st.Version).Bool("gate_open", v.SafeModeEnded).
+		Int("ready", v.ReadyReplicas).Int("queue_most", st.QueueMost).Uint64("messages", st.Messages).Uint64("lines", st.Lines).
+		Uint64("snapshot_folds", st.Folds).Uint64("resyncs", st.Resyncs).Uint64("sum_folds", v.MergedReports).Uint64("faults", st.Faults).
+		Uint64("put_off", st.PutOff).Int64("unsent_bytes", st.Unsent).Int64("worst_step_us", int64(v.LongestStep)).Msg("figures")
 }
--- a/internal/server/share.go
+++ b/internal/server/share.go
@@ -22,12 +22,12 @@
 // the design says of a start (bind nobody, hold weights until each listed replica is named) is then true of an unplanned takeover by
 // a governor that stood by. A nil sharing is a governor alone.
 type sharing struct {
-	terms  cluster.Terms
+	terms  cluster.Settings
 	group  atomic.Pointer[cluster.Group] // nil until it is open: nothing is held before
 	done   chan struct{}
 	wait   sync.WaitGroup
 	server *pubsub.Server
-	host   *controller.Host
+	host   *controller.Controller
 	begin  func() // starts the host
 	mu     sync.Mutex
 	begun  bool
@@ -36,8 +36,8 @@
 
 func newSharing(g *config.Governor) *sharing {
 	of := g.Group
-	return &sharing{done: make(chan struct{}), terms: cluster.Terms{Lease: lease.Terms{Span: of.Span, Drift: of.Drift},
-		Assign: placement.Terms{Settle: of.Settle, Pace: of.Pace}, Zones: g.Zones, PartsEach: of.Parts}}
+	return &sharing{done: make(chan struct{}), terms: cluster.Settings{Lease: lease.Terms{Span: of.Span, Drift: of.Drift},
+		Placement: placement.Terms{Settle: of.Settle, Pace: of.Pace}, Zones: g.Zones, ShardsPerZone: of.Parts}}
 }
 
 // holderLife is the life that a group knows a process by: the folder's, which grows with each start, and chance, as two processes that
@@ -48,7 +48,7 @@
 	s.server = server
 	of := g.Group
 	line := cluster.Line{Name: g.Name, Zone: of.Zone, Channel: server.Addr(), Listen: of.Listen, Gossip: of.Gossip, Folder: filepath.Join(g.State, "group"),
-		Life: holderLife(life), Join: of.Join, Limit: of.Limit, Loads: server.Loads, Strays: func() map[int]int { return server.Strays(of.Span / 2) }, Hands: cluster.Hands{Give: s.give, Take: s.take}, Now: now, Links: links, Log: log, Terms: s.terms}
+		Life: holderLife(life), Join: of.Join, Capacity: of.Limit, Loads: server.Loads, MisroutedProxies: func() map[int]int { return server.Strays(of.Span / 2) }, Handover: cluster.HandoverHooks{Export: s.give, Import: s.take}, Now: now, Links: links, Log: log, Settings: s.terms}
 	for _, m := range of.Members {
 		line.Peers = append(line.Peers, cluster.Peer{Name: m.Name, Address: m.Address, Gossip: m.Gossip})
 	}
@@ -59,8 +59,8 @@
 	return err
 }
 
-// Gained starts the module with the first part.
-func (s *sharing) Gained(int, uint64) {
+// LeaseGained starts the module with the first part.
+func (s *sharing) LeaseGained(int, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.begun {
@@ -76,10 +76,10 @@
 
 // give is what this governor tells the next holder of parts that it gives away.
 func (s *sharing) give() cluster.Handover {
-	picture, h := s.server.Picture(), cluster.Handover{Sums: s.host.Newest()}
+	picture, h := s.server.Picture(), cluster.Handover{LoadReports: s.host.LatestReports()}
 	h.Withdrawn = picture.Withdrawn
-	if v := s.host.View(); v != nil && v.Look != nil {
-		h.Unacknowledged = v.Look.Module.UnackedEntries
+	if v := s.host.View(); v != nil && v.Detail != nil {
+		h.UnackedEntries = v.Detail.Balancer.UnackedEntries
 	}
 	return h
 }
@@ -90,7 +90,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.begun {
-		s.handed = h.Sums
+		s.handed = h.LoadReports
 	}
 }
 
@@ -101,8 +101,8 @@
 func (s *sharing) tell(sums []model.LoadReport) {
 	late := time.After(tellFor)
 	for {
-		if v := s.host.View(); v != nil && v.ListAt > 0 {
-			s.host.HandedOver(sums)
+		if v := s.host.View(); v != nil && v.EndpointsAt > 0 {
+			s.host.AddHandedOverReports(sums)
 			return
 		}
 		select {
@@ -115,16 +115,16 @@
 	}
 }
 
-// Lost ends the streams of a part.
-func (s *sharing) Lost(part int) { s.server.Lost(part) }
+// LeaseLost ends the streams of a part.
+func (s *sharing) LeaseLost(part int) { s.server.Lost(part) }
 
 // Part, Holds and Holder are what the channel asks, under its lock: forwarders join from the moment that its socket is open, so nothing
 // here may wait for the group.
-func (s *sharing) Part(zone int, name string) int { return s.terms.PartOf(zone, name) }
+func (s *sharing) Part(zone int, name string) int { return s.terms.ShardOf(zone, name) }
 
 func (s *sharing) Holds(part int) (uint64, bool) {
 	if g := s.group.Load(); g != nil {
-		return g.Holds(part)
+		return g.IsLeaseHolder(part)
 	}
 	return 0, false
 }
@@ -138,7 +138,7 @@
 
 func (s *sharing) giveAway(within time.Duration) {
 	if s != nil {
-		s.group.Load().GiveAway(within)
+		s.group.Load().TransferLeases(within)
 	}
 }
 
@@ -151,7 +151,7 @@
 }
 
 // stop ends the host if it was begun.
-func (s *sharing) stop(host *controller.Host) {
+func (s *sharing) stop(host *controller.Controller) {
 	if s == nil {
 		host.Stop()
 		return
--- a/internal/server/share_test.go
+++ b/internal/server/share_test.go
@@ -299,12 +299,12 @@
 // quietRoster and quietChannel are a host's neighbours of whom nothing comes.
 type quietRoster struct{}
 
-func (quietRoster) Follow() {}
+func (quietRoster) Subscribe() {}
 
 type quietChannel struct{}
 
-func (quietChannel) Admit(model.ProxyID, uint64) {}
-func (quietChannel) Publish(*snapshot.Batch)     {}
+func (quietChannel) AdmitProxy(model.ProxyID, uint64) {}
+func (quietChannel) Publish(*snapshot.Batch)          {}
 
 // A governor that stood by begins with a part. In a planned move it was told what the one before had heard, and its gate opens on that;
 // unplanned it waits, as after any start.
@@ -316,18 +316,18 @@
 		s.host = controller.New(terms, 1000, controller.Clock(), zerolog.Nop())
 		s.begin = func() { go s.host.Run(quietChannel{}, quietRoster{}, nil) }
 		if planned {
-			s.take(cluster.Handover{Sums: []model.LoadReport{{Replica: replica(1), Attempts: 50, MeanLatency: 1000, Window: model.Second}, {Replica: replica(2), Attempts: 50, MeanLatency: 1000, Window: model.Second}}})
+			s.take(cluster.Handover{LoadReports: []model.LoadReport{{Replica: replica(1), Attempts: 50, MeanLatency: 1000, Window: model.Second}, {Replica: replica(2), Attempts: 50, MeanLatency: 1000, Window: model.Second}}})
 		}
-		s.Gained(0, 1)
-		s.host.Listed(model.FullList, []model.Endpoint{{ID: replica(1), Status: model.EndpointReady}, {ID: replica(2), Status: model.EndpointReady}})
-		s.host.Heard(0, []model.LoadReport{{Replica: replica(1), Attempts: 1, MeanLatency: 1000, Window: model.Second}}) // of one that joined since
-		open := func() bool { v := s.host.View(); return v != nil && v.GateOpen }
+		s.LeaseGained(0, 1)
+		s.host.EndpointsChanged(model.FullList, []model.Endpoint{{ID: replica(1), Status: model.EndpointReady}, {ID: replica(2), Status: model.EndpointReady}})
+		s.host.LoadReported(0, []model.LoadReport{{Replica: replica(1), Attempts: 1, MeanLatency: 1000, Window: model.Second}}) // of one that joined since
+		open := func() bool { v := s.host.View(); return v != nil && v.SafeModeEnded }
 		for end := time.Now().Add(6 * time.Second); planned && !open(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the gate waits for its window of three periods, though each replica was named")
 			}
 		}
-		for v := s.host.View(); !planned && (v == nil || v.ListAt == 0); v = s.host.View() {
+		for v := s.host.View(); !planned && (v == nil || v.EndpointsAt == 0); v = s.host.View() {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if !planned && open() {
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -48,13 +48,13 @@
 	h.mu.Unlock()
 }
 
-func (h *holder) Joined(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
-	h.Admit(p, stream)
+func (h *holder) ProxyConnected(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
+	h.AdmitProxy(p, stream)
 	h.joined <- p
 }
-func (h *holder) Left(model.ProxyID, uint64)            {}
-func (h *holder) Applied(model.ProxyID, uint64, uint32) {}
-func (h *holder) Heard(int, []model.LoadReport)         {}
+func (h *holder) ProxyDisconnected(model.ProxyID, uint64)    {}
+func (h *holder) Acknowledged(model.ProxyID, uint64, uint32) {}
+func (h *holder) LoadReported(int, []model.LoadReport)       {}
 
 // order publishes a table of both replicas, and how batch-log is tried again.
 func (h *holder) order(p model.ProxyID, way model.RetryPolicy, replicas ...model.ReplicaID) {
--- a/internal/statestore/fixture_test.go
+++ b/internal/statestore/fixture_test.go
@@ -93,9 +93,9 @@
 			t.Errorf("record %d is %d/%d %s; want %+v", i, record.Life, record.Number, record.Body, want)
 		}
 	}
-	want := controller.Cause{At: 202, Number: 2, Life: 77, Came: []string{"list change of 1"}, Said: []string{"replica [10 4 5 6]:8082 zone 2 drains"},
-		Orders: []string{"level of operations 0b11: share 0.25, way 2"}, Cut: 10}
-	var newest controller.Cause
+	want := controller.Decision{At: 202, Number: 2, Incarnation: 77, Inputs: []string{"list change of 1"}, Reasons: []string{"replica [10 4 5 6]:8082 zone 2 drains"},
+		Updates: []string{"level of operations 0b11: share 0.25, way 2"}, OmittedUpdates: 10}
+	var newest controller.Decision
 	if err := json.Unmarshal(records[0].Body, &newest); err != nil || !reflect.DeepEqual(newest, want) {
 		t.Errorf("newest record is %+v, %v; want %+v", newest, err, want)
 	}
