--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -24,23 +24,23 @@
 	"peppervale/internal/model"
 )
 
-// Bounds are what a governor can take. A zero Rate lets everybody in.
-type Bounds struct {
-	Rate   float64 // joins a second
-	Burst  int     // joins at once
-	Most   int     // forwarders joined; 0: no bound
-	Spread float64 // of the wait, by chance: 0.2 adds up to a fifth
-	Seed   uint64
+// Limits are what a governor can take. A zero Rate lets everybody in.
+type Limits struct {
+	Rate       float64 // joins a second
+	Burst      int     // joins at once
+	MaxProxies int     // forwarders joined; 0: no bound
+	Jitter     float64 // of the wait, by chance: 0.2 adds up to a fifth
+	Seed       uint64
 }
 
-// Verdict is the answer to a join.
-type Verdict uint8
+// Decision is the answer to a join.
+type Decision uint8
 
 // The three answers.
 const (
-	Admit Verdict = iota
-	Defer         // come back after the time given
-	Shed          // no room for one more forwarder; come back much later, or elsewhere
+	Admit  Decision = iota
+	Defer           // come back after the time given
+	Reject          // no room for one more forwarder; come back much later, or elsewhere
 )
 
 // shedFor is how long a shed forwarder stays away: as long as it takes a whole fleet to move to another governor.
@@ -49,9 +49,9 @@
 // placesMost bounds the places given out; beyond it a forwarder is told a time without one and waits anew then.
 const placesMost = 65536
 
-// Gate keeps the state. Make it with New.
-type Gate struct {
-	bounds  Bounds
+// Controller keeps the state. Make it with New.
+type Controller struct {
+	bounds  Limits
 	tokens  float64
 	filled  model.Microseconds
 	places  map[string]model.Microseconds // by name: when it may come
@@ -63,15 +63,15 @@
 }
 
 // Stats count answers.
-type Stats struct{ Admitted, Deferred, Shed, Storms uint64 }
+type Stats struct{ Admitted, Deferred, Rejected, Storms uint64 }
 
 // New makes a gate that is calm and full of tokens.
-func New(b Bounds, now model.Microseconds) *Gate {
-	return &Gate{bounds: b, tokens: float64(max(b.Burst, 1)), filled: now, places: map[string]model.Microseconds{}}
+func New(b Limits, now model.Microseconds) *Controller {
+	return &Controller{bounds: b, tokens: float64(max(b.Burst, 1)), filled: now, places: map[string]model.Microseconds{}}
 }
 
-// SetBounds changes the bounds while the gate is in use. Places that were given out stand; tokens beyond a smaller burst are gone.
-func (g *Gate) SetBounds(b Bounds, now model.Microseconds) {
+// SetLimits changes the bounds while the gate is in use. Places that were given out stand; tokens beyond a smaller burst are gone.
+func (g *Controller) SetLimits(b Limits, now model.Microseconds) {
 	g.fill(now)
 	b.Seed = g.bounds.Seed // chance goes on where it was
 	g.bounds = b
@@ -83,14 +83,14 @@
 }
 
 // Storm tells whether places are given out now.
-func (g *Gate) Storm() bool { return g.storms }
+func (g *Controller) Storm() bool { return g.storms }
 
 // Join answers a forwarder that asks now, while so many are joined. after is when a deferred or shed one may come back.
-func (g *Gate) Join(now model.Microseconds, name string, joined int) (v Verdict, after model.Microseconds) {
+func (g *Controller) Join(now model.Microseconds, name string, joined int) (v Decision, after model.Microseconds) {
 	g.fill(now)
-	if g.bounds.Most > 0 && joined >= g.bounds.Most {
-		g.Stats.Shed++
-		return Shed, g.spread(shedFor)
+	if g.bounds.MaxProxies > 0 && joined >= g.bounds.MaxProxies {
+		g.Stats.Rejected++
+		return Reject, g.spread(shedFor)
 	}
 	if g.bounds.Rate <= 0 {
 		g.Stats.Admitted++
@@ -114,7 +114,7 @@
 }
 
 // place gives out the next free place: each is a token of its own, so that who comes back in time finds it.
-func (g *Gate) place(now model.Microseconds, name string) model.Microseconds {
+func (g *Controller) place(now model.Microseconds, name string) model.Microseconds {
 	if !g.storms {
 		g.storms, g.stormAt = true, now
 		g.Stats.Storms++
@@ -126,12 +126,12 @@
 	if len(g.places) < placesMost {
 		g.places[name] = g.next
 	}
-	return wait + g.jitter(model.Microseconds(g.bounds.Spread*float64(gap)))
+	return wait + g.jitter(model.Microseconds(g.bounds.Jitter*float64(gap)))
 }
 
 // fill adds tokens for the time that passed. In a storm they go to the places; it is over once the last one is past and
 // nobody may still hold one.
-func (g *Gate) fill(now model.Microseconds) {
+func (g *Controller) fill(now model.Microseconds) {
 	span := now - g.filled
 	g.filled = now
 	if !g.storms {
@@ -155,7 +155,7 @@
 }
 
 // most is the tokens of a span, a burst at most; of a negative one it is the burst.
-func (g *Gate) most(span model.Microseconds) float64 {
+func (g *Controller) most(span model.Microseconds) float64 {
 	burst := float64(max(g.bounds.Burst, 1))
 	if span < 0 {
 		return burst
@@ -163,12 +163,12 @@
 	return min(burst, float64(span)/float64(model.Second)*g.bounds.Rate)
 }
 
-func (g *Gate) spread(span model.Microseconds) model.Microseconds {
-	return span + g.jitter(model.Microseconds(g.bounds.Spread*float64(span)))
+func (g *Controller) spread(span model.Microseconds) model.Microseconds {
+	return span + g.jitter(model.Microseconds(g.bounds.Jitter*float64(span)))
 }
 
 // jitter draws from 0 up to most, by the seed and a counter.
-func (g *Gate) jitter(most model.Microseconds) model.Microseconds {
+func (g *Controller) jitter(most model.Microseconds) model.Microseconds {
 	if most <= 0 {
 		return 0
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,7 +13,7 @@
 const s = model.Second
 
 func TestAFewRestartsPassAtOnce(t *testing.T) {
-	g := New(Bounds{Rate: 10, Burst: 20}, 0)
+	g := New(Limits{Rate: 10, Burst: 20}, 0)
 	for n := range 20 {
 		if v, _ := g.Join(0, fmt.Sprint(n), n); v != Admit {
 			t.Fatalf("the %d. of a burst is not let in", n)
@@ -25,7 +25,7 @@
 }
 
 func TestAPlaceIsKept(t *testing.T) {
-	g := New(Bounds{Rate: 10, Burst: 1}, 0)
+	g := New(Limits{Rate: 10, Burst: 1}, 0)
 	g.Join(0, "first", 0)
 	_, after := g.Join(0, "second", 1)
 	if v, again := g.Join(after/2, "second", 1); v != Defer || again != after/2 {
@@ -37,7 +37,7 @@
 }
 
 func TestAStormEnds(t *testing.T) {
-	g := New(Bounds{Rate: 10, Burst: 1}, 0)
+	g := New(Limits{Rate: 10, Burst: 1}, 0)
 	g.Join(0, "first", 0)
 	g.Join(0, "goes elsewhere", 1)
 	if v, _ := g.Join(100*s, "much later", 1); v != Admit || g.Storm() || len(g.places) != 0 {
@@ -46,8 +46,8 @@
 }
 
 func TestAFullFleetSheds(t *testing.T) {
-	g := New(Bounds{Rate: 10, Burst: 10, Most: 2, Spread: 0.5}, 0)
-	if v, after := g.Join(0, "third", 2); v != Shed || after < shedFor || after > shedFor*3/2 {
+	g := New(Limits{Rate: 10, Burst: 10, MaxProxies: 2, Jitter: 0.5}, 0)
+	if v, after := g.Join(0, "third", 2); v != Reject || after < shedFor || after > shedFor*3/2 {
 		t.Fatalf("%v after %d", v, after)
 	}
 }
@@ -74,7 +74,7 @@
 // deferred more than twice, and no second brings more than the rate and the spread allow.
 func TestAStormOfTwoThousand(t *testing.T) {
 	const n, rate = 2000, 200
-	g := New(Bounds{Rate: rate, Burst: 50, Spread: 1, Seed: 7}, 0)
+	g := New(Limits{Rate: rate, Burst: 50, Jitter: 1, Seed: 7}, 0)
 	var queue arrivals
 	for k := range n {
 		heap.Push(&queue, arrival{model.Microseconds(k % 100), k})
@@ -110,7 +110,7 @@
 func TestAnyCourse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.IntRange(1, 50).Draw(t, "rate"), rapid.IntRange(1, 20).Draw(t, "burst")
-		g := New(Bounds{Rate: float64(rate), Burst: burst, Spread: 0.5, Seed: 1}, 0)
+		g := New(Limits{Rate: float64(rate), Burst: burst, Jitter: 0.5, Seed: 1}, 0)
 		var now model.Microseconds
 		var admitted []model.Microseconds
 		due := map[int]model.Microseconds{}
@@ -147,15 +147,15 @@
 
 // The gate's bounds change in the middle of a storm: who holds a place finds it, and with no bound left everybody is let in.
 func TestBoundsChangeInAStorm(t *testing.T) {
-	g := New(Bounds{Rate: 1, Burst: 1}, 0)
+	g := New(Limits{Rate: 1, Burst: 1}, 0)
 	g.Join(0, "first", 0)
 	_, after := g.Join(0, "second", 1)
-	g.SetBounds(Bounds{Rate: 100, Burst: 5}, s/10)
+	g.SetLimits(Limits{Rate: 100, Burst: 5}, s/10)
 	if v, _ := g.Join(after, "second", 1); v != Admit {
 		t.Fatal("a place was taken back")
 	}
 	g.Join(after, "third", 2)
-	g.SetBounds(Bounds{}, after)
+	g.SetLimits(Limits{}, after)
 	for n := range 100 {
 		if v, _ := g.Join(after, fmt.Sprint("all", n), n); v != Admit {
 			t.Fatalf("without a bound the answer is %v", v)
@@ -205,7 +205,7 @@
 func TestMeter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Rate{PerSecond: float64(rapid.IntRange(1, 1000).Draw(t, "rate")), Burst: rapid.IntRange(2, 100).Draw(t, "burst")}
-		var m Meter
+		var m TokenBucket
 		var now model.Microseconds
 		taken := 0
 		for range rapid.IntRange(1, 500).Draw(t, "commands") {
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -22,9 +22,9 @@
 	return peer > b.PerPeer || all > b.InAll && peer > b.InAll/int64(max(peers, 1))
 }
 
-// Meter bounds what one peer may ask: PerSecond commands in the long run and Burst at once. A zero PerSecond lets all pass. It
+// TokenBucket bounds what one peer may ask: PerSecond commands in the long run and Burst at once. A zero PerSecond lets all pass. It
 // is one peer's; the zero Meter is one that has asked for nothing yet.
-type Meter struct {
+type TokenBucket struct {
 	used   float64 // of the burst
 	filled model.Microseconds
 }
@@ -37,7 +37,7 @@
 
 // Take counts a command. When it is one too many the peer may come back after the time told, which is when half of its burst is
 // free again: sooner it would be put off once more.
-func (m *Meter) Take(now model.Microseconds, r Rate) (ok bool, after model.Microseconds) {
+func (m *TokenBucket) Take(now model.Microseconds, r Rate) (ok bool, after model.Microseconds) {
 	if r.PerSecond <= 0 {
 		return true, 0
 	}
--- a/internal/benchmark/channel.go
+++ b/internal/benchmark/channel.go
@@ -78,7 +78,7 @@
 	p := &publisher{joined: make(chan model.ProxyID, n), applied: make(chan uint32, 2*n)}
 	before := memory()
 	var err error
-	p.server, err = pubsub.Listen(pubsub.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"zone"}, Period: 3600 * model.Second, Overhead: 6,
+	p.server, err = pubsub.Listen(pubsub.Config{Listen: "127.0.0.1:0", Incarnation: 1, Zones: []string{"zone"}, ReportPeriod: 3600 * model.Second, MessageOverhead: 6,
 		Pace: 1e12, Now: now, Log: zerolog.Nop(), Limits: pubsub.Limits{Connections: n + 10, Unsent: 4 << 20}}, p)
 	if err != nil {
 		return nil, err
--- a/internal/benchmark/quiet.go
+++ b/internal/benchmark/quiet.go
@@ -54,8 +54,8 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	terms := cluster.Settings{Lease: lease.Terms{Span: model.Microseconds(span / time.Microsecond), Drift: model.Microseconds(span / time.Microsecond / 20)},
-		Placement: placement.Terms{Settle: model.Second, Pace: model.Second}, ShardsPerZone: partsEach}
+	terms := cluster.Settings{Lease: lease.Config{Duration: model.Microseconds(span / time.Microsecond), MaxClockDrift: model.Microseconds(span / time.Microsecond / 20)},
+		Placement: placement.Config{StabilizationPeriod: model.Second, MoveInterval: model.Second}, ShardsPerZone: partsEach}
 	var peers []cluster.Peer
 	var taken []net.Listener // held until all are drawn, so that no two are the same
 	for k := range members {
@@ -78,11 +78,11 @@
 
 func quiet(ctx context.Context, dir string, peers []cluster.Peer, terms cluster.Settings, while time.Duration) (*QuietFigures, error) {
 	var counts []*counting
-	var groups []*cluster.Group
+	var groups []*cluster.Cluster
 	now := controller.Clock()
 	for k, p := range peers {
 		c := &counting{name: p.Name}
-		l := cluster.Line{Name: p.Name, Zone: terms.Zones[k], Channel: "127.0.0.1:1", Listen: p.Address, Gossip: p.Gossip, Folder: filepath.Join(dir, p.Name), Life: 1,
+		l := cluster.Config{Name: p.Name, Zone: terms.Zones[k], Channel: "127.0.0.1:1", Listen: p.Address, Gossip: p.Gossip, Directory: filepath.Join(dir, p.Name), Incarnation: 1,
 			Peers: peers, Settings: terms, Now: now, Links: c, Log: zerolog.Nop()}
 		g, err := cluster.Open(l, nobody{})
 		if err != nil {
@@ -114,7 +114,7 @@
 	}
 	before, log := sent(), groups[0].Status().AppliedIndex
 	time.Sleep(while)
-	f := &QuietFigures{Members: len(peers), Parts: all, Span: terms.Lease.Span.Duration(), Messages: float64(sent()-before) / while.Seconds(),
+	f := &QuietFigures{Members: len(peers), Parts: all, Span: terms.Lease.Duration.Duration(), Messages: float64(sent()-before) / while.Seconds(),
 		Entries: float64(groups[0].Status().AppliedIndex-log) / while.Seconds()}
 	if info, err := os.Stat(filepath.Join(dir, peers[0].Name, "agreed.db")); err == nil {
 		f.LogBytes = info.Size()
--- a/internal/benchmark/storm.go
+++ b/internal/benchmark/storm.go
@@ -46,8 +46,8 @@
 func Storm(n int, rate float64) (*StormFigures, error) {
 	now := controller.Clock()
 	c := &counter{&publisher{joined: make(chan model.ProxyID, n), applied: make(chan uint32, n)}, now, make(chan model.Microseconds, 10*n)}
-	server, err := pubsub.Listen(pubsub.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"zone"}, Period: 3600 * model.Second, Overhead: 6, Pace: 1e9,
-		Now: now, Log: zerolog.Nop(), Limits: pubsub.Limits{Connections: 2 * n}, Joins: admission.Bounds{Rate: rate, Burst: 50, Spread: 1, Seed: 1}}, c)
+	server, err := pubsub.Listen(pubsub.Config{Listen: "127.0.0.1:0", Incarnation: 1, Zones: []string{"zone"}, ReportPeriod: 3600 * model.Second, MessageOverhead: 6, Pace: 1e9,
+		Now: now, Log: zerolog.Nop(), Limits: pubsub.Limits{Connections: 2 * n}, Joins: admission.Limits{Rate: rate, Burst: 50, Jitter: 1, Seed: 1}}, c)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -259,7 +259,7 @@
 	if !shared {
 		return 0
 	}
-	text, err := cluster.Ask(s.group, 5*time.Second, "STATUS")
+	text, err := cluster.Request(s.group, 5*time.Second, "STATUS")
 	var status cluster.Status
 	if err != nil || json.Unmarshal([]byte(text), &status) != nil {
 		return 0
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -54,11 +54,11 @@
 
 // Run is the command.
 func (c *Governor) Run(ctx context.Context, out io.Writer) error {
-	g, err := config.OpenGovernor(c.Config)
+	g, err := config.LoadServer(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w:\n%w", ErrInput, err)
 	}
-	if err := controller.Check(g.Terms); err != nil {
+	if err := controller.Check(g.Balancer); err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	if c.Pretty {
@@ -71,7 +71,7 @@
 	}
 	reload := reloads(ctx)
 	return server.Serve(ctx, g, server.Outside{Reload: reload, Threshold: threshold,
-		Read: func() (*config.Governor, error) { return config.OpenGovernor(c.Config) }}, log)
+		Read: func() (*config.Server, error) { return config.LoadServer(c.Config) }}, log)
 }
 
 // reloads passes SIGHUP on until the context ends: one that comes while another waits adds nothing, as the file is then read as it is.
@@ -137,7 +137,7 @@
 		kind = "a day"
 		_, err = scenario.Open(c.File)
 	} else {
-		_, err = config.OpenGovernor(c.File)
+		_, err = config.LoadServer(c.File)
 	}
 	if err != nil {
 		return fmt.Errorf("%w:\n%w", ErrInput, err)
--- a/internal/cli/group.go
+++ b/internal/cli/group.go
@@ -26,7 +26,7 @@
 }
 
 func (m member) ask(words ...string) error {
-	_, err := cluster.Ask(m.At, m.Wait, words...)
+	_, err := cluster.Request(m.At, m.Wait, words...)
 	return err
 }
 
@@ -38,7 +38,7 @@
 
 // Run is the command.
 func (c *GroupStatus) Run(out io.Writer) error {
-	text, err := cluster.Ask(c.At, c.Wait, "STATUS")
+	text, err := cluster.Request(c.At, c.Wait, "STATUS")
 	if err != nil {
 		return err
 	}
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -40,7 +40,7 @@
 			os.Exit(0)
 		}
 	}()
-	p, err := config.OpenPlatform(c.Config)
+	p, err := config.LoadPlatform(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
@@ -50,5 +50,5 @@
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	return server.ServePlatform(ctx, p, server.PlatformOutside{Reload: reload,
-		Read: func() (*config.Platform, error) { return config.OpenPlatform(c.Config) }}, log)
+		Read: func() (*config.Platform, error) { return config.LoadPlatform(c.Config) }}, log)
 }
--- a/internal/cluster/engine.go
+++ b/internal/cluster/engine.go
@@ -17,7 +17,7 @@
 
 // engine is raft: it carries commands to every member's register in one order.
 type engine struct {
-	line  *Line
+	line  *Config
 	raft  *raft.Raft
 	store *boltraft.BoltStore
 	trans *raft.NetworkTransport
@@ -47,21 +47,21 @@
 	restored(r *State) error
 }
 
-func openEngine(l *Line, stream raft.StreamLayer, m machine, logger hclog.Logger, told func(error)) (_ *engine, err error) {
+func openEngine(l *Config, stream raft.StreamLayer, m machine, logger hclog.Logger, told func(error)) (_ *engine, err error) {
 	e := &engine{line: l, lead: m.lead, leads: make(chan bool, 16), done: make(chan struct{}), over: make(chan struct{})}
 	defer func() {
 		if err != nil {
 			e.shut()
 		}
 	}()
-	if e.store, err = openLog(l.Folder); err != nil {
+	if e.store, err = openLog(l.Directory); err != nil {
 		return nil, err
 	}
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(filepath.Join(l.Folder, "snapshots"), snapshotsKept, logger)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(filepath.Join(l.Directory, "snapshots"), snapshotsKept, logger)
 	if err != nil {
 		return nil, fmt.Errorf("group: %w", err)
 	}
-	span := l.Settings.Lease.Span.Duration()
+	span := l.Settings.Lease.Duration.Duration()
 	e.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, MaxPool: 2, Timeout: span / 4, Logger: logger,
 		ServerAddressProvider: addresses{l}})
 	conf := raft.DefaultConfig()
@@ -127,7 +127,7 @@
 	if err != nil {
 		panic(err) // plain values
 	}
-	return e.raft.Apply(b, e.line.Settings.Lease.Span.Duration()/4)
+	return e.raft.Apply(b, e.line.Settings.Lease.Duration.Duration()/4)
 }
 
 var errNotLeader = errors.New("this member does not lead")
@@ -197,7 +197,7 @@
 }
 
 // addresses lets each member's own file say how it reaches the others.
-type addresses struct{ line *Line }
+type addresses struct{ line *Config }
 
 func (a addresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	if to := a.line.address(string(id), ""); to != "" {
@@ -250,7 +250,7 @@
 
 // layer is raft's share of the port: connections whose first byte asked for it.
 type layer struct {
-	line *Line
+	line *Config
 	addr net.Addr
 	came chan net.Conn
 	done chan struct{}
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -34,12 +34,12 @@
 	return conf
 }
 
-func openGossip(l *Line, quiet *log.Logger) (*gossip, error) {
+func openGossip(l *Config, quiet *log.Logger) (*gossip, error) {
 	host, port, err := net.SplitHostPort(l.Gossip)
 	if err != nil {
 		return nil, fmt.Errorf("group: gossip: %w", err)
 	}
-	conf := probing(l.Settings.Lease.Span)
+	conf := probing(l.Settings.Lease.Duration)
 	conf.Name, conf.BindAddr, conf.AdvertiseAddr = l.Name, host, host
 	conf.BindPort, _ = strconv.Atoi(port)
 	conf.AdvertisePort = conf.BindPort
@@ -61,7 +61,7 @@
 			g.peers = append(g.peers, p.Gossip)
 		}
 	}
-	go g.run(l.Settings.Lease.Span.Duration())
+	go g.run(l.Settings.Lease.Duration.Duration())
 	return g, nil
 }
 
--- a/internal/cluster/group.go
+++ b/internal/cluster/group.go
@@ -24,14 +24,14 @@
 	Gossip  string
 }
 
-// Line tells a member about itself and the group.
-type Line struct {
+// Config tells a member about itself and the group.
+type Config struct {
 	Name, Zone       string
 	Channel          string // where forwarders join it
 	Listen           string // group port: raft and requests
 	Gossip           string // host:port, TCP and UDP
-	Folder           string // of raft's log and snapshots
-	Life             uint64 // it grows with each start
+	Directory        string // of raft's log and snapshots
+	Incarnation      uint64 // it grows with each start
 	Join             bool   // asks to be taken in; else, where nothing is agreed yet, it founds the group with Peers
 	Peers            []Peer // itself among them
 	Settings         Settings
@@ -46,7 +46,7 @@
 	Log              zerolog.Logger
 }
 
-func (l *Line) address(name, otherwise string) string {
+func (l *Config) address(name, otherwise string) string {
 	for _, p := range l.Peers {
 		if p.Name == name {
 			return p.Address
@@ -55,7 +55,7 @@
 	return otherwise
 }
 
-func (l *Line) nameAt(address string) string {
+func (l *Config) nameAt(address string) string {
 	for _, p := range l.Peers {
 		if p.Address == address {
 			return p.Name
@@ -71,9 +71,9 @@
 	LeaseLost(part int)
 }
 
-// Group is one running member. Make it with Open.
-type Group struct {
-	line   *Line
+// Cluster is one running member. Make it with Open.
+type Cluster struct {
+	line   *Config
 	events Events
 	port   *port
 	engine *engine
@@ -93,13 +93,13 @@
 }
 
 // Open starts a member. Errors are those of addresses and of the folder; that others cannot be reached is none.
-func Open(l Line, e Events) (_ *Group, err error) {
-	if err := os.MkdirAll(l.Folder, 0o755); err != nil {
+func Open(l Config, e Events) (_ *Cluster, err error) {
+	if err := os.MkdirAll(l.Directory, 0o755); err != nil {
 		return nil, fmt.Errorf("group: %w", err)
 	}
-	g := &Group{line: &l, events: e, poke: make(chan struct{}, 1), send: make(chan *Command, 16), done: make(chan struct{})}
+	g := &Cluster{line: &l, events: e, poke: make(chan struct{}, 1), send: make(chan *Command, 16), done: make(chan struct{})}
 	record := MemberRecord{Zone: l.Zone, Channel: l.Channel, RequestAddress: l.address(l.Name, l.Listen), Capacity: l.Capacity}
-	g.member = NewMember(l.Name, l.Life, record, l.Settings, func(part int) float64 {
+	g.member = NewMember(l.Name, l.Incarnation, record, l.Settings, func(part int) float64 {
 		if load, any := g.loads[part]; any {
 			return load
 		}
@@ -140,18 +140,18 @@
 
 // Close ends this member as a crash would for the others, but that gossip is told: its leases run out. To give everything away
 // first, see Leave.
-func (g *Group) Close() {
+func (g *Cluster) Close() {
 	close(g.done)
 	g.wait.Wait()
-	g.gossip.close(g.line.Settings.Lease.Span.Duration() / 8)
+	g.gossip.close(g.line.Settings.Lease.Duration.Duration() / 8)
 	g.engine.close()
 	g.port.close()
 }
 
 // run ticks: each time that something was agreed on, and a hundred times a lease.
-func (g *Group) run() {
+func (g *Cluster) run() {
 	defer g.wait.Done()
-	every := g.line.Settings.Lease.Span.Duration() / 100
+	every := g.line.Settings.Lease.Duration.Duration() / 100
 	tick := time.NewTicker(max(every, time.Millisecond))
 	defer tick.Stop()
 	var weighed time.Time
@@ -216,7 +216,7 @@
 }
 
 // tell logs what keeps this member from holding anything, once each time that it changes.
-func (g *Group) tell() {
+func (g *Cluster) tell() {
 	trouble := g.why()
 	if trouble == g.trouble {
 		return
@@ -229,7 +229,7 @@
 }
 
 // why tells what is in the way; "" for nothing.
-func (g *Group) why() string {
+func (g *Cluster) why() string {
 	m := g.member
 	s := m.reg.Member(m.Name)
 	switch {
@@ -245,19 +245,19 @@
 		return "not on the register: nobody leads the group, or a majority is not there, or this member has not been taken in"
 	case s.Removed:
 		return "this member was struck off the register"
-	case m.agreed > 0 && g.line.Now()-m.agreed > m.terms.Lease.Span:
+	case m.agreed > 0 && g.line.Now()-m.agreed > m.terms.Lease.Duration:
 		return "what it asks is not agreed on: nobody leads the group, or a majority is not there"
 	}
 	return ""
 }
 
 // carry brings proposals to the leader, one after the other. One that fails is not repeated here: who made it makes it again.
-func (g *Group) carry() {
+func (g *Cluster) carry() {
 	defer g.wait.Done()
 	to := &client{}
 	defer func() { to.close() }()
 	at := ""
-	within := g.line.Settings.Lease.Span.Duration() / 4
+	within := g.line.Settings.Lease.Duration.Duration() / 4
 	for {
 		select {
 		case <-g.done:
@@ -291,7 +291,7 @@
 	}
 }
 
-func (g *Group) failed(c *Command, err error) {
+func (g *Cluster) failed(c *Command, err error) {
 	if err != nil {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -300,7 +300,7 @@
 }
 
 // askIn asks the members that this one knows to take it in.
-func (g *Group) askIn(within time.Duration) {
+func (g *Cluster) askIn(within time.Duration) {
 	for _, p := range g.line.Peers {
 		if p.Name == g.line.Name {
 			continue
@@ -315,21 +315,21 @@
 }
 
 // IsLeaseHolder tells whether this member may order for a part now, and in which epoch.
-func (g *Group) IsLeaseHolder(part int) (epoch uint64, ok bool) {
+func (g *Cluster) IsLeaseHolder(part int) (epoch uint64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.member.IsLeaseHolder(part, g.line.Now())
 }
 
 // Holder gives the channel address of the member that should hold a part; "" if that is this one, or nobody that is here.
-func (g *Group) Holder(part int) string {
+func (g *Cluster) Holder(part int) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.member.Elsewhere(part, g.line.Now())
 }
 
 // TransferLeases has this member's parts moved to others in planned moves, and waits until it holds none or the time is over.
-func (g *Group) TransferLeases(within time.Duration) {
+func (g *Cluster) TransferLeases(within time.Duration) {
 	end := time.Now().Add(within)
 	words := []string{"LEAVE", g.line.Name, "ending"}
 	for time.Now().Before(end) {
@@ -343,7 +343,7 @@
 	}
 }
 
-func (g *Group) holdsAny() bool {
+func (g *Cluster) holdsAny() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for part := range g.member.claims {
@@ -356,7 +356,7 @@
 
 // The machine that raft drives.
 
-func (g *Group) applied(c *Command, term uint64) {
+func (g *Cluster) applied(c *Command, term uint64) {
 	g.mu.Lock()
 	g.member.Applied(c, term, g.line.Now())
 	g.mu.Unlock()
@@ -366,26 +366,26 @@
 	}
 }
 
-func (g *Group) lead() *Command {
+func (g *Cluster) lead() *Command {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.member.Lead(g.line.Now())
 }
 
-func (g *Group) snapshot() ([]byte, error) {
+func (g *Cluster) snapshot() ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.member.reg.Bytes()
 }
 
-func (g *Group) restored(r *State) error {
+func (g *Cluster) restored(r *State) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.member.Restore(r)
 	return nil
 }
 
-func (g *Group) diskTold(err error) {
+func (g *Cluster) diskTold(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.disk = err
--- a/internal/cluster/group_test.go
+++ b/internal/cluster/group_test.go
@@ -23,8 +23,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // quick are terms for tests over sockets: a lease of a second.
-var quick = Settings{Lease: lease.Terms{Span: model.Second, Drift: 50 * model.Millisecond},
-	Placement: placement.Terms{Settle: 2 * model.Second, Pace: 200 * model.Millisecond}, Zones: []string{"govan", "partick", "dalmarnock"}, ShardsPerZone: 2}
+var quick = Settings{Lease: lease.Config{Duration: model.Second, MaxClockDrift: 50 * model.Millisecond},
+	Placement: placement.Config{StabilizationPeriod: 2 * model.Second, MoveInterval: 200 * model.Millisecond}, Zones: []string{"govan", "partick", "dalmarnock"}, ShardsPerZone: 2}
 
 // hands is what members were told that they hold; it fails the test where two hold a part at once, judged as the events come.
 type hands struct {
@@ -80,8 +80,8 @@
 	links *links
 	hands *hands
 	now   func() model.Microseconds
-	lines []Line
-	up    []*Group
+	lines []Config
+	up    []*Cluster
 	full  []atomic.Bool // disks, by member
 	lives uint64
 }
@@ -116,10 +116,10 @@
 		peers = append(peers, Peer{fmt.Sprint("m", k), freeAddress(t), freeAddress(t)})
 	}
 	for k, peer := range peers {
-		p.lines = append(p.lines, Line{Name: peer.Name, Zone: quick.Zones[k%3], Channel: fmt.Sprint("127.0.0.1:", 7700+k), Listen: peer.Address, Gossip: peer.Gossip,
-			Folder: filepath.Join(dir, peer.Name), Peers: peers, Settings: quick, Loads: func() map[int]float64 { return map[int]float64{0: 10, 1: 10, 2: 10, 3: 10, 4: 10, 5: 10} }, Now: p.now, Links: p.links, Log: zerolog.Nop()})
+		p.lines = append(p.lines, Config{Name: peer.Name, Zone: quick.Zones[k%3], Channel: fmt.Sprint("127.0.0.1:", 7700+k), Listen: peer.Address, Gossip: peer.Gossip,
+			Directory: filepath.Join(dir, peer.Name), Peers: peers, Settings: quick, Loads: func() map[int]float64 { return map[int]float64{0: 10, 1: 10, 2: 10, 3: 10, 4: 10, 5: 10} }, Now: p.now, Links: p.links, Log: zerolog.Nop()})
 	}
-	p.up, p.full = make([]*Group, n), make([]atomic.Bool, n)
+	p.up, p.full = make([]*Cluster, n), make([]atomic.Bool, n)
 	for k := range n {
 		p.lines[k].full = func() error {
 			if p.full[k].Load() {
@@ -142,7 +142,7 @@
 func (p *parish) start(k int) {
 	p.t.Helper()
 	p.lives++
-	p.lines[k].Life = p.lives
+	p.lines[k].Incarnation = p.lives
 	g, err := Open(p.lines[k], told{p.hands, p.lines[k].Name})
 	if err != nil {
 		p.t.Fatal(err)
@@ -275,7 +275,7 @@
 	p := newParish(t, 3)
 	p.awaitHeld(2, 2, 2)
 	ask := func(k int, words ...string) error {
-		_, err := Ask(p.lines[k].Listen, 5*time.Second, words...)
+		_, err := Request(p.lines[k].Listen, 5*time.Second, words...)
 		return err
 	}
 	for _, wrong := range [][]string{{"MOVE", "6", "m1"}, {"MOVE", "0", "nobody"}, {"LEAVE", "m1", "perhaps"}, {"STRIKE"}, {"DANCE"}, {"PROPOSE", "x"}} {
@@ -337,7 +337,7 @@
 		l := p.lines[0]
 		me := Peer{fmt.Sprint("m", k), freeAddress(t), freeAddress(t)}
 		l.Name, l.Zone, l.Listen, l.Gossip, l.Join = me.Name, quick.Zones[k], me.Address, me.Gossip, true
-		l.Folder = filepath.Join(filepath.Dir(l.Folder), me.Name)
+		l.Directory = filepath.Join(filepath.Dir(l.Directory), me.Name)
 		l.Peers = []Peer{founder, me}
 		p.lines, p.up = append(p.lines, l), append(p.up, nil)
 	}
@@ -357,11 +357,11 @@
 	p.stop(2)
 	p.awaitHeld(3, 3, 0)
 	for n := range 2 * trailing { // more than the log keeps behind a snapshot
-		if _, err := Ask(p.lines[0].Listen, 5*time.Second, "LEAVE", "m0", []string{"off", "on"}[n%2]); err != nil {
+		if _, err := Request(p.lines[0].Listen, 5*time.Second, "LEAVE", "m0", []string{"off", "on"}[n%2]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := Ask(p.lines[0].Listen, 5*time.Second, "LEAVE", "m0", "off"); err != nil {
+	if _, err := Request(p.lines[0].Listen, 5*time.Second, "LEAVE", "m0", "off"); err != nil {
 		t.Fatal(err)
 	}
 	for k := range 2 {
@@ -392,7 +392,7 @@
 	p := newParish(t, 1)
 	p.awaitHeld(6)
 	p.stop(0)
-	path := filepath.Join(p.lines[0].Folder, logFile)
+	path := filepath.Join(p.lines[0].Directory, logFile)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -504,7 +504,7 @@
 		_, _ = conn.Write([]byte(bytes))
 		conn.Close()
 	}
-	if _, err := Ask(p.lines[0].Listen, 5*time.Second, "STATUS"); err != nil {
+	if _, err := Request(p.lines[0].Listen, 5*time.Second, "STATUS"); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/cluster/hand.go
+++ b/internal/cluster/hand.go
@@ -30,7 +30,7 @@
 
 // handOver tells each member that is to hold the parts of a Release what this one knows of them. It is a help, not a condition: the
 // Release leaves whether or not it arrived.
-func (g *Group) handOver(c *Command, within time.Duration) {
+func (g *Cluster) handOver(c *Command, within time.Duration) {
 	if g.line.Handover.Export == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 }
 
 // handed takes a handover of a member that is on the register.
-func (g *Group) handed(body string) error {
+func (g *Cluster) handed(body string) error {
 	var h Handover
 	if err := cbor.Unmarshal([]byte(body), &h); err != nil {
 		return fmt.Errorf("HAND: %w", err)
--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -40,7 +40,7 @@
 	return n, err
 }
 
-func (l *Line) linked(conn net.Conn, to string) net.Conn {
+func (l *Config) linked(conn net.Conn, to string) net.Conn {
 	if l.Links == nil {
 		return conn
 	}
@@ -48,7 +48,7 @@
 }
 
 // dial connects to a member's port for requests and raft, and says by the first bytes what is wanted of it and who wants it.
-func (l *Line) dial(to, address string, what byte, within time.Duration) (net.Conn, error) {
+func (l *Config) dial(to, address string, what byte, within time.Duration) (net.Conn, error) {
 	if l.Links != nil && !l.Links.Open(l.Name, to) {
 		return nil, errCut
 	}
@@ -69,7 +69,7 @@
 // gossipLinks is memberlist's transport over links that may be cut.
 type gossipLinks struct {
 	*memberlist.NetTransport
-	line *Line
+	line *Config
 }
 
 func (t *gossipLinks) open(address string) bool {
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -26,7 +26,7 @@
 	Record      MemberRecord
 	terms       Settings
 	reg         *State
-	claims      []lease.Claim
+	claims      []lease.Lease
 	told        []uint64 // epoch in which Gained was told; 0: not held
 	load        func(part int) float64
 	strays      func() []MisroutedProxies // nil: not known
@@ -42,7 +42,7 @@
 	seen  []model.Microseconds          // when each part's newest renewal came from the log, by this clock; 0: none did
 	heard map[string]model.Microseconds // the same of members
 
-	mover  placement.Mover
+	mover  placement.Planner
 	here   map[string]model.Microseconds // since when, by this leader
 	lonely map[int]model.Microseconds    // parts whose forwarders ask elsewhere, since when
 	planAt model.Microseconds            // a plan left: none before
@@ -56,7 +56,7 @@
 	m := &Member{Name: name, Incarnation: life, Record: record, terms: t, load: load, here: map[string]model.Microseconds{}, heard: map[string]model.Microseconds{}}
 	m.Restore(NewState(t))
 	m.seen = make([]model.Microseconds, len(m.reg.Shards))
-	m.claims, m.told = make([]lease.Claim, len(m.reg.Shards)), make([]uint64, len(m.reg.Shards))
+	m.claims, m.told = make([]lease.Lease, len(m.reg.Shards)), make([]uint64, len(m.reg.Shards))
 	return m
 }
 
@@ -82,7 +82,7 @@
 		if c.Member != m.Name || c.Incarnation != m.Incarnation || a.Shard >= len(m.claims) {
 			continue
 		}
-		m.claims[a.Shard].Answered(m.terms.Lease, a.Answer)
+		m.claims[a.Shard].HandleResponse(m.terms.Lease, a.Response)
 		m.waits = false
 		if !a.Granted {
 			m.refused = true
@@ -93,7 +93,7 @@
 	}
 	if c.Kind == SetPlacement {
 		m.planAt = 0
-		if slices.ContainsFunc(c.Migrations, func(mv placement.Move) bool { return mv.To == m.Name }) {
+		if slices.ContainsFunc(c.Migrations, func(mv placement.Migration) bool { return mv.To == m.Name }) {
 			m.askAt = now // at once: the part may be free
 		}
 	}
@@ -114,7 +114,7 @@
 
 // IsLeaseHolder tells whether this member may order for a part now, and in which epoch. It needs the caller's lock and may be called often.
 func (m *Member) IsLeaseHolder(part int, now model.Microseconds) (epoch uint64, ok bool) {
-	if part < 0 || part >= len(m.claims) || m.reg.NewerSchemaVersion > 0 || m.OtherSettings() || !m.claims[part].MayOrder(now) {
+	if part < 0 || part >= len(m.claims) || m.reg.NewerSchemaVersion > 0 || m.OtherSettings() || !m.claims[part].IsHeld(now) {
 		return 0, false
 	}
 	return m.claims[part].Epoch, true
@@ -124,7 +124,7 @@
 func (m *Member) Lead(now model.Microseconds) *Command {
 	c := &Command{SchemaVersion: form, Kind: LeaderElected, Member: m.Name, Record: &MemberRecord{Digest: m.Record.Digest}, RenewalAges: map[string]model.Microseconds{}}
 	for part, p := range m.reg.Shards {
-		one := ShardObservation{Epoch: p.Lease.Epoch, Sequence: p.Lease.Number, Age: -1}
+		one := ShardObservation{Epoch: p.Lease.Epoch, Sequence: p.Lease.Sequence, Age: -1}
 		if part < len(m.seen) && m.seen[part] > 0 {
 			one.Age = now - m.seen[part]
 		}
@@ -140,7 +140,7 @@
 // late to count.
 func (m *Member) Failed(c *Command, now model.Microseconds) {
 	if c.Kind == RenewLeases && m.waits {
-		m.waits, m.askAt = false, now+m.terms.Lease.Span/20
+		m.waits, m.askAt = false, now+m.terms.Lease.Duration/20
 	}
 }
 
@@ -156,7 +156,7 @@
 	var releases []ShardRequest
 	for part := range m.claims {
 		if _, held := m.IsLeaseHolder(part, now); held && m.reg.Shards[part].Target != m.Name {
-			releases = append(releases, ShardRequest{Shard: part, Sequence: m.claims[part].Stop(lease.Holder{}).Number})
+			releases = append(releases, ShardRequest{Shard: part, Sequence: m.claims[part].Release(lease.Holder{}).Sequence})
 		}
 		epoch, _ := m.IsLeaseHolder(part, now)
 		if epoch != m.told[part] {
@@ -191,7 +191,7 @@
 	if now < m.enrolAt || m.Outranked() {
 		return nil
 	}
-	m.enrolAt = now + m.terms.Lease.Span/3
+	m.enrolAt = now + m.terms.Lease.Duration/3
 	record := m.Record
 	return &Command{SchemaVersion: form, Kind: RegisterMember, Member: m.Name, Incarnation: m.Incarnation, Record: &record, FollowedAt: m.fresh}
 }
@@ -206,7 +206,7 @@
 }
 
 func (m *Member) renew(now model.Microseconds) *Command {
-	span := m.terms.Lease.Span
+	span := m.terms.Lease.Duration
 	if m.waits && now-m.asked < span/2 { // another ask would make the answer to this one worthless
 		return nil
 	}
@@ -229,7 +229,7 @@
 		if _, held := m.IsLeaseHolder(part, now); held {
 			load = m.load(part)
 		}
-		c.Requests = append(c.Requests, ShardRequest{Shard: part, Sequence: m.claims[part].Ask(lease.Holder{}, now).Number, Load: load})
+		c.Requests = append(c.Requests, ShardRequest{Shard: part, Sequence: m.claims[part].Request(lease.Holder{}, now).Sequence, Load: load})
 	}
 	return c
 }
@@ -244,11 +244,11 @@
 	}
 	if m.led != m.reg.Term { // a new leader has seen nobody yet
 		m.led, m.ledAt, m.planAt = m.reg.Term, now, 0
-		m.mover, m.here, m.lonely = placement.Mover{}, map[string]model.Microseconds{}, map[int]model.Microseconds{}
+		m.mover, m.here, m.lonely = placement.Planner{}, map[string]model.Microseconds{}, map[int]model.Microseconds{}
 	}
 	// Members that start together enrol within some round trips. A plan made at once gave the first of them the whole fleet, to be moved
 	// part by part after.
-	if now-m.ledAt < m.terms.Lease.Span/2 && slices.ContainsFunc(m.reg.Shards, func(p *ShardState) bool { return p.Lease.Epoch == 0 }) {
+	if now-m.ledAt < m.terms.Lease.Duration/2 && slices.ContainsFunc(m.reg.Shards, func(p *ShardState) bool { return p.Lease.Epoch == 0 }) {
 		return nil
 	}
 	if m.planAt > 0 && now-m.planAt < planFor {
@@ -256,23 +256,23 @@
 	}
 	var members []placement.Member
 	for _, s := range m.reg.Members {
-		a := placement.Member{Name: s.Name, Zone: s.Record.Zone, Limit: s.Record.Capacity, Leaving: s.Draining || s.Removed, Ending: s.Stopping, Here: m.isHere(s, now, alive)}
+		a := placement.Member{Name: s.Name, Zone: s.Record.Zone, Capacity: s.Record.Capacity, Draining: s.Draining || s.Removed, Stopping: s.Stopping, Alive: m.isHere(s, now, alive)}
 		since, was := m.here[s.Name]
 		switch {
-		case !a.Here:
+		case !a.Alive:
 			delete(m.here, s.Name)
 		case !was:
 			since = now
 			m.here[s.Name] = now
 		}
-		a.Since = since
+		a.AliveSince = since
 		members = append(members, a)
 	}
-	var parts []placement.Part
+	var parts []placement.Shard
 	for _, p := range m.reg.Shards {
-		parts = append(parts, placement.Part{Number: p.Number, Zone: p.Zone, Load: p.Load, Wanted: p.Target, ByHand: p.Pinned, Asked: m.askedInstead(p, now)})
+		parts = append(parts, placement.Shard{Number: p.Number, Zone: p.Zone, Load: p.Load, Target: p.Target, Pinned: p.Pinned, Asked: m.askedInstead(p, now)})
 	}
-	moves := m.mover.Decide(m.terms.Placement, now, members, parts)
+	moves := m.mover.Plan(m.terms.Placement, now, members, parts)
 	if len(moves) == 0 {
 		return nil
 	}
@@ -300,7 +300,7 @@
 		since = now
 		m.lonely[p.Number] = now
 	}
-	if now-since < m.terms.Lease.Span {
+	if now-since < m.terms.Lease.Duration {
 		return ""
 	}
 	return name
@@ -310,8 +310,8 @@
 // gone whose renewal is due anyway, and never that one is here who doesn't renew.
 func (m *Member) isHere(s *MemberState, now model.Microseconds, alive func(string) bool) bool {
 	silent := now - s.RenewedAt
-	span := m.terms.Lease.Span
-	if s.Removed || s.Record.Digest != m.reg.Digest || silent >= span+m.terms.Lease.Drift {
+	span := m.terms.Lease.Duration
+	if s.Removed || s.Record.Digest != m.reg.Digest || silent >= span+m.terms.Lease.MaxClockDrift {
 		return false
 	}
 	return alive == nil || silent < span/2 || alive(s.Name)
@@ -325,7 +325,7 @@
 		return ""
 	}
 	s := m.reg.Member(p.Target)
-	if at, heard := m.heard[p.Target]; s == nil || !heard || now-at >= m.terms.Lease.Span/2 {
+	if at, heard := m.heard[p.Target]; s == nil || !heard || now-at >= m.terms.Lease.Duration/2 {
 		return ""
 	}
 	return s.Record.Channel
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -11,8 +11,8 @@
 	"peppervale/internal/placement"
 )
 
-var town = Settings{Lease: lease.Terms{Span: 2 * model.Second, Drift: 100 * model.Millisecond},
-	Placement: placement.Terms{Settle: 5 * model.Second, Pace: model.Second}, Zones: []string{"govan", "partick", "dalmarnock"}, ShardsPerZone: 2}
+var town = Settings{Lease: lease.Config{Duration: 2 * model.Second, MaxClockDrift: 100 * model.Millisecond},
+	Placement: placement.Config{StabilizationPeriod: 5 * model.Second, MoveInterval: model.Second}, Zones: []string{"govan", "partick", "dalmarnock"}, ShardsPerZone: 2}
 
 // circle is a group on a log in memory: agreed on at once, carried to each member unless it is cut off or down.
 type circle struct {
@@ -193,15 +193,15 @@
 	c.run(5 * model.Second)
 	c.want(2, 2, 2)
 	c.members[2].up = false
-	c.run(town.Lease.Span/2 + town.Lease.Drift)
+	c.run(town.Lease.Duration/2 + town.Lease.MaxClockDrift)
 	c.want(2, 2)
-	c.run(2 * town.Lease.Span)
+	c.run(2 * town.Lease.Duration)
 	c.want(3, 3)
 	if e := c.members[0].reg.Events; e[len(e)-1].Planned || e[len(e)-1].From != "m2" {
 		t.Errorf("the time line ends with %+v", e[len(e)-1])
 	}
 	c.start(2)
-	c.run(town.Placement.Settle - model.Second)
+	c.run(town.Placement.StabilizationPeriod - model.Second)
 	c.want(3, 3, 0)
 	c.run(5 * model.Second)
 	c.want(2, 2, 2)
@@ -228,7 +228,7 @@
 	c := newCircle(t, 3)
 	c.run(5 * model.Second)
 	c.members[0].up = false
-	c.run(town.Lease.Span + town.Lease.Drift + 400*model.Millisecond)
+	c.run(town.Lease.Duration + town.Lease.MaxClockDrift + 400*model.Millisecond)
 	c.want(0, 3, 3)
 }
 
@@ -238,11 +238,11 @@
 	c.run(5 * model.Second)
 	lag := c.members[1]
 	lag.cut = true // two hear each other, and agree
-	c.run(town.Lease.Span / 2)
+	c.run(town.Lease.Duration / 2)
 	lag.cut = false
 	c.lead(1)               // before it has taken what came meanwhile
 	c.members[2].cut = true // which holds on what was agreed on then
-	c.run(3 * town.Lease.Span)
+	c.run(3 * town.Lease.Duration)
 	if c.held(0)+c.held(1) != 6 || c.held(2) > 0 {
 		t.Fatalf("%d, %d and %d parts are held", c.held(0), c.held(1), c.held(2))
 	}
@@ -256,7 +256,7 @@
 		t.Fatalf("part 2 is at %q", at)
 	}
 	c.members[1].up = false
-	c.run(town.Lease.Span/2 + 20*model.Millisecond)
+	c.run(town.Lease.Duration/2 + 20*model.Millisecond)
 	if at := c.members[0].Elsewhere(2, c.now); at != "" {
 		t.Fatalf("sent to %q, which is dead", at)
 	}
@@ -268,9 +268,9 @@
 	c := newCircle(t, 3)
 	c.run(5 * model.Second)
 	c.members[1].cut = true
-	c.run(town.Lease.Span / 2)
+	c.run(town.Lease.Duration / 2)
 	c.want(2, 2, 2)
-	c.run(2 * town.Lease.Span)
+	c.run(2 * town.Lease.Duration)
 	c.want(3, 0, 3)
 	c.members[1].cut = false
 	c.run(10 * model.Second)
@@ -283,7 +283,7 @@
 	c := newCircle(t, 3)
 	c.run(5 * model.Second)
 	c.members[1].deaf = true
-	c.run(5 * town.Lease.Span)
+	c.run(5 * town.Lease.Duration)
 	c.want(3, 0, 3)
 	c.members[1].deaf = false
 	c.run(10 * model.Second)
@@ -295,9 +295,9 @@
 	c := newCircle(t, 3)
 	c.run(5 * model.Second)
 	c.members[0].up, c.members[1].up = false, false
-	c.run(town.Lease.Span / 2)
+	c.run(town.Lease.Duration / 2)
 	c.want(0, 0, 2)
-	c.run(town.Lease.Span)
+	c.run(town.Lease.Duration)
 	c.want(0, 0, 0)
 	c.start(0)
 	c.start(1)
@@ -311,7 +311,7 @@
 	c.run(5 * model.Second)
 	stood := c.members[2]
 	stood.up = false
-	c.run(3 * town.Lease.Span)
+	c.run(3 * town.Lease.Duration)
 	stood.up = true
 	c.judge()
 	c.want(3, 3, 0)
@@ -325,8 +325,8 @@
 		c := newCircle(t, 3)
 		c.run(5*model.Second + model.Microseconds(phase)*20*model.Millisecond)
 		c.members[1].cut = true
-		c.run(town.Lease.Span / 4)
-		c.members[1].lost += town.Lease.Drift
+		c.run(town.Lease.Duration / 4)
+		c.members[1].lost += town.Lease.MaxClockDrift
 		c.run(3 * model.Second)
 		c.want(3, 0, 3)
 	}
@@ -369,7 +369,7 @@
 	twin := c.members[3]
 	c.start(3)
 	twin.Member = NewMember("m1", 2, MemberRecord{Zone: "partick", Channel: "127.0.0.1:7800"}, town, func(int) float64 { return 10 })
-	c.run(3 * town.Lease.Span)
+	c.run(3 * town.Lease.Duration)
 	c.want(2, 0, 2, 2)
 	if !old.Outranked() || twin.Outranked() {
 		t.Error("the later life is to stay")
@@ -458,9 +458,9 @@
 				}
 			case 4:
 				// What a clock may lose within a lease; more time passes before the next.
-				c.run(town.Lease.Span)
-				o.lost += model.Microseconds(rapid.IntRange(0, int(town.Lease.Drift)/2).Draw(rt, "loses"))
-				c.run(town.Lease.Span)
+				c.run(town.Lease.Duration)
+				o.lost += model.Microseconds(rapid.IntRange(0, int(town.Lease.MaxClockDrift)/2).Draw(rt, "loses"))
+				c.run(town.Lease.Duration)
 			default:
 				c.run(model.Microseconds(rapid.IntRange(0, 3000).Draw(rt, "ms")) * model.Millisecond)
 			}
--- a/internal/cluster/register.go
+++ b/internal/cluster/register.go
@@ -39,7 +39,7 @@
 	Record           *MemberRecord                 `cbor:"Record,omitempty"`
 	Requests         []ShardRequest                `cbor:"Asks,omitempty"`
 	MisroutedProxies []MisroutedProxies            `cbor:"Strays,omitempty"` // Renew: forwarders that ask this member over and over for parts of others
-	Migrations       []placement.Move              `cbor:"Moves,omitempty"`
+	Migrations       []placement.Migration         `cbor:"Moves,omitempty"`
 	Observations     []ShardObservation            `cbor:"Seen,omitempty"`  // Lead: of each part, by its number
 	RenewalAges      map[string]model.Microseconds `cbor:"Heard,omitempty"` // Lead: how long ago members renewed
 	ByOperator       bool                          `cbor:"ByHand"`
@@ -89,14 +89,14 @@
 
 // ShardState is a part on the register.
 type ShardState struct {
-	Number     int        `cbor:"Number"`
-	Zone       string     `cbor:"Zone"`
-	Lease      lease.Part `cbor:"Lease"`
-	Target     string     `cbor:"Wanted"`
-	Pinned     bool       `cbor:"ByHand"`
-	Load       float64    `cbor:"Load"`
-	LastHolder string     `cbor:"Last"`  // the member that held it last
-	NoProxies  bool       `cbor:"Empty"` // held, and none of its forwarders is joined
+	Number     int         `cbor:"Number"`
+	Zone       string      `cbor:"Zone"`
+	Lease      lease.Shard `cbor:"Lease"`
+	Target     string      `cbor:"Wanted"`
+	Pinned     bool        `cbor:"ByHand"`
+	Load       float64     `cbor:"Load"`
+	LastHolder string      `cbor:"Last"`  // the member that held it last
+	NoProxies  bool        `cbor:"Empty"` // held, and none of its forwarders is joined
 }
 
 // Event is an entry of the time line: a grant to another holder than before, or to another life of it. Status tells it as
@@ -133,7 +133,7 @@
 
 // NewState is the register of a group that has agreed on nothing.
 func NewState(t Settings) *State {
-	r := &State{SchemaVersion: form, knows: form, LeaseDuration: t.Lease.Span, MaxClockDrift: t.Lease.Drift, WaitReasons: map[int]string{}}
+	r := &State{SchemaVersion: form, knows: form, LeaseDuration: t.Lease.Duration, MaxClockDrift: t.Lease.MaxClockDrift, WaitReasons: map[int]string{}}
 	for _, zone := range t.Zones {
 		for range t.ShardsPerZone {
 			r.Shards = append(r.Shards, &ShardState{Number: len(r.Shards), Zone: zone})
@@ -144,8 +144,8 @@
 
 // Settings are the settings that all members have alike.
 type Settings struct {
-	Lease         lease.Terms
-	Placement     placement.Terms
+	Lease         lease.Config
+	Placement     placement.Config
 	Zones         []string
 	ShardsPerZone int // of each zone
 }
@@ -171,7 +171,7 @@
 // Answered is what a Renew brought for one part.
 type Answered struct {
 	Shard int
-	lease.Answer
+	lease.Response
 }
 
 // Apply takes a command that was agreed on in a raft term, and gives the answers to a Renew.
@@ -236,7 +236,7 @@
 				continue
 			}
 			from, epoch := p.Lease.Holder, p.Lease.Epoch
-			answer := p.Lease.Apply(r.terms(), lease.Ask{From: lease.Holder{Member: number, Life: c.Incarnation}, Number: a.Sequence}, c.At)
+			answer := p.Lease.Apply(r.terms(), lease.Request{From: lease.Holder{Member: number, Incarnation: c.Incarnation}, Sequence: a.Sequence}, c.At)
 			if answer.Granted {
 				if p.NoProxies = a.Load < 0; !p.NoProxies {
 					p.Load = a.Load
@@ -253,7 +253,7 @@
 		if _, number := r.number(c); number > 0 {
 			for _, a := range c.Requests {
 				if p := r.part(a.Shard); p != nil {
-					p.Lease.Release(lease.Ask{From: lease.Holder{Member: number, Life: c.Incarnation}, Number: a.Sequence})
+					p.Lease.Release(lease.Request{From: lease.Holder{Member: number, Incarnation: c.Incarnation}, Sequence: a.Sequence})
 				}
 			}
 		}
@@ -261,9 +261,9 @@
 	},
 	SetPlacement: func(r *State, c *Command) []Answered {
 		for _, m := range c.Migrations {
-			if p := r.part(m.Part); p != nil && r.Member(m.To) != nil {
+			if p := r.part(m.Shard); p != nil && r.Member(m.To) != nil {
 				p.Target, p.Pinned = m.To, c.ByOperator
-				r.WaitReasons[m.Part] = m.Why
+				r.WaitReasons[m.Shard] = m.Reason
 			}
 		}
 		return nil
@@ -290,8 +290,8 @@
 // learn that a part was granted to it, and hold it up for the others.
 func (r *State) lags(c *Command) bool { return c.At-c.FollowedAt > r.LeaseDuration }
 
-func (r *State) terms() lease.Terms {
-	return lease.Terms{Span: r.LeaseDuration, Drift: r.MaxClockDrift}
+func (r *State) terms() lease.Config {
+	return lease.Config{Duration: r.LeaseDuration, MaxClockDrift: r.MaxClockDrift}
 }
 
 // Member gives a member by its name; nil for none.
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -158,7 +158,7 @@
 		"release": command(ReleaseLeases, func(c *Command) { c.Requests = []ShardRequest{{Shard: 2, Sequence: 9}} }),
 		"plan": command(SetPlacement, func(c *Command) {
 			c.ByOperator = true
-			c.Migrations = []placement.Move{{Part: 2, From: "m0", To: "m1", Why: "moved by hand"}}
+			c.Migrations = []placement.Migration{{Shard: 2, From: "m0", To: "m1", Reason: "moved by hand"}}
 		}),
 		"leave":  command(DrainMember, func(c *Command) { c.ByOperator, c.On = true, true }),
 		"strike": command(RemoveMember, func(c *Command) { c.Member = "m2" }),
@@ -169,8 +169,8 @@
 		"register": State{SchemaVersion: 1, Digest: 77, LeaseDuration: 2_000_000, MaxClockDrift: 100_000, Leader: "m1", Term: 6,
 			Members: []*MemberState{{Name: "m0", Incarnation: 17, Record: *record, RenewedAt: 1_111_111, Draining: true, Stopping: true,
 				MisroutedProxies: []MisroutedProxies{{Shard: 5, Proxies: 4}}, Removed: true}},
-			Shards: []*ShardState{{Number: 4, Zone: "partick", Lease: lease.Part{Epoch: 3, Holder: lease.Holder{Member: 1, Life: 17}, Number: 41,
-				Renewed: 1_222_222}, Target: "m1", Pinned: true, Load: 12.5, LastHolder: "m0", NoProxies: true}},
+			Shards: []*ShardState{{Number: 4, Zone: "partick", Lease: lease.Shard{Epoch: 3, Holder: lease.Holder{Member: 1, Incarnation: 17}, Sequence: 41,
+				RenewedAt: 1_222_222}, Target: "m1", Pinned: true, Load: 12.5, LastHolder: "m0", NoProxies: true}},
 			Events:      []Event{{At: 1_000_001, Leader: "m1", Shard: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Reason: "evener"}},
 			WaitReasons: map[int]string{4: "back to its zone"}, NewerSchemaVersion: 2},
 	}
@@ -270,7 +270,7 @@
 	p := newParish(t, fixtureMembers)
 	p.awaitHeld(2, 2, 2)
 	move := func(part int, to string) {
-		if _, err := Ask(p.lines[0].Listen, 5*time.Second, "MOVE", fmt.Sprint(part), to); err != nil {
+		if _, err := Request(p.lines[0].Listen, 5*time.Second, "MOVE", fmt.Sprint(part), to); err != nil {
 			t.Fatal(err)
 		}
 		p.await("the part is moved", func() bool {
@@ -299,12 +299,12 @@
 	}
 	move(0, "m0")
 	move(3, "m2")
-	if _, err := Ask(p.lines[0].Listen, 5*time.Second, "LEAVE", "m1", "on"); err != nil {
+	if _, err := Request(p.lines[0].Listen, 5*time.Second, "LEAVE", "m1", "on"); err != nil {
 		t.Fatal(err)
 	}
 	for k := range p.up {
 		p.stop(k)
-		packFolder(t, p.lines[k].Folder, filepath.Join("testdata", "folders", p.lines[k].Name))
+		packFolder(t, p.lines[k].Directory, filepath.Join("testdata", "folders", p.lines[k].Name))
 	}
 }
 
@@ -547,7 +547,7 @@
 	for k := range fixtureMembers {
 		p := layParish(t, fixtureMembers)
 		p.lives = fixtureLives
-		unpackFolder(t, p.lines[k].Name, p.lines[k].Folder)
+		unpackFolder(t, p.lines[k].Name, p.lines[k].Directory)
 		p.start(k)
 		g := p.up[k]
 		g.mu.Lock()
@@ -564,8 +564,8 @@
 	p.lives = fixtureLives
 	var last *State
 	for k := range fixtureMembers {
-		unpackFolder(t, p.lines[k].Name, p.lines[k].Folder)
-		if r := replay(t, readFolder(t, p.lines[k].Folder)); last == nil || len(r.Events) > len(last.Events) {
+		unpackFolder(t, p.lines[k].Name, p.lines[k].Directory)
+		if r := replay(t, readFolder(t, p.lines[k].Directory)); last == nil || len(r.Events) > len(last.Events) {
 			last = r
 		}
 	}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -46,7 +46,7 @@
 }
 
 // Status gives what this member knows now; it asks nobody.
-func (g *Group) Status() Status {
+func (g *Cluster) Status() Status {
 	voters, alive := g.engine.voters(), g.gossip.alive()
 	leader, _ := g.engine.leader()
 	now := g.line.Now()
@@ -66,7 +66,7 @@
 		one := ShardStatus{Number: p.Number, Zone: p.Zone, Holder: m.reg.Holder(p), Target: p.Target, Pinned: p.Pinned, Epoch: p.Lease.Epoch,
 			Load: p.Load, WaitReason: m.Missing(p)}
 		if _, one.HeldHere = m.IsLeaseHolder(part, now); one.HeldHere {
-			one.LeaseRemaining = m.claims[part].Left(now)
+			one.LeaseRemaining = m.claims[part].Remaining(now)
 		}
 		if i, known := at[one.Holder]; known {
 			s.Members[i].Shards++
--- a/internal/cluster/wire.go
+++ b/internal/cluster/wire.go
@@ -32,7 +32,7 @@
 
 // port takes connections and hands raft its own.
 type port struct {
-	line   *Line
+	line   *Config
 	net    net.Listener
 	layer  *layer
 	answer func(words []string) ([]byte, error)
@@ -43,7 +43,7 @@
 	ended  bool
 }
 
-func openPort(l *Line, answer func([]string) ([]byte, error)) (*port, error) {
+func openPort(l *Config, answer func([]string) ([]byte, error)) (*port, error) {
 	listener, err := net.Listen("tcp", l.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("group: %w; another process may have the address", err)
@@ -192,7 +192,7 @@
 }
 
 // client asks a member's port.
-func (l *Line) client(name, address string) *client {
+func (l *Config) client(name, address string) *client {
 	return &client{dial: func(within time.Duration) (net.Conn, error) { return l.dial(name, address, forRequests, within) }}
 }
 
@@ -248,10 +248,10 @@
 	}
 }
 
-// Ask sends one request to a member's group port, as operators do: STATUS; MOVE part member; LEAVE member on|off; STRIKE member; ADD
+// Request sends one request to a member's group port, as operators do: STATUS; MOVE part member; LEAVE member on|off; STRIKE member; ADD
 // member address. Any member takes it and hands it to the leader if need be.
-func Ask(address string, within time.Duration, words ...string) (string, error) {
-	c := (&Line{}).client("", address)
+func Request(address string, within time.Duration, words ...string) (string, error) {
+	c := (&Config{}).client("", address)
 	defer c.close()
 	text, err := c.ask(within, words...)
 	if err != nil {
@@ -264,7 +264,7 @@
 const handed = "HANDED"
 
 // answerRequest is the other side of Ask.
-func (g *Group) answerRequest(words []string) ([]byte, error) {
+func (g *Cluster) answerRequest(words []string) ([]byte, error) {
 	passed := words[0] == handed && len(words) > 1
 	if passed {
 		words = words[1:]
@@ -295,9 +295,9 @@
 // requests are what the leader carries out.
 var requests = map[string]struct {
 	words int
-	do    func(g *Group, words []string) error
+	do    func(g *Cluster, words []string) error
 }{
-	"PROPOSE": {1, func(g *Group, words []string) error {
+	"PROPOSE": {1, func(g *Cluster, words []string) error {
 		c := &Command{}
 		if err := cbor.Unmarshal([]byte(words[0]), c); err != nil {
 			return err
@@ -307,7 +307,7 @@
 		}
 		return g.engine.propose(c)
 	}},
-	"MOVE": {2, func(g *Group, words []string) error {
+	"MOVE": {2, func(g *Cluster, words []string) error {
 		part, err := strconv.Atoi(words[0])
 		if err != nil || part < 0 || part >= len(g.line.Settings.Zones)*g.line.Settings.ShardsPerZone {
 			return fmt.Errorf("MOVE: %.40q is no part; there are 0 to %d", words[0], len(g.line.Settings.Zones)*g.line.Settings.ShardsPerZone-1)
@@ -316,9 +316,9 @@
 			return err
 		}
 		return g.engine.propose(&Command{SchemaVersion: form, Kind: SetPlacement, Member: g.line.Name, ByOperator: true,
-			Migrations: []placement.Move{{Part: part, To: words[1], Why: "moved by hand"}}})
+			Migrations: []placement.Migration{{Shard: part, To: words[1], Reason: "moved by hand"}}})
 	}},
-	"LEAVE": {2, func(g *Group, words []string) error {
+	"LEAVE": {2, func(g *Cluster, words []string) error {
 		if err := g.mustBeKnown(words[0]); err != nil {
 			return err
 		}
@@ -327,7 +327,7 @@
 		}
 		return g.engine.propose(&Command{SchemaVersion: form, Kind: DrainMember, Member: words[0], On: words[1] != "off", ByOperator: words[1] != "ending"})
 	}},
-	"STRIKE": {1, func(g *Group, words []string) error {
+	"STRIKE": {1, func(g *Cluster, words []string) error {
 		if err := g.mustBeKnown(words[0]); err != nil {
 			return err
 		}
@@ -339,7 +339,7 @@
 		}
 		return g.engine.propose(&Command{SchemaVersion: form, Kind: RemoveMember, Member: words[0]})
 	}},
-	"ADD": {2, func(g *Group, words []string) error {
+	"ADD": {2, func(g *Cluster, words []string) error {
 		if _, _, err := net.SplitHostPort(words[1]); err != nil {
 			return fmt.Errorf("ADD: %w", err)
 		}
@@ -351,7 +351,7 @@
 }
 
 // pass hands a request to the leader.
-func (g *Group) pass(words []string) ([]byte, error) {
+func (g *Cluster) pass(words []string) ([]byte, error) {
 	name, address := g.engine.leader()
 	if address == "" {
 		return nil, errors.New("nobody leads the group: a majority of its members is not there, or they are choosing; try again in some seconds")
@@ -362,7 +362,7 @@
 	return []byte(text), err
 }
 
-func (g *Group) mustBeKnown(name string) error {
+func (g *Cluster) mustBeKnown(name string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.member.reg.Member(name) == nil {
@@ -375,7 +375,7 @@
 	return nil
 }
 
-func (g *Group) mustBeHere(name string) error {
+func (g *Cluster) mustBeHere(name string) error {
 	if err := g.mustBeKnown(name); err != nil {
 		return err
 	}
--- a/internal/codec/http1/golden_test.go
+++ b/internal/codec/http1/golden_test.go
@@ -122,7 +122,7 @@
 	errs := map[string]error{}
 	for name, stream := range goldenFaults {
 		_, err := read(stream, strings.Contains(name, "answer"), len(stream))
-		var fault *Fault
+		var fault *ProtocolError
 		if !errors.As(err, &fault) {
 			t.Errorf("%s: %v is no fault", name, err)
 			continue
--- a/internal/codec/http1/httpwire.go
+++ b/internal/codec/http1/httpwire.go
@@ -15,8 +15,8 @@
 	"strings"
 )
 
-// Bounds of one message in bytes.
-type Bounds struct{ Head, Body int }
+// Limits of one message in bytes.
+type Limits struct{ Head, Body int }
 
 // Message is a request (Method, Target) or an answer (Status).
 type Message struct {
@@ -27,13 +27,13 @@
 	Close          bool              // the sender ends its connection after this message
 }
 
-// Fault is a stream that is no HTTP/1.1 or passes a bound. Status is what a server answers before it closes.
-type Fault struct {
+// ProtocolError is a stream that is no HTTP/1.1 or passes a bound. Status is what a server answers before it closes.
+type ProtocolError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("http: %s", f.Why) }
+func (f *ProtocolError) Error() string { return fmt.Sprintf("http: %s", f.Reason) }
 
 type stage int
 
@@ -48,7 +48,7 @@
 // Parser takes the bytes of one direction of a connection.
 type Parser struct {
 	answers bool
-	most    Bounds
+	most    Limits
 	stage   stage
 	line    []byte
 	head    int // bytes of the head so far
@@ -63,7 +63,7 @@
 }
 
 // NewParser reads requests, or answers. A zero bound is 16 KiB of head, 1 MiB of body.
-func NewParser(answers bool, most Bounds) *Parser {
+func NewParser(answers bool, most Limits) *Parser {
 	if most.Head <= 0 {
 		most.Head = 16 << 10
 	}
@@ -77,7 +77,7 @@
 func (p *Parser) Idle() bool { return p.failed == nil && p.now == nil && len(p.line) == 0 }
 
 func (p *Parser) fault(status int, format string, args ...any) error {
-	p.failed = &Fault{Status: status, Why: fmt.Sprintf(format, args...)}
+	p.failed = &ProtocolError{Status: status, Reason: fmt.Sprintf(format, args...)}
 	p.line, p.now = nil, nil
 	return p.failed
 }
--- a/internal/codec/http1/httpwire_test.go
+++ b/internal/codec/http1/httpwire_test.go
@@ -12,7 +12,7 @@
 )
 
 func read(stream string, answers bool, piece int) (got []*Message, err error) {
-	p := NewParser(answers, Bounds{Head: 400, Body: 2000})
+	p := NewParser(answers, Limits{Head: 400, Body: 2000})
 	for len(stream) > 0 && err == nil {
 		n := min(piece, len(stream))
 		err = p.Feed([]byte(stream[:n]), func(m *Message) error { got = append(got, m); return nil })
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			for _, piece := range []int{1, 4096} {
 				_, err := read(c.stream, c.answers, piece)
-				var f *Fault
+				var f *ProtocolError
 				if !errors.As(err, &f) || f.Status != c.status {
 					t.Fatalf("in pieces of %d: %v", piece, err)
 				}
@@ -100,7 +100,7 @@
 	part := strings.Repeat("x", 1500)
 	stream := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("5dc\r\n"+part+"\r\n", 3) + "1\r\n!\r\n0\r\n\r\n"
 	for _, piece := range []int{1, 7, len(stream)} {
-		p := NewParser(true, Bounds{Head: 400, Body: 2000})
+		p := NewParser(true, Limits{Head: 400, Body: 2000})
 		var got strings.Builder
 		ends := 0
 		p.Stream = func(m *Message, part []byte) error {
--- a/internal/codec/resp/golden_test.go
+++ b/internal/codec/resp/golden_test.go
@@ -139,7 +139,7 @@
 	errs := map[string]error{}
 	for name, stream := range goldenFaults {
 		_, err := read(stream, len(stream), Limits{Depth: 2, Items: 5, Bulk: 50, Message: 80})
-		var fault *Fault
+		var fault *ProtocolError
 		if !errors.As(err, &fault) {
 			t.Errorf("%s: %v is no fault", name, err)
 		}
--- a/internal/codec/resp/reader.go
+++ b/internal/codec/resp/reader.go
@@ -14,19 +14,21 @@
 	Message int // bytes of one message
 }
 
-// Ordinary suits peers that send commands and sums: a table of 2,000 lines fits many times.
-var Ordinary = Limits{Depth: 8, Items: 100_000, Bulk: 1 << 20, Message: 4 << 20}
+// DefaultLimits suits peers that send commands and sums: a table of 2,000 lines fits many times.
+var DefaultLimits = Limits{Depth: 8, Items: 100_000, Bulk: 1 << 20, Message: 4 << 20}
 
 // lineMost bounds a line (a head, a number, a simple string): the longest honest one is an error text.
 const lineMost = 4096
 
-// Fault is a stream that is no RESP, or passes a limit. The peer is told Why and its connection ended.
-type Fault struct {
-	At  int64 // bytes of the stream before the fault
-	Why string
+// ProtocolError is a stream that is no RESP, or passes a limit. The peer is told Why and its connection ended.
+type ProtocolError struct {
+	Offset int64 // bytes of the stream before the fault
+	Reason string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("protocol error at byte %d: %s", f.At, f.Why) }
+func (f *ProtocolError) Error() string {
+	return fmt.Sprintf("protocol error at byte %d: %s", f.Offset, f.Reason)
+}
 
 // Reader takes a stream in pieces. The zero value is not usable; see NewReader.
 type Reader struct {
@@ -39,7 +41,7 @@
 	items  int
 	size   int
 	at     int64
-	failed *Fault
+	failed *ProtocolError
 }
 
 type frame struct {
@@ -55,10 +57,10 @@
 			*n = usual
 		}
 	}
-	fill(&most.Depth, Ordinary.Depth)
-	fill(&most.Items, Ordinary.Items)
-	fill(&most.Bulk, Ordinary.Bulk)
-	fill(&most.Message, Ordinary.Message)
+	fill(&most.Depth, DefaultLimits.Depth)
+	fill(&most.Items, DefaultLimits.Items)
+	fill(&most.Bulk, DefaultLimits.Bulk)
+	fill(&most.Message, DefaultLimits.Message)
 	return &Reader{most: most}
 }
 
@@ -133,7 +135,7 @@
 func opens(c byte) bool { return bytes.IndexByte([]byte("+-:$*_,#!=(%~>|"), c) >= 0 }
 
 func (r *Reader) fault(why string) error {
-	r.failed = &Fault{At: r.at, Why: why}
+	r.failed = &ProtocolError{Offset: r.at, Reason: why}
 	r.line, r.body, r.stack = nil, nil, nil
 	return r.failed
 }
--- a/internal/codec/resp/resp_test.go
+++ b/internal/codec/resp/resp_test.go
@@ -55,8 +55,8 @@
 		t.Run(name, func(t *testing.T) {
 			for _, piece := range []int{1, 4096} {
 				_, err := read(c.stream, piece, Limits{Depth: 2, Message: 1 << 20})
-				var f *Fault
-				if !errors.As(err, &f) || !strings.Contains(f.Why, c.why) {
+				var f *ProtocolError
+				if !errors.As(err, &f) || !strings.Contains(f.Reason, c.why) {
 					t.Fatalf("in pieces of %d: %v", piece, err)
 				}
 			}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,8 +12,8 @@
 var goldenPlatform = &Platform{
 	Name: "n3", Listen: "10.0.0.4:3000", Discovery: "10.2.0.1:8500",
 	Zones: []string{"govan", "partick"}, Operations: []string{"recipe-read", "batch-log"},
-	LoadFields: []string{"busy_reqs", "cpu_share"}, Memory: 48 << 20, Sockets: 256, Carries: 555 * model.Millisecond,
-	Terms: model.Config{
+	LoadFields: []string{"busy_reqs", "cpu_share"}, Memory: 48 << 20, Sockets: 256, MaxDeliveryDelay: 555 * model.Millisecond,
+	Balancer: model.Config{
 		Seed: 0xfe429af2f6dae94c, Zones: 2, SubscriptionRequired: true, AdmissionControl: true, FullQuota: 1, ProxiesAvoidFailing: true, StandingTableSize: 6,
 		Operations: []model.Operation{{LatencyObjective: 500_000, PriorityWeight: 1}, {LatencyObjective: 750_000, PriorityWeight: 3}}, ReportPeriod: 1_000_000,
 		MessageOverhead: 6, QueueLimit: 6400, MessageLimit: 12, MessageWindow: 10_000_000, CrossZoneCost: 0.08, PublishCost: 0.02,
@@ -24,7 +24,7 @@
 }
 
 func TestGoldenPlatformFile(t *testing.T) {
-	got, err := OpenPlatform("testdata/golden/platform.json")
+	got, err := LoadPlatform("testdata/golden/platform.json")
 	if err != nil || !reflect.DeepEqual(got, goldenPlatform) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
--- a/internal/config/governor.go
+++ b/internal/config/governor.go
@@ -48,25 +48,25 @@
 	DefaultWay model.RetryPolicy
 }
 
-// Governor is a governor's whole file.
-type Governor struct {
+// Server is a governor's whole file.
+type Server struct {
 	Name, Listen, State string
 	Zones               []string
 	Operations          []Operation
-	Terms               model.Config
+	Balancer            model.Config
 	Guarantees          Guarantees
-	Intake              int
+	ReportLimit         int
 	Pace                float64
-	List                MachineList
-	Peers               PeerBounds
-	FarewellSpan        time.Duration
+	Discovery           Discovery
+	Limits              PeerLimits
+	ShutdownGracePeriod time.Duration
 	LogLevel            string
-	Console             string // address of its pages; "" for none
-	Group               *Group // nil: it shares nothing
+	Console             string   // address of its pages; "" for none
+	Cluster             *Cluster // nil: it shares nothing
 }
 
-// PeerBounds is what peers of the channel may cost; zeros leave it to the channel.
-type PeerBounds struct {
+// PeerLimits is what peers of the channel may cost; zeros leave it to the channel.
+type PeerLimits struct {
 	Connections, Observers, Unsent int
 	UnsentAll                      int     // bytes that wait for all peers together
 	CommandRate                    float64 // of one peer, a second
@@ -76,10 +76,10 @@
 	JoinBurst, JoinMost            int     // at once; forwarders joined in all, 0: no bound
 }
 
-// MachineList says where the list is.
-type MachineList struct {
+// Discovery says where the list is.
+type Discovery struct {
 	Kind, Address, Service string
-	Wait, Slack            time.Duration
+	Wait, Timeout          time.Duration
 }
 
 // Bounds of the file's figures; generous, they catch a slip of units or digits.
@@ -88,8 +88,8 @@
 	many    = 1_000_000
 )
 
-// OpenGovernor reads a governor's file; the error is Faults.
-func OpenGovernor(path string) (*Governor, error) {
+// LoadServer reads a governor's file; the error is Faults.
+func LoadServer(path string) (*Server, error) {
 	r, top := Open(path)
 	if top == nil {
 		return nil, r.Err()
@@ -98,8 +98,8 @@
 	return g, r.Err()
 }
 
-func readGovernor(top *Block, dir string) *Governor {
-	g := &Governor{}
+func readGovernor(top *Block, dir string) *Server {
+	g := &Server{}
 	b := top.One("governor", 1, true)
 	g.Name = b.Labels[0]
 	g.Listen = b.Address("listen", true)
@@ -107,17 +107,17 @@
 	if g.State != "" && !filepath.IsAbs(g.State) {
 		g.State = filepath.Join(dir, g.State)
 	}
-	g.Terms.Seed = uint64(b.Whole("seed", 1, 0, math.MaxInt32))
+	g.Balancer.Seed = uint64(b.Whole("seed", 1, 0, math.MaxInt32))
 	g.LogLevel = b.Text("log", "info", "debug", "info", "warn", "error")
-	g.FarewellSpan = b.Span("farewell", 2*model.Second, 0, longest).Duration()
+	g.ShutdownGracePeriod = b.Span("farewell", 2*model.Second, 0, longest).Duration()
 	b.Done()
 	g.Zones = top.Texts("zones", true)
 	g.Operations = Operations(top)
-	g.Terms, g.Guarantees = ReadTerms(top, g.Terms.Seed, g.Zones, g.Operations)
+	g.Balancer, g.Guarantees = ReadTerms(top, g.Balancer.Seed, g.Zones, g.Operations)
 
 	c := top.One("channel", 0, true)
-	g.Pace, g.Intake = ReadChannel(c, &g.Terms, &g.Guarantees)
-	g.Peers = c.Peers()
+	g.Pace, g.ReportLimit = ReadChannel(c, &g.Balancer, &g.Guarantees)
+	g.Limits = c.Peers()
 	c.Done()
 
 	if b := top.One("console", 0, false); b.Given() {
@@ -126,24 +126,24 @@
 	}
 
 	if b := top.One("group", 0, false); b.Given() {
-		g.Group = readGroup(b, g)
+		g.Cluster = readGroup(b, g)
 	}
 	l := top.One("machine_list", 1, true)
-	if g.List.Kind = l.Labels[0]; g.List.Kind != "consul" && g.List.Kind != "" {
-		l.Fault("", "machine_list: %q is none of consul", g.List.Kind)
+	if g.Discovery.Kind = l.Labels[0]; g.Discovery.Kind != "consul" && g.Discovery.Kind != "" {
+		l.Fault("", "machine_list: %q is none of consul", g.Discovery.Kind)
 	}
-	g.List.Address = l.Address("address", false)
-	g.List.Service = l.Text("service", "")
-	g.List.Wait = l.Span("wait", 10*model.Second, 10*model.Millisecond, 600*model.Second).Duration()
-	g.List.Slack = l.Span("slack", 2*model.Second, 10*model.Millisecond, 600*model.Second).Duration()
+	g.Discovery.Address = l.Address("address", false)
+	g.Discovery.Service = l.Text("service", "")
+	g.Discovery.Wait = l.Span("wait", 10*model.Second, 10*model.Millisecond, 600*model.Second).Duration()
+	g.Discovery.Timeout = l.Span("slack", 2*model.Second, 10*model.Millisecond, 600*model.Second).Duration()
 	l.Done()
 	top.Done()
 	return g
 }
 
 // Peers reads the bounds on peers from the block channel { }.
-func (b *Block) Peers() PeerBounds {
-	return PeerBounds{Connections: b.Whole("connections", 0, 0, many), Observers: b.Whole("observers", 0, 0, many),
+func (b *Block) Peers() PeerLimits {
+	return PeerLimits{Connections: b.Whole("connections", 0, 0, many), Observers: b.Whole("observers", 0, 0, many),
 		UnsentAll: b.Whole("unsent_all_bytes", 0, 0, 1<<40), CommandRate: b.Number("commands", 0, 0, many), CommandBurst: b.Whole("commands_burst", 2000, 2, many),
 		Unsent: b.Whole("unsent_bytes", 0, 0, 1<<30), Greeting: b.Span("greeting", 0, 0, longest).Duration(), JoinRate: b.Number("joins", 0, 0, many),
 		JoinBurst: b.Whole("joins_burst", 50, 1, many), JoinMost: b.Whole("joined_most", 0, 0, many)}
@@ -187,8 +187,8 @@
 	return all
 }
 
-// Ways are the names of the four retry ways.
-var Ways = []string{"never", "when-unrun", "any-failure", "two-more"}
+// RetryPolicyNames are the names of the four retry ways.
+var RetryPolicyNames = []string{"never", "when-unrun", "any-failure", "two-more"}
 
 // ReadTerms reads what a governor is told of the fleet: the blocks fleet { } and rules { }.
 func ReadTerms(top *Block, seed uint64, zones []string, ops []Operation) (t model.Config, g Guarantees) {
@@ -205,7 +205,7 @@
 	t.CrossZoneCost = f.Number("crossing_price", 0, 0, 1)
 	t.PublishCost = f.Number("order_price", 0, 0, 1)
 	t.UtilizationField = slices.Index(f.Texts("load_report", false), "util")
-	g.DefaultWay = model.RetryPolicy(max(0, slices.Index(Ways, f.Text("usual_way", Ways[1], Ways...))))
+	g.DefaultWay = model.RetryPolicy(max(0, slices.Index(RetryPolicyNames, f.Text("usual_way", RetryPolicyNames[1], RetryPolicyNames...))))
 	g.FirstWait = f.Number("first_wait", 0.8, 0.01, 10)
 	f.Done()
 	r := top.One("rules", 0, true)
@@ -235,8 +235,8 @@
 }
 
 // InForce tells the settings as they were read, usual values included, for a reader.
-func (g *Governor) InForce() [][2]string {
-	t, r := g.Terms, g.Guarantees
+func (g *Server) InForce() [][2]string {
+	t, r := g.Balancer, g.Guarantees
 	all := [][2]string{{"governor", g.Name}, {"listen", g.Listen}, {"state", g.State}, {"console", g.Console}, {"zones", strings.Join(g.Zones, ", ")}}
 	add := func(name string, value any) { all = append(all, [2]string{name, fmt.Sprint(value)}) }
 	for _, o := range g.Operations {
@@ -260,15 +260,15 @@
 	add("queue", fmt.Sprintf("%d lines", t.QueueLimit))
 	add("overhead", fmt.Sprintf("%d lines a message", t.MessageOverhead))
 	add("period", t.ReportPeriod.Duration())
-	add("intake", fmt.Sprintf("%d sums a second", g.Intake))
+	add("intake", fmt.Sprintf("%d sums a second", g.ReportLimit))
 	add("messages_most", t.MessageLimit)
-	if s := g.Group; s != nil {
-		add("group", fmt.Sprintf("listen %s, gossip %s, zone %s, %d parts a zone, span %s, drift %s, settle %s, pace %s, limit %g", s.Listen, s.Gossip, s.Zone, s.Parts,
-			s.Span.Duration(), s.Drift.Duration(), s.Settle.Duration(), s.Pace.Duration(), s.Limit))
+	if s := g.Cluster; s != nil {
+		add("group", fmt.Sprintf("listen %s, gossip %s, zone %s, %d parts a zone, span %s, drift %s, settle %s, pace %s, limit %g", s.Listen, s.Gossip, s.Zone, s.ShardsPerZone,
+			s.LeaseDuration.Duration(), s.MaxClockDrift.Duration(), s.StabilizationPeriod.Duration(), s.MoveInterval.Duration(), s.Capacity))
 		for _, m := range s.Members {
 			add("member "+m.Name, fmt.Sprintf("%s, gossip %s", m.Address, m.Gossip))
 		}
 	}
-	add("machine list", fmt.Sprintf("%s at %s, service %s, wait %s", g.List.Kind, g.List.Address, g.List.Service, g.List.Wait))
+	add("machine list", fmt.Sprintf("%s at %s, service %s, wait %s", g.Discovery.Kind, g.Discovery.Address, g.Discovery.Service, g.Discovery.Wait))
 	return all
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -17,18 +17,18 @@
 	Name, Listen, Discovery string
 	Zones, Operations       []string // names, in the order of the terms
 	LoadFields              []string // names of a load report's readings, in the order of the terms
-	Terms                   model.Config
+	Balancer                model.Config
 	Memory                  int64              // bytes that all its processes may use
 	Sockets                 int                // descriptors that a process may hold
-	Carries                 model.Microseconds // the longest that a message takes to a proxy
+	MaxDeliveryDelay        model.Microseconds // the longest that a message takes to a proxy
 	Known                   *platformmsg.EndpointList
 }
 
 // configMost bounds the file.
 const configMost = 16 << 20
 
-// OpenPlatform reads the file that LB_CONFIG names. The error tells the field.
-func OpenPlatform(path string) (*Platform, error) {
+// LoadPlatform reads the file that LB_CONFIG names. The error tells the field.
+func LoadPlatform(path string) (*Platform, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("limits: %g MB and %d sockets; 8 MB and 64 sockets at least are wanted", o.Limits.Memory, o.Limits.Sockets)
 	}
 	p := &Platform{Name: o.Name, Listen: o.Listen, Discovery: o.Discovery, Memory: int64(o.Limits.Memory * (1 << 20)), Sockets: o.Limits.Sockets}
-	if p.Terms, err = simulator.Terms(seed, o.Settings); err != nil {
+	if p.Balancer, err = simulator.Terms(seed, o.Settings); err != nil {
 		return nil, err
 	}
 	var names struct {
@@ -95,8 +95,8 @@
 	if err := json.Unmarshal(o.Settings, &names); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.Zones, p.Carries = names.Zones, model.Microseconds(names.Extra.Carries*float64(model.Millisecond))
-	if p.Carries < 0 || p.Carries > longest {
+	p.Zones, p.MaxDeliveryDelay = names.Zones, model.Microseconds(names.Extra.Carries*float64(model.Millisecond))
+	if p.MaxDeliveryDelay < 0 || p.MaxDeliveryDelay > longest {
 		return nil, fmt.Errorf("settings: push_delay_max is %g ms", names.Extra.Carries)
 	}
 	for i, c := range names.Classes {
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -24,7 +24,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return OpenPlatform(path)
+	return LoadPlatform(path)
 }
 
 func TestThePlatformsFile(t *testing.T) {
@@ -33,12 +33,12 @@
 		t.Fatal(err)
 	}
 	known := &platformmsg.EndpointList{Version: 41, Full: true, Endpoints: []platformmsg.Endpoint{{Name: "s-1", Zone: "govan", Status: model.EndpointReady}}}
-	if p.Name != "n3" || p.Listen != "10.0.0.4:3000" || p.Discovery != "10.2.0.1:8500" || p.Memory != 48<<20 || p.Sockets != 256 || p.Carries != 555*model.Millisecond ||
+	if p.Name != "n3" || p.Listen != "10.0.0.4:3000" || p.Discovery != "10.2.0.1:8500" || p.Memory != 48<<20 || p.Sockets != 256 || p.MaxDeliveryDelay != 555*model.Millisecond ||
 		!reflect.DeepEqual(p.Operations, []string{"recipe-read", "batch-log"}) || !reflect.DeepEqual(p.LoadFields, []string{"cpu_share"}) || !reflect.DeepEqual(p.Known, known) {
 		t.Fatalf("%+v", p)
 	}
 	// The readings stand where the module looks for them.
-	if x := p.Terms; x.Seed != 0xfe429af2f6dae94c || x.UtilizationField != 0 || x.ProxyCount != 60 || x.QueueLimit != 6400 || x.Zones != 2 || !x.SubscriptionRequired {
+	if x := p.Balancer; x.Seed != 0xfe429af2f6dae94c || x.UtilizationField != 0 || x.ProxyCount != 60 || x.QueueLimit != 6400 || x.Zones != 2 || !x.SubscriptionRequired {
 		t.Fatalf("%+v", x)
 	}
 }
@@ -59,7 +59,7 @@
 	if _, err := openPlatform(t, "{"); err == nil {
 		t.Error("half a file is read")
 	}
-	if _, err := OpenPlatform(filepath.Join(t.TempDir(), "none")); err == nil {
+	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("no file is read")
 	}
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -23,22 +23,22 @@
 type Reader struct {
 	file   string
 	texts  map[string][]byte // by file; more than one where a file builds on another
-	faults []Fault
+	faults []Error
 }
 
-// Fault is one thing wrong with a file.
-type Fault struct {
+// Error is one thing wrong with a file.
+type Error struct {
 	File         string
 	Line, Column int
 	Text         string
 }
 
-func (f Fault) Error() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Text) }
+func (f Error) Error() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Text) }
 
-// Faults is all that is wrong with a file, in its order.
-type Faults []Fault
+// Errors is all that is wrong with a file, in its order.
+type Errors []Error
 
-func (fs Faults) Error() string {
+func (fs Errors) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
 		lines[i] = f.Error()
@@ -60,7 +60,7 @@
 func Open(path string) (*Reader, *Block) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return &Reader{file: path, faults: []Fault{{File: path, Line: 1, Column: 1, Text: err.Error()}}}, nil
+		return &Reader{file: path, faults: []Error{{File: path, Line: 1, Column: 1, Text: err.Error()}}}, nil
 	}
 	return Parse(path, text)
 }
@@ -90,7 +90,7 @@
 	if at.Filename != "" {
 		file = at.Filename
 	}
-	r.faults = append(r.faults, Fault{file, max(at.Start.Line, 1), max(at.Start.Column, 1), fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, Error{file, max(at.Start.Line, 1), max(at.Start.Column, 1), fmt.Sprintf(format, args...)})
 }
 
 // Err gives all faults as Faults, in the file's order, or nil.
@@ -102,7 +102,7 @@
 		a, b := r.faults[i], r.faults[j]
 		return a.Line < b.Line || a.Line == b.Line && a.Column < b.Column
 	})
-	return Faults(r.faults)
+	return Errors(r.faults)
 }
 
 // Fault tells something wrong with the block as a whole, or with an attribute of it if that is named.
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-func reading(t *testing.T, dir, text string) *Governor {
+func reading(t *testing.T, dir, text string) *Server {
 	t.Helper()
 	path := filepath.Join(dir, "governor.hcl")
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	g, err := OpenGovernor(path)
+	g, err := LoadServer(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,11 +65,11 @@
 
 // Every part of a governor's file is compared: one that a later version adds and forgets here would change unseen.
 func TestReloadComparesEverything(t *testing.T) {
-	kind := reflect.TypeFor[Governor]()
+	kind := reflect.TypeFor[Server]()
 	for i := range kind.NumField() {
-		next := &Governor{}
+		next := &Server{}
 		fill(reflect.ValueOf(next).Elem().Field(i))
-		if changed, err := Reload(&Governor{}, next); err == nil && len(changed) == 0 {
+		if changed, err := Reload(&Server{}, next); err == nil && len(changed) == 0 {
 			t.Errorf("a change of %s is not seen", kind.Field(i).Name)
 		}
 	}
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -69,7 +69,7 @@
 			return
 		}
 		started++
-		g := balancer.New(p.Terms, silent{}, model.Second)
+		g := balancer.New(p.Balancer, silent{}, model.Second)
 		var entries []model.Endpoint
 		n := rapid.IntRange(0, 12).Draw(t, "replicas")
 		for k := range n { // zones beyond the settings' are not listed; one may have none
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -44,13 +44,13 @@
 }
 `
 
-func read(t *testing.T, text string) (*Governor, error) {
+func read(t *testing.T, text string) (*Server, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "g.hcl")
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	return OpenGovernor(path)
+	return LoadServer(path)
 }
 
 func TestAGovernorsFile(t *testing.T) {
@@ -58,8 +58,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.Name != "govan-1" || !filepath.IsAbs(g.State) || g.Terms.QueueLimit != 6000 || g.Terms.UtilizationField != 0 || g.Terms.ReportPeriod != model.Second ||
-		len(g.Operations) != 2 || g.Operations[1].Window != 1_200_000 || g.Terms.Operations[1].PriorityWeight != 3 || g.List.Wait != 10*time.Second {
+	if g.Name != "govan-1" || !filepath.IsAbs(g.State) || g.Balancer.QueueLimit != 6000 || g.Balancer.UtilizationField != 0 || g.Balancer.ReportPeriod != model.Second ||
+		len(g.Operations) != 2 || g.Operations[1].Window != 1_200_000 || g.Balancer.Operations[1].PriorityWeight != 3 || g.Discovery.Wait != 10*time.Second {
 		t.Fatalf("%+v", g)
 	}
 }
@@ -85,7 +85,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := read(t, strings.Replace(good, c.from, c.to, 1))
-			var all Faults
+			var all Errors
 			if !errors.As(err, &all) {
 				t.Fatalf("taken: %v", err)
 			}
@@ -95,14 +95,14 @@
 		})
 	}
 	_, err := read(t, strings.NewReplacer(`"500ms"`, "500", "forwarders  = 40", "forwarders = 0").Replace(good))
-	var all Faults
+	var all Errors
 	if !errors.As(err, &all) || len(all) != 2 || all[0].Line > all[1].Line {
 		t.Fatalf("two faults are told as %v", err)
 	}
 }
 
 func TestAFileThatIsNotThere(t *testing.T) {
-	if _, err := OpenGovernor("/nowhere/g.hcl"); err == nil || !strings.Contains(err.Error(), "/nowhere/g.hcl") {
+	if _, err := LoadServer("/nowhere/g.hcl"); err == nil || !strings.Contains(err.Error(), "/nowhere/g.hcl") {
 		t.Fatal(err)
 	}
 }
--- a/internal/console/body.go
+++ b/internal/console/body.go
@@ -379,7 +379,7 @@
 	if rest != "" {
 		return nil, errNone
 	}
-	var was pubsub.Picture
+	var was pubsub.Snapshot
 	if s.about.PreviousSnapshot == nil || json.Unmarshal(s.about.PreviousSnapshot, &was) != nil {
 		return beforePage{}, nil
 	}
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -17,15 +17,15 @@
 	"peppervale/internal/netpoll"
 )
 
-// Query says which list is followed.
-type Query struct {
-	Address string        // host:port of the agent
-	Service string        // its name in the list
-	Caller  string        // names the governor to the list's log (User-Agent)
-	Zones   []string      // names that an entry's meta may give
-	Wait    time.Duration // how long a blocking query may wait for news
-	Slack   time.Duration // how long beyond that an answer may take before the call has failed
-	Log     zerolog.Logger
+// ConsulConfig says which list is followed.
+type ConsulConfig struct {
+	Address   string        // host:port of the agent
+	Service   string        // its name in the list
+	UserAgent string        // names the governor to the list's log (User-Agent)
+	Zones     []string      // names that an entry's meta may give
+	Wait      time.Duration // how long a blocking query may wait for news
+	Timeout   time.Duration // how long beyond that an answer may take before the call has failed
+	Log       zerolog.Logger
 }
 
 // answerMost bounds an answer: 10,000 entries of 2 KiB.
@@ -34,9 +34,9 @@
 // leastPause lies between two calls, so that a list that changes all the time costs 20 calls a second at most.
 const leastPause = 50 * time.Millisecond
 
-// Consul follows one service. Make it with NewConsul.
-type Consul struct {
-	query  Query
+// ConsulClient follows one service. Make it with NewConsul.
+type ConsulClient struct {
+	query  ConsulConfig
 	to     Receiver
 	engine *netpoll.Engine
 	asked  chan struct{}
@@ -44,9 +44,9 @@
 	wait   sync.WaitGroup
 }
 
-// NewConsul starts a client that does nothing until Follow.
-func NewConsul(q Query, to Receiver) (*Consul, error) {
-	c := &Consul{query: q, to: to, asked: make(chan struct{}, 1), done: make(chan struct{})}
+// NewConsulClient starts a client that does nothing until Follow.
+func NewConsulClient(q ConsulConfig, to Receiver) (*ConsulClient, error) {
+	c := &ConsulClient{query: q, to: to, asked: make(chan struct{}, 1), done: make(chan struct{})}
 	var err error
 	c.engine, err = netpoll.Start(1, netpoll.Handlers{Data: func(conn *nbio.Conn, data []byte) {
 		if k, ok := conn.Session().(*call); ok {
@@ -66,7 +66,7 @@
 }
 
 // Subscribe subscribes; while subscribed it changes nothing.
-func (c *Consul) Subscribe() {
+func (c *ConsulClient) Subscribe() {
 	select {
 	case c.asked <- struct{}{}:
 	default:
@@ -74,13 +74,13 @@
 }
 
 // Close ends the client; a call in work is dropped.
-func (c *Consul) Close() {
+func (c *ConsulClient) Close() {
 	close(c.done)
 	c.wait.Wait()
 	c.engine.Stop()
 }
 
-func (c *Consul) run() {
+func (c *ConsulClient) run() {
 	defer c.wait.Done()
 	for {
 		select {
@@ -97,7 +97,7 @@
 
 // follow asks until a call fails (its error) or the client is closed (nil). An index that goes back, or is none,
 // starts anew with the whole list, as the interface's page asks.
-func (c *Consul) follow() error {
+func (c *ConsulClient) follow() error {
 	var index uint64
 	var body []byte // of the last answer
 	var conn *nbio.Conn
@@ -180,9 +180,9 @@
 }
 
 // ask sends one query, on the open connection if there is one. A nil message with a nil error: the client closed.
-func (c *Consul) ask(conn *nbio.Conn, index uint64) (*http1.Message, *nbio.Conn, error) {
+func (c *ConsulClient) ask(conn *nbio.Conn, index uint64) (*http1.Message, *nbio.Conn, error) {
 	q := url.Values{}
-	limit := c.query.Slack
+	limit := c.query.Timeout
 	if index > 0 {
 		q.Set("index", strconv.FormatUint(index, 10))
 		q.Set("wait", strconv.FormatInt(c.query.Wait.Milliseconds(), 10)+"ms")
@@ -192,11 +192,11 @@
 	if len(q) > 0 {
 		target += "?" + q.Encode()
 	}
-	k := &call{parser: http1.NewParser(true, http1.Bounds{Body: answerMost}), got: make(chan reply, 1),
+	k := &call{parser: http1.NewParser(true, http1.Limits{Body: answerMost}), got: make(chan reply, 1),
 		over: make(chan struct{})}
 	defer close(k.over)
 	request := http1.AppendRequest(nil, "GET", target, c.query.Address, nil, "Accept", "application/json",
-		"User-Agent", c.query.Caller)
+		"User-Agent", c.query.UserAgent)
 	dialled := make(chan *nbio.Conn, 1)
 	if conn != nil {
 		conn.SetSession(k)
@@ -204,7 +204,7 @@
 			return nil, nil, err
 		}
 	} else {
-		netpoll.Dial(c.engine, c.query.Address, c.query.Slack, k, func(n *nbio.Conn, err error) {
+		netpoll.Dial(c.engine, c.query.Address, c.query.Timeout, k, func(n *nbio.Conn, err error) {
 			if err != nil {
 				k.end(nil, err)
 				return
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -186,7 +186,7 @@
 	from, to := openDesk(t), openDesk(t)
 	w, n := watch(t, from, nil)
 	from.request(0, "")
-	w.Move(to.l.Addr().String())
+	w.SetAddress(to.l.Addr().String())
 	to.request(0, watching)
 	from.write(watching)
 	from.chunk(object(9, true, one(3, "ready")), 1000)
@@ -206,10 +206,10 @@
 	n.next(t, "scope 0 1/1/1/1")
 	from.conn.Close()
 	n.next(t, "scope 3")
-	w.Move(to.l.Addr().String())
+	w.SetAddress(to.l.Addr().String())
 	to.request(8, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	n.next(t, "scope 3")
-	if held := w.Entries(); len(held) != 1 || held[0].Status != model.EndpointReady {
+	if held := w.Endpoints(); len(held) != 1 || held[0].Status != model.EndpointReady {
 		t.Fatalf("held: %v", held)
 	}
 	w.Subscribe()
@@ -223,7 +223,7 @@
 	t.Parallel()
 	d, other := openDesk(t), openDesk(t)
 	w, n := unasked(t, other, nil)
-	w.Move(d.l.Addr().String())
+	w.SetAddress(d.l.Addr().String())
 	d.none(100 * time.Millisecond)
 	w.Subscribe()
 	d.request(0, watching)
@@ -232,7 +232,7 @@
 	w.mu.Lock() // both moves before the watch looks
 	w.address = other.l.Addr().String()
 	w.mu.Unlock()
-	w.Move(d.l.Addr().String())
+	w.SetAddress(d.l.Addr().String())
 	d.none(200 * time.Millisecond)
 	other.none(time.Millisecond)
 	d.chunk(object(9, false, one(2, "ready")), 1000)
@@ -264,7 +264,7 @@
 	for _, state := range []string{"idle", "dialling", "asked", "watching"} {
 		d := openDesk(t)
 		n := make(news, 100)
-		w, err := NewWatch(Discovery{Address: d.l.Addr().String(), Zones: zones, Names: platformmsg.NewReplicaNames(), Log: zerolog.Nop()}, n)
+		w, err := NewWatcher(WatchConfig{Address: d.l.Addr().String(), Zones: zones, Names: platformmsg.NewReplicaNames(), Log: zerolog.Nop()}, n)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -296,7 +296,7 @@
 func TestPausesAreDrawn(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(20) {
-		w := &Watch{seed: seed}
+		w := &Watcher{seed: seed}
 		for range 5 {
 			p := w.pause()
 			if p < 0 || p >= watchPause {
--- a/internal/discovery/roster_test.go
+++ b/internal/discovery/roster_test.go
@@ -29,7 +29,7 @@
 	t    *testing.T
 	loop *standin.Loop
 	list *registry.Registry
-	c    *Consul
+	c    *ConsulClient
 	mu   sync.Mutex
 	told []string
 	came chan struct{}
@@ -96,8 +96,8 @@
 	})
 	t.Cleanup(w.list.Close)
 	var err error
-	w.c, err = NewConsul(Query{Address: w.list.Addr(), Service: "recipe", Zones: zones, Wait: 30 * time.Second, Slack: 300 * time.Millisecond,
-		Caller: "peppervale/test", Log: zerolog.Nop()}, w)
+	w.c, err = NewConsulClient(ConsulConfig{Address: w.list.Addr(), Service: "recipe", Zones: zones, Wait: 30 * time.Second, Timeout: 300 * time.Millisecond,
+		UserAgent: "peppervale/test", Log: zerolog.Nop()}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -21,8 +21,8 @@
 	"peppervale/internal/netpoll"
 )
 
-// Discovery says which list of the operators' platform is watched.
-type Discovery struct {
+// WatchConfig says which list of the operators' platform is watched.
+type WatchConfig struct {
 	Address string // host:port
 	Zones   []string
 	Names   *platformmsg.ReplicaNames // learns each replica that is listed
@@ -44,8 +44,8 @@
 	objectMost   = 2 << 20                 // bytes of one line of a watch
 )
 
-// Watch follows discovery over one open answer. Make it with NewWatch.
-type Watch struct {
+// Watcher follows discovery over one open answer. Make it with NewWatch.
+type Watcher struct {
 	to     Receiver
 	zones  []string
 	names  *platformmsg.ReplicaNames
@@ -64,9 +64,9 @@
 	version uint64
 }
 
-// NewWatch starts a client that does nothing until Follow.
-func NewWatch(d Discovery, to Receiver) (*Watch, error) {
-	w := &Watch{to: to, zones: d.Zones, names: d.Names, log: d.Log, seed: d.Seed, address: d.Address, asked: make(chan struct{}, 1),
+// NewWatcher starts a client that does nothing until Follow.
+func NewWatcher(d WatchConfig, to Receiver) (*Watcher, error) {
+	w := &Watcher{to: to, zones: d.Zones, names: d.Names, log: d.Log, seed: d.Seed, address: d.Address, asked: make(chan struct{}, 1),
 		moved: make(chan struct{}, 1), done: make(chan struct{}), held: map[string]platformmsg.Endpoint{}}
 	if d.Known != nil {
 		w.take(d.Known)
@@ -90,15 +90,15 @@
 }
 
 // Subscribe subscribes; while subscribed it changes nothing.
-func (w *Watch) Subscribe() {
+func (w *Watcher) Subscribe() {
 	select {
 	case w.asked <- struct{}{}:
 	default:
 	}
 }
 
-// Move goes on at another address, from the version that is held; a call that failed at the one before is not waited for.
-func (w *Watch) Move(address string) {
+// SetAddress goes on at another address, from the version that is held; a call that failed at the one before is not waited for.
+func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	same := w.address == address
 	w.address = address
@@ -112,20 +112,20 @@
 }
 
 // Close ends the client.
-func (w *Watch) Close() {
+func (w *Watcher) Close() {
 	close(w.done)
 	w.wait.Wait()
 	w.engine.Stop()
 }
 
-// Entries is the list as it is held.
-func (w *Watch) Entries() []model.Endpoint {
+// Endpoints is the list as it is held.
+func (w *Watcher) Endpoints() []model.Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.listings()
 }
 
-func (w *Watch) run() {
+func (w *Watcher) run() {
 	defer w.wait.Done()
 	for subscribed := false; ; {
 		select {
@@ -144,7 +144,7 @@
 
 // subscribe keeps watches until a call fails, and tells that, or the client is closed. A watch that lived and ended is no failed call:
 // it is made anew.
-func (w *Watch) subscribe() {
+func (w *Watcher) subscribe() {
 	for calls := 0; ; {
 		l := w.follow()
 		switch {
@@ -179,7 +179,7 @@
 }
 
 // pause draws one.
-func (w *Watch) pause() time.Duration {
+func (w *Watcher) pause() time.Duration {
 	h := fnv.New64a()
 	w.draws++
 	fmt.Fprint(h, w.seed, " ", w.draws)
@@ -187,7 +187,7 @@
 }
 
 // take folds one object of the watch in.
-func (w *Watch) take(l *platformmsg.EndpointList) {
+func (w *Watcher) take(l *platformmsg.EndpointList) {
 	if l.Full {
 		clear(w.held)
 	}
@@ -213,7 +213,7 @@
 }
 
 // listings is what is held, always in the same order.
-func (w *Watch) listings() (all []model.Endpoint) {
+func (w *Watcher) listings() (all []model.Endpoint) {
 	for _, host := range slices.Sorted(maps.Keys(w.held)) {
 		e := w.held[host]
 		id, _ := w.names.ID(host)
@@ -224,7 +224,7 @@
 
 // look is one call, and the watch that it leads to.
 type look struct {
-	watch  *Watch
+	watch  *Watcher
 	parser *http1.Parser
 	line   []byte
 	once   sync.Once
@@ -338,13 +338,13 @@
 }
 
 // follow makes one call and keeps its watch until it ends, the address changes or the client is closed.
-func (w *Watch) follow() *look {
+func (w *Watcher) follow() *look {
 	w.mu.Lock()
 	address, version := w.address, w.version
 	w.mu.Unlock()
 	now := time.Now()
 	l := &look{watch: w, ended: make(chan error, 1), began: now, last: now}
-	l.parser = http1.NewParser(true, http1.Bounds{})
+	l.parser = http1.NewParser(true, http1.Limits{})
 	l.parser.Stream = l.part
 	request := http1.AppendRequest(nil, "GET", "/v1/endpoints?follow=1&since="+strconv.FormatUint(version, 10), address, nil,
 		"Accept", "application/json")
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -82,16 +82,16 @@
 }
 
 // watch follows a desk.
-func watch(t *testing.T, d *desk, known *platformmsg.EndpointList) (*Watch, news) {
+func watch(t *testing.T, d *desk, known *platformmsg.EndpointList) (*Watcher, news) {
 	w, n := unasked(t, d, known)
 	w.Subscribe()
 	return w, n
 }
 
 // unasked is a watch that nobody has asked to follow yet.
-func unasked(t *testing.T, d *desk, known *platformmsg.EndpointList) (*Watch, news) {
+func unasked(t *testing.T, d *desk, known *platformmsg.EndpointList) (*Watcher, news) {
 	n := make(news, 100)
-	w, err := NewWatch(Discovery{Address: d.l.Addr().String(), Zones: zones, Names: platformmsg.NewReplicaNames(), Known: known, Log: zerolog.Nop()}, n)
+	w, err := NewWatcher(WatchConfig{Address: d.l.Addr().String(), Zones: zones, Names: platformmsg.NewReplicaNames(), Known: known, Log: zerolog.Nop()}, n)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 func TestAWatchFoldsChanges(t *testing.T) {
 	d := openDesk(t)
 	w, n := watch(t, d, &platformmsg.EndpointList{Version: 41, Full: true, Endpoints: []platformmsg.Endpoint{{Name: "s-1", Zone: "partick", Status: model.EndpointReady}}})
-	if known := w.Entries(); len(known) != 1 {
+	if known := w.Endpoints(); len(known) != 1 {
 		t.Fatalf("known: %v", known)
 	}
 	d.request(41, watching)
@@ -154,7 +154,7 @@
 		d.request(3, answer)
 		n.next(t, "scope 3")
 	}
-	if held := w.Entries(); len(held) != 1 {
+	if held := w.Endpoints(); len(held) != 1 {
 		t.Fatalf("held: %v", held)
 	}
 }
@@ -166,8 +166,8 @@
 	from.request(0, watching)
 	from.chunk(object(7, true, one(1, "ready")), 1000)
 	n.next(t, "scope 0 1/1/1/1")
-	w.Move(from.l.Addr().String()) // the same: nothing happens
-	w.Move(to.l.Addr().String())
+	w.SetAddress(from.l.Addr().String()) // the same: nothing happens
+	w.SetAddress(to.l.Addr().String())
 	to.request(7, watching)
 	from.chunk(object(9, true), 1000)
 	to.chunk(object(8, false, one(2, "ready")), 1000)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -34,64 +34,64 @@
 
 import "peppervale/internal/model"
 
-// Terms are what all members of a group have alike.
-type Terms struct {
-	Span  model.Microseconds // that a lease lasts after it was asked for, by the holder's clock
-	Drift model.Microseconds // that the holder's clock may lose against the register's within a Span
+// Config are what all members of a group have alike.
+type Config struct {
+	Duration      model.Microseconds // that a lease lasts after it was asked for, by the holder's clock
+	MaxClockDrift model.Microseconds // that the holder's clock may lose against the register's within a Span
 }
 
 // Holder identifies one life of a member: a life that crashed cannot go on with the lease of the one before, as nobody knows what that
 // one had ordered.
 type Holder struct {
-	Member uint16 `cbor:"Member"`
-	Life   uint64 `cbor:"Life"` // it grows with each
+	Member      uint16 `cbor:"Member"`
+	Incarnation uint64 `cbor:"Life"` // it grows with each
 }
 
-// Part is what is agreed on about one part of the fleet. The zero Part is free and was never held.
-type Part struct {
-	Epoch   uint64             `cbor:"Epoch"`   // of the newest grant; it only grows
-	Holder  Holder             `cbor:"Holder"`  // of it; the zero Holder: free
-	Number  uint32             `cbor:"Number"`  // of the holder's newest ask
-	Renewed model.Microseconds `cbor:"Renewed"` // by the leader's clock
+// Shard is what is agreed on about one part of the fleet. The zero Part is free and was never held.
+type Shard struct {
+	Epoch     uint64             `cbor:"Epoch"`   // of the newest grant; it only grows
+	Holder    Holder             `cbor:"Holder"`  // of it; the zero Holder: free
+	Sequence  uint32             `cbor:"Number"`  // of the holder's newest ask
+	RenewedAt model.Microseconds `cbor:"Renewed"` // by the leader's clock
 }
 
-// Ask is a holder's message: for a part or, if it holds it, to go on. Number tells asks of one holder apart.
-type Ask struct {
-	From   Holder
-	Number uint32
+// Request is a holder's message: for a part or, if it holds it, to go on. Number tells asks of one holder apart.
+type Request struct {
+	From     Holder
+	Sequence uint32
 }
 
-// Answer is the register's.
-type Answer struct {
-	To      Holder
-	Number  uint32 // of the ask
-	Granted bool
-	Epoch   uint64 // of the grant
+// Response is the register's.
+type Response struct {
+	To       Holder
+	Sequence uint32 // of the ask
+	Granted  bool
+	Epoch    uint64 // of the grant
 }
 
 // Apply takes an ask, agreed on, at a time of the leader's clock.
-func (p *Part) Apply(t Terms, a Ask, now model.Microseconds) Answer {
+func (p *Shard) Apply(t Config, a Request, now model.Microseconds) Response {
 	mine := p.Holder == a.From
-	if !mine && p.Holder != (Holder{}) && now-p.Renewed < t.Span+t.Drift {
-		return Answer{To: a.From, Number: a.Number}
+	if !mine && p.Holder != (Holder{}) && now-p.RenewedAt < t.Duration+t.MaxClockDrift {
+		return Response{To: a.From, Sequence: a.Sequence}
 	}
 	if !mine {
 		p.Epoch++
-		p.Holder, p.Number = a.From, 0
+		p.Holder, p.Sequence = a.From, 0
 	}
-	p.Renewed, p.Number = now, max(p.Number, a.Number)
-	return Answer{To: a.From, Number: a.Number, Granted: true, Epoch: p.Epoch}
+	p.RenewedAt, p.Sequence = now, max(p.Sequence, a.Sequence)
+	return Response{To: a.From, Sequence: a.Sequence, Granted: true, Epoch: p.Epoch}
 }
 
 // Lead begins a leader's time. It knows nothing of when leases were renewed, by its own clock, so it counts them from now.
-func (p *Part) Lead(now model.Microseconds) { p.Renewed = now }
+func (p *Shard) Lead(now model.Microseconds) { p.RenewedAt = now }
 
 // LeadSeen begins the time of a leader that saw the part renewed, by its own clock, age before now: as its log then ended with the given
 // epoch and ask. What was agreed on before its word but not seen by it counts as Lead has it. A renewal that came doubled or late does
 // not show in the ask's number, and need not: it gave its holder no time.
-func (p *Part) LeadSeen(now, age model.Microseconds, epoch uint64, number uint32) {
-	if p.Epoch == epoch && p.Number == number && age >= 0 {
-		p.Renewed = now - age
+func (p *Shard) LeadSeen(now, age model.Microseconds, epoch uint64, number uint32) {
+	if p.Epoch == epoch && p.Sequence == number && age >= 0 {
+		p.RenewedAt = now - age
 		return
 	}
 	p.Lead(now)
@@ -99,14 +99,14 @@
 
 // Release takes a holder's word that it has stopped: nobody need wait for the lease to run out. Of anybody else it means nothing, nor if
 // the holder has asked anew since it said so.
-func (p *Part) Release(a Ask) {
-	if p.Holder == a.From && p.Number < a.Number {
+func (p *Shard) Release(a Request) {
+	if p.Holder == a.From && p.Sequence < a.Sequence {
 		p.Holder = Holder{}
 	}
 }
 
-// Claim is a holder's side, for one part. The zero Claim holds nothing.
-type Claim struct {
+// Lease is a holder's side, for one part. The zero Claim holds nothing.
+type Lease struct {
 	Epoch  uint64
 	until  model.Microseconds // by its own clock
 	holds  bool
@@ -114,50 +114,50 @@
 	number uint32
 }
 
-// Ask notes the time and gives the message, which may leave only after that.
-func (c *Claim) Ask(from Holder, now model.Microseconds) Ask {
+// Request notes the time and gives the message, which may leave only after that.
+func (c *Lease) Request(from Holder, now model.Microseconds) Request {
 	c.number++
 	c.asked = now
-	return Ask{from, c.number}
+	return Request{from, c.number}
 }
 
-// Answered takes an answer. One that is not of the newest ask changes nothing: nobody knows any more when that was asked.
-func (c *Claim) Answered(t Terms, a Answer) {
-	if a.Number != c.number {
+// HandleResponse takes an answer. One that is not of the newest ask changes nothing: nobody knows any more when that was asked.
+func (c *Lease) HandleResponse(t Config, a Response) {
+	if a.Sequence != c.number {
 		return
 	}
 	if !a.Granted {
 		c.holds = false // a refusal says that another holds it, or may soon
 		return
 	}
-	c.Epoch, c.holds, c.until = a.Epoch, true, c.asked+t.Span
+	c.Epoch, c.holds, c.until = a.Epoch, true, c.asked+t.Duration
 }
 
-// MayOrder tells whether this holder may order now.
-func (c *Claim) MayOrder(now model.Microseconds) bool { return c.holds && now < c.until }
+// IsHeld tells whether this holder may order now.
+func (c *Lease) IsHeld(now model.Microseconds) bool { return c.holds && now < c.until }
 
-// Left is for how long this holder may still order, without another renewal.
-func (c *Claim) Left(now model.Microseconds) model.Microseconds {
-	if !c.MayOrder(now) {
+// Remaining is for how long this holder may still order, without another renewal.
+func (c *Lease) Remaining(now model.Microseconds) model.Microseconds {
+	if !c.IsHeld(now) {
 		return 0
 	}
 	return c.until - now
 }
 
-// Stop gives up what is held and gives the release, which may leave once no order is under way any more. Answers to asks before it
+// Release gives up what is held and gives the release, which may leave once no order is under way any more. Answers to asks before it
 // mean nothing from then on: the model found one that came twice and gave back what had been released.
-func (c *Claim) Stop(from Holder) Ask {
+func (c *Lease) Release(from Holder) Request {
 	c.holds = false
 	c.number++
-	return Ask{from, c.number}
+	return Request{from, c.number}
 }
 
 // Fence is a forwarder's side, for the part that it is in. The zero Fence has seen nothing.
 type Fence struct{ Epoch uint64 }
 
-// Take tells whether a message of an epoch may be obeyed. A newer epoch is the fence from then on: changed is then true, and ways of
+// Accept tells whether a message of an epoch may be obeyed. A newer epoch is the fence from then on: changed is then true, and ways of
 // trying again fall back to what is safe under every holder until the new one has ordered.
-func (f *Fence) Take(epoch uint64) (obey, changed bool) {
+func (f *Fence) Accept(epoch uint64) (obey, changed bool) {
 	if epoch < f.Epoch {
 		return false, false
 	}
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -37,13 +37,13 @@
 // world is a state. All of it is values, so that it is its own key.
 type world struct {
 	now     model.Microseconds // of the register's clock
-	parts   [parts]Part
-	claims  [members][parts]Claim
+	parts   [parts]Shard
+	claims  [members][parts]Lease
 	lives   [members]uint64
 	lost    [members]uint8 // ticks that its clock has lost
-	asks    [flying]flight[Ask]
-	answers [flying]flight[Answer]
-	frees   [members][parts]Ask // the newest release of each
+	asks    [flying]flight[Request]
+	answers [flying]flight[Response]
+	frees   [members][parts]Request // the newest release of each
 	crashed uint8
 	led     uint8
 	look    glance // of who leads next
@@ -79,7 +79,7 @@
 }
 
 // steps calls with each state that may follow, and says what happened.
-func (w world) steps(t Terms, l limits, next func(string, world)) {
+func (w world) steps(t Config, l limits, next func(string, world)) {
 	if w.now < l.ticks {
 		for slows := range 1 << members { // whose clock loses this tick
 			n := w
@@ -101,16 +101,16 @@
 		for part := range parts {
 			if w.claims[m][part].number < l.askings[part][m] {
 				n := w
-				if put(&n.asks, flight[Ask]{uint8(part), n.claims[m][part].Ask(me, n.clock(m))}) {
+				if put(&n.asks, flight[Request]{uint8(part), n.claims[m][part].Request(me, n.clock(m))}) {
 					next(fmt.Sprintf("%d asks for part %d", m+1, part), n)
 				}
 			}
-			if l.stops && w.claims[m][part].MayOrder(w.clock(m)) {
+			if l.stops && w.claims[m][part].IsHeld(w.clock(m)) {
 				n := w
-				n.frees[m][part] = n.claims[m][part].Stop(me)
+				n.frees[m][part] = n.claims[m][part].Release(me)
 				next(fmt.Sprintf("%d stops for part %d", m+1, part), n)
 			}
-			if w.frees[m][part] != (Ask{}) {
+			if w.frees[m][part] != (Request{}) {
 				n := w
 				n.parts[part].Release(w.frees[m][part])
 				next(fmt.Sprintf("the release of part %d by %d is agreed on and may come again", part, m+1), n)
@@ -120,7 +120,7 @@
 			n := w
 			n.crashed++
 			n.lives[m]++
-			n.claims[m] = [parts]Claim{}
+			n.claims[m] = [parts]Lease{}
 			next(fmt.Sprintf("%d crashes and is back", m+1), n)
 		}
 	}
@@ -138,28 +138,28 @@
 			n.parts[1].Lead(n.now)
 			next(fmt.Sprintf("another leader, which saw epoch %d and ask %d at tick %d", n.look.epoch, n.look.number, n.look.at), n)
 		}
-		if seen := (glance{w.parts[0].Epoch, w.parts[0].Number, w.now}); l.glances && w.parts[0].Epoch > 0 && seen != w.look {
+		if seen := (glance{w.parts[0].Epoch, w.parts[0].Sequence, w.now}); l.glances && w.parts[0].Epoch > 0 && seen != w.look {
 			n := w
 			n.look = seen
 			next("who leads next sees part 0 as it is", n)
 		}
 	}
 	for i := range flying {
-		if a := w.asks[i]; a != (flight[Ask]{}) {
+		if a := w.asks[i]; a != (flight[Request]{}) {
 			n := w
 			answer := n.parts[a.part].Apply(t, a.says, n.now)
 			if n.parts[a.part].Epoch > epochsMost {
 				continue
 			}
-			put(&n.answers, flight[Answer]{a.part, answer})
-			next(fmt.Sprintf("the ask %d of %d for part %d is agreed on (granted: %v, epoch %d) and may come again", a.says.Number, a.says.From.Member, a.part,
+			put(&n.answers, flight[Response]{a.part, answer})
+			next(fmt.Sprintf("the ask %d of %d for part %d is agreed on (granted: %v, epoch %d) and may come again", a.says.Sequence, a.says.From.Member, a.part,
 				answer.Granted, answer.Epoch), n)
 		}
-		if a := w.answers[i]; a != (flight[Answer]{}) {
+		if a := w.answers[i]; a != (flight[Response]{}) {
 			n, m := w, int(a.says.To.Member)-1
-			if a.says.To.Life == n.lives[m] { // an answer to a life that ended finds nobody
-				n.claims[m][a.part].Answered(t, a.says)
-				next(fmt.Sprintf("%d hears the answer to %d for part %d (granted: %v) and may hear it again", m+1, a.says.Number, a.part, a.says.Granted), n)
+			if a.says.To.Incarnation == n.lives[m] { // an answer to a life that ended finds nobody
+				n.claims[m][a.part].HandleResponse(t, a.says)
+				next(fmt.Sprintf("%d hears the answer to %d for part %d (granted: %v) and may hear it again", m+1, a.says.Sequence, a.part, a.says.Granted), n)
 			}
 		}
 	}
@@ -169,14 +169,14 @@
 func (w *world) wrong() string {
 	for part := range parts {
 		for a := range members {
-			if !w.claims[a][part].MayOrder(w.clock(a)) {
+			if !w.claims[a][part].IsHeld(w.clock(a)) {
 				continue
 			}
 			if w.claims[a][part].Epoch > w.parts[part].Epoch {
 				return fmt.Sprintf("%d orders for part %d in epoch %d, which nobody agreed on", a+1, part, w.claims[a][part].Epoch)
 			}
 			for b := range a {
-				if w.claims[b][part].MayOrder(w.clock(b)) {
+				if w.claims[b][part].IsHeld(w.clock(b)) {
 					return fmt.Sprintf("%d and %d may both order for part %d, in epochs %d and %d", b+1, a+1, part, w.claims[b][part].Epoch, w.claims[a][part].Epoch)
 				}
 			}
@@ -187,7 +187,7 @@
 
 // explore visits states in the order of the steps to them, most at most, and gives the shortest story to one that is wrong. Of a
 // state that was left only its hash is kept; two states of one hash, one in some ten thousand runs, would hide one.
-func explore(t Terms, l limits, most int) (story []string, visited int, whole bool) {
+func explore(t Config, l limits, most int) (story []string, visited int, whole bool) {
 	type visit struct {
 		from int32
 		step int32 // of those that lead on from there
@@ -255,7 +255,7 @@
 const statesMost = 2_000_000
 
 var (
-	terms = Terms{Span: 2, Drift: 1}
+	terms = Config{Duration: 2, MaxClockDrift: 1}
 	once  = first(1, 1)
 	each  = first(1, 1, 1)
 	both  = [parts][members]uint32{{1, 1}, {1}}
@@ -291,7 +291,7 @@
 
 // With clocks that lose more than was told the model finds two that order at once, and tells how: so it would have found it above.
 func TestABrokenBoundIsFound(t *testing.T) {
-	story, visited, _ := explore(terms, limits{askings: once, slow: uint8(terms.Drift) + 1, ticks: 6}, statesMost)
+	story, visited, _ := explore(terms, limits{askings: once, slow: uint8(terms.MaxClockDrift) + 1, ticks: 6}, statesMost)
 	if story == nil {
 		t.Fatalf("nothing is found in %d states", visited)
 	}
@@ -305,7 +305,7 @@
 		epoch         uint64
 		obey, changed bool
 	}{{3, true, true}, {3, true, false}, {2, false, false}, {5, true, true}, {3, false, false}} {
-		if obey, changed := f.Take(c.epoch); obey != c.obey || changed != c.changed {
+		if obey, changed := f.Accept(c.epoch); obey != c.obey || changed != c.changed {
 			t.Errorf("epoch %d: %v, %v", c.epoch, obey, changed)
 		}
 	}
--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -30,43 +30,43 @@
 	"peppervale/internal/model"
 )
 
-// Terms are the group's settings.
-type Terms struct {
-	Settle model.Microseconds // that a member must have been there before parts are moved to it without need
-	Pace   model.Microseconds // between two moves from or to one member that nothing forces
+// Config are the group's settings.
+type Config struct {
+	StabilizationPeriod model.Microseconds // that a member must have been there before parts are moved to it without need
+	MoveInterval        model.Microseconds // between two moves from or to one member that nothing forces
 }
 
 // Member is one of the group, as the leader sees it.
 type Member struct {
 	Name, Zone string
-	Here       bool               // it renews, or seems alive
-	Since      model.Microseconds // Here
-	Leaving    bool               // told to give everything away
-	Ending     bool               // its process is about to end
-	Limit      float64            // invocations a second that it may govern; 0: any
+	Alive      bool               // it renews, or seems alive
+	AliveSince model.Microseconds // Here
+	Draining   bool               // told to give everything away
+	Stopping   bool               // its process is about to end
+	Capacity   float64            // invocations a second that it may govern; 0: any
 }
 
-// Part is one part of the fleet. Wanted is the member that should hold it; "" for none.
-type Part struct {
+// Shard is one part of the fleet. Wanted is the member that should hold it; "" for none.
+type Shard struct {
 	Number int
 	Zone   string
 	Load   float64 // invocations a second that its forwarders told
-	Wanted string
-	ByHand bool   // an operator put it where it is
+	Target string
+	Pinned bool   // an operator put it where it is
 	Asked  string // the member that its forwarders ask instead, as none of them reaches its own; "" otherwise
 }
 
-// Move says who should hold a part from now on, and why.
-type Move struct {
-	Part int    `cbor:"Part"`
-	From string `cbor:"From"`
-	To   string `cbor:"To"`
-	Why  string `cbor:"Why"`
+// Migration says who should hold a part from now on, and why.
+type Migration struct {
+	Shard  int    `cbor:"Part"`
+	From   string `cbor:"From"`
+	To     string `cbor:"To"`
+	Reason string `cbor:"Why"`
 }
 
-// Mover remembers when it last moved a part from or to a member, and from whom it was moved as nobody reached that one. The zero Mover has
+// Planner remembers when it last moved a part from or to a member, and from whom it was moved as nobody reached that one. The zero Mover has
 // moved nothing; a new leader's is one.
-type Mover struct {
+type Planner struct {
 	touched map[string]model.Microseconds
 	away    map[away]model.Microseconds
 }
@@ -87,12 +87,12 @@
 	parts int
 }
 
-func (s *seat) room(load float64) bool { return s.Limit <= 0 || s.load+load <= s.Limit }
+func (s *seat) room(load float64) bool { return s.Capacity <= 0 || s.load+load <= s.Capacity }
 
 // row is a line of the table above.
 type row struct {
 	why    string
-	fits   func(d *deal, p *Part, at *seat) bool
+	fits   func(d *deal, p *Shard, at *seat) bool
 	steady bool // to a member that was there for Settle
 	paced  bool
 	near   bool // only to the part's own zone
@@ -102,32 +102,32 @@
 }
 
 var rows = []row{
-	{why: "with nobody", fits: func(_ *deal, _ *Part, at *seat) bool { return at == nil }},
-	{why: "its member is gone", fits: func(_ *deal, _ *Part, at *seat) bool { return !at.Here }},
-	{why: "its forwarders do not reach its member", asked: true, fits: func(_ *deal, p *Part, at *seat) bool { return p.Asked != "" && p.Asked != at.Name }},
-	{why: "its member is ending", fits: func(_ *deal, _ *Part, at *seat) bool { return at.Ending }},
-	{why: "its member is leaving", paced: true, fits: func(_ *deal, _ *Part, at *seat) bool { return at.Leaving }},
-	{why: "moved by hand", stays: true, fits: func(_ *deal, p *Part, _ *seat) bool { return p.ByHand }},
-	{why: "its member is beyond its limit", paced: true, fits: func(_ *deal, _ *Part, at *seat) bool { return at.Limit > 0 && at.load > at.Limit }},
-	{why: "back to its zone", paced: true, steady: true, near: true, fits: func(_ *deal, p *Part, at *seat) bool { return at.Zone != p.Zone }},
-	{why: "evener", paced: true, steady: true, evener: true, fits: func(*deal, *Part, *seat) bool { return true }},
+	{why: "with nobody", fits: func(_ *deal, _ *Shard, at *seat) bool { return at == nil }},
+	{why: "its member is gone", fits: func(_ *deal, _ *Shard, at *seat) bool { return !at.Alive }},
+	{why: "its forwarders do not reach its member", asked: true, fits: func(_ *deal, p *Shard, at *seat) bool { return p.Asked != "" && p.Asked != at.Name }},
+	{why: "its member is ending", fits: func(_ *deal, _ *Shard, at *seat) bool { return at.Stopping }},
+	{why: "its member is leaving", paced: true, fits: func(_ *deal, _ *Shard, at *seat) bool { return at.Draining }},
+	{why: "moved by hand", stays: true, fits: func(_ *deal, p *Shard, _ *seat) bool { return p.Pinned }},
+	{why: "its member is beyond its limit", paced: true, fits: func(_ *deal, _ *Shard, at *seat) bool { return at.Capacity > 0 && at.load > at.Capacity }},
+	{why: "back to its zone", paced: true, steady: true, near: true, fits: func(_ *deal, p *Shard, at *seat) bool { return at.Zone != p.Zone }},
+	{why: "evener", paced: true, steady: true, evener: true, fits: func(*deal, *Shard, *seat) bool { return true }},
 }
 
 // deal is one call of Decide.
 type deal struct {
-	Terms
+	Config
 	now   model.Microseconds
-	mover *Mover
+	mover *Planner
 	seats []*seat
 	by    map[string]*seat
 }
 
-// Decide gives the moves of now.
-func (m *Mover) Decide(t Terms, now model.Microseconds, members []Member, parts []Part) (moves []Move) {
+// Plan gives the moves of now.
+func (m *Planner) Plan(t Config, now model.Microseconds, members []Member, parts []Shard) (moves []Migration) {
 	if m.touched == nil {
 		m.touched, m.away = map[string]model.Microseconds{}, map[away]model.Microseconds{}
 	}
-	d := &deal{Terms: t, now: now, mover: m, by: map[string]*seat{}}
+	d := &deal{Config: t, now: now, mover: m, by: map[string]*seat{}}
 	for i := range members {
 		s := &seat{Member: &members[i]}
 		d.seats = append(d.seats, s)
@@ -135,16 +135,16 @@
 	}
 	slices.SortFunc(d.seats, func(a, b *seat) int { return cmp.Compare(a.Name, b.Name) })
 	for i := range parts {
-		if s := d.by[parts[i].Wanted]; s != nil {
+		if s := d.by[parts[i].Target]; s != nil {
 			s.load += parts[i].Load
 			s.parts++
 		}
 	}
-	order := make([]*Part, len(parts)) // the heaviest first, so that what is left is small enough to even things out
+	order := make([]*Shard, len(parts)) // the heaviest first, so that what is left is small enough to even things out
 	for i := range parts {
 		order[i] = &parts[i]
 	}
-	slices.SortStableFunc(order, func(a, b *Part) int {
+	slices.SortStableFunc(order, func(a, b *Shard) int {
 		return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.Number, b.Number))
 	})
 	for i := range rows { // what is forced goes first, over all parts, and takes the room that there is
@@ -160,8 +160,8 @@
 	return moves
 }
 
-func (d *deal) first(p *Part) *row {
-	at := d.by[p.Wanted]
+func (d *deal) first(p *Shard) *row {
+	at := d.by[p.Target]
 	for i := range rows {
 		if rows[i].fits(d, p, at) {
 			return &rows[i]
@@ -171,15 +171,15 @@
 }
 
 // target is the best member for a part by a row: of its zone, then the one with the least load; nil for none.
-func (d *deal) target(r *row, p *Part) (best *seat) {
-	at := d.by[p.Wanted]
+func (d *deal) target(r *row, p *Shard) (best *seat) {
+	at := d.by[p.Target]
 	if r.stays || r.paced && !d.due(at) {
 		return nil
 	}
 	for _, s := range d.seats {
 		switch {
-		case s == at || !s.Here || s.Leaving || s.Ending || !s.room(p.Load):
-		case r.steady && d.now-s.Since < d.Settle:
+		case s == at || !s.Alive || s.Draining || s.Stopping || !s.room(p.Load):
+		case r.steady && d.now-s.AliveSince < d.StabilizationPeriod:
 		case r.paced && r.steady && !d.due(s):
 		case r.near && s.Zone != p.Zone:
 		case r.asked && s.Name != p.Asked:
@@ -193,38 +193,38 @@
 }
 
 // evener tells whether a move leaves the two members closer together. Parts without traffic count by their number.
-func evener(from, to *seat, p *Part) bool {
+func evener(from, to *seat, p *Shard) bool {
 	if p.Load > 0 {
 		return to.load+p.Load < from.load
 	}
 	return from.load == 0 && to.load == 0 && to.parts+1 < from.parts
 }
 
-func (d *deal) distance(s *seat, p *Part) int {
+func (d *deal) distance(s *seat, p *Shard) int {
 	if s.Zone == p.Zone {
 		return 0
 	}
 	return 1
 }
 
-func (d *deal) closer(a, b *seat, p *Part) bool {
+func (d *deal) closer(a, b *seat, p *Shard) bool {
 	return cmp.Or(cmp.Compare(d.distance(a, p), d.distance(b, p)), cmp.Compare(a.load, b.load), cmp.Compare(a.parts, b.parts)) < 0
 }
 
 // wasAway tells whether a part was moved from a member lately as nobody reached that one.
-func (d *deal) wasAway(p *Part, s *seat) bool {
+func (d *deal) wasAway(p *Shard, s *seat) bool {
 	at, was := d.mover.away[away{p.Number, s.Name}]
 	return was && d.now-at < AwayFor
 }
 
 func (d *deal) due(s *seat) bool {
 	at, moved := d.mover.touched[s.Name]
-	return !moved || d.now-at >= d.Pace
+	return !moved || d.now-at >= d.MoveInterval
 }
 
-func (d *deal) move(r *row, p *Part, to *seat) Move {
-	m := Move{Part: p.Number, From: p.Wanted, To: to.Name, Why: r.why}
-	if at := d.by[p.Wanted]; at != nil {
+func (d *deal) move(r *row, p *Shard, to *seat) Migration {
+	m := Migration{Shard: p.Number, From: p.Target, To: to.Name, Reason: r.why}
+	if at := d.by[p.Target]; at != nil {
 		at.load -= p.Load
 		at.parts--
 		if r.paced {
@@ -239,6 +239,6 @@
 	}
 	to.load += p.Load
 	to.parts++
-	p.Wanted, p.ByHand, p.Asked = to.Name, false, ""
+	p.Target, p.Pinned, p.Asked = to.Name, false, ""
 	return m
 }
--- a/internal/placement/assign_test.go
+++ b/internal/placement/assign_test.go
@@ -9,13 +9,13 @@
 	"peppervale/internal/model"
 )
 
-var terms = Terms{Settle: 10 * model.Second, Pace: 2 * model.Second}
+var terms = Config{StabilizationPeriod: 10 * model.Second, MoveInterval: 2 * model.Second}
 
 // hall is a group of one member a zone, each holding the parts of its zone.
 type hall struct {
 	members []Member
-	parts   []Part
-	mover   Mover
+	parts   []Shard
+	mover   Planner
 	now     model.Microseconds
 }
 
@@ -23,23 +23,23 @@
 	h := &hall{now: 100 * model.Second}
 	for z := range zones {
 		name := fmt.Sprint("zone", z)
-		h.members = append(h.members, Member{Name: "member-" + name, Zone: name, Here: true})
+		h.members = append(h.members, Member{Name: "member-" + name, Zone: name, Alive: true})
 		for range each {
-			h.parts = append(h.parts, Part{Number: len(h.parts), Zone: name, Load: load})
+			h.parts = append(h.parts, Shard{Number: len(h.parts), Zone: name, Load: load})
 		}
 	}
 	return h
 }
 
 // step decides and carries the moves out.
-func (h *hall) step(span model.Microseconds) []Move {
+func (h *hall) step(span model.Microseconds) []Migration {
 	h.now += span
-	return h.mover.Decide(terms, h.now, h.members, h.parts)
+	return h.mover.Plan(terms, h.now, h.members, h.parts)
 }
 
 func (h *hall) held(member string) (n int) {
 	for _, p := range h.parts {
-		if p.Wanted == member {
+		if p.Target == member {
 			n++
 		}
 	}
@@ -52,11 +52,11 @@
 		t.Fatalf("%d moves at first", len(moves))
 	}
 	for _, p := range h.parts {
-		if p.Wanted != "member-"+p.Zone {
-			t.Errorf("part %d of %s is with %s", p.Number, p.Zone, p.Wanted)
+		if p.Target != "member-"+p.Zone {
+			t.Errorf("part %d of %s is with %s", p.Number, p.Zone, p.Target)
 		}
 	}
-	if moves := h.step(terms.Settle); len(moves) != 0 {
+	if moves := h.step(terms.StabilizationPeriod); len(moves) != 0 {
 		t.Errorf("moved without need: %v", moves)
 	}
 }
@@ -65,23 +65,23 @@
 func TestALossAndASlowReturn(t *testing.T) {
 	h := newHall(3, 4, 10)
 	h.step(0)
-	h.members[0].Here = false
+	h.members[0].Alive = false
 	if moves := h.step(model.Second); len(moves) != 4 {
 		t.Fatalf("%d moves for 4 parts", len(moves))
 	}
 	if a, b := h.held("member-zone1"), h.held("member-zone2"); a != 6 || b != 6 {
 		t.Fatalf("%d and %d parts", a, b)
 	}
-	h.members[0].Here, h.members[0].Since = true, h.now
-	for h.now-h.members[0].Since < terms.Settle-model.Second {
+	h.members[0].Alive, h.members[0].AliveSince = true, h.now
+	for h.now-h.members[0].AliveSince < terms.StabilizationPeriod-model.Second {
 		if moves := h.step(model.Second); len(moves) != 0 {
-			t.Fatalf("after %v: %v", h.now-h.members[0].Since, moves)
+			t.Fatalf("after %v: %v", h.now-h.members[0].AliveSince, moves)
 		}
 	}
 	last := model.Microseconds(0)
 	for h.held("member-zone0") < 4 {
 		moves := h.step(100 * model.Millisecond)
-		if len(moves) > 1 || len(moves) == 1 && last > 0 && h.now-last < terms.Pace {
+		if len(moves) > 1 || len(moves) == 1 && last > 0 && h.now-last < terms.MoveInterval {
 			t.Fatalf("%v, %d us after the one before", moves, h.now-last)
 		}
 		if len(moves) == 1 {
@@ -96,13 +96,13 @@
 // With no room anywhere a part stays with nobody; with room again it is given.
 func TestNobodyBeyondItsLimit(t *testing.T) {
 	h := newHall(2, 2, 10)
-	h.members[0].Limit, h.members[1].Limit = 20, 30
+	h.members[0].Capacity, h.members[1].Capacity = 20, 30
 	h.step(0)
-	h.members[0].Here = false
+	h.members[0].Alive = false
 	if moves := h.step(model.Second); len(moves) != 1 {
 		t.Fatalf("%v: there is room for one", moves)
 	}
-	h.members[1].Limit = 40
+	h.members[1].Capacity = 40
 	if moves := h.step(model.Second); len(moves) != 1 || h.held("member-zone1") != 4 {
 		t.Fatalf("%v with room for the last", moves)
 	}
@@ -112,13 +112,13 @@
 func TestLeavingAndByHand(t *testing.T) {
 	h := newHall(2, 3, 10)
 	h.step(0)
-	h.parts[5].Wanted, h.parts[5].ByHand = "member-zone0", true
+	h.parts[5].Target, h.parts[5].Pinned = "member-zone0", true
 	if moves := h.step(model.Second); len(moves) != 0 {
 		t.Fatalf("a part moved by hand: %v", moves)
 	}
-	h.members[0].Leaving = true
+	h.members[0].Draining = true
 	for k := range 4 {
-		if moves := h.step(terms.Pace); len(moves) != 1 {
+		if moves := h.step(terms.MoveInterval); len(moves) != 1 {
 			t.Fatalf("move %d of a leaving member: %v", k, moves)
 		}
 	}
@@ -132,20 +132,20 @@
 	h := newHall(2, 2, 10)
 	h.step(0)
 	h.parts[0].Asked = "member-zone1"
-	if moves := h.step(model.Second); len(moves) != 1 || moves[0].Part != 0 || moves[0].To != "member-zone1" {
+	if moves := h.step(model.Second); len(moves) != 1 || moves[0].Shard != 0 || moves[0].To != "member-zone1" {
 		t.Fatalf("%v", moves)
 	}
-	for span := model.Microseconds(0); span < AwayFor-terms.Pace; span += terms.Pace {
-		for _, m := range h.step(terms.Pace) {
-			if m.Part == 0 {
+	for span := model.Microseconds(0); span < AwayFor-terms.MoveInterval; span += terms.MoveInterval {
+		for _, m := range h.step(terms.MoveInterval) {
+			if m.Shard == 0 {
 				t.Fatalf("after %d us: %+v", span, m)
 			}
 		}
 	}
-	h.step(2 * terms.Pace)
-	h.step(2 * terms.Pace)
-	if h.parts[0].Wanted != "member-zone0" {
-		t.Errorf("it stays with %s", h.parts[0].Wanted)
+	h.step(2 * terms.MoveInterval)
+	h.step(2 * terms.MoveInterval)
+	if h.parts[0].Target != "member-zone0" {
+		t.Errorf("it stays with %s", h.parts[0].Target)
 	}
 }
 
@@ -153,7 +153,7 @@
 func TestEnding(t *testing.T) {
 	h := newHall(3, 4, 10)
 	h.step(0)
-	h.members[0].Ending = true
+	h.members[0].Stopping = true
 	if moves := h.step(model.Second); len(moves) != 4 || h.held("member-zone0") != 0 {
 		t.Fatalf("%v", moves)
 	}
@@ -168,23 +168,23 @@
 			h.parts[i].Load = float64(rapid.IntRange(0, 30).Draw(t, "load"))
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "more") {
-			h.members = append(h.members, Member{Name: fmt.Sprint("more", len(h.members)), Zone: "zone0", Here: true})
+			h.members = append(h.members, Member{Name: fmt.Sprint("more", len(h.members)), Zone: "zone0", Alive: true})
 		}
 		for range rapid.IntRange(1, 15).Draw(t, "events") {
 			m := &h.members[rapid.IntRange(0, len(h.members)-1).Draw(t, "member")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				if m.Here = !m.Here; m.Here {
-					m.Since = h.now
+				if m.Alive = !m.Alive; m.Alive {
+					m.AliveSince = h.now
 				}
 			case 1:
-				m.Leaving = !m.Leaving
+				m.Draining = !m.Draining
 			case 2:
-				m.Limit = float64(rapid.IntRange(0, 100).Draw(t, "limit"))
+				m.Capacity = float64(rapid.IntRange(0, 100).Draw(t, "limit"))
 			}
 			gone := 0
 			for _, p := range h.parts {
-				if i := find(h, p.Wanted); i < 0 || !h.members[i].Here {
+				if i := find(h, p.Target); i < 0 || !h.members[i].Alive {
 					gone++
 				}
 			}
@@ -192,10 +192,10 @@
 			forced := 0
 			for _, mv := range moves {
 				to := h.members[find(h, mv.To)]
-				if !to.Here || to.Leaving || to.Limit > 0 && load(h, mv.To) > to.Limit {
+				if !to.Alive || to.Draining || to.Capacity > 0 && load(h, mv.To) > to.Capacity {
 					t.Fatalf("%+v to %+v with %v", mv, to, load(h, mv.To))
 				}
-				if mv.Why == "its member is gone" {
+				if mv.Reason == "its member is gone" {
 					forced++
 				}
 			}
@@ -204,7 +204,7 @@
 			}
 		}
 		for k := 0; ; k++ {
-			if moves := h.step(terms.Settle); len(moves) == 0 {
+			if moves := h.step(terms.StabilizationPeriod); len(moves) == 0 {
 				break
 			} else if k > 10*len(h.parts)+10 {
 				t.Fatalf("it goes on moving: %v", moves)
@@ -224,7 +224,7 @@
 
 func load(h *hall, name string) (sum float64) {
 	for _, p := range h.parts {
-		if p.Wanted == name {
+		if p.Target == name {
 			sum += p.Load
 		}
 	}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -41,7 +41,7 @@
 // Whoever joins as his time to join runs out is either in or ended, never both: the last byte of `joined` and the look at strangers cross.
 func TestJoinsAcrossTheGreetingLimit(t *testing.T) {
 	c := &clock{now: 1}
-	h := start(t, func(l *Line) {
+	h := start(t, func(l *Config) {
 		l.Limits.Greeting, l.Limits.Silence, l.Limits.AskAgain = time.Minute, 24*time.Hour, 24*time.Hour
 		l.Now, l.Proxies, l.Limits.Connections = c.read, 200, 300
 	})
@@ -188,7 +188,7 @@
 // first answer should it come late beside the second.
 func TestALostAnswer(t *testing.T) {
 	c := &clock{now: 1}
-	h := start(t, func(l *Line) { l.Limits.AskAgain, l.Now = time.Minute, c.read })
+	h := start(t, func(l *Config) { l.Limits.AskAgain, l.Now = time.Minute, c.read })
 	p := dial(t, h).say("joined id 7 site govan rps 1 new 1")
 	h.wait("joined 7 zone 0 rate 1 fresh true")
 	other := dial(t, h).say("joined id 8 site govan rps 1 new 1")
@@ -228,7 +228,7 @@
 // A machine that vanishes while it owes nothing is found too: it is asked for a sign of life, and does not answer.
 func TestAQuietStreamIsAsked(t *testing.T) {
 	c := &clock{now: 1}
-	h := start(t, func(l *Line) { l.Limits.AskAgain, l.Now = time.Minute, c.read })
+	h := start(t, func(l *Config) { l.Limits.AskAgain, l.Now = time.Minute, c.read })
 	gone, quiet := dial(t, h).say("joined id 1 site govan rps 1 new 1"), dial(t, h).say("joined id 2 site govan rps 1 new 1")
 	h.wait("joined 1 zone 0 rate 1 fresh true")
 	h.wait("joined 2 zone 0 rate 1 fresh true")
@@ -257,7 +257,7 @@
 // Collectors vanish without a word: their successor is taken and heard, and the one that has said nothing for longest makes room.
 func TestCollectorsThatVanish(t *testing.T) {
 	c := &clock{now: 1}
-	h := start(t, func(l *Line) { l.Now = c.read })
+	h := start(t, func(l *Config) { l.Now = c.read })
 	join := func() *client {
 		c.move(time.Second)
 		peer := dial(t, h).say("collector site govan", "ping")
@@ -366,7 +366,7 @@
 
 // Where streams have taken every place a stranger finds none, himself being the oldest that could go; the streams notice nothing.
 func TestAStrangerAtTheLimit(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Connections = 3 })
+	h := start(t, func(l *Config) { l.Limits.Connections = 3 })
 	var joined []*client
 	for n := range 3 {
 		joined = append(joined, dial(t, h).say(fmt.Sprintf("joined id %d site govan rps 1 new 1", n)))
@@ -389,7 +389,7 @@
 // Orders go out, a stream is closed by hand and strangers flood the address, all at once, for a while: nobody is told of a stream that has
 // not joined, and the board has who is joined.
 func TestAllAtOnce(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Connections = 12 })
+	h := start(t, func(l *Config) { l.Limits.Connections = 12 })
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	busy := func(f func(n int)) {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -49,18 +49,18 @@
 	AskAgain    time.Duration // a stream that owes an answer, or is silent, for so long is asked again; no sooner than Silence
 }
 
-// Line tells a server about itself.
-type Line struct {
-	Listen     string
-	Zones      []string
-	Operations []string
-	LoadFields []string // of a load report, in the order of a sum's
-	Proxies    int      // ids run from 0 to one less; 0: not told
-	Overhead   int      // lines that a message costs beyond its own
-	Names      *platformmsg.ReplicaNames
-	Limits     Limits
-	Now        func() model.Microseconds
-	Log        zerolog.Logger
+// Config tells a server about itself.
+type Config struct {
+	Listen          string
+	Zones           []string
+	Operations      []string
+	LoadFields      []string // of a load report, in the order of a sum's
+	Proxies         int      // ids run from 0 to one less; 0: not told
+	MessageOverhead int      // lines that a message costs beyond its own
+	Names           *platformmsg.ReplicaNames
+	Limits          Limits
+	Now             func() model.Microseconds
+	Log             zerolog.Logger
 }
 
 // collectorsMost is how many connections one zone's collector may hold: one, and a few whose end was not seen. Beyond them the one that
@@ -97,7 +97,7 @@
 
 // Server is a governor's address. Make it with Listen.
 type Server struct {
-	line   Line
+	line   Config
 	events Events
 	engine *netpoll.Engine
 	done   chan struct{}
@@ -150,8 +150,8 @@
 }
 
 // Listen opens the address and serves until Close. Errors are those of the address.
-func Listen(line Line, events Events) (*Server, error) {
-	s := &Server{line: line, events: events, done: make(chan struct{}), board: snapshot.New(1, line.Overhead), peers: map[*nbio.Conn]*peer{},
+func Listen(line Config, events Events) (*Server, error) {
+	s := &Server{line: line, events: events, done: make(chan struct{}), board: snapshot.New(1, line.MessageOverhead), peers: map[*nbio.Conn]*peer{},
 		strangers: list.New(), streams: map[model.ProxyID]*peer{}, collectors: map[int][]*peer{}}
 	var err error
 	s.mu.Lock() // whoever comes before the engine is known here waits
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -95,14 +95,14 @@
 }
 
 // start opens an address with two zones, two operations, twenty proxies and nine listed replicas, s-1 to s-9.
-func start(t *testing.T, change func(*Line)) *host {
+func start(t *testing.T, change func(*Config)) *host {
 	t.Helper()
 	h := &host{t: t, names: platformmsg.NewReplicaNames(), steps: make(chan func(), 100_000)}
 	for n := range 9 {
 		h.names.Listed(fmt.Sprint("s-", n+1))
 	}
-	line := Line{Listen: "127.0.0.1:0", Zones: []string{"govan", "partick"}, Operations: []string{"read", "log"}, LoadFields: []string{"busy", "cpu_share"},
-		Proxies: 20, Overhead: 6, Names: h.names, Now: controller.Clock(), Log: zerolog.Nop(),
+	line := Config{Listen: "127.0.0.1:0", Zones: []string{"govan", "partick"}, Operations: []string{"read", "log"}, LoadFields: []string{"busy", "cpu_share"},
+		Proxies: 20, MessageOverhead: 6, Names: h.names, Now: controller.Clock(), Log: zerolog.Nop(),
 		Limits: Limits{Connections: 100, Greeting: 20 * time.Second, Unsent: 64 << 10, Silence: 20 * time.Second, AskAgain: time.Minute}}
 	if change != nil {
 		change(&line)
@@ -391,7 +391,7 @@
 
 // Those who say nothing, or half a message, or only ask for a sign of life, are closed when their time to join has passed.
 func TestTheSilentAreClosed(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Greeting = 300 * time.Millisecond })
+	h := start(t, func(l *Config) { l.Limits.Greeting = 300 * time.Millisecond })
 	for _, bytes := range []string{"", "*3\r\n$4\r\njo", string(resp.AppendCommand(nil, "ping"))} {
 		c := dial(t, h)
 		c.raw(bytes)
@@ -409,7 +409,7 @@
 
 // A flood of silent strangers takes no place from proxies: the oldest of them make room.
 func TestAFloodLeavesRoom(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Connections = 10 })
+	h := start(t, func(l *Config) { l.Limits.Connections = 10 })
 	for range 50 {
 		dial(t, h)
 	}
@@ -451,7 +451,7 @@
 // at all, a stream ends for its silence, five times as late.
 func TestAVanishedProxyIsTakenAsLeft(t *testing.T) {
 	c := &clock{now: 1}
-	h := start(t, func(l *Line) {
+	h := start(t, func(l *Config) {
 		l.Limits.Greeting, l.Limits.Silence, l.Now = 100*time.Millisecond, 50*time.Millisecond, c.read
 	})
 	joined := func(id int) *client {
--- a/internal/pubsub/channel_test.go
+++ b/internal/pubsub/channel_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-func start(t *testing.T, change func(*Line)) *host {
+func start(t *testing.T, change func(*Config)) *host {
 	h := &host{t: t, came: make(chan struct{}, 1), began: time.Now()}
-	line := Line{Listen: "127.0.0.1:0", Life: 3, Zones: []string{"govan", "partick"}, Period: model.Second, Overhead: 6, Pace: 1e6,
+	line := Config{Listen: "127.0.0.1:0", Incarnation: 3, Zones: []string{"govan", "partick"}, ReportPeriod: model.Second, MessageOverhead: 6, Pace: 1e6,
 		Now: h.now, Log: zerolog.Nop()}
 	if change != nil {
 		change(&line)
@@ -218,7 +218,7 @@
 // A reconnect that lands between a snapshot and the first change starts from a snapshot of its own, and what was
 // queued for the old stream does not reach the new one.
 func TestReconnectBetweenSnapshotAndChange(t *testing.T) {
-	h := start(t, func(l *Line) { l.Pace = 60 }) // a message of 6 + 2 lines waits 130 ms
+	h := start(t, func(l *Config) { l.Pace = 60 }) // a message of 6 + 2 lines waits 130 ms
 	c, _ := join(t, h, "till")
 	h.publish(1, line(1, 1), snapshot.Update{Kind: snapshot.BindProxy, Proxy: 0, Table: 1})
 	c.conn.Close()
@@ -237,7 +237,7 @@
 }
 
 func TestAGapBringsASnapshot(t *testing.T) {
-	h := start(t, func(l *Line) { l.Now = func() model.Microseconds { return 5 * model.Second } })
+	h := start(t, func(l *Config) { l.Now = func() model.Microseconds { return 5 * model.Second } })
 	c, _ := join(t, h, "till")
 	h.publish(1, line(1, 1), snapshot.Update{Kind: snapshot.BindProxy, Proxy: 0, Table: 1})
 	bound := c.message()
@@ -255,7 +255,7 @@
 
 // One slow reader delays nobody, and gets what it missed as one snapshot.
 func TestASlowReaderFolds(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Unsent = 4096; l.Pace = 1e9 })
+	h := start(t, func(l *Config) { l.Limits.Unsent = 4096; l.Pace = 1e9 })
 	slow, _ := join(t, h, "slow")
 	quick, _ := join(t, h, "quick")
 	_ = slow.conn.(*net.TCPConn).SetReadBuffer(64 << 10)
@@ -299,7 +299,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var pic Picture
+	var pic Snapshot
 	if err := json.Unmarshal([]byte(first.Payload), &pic); err != nil || pic.Kind != "snapshot" || pic.Version != 1 || pic.Life != 3 ||
 		len(pic.Tables["1"]) != 1 || pic.Forwarders["till"] != "1" {
 		t.Fatalf("%s, %v", first.Payload, err)
@@ -322,7 +322,7 @@
 
 // What makes no sense ends that connection with one clear error and touches no other.
 func TestHostilePeers(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Greeting = time.Minute })
+	h := start(t, func(l *Config) { l.Limits.Greeting = time.Minute })
 	good, _ := join(t, h, "till")
 	hello := string(resp.AppendCommand(nil, "HELLO", "3"))
 	joined := hello + string(pubsubmsg.AppendJoin(nil, pubsubmsg.Join{Name: "other", Zone: "govan"}))
@@ -371,7 +371,7 @@
 
 // A thousand connections that say nothing are ended; a forwarder that joins meanwhile is served.
 func TestSilentConnections(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Greeting = 300 * time.Millisecond; l.Limits.Connections = 1000 })
+	h := start(t, func(l *Config) { l.Limits.Greeting = 300 * time.Millisecond; l.Limits.Connections = 1000 })
 	var silent []*client
 	for range 990 {
 		silent = append(silent, dial(t, h))
@@ -389,7 +389,7 @@
 }
 
 func TestTooManyConnections(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Connections = 2 })
+	h := start(t, func(l *Config) { l.Limits.Connections = 2 })
 	join(t, h, "a")
 	join(t, h, "b")
 	if v, _ := dial(t, h).next(); v.Kind != resp.Failure || !strings.Contains(v.Text, "too many connections") {
@@ -440,7 +440,7 @@
 	h := start(t, nil)
 	c, _ := join(t, h, "till")
 	done := make(chan struct{})
-	go func() { h.server.Farewell(2 * time.Second); close(done) }()
+	go func() { h.server.Shutdown(2 * time.Second); close(done) }()
 	if v, _ := c.next(); v.Kind != resp.Push || v.Items[0].Text != "elsewhere" {
 		t.Fatalf("at the end it is told %v", v)
 	}
@@ -459,7 +459,7 @@
 // all join; nobody is dropped without a time to come back, and nobody comes back as a storm.
 func TestAStormOfJoinsSettles(t *testing.T) {
 	const n, rate = 300, 150
-	h := start(t, func(l *Line) { l.Joins = admission.Bounds{Rate: rate, Burst: 30, Spread: 1, Seed: 3} })
+	h := start(t, func(l *Config) { l.Joins = admission.Limits{Rate: rate, Burst: 30, Jitter: 1, Seed: 3} })
 	engine, err := proxy.NewEngine()
 	if err != nil {
 		t.Fatal(err)
@@ -503,7 +503,7 @@
 // A string that is begun and never ended costs no more than what came of it, and its peer is ended with the greeting's
 // time; a forwarder that joins meanwhile is served.
 func TestAStringNeverEnded(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Greeting = 300 * time.Millisecond })
+	h := start(t, func(l *Config) { l.Limits.Greeting = 300 * time.Millisecond })
 	c := dial(t, h)
 	c.say([]byte("*2\r\n$1000000\r\nbegun"))
 	good, _ := join(t, h, "till")
@@ -519,7 +519,7 @@
 // A peer that sends more commands than it may is told when to come back, not dropped in silence, and nobody else notices; with the
 // bound raised in service the same flood passes.
 func TestAPeerThatAsksTooMuch(t *testing.T) {
-	h := start(t, func(l *Line) { l.Limits.Commands = admission.Rate{PerSecond: 10, Burst: 20} })
+	h := start(t, func(l *Config) { l.Limits.Commands = admission.Rate{PerSecond: 10, Burst: 20} })
 	calm := dial(t, h)
 	calm.say([]byte("*2\r\n$5\r\nHELLO\r\n$1\r\n3\r\n"))
 	if _, ok := calm.next(); !ok {
@@ -547,7 +547,7 @@
 	if v, ok := calm.next(); !ok || v.Text != "PONG" {
 		t.Fatalf("the calm one gets %v, %v", v, ok)
 	}
-	h.server.SetBounds(Limits{Commands: admission.Rate{PerSecond: 10, Burst: 200}}, admission.Bounds{})
+	h.server.SetLimits(Limits{Commands: admission.Rate{PerSecond: 10, Burst: 200}}, admission.Limits{})
 	c = dial(t, h)
 	c.say([]byte(flood))
 	for n := range 100 {
@@ -560,7 +560,7 @@
 // Many peers that do not read share the bound in all: what waits stays under it, and the one that reads misses nothing.
 func TestManySlowReadersShareTheBound(t *testing.T) {
 	const slow, all = 20, 64 << 10
-	h := start(t, func(l *Line) { l.Limits.Unsent, l.Pace = 4096, 1e9 }) // and as little in the kernel
+	h := start(t, func(l *Config) { l.Limits.Unsent, l.Pace = 4096, 1e9 }) // and as little in the kernel
 	reader, _ := join(t, h, "reads")
 	bind := []snapshot.Update{{Kind: snapshot.BindProxy, Proxy: 0, Table: 1}}
 	for n := range slow {
@@ -568,7 +568,7 @@
 		_ = c.conn.(*net.TCPConn).SetReadBuffer(4096)
 		bind = append(bind, snapshot.Update{Kind: snapshot.BindProxy, Proxy: model.ProxyID(n + 1), Table: 1})
 	}
-	h.server.SetBounds(Limits{Unsent: 1 << 20, UnsentAll: all}, admission.Bounds{})
+	h.server.SetLimits(Limits{Unsent: 1 << 20, UnsentAll: all}, admission.Limits{})
 	h.publish(-1, bind...)
 	var most int64
 	for n := 1; h.server.Stats().Folds < slow; n++ {
--- a/internal/pubsub/golden_test.go
+++ b/internal/pubsub/golden_test.go
@@ -34,7 +34,7 @@
 	published.Apply(batch)
 	server := &Server{board: published}
 	checkMessage(t, "change.json", server.step(batch), &Step{})
-	checkMessage(t, "snapshot.json", server.picture(), &Picture{})
+	checkMessage(t, "snapshot.json", server.picture(), &Snapshot{})
 }
 
 // checkMessage compares a message's JSON with a golden file, and what decoding that into empty gives with the message.
--- a/internal/pubsub/peer.go
+++ b/internal/pubsub/peer.go
@@ -183,8 +183,8 @@
 	}
 	epoch := uint64(0)
 	if s.line.Leases != nil {
-		p.join, p.part = j, s.line.Leases.Part(zone, j.Name)
-		held, ok := s.line.Leases.Holds(p.part)
+		p.join, p.part = j, s.line.Leases.Shard(zone, j.Name)
+		held, ok := s.line.Leases.IsLeaseHolder(p.part)
 		if !ok || held < j.Epoch {
 			s.moved(p)
 			s.mu.Unlock()
@@ -220,7 +220,7 @@
 	b := resp.AppendHead(nil, resp.Map, 4)
 	b = resp.AppendInt(resp.AppendBulk(b, "life"), int64(s.board.Incarnation))
 	b = resp.AppendInt(resp.AppendBulk(b, "version"), int64(s.board.Version))
-	b = resp.AppendInt(resp.AppendBulk(b, "period"), int64(s.line.Period))
+	b = resp.AppendInt(resp.AppendBulk(b, "period"), int64(s.line.ReportPeriod))
 	b = resp.AppendInt(resp.AppendBulk(b, "epoch"), int64(epoch))
 	s.write(p, b)
 	s.mu.Unlock()
@@ -241,7 +241,7 @@
 	if err == nil {
 		err = p.joined()
 	}
-	if err == nil && a.Incarnation == p.server.line.Life && a.Sequence >= 0 && a.Sequence < 65536 {
+	if err == nil && a.Incarnation == p.server.line.Incarnation && a.Sequence >= 0 && a.Sequence < 65536 {
 		p.server.events.Acknowledged(p.proxy, p.stream, uint32(a.Sequence))
 	}
 	return err
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -38,15 +38,15 @@
 	Commands    admission.Rate // that one peer may send; beyond it is told when to come back
 }
 
-// Ordinary bounds suit some thousand forwarders: 64 KiB is a table of 2,000 lines.
+// DefaultLimits bounds suit some thousand forwarders: 64 KiB is a table of 2,000 lines.
 // All together may let a quarter of a gigabyte wait; a forwarder sends a report a period and a receipt a message, so that 200
 // commands a second are twenty times what it needs.
-var Ordinary = Limits{Connections: 8192, Observers: 256, Unsent: 64 << 10, UnsentAll: 256 << 20, Greeting: 5 * time.Second,
+var DefaultLimits = Limits{Connections: 8192, Observers: 256, Unsent: 64 << 10, UnsentAll: 256 << 20, Greeting: 5 * time.Second,
 	Commands: admission.Rate{PerSecond: 200, Burst: 2000}}
 
 // filled puts the values of Ordinary where there are none.
 func (l Limits) filled() Limits {
-	o := Ordinary
+	o := DefaultLimits
 	for _, f := range []struct{ to, from *int }{{&l.Connections, &o.Connections}, {&l.Observers, &o.Observers}, {&l.Unsent, &o.Unsent}, {&l.UnsentAll, &o.UnsentAll}} {
 		if *f.to <= 0 {
 			*f.to = *f.from
@@ -65,27 +65,27 @@
 	return admission.Budget{PerPeer: int64(l.Unsent), InAll: int64(l.UnsentAll)}
 }
 
-// Line tells a server about itself.
-type Line struct {
-	Listen   string // host:port
-	Life     uint64
-	Zones    []string
-	Period   model.Microseconds // in which forwarders gather their sums
-	Overhead int                // lines that a message costs beyond its own
-	Pace     float64            // lines a second
-	Limits   Limits
-	Joins    admission.Bounds // how many may join; zero: all
-	Leases   Leases           // nil: this governor may order whoever joins
-	Now      func() model.Microseconds
-	Log      zerolog.Logger
+// Config tells a server about itself.
+type Config struct {
+	Listen          string // host:port
+	Incarnation     uint64
+	Zones           []string
+	ReportPeriod    model.Microseconds // in which forwarders gather their sums
+	MessageOverhead int                // lines that a message costs beyond its own
+	Pace            float64            // lines a second
+	Limits          Limits
+	Joins           admission.Limits // how many may join; zero: all
+	Leases          Leases           // nil: this governor may order whoever joins
+	Now             func() model.Microseconds
+	Log             zerolog.Logger
 }
 
 // Leases says which forwarders a governor may order, where governors share the fleet out in parts. It is asked for each message as it
 // leaves, under the server's lock: it must not call back.
 type Leases interface {
-	Part(zone int, name string) int         // of a forwarder
-	Holds(part int) (epoch uint64, ok bool) // now
-	Holder(part int) (channel string)       // address of who should hold it; "": this one, or not known
+	Shard(zone int, name string) int                // of a forwarder
+	IsLeaseHolder(part int) (epoch uint64, ok bool) // now
+	Holder(part int) (channel string)               // address of who should hold it; "": this one, or not known
 }
 
 // Stats are figures since the start, and of now.
@@ -114,7 +114,7 @@
 
 // Server is a governor's channel. Make it with Listen.
 type Server struct {
-	line   Line
+	line   Config
 	events Events
 	engine *netpoll.Engine
 	wake   chan struct{}
@@ -122,7 +122,7 @@
 	wait   sync.WaitGroup
 
 	mu        sync.Mutex
-	gate      *admission.Gate
+	gate      *admission.Controller
 	board     *snapshot.State
 	pacer     pacer
 	peers     map[*nbio.Conn]*peer
@@ -139,10 +139,10 @@
 }
 
 // Listen opens the socket and serves until Close. Errors are those of the address.
-func Listen(line Line, events Events) (*Server, error) {
+func Listen(line Config, events Events) (*Server, error) {
 	line.Limits = line.Limits.filled()
 	s := &Server{line: line, events: events, wake: make(chan struct{}, 1), done: make(chan struct{}),
-		gate: admission.New(line.Joins, line.Now()), board: snapshot.New(line.Life, line.Overhead), pacer: pacer{perSecond: line.Pace},
+		gate: admission.New(line.Joins, line.Now()), board: snapshot.New(line.Incarnation, line.MessageOverhead), pacer: pacer{perSecond: line.Pace},
 		peers: map[*nbio.Conn]*peer{}, streams: map[model.ProxyID]*peer{}, numbers: map[string]model.ProxyID{},
 		folded: map[*peer]bool{}, strays: map[string]*stray{}}
 	var err error
@@ -187,10 +187,10 @@
 // (measure restart), a start with a full journal takes 0.15 s.
 const backIn = 200 * time.Millisecond
 
-// Farewell tells forwarders to go elsewhere, in parts over the span, and waits for it to pass or for all to have
+// Shutdown tells forwarders to go elsewhere, in parts over the span, and waits for it to pass or for all to have
 // gone. From its beginning nobody joins any more: who tries is told when this address may answer again. A forwarder that has no
 // other governor may stay to the end. It leaves the sockets open.
-func (s *Server) Farewell(span time.Duration) {
+func (s *Server) Shutdown(span time.Duration) {
 	const parts = 10
 	s.mu.Lock()
 	s.leaving = time.Now().Add(span)
@@ -221,13 +221,13 @@
 	return int64((max(0, time.Until(s.leaving)) + backIn) / time.Millisecond)
 }
 
-// SetBounds changes what peers may cost while the channel is in use; zero limits take the values of Ordinary. Peers that are
+// SetLimits changes what peers may cost while the channel is in use; zero limits take the values of Ordinary. Peers that are
 // here stay, also beyond a smaller number.
-func (s *Server) SetBounds(l Limits, joins admission.Bounds) {
+func (s *Server) SetLimits(l Limits, joins admission.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.line.Limits = l.filled()
-	s.gate.SetBounds(joins, s.line.Now())
+	s.gate.SetLimits(joins, s.line.Now())
 }
 
 // AdmitProxy starts a joined forwarder's stream: it is sent its snapshot, and concerned by what is published from
@@ -268,7 +268,7 @@
 	defer s.mu.Unlock()
 	st := s.stats
 	st.Forwarders, st.Observers, st.Connections = len(s.board.Subscribers), s.observers, len(s.peers)
-	st.Deferred, st.Shed, st.Storms = s.gate.Stats.Deferred, s.gate.Stats.Shed, s.gate.Stats.Storms
+	st.Deferred, st.Shed, st.Storms = s.gate.Stats.Deferred, s.gate.Stats.Rejected, s.gate.Stats.Storms
 	st.Unsent = s.unsent.Load()
 	st.Version, st.Queue, st.QueueMost = s.board.Version, s.pacer.lines, s.pacer.most
 	return st
@@ -327,7 +327,7 @@
 		return
 	}
 	if s.line.Leases != nil {
-		epoch, ok := s.line.Leases.Holds(p.part)
+		epoch, ok := s.line.Leases.IsLeaseHolder(p.part)
 		if !ok {
 			s.moved(p)
 			return
@@ -378,8 +378,8 @@
 	}
 }
 
-// Strays counts the forwarders that went on asking here for at least so long, though they were told where to join, by part.
-func (s *Server) Strays(since model.Microseconds) map[int]int {
+// MisroutedProxies counts the forwarders that went on asking here for at least so long, though they were told where to join, by part.
+func (s *Server) MisroutedProxies(since model.Microseconds) map[int]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, counts := s.line.Now(), map[int]int{}
@@ -393,8 +393,8 @@
 	return counts
 }
 
-// Lost ends the streams of a part that this governor holds no longer. When it returns no message for the part is under way.
-func (s *Server) Lost(part int) {
+// LeaseLost ends the streams of a part that this governor holds no longer. When it returns no message for the part is under way.
+func (s *Server) LeaseLost(part int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.streams {
@@ -436,8 +436,8 @@
 	_, _ = p.conn.Write(b) // a broken one is told by OnClose
 }
 
-// Picture is the whole published state, as observers get it.
-type Picture struct {
+// Snapshot is the whole published state, as observers get it.
+type Snapshot struct {
 	Kind       string               `json:"kind"` // snapshot
 	Life       uint64               `json:"life"`
 	Version    uint64               `json:"version"`
@@ -460,16 +460,16 @@
 	Way        uint8   `json:"way"`
 }
 
-// Picture is what stands published.
-func (s *Server) Picture() Picture {
+// Snapshot is what stands published.
+func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.picture()
 }
 
-func (s *Server) picture() Picture {
+func (s *Server) picture() Snapshot {
 	b := s.board
-	pic := Picture{Kind: "snapshot", Life: b.Incarnation, Version: b.Version, Tables: map[string][]LineOut{},
+	pic := Snapshot{Kind: "snapshot", Life: b.Incarnation, Version: b.Version, Tables: map[string][]LineOut{},
 		Forwarders: map[string]string{}, Withdrawn: []string{}, Levels: []LevelOut{}}
 	for id, t := range b.Tables {
 		lines := make([]LineOut, 0, len(t.Entries))
@@ -670,6 +670,6 @@
 	stream   uint64               // 0: not joined
 	holder   *snapshot.Subscriber // nil until admitted
 	sums     uint64               // number of the newest report
-	meter    admission.Meter
+	meter    admission.TokenBucket
 	resyncAt model.Microseconds
 }
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -31,7 +31,7 @@
 	if len(os.Args) == 4 && os.Args[1] == "governor" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
-		g, err := config.OpenGovernor(os.Args[3])
+		g, err := config.LoadServer(os.Args[3])
 		if err == nil {
 			err = server.Serve(ctx, g, server.Outside{}, zerolog.New(os.Stdout).With().Timestamp().Logger())
 		}
--- a/internal/scenario/rogue.go
+++ b/internal/scenario/rogue.go
@@ -29,8 +29,8 @@
 	name    string
 	loop    *standin.Loop
 	server  *pubsub.Server
-	list    *discovery.Consul
-	line    pubsub.Line
+	list    *discovery.ConsulClient
+	line    pubsub.Config
 	streams map[model.ProxyID]bool
 	ready   map[model.ReplicaID]model.Endpoint
 	receipt int
@@ -42,13 +42,13 @@
 func newRogue(d *play) (*rogue, error) {
 	r := &rogue{kind: d.Rogue, name: "rogue", loop: d.loop, streams: map[model.ProxyID]bool{}, ready: map[model.ReplicaID]model.Endpoint{}, began: d.now()}
 	var err error
-	r.line = pubsub.Line{Listen: fmt.Sprintf("127.%d.254.1:7700", d.octet), Life: 1, Zones: d.Zones, Period: d.Terms.ReportPeriod,
-		Overhead: d.Terms.MessageOverhead, Pace: 1e6, Now: d.now, Log: zerolog.Nop()}
+	r.line = pubsub.Config{Listen: fmt.Sprintf("127.%d.254.1:7700", d.octet), Incarnation: 1, Zones: d.Zones, ReportPeriod: d.Terms.ReportPeriod,
+		MessageOverhead: d.Terms.MessageOverhead, Pace: 1e6, Now: d.now, Log: zerolog.Nop()}
 	if r.server, err = pubsub.Listen(r.line, r); err != nil {
 		return nil, err
 	}
-	r.list, err = discovery.NewConsul(discovery.Query{Address: d.list.Addr(), Service: serviceName, Caller: "peppervale/" + r.name, Zones: d.Zones,
-		Wait: (5 * model.Second).Duration(), Slack: (2 * model.Second).Duration(), Log: zerolog.Nop()}, r)
+	r.list, err = discovery.NewConsulClient(discovery.ConsulConfig{Address: d.list.Addr(), Service: serviceName, UserAgent: "peppervale/" + r.name, Zones: d.Zones,
+		Wait: (5 * model.Second).Duration(), Timeout: (2 * model.Second).Duration(), Log: zerolog.Nop()}, r)
 	if err != nil {
 		r.server.Close()
 		return nil, err
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -223,7 +223,7 @@
 		if err := os.WriteFile(p.config, text, 0o644); err != nil {
 			return err
 		}
-		if _, err := config.OpenGovernor(p.config); err != nil {
+		if _, err := config.LoadServer(p.config); err != nil {
 			return fmt.Errorf("the day's governors cannot be started:\n%w", err)
 		}
 		d.governors = append(d.governors, p)
--- a/internal/server/archive.go
+++ b/internal/server/archive.go
@@ -13,13 +13,13 @@
 // archive keeps on disk what the host says and answers from it what is no longer in memory.
 type archive struct {
 	host   *controller.Controller
-	folder *statestore.Folder
+	folder *statestore.Store
 	writer *statestore.Writer
 	life   uint64
 	log    zerolog.Logger
 }
 
-func newArchive(host *controller.Controller, folder *statestore.Folder, life uint64, log zerolog.Logger) *archive {
+func newArchive(host *controller.Controller, folder *statestore.Store, life uint64, log zerolog.Logger) *archive {
 	a := &archive{host: host, folder: folder, life: life, log: log}
 	a.writer = statestore.NewWriter(folder, func(err error, leftOut uint64) {
 		if err != nil {
@@ -34,7 +34,7 @@
 
 func (a *archive) keep(c *controller.Decision) {
 	if body, err := json.Marshal(c); err == nil {
-		a.writer.Cause(statestore.Record{Life: a.life, Number: c.Number, Body: body})
+		a.writer.AddDecision(statestore.Record{Incarnation: a.life, Number: c.Number, Body: body})
 	}
 }
 
@@ -42,7 +42,7 @@
 func (a *archive) EndpointsChanged(scope model.EndpointUpdate, entries []model.Endpoint) {
 	a.host.EndpointsChanged(scope, entries)
 	if scope == model.FullList {
-		a.writer.List(entries)
+		a.writer.SetEndpoints(entries)
 	}
 }
 
@@ -53,13 +53,13 @@
 	if len(found) >= most {
 		return found
 	}
-	_, err := a.folder.Causes(a.life, oldest, most-len(found), func(r statestore.Record) bool {
+	_, err := a.folder.Decisions(a.life, oldest, most-len(found), func(r statestore.Record) bool {
 		var one controller.Decision
 		if json.Unmarshal(r.Body, &one) != nil || match != nil && !match(&one) {
 			return false
 		}
-		if r.Life != a.life {
-			one.Incarnation = r.Life
+		if r.Incarnation != a.life {
+			one.Incarnation = r.Incarnation
 		}
 		found = append(found, one)
 		return true
--- a/internal/server/daemon_test.go
+++ b/internal/server/daemon_test.go
@@ -153,7 +153,7 @@
 func (h *house) serve() {
 	h.t.Helper()
 	path := h.write(h.file(""))
-	g, err := config.OpenGovernor(path)
+	g, err := config.LoadServer(path)
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel, h.ended, h.reload = cancel, make(chan error, 1), make(chan struct{})
 	go func() {
-		h.ended <- Serve(ctx, g, Outside{Reload: h.reload, Threshold: threshold, Read: func() (*config.Governor, error) { return config.OpenGovernor(path) }}, log)
+		h.ended <- Serve(ctx, g, Outside{Reload: h.reload, Threshold: threshold, Read: func() (*config.Server, error) { return config.LoadServer(path) }}, log)
 	}()
 	h.t.Cleanup(h.end)
 }
@@ -286,7 +286,7 @@
 	h := build(t, 0)
 	h.serve()
 	h.told(`"serving"`)
-	g, err := config.OpenGovernor(filepath.Join(h.dir, "governor.hcl"))
+	g, err := config.LoadServer(filepath.Join(h.dir, "governor.hcl"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -47,21 +47,21 @@
 }
 
 // fixturePicture is the published state of the fixture.
-var fixturePicture = pubsub.Picture{Kind: "snapshot", Life: 2, Version: 34,
+var fixturePicture = pubsub.Snapshot{Kind: "snapshot", Life: 2, Version: 34,
 	Tables:     map[string][]pubsub.LineOut{"5": {{Replica: "10.1.2.3:8081", Weight: 0.25}, {Replica: "10.4.5.6:8082", Weight: 0.75}}},
 	Withdrawn:  []string{"10.7.8.9:8083"},
 	Levels:     []pubsub.LevelOut{{Operations: 3, Share: 0.5, Way: 2}},
 	Forwarders: map[string]string{"till-1": "5"}}
 
 // openArchive opens a state folder as Serve does.
-func openArchive(t *testing.T, dir string) (*archive, *statestore.Found) {
+func openArchive(t *testing.T, dir string) (*archive, *statestore.Recovered) {
 	t.Helper()
 	folder, found, err := statestore.Open(dir, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	host := controller.New(model.Config{Operations: []model.Operation{{LatencyObjective: 1, PriorityWeight: 1}}, Zones: 4, ReportPeriod: model.Second, QueueLimit: 1}, 1, controller.Clock(), zerolog.Nop())
-	a := newArchive(host, folder, found.Life, zerolog.Nop())
+	a := newArchive(host, folder, found.Incarnation, zerolog.Nop())
 	t.Cleanup(func() {
 		a.writer.Close()
 		folder.Close()
@@ -75,8 +75,8 @@
 	for life := uint64(1); life <= 2; life++ {
 		t.Run(fmt.Sprint("life ", life), func(t *testing.T) {
 			a, found := openArchive(t, dir)
-			if found.Life != life {
-				t.Fatalf("life %d, want %d", found.Life, life)
+			if found.Incarnation != life {
+				t.Fatalf("life %d, want %d", found.Incarnation, life)
 			}
 			a.EndpointsChanged(model.FullList, fixtureListing)
 			for _, cause := range fixtureCauses[life] {
@@ -86,7 +86,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a.writer.Published(body)
+			a.writer.SetPublished(body)
 		})
 	}
 	copyFile(t, filepath.Join(dir, "state.db"), stateFixture)
@@ -123,13 +123,13 @@
 	dir := t.TempDir()
 	copyFile(t, stateFixture, filepath.Join(dir, "state.db"))
 	a, found := openArchive(t, dir)
-	if found.Life != 3 || found.Before != 2 || found.Fresh || found.Older != 0 || len(found.Lost) > 0 {
+	if found.Incarnation != 3 || found.PreviousIncarnation != 2 || found.Empty || found.MigratedFrom != 0 || len(found.Damage) > 0 {
 		t.Errorf("found %+v", found)
 	}
-	if !reflect.DeepEqual(found.List, fixtureListing) {
-		t.Errorf("endpoint list %+v; want %+v", found.List, fixtureListing)
+	if !reflect.DeepEqual(found.Endpoints, fixtureListing) {
+		t.Errorf("endpoint list %+v; want %+v", found.Endpoints, fixtureListing)
 	}
-	var picture pubsub.Picture
+	var picture pubsub.Snapshot
 	if err := json.Unmarshal(found.Published, &picture); err != nil || !reflect.DeepEqual(picture, fixturePicture) {
 		t.Errorf("published state %+v, %v; want %+v", picture, err, fixturePicture)
 	}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -38,7 +38,7 @@
 // ServePlatform runs one governor on the operators' platform until the context ends. It has no state folder, console or group: there
 // is no disk that outlives it, and no room for them in its limits. Errors are those of the address.
 func ServePlatform(ctx context.Context, p *config.Platform, out PlatformOutside, log zerolog.Logger) error {
-	if err := controller.Check(p.Terms); err != nil {
+	if err := controller.Check(p.Balancer); err != nil {
 		return err
 	}
 	// The limit counts the whole process; a third is left for what Go's own limit does not see: stacks of the kernel, the text.
@@ -46,32 +46,32 @@
 	debug.SetGCPercent(50)
 	runtime.GOMAXPROCS(min(runtime.NumCPU(), 4)) // two pollers, an acceptor, the host: more only adds idle stacks
 	now := controller.Clock()
-	host := controller.New(p.Terms, intakeMost, now, log)
+	host := controller.New(p.Balancer, intakeMost, now, log)
 	host.DisableDecisionLog()
 	names := platformmsg.NewReplicaNames()
-	list, err := discovery.NewWatch(discovery.Discovery{Address: p.Discovery, Zones: p.Zones, Names: names, Known: p.Known,
-		Seed: p.Terms.Seed, Log: log}, host)
+	list, err := discovery.NewWatcher(discovery.WatchConfig{Address: p.Discovery, Zones: p.Zones, Names: names, Known: p.Known,
+		Seed: p.Balancer.Seed, Log: log}, host)
 	if err != nil {
 		return err
 	}
 	defer list.Close()
 	// Proxies speak each report period; three without a word, and the way of a message, are silence. A segment that is lost comes again
 	// after a second, and after two more (RFC 6298): no less than that, however short the period.
-	silence := (max(3*p.Terms.ReportPeriod, 3*model.Second) + p.Carries).Duration()
+	silence := (max(3*p.Balancer.ReportPeriod, 3*model.Second) + p.MaxDeliveryDelay).Duration()
 	// An answer that is three times as late is lost, not slow; and one more message a span is what the module leaves free.
-	server, err := listen(ctx, platform.Line{Listen: p.Listen, Zones: p.Zones, Operations: p.Operations, LoadFields: p.LoadFields,
-		Proxies: p.Terms.ProxyCount, Overhead: p.Terms.MessageOverhead, Names: names, Now: now, Log: log, Limits: platform.Limits{
+	server, err := listen(ctx, platform.Config{Listen: p.Listen, Zones: p.Zones, Operations: p.Operations, LoadFields: p.LoadFields,
+		Proxies: p.Balancer.ProxyCount, MessageOverhead: p.Balancer.MessageOverhead, Names: names, Now: now, Log: log, Limits: platform.Limits{
 			Connections: p.Sockets - ownDescriptors, Greeting: greeting, Unsent: unsentMost, Silence: silence,
-			AskAgain: max(3*silence, p.Terms.MessageWindow.Duration())}}, host)
+			AskAgain: max(3*silence, p.Balancer.MessageWindow.Duration())}}, host)
 	if err != nil || server == nil { // nil: ended while the address was waited for
 		return err
 	}
 	defer server.Close()
-	known := list.Entries()
+	known := list.Endpoints()
 	log.Info().Str("governor", p.Name).Str("listen", server.Addr()).Int("known", len(known)).Int64("memory_mb", p.Memory>>20).Int("sockets", p.Sockets).Msg("serving")
 	go host.Run(server, list, known)
 	defer host.Stop()
-	if !p.Terms.SubscriptionRequired {
+	if !p.Balancer.SubscriptionRequired {
 		list.Subscribe() // the module does not ask where the platform tells unasked; here nobody tells
 	}
 	tell := time.NewTicker(tellEvery)
@@ -87,7 +87,7 @@
 				continue
 			}
 			log.Info().Str("discovery", fresh.Discovery).Msg("reload")
-			list.Move(fresh.Discovery)
+			list.SetAddress(fresh.Discovery)
 		case <-ctx.Done():
 			log.Info().Msg("ending")
 			tellPlatform(log, host, server)
@@ -103,7 +103,7 @@
 	bindMost  = 20 * time.Second
 )
 
-func listen(ctx context.Context, line platform.Line, host *controller.Controller) (*platform.Server, error) {
+func listen(ctx context.Context, line platform.Config, host *controller.Controller) (*platform.Server, error) {
 	for late := time.Now().Add(bindMost); ; {
 		server, err := platform.Listen(line, host)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(late) {
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -183,14 +183,14 @@
 
 // serve starts the governor.
 func (y *yard) serve() {
-	p, err := config.OpenPlatform(y.file)
+	p, err := config.LoadPlatform(y.file)
 	if err != nil {
 		y.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	y.cancel = cancel
 	go func() {
-		y.ended <- ServePlatform(ctx, p, PlatformOutside{Reload: y.reload, Read: func() (*config.Platform, error) { return config.OpenPlatform(y.file) }}, zerolog.Nop())
+		y.ended <- ServePlatform(ctx, p, PlatformOutside{Reload: y.reload, Read: func() (*config.Platform, error) { return config.LoadPlatform(y.file) }}, zerolog.Nop())
 	}()
 	for late := time.Now().Add(20 * time.Second); ; {
 		conn, err := net.Dial("tcp", y.listen)
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -14,10 +14,10 @@
 // inForce is the file that holds now; it is replaced as a whole.
 type inForce struct {
 	mu   sync.Mutex
-	file *config.Governor
+	file *config.Server
 }
 
-func (f *inForce) get() *config.Governor {
+func (f *inForce) get() *config.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.file
@@ -27,7 +27,7 @@
 func (f *inForce) Settings() [][2]string { return f.get().InForce() }
 
 // reload reads the file again and takes it if a running governor can; a refusal is told and changes nothing.
-func (f *inForce) reload(read func() (*config.Governor, error), host *controller.Controller, server *pubsub.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
+func (f *inForce) reload(read func() (*config.Server, error), host *controller.Controller, server *pubsub.Server, seed uint64, threshold *Threshold, log zerolog.Logger) {
 	next, err := read()
 	if err != nil {
 		log.Error().Err(err).Msg("reload refused: the file cannot be read; the old settings stay in force")
@@ -38,8 +38,8 @@
 		log.Error().Err(err).Msg("reload refused")
 		return
 	}
-	host.SetReportLimit(next.Intake)
-	server.SetBounds(limits(next), joins(next, seed))
+	host.SetReportLimit(next.ReportLimit)
+	server.SetLimits(limits(next), joins(next, seed))
 	if threshold != nil {
 		_ = threshold.Set(next.LogLevel) // its name was checked as the file was read
 	}
@@ -49,12 +49,12 @@
 	log.Info().Strs("changed", changed).Msg("reloaded")
 }
 
-func limits(g *config.Governor) pubsub.Limits {
-	p := g.Peers
+func limits(g *config.Server) pubsub.Limits {
+	p := g.Limits
 	return pubsub.Limits{Connections: p.Connections, Observers: p.Observers, Unsent: p.Unsent, UnsentAll: p.UnsentAll, Greeting: p.Greeting,
 		Commands: admission.Rate{PerSecond: p.CommandRate, Burst: p.CommandBurst}}
 }
 
-func joins(g *config.Governor, seed uint64) admission.Bounds {
-	return admission.Bounds{Rate: g.Peers.JoinRate, Burst: g.Peers.JoinBurst, Most: g.Peers.JoinMost, Spread: 1, Seed: seed}
+func joins(g *config.Server, seed uint64) admission.Limits {
+	return admission.Limits{Rate: g.Limits.JoinRate, Burst: g.Limits.JoinBurst, MaxProxies: g.Limits.JoinMost, Jitter: 1, Seed: seed}
 }
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -20,10 +20,10 @@
 
 // Outside is what a governor is handed of the process that it runs in. All of it may be missing.
 type Outside struct {
-	Reload    <-chan struct{}                  // asks that the file is read again
-	Read      func() (*config.Governor, error) // reads it
-	Threshold *Threshold                       // of the log
-	Links     cluster.Links                    // between members of its group; tests cut them
+	Reload    <-chan struct{}                // asks that the file is read again
+	Read      func() (*config.Server, error) // reads it
+	Threshold *Threshold                     // of the log
+	Links     cluster.Links                  // between members of its group; tests cut them
 }
 
 // publishedEvery is how often what stands published is put down, if it changed: the console of a successor shows it until it has
@@ -32,8 +32,8 @@
 
 // Serve runs one governor until the context ends; then forwarders are told to go elsewhere within the file's
 // farewell, and nothing is left open. Errors are those of starting: the state folder, the address.
-func Serve(ctx context.Context, g *config.Governor, out Outside, log zerolog.Logger) error {
-	if err := controller.Check(g.Terms); err != nil {
+func Serve(ctx context.Context, g *config.Server, out Outside, log zerolog.Logger) error {
+	if err := controller.Check(g.Balancer); err != nil {
 		return err
 	}
 	now := controller.Clock()
@@ -43,43 +43,43 @@
 	}
 	defer folder.Close()
 	tellFound(log, found)
-	terms := g.Terms
-	terms.Seed += found.Life << 32 // a fresh one at each start, the same for the same start
-	host := controller.New(terms, g.Intake, now, log)
-	kept := newArchive(host, folder, found.Life, log)
+	terms := g.Balancer
+	terms.Seed += found.Incarnation << 32 // a fresh one at each start, the same for the same start
+	host := controller.New(terms, g.ReportLimit, now, log)
+	kept := newArchive(host, folder, found.Incarnation, log)
 	defer kept.writer.Close()
 	var shared *sharing
 	var leases pubsub.Leases
-	if g.Group != nil {
+	if g.Cluster != nil {
 		shared = newSharing(g)
 		leases = shared
 	}
-	server, err := pubsub.Listen(pubsub.Line{Listen: g.Listen, Leases: leases, Life: found.Life, Zones: g.Zones, Period: terms.ReportPeriod,
-		Overhead: terms.MessageOverhead, Pace: g.Pace, Now: now, Joins: joins(g, terms.Seed), Log: log, Limits: limits(g)}, host)
+	server, err := pubsub.Listen(pubsub.Config{Listen: g.Listen, Leases: leases, Incarnation: found.Incarnation, Zones: g.Zones, ReportPeriod: terms.ReportPeriod,
+		MessageOverhead: terms.MessageOverhead, Pace: g.Pace, Now: now, Joins: joins(g, terms.Seed), Log: log, Limits: limits(g)}, host)
 	if err != nil {
 		return fmt.Errorf("%w; another process may have the address", err)
 	}
 	defer server.Close()
-	list, err := discovery.NewConsul(discovery.Query{Address: g.List.Address, Service: g.List.Service, Zones: g.Zones,
-		Caller: "peppervale/" + g.Name, Wait: g.List.Wait, Slack: g.List.Slack, Log: log}, kept)
+	list, err := discovery.NewConsulClient(discovery.ConsulConfig{Address: g.Discovery.Address, Service: g.Discovery.Service, Zones: g.Zones,
+		UserAgent: "peppervale/" + g.Name, Wait: g.Discovery.Wait, Timeout: g.Discovery.Timeout, Log: log}, kept)
 	if err != nil {
 		return err
 	}
 	defer list.Close()
-	log.Info().Str("governor", g.Name).Str("listen", server.Addr()).Uint64("life", found.Life).Int("listed", len(found.List)).Msg("serving")
+	log.Info().Str("governor", g.Name).Str("listen", server.Addr()).Uint64("life", found.Incarnation).Int("listed", len(found.Endpoints)).Msg("serving")
 	if shared == nil {
-		go host.Run(server, list, found.List)
+		go host.Run(server, list, found.Endpoints)
 	} else {
 		shared.host = host
-		shared.begin = func() { go host.Run(server, list, found.List) }
-		if err := shared.open(g, found.Life, server, now, out.Links, log); err != nil {
+		shared.begin = func() { go host.Run(server, list, found.Endpoints) }
+		if err := shared.open(g, found.Incarnation, server, now, out.Links, log); err != nil {
 			return err
 		}
 		defer shared.close()
 	}
 	file := &inForce{file: g}
 	if g.Console != "" {
-		about := console.Instance{Name: g.Name, Incarnation: found.Life, Zones: g.Zones, Settings: file.Settings, QueueLimit: terms.QueueLimit, Now: now,
+		about := console.Instance{Name: g.Name, Incarnation: found.Incarnation, Zones: g.Zones, Settings: file.Settings, QueueLimit: terms.QueueLimit, Now: now,
 			PreviousSnapshot: found.Published}
 		for _, o := range g.Operations {
 			about.Operations = append(about.Operations, o.Name)
@@ -110,8 +110,8 @@
 		case <-ctx.Done():
 			log.Info().Msg("ending: forwarders are told to go elsewhere")
 			kept.published(server, down)
-			shared.giveAway(file.get().FarewellSpan)
-			server.Farewell(file.get().FarewellSpan)
+			shared.giveAway(file.get().ShutdownGracePeriod)
+			server.Shutdown(file.get().ShutdownGracePeriod)
 			shared.stop(host)
 			report(log, host, server)
 			return nil
@@ -133,15 +133,15 @@
 	return d.archive.Causes(most, match)
 }
 
-func tellFound(log zerolog.Logger, f *statestore.Found) {
-	for _, lost := range f.Lost {
+func tellFound(log zerolog.Logger, f *statestore.Recovered) {
+	for _, lost := range f.Damage {
 		log.Warn().Err(lost).Msg("of the state this cannot be trusted; going on with the rest")
 	}
-	if f.Older > 0 {
-		log.Info().Int("form", f.Older).Msg("an older form of the state was carried over")
+	if f.MigratedFrom > 0 {
+		log.Info().Int("form", f.MigratedFrom).Msg("an older form of the state was carried over")
 	}
-	if f.Before == 0 && !f.Fresh {
-		log.Warn().Uint64("life", f.Life).Msg("the life's number was lost; going on above the journal's and the clock's")
+	if f.PreviousIncarnation == 0 && !f.Empty {
+		log.Warn().Uint64("life", f.Incarnation).Msg("the life's number was lost; going on above the journal's and the clock's")
 	}
 }
 
@@ -151,9 +151,9 @@
 	if version == down {
 		return down
 	}
-	picture := server.Picture()
+	picture := server.Snapshot()
 	if body, err := json.Marshal(picture); err == nil {
-		a.writer.Published(body)
+		a.writer.SetPublished(body)
 	}
 	return picture.Version
 }
--- a/internal/server/share.go
+++ b/internal/server/share.go
@@ -23,7 +23,7 @@
 // a governor that stood by. A nil sharing is a governor alone.
 type sharing struct {
 	terms  cluster.Settings
-	group  atomic.Pointer[cluster.Group] // nil until it is open: nothing is held before
+	group  atomic.Pointer[cluster.Cluster] // nil until it is open: nothing is held before
 	done   chan struct{}
 	wait   sync.WaitGroup
 	server *pubsub.Server
@@ -34,21 +34,21 @@
 	handed []model.LoadReport // to a governor that has not begun; its module hears them once it has a list
 }
 
-func newSharing(g *config.Governor) *sharing {
-	of := g.Group
-	return &sharing{done: make(chan struct{}), terms: cluster.Settings{Lease: lease.Terms{Span: of.Span, Drift: of.Drift},
-		Placement: placement.Terms{Settle: of.Settle, Pace: of.Pace}, Zones: g.Zones, ShardsPerZone: of.Parts}}
+func newSharing(g *config.Server) *sharing {
+	of := g.Cluster
+	return &sharing{done: make(chan struct{}), terms: cluster.Settings{Lease: lease.Config{Duration: of.LeaseDuration, MaxClockDrift: of.MaxClockDrift},
+		Placement: placement.Config{StabilizationPeriod: of.StabilizationPeriod, MoveInterval: of.MoveInterval}, Zones: g.Zones, ShardsPerZone: of.ShardsPerZone}}
 }
 
 // holderLife is the life that a group knows a process by: the folder's, which grows with each start, and chance, as two processes that
 // were given one name and a folder each begin with the same number there.
 func holderLife(life uint64) uint64 { return life<<20 | rand.Uint64N(1<<20) }
 
-func (s *sharing) open(g *config.Governor, life uint64, server *pubsub.Server, now func() model.Microseconds, links cluster.Links, log zerolog.Logger) (err error) {
+func (s *sharing) open(g *config.Server, life uint64, server *pubsub.Server, now func() model.Microseconds, links cluster.Links, log zerolog.Logger) (err error) {
 	s.server = server
-	of := g.Group
-	line := cluster.Line{Name: g.Name, Zone: of.Zone, Channel: server.Addr(), Listen: of.Listen, Gossip: of.Gossip, Folder: filepath.Join(g.State, "group"),
-		Life: holderLife(life), Join: of.Join, Capacity: of.Limit, Loads: server.Loads, MisroutedProxies: func() map[int]int { return server.Strays(of.Span / 2) }, Handover: cluster.HandoverHooks{Export: s.give, Import: s.take}, Now: now, Links: links, Log: log, Settings: s.terms}
+	of := g.Cluster
+	line := cluster.Config{Name: g.Name, Zone: of.Zone, Channel: server.Addr(), Listen: of.Listen, Gossip: of.Gossip, Directory: filepath.Join(g.State, "group"),
+		Incarnation: holderLife(life), Join: of.Join, Capacity: of.Capacity, Loads: server.Loads, MisroutedProxies: func() map[int]int { return server.MisroutedProxies(of.LeaseDuration / 2) }, Handover: cluster.HandoverHooks{Export: s.give, Import: s.take}, Now: now, Links: links, Log: log, Settings: s.terms}
 	for _, m := range of.Members {
 		line.Peers = append(line.Peers, cluster.Peer{Name: m.Name, Address: m.Address, Gossip: m.Gossip})
 	}
@@ -76,7 +76,7 @@
 
 // give is what this governor tells the next holder of parts that it gives away.
 func (s *sharing) give() cluster.Handover {
-	picture, h := s.server.Picture(), cluster.Handover{LoadReports: s.host.LatestReports()}
+	picture, h := s.server.Snapshot(), cluster.Handover{LoadReports: s.host.LatestReports()}
 	h.Withdrawn = picture.Withdrawn
 	if v := s.host.View(); v != nil && v.Detail != nil {
 		h.UnackedEntries = v.Detail.Balancer.UnackedEntries
@@ -116,13 +116,13 @@
 }
 
 // LeaseLost ends the streams of a part.
-func (s *sharing) LeaseLost(part int) { s.server.Lost(part) }
+func (s *sharing) LeaseLost(part int) { s.server.LeaseLost(part) }
 
 // Part, Holds and Holder are what the channel asks, under its lock: forwarders join from the moment that its socket is open, so nothing
 // here may wait for the group.
-func (s *sharing) Part(zone int, name string) int { return s.terms.ShardOf(zone, name) }
+func (s *sharing) Shard(zone int, name string) int { return s.terms.ShardOf(zone, name) }
 
-func (s *sharing) Holds(part int) (uint64, bool) {
+func (s *sharing) IsLeaseHolder(part int) (uint64, bool) {
 	if g := s.group.Load(); g != nil {
 		return g.IsLeaseHolder(part)
 	}
--- a/internal/server/share_test.go
+++ b/internal/server/share_test.go
@@ -123,7 +123,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		g, err := config.OpenGovernor(path)
+		g, err := config.LoadServer(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,7 +171,7 @@
 		}
 		if time.Now().After(until) {
 			for _, port := range w.ports {
-				text, err := cluster.Ask(port, time.Second, "STATUS")
+				text, err := cluster.Request(port, time.Second, "STATUS")
 				w.t.Log(text, err)
 			}
 			w.t.Fatalf("never: %s; they are at %v", what, where)
@@ -187,7 +187,7 @@
 	w.await("each at home", home)
 	w.isolate(w.names[1], true)
 	w.await("taken over", func(k int, governor string) bool { return governor != "" && governor != w.names[1] })
-	text, err := cluster.Ask(w.ports[1], 5*time.Second, "STATUS")
+	text, err := cluster.Request(w.ports[1], 5*time.Second, "STATUS")
 	if err != nil || !strings.Contains(text, "majority") {
 		t.Errorf("the one that is cut off says %v %.300s", err, text)
 	}
@@ -261,7 +261,7 @@
 	all("ordered by nobody", func(f *proxy.Forwarder) bool { return f.Joined() == "" })
 	all("on what it holds", func(f *proxy.Forwarder) bool { return len(f.Holds()) > 0 && !sends(f) })
 	for _, port := range w.ports {
-		if text, err := cluster.Ask(port, 5*time.Second, "STATUS"); err != nil || !strings.Contains(text, "majority") {
+		if text, err := cluster.Request(port, 5*time.Second, "STATUS"); err != nil || !strings.Contains(text, "majority") {
 			t.Errorf("%v %.300s", err, text)
 		}
 	}
@@ -273,8 +273,8 @@
 
 // A forwarder joins in the moment that the channel's socket is open and the group is not: it is told to come back, and nothing waits.
 func TestAJoinBeforeTheGroup(t *testing.T) {
-	s := newSharing(&config.Governor{Zones: []string{"govan"}, Group: &config.Group{Parts: 4}})
-	if _, ok := s.Holds(s.Part(0, "till-1")); ok || s.Holder(0) != "" {
+	s := newSharing(&config.Server{Zones: []string{"govan"}, Cluster: &config.Cluster{ShardsPerZone: 4}})
+	if _, ok := s.IsLeaseHolder(s.Shard(0, "till-1")); ok || s.Holder(0) != "" {
 		t.Error("a part is held before the group is open")
 	}
 }
@@ -312,7 +312,7 @@
 	for _, planned := range []bool{true, false} {
 		terms := model.Config{Seed: 1, Operations: []model.Operation{{LatencyObjective: model.Second, PriorityWeight: 1}}, Zones: 1, SubscriptionRequired: true, FullQuota: 1, StandingTableSize: 6,
 			ReportPeriod: 2500 * model.Millisecond, QueueLimit: 1000, ProxyCount: 10, MinReplicaConnections: 100, UtilizationField: -1, WarmUpPeriod: model.Second}
-		s := newSharing(&config.Governor{Zones: []string{"govan"}, Group: &config.Group{Parts: 1}})
+		s := newSharing(&config.Server{Zones: []string{"govan"}, Cluster: &config.Cluster{ShardsPerZone: 1}})
 		s.host = controller.New(terms, 1000, controller.Clock(), zerolog.Nop())
 		s.begin = func() { go s.host.Run(quietChannel{}, quietRoster{}, nil) }
 		if planned {
--- a/internal/standin/proxy/call.go
+++ b/internal/standin/proxy/call.go
@@ -231,7 +231,7 @@
 		t.onLink(l)
 		return
 	}
-	l := &link{f: f, at: at, life: f.life, parser: http1.NewParser(true, http1.Bounds{})}
+	l := &link{f: f, at: at, life: f.life, parser: http1.NewParser(true, http1.Limits{})}
 	failed := func() {
 		f.loop.Post(func() { t.end(invariants.ConnectFailed, nil) })
 	}
--- a/internal/standin/proxy/forwarder.go
+++ b/internal/standin/proxy/forwarder.go
@@ -326,7 +326,7 @@
 // again until the new one has ordered: the ways that stand were another's, and were meant for what that one knew.
 func (f *Forwarder) epoch(epoch uint64) bool {
 	before := f.fence.Epoch
-	obey, changed := f.fence.Take(epoch)
+	obey, changed := f.fence.Accept(epoch)
 	if changed && before > 0 {
 		f.caution = true
 	}
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -32,9 +32,9 @@
 	joined chan model.ProxyID
 }
 
-func (h *holder) Part(int, string) int { return 0 }
+func (h *holder) Shard(int, string) int { return 0 }
 
-func (h *holder) Holds(int) (uint64, bool) {
+func (h *holder) IsLeaseHolder(int) (uint64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.epoch, h.epoch > 0
@@ -95,7 +95,7 @@
 	open := func() *holder {
 		h := &holder{joined: make(chan model.ProxyID, 10)}
 		var err error
-		if h.Server, err = pubsub.Listen(pubsub.Line{Listen: "127.0.0.1:0", Life: 1, Zones: []string{"govan"}, Period: model.Second, Pace: 1e6, Leases: h,
+		if h.Server, err = pubsub.Listen(pubsub.Config{Listen: "127.0.0.1:0", Incarnation: 1, Zones: []string{"govan"}, ReportPeriod: model.Second, Pace: 1e6, Leases: h,
 			Now: now, Log: zerolog.Nop()}, h); err != nil {
 			t.Fatal(err)
 		}
@@ -191,7 +191,7 @@
 	p.until("sent once", func() bool { return p.tried[number] == 1 })
 	p.b.set(2)
 	p.a.set(0)
-	p.a.Lost(0)
+	p.a.LeaseLost(0)
 	moved := <-p.b.joined
 	if n := p.tries(number); n != 1 {
 		t.Errorf("over the change of holder it is sent %d times", n)
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -64,7 +64,7 @@
 func New(loop *standin.Loop, listen, service string, seen func(invariants.Seen)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, seen: seen, index: 100}
 	var err error
-	h := netpoll.Handlers{Open: func(c *nbio.Conn) { c.SetSession(http1.NewParser(false, http1.Bounds{})) }, Data: func(c *nbio.Conn, data []byte) {
+	h := netpoll.Handlers{Open: func(c *nbio.Conn) { c.SetSession(http1.NewParser(false, http1.Limits{})) }, Data: func(c *nbio.Conn, data []byte) {
 		parser, ok := c.Session().(*http1.Parser)
 		if !ok {
 			return
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -113,7 +113,7 @@
 	life := r.life
 	var err error
 	h := netpoll.Handlers{Open: func(c *nbio.Conn) {
-		c.SetSession(http1.NewParser(false, http1.Bounds{}))
+		c.SetSession(http1.NewParser(false, http1.Limits{}))
 		r.loop.Post(func() { r.opened(c, life) })
 	}, Data: func(c *nbio.Conn, data []byte) {
 		parser, ok := c.Session().(*http1.Parser)
--- a/internal/statestore/bench_test.go
+++ b/internal/statestore/bench_test.go
@@ -19,10 +19,10 @@
 	body := bytes.Repeat([]byte("x"), 1000)
 	var n uint64
 	for b.Loop() {
-		c := &Change{List: list}
+		c := &Change{Endpoints: list}
 		for range 10 {
 			n++
-			c.Causes = append(c.Causes, Record{1, n, body})
+			c.Decisions = append(c.Decisions, Record{1, n, body})
 		}
 		if err := f.Write(c); err != nil {
 			b.Fatal(err)
@@ -41,13 +41,13 @@
 	for i := range all {
 		all[i].Body = bytes.Repeat([]byte("x"), causesBytes/causesMost)
 	}
-	if err := f.Write(&Change{List: listing(1), Causes: all}); err != nil {
+	if err := f.Write(&Change{Endpoints: listing(1), Decisions: all}); err != nil {
 		b.Fatal(err)
 	}
 	f.Close()
 	for b.Loop() {
 		f, found, err := Open(dir, 0)
-		if err != nil || len(found.Lost) > 0 {
+		if err != nil || len(found.Damage) > 0 {
 			b.Fatal(err, found)
 		}
 		f.Close()
@@ -61,11 +61,11 @@
 		b.Fatal(err)
 	}
 	defer f.Close()
-	if err := f.Write(&Change{Causes: records(1, 0, causesMost)}); err != nil {
+	if err := f.Write(&Change{Decisions: records(1, 0, causesMost)}); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		if _, err := f.Causes(2, 0, 1, func(r Record) bool { return bytes.Contains(r.Body, []byte("nowhere")) }); err != nil {
+		if _, err := f.Decisions(2, 0, 1, func(r Record) bool { return bytes.Contains(r.Body, []byte("nowhere")) }); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/statestore/fixture_test.go
+++ b/internal/statestore/fixture_test.go
@@ -16,7 +16,7 @@
 // writes them anew, which is for a change of the stored form only.
 
 // openFixture opens a copy of a fixture, as opening writes.
-func openFixture(t *testing.T, names ...string) (*statestore.Folder, *statestore.Found) {
+func openFixture(t *testing.T, names ...string) (*statestore.Store, *statestore.Recovered) {
 	t.Helper()
 	dir := t.TempDir()
 	for _, name := range names {
@@ -77,20 +77,20 @@
 // TestStoredStateIsRead opens a state file that an earlier version wrote.
 func TestStoredStateIsRead(t *testing.T) {
 	folder, found := openFixture(t, "state.db")
-	if found.Life != 3 || found.Before != 2 || found.Fresh || found.Older != 0 || len(found.Lost) > 0 {
+	if found.Incarnation != 3 || found.PreviousIncarnation != 2 || found.Empty || found.MigratedFrom != 0 || len(found.Damage) > 0 {
 		t.Errorf("found %+v", found)
 	}
-	checkListing(t, found.List)
+	checkListing(t, found.Endpoints)
 	if string(found.Published) != storedPublished {
 		t.Errorf("published state %s; want %s", found.Published, storedPublished)
 	}
-	records, err := folder.Causes(3, 1, 10, func(statestore.Record) bool { return true })
+	records, err := folder.Decisions(3, 1, 10, func(statestore.Record) bool { return true })
 	if err != nil || len(records) != len(storedCauses) {
 		t.Fatalf("%d records, %v; want %d", len(records), err, len(storedCauses))
 	}
 	for i, record := range records {
-		if want := storedCauses[i]; record.Life != want.life || record.Number != want.number || string(record.Body) != want.body {
-			t.Errorf("record %d is %d/%d %s; want %+v", i, record.Life, record.Number, record.Body, want)
+		if want := storedCauses[i]; record.Incarnation != want.life || record.Number != want.number || string(record.Body) != want.body {
+			t.Errorf("record %d is %d/%d %s; want %+v", i, record.Incarnation, record.Number, record.Body, want)
 		}
 	}
 	want := controller.Decision{At: 202, Number: 2, Incarnation: 77, Inputs: []string{"list change of 1"}, Reasons: []string{"replica [10 4 5 6]:8082 zone 2 drains"},
@@ -104,16 +104,16 @@
 // TestStoredFirstFormIsRead opens a folder of the first layout.
 func TestStoredFirstFormIsRead(t *testing.T) {
 	_, found := openFixture(t, "first/life", "first/list")
-	if found.Life != 7 || found.Before != 6 || found.Fresh || found.Older != 1 || len(found.Lost) > 0 || found.Published != nil {
+	if found.Incarnation != 7 || found.PreviousIncarnation != 6 || found.Empty || found.MigratedFrom != 1 || len(found.Damage) > 0 || found.Published != nil {
 		t.Errorf("found %+v", found)
 	}
-	checkListing(t, found.List)
+	checkListing(t, found.Endpoints)
 }
 
 // TestWrittenListBytes asserts that a list that was read is written with the bytes that earlier versions read.
 func TestWrittenListBytes(t *testing.T) {
 	_, found := openFixture(t, "state.db")
-	body, err := json.Marshal(found.List)
+	body, err := json.Marshal(found.Endpoints)
 	const want = `[{"ID":{"Addr":[10,1,2,3],"Port":8081},"Zone":1,"Life":1,"Since":1700000000000001},` +
 		`{"ID":{"Addr":[10,4,5,6],"Port":8082},"Zone":2,"Life":2,"Since":1700000000000002},` +
 		`{"ID":{"Addr":[10,7,8,9],"Port":8083},"Zone":3,"Life":0,"Since":1700000000000003}]`
