--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -50,23 +50,23 @@
 
 // Record is an entry of the journal of causes, as bytes.
 type Record struct {
-	Life, Number uint64
-	Body         []byte
+	Incarnation, Number uint64
+	Body                []byte
 }
 
-// Found is what opening found.
-type Found struct {
-	Life      uint64           // of this start, from 1
-	List      []model.Endpoint // the last whole list; nil if there is none to trust
-	Published []byte           // what was last published, by the writer's own format; nil if there is none to trust
-	Before    uint64           // the life that the folder told; 0 if it told none
-	Fresh     bool             // nothing was there
-	Older     int              // the form that was carried over; 0 if it was this one
-	Lost      []error          // what could not be trusted, each with its place
+// Recovered is what opening found.
+type Recovered struct {
+	Incarnation         uint64           // of this start, from 1
+	Endpoints           []model.Endpoint // the last whole list; nil if there is none to trust
+	Published           []byte           // what was last published, by the writer's own format; nil if there is none to trust
+	PreviousIncarnation uint64           // the life that the folder told; 0 if it told none
+	Empty               bool             // nothing was there
+	MigratedFrom        int              // the form that was carried over; 0 if it was this one
+	Damage              []error          // what could not be trusted, each with its place
 }
 
-// Folder is an open state folder. Make it with Open and Close it.
-type Folder struct {
+// Store is an open state folder. Make it with Open and Close it.
+type Store struct {
 	dir  string
 	lock *os.File
 	db   *bolt.DB
@@ -78,7 +78,7 @@
 // Open makes the folder if it is missing, locks it, reads what it holds and counts a life. If the number of the last life
 // cannot be trusted the next one is above floor (say the clock's seconds), as nobody can tell how far the lost one had
 // come. Errors: ErrLocked, ErrNewer, and those of the disk; damage is none, see Found.Lost.
-func Open(dir string, floor uint64) (*Folder, *Found, error) {
+func Open(dir string, floor uint64) (*Store, *Recovered, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, nil, fmt.Errorf("state folder: %w", err)
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	f := &Folder{dir: dir, lock: lock}
+	f := &Store{dir: dir, lock: lock}
 	found, err := f.start(floor)
 	if err != nil {
 		f.Close()
@@ -108,7 +108,7 @@
 }
 
 // Close gives the folder up.
-func (f *Folder) Close() error {
+func (f *Store) Close() error {
 	var err error
 	if f.db != nil {
 		err = f.db.Close()
@@ -123,34 +123,34 @@
 	lost   []error
 }
 
-func (f *Folder) start(floor uint64) (*Found, error) {
+func (f *Store) start(floor uint64) (*Recovered, error) {
 	path, fresh := filepath.Join(f.dir, dbFile), filepath.Join(f.dir, newFile)
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) { // a start that was cut
 		return nil, err
 	}
-	found := &Found{}
+	found := &Recovered{}
 	old, err := read(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		if old = readFirstForm(f.dir); old == nil {
-			old, found.Fresh = &content{}, true
+			old, found.Empty = &content{}, true
 		} else {
-			found.Older = 1
+			found.MigratedFrom = 1
 		}
 	case err != nil:
 		return nil, err
 	}
-	found.Lost = old.lost
-	found.Before = number(old.values["life"])
-	if found.Life = found.Before + 1; found.Before == 0 && !found.Fresh {
-		found.Life = max(floor, 1)
+	found.Damage = old.lost
+	found.PreviousIncarnation = number(old.values["life"])
+	if found.Incarnation = found.PreviousIncarnation + 1; found.PreviousIncarnation == 0 && !found.Empty {
+		found.Incarnation = max(floor, 1)
 		if len(old.causes) > 0 {
-			found.Life = max(found.Life, old.causes[len(old.causes)-1].Life+1)
+			found.Incarnation = max(found.Incarnation, old.causes[len(old.causes)-1].Incarnation+1)
 		}
 	}
 	if list, ok := old.values["list"]; ok {
-		if err := json.Unmarshal(list, &found.List); err != nil {
-			found.Lost, found.List = append(found.Lost, fmt.Errorf("list: %w: %w", ErrDamaged, err)), nil
+		if err := json.Unmarshal(list, &found.Endpoints); err != nil {
+			found.Damage, found.Endpoints = append(found.Damage, fmt.Errorf("list: %w: %w", ErrDamaged, err)), nil
 		}
 	}
 	found.Published = old.values["published"]
@@ -161,7 +161,7 @@
 }
 
 // renew writes what was read into a new file and puts it in the old one's place.
-func (f *Folder) renew(path, fresh string, old *content, found *Found) error {
+func (f *Store) renew(path, fresh string, old *content, found *Recovered) error {
 	db, err := bolt.Open(fresh, 0o644, &bolt.Options{Timeout: time.Second, FreelistType: bolt.FreelistMapType})
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
@@ -178,8 +178,8 @@
 		causes.FillPercent = 0.95 // they come in order
 		put := func(key, value []byte) { err = errors.Join(err, state.Put(key, sealed(value))) }
 		put(formKey, binary.BigEndian.AppendUint64(nil, form))
-		put(lifeKey, binary.BigEndian.AppendUint64(nil, found.Life))
-		if found.List != nil {
+		put(lifeKey, binary.BigEndian.AppendUint64(nil, found.Incarnation))
+		if found.Endpoints != nil {
 			put(listKey, old.values["list"])
 		}
 		if found.Published != nil {
@@ -191,13 +191,13 @@
 		for _, r := range old.causes {
 			f.count++
 			f.bytes += len(r.Body)
-			if err := causes.Put(causeKey(r.Life, r.Number), sealed(r.Body)); err != nil {
+			if err := causes.Put(causeKey(r.Incarnation, r.Number), sealed(r.Body)); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	if err == nil && len(old.lost) > 0 && found.Older == 0 {
+	if err == nil && len(old.lost) > 0 && found.MigratedFrom == 0 {
 		// A second name, not another one: a cut before the next line must not leave a folder that looks new.
 		bad := filepath.Join(f.dir, badFile)
 		_ = os.Remove(bad)
@@ -298,18 +298,18 @@
 
 // Change is what one write puts down together.
 type Change struct {
-	List      []model.Endpoint // nil: as it was
+	Endpoints []model.Endpoint // nil: as it was
 	Published []byte           // nil: as it was
-	Causes    []Record
+	Decisions []Record
 }
 
 // Write puts a change down, synced, all of it or nothing. The oldest causes beyond the journal's bounds go with it.
-func (f *Folder) Write(c *Change) error {
+func (f *Store) Write(c *Change) error {
 	count, bytes := f.count, f.bytes
 	err := f.db.Update(func(tx *bolt.Tx) error {
 		state, causes := tx.Bucket(stateBucket), tx.Bucket(causesBucket)
-		if c.List != nil {
-			body, err := json.Marshal(c.List)
+		if c.Endpoints != nil {
+			body, err := json.Marshal(c.Endpoints)
 			if err != nil {
 				return err
 			}
@@ -323,8 +323,8 @@
 			}
 		}
 		causes.FillPercent = 0.95
-		for _, r := range c.Causes {
-			if err := causes.Put(causeKey(r.Life, r.Number), sealed(r.Body)); err != nil {
+		for _, r := range c.Decisions {
+			if err := causes.Put(causeKey(r.Incarnation, r.Number), sealed(r.Body)); err != nil {
 				return err
 			}
 			count++
@@ -350,9 +350,9 @@
 	return nil
 }
 
-// Causes gives the entries before (life, number) that match, newest first, most at most. It does not wait for writes nor
+// Decisions gives the entries before (life, number) that match, newest first, most at most. It does not wait for writes nor
 // hold them up.
-func (f *Folder) Causes(life, number uint64, most int, match func(Record) bool) (found []Record, err error) {
+func (f *Store) Decisions(life, number uint64, most int, match func(Record) bool) (found []Record, err error) {
 	err = f.db.View(func(tx *bolt.Tx) error {
 		cursor := tx.Bucket(causesBucket).Cursor()
 		k, v := cursor.Seek(causeKey(life, number))
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -33,7 +33,7 @@
 }
 
 // start opens a folder; it is closed at the end unless that was done before.
-func start(t *testing.T, dir string, floor uint64) (*Folder, *Found) {
+func start(t *testing.T, dir string, floor uint64) (*Store, *Recovered) {
 	t.Helper()
 	f, found, err := Open(dir, floor)
 	if err != nil {
@@ -59,22 +59,22 @@
 	dir := t.TempDir()
 	for life := uint64(1); life < 4; life++ {
 		f, found := start(t, dir, 1000)
-		if found.Life != life || found.Before != life-1 || len(found.Lost) > 0 || found.Fresh != (life == 1) {
+		if found.Incarnation != life || found.PreviousIncarnation != life-1 || len(found.Damage) > 0 || found.Empty != (life == 1) {
 			t.Fatalf("life %d: %+v", life, found)
 		}
-		if life > 1 && (!reflect.DeepEqual(found.List, listing(uint16(life-1))) || string(found.Published) != fmt.Sprint("tables of ", life-1)) {
+		if life > 1 && (!reflect.DeepEqual(found.Endpoints, listing(uint16(life-1))) || string(found.Published) != fmt.Sprint("tables of ", life-1)) {
 			t.Fatalf("life %d finds %+v", life, found)
 		}
-		if err := f.Write(&Change{List: listing(uint16(life)), Published: fmt.Append(nil, "tables of ", life), Causes: records(life, 1, 5)}); err != nil {
+		if err := f.Write(&Change{Endpoints: listing(uint16(life)), Published: fmt.Append(nil, "tables of ", life), Decisions: records(life, 1, 5)}); err != nil {
 			t.Fatal(err)
 		}
 		f.Close()
 	}
 	f, _ := start(t, dir, 0)
-	got, err := f.Causes(3, 3, 4, func(r Record) bool { return r.Number != 1 || r.Life == 2 })
+	got, err := f.Decisions(3, 3, 4, func(r Record) bool { return r.Number != 1 || r.Incarnation == 2 })
 	var told []string
 	for _, r := range got {
-		told = append(told, fmt.Sprintf("%d/%d %s", r.Life, r.Number, r.Body))
+		told = append(told, fmt.Sprintf("%d/%d %s", r.Incarnation, r.Number, r.Body))
 	}
 	if want := []string{"3/2 step 2", "2/4 step 4", "2/3 step 3", "2/2 step 2"}; err != nil || !reflect.DeepEqual(told, want) {
 		t.Fatalf("%q, %v", told, err)
@@ -85,7 +85,7 @@
 func TestTheJournalIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	f, _ := start(t, dir, 0)
-	if err := f.Write(&Change{Causes: records(1, 0, causesMost+500)}); err != nil {
+	if err := f.Write(&Change{Decisions: records(1, 0, causesMost+500)}); err != nil {
 		t.Fatal(err)
 	}
 	big := Record{1, 1 << 40, bytes.Repeat([]byte("x"), causesBytes-1000)}
@@ -93,11 +93,11 @@
 		add  []Record
 		want int
 	}{{nil, causesMost}, {[]Record{big}, 0}} {
-		if err := f.Write(&Change{Causes: c.add}); err != nil {
+		if err := f.Write(&Change{Decisions: c.add}); err != nil {
 			t.Fatal(err)
 		}
 		count, size := 0, 0
-		if _, err := f.Causes(2, 0, causesMost*2, func(r Record) bool { count++; size += len(r.Body); return false }); err != nil {
+		if _, err := f.Decisions(2, 0, causesMost*2, func(r Record) bool { count++; size += len(r.Body); return false }); err != nil {
 			t.Fatal(err)
 		}
 		if count != f.count || size != f.bytes || count > causesMost || size > causesBytes || count < c.want {
@@ -132,7 +132,7 @@
 func TestAWriteIsCutAtEveryByte(t *testing.T) {
 	dir := t.TempDir()
 	f, _ := start(t, dir, 0)
-	older, newer := Change{List: listing(1), Published: []byte("older"), Causes: records(1, 1, 20)}, Change{List: listing(2), Published: []byte("newer"), Causes: records(1, 20, 40)}
+	older, newer := Change{Endpoints: listing(1), Published: []byte("older"), Decisions: records(1, 1, 20)}, Change{Endpoints: listing(2), Published: []byte("newer"), Decisions: records(1, 20, 40)}
 	if err := f.Write(&older); err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 	damaging(t)
 	dir := t.TempDir()
 	f, _ := start(t, dir, 0)
-	if err := f.Write(&Change{List: listing(1), Published: []byte("tables"), Causes: records(1, 1, 10)}); err != nil {
+	if err := f.Write(&Change{Endpoints: listing(1), Published: []byte("tables"), Decisions: records(1, 1, 10)}); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
@@ -252,7 +252,7 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			f, _ := start(t, dir, 0)
-			if err := f.Write(&Change{List: listing(1), Causes: records(1, 1, 2000)}); err != nil {
+			if err := f.Write(&Change{Endpoints: listing(1), Decisions: records(1, 1, 2000)}); err != nil {
 				t.Fatal(err)
 			}
 			f.Close()
@@ -261,17 +261,17 @@
 				t.Fatal(err)
 			}
 			f, found := start(t, dir, 900)
-			if len(found.Lost) == 0 || !errors.Is(found.Lost[0], ErrDamaged) || found.Life < 900 && found.Life != 2 || found.Fresh {
+			if len(found.Damage) == 0 || !errors.Is(found.Damage[0], ErrDamaged) || found.Incarnation < 900 && found.Incarnation != 2 || found.Empty {
 				t.Fatalf("%+v", found)
 			}
 			if kept, _ := os.ReadFile(filepath.Join(dir, badFile)); !bytes.Equal(kept, spoiled) {
 				t.Error("the damaged file was not kept")
 			}
-			if err := f.Write(&Change{List: listing(7)}); err != nil {
+			if err := f.Write(&Change{Endpoints: listing(7)}); err != nil {
 				t.Fatal(err)
 			}
 			f.Close()
-			if _, again := start(t, dir, 0); again.Life != found.Life+1 || len(again.Lost) > 0 || !reflect.DeepEqual(again.List, listing(7)) {
+			if _, again := start(t, dir, 0); again.Incarnation != found.Incarnation+1 || len(again.Damage) > 0 || !reflect.DeepEqual(again.Endpoints, listing(7)) {
 				t.Fatalf("afterwards: %+v", again)
 			}
 		})
@@ -305,10 +305,10 @@
 			}
 		}
 		_, found := start(t, dir, 900)
-		if found.Life != c.want || len(found.Lost) != c.lost || found.Older != 1 || (found.List != nil) != c.listed {
+		if found.Incarnation != c.want || len(found.Damage) != c.lost || found.MigratedFrom != 1 || (found.Endpoints != nil) != c.listed {
 			t.Errorf("%q: %+v", c.life, found)
-		} else if c.listed && (len(found.List) != 1 || found.List[0].ID.Port != 3 || found.List[0].Zone != 2) {
-			t.Errorf("%+v", found.List)
+		} else if c.listed && (len(found.Endpoints) != 1 || found.Endpoints[0].ID.Port != 3 || found.Endpoints[0].Zone != 2) {
+			t.Errorf("%+v", found.Endpoints)
 		}
 	}
 }
@@ -357,7 +357,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.Write(&Change{List: listing(1), Published: []byte("before")}); err != nil {
+	if err := f.Write(&Change{Endpoints: listing(1), Published: []byte("before")}); err != nil {
 		return err
 	}
 	told := make(chan error, 100)
@@ -373,9 +373,9 @@
 	}
 	big := bytes.Repeat([]byte("x"), 500)
 	for n := range pendingMost + 100 {
-		w.Cause(Record{1, uint64(n), big})
+		w.AddDecision(Record{1, uint64(n), big})
 	}
-	w.List(listing(2))
+	w.SetEndpoints(listing(2))
 	select {
 	case err := <-told:
 		if err == nil {
@@ -384,7 +384,7 @@
 	case <-time.After(20 * time.Second):
 		return errors.New("nothing was told of a full disk")
 	}
-	if out := w.LeftOut(); out < 100 {
+	if out := w.Dropped(); out < 100 {
 		return fmt.Errorf("%d causes were left out, and at least 100 had no room", out)
 	}
 	c := &content{values: map[string][]byte{}}
@@ -405,7 +405,7 @@
 	w.Close()
 	f.Close()
 	_, found, err := Open(dir, 0)
-	if err != nil || !reflect.DeepEqual(found.List, listing(2)) || string(found.Published) != "before" {
+	if err != nil || !reflect.DeepEqual(found.Endpoints, listing(2)) || string(found.Published) != "before" {
 		return fmt.Errorf("afterwards: %v, %+v", err, found)
 	}
 	return nil
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -18,7 +18,7 @@
 //	writing  failed              waiting     keep what was to be written unless newer came; tell once
 //	waiting  time is up          writing     twice as long a wait next, up to waitMost
 type Writer struct {
-	folder  *Folder
+	folder  *Store
 	tell    func(err error, leftOut uint64) // nil error: works again
 	wake    chan struct{}
 	end     chan struct{}
@@ -39,28 +39,30 @@
 )
 
 // NewWriter starts one; tell is called from its own goroutine when writing fails and when it works again.
-func NewWriter(f *Folder, tell func(err error, leftOut uint64)) *Writer {
+func NewWriter(f *Store, tell func(err error, leftOut uint64)) *Writer {
 	w := &Writer{folder: f, tell: tell, wake: make(chan struct{}, 1), end: make(chan struct{}), stopped: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// List puts a whole list down.
-func (w *Writer) List(entries []model.Endpoint) {
+// SetEndpoints puts a whole list down.
+func (w *Writer) SetEndpoints(entries []model.Endpoint) {
 	if entries == nil {
 		entries = []model.Endpoint{}
 	}
-	w.add(func(c *Change) { c.List = entries })
+	w.add(func(c *Change) { c.Endpoints = entries })
 }
 
-// Published puts down what stands published.
-func (w *Writer) Published(body []byte) { w.add(func(c *Change) { c.Published = body }) }
+// SetPublished puts down what stands published.
+func (w *Writer) SetPublished(body []byte) { w.add(func(c *Change) { c.Published = body }) }
 
-// Cause puts an entry of the journal down.
-func (w *Writer) Cause(r Record) { w.add(func(c *Change) { c.Causes = append(c.Causes, r) }) }
+// AddDecision puts an entry of the journal down.
+func (w *Writer) AddDecision(r Record) {
+	w.add(func(c *Change) { c.Decisions = append(c.Decisions, r) })
+}
 
-// LeftOut counts the causes that no room was left for.
-func (w *Writer) LeftOut() uint64 {
+// Dropped counts the causes that no room was left for.
+func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.leftOut
@@ -84,9 +86,9 @@
 }
 
 func (w *Writer) trim() {
-	if over := len(w.pending.Causes) - pendingMost; over > 0 {
+	if over := len(w.pending.Decisions) - pendingMost; over > 0 {
 		w.leftOut += uint64(over)
-		w.pending.Causes = append([]Record(nil), w.pending.Causes[over:]...)
+		w.pending.Decisions = append([]Record(nil), w.pending.Decisions[over:]...)
 	}
 }
 
@@ -117,10 +119,10 @@
 			wait = min(2*wait, waitMost)
 		case err != nil:
 			failed, wait = true, waitFirst
-			w.tell(err, w.LeftOut())
+			w.tell(err, w.Dropped())
 		case failed:
 			failed = false
-			w.tell(nil, w.LeftOut())
+			w.tell(nil, w.Dropped())
 		}
 	}
 }
@@ -131,7 +133,7 @@
 	c := w.pending
 	w.pending = Change{}
 	w.mu.Unlock()
-	if c.List == nil && c.Published == nil && len(c.Causes) == 0 {
+	if c.Endpoints == nil && c.Published == nil && len(c.Decisions) == 0 {
 		return nil
 	}
 	err := w.folder.Write(&c)
@@ -140,13 +142,13 @@
 	if err == nil {
 		return nil
 	}
-	if w.pending.List == nil {
-		w.pending.List = c.List
+	if w.pending.Endpoints == nil {
+		w.pending.Endpoints = c.Endpoints
 	}
 	if w.pending.Published == nil {
 		w.pending.Published = c.Published
 	}
-	w.pending.Causes = append(c.Causes, w.pending.Causes...)
+	w.pending.Decisions = append(c.Decisions, w.pending.Decisions...)
 	w.trim()
 	select {
 	case w.wake <- struct{}{}:
