--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -22,8 +22,8 @@
 
 // The fixtures are shared with the tests of package store, which assert the same values below the archive.
 const (
-	stateFixture     = "../store/testdata/state.db"
-	firstFormFixture = "../store/testdata/first"
+	stateFixture     = "../statestore/testdata/state.db"
+	firstFormFixture = "../statestore/testdata/first"
 )
 
 // fixtureListing is the endpoint list of the fixtures.
