--- /dev/null
+++ b/internal/invariants/attempts.go
@@ -0,0 +1,77 @@
+package invariants
+
+import (
+	"fmt"
+
+	"peppervale/internal/codec/pubsubmsg"
+)
+
+// attemptStarted checks an attempt against what its proxy's instance was notified of, and a retry against the attempts
+// before it.
+func (c *checker) attemptStarted(event Tried) {
+	key := requestKey{event.Invocation, event.Caller}
+	earlier := c.attempts[key]
+	c.attempts[key] = append(earlier, &attempt{Tried: event})
+	c.checkDrain(event)
+	for _, previous := range earlier {
+		c.checkRetry(previous, event)
+	}
+}
+
+func (c *checker) attemptEnded(e Ended) {
+	attempts := c.attempts[requestKey{e.Invocation, e.Caller}]
+	if e.N >= 1 && e.N <= len(attempts) {
+		attempts[e.N-1].outcome = e.Outcome
+	}
+}
+
+// checkDrain checks that nothing is sent to a replica later than the grace after its instance was notified that it
+// drains or is gone. The grace counts from the proxy's join, if that came later.
+func (c *checker) checkDrain(event Tried) {
+	proxy := c.proxies[event.Forwarder]
+	if proxy == nil || proxy.instance == nil {
+		return
+	}
+	goneAt, gone := proxy.instance.goneAt[event.Replica]
+	if !gone {
+		return
+	}
+	late := event.At - max(goneAt, proxy.joinedAt)
+	c.results[Drain].record(shareOf(late, c.limits.Grace),
+		"%s: %s sent to %s %s after %s was notified that it drains or is gone, %s are allowed",
+		c.sinceStart(event.At), proxy.name, pubsubmsg.Address(event.Replica),
+		seconds(late), proxy.instance.name, seconds(c.limits.Grace))
+}
+
+// checkRetry checks that an operation with effects is sent again only where a repeat is dropped or the earlier attempt
+// is proven never to have been executed.
+func (c *checker) checkRetry(previous *attempt, retry Tried) {
+	operation := c.limits.operation(retry.Operation)
+	if operation.Effect == Idempotent || previous.outcome.Unrun() {
+		return
+	}
+	result := c.results[Double]
+	where := fmt.Sprintf("%s: %s sent request %d (%s) to %s after an attempt at %s that may have been executed",
+		c.sinceStart(retry.At), retry.Forwarder, retry.Invocation, operation.Name,
+		pubsubmsg.Address(retry.Replica), pubsubmsg.Address(previous.Replica))
+	switch {
+	case operation.Effect == SideEffecting:
+		result.record(broken, "%s", where)
+	case c.replica(previous.Replica).group != c.replica(retry.Replica).group:
+		result.record(broken, "%s, in another deduplication group", where)
+	default:
+		age := retry.At - previous.At
+		result.record(shareOf(age, operation.Window), "%s, %s before", where, seconds(age))
+	}
+}
+
+// requestExecuted checks that a request with effects is executed once.
+func (c *checker) requestExecuted(e Ran) {
+	key := requestKey{e.Invocation, e.Caller}
+	c.executions[key]++
+	times := c.executions[key]
+	if times > 1 && c.limits.effect(e.Operation) != Idempotent {
+		c.results[Double].record(broken, "%s: request %d took effect %d times, last at %s",
+			c.sinceStart(e.At), e.Invocation, times, pubsubmsg.Address(e.Replica))
+	}
+}
--- /dev/null
+++ b/internal/invariants/checker_test.go
@@ -0,0 +1,289 @@
+package invariants
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+)
+
+const second = model.Second
+
+// requestNumber is the request that the attempts of a case belong to.
+const requestNumber = 5
+
+func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
+
+var figures = Figures{
+	Zones:      []string{"govan"},
+	Operations: []Operation{{"read", Idempotent, 0}, {"log", Fingerprinted, second}, {"pay", SideEffecting, 0}},
+	Bare:       2 * second,
+	Grace:      2 * second,
+	Cold:       10 * second,
+	TipFactor:  4,
+	TipSpan:    3 * second,
+	QueueMost:  100,
+	WriteMost:  3,
+	WriteSpan:  10 * second,
+}
+
+// timeline is what was observed in a small run: proxy till is joined to instance g from second 1, replicas 1 and 2 are
+// listed, 1 stands in its table, each in a deduplication group of its own.
+type timeline []Seen
+
+func newTimeline() timeline {
+	return timeline{
+		Began{At: 0, Forwarder: "till", Standing: []Line{{id(1), 1}}},
+		Up{At: 0, Replica: id(1), Bay: "a", Full: 1, Share: 1},
+		Up{At: 0, Replica: id(2), Bay: "b", Full: 1, Share: 1},
+		listed(0, 1, 2),
+		Stream{At: 1 * second, Forwarder: "till", Governor: "g", Up: true},
+	}
+}
+
+func listed(at model.Microseconds, numbers ...byte) Told {
+	var all []string
+	for _, n := range numbers {
+		all = append(all, fmt.Sprintf(`{"Service":{"Address":"127.0.0.%d","Port":80,"Meta":{"zone":"govan"}}}`, n))
+	}
+	return Told{At: at, Governor: "g", Body: []byte("[" + strings.Join(all, ",") + "]")}
+}
+
+func listedWarming(at model.Microseconds, n byte, since model.Microseconds) Told {
+	const entry = `[{"Service":{"Address":"127.0.0.%d","Port":80,"Meta":{"zone":"govan","started":"%d"}}}]`
+	return Told{At: at, Governor: "g", Body: fmt.Appendf(nil, entry, n, since/model.Millisecond)}
+}
+
+func pushed(at model.Microseconds, m pubsubmsg.Message) Received {
+	if m.UpdatedAt == 0 {
+		m.UpdatedAt = at
+	}
+	m.AckSequence = -1
+	return Received{At: at, Forwarder: "till", Data: pubsubmsg.Append(nil, &m)}
+}
+
+func withdrawn(at model.Microseconds) Received {
+	return pushed(at, pubsubmsg.Message{Withdrawals: []pubsubmsg.Withdrawal{{Replica: id(1), Withdrawn: true}}})
+}
+
+func attempted(at model.Microseconds, op int, n byte, count int) Tried {
+	return Tried{At: at, Forwarder: "till", Replica: id(n), Operation: op, Invocation: requestNumber, N: count}
+}
+
+func firstEnded(at model.Microseconds, o Outcome) Ended {
+	return Ended{At: at, Invocation: requestNumber, N: 1, Outcome: o}
+}
+
+// steadyLoad is work that reaches a replica evenly.
+func steadyLoad(replica byte, from, to model.Microseconds, work float64) (all timeline) {
+	for at := from; at < to; at += second / 10 {
+		all = append(all, Arrived{At: at, Replica: id(replica), Forwarder: "till", Work: work})
+	}
+	return all
+}
+
+// violationCase is a timeline that breaks one invariant, or just keeps it.
+type violationCase struct {
+	name   string
+	broken bool
+	events timeline
+}
+
+// started is a replica that can do 0.25 of a core and rises to 1 in 8 s.
+var started = Up{At: 3 * second, Replica: id(3), Bay: "a", Full: 1, Share: 0.25, Span: 8 * second}
+
+var emptyTableCases = []violationCase{
+	{"no usable entry for three seconds", true, timeline{withdrawn(5 * second)}},
+	{"no usable entry for one second", false, timeline{
+		withdrawn(5 * second),
+		pushed(6*second, pubsubmsg.Message{Entries: []pubsubmsg.Entry{{Replica: id(2), Weight: 1}}}),
+	}},
+	{"no usable entry while joined to nobody", false, timeline{
+		withdrawn(5 * second),
+		Stream{At: 6 * second, Forwarder: "till", Governor: "g"},
+	}},
+	{"no usable entry while only a warming replica is listed", false, timeline{
+		listedWarming(4*second, 2, 3*second),
+		withdrawn(5 * second),
+	}},
+	{"no usable entry until the replica is warm, and beyond", true, timeline{
+		listedWarming(1*second, 2, 0),
+		listedWarming(2*second, 2, 1),
+		withdrawn(3 * second),
+	}},
+	{"a list in the middle of a spell", true, timeline{
+		withdrawn(5 * second),
+		listed(6*second, 1, 2),
+		listed(7*second, 1, 2),
+	}},
+	{"a table without entries", true, timeline{pushed(5*second, pubsubmsg.Message{Full: true, Bound: true})}},
+}
+
+var repeatedEffectCases = []violationCase{
+	{"a payment repeated after a time-out", true, timeline{
+		attempted(5*second, 2, 1, 1),
+		firstEnded(6*second, TimedOut),
+		attempted(6*second, 2, 2, 2),
+	}},
+	{"a payment repeated after a rejection", false, timeline{
+		attempted(5*second, 2, 1, 1),
+		firstEnded(6*second, Refused),
+		attempted(6*second, 2, 2, 2),
+	}},
+	{"a payment repeated while the first is open", true, timeline{
+		attempted(5*second, 2, 1, 1),
+		attempted(5*second, 2, 2, 2),
+	}},
+	{"a log repeated in another group", true, timeline{
+		attempted(5*second, 1, 1, 1),
+		firstEnded(5*second, Broken),
+		attempted(5*second, 1, 2, 2),
+	}},
+	{"a log repeated in its group", false, timeline{
+		attempted(5*second, 1, 1, 1),
+		firstEnded(5*second, Broken),
+		attempted(5*second+second/2, 1, 1, 2),
+	}},
+	{"a log repeated in its group after the window", true, timeline{
+		attempted(5*second, 1, 1, 1),
+		firstEnded(5*second, Broken),
+		attempted(6*second+second/2, 1, 1, 2),
+	}},
+	{"a read repeated anywhere", false, timeline{
+		attempted(5*second, 0, 1, 1),
+		firstEnded(6*second, TimedOut),
+		attempted(6*second, 0, 2, 2),
+	}},
+	{"two effects of one payment", true, timeline{
+		Ran{At: 5 * second, Replica: id(1), Operation: 2, Invocation: 9},
+		Ran{At: 6 * second, Replica: id(2), Operation: 2, Invocation: 9},
+	}},
+}
+
+var drainCases = []violationCase{
+	{"an attempt three seconds after a drain was notified", true, timeline{
+		listed(4*second, 2),
+		attempted(7*second, 0, 1, 1),
+	}},
+	{"an attempt within the grace", false, timeline{listed(4*second, 2), attempted(5*second, 0, 1, 1)}},
+	{"an attempt after it came back", false, timeline{
+		listed(4*second, 2),
+		listed(5*second, 1, 2),
+		attempted(7*second, 0, 1, 1),
+	}},
+	{"the grace of a new stream", false, timeline{
+		listed(4*second, 2),
+		Stream{At: 5 * second, Forwarder: "till", Governor: "g"},
+		Stream{At: 6 * second, Forwarder: "till", Governor: "g", Up: true},
+		attempted(7*second, 0, 1, 1),
+	}},
+}
+
+var coldStartCases = []violationCase{
+	{
+		"a warming replica sent ten times what it can do", true,
+		append(timeline{started, listedWarming(3*second, 3, 3*second)},
+			steadyLoad(3, 6*second, 9*second, 4e5)...),
+	},
+	{
+		"a warming replica sent what it can do", false,
+		append(timeline{started, listedWarming(3*second, 3, 3*second)},
+			steadyLoad(3, 6*second, 9*second, 3e4)...),
+	},
+	{
+		"the same load from those who could not know", false,
+		append(timeline{started},
+			steadyLoad(3, 4*second, 7*second, 4e5)...),
+	},
+}
+
+var queueCases = []violationCase{
+	{"a hundred and twenty entries in flight", true, timeline{
+		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
+		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5*second + 1, Cost: 60}),
+	}},
+	{"as many one after the other", false, timeline{
+		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
+		pushed(7*second, pubsubmsg.Message{UpdatedAt: 6*second + 1, Cost: 60}),
+	}},
+	{"four messages in ten seconds", true, timeline{
+		pushed(5*second, pubsubmsg.Message{}),
+		pushed(6*second, pubsubmsg.Message{}),
+		pushed(7*second, pubsubmsg.Message{}),
+		pushed(8*second, pubsubmsg.Message{}),
+	}},
+}
+
+// Each invariant is broken by one timeline and kept by its neighbour; no other invariant is broken.
+func TestEachInvariantIsBrokenByItsCaseOnly(t *testing.T) {
+	for invariant, cases := range map[string][]violationCase{
+		Lost:     emptyTableCases,
+		Double:   repeatedEffectCases,
+		Drain:    drainCases,
+		Failback: coldStartCases,
+		Backlog:  queueCases,
+	} {
+		for _, tt := range cases {
+			t.Run(tt.name, func(t *testing.T) {
+				checkViolations(t, append(newTimeline(), tt.events...), invariant, tt.broken)
+			})
+		}
+	}
+}
+
+// checkViolations has exactly one invariant broken by a timeline, or none.
+func checkViolations(t *testing.T, events timeline, invariant string, wantBroken bool) {
+	t.Helper()
+	for _, v := range Judge(events, figures, 15*second) {
+		if broken := len(v.Breaks) > 0; broken != (wantBroken && v.Rule == invariant) {
+			t.Errorf("%s: broken %v, %.2f of the limit: %v", v.Rule, broken, v.Nearest, v.Breaks)
+		}
+	}
+}
+
+func TestViolationNamesPartiesAndTimes(t *testing.T) {
+	for _, v := range Judge(append(newTimeline(), listed(4*second, 2), attempted(7*second, 0, 1, 1)), figures, 15*second) {
+		if v.Rule == Drain && (len(v.Breaks) != 1 || v.Breaks[0] !=
+			"7.000 s: till sent to 127.0.0.1:80 3.000 s after g was notified that it drains or is gone, 2.000 s are allowed") {
+			t.Fatal(v.Breaks)
+		}
+	}
+}
+
+func TestViolationsAreBounded(t *testing.T) {
+	all := append(newTimeline(), listed(4*second, 2))
+	for n := range 1000 {
+		at := 8*second + model.Microseconds(n)
+		all = append(all, Tried{At: at, Forwarder: "till", Replica: id(1), Invocation: uint64(n), N: 1})
+	}
+	if v := Judge(all, figures, 15*second)[2]; len(v.Breaks) != maxViolations+1 {
+		t.Fatalf("%d lines", len(v.Breaks))
+	}
+}
+
+// Two instances that publish in one epoch are found; messages of an older epoch than was seen are fenced off, and so
+// not checked.
+func TestEpochHasOneHolder(t *testing.T) {
+	up := func(at model.Microseconds, governor string) Stream {
+		return Stream{At: at, Forwarder: "till", Governor: governor, Up: true}
+	}
+	in := func(at model.Microseconds, epoch uint64, lines ...pubsubmsg.Entry) Received {
+		return pushed(at, pubsubmsg.Message{Full: true, Bound: true, Entries: lines, Epoch: epoch})
+	}
+	full, bare := pubsubmsg.Entry{Replica: id(1), Weight: 1}, []pubsubmsg.Entry(nil)
+	for name, tt := range map[string]struct {
+		events timeline
+		broken string
+	}{
+		"a takeover":              {timeline{in(2*second, 1, full), up(3*second, "h"), in(4*second, 2, full)}, ""},
+		"two in one epoch":        {timeline{in(2*second, 1, full), up(3*second, "h"), in(4*second, 1, full)}, Holder},
+		"a former holder empties": {timeline{in(2*second, 2, full), in(3*second, 1, bare...)}, ""},
+		"the holder empties":      {timeline{in(2*second, 2, full), in(3*second, 2, bare...)}, Lost},
+	} {
+		t.Run(name, func(t *testing.T) {
+			checkViolations(t, append(newTimeline(), tt.events...), tt.broken, tt.broken != "")
+		})
+	}
+}
--- /dev/null
+++ b/internal/invariants/coldstart.go
@@ -0,0 +1,102 @@
+package invariants
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+)
+
+// informed reports whether work counts as sent in the knowledge that the replica had just started.
+func (c *checker) informed(e Arrived) bool {
+	p := c.proxies[e.Forwarder]
+	if p == nil || p.instance == nil {
+		return false
+	}
+	seenAt, seen := p.instance.startSeen[e.Replica]
+	return seen && (p.updatedAt > seenAt || e.At-seenAt > c.limits.Grace)
+}
+
+// checkColdStarts checks each start of a replica: the work of any window against what the replica could do in it.
+func (c *checker) checkColdStarts() {
+	byReplica := map[model.ReplicaID][]arrival{}
+	for _, a := range c.arrivals {
+		byReplica[a.Replica] = append(byReplica[a.Replica], a)
+	}
+	ids := slices.SortedFunc(maps.Keys(c.replicas), func(a, b model.ReplicaID) int {
+		return strings.Compare(pubsubmsg.Address(a), pubsubmsg.Address(b))
+	})
+	for _, id := range ids {
+		for _, start := range c.replicas[id].starts {
+			if start.Share < 1 && start.Span > 0 {
+				c.checkColdStart(id, start, byReplica[id])
+			}
+		}
+	}
+}
+
+// workWindow is the work that arrived within the last TipSpan of a start.
+type workWindow struct {
+	arrivals []arrival
+	total    float64
+	informed float64
+	largest  float64 // piece of work since the window was last empty
+}
+
+func (w *workWindow) add(a arrival) {
+	w.arrivals = append(w.arrivals, a)
+	w.total += a.Work
+	if a.informed {
+		w.informed += a.Work
+	}
+	w.largest = max(w.largest, a.Work)
+}
+
+// dropUntil removes what arrived at a time or before it.
+func (w *workWindow) dropUntil(at model.Microseconds) {
+	for len(w.arrivals) > 0 && w.arrivals[0].At <= at {
+		a := w.arrivals[0]
+		w.arrivals = w.arrivals[1:]
+		w.total -= a.Work
+		if a.informed {
+			w.informed -= a.Work
+		}
+	}
+}
+
+// mostlyInformed reports whether two thirds of the work came from informed proxies: with less, those who could not know
+// yet pushed the replica over, and an overload does not count.
+func (w *workWindow) mostlyInformed() bool { return w.informed >= w.total*2/3 }
+
+// checkColdStart checks the windows of one start that end with an arrival. One piece of work is slack, as a window may
+// cut it.
+func (c *checker) checkColdStart(id model.ReplicaID, start Up, arrivals []arrival) {
+	window := &workWindow{}
+	for _, last := range arrivals {
+		if last.At < start.At || last.At > start.At+start.Span {
+			window = &workWindow{}
+			continue
+		}
+		window.add(last)
+		window.dropUntil(last.At - c.limits.TipSpan)
+		capacity := c.capacity(start, last.At)
+		load := (window.total - window.largest) / (c.limits.TipFactor * capacity)
+		if load > 1 && !window.mostlyInformed() {
+			continue
+		}
+		c.results[Failback].record(load,
+			"%s: %s, up for %s, was sent %.1f times what it can do within %s, %.1f are allowed",
+			c.sinceStart(last.At), pubsubmsg.Address(id), seconds(last.At-start.At),
+			window.total/capacity, seconds(c.limits.TipSpan), c.limits.TipFactor)
+	}
+}
+
+// capacity is what a warming replica can do in the window that ends at a time: capacity rises evenly, so its mean is
+// that of the window's middle.
+func (c *checker) capacity(start Up, end model.Microseconds) float64 {
+	from := max(start.At, end-c.limits.TipSpan)
+	middle := float64((from+end)/2-start.At) / float64(start.Span)
+	return start.Full * (start.Share + (1-start.Share)*middle) * float64(c.limits.TipSpan)
+}
--- /dev/null
+++ b/internal/invariants/proxies.go
@@ -0,0 +1,154 @@
+package invariants
+
+import (
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+)
+
+func (c *checker) proxyStarted(event Began) {
+	proxy := &proxyState{
+		name:        event.Forwarder,
+		running:     true,
+		weights:     map[model.ReplicaID]float64{},
+		withdrawn:   map[model.ReplicaID]bool{},
+		epochHolder: map[uint64]string{},
+		emptySince:  notEmpty,
+	}
+	for _, entry := range event.Standing {
+		proxy.weights[entry.Replica] = entry.Weight
+	}
+	if previous := c.proxies[event.Forwarder]; previous != nil {
+		c.endEmptySpell(previous, event.At)
+	} else {
+		c.proxyOrder = append(c.proxyOrder, event.Forwarder)
+	}
+	c.proxies[event.Forwarder] = proxy
+}
+
+func (c *checker) proxyStopped(e Died) {
+	p := c.proxies[e.Forwarder]
+	if p == nil {
+		return
+	}
+	c.endEmptySpell(p, e.At)
+	p.running = false
+	p.instance = nil
+}
+
+func (c *checker) streamChanged(event Stream) {
+	proxy := c.proxies[event.Forwarder]
+	if proxy == nil || !proxy.running {
+		return
+	}
+	c.endEmptySpell(proxy, event.At)
+	proxy.instance = nil
+	if event.Up {
+		proxy.instance = c.instance(event.Governor)
+		proxy.joinedAt = event.At
+		proxy.reader = resp.NewReader(resp.Limits{})
+		proxy.messages = nil
+	}
+	c.updateEmptySpell(proxy, event.At)
+}
+
+func (c *checker) bytesReceived(e Received) {
+	p := c.proxies[e.Forwarder]
+	if p == nil || p.instance == nil {
+		return
+	}
+	// A stream that cannot be read ends for the proxy, which tells it by a Stream of its own.
+	_ = p.reader.Feed(e.Data, func(v resp.Value) error {
+		c.valueReceived(p, v, e.At)
+		return nil
+	})
+}
+
+// valueReceived applies a message to what the proxy holds, as docs/channel.md has it. One of an epoch that is older
+// than the newest seen is fenced off: nothing of it is obeyed.
+func (c *checker) valueReceived(p *proxyState, v resp.Value, now model.Microseconds) {
+	if !pubsubmsg.IsMessage(v) {
+		return
+	}
+	m, err := pubsubmsg.Parse(v)
+	if err != nil || m.Epoch < p.epoch {
+		return
+	}
+	c.checkEpoch(p, m.Epoch, now)
+	c.countMessage(p, m, now)
+	p.apply(m)
+	c.updateEmptySpell(p, now)
+}
+
+// checkEpoch checks that one instance alone publishes to the proxy in an epoch.
+func (c *checker) checkEpoch(p *proxyState, epoch uint64, now model.Microseconds) {
+	if epoch == 0 {
+		return
+	}
+	previous := p.epochHolder[epoch]
+	if previous != "" && previous != p.instance.name {
+		c.results[Holder].record(broken, "%s: %s was sent updates in epoch %d by %s and by %s",
+			c.sinceStart(now), p.name, epoch, previous, p.instance.name)
+	}
+	p.epoch = epoch
+	p.epochHolder[epoch] = p.instance.name
+}
+
+// apply changes what the proxy holds.
+func (p *proxyState) apply(m *pubsubmsg.Message) {
+	if m.Full && m.Bound {
+		clear(p.weights)
+		clear(p.withdrawn)
+	}
+	for _, entry := range m.Entries {
+		if entry.Weight == 0 {
+			delete(p.weights, entry.Replica)
+		} else {
+			p.weights[entry.Replica] = entry.Weight
+		}
+	}
+	for _, w := range m.Withdrawals {
+		if w.Withdrawn {
+			p.withdrawn[w.Replica] = true
+		} else {
+			delete(p.withdrawn, w.Replica)
+		}
+	}
+}
+
+// hasUsableEntry reports whether the proxy may send to any replica.
+func (p *proxyState) hasUsableEntry() bool {
+	for replica, weight := range p.weights {
+		if weight > 0 && !p.withdrawn[replica] {
+			return true
+		}
+	}
+	return false
+}
+
+// updateEmptySpell starts or ends a spell in which a joined proxy has no usable entry.
+func (c *checker) updateEmptySpell(p *proxyState, now model.Microseconds) {
+	if p.instance == nil || p.hasUsableEntry() {
+		c.endEmptySpell(p, now)
+		return
+	}
+	if p.emptySince == notEmpty {
+		p.emptySince = now
+	}
+}
+
+// checkEmptySpell checks a spell up to now, as far as the proxy's instance was listed a warm replica.
+func (c *checker) checkEmptySpell(p *proxyState, now model.Microseconds) {
+	if p.emptySince == notEmpty || p.instance == nil || p.instance.warmFrom >= now {
+		return
+	}
+	spell := now - max(p.emptySince, p.instance.warmFrom)
+	c.results[Lost].record(shareOf(spell, c.limits.Bare),
+		"%s: %s, joined to %s, had no usable entry for %s, %s are allowed",
+		c.sinceStart(now), p.name, p.instance.name, seconds(spell), seconds(c.limits.Bare))
+}
+
+func (c *checker) endEmptySpell(p *proxyState, now model.Microseconds) {
+	c.checkEmptySpell(p, now)
+	p.emptySince = notEmpty
+}
--- /dev/null
+++ b/internal/invariants/queue.go
@@ -0,0 +1,61 @@
+package invariants
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+)
+
+// countMessage notes a message of the queue and checks how many a proxy is sent within a span.
+func (c *checker) countMessage(proxy *proxyState, message *pubsubmsg.Message, now model.Microseconds) {
+	instance := proxy.instance
+	instance.sent = append(instance.sent, sentMessage{message.UpdatedAt, now, message.Cost})
+	proxy.messages = append(proxy.messages, message.UpdatedAt)
+	proxy.updatedAt = max(proxy.updatedAt, message.UpdatedAt)
+	if c.limits.WriteMost <= 0 {
+		return
+	}
+	recent := 0
+	for _, at := range proxy.messages {
+		if message.UpdatedAt-at < c.limits.WriteSpan {
+			recent++
+		}
+	}
+	c.results[Backlog].record(float64(recent)/float64(c.limits.WriteMost),
+		"%s: %s wrote %d messages to %s within %s, %d are allowed",
+		c.sinceStart(now), instance.name, recent, proxy.name, seconds(c.limits.WriteSpan), c.limits.WriteMost)
+}
+
+// queueChange is entries that join an instance's queue, or leave it if there are fewer than none.
+type queueChange struct {
+	at      model.Microseconds
+	entries int
+}
+
+// checkQueues checks each instance's queue: what was sent and had not arrived yet, in entries.
+func (c *checker) checkQueues() {
+	for _, name := range slices.Sorted(maps.Keys(c.instances)) {
+		entries := 0
+		for _, change := range c.instances[name].queueChanges() {
+			entries += change.entries
+			c.results[Backlog].record(float64(entries)/float64(max(c.limits.QueueMost, 1)),
+				"%s: %d entries of %s were in flight, %d are allowed",
+				c.sinceStart(change.at), entries, name, c.limits.QueueMost)
+		}
+	}
+}
+
+// queueChanges are those of all messages by time; at one time arrivals come first.
+func (i *instanceState) queueChanges() []queueChange {
+	changes := make([]queueChange, 0, 2*len(i.sent))
+	for _, m := range i.sent {
+		changes = append(changes, queueChange{m.updatedAt, m.cost}, queueChange{m.receivedAt, -m.cost})
+	}
+	slices.SortStableFunc(changes, func(a, b queueChange) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.entries, b.entries))
+	})
+	return changes
+}
