--- /dev/null
+++ b/internal/standin/proxy/messages.go
@@ -0,0 +1,97 @@
+package proxy
+
+import (
+	"strconv"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+)
+
+// resyncInterval is how long a proxy waits for a snapshot before it asks again: instances answer once a second.
+const resyncInterval = model.Second + 50*model.Millisecond
+
+// messageOrder is how a message follows on what the proxy holds.
+type messageOrder uint8
+
+const (
+	inOrder messageOrder = iota
+	outdated
+	afterGap
+)
+
+// order compares a message with the newest one of its instance that was applied.
+func (s *stream) order(m *pubsubmsg.Message) messageOrder {
+	held := s.proxy.versions[s.instance.Name]
+	sameRun := m.Incarnation == held.incarnation
+	switch {
+	case m.Full && (!sameRun || m.Version >= held.version || !s.proxy.table.bound):
+		return inOrder
+	case sameRun && m.Version <= held.version:
+		return outdated
+	case !sameRun || m.PreviousVersion != held.version:
+		return afterGap
+	}
+	return inOrder
+}
+
+// handle takes a table message: in order it is applied, an old one only acknowledged, and after a gap a snapshot is
+// asked for. Nothing is guessed. One of a former lease holder is fenced off.
+func (s *stream) handle(m *pubsubmsg.Message) {
+	if !s.proxy.acceptEpoch(m.Epoch) {
+		s.fence(m)
+		return
+	}
+	switch s.order(m) {
+	case outdated:
+		s.acknowledge(m)
+	case afterGap:
+		s.resync()
+	case inOrder:
+		s.obey(m)
+	}
+}
+
+func (s *stream) obey(m *pubsubmsg.Message) {
+	p := s.proxy
+	p.Messages++
+	p.Lines += m.Cost
+	p.versions[s.instance.Name] = heldVersion{m.Incarnation, m.Version}
+	p.apply(m)
+	if p.Obeyed != nil {
+		p.Obeyed(p, s.instance.Name, m)
+	}
+	if p.StallFor > 0 {
+		p.Stall(p.StallFor * model.Microseconds(len(m.Entries)))
+	}
+	p.whenRunning(func() { s.acknowledge(m) })
+}
+
+// fence tells an instance that its message was not obeyed, as it is of an epoch that is over.
+func (s *stream) fence(m *pubsubmsg.Message) {
+	s.proxy.Fenced++
+	number := func(n uint64) string { return strconv.FormatUint(n, 10) }
+	_, _ = s.conn.Write(resp.AppendCommand(nil, "FENCED", number(m.Epoch), number(m.Incarnation), number(m.Version)))
+}
+
+// resync asks for a snapshot, unless it was asked for a moment ago.
+func (s *stream) resync() {
+	now := s.proxy.loop.Now()
+	if s.resyncedAt != 0 && now-s.resyncedAt <= resyncInterval {
+		return
+	}
+	s.resyncedAt = now
+	s.proxy.Resyncs++
+	_, _ = s.conn.Write(resp.AppendCommand(nil, "RESYNC"))
+}
+
+func (s *stream) acknowledge(m *pubsubmsg.Message) {
+	if s.proxy.Disobey.NeverAcks || m.AckSequence < 0 || s.ended {
+		return
+	}
+	_, _ = s.conn.Write(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{
+		Incarnation: m.Incarnation,
+		Version:     m.Version,
+		Sequence:    m.AckSequence,
+	}))
+}
--- /dev/null
+++ b/internal/standin/proxy/report.go
@@ -0,0 +1,93 @@
+package proxy
+
+import (
+	"slices"
+	"strings"
+
+	"peppervale/internal/codec/http1"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+)
+
+// replicaReport is what a proxy met at a replica since its last load report.
+type replicaReport struct {
+	attempts, errors int
+	latency          float64 // sum of the good attempts', in microseconds
+	readings         []float64
+}
+
+// minReportPeriod bounds how often a proxy reports.
+const minReportPeriod = 10 * model.Millisecond
+
+// report sends the load reports of a period and schedules the next.
+func (s *stream) report() {
+	p := s.proxy
+	if s.ended || s.run != p.run {
+		return
+	}
+	p.loop.After(max(s.period, minReportPeriod), s.report)
+	p.whenRunning(s.sendReports)
+}
+
+func (s *stream) sendReports() {
+	p := s.proxy
+	if s.ended || p.StreamsOnly {
+		return
+	}
+	s.reports++
+	b := pubsubmsg.AppendLoadReports(nil, pubsubmsg.LoadReports{
+		Sequence: s.reports,
+		Window:   s.period,
+		Reports:  p.takeReports(),
+	})
+	if p.SumsLate > 0 {
+		p.loop.After(p.SumsLate, func() { _, _ = s.conn.Write(b) })
+		return
+	}
+	_, _ = s.conn.Write(b)
+}
+
+// takeReports gives what the proxy met since the last call, by the replicas' addresses.
+func (p *Forwarder) takeReports() []model.LoadReport {
+	var reports []model.LoadReport
+	for _, r := range p.replicas {
+		met := r.report
+		if met.attempts == 0 {
+			continue
+		}
+		r.report = replicaReport{}
+		report := model.LoadReport{Replica: r.id, Attempts: met.attempts, Errors: met.errors, Readings: met.readings}
+		if good := met.attempts - met.errors; good > 0 {
+			report.MeanLatency = model.Microseconds(met.latency / float64(good))
+		}
+		reports = append(reports, report)
+	}
+	slices.SortFunc(reports, func(a, b model.LoadReport) int {
+		return strings.Compare(pubsubmsg.Address(a.Replica), pubsubmsg.Address(b.Replica))
+	})
+	return reports
+}
+
+// count puts an attempt's end into the report of its replica, and avoids the replica after too many failures in a row.
+func (a *attempt) count(outcome invariants.Outcome, response *http1.Message, now model.Microseconds) {
+	p, replica := a.request.proxy, a.replica
+	replica.report.attempts++
+	if outcome == invariants.Succeeded {
+		replica.report.latency += float64(now - a.startedAt)
+		replica.failures = 0
+	} else {
+		replica.report.errors++
+		replica.failures++
+		if p.Ejects > 0 && replica.failures >= p.Ejects {
+			replica.failures = 0
+			replica.avoid = now + p.EjectFor
+		}
+	}
+	if response == nil {
+		return
+	}
+	if load, ok := utilization(response.Header["endpoint-load-metrics"]); ok {
+		replica.report.readings = []float64{load}
+	}
+}
--- /dev/null
+++ b/internal/standin/proxy/request.go
@@ -0,0 +1,224 @@
+package proxy
+
+import (
+	"strconv"
+
+	"peppervale/internal/codec/http1"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/standin"
+)
+
+// Result is how a request ended for its client.
+type Result uint8
+
+// The results of requests.
+const (
+	Succeeded   Result = iota
+	RateLimited        // not sent, or rejected by each replica that it was sent to
+	Failed             // an error, or no answer within the operation's timeout
+)
+
+// Invocation is a client's request.
+type Invocation struct {
+	Number    uint64
+	Caller    int // the client's own retries, from 0
+	Operation int
+	Work      float64 // microseconds of a core of speed 1
+	Done      func(r Result, took model.Microseconds)
+}
+
+// request is a client's request in work.
+type request struct {
+	*Invocation
+	proxy        *Forwarder
+	run          int // of the proxy
+	startedAt    model.Microseconds
+	timeout      *standin.Timer
+	attempts     int
+	pending      int // attempts without an end
+	retries      int // that may follow
+	policy       model.RetryPolicy
+	epoch        uint64 // in which it started
+	ended        bool
+	requirements Operation
+}
+
+// attempt is one attempt at a request.
+type attempt struct {
+	request    *request
+	number     int // from 1
+	replica    *replicaState
+	startedAt  model.Microseconds
+	timeout    *standin.Timer
+	ended      bool
+	connection *connection
+}
+
+// Invoke takes a request; its Done is called once.
+func (p *Forwarder) Invoke(inv *Invocation) { p.whenRunning(func() { p.start(inv) }) }
+
+func (p *Forwarder) start(inv *Invocation) {
+	if !p.running {
+		inv.Done(Failed, 0)
+		return
+	}
+	share, policy := p.quota(inv.Operation)
+	if share < 1 && p.random.Float() >= share {
+		inv.Done(RateLimited, 0)
+		return
+	}
+	replica := p.pick(model.ReplicaID{})
+	if replica == nil {
+		inv.Done(RateLimited, 0)
+		return
+	}
+	r := &request{
+		Invocation:   inv,
+		proxy:        p,
+		run:          p.run,
+		startedAt:    p.loop.Now(),
+		retries:      maxRetries(policy),
+		policy:       policy,
+		epoch:        p.fence.Epoch,
+		requirements: p.Operations[inv.Operation],
+	}
+	r.timeout = p.loop.After(r.requirements.Timeout, func() { r.finish(Failed) })
+	r.send(replica)
+}
+
+// maxRetries is how many attempts may follow the first.
+func maxRetries(policy model.RetryPolicy) int {
+	switch policy {
+	case model.RetryIfNotExecuted, model.RetryOnAnyFailure:
+		return 1
+	case model.RetryTwiceOnAnyFailure:
+		return 2
+	case model.RetryNever:
+		return 0
+	}
+	return 0
+}
+
+func (r *request) finish(result Result) {
+	if r.ended {
+		return
+	}
+	r.ended = true
+	r.timeout.Cancel()
+	r.Done(result, r.proxy.loop.Now()-r.startedAt)
+}
+
+// timeLeft is what remains of the operation's timeout.
+func (r *request) timeLeft(now model.Microseconds) model.Microseconds {
+	return r.requirements.Timeout - (now - r.startedAt)
+}
+
+// send starts an attempt at a replica.
+func (r *request) send(replica *replicaState) {
+	p := r.proxy
+	r.attempts++
+	r.pending++
+	replica.inFlight++
+	a := &attempt{request: r, number: r.attempts, replica: replica, startedAt: p.loop.Now()}
+	wait := r.timeLeft(a.startedAt)
+	if r.retries > 0 && r.policy >= model.RetryOnAnyFailure {
+		wait = min(wait, model.Microseconds(p.FirstWait*float64(r.requirements.Objective)))
+	}
+	a.timeout = p.loop.After(max(wait, 0), func() { a.end(invariants.TimedOut, nil) })
+	p.connect(a)
+}
+
+// sendOn writes the attempt's bytes on a connection.
+func (a *attempt) sendOn(conn *connection) {
+	proxy, req := a.request.proxy, a.request
+	a.connection = conn
+	conn.attempt = a
+	proxy.observe(invariants.Tried{
+		At:         proxy.loop.Now(),
+		Forwarder:  proxy.Name,
+		Replica:    a.replica.id,
+		Operation:  req.Operation,
+		Invocation: req.Number,
+		Caller:     req.Caller,
+		N:          a.number,
+	})
+	_, _ = conn.conn.Write(http1.AppendRequest(nil, "POST", "/invoke", pubsubmsg.Address(a.replica.id), nil,
+		"Operation", strconv.Itoa(req.Operation),
+		"Invocation", strconv.FormatUint(req.Number, 10),
+		"Caller-Try", strconv.Itoa(req.Caller),
+		"Forwarder", proxy.Name,
+		"Work-Us", strconv.FormatFloat(req.Work, 'f', 0, 64)))
+}
+
+// end takes an attempt's end and decides by the request's retry policy what follows.
+func (a *attempt) end(outcome invariants.Outcome, response *http1.Message) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	req := a.request
+	now := req.proxy.loop.Now()
+	a.timeout.Cancel()
+	a.replica.inFlight--
+	req.pending--
+	if req.run != req.proxy.run {
+		req.finish(Failed)
+		return
+	}
+	a.releaseConnection(outcome, now)
+	a.count(outcome, response, now)
+	if outcome == invariants.Succeeded {
+		req.finish(Succeeded)
+		return
+	}
+	if req.retry(a, outcome, now) {
+		return
+	}
+	switch {
+	case req.pending > 0:
+	case outcome.Unrun():
+		req.finish(RateLimited)
+	default:
+		req.finish(Failed)
+	}
+}
+
+// releaseConnection frees the attempt's connection, if it came to have one.
+func (a *attempt) releaseConnection(outcome invariants.Outcome, now model.Microseconds) {
+	if a.connection == nil {
+		return
+	}
+	req := a.request
+	req.proxy.observe(invariants.Ended{
+		At:         now,
+		Invocation: req.Number,
+		Caller:     req.Caller,
+		N:          a.number,
+		Outcome:    outcome,
+	})
+	a.connection.attempt = nil
+	if outcome == invariants.TimedOut {
+		a.connection.drop() // HTTP/1.1 has no other way to give an answer up
+	}
+}
+
+// retry starts another attempt elsewhere, if the policy, the time left and the table allow it.
+func (r *request) retry(failed *attempt, outcome invariants.Outcome, now model.Microseconds) bool {
+	if r.epoch != r.proxy.fence.Epoch { // its policy was ordered by a former lease holder
+		r.policy = min(r.policy, model.RetryIfNotExecuted)
+	}
+	allowed := outcome.Unrun() || r.policy >= model.RetryOnAnyFailure
+	enoughTime := r.timeLeft(now) > r.requirements.Objective/10
+	if r.retries <= 0 || r.ended || !allowed || !enoughTime {
+		return false
+	}
+	next := r.proxy.pick(failed.replica.id)
+	if next == nil {
+		return false
+	}
+	r.retries--
+	r.send(next)
+	return true
+}
--- a/internal/standin/proxy/stream.go
+++ b/internal/standin/proxy/stream.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
-	"strconv"
 	"strings"
 
 	"github.com/lesismal/nbio"
@@ -15,77 +13,102 @@
 	"peppervale/internal/netpoll"
 )
 
-// stream is a connection to a governor.
+// stream is a connection to an instance.
 type stream struct {
-	f        *Forwarder
-	governor Governor
+	proxy    *Forwarder
+	run      int // of the proxy
+	instance Governor
 	conn     *nbio.Conn
 	reader   *resp.Reader
-	life     int // of the forwarder
-	replies  int // that came
+	answers  int // to its commands, that came
 	joined   bool
 	ended    bool
-	period   model.Microseconds
-	reports  uint64
-	asked    model.Microseconds // a snapshot, at
-	early    []byte             // read before the join was answered
+	early    []byte // read before the join was answered
+
+	period     model.Microseconds // of its load reports
+	reports    uint64
+	resyncedAt model.Microseconds // when a snapshot was asked for last; 0: never
 }
 
-// dialIn dials the next governor after a while.
-func (f *Forwarder) dialIn(span model.Microseconds) {
-	life := f.life
-	f.loop.After(span, func() {
-		if f.life != life || f.stream != nil && !f.stream.ended {
+const (
+	minDialTimeout = 100 * model.Millisecond
+	minRedial      = model.Millisecond
+	// maxTold bounds, in milliseconds, what an instance may ask a proxy to wait.
+	maxTold = 600_000
+)
+
+// dialTimeout is how long a connection may take to come about.
+func (p *Forwarder) dialTimeout() model.Microseconds { return max(p.ConnectFor, minDialTimeout) }
+
+// dialAfter dials the next instance after a span, unless it has a stream by then.
+func (p *Forwarder) dialAfter(span model.Microseconds) {
+	run := p.run
+	p.loop.After(span, func() {
+		if p.run != run || p.stream != nil && !p.stream.ended {
 			return
 		}
-		f.run(f.dial)
+		p.whenRunning(p.dial)
 	})
 }
 
-func (f *Forwarder) redial() {
-	f.dialIn(model.Microseconds(f.chance.Between(1, 3) * float64(max(f.Redial, model.Millisecond))))
+// redial dials after the usual wait.
+func (p *Forwarder) redial() { p.dialAfter(p.redialWait(1, 3)) }
+
+// redialWait draws a multiple of the usual wait.
+func (p *Forwarder) redialWait(least, most float64) model.Microseconds {
+	return model.Microseconds(p.random.Between(least, most) * float64(max(p.Redial, minRedial)))
 }
 
-func (f *Forwarder) dial() {
-	g := f.Governors[f.next%len(f.Governors)]
-	s := &stream{f: f, governor: g, life: f.life, reader: resp.NewReader(resp.Limits{})}
-	f.stream = s
-	if f.Cut[g.Name] {
+// redialNext goes on with the next instance after the usual wait.
+func (p *Forwarder) redialNext() {
+	p.nextInstance++
+	p.redial()
+}
+
+func (p *Forwarder) dial() {
+	instance := p.Governors[p.nextInstance%len(p.Governors)]
+	s := &stream{proxy: p, instance: instance, run: p.run, reader: resp.NewReader(resp.Limits{})}
+	p.stream = s
+	if p.Cut[instance.Name] {
 		s.end()
-		f.next++
-		f.redial()
+		p.redialNext()
 		return
 	}
-	failed := func() {
-		f.loop.Post(func() {
-			if f.life == s.life && !s.ended {
-				s.end()
-				f.next++
-				f.redial()
-			}
-		})
-	}
-	netpoll.Dial(f.engine, g.Address, max(f.ConnectFor, 100*model.Millisecond).Duration(), s, func(c *nbio.Conn, err error) {
-		if err != nil {
-			failed()
-			return
-		}
-		f.loop.Post(func() {
-			if f.life != s.life || s.ended {
-				_ = c.Close()
-				return
-			}
-			s.conn = c
-			s.hello()
-		})
+	netpoll.Dial(p.engine, instance.Address, p.dialTimeout().Duration(), s, func(conn *nbio.Conn, err error) {
+		p.loop.Post(func() { s.dialled(conn, err) })
 	})
 }
 
-func (s *stream) hello() {
-	f := s.f
-	h := f.govLife[s.governor.Name]
+// dialled takes the end of a dial.
+func (s *stream) dialled(conn *nbio.Conn, err error) {
+	current := s.run == s.proxy.run && !s.ended
+	switch {
+	case err != nil && current:
+		s.end()
+		s.proxy.redialNext()
+	case err != nil:
+	case !current:
+		_ = conn.Close()
+	default:
+		s.conn = conn
+		s.join()
+	}
+}
+
+// join says who the proxy is and what it holds.
+func (s *stream) join() {
+	p := s.proxy
+	held := p.versions[s.instance.Name]
 	b := resp.AppendCommand(nil, "HELLO", "3")
-	b = pubsubmsg.AppendJoin(b, pubsubmsg.Join{Name: f.Name, Zone: f.Zone, ExpectedRate: f.Rate, OnStandingTable: len(f.govLife) == 0, Incarnation: h.life, Version: h.version, Epoch: f.fence.Epoch})
+	b = pubsubmsg.AppendJoin(b, pubsubmsg.Join{
+		Name:            p.Name,
+		Zone:            p.Zone,
+		ExpectedRate:    p.Rate,
+		OnStandingTable: len(p.versions) == 0,
+		Incarnation:     held.incarnation,
+		Version:         held.version,
+		Epoch:           p.fence.Epoch,
+	})
 	_, _ = s.conn.Write(b)
 }
 
@@ -97,28 +120,30 @@
 	s.ended = true
 	if s.joined {
 		s.joined = false
-		s.f.seen(invariants.Stream{At: s.f.loop.Now(), Forwarder: s.f.Name, Governor: s.governor.Name})
+		p := s.proxy
+		p.observe(invariants.Stream{At: p.loop.Now(), Forwarder: p.Name, Governor: s.instance.Name})
 	}
 	if s.conn != nil {
 		_ = s.conn.Close()
 	}
 }
 
-func (s *stream) came(data []byte) {
-	s.f.loop.Post(func() {
-		if s.ended || s.life != s.f.life {
+// received is called on the poller. What is read is observed when the proxy reads it; standing still is part of that.
+func (s *stream) received(data []byte) {
+	s.proxy.loop.Post(func() {
+		if s.ended || s.run != s.proxy.run {
 			return
 		}
-		// What is read is seen when the forwarder reads it; standing still is part of that.
-		s.f.run(func() { s.read(data) })
+		s.proxy.whenRunning(func() { s.read(data) })
 	})
 }
 
+// closed is called on the poller.
 func (s *stream) closed() {
-	s.f.loop.Post(func() {
-		if s.life == s.f.life && !s.ended {
+	s.proxy.loop.Post(func() {
+		if s.run == s.proxy.run && !s.ended {
 			s.end()
-			s.f.redial()
+			s.proxy.redial()
 		}
 	})
 }
@@ -127,12 +152,12 @@
 	if s.ended {
 		return
 	}
-	f := s.f
-	f.Bytes += len(data)
-	if !s.joined {
-		s.early = append(s.early, data...)
+	proxy := s.proxy
+	proxy.Bytes += len(data)
+	if s.joined {
+		proxy.observe(invariants.Received{At: proxy.loop.Now(), Forwarder: proxy.Name, Data: data})
 	} else {
-		f.seen(invariants.Received{At: f.loop.Now(), Forwarder: f.Name, Data: data})
+		s.early = append(s.early, data...)
 	}
 	err := s.reader.Feed(data, func(v resp.Value) error {
 		s.take(v)
@@ -140,169 +165,108 @@
 	})
 	if s.joined && s.early != nil {
 		// The answer to the join may bring the first messages with it: a checker reads the stream from its start.
-		f.seen(invariants.Received{At: f.loop.Now(), Forwarder: f.Name, Data: s.early})
+		proxy.observe(invariants.Received{At: proxy.loop.Now(), Forwarder: proxy.Name, Data: s.early})
 		s.early = nil
 	}
 	if err != nil {
 		s.end()
-		s.f.redial()
+		proxy.redial()
 	}
 }
 
-func (s *stream) take(v resp.Value) {
-	f := s.f
+func (s *stream) take(value resp.Value) {
 	switch {
-	case v.Kind == resp.Failure:
+	case value.Kind == resp.Failure:
 		s.end()
-		var wait int
-		if n, _ := fmt.Sscanf(v.Text, "LATER %d ", &wait); n == 1 && wait >= 0 && wait < 600_000 {
-			f.Deferred++
-			f.dialIn(model.Microseconds(wait) * model.Millisecond)
-			return
-		}
-		if n, _ := fmt.Sscanf(v.Text, "ENDING this governor ends: join another, or here again in %d ", &wait); n == 1 {
-			f.elsewhere(wait)
-			return
+		s.proxy.turnedAway(value.Text)
+	case value.Kind == resp.Map:
+		s.answers++
+		if s.answers == 2 { // the first answers HELLO
+			s.joinAnswered(value.Items)
 		}
-		var part int
-		var to string
-		if n, _ := fmt.Sscanf(v.Text, "MOVED %d %s", &part, &to); n == 2 {
-			f.movedTo(strings.TrimSuffix(to, ":"))
-			return
-		}
-		f.next++
-		f.redial()
-	case v.Kind == resp.Map:
-		if s.replies++; s.replies == 2 {
-			for i := 0; i+1 < len(v.Items); i += 2 {
-				if v.Items[i].Text == "epoch" && v.Items[i+1].Int >= 0 && !f.epoch(uint64(v.Items[i+1].Int)) {
-					s.end() // it took the join in a lease that is over
-					f.next++
-					f.redial()
-					return
-				}
-			}
-			s.joined = true
-			f.Joins++
-			for i := 0; i+1 < len(v.Items); i += 2 {
-				if v.Items[i].Text == "period" {
-					s.period = model.Microseconds(v.Items[i+1].Int)
-				}
-			}
-			f.seen(invariants.Stream{At: f.loop.Now(), Forwarder: f.Name, Governor: s.governor.Name, Up: true})
-			f.loop.After(model.Microseconds(f.chance.Float()*float64(s.period)), s.report)
-		}
-	case pubsubmsg.IsMessage(v):
-		if m, err := pubsubmsg.Parse(v); err == nil {
-			s.message(m)
+	case pubsubmsg.IsMessage(value):
+		if m, err := pubsubmsg.Parse(value); err == nil {
+			s.handle(m)
 		}
-	case v.Kind == resp.Push && len(v.Items) == 2 && v.Items[0].Text == "elsewhere":
-		if len(f.Governors) > 1 { // who has no other stays until the connection ends: it then misses nothing meanwhile
+	case value.Kind == resp.Push && len(value.Items) == 2 && value.Items[0].Text == "elsewhere":
+		// Who has no other instance stays until the connection ends: it then misses nothing meanwhile.
+		if len(s.proxy.Governors) > 1 {
 			s.end()
-			f.next++
-			f.redial()
+			s.proxy.redialNext()
 		}
 	}
 }
 
-// movedTo goes to the governor that has this forwarder's part, at its own pace; without one it asks the next.
-func (f *Forwarder) movedTo(address string) {
-	f.Moved++
-	f.next++
-	for i, g := range f.Governors {
-		if g.Address == address {
-			f.next = i
-		}
+// joinAnswered takes the answer to the join, which is a map of names and values.
+func (s *stream) joinAnswered(items []resp.Value) {
+	proxy := s.proxy
+	epoch, found := field(items, "epoch")
+	if found && epoch >= 0 && !proxy.acceptEpoch(uint64(epoch)) {
+		s.end() // the instance took the join in a lease that is over
+		proxy.redialNext()
+		return
+	}
+	s.joined = true
+	proxy.Joins++
+	if period, found := field(items, "period"); found {
+		s.period = model.Microseconds(period)
 	}
-	f.redial()
+	proxy.observe(invariants.Stream{At: proxy.loop.Now(), Forwarder: proxy.Name, Governor: s.instance.Name, Up: true})
+	proxy.loop.After(model.Microseconds(proxy.random.Float()*float64(s.period)), s.report)
 }
 
-// elsewhere goes to the next governor. If there is no other it comes back after the time told, spread by chance over twice
-// its usual wait.
-func (f *Forwarder) elsewhere(milliseconds int) {
-	f.next++
-	if len(f.Governors) > 1 || milliseconds < 0 || milliseconds >= 600_000 {
-		f.redial()
-		return
+// field is a number in a map's items by its name.
+func field(items []resp.Value, name string) (value int64, found bool) {
+	for i := 0; i+1 < len(items); i += 2 {
+		if items[i].Text == name {
+			return items[i+1].Int, true
+		}
 	}
-	f.dialIn(model.Microseconds(milliseconds)*model.Millisecond + model.Microseconds(f.chance.Between(0, 2)*float64(max(f.Redial, model.Millisecond))))
+	return 0, false
 }
 
-// message takes a table message: in order it is applied, an old one only acknowledged, and after a gap a snapshot is
-// asked for. Nothing is guessed.
-func (s *stream) message(m *pubsubmsg.Message) {
-	f := s.f
-	if !f.epoch(m.Epoch) {
-		f.Fenced++
-		_, _ = s.conn.Write(resp.AppendCommand(nil, "FENCED", strconv.FormatUint(m.Epoch, 10), strconv.FormatUint(m.Incarnation, 10), strconv.FormatUint(m.Version, 10)))
+// turnedAway carries out what an instance says that does not take the join.
+func (p *Forwarder) turnedAway(text string) {
+	var wait int
+	if n, _ := fmt.Sscanf(text, "LATER %d ", &wait); n == 1 && isWait(wait) {
+		p.Deferred++
+		p.dialAfter(model.Microseconds(wait) * model.Millisecond)
 		return
 	}
-	h := f.govLife[s.governor.Name]
-	switch {
-	case m.Full && (m.Incarnation != h.life || m.Version >= h.version || !f.bound):
-	case m.Incarnation == h.life && m.Version <= h.version:
-		s.ack(m)
-		return
-	case m.Incarnation != h.life || m.PreviousVersion != h.version:
-		if now := f.loop.Now(); s.asked == 0 || now-s.asked > model.Second+50*model.Millisecond {
-			s.asked = now
-			f.Resyncs++
-			_, _ = s.conn.Write(resp.AppendCommand(nil, "RESYNC"))
-		}
+	if n, _ := fmt.Sscanf(text, "ENDING this governor ends: join another, or here again in %d ", &wait); n == 1 {
+		p.instanceEnds(wait)
 		return
 	}
-	f.Messages++
-	f.Lines += m.Cost
-	f.govLife[s.governor.Name] = held{m.Incarnation, m.Version}
-	f.apply(m)
-	if f.Obeyed != nil {
-		f.Obeyed(f, s.governor.Name, m)
-	}
-	if f.StallFor > 0 {
-		f.Stall(f.StallFor * model.Microseconds(len(m.Entries)))
+	var shard int
+	var address string
+	if n, _ := fmt.Sscanf(text, "MOVED %d %s", &shard, &address); n == 2 {
+		p.shardMoved(strings.TrimSuffix(address, ":"))
+		return
 	}
-	f.run(func() { s.ack(m) })
+	p.redialNext()
 }
 
-func (s *stream) ack(m *pubsubmsg.Message) {
-	if s.f.Disobey.NeverAcks || m.AckSequence < 0 || s.ended {
-		return
+func isWait(milliseconds int) bool { return milliseconds >= 0 && milliseconds < maxTold }
+
+// shardMoved goes to the instance that has this proxy's shard, after its own wait; if it does not know it, to the next.
+func (p *Forwarder) shardMoved(address string) {
+	p.Moved++
+	p.nextInstance++
+	for i, instance := range p.Governors {
+		if instance.Address == address {
+			p.nextInstance = i
+		}
 	}
-	_, _ = s.conn.Write(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{Incarnation: m.Incarnation, Version: m.Version, Sequence: m.AckSequence}))
+	p.redial()
 }
 
-// report sends the sums of a period and books the next.
-func (s *stream) report() {
-	f := s.f
-	if s.ended || s.life != f.life {
+// instanceEnds goes to the next instance. If there is no other it comes back after the time that it was told, spread by
+// chance over twice its usual wait.
+func (p *Forwarder) instanceEnds(milliseconds int) {
+	p.nextInstance++
+	if len(p.Governors) > 1 || !isWait(milliseconds) {
+		p.redial()
 		return
 	}
-	f.loop.After(max(s.period, 10*model.Millisecond), s.report)
-	f.run(func() {
-		if s.ended || f.StreamsOnly {
-			return
-		}
-		s.reports++
-		sums := pubsubmsg.LoadReports{Sequence: s.reports, Window: s.period}
-		for _, t := range f.at {
-			if t.tries == 0 {
-				continue
-			}
-			one := model.LoadReport{Replica: t.id, Attempts: t.tries, Errors: t.errored, Readings: t.report}
-			if good := t.tries - t.errored; good > 0 {
-				one.MeanLatency = model.Microseconds(t.latency / float64(good))
-			}
-			sums.Reports = append(sums.Reports, one)
-			t.tries, t.errored, t.latency, t.report = 0, 0, 0, nil
-		}
-		slices.SortFunc(sums.Reports, func(a, b model.LoadReport) int {
-			return strings.Compare(pubsubmsg.Address(a.Replica), pubsubmsg.Address(b.Replica))
-		})
-		b := pubsubmsg.AppendLoadReports(nil, sums)
-		if f.SumsLate > 0 {
-			f.loop.After(f.SumsLate, func() { _, _ = s.conn.Write(b) })
-			return
-		}
-		_, _ = s.conn.Write(b)
-	})
+	p.dialAfter(model.Microseconds(milliseconds)*model.Millisecond + p.redialWait(0, 2))
 }
--- /dev/null
+++ b/internal/standin/proxy/table.go
@@ -0,0 +1,231 @@
+package proxy
+
+import (
+	"slices"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+)
+
+// table is what a proxy holds: its entries, what is withdrawn, and its quotas.
+type table struct {
+	entries   []*entry
+	withdrawn map[model.ReplicaID]bool
+	quotas    []pubsubmsg.Quota // in the order in which they came, a mask of operations each
+	bound     bool              // it is an instance's, not the standing table
+}
+
+// entry is a replica that the proxy holds.
+type entry struct {
+	id     model.ReplicaID
+	weight float64
+	credit float64 // of the wheel
+}
+
+// replicaState is what the proxy knows of a replica: its own requests in flight, failures, connections and load report.
+type replicaState struct {
+	id       model.ReplicaID
+	inFlight int
+	failures int                // in a row
+	avoid    model.Microseconds // until
+	idle     []*connection
+	report   replicaReport
+}
+
+func newTable(standing []invariants.Line) table {
+	held := table{withdrawn: map[model.ReplicaID]bool{}}
+	for _, e := range standing {
+		held.entries = append(held.entries, &entry{id: e.Replica, weight: e.Weight})
+	}
+	return held
+}
+
+// Bound reports whether it is on an instance's table.
+func (p *Forwarder) Bound() bool { return p.table.bound }
+
+// Held is an entry that it holds.
+type Held struct {
+	Replica model.ReplicaID
+	Weight  float64
+	Shut    bool // withdrawn
+}
+
+// Holds gives its entries.
+func (p *Forwarder) Holds() (all []Held) {
+	for _, e := range p.table.entries {
+		all = append(all, Held{e.id, e.weight, p.table.withdrawn[e.id]})
+	}
+	return all
+}
+
+func (p *Forwarder) replica(id model.ReplicaID) *replicaState {
+	r := p.replicas[id]
+	if r == nil {
+		r = &replicaState{id: id}
+		p.replicas[id] = r
+	}
+	return r
+}
+
+// quota gives the share of an operation's requests that is admitted and how they are retried; the newest for it counts.
+func (p *Forwarder) quota(operation int) (share float64, policy model.RetryPolicy) {
+	share, policy = 1, p.UsualWay
+	for _, q := range p.table.quotas {
+		if q.Operations == 0 || q.Operations&(1<<operation) != 0 {
+			share, policy = q.Share, q.RetryPolicy
+		}
+	}
+	if p.cautious {
+		policy = min(policy, model.RetryIfNotExecuted)
+	}
+	if p.Disobey.RepeatsAnything {
+		policy = model.RetryTwiceOnAnyFailure
+	}
+	return share, policy
+}
+
+// usable are the entries that it may pick, without one replica. With every entry avoided avoidance is off: it would
+// reject everything for a few failures.
+func (p *Forwarder) usable(except model.ReplicaID) (entries []*entry, weight float64) {
+	now := p.loop.Now()
+	for _, e := range p.table.entries {
+		if r := p.replicas[e.id]; p.mayUse(e, except) && (r == nil || r.avoid <= now) {
+			entries = append(entries, e)
+			weight += e.weight
+		}
+	}
+	if len(entries) > 0 {
+		return entries, weight
+	}
+	for _, e := range p.table.entries {
+		if p.mayUse(e, except) {
+			entries = append(entries, e)
+			weight += e.weight
+		}
+	}
+	return entries, weight
+}
+
+func (p *Forwarder) mayUse(e *entry, except model.ReplicaID) bool {
+	if e.weight <= 0 || e.id == except {
+		return false
+	}
+	return !p.table.withdrawn[e.id] || p.Disobey.IgnoresShuts
+}
+
+// pick takes an entry as the way of picking has it; nil if there is none.
+func (p *Forwarder) pick(except model.ReplicaID) *replicaState {
+	entries, weight := p.usable(except)
+	if len(entries) == 0 {
+		return nil
+	}
+	var picked *entry
+	switch p.Pick {
+	case Wheel:
+		picked = turnWheel(entries, weight)
+	case Pair:
+		picked = p.draw(entries, weight)
+		other := p.draw(entries, weight)
+		if p.replica(other.id).inFlight < p.replica(picked.id).inFlight {
+			picked = other
+		}
+	default: // Lottery
+		picked = p.draw(entries, weight)
+	}
+	return p.replica(picked.id)
+}
+
+// draw takes an entry by chance, by weight.
+func (p *Forwarder) draw(entries []*entry, weight float64) *entry {
+	x := p.random.Float() * weight
+	for _, e := range entries {
+		x -= e.weight
+		if x < 0 {
+			return e
+		}
+	}
+	return entries[len(entries)-1]
+}
+
+// turnWheel takes the entry with the most credit; each turn credits all by weight and charges the one taken for all.
+func turnWheel(entries []*entry, weight float64) *entry {
+	var best *entry
+	for _, e := range entries {
+		e.credit += e.weight
+		if best == nil || e.credit > best.credit {
+			best = e
+		}
+	}
+	best.credit -= weight
+	return best
+}
+
+// apply changes what the proxy holds by a message that is due in order.
+func (p *Forwarder) apply(message *pubsubmsg.Message) {
+	if message.Bound || len(message.Quotas) > 0 {
+		p.cautious = false
+	}
+	if message.Full && message.Bound {
+		p.table.entries = nil
+		p.table.bound = true
+		clear(p.table.withdrawn)
+	}
+	if message.Full && len(message.Quotas) > 0 {
+		p.table.quotas = nil
+	}
+	for _, e := range message.Entries {
+		p.table.setEntry(e, p.Disobey.IgnoresShuts)
+	}
+	for _, w := range message.Withdrawals {
+		p.table.setWithdrawn(w)
+	}
+	for _, q := range message.Quotas {
+		p.table.setQuota(q)
+	}
+	p.closeUnused()
+}
+
+// setEntry sets an entry's weight; one of weight 0 is removed, unless removals are ignored.
+func (t *table) setEntry(changed pubsubmsg.Entry, ignoreRemoval bool) {
+	i := slices.IndexFunc(t.entries, func(e *entry) bool { return e.id == changed.Replica })
+	switch {
+	case i >= 0 && changed.Weight > 0:
+		t.entries[i].weight = changed.Weight
+	case i >= 0 && !ignoreRemoval:
+		t.entries = slices.Delete(t.entries, i, i+1)
+	case i < 0 && changed.Weight > 0:
+		t.entries = append(t.entries, &entry{id: changed.Replica, weight: changed.Weight})
+	}
+}
+
+func (t *table) setWithdrawn(w pubsubmsg.Withdrawal) {
+	if w.Withdrawn {
+		t.withdrawn[w.Replica] = true
+	} else {
+		delete(t.withdrawn, w.Replica)
+	}
+}
+
+func (t *table) setQuota(changed pubsubmsg.Quota) {
+	i := slices.IndexFunc(t.quotas, func(q pubsubmsg.Quota) bool { return q.Operations == changed.Operations })
+	if i >= 0 {
+		t.quotas[i] = changed
+	} else {
+		t.quotas = append(t.quotas, changed)
+	}
+}
+
+// holds reports whether the table has an entry of a replica that is not withdrawn.
+func (t *table) holds(id model.ReplicaID) bool {
+	return !t.withdrawn[id] && slices.ContainsFunc(t.entries, func(e *entry) bool { return e.id == id })
+}
+
+// closeUnused ends idle connections to replicas that left its table or are withdrawn.
+func (p *Forwarder) closeUnused() {
+	for id, r := range p.replicas {
+		if len(r.idle) > 0 && !p.table.holds(id) {
+			r.dropIdle()
+		}
+	}
+}
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -23,211 +23,267 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// holder is a governor's channel that holds the one part there is, or not, as the test says; it orders what the test says.
-type holder struct {
+// waitLimit is how long a test waits for something that must come.
+const waitLimit = 10 * time.Second
+
+// instance is a channel server that holds the lease of the only shard, or not, as the test says; it publishes what the
+// test says.
+type instance struct {
 	*pubsub.Server
-	mu     sync.Mutex
-	epoch  uint64 // 0: it holds nothing
-	other  *holder
+	other  *instance
 	joined chan model.ProxyID
+
+	mu    sync.Mutex
+	epoch uint64 // 0: it holds nothing
 }
 
-func (h *holder) Shard(int, string) int { return 0 }
+// Shard is part of pubsub.Leases: there is one shard.
+func (i *instance) Shard(int, string) int { return 0 }
 
-func (h *holder) IsLeaseHolder(int) (uint64, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.epoch, h.epoch > 0
+// IsLeaseHolder is part of pubsub.Leases.
+func (i *instance) IsLeaseHolder(int) (uint64, bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.epoch, i.epoch > 0
 }
 
-func (h *holder) Holder(int) string { return h.other.Addr() }
+// Holder is part of pubsub.Leases.
+func (i *instance) Holder(int) string { return i.other.Addr() }
 
-func (h *holder) set(epoch uint64) {
-	h.mu.Lock()
-	h.epoch = epoch
-	h.mu.Unlock()
+func (i *instance) setEpoch(epoch uint64) {
+	i.mu.Lock()
+	i.epoch = epoch
+	i.mu.Unlock()
 }
 
-func (h *holder) ProxyConnected(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
-	h.AdmitProxy(p, stream)
-	h.joined <- p
+// ProxyConnected is part of pubsub.Events.
+func (i *instance) ProxyConnected(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
+	i.AdmitProxy(p, stream)
+	i.joined <- p
 }
-func (h *holder) ProxyDisconnected(model.ProxyID, uint64)    {}
-func (h *holder) Acknowledged(model.ProxyID, uint64, uint32) {}
-func (h *holder) LoadReported(int, []model.LoadReport)       {}
 
-// order publishes a table of both replicas, and how batch-log is tried again.
-func (h *holder) order(p model.ProxyID, way model.RetryPolicy, replicas ...model.ReplicaID) {
-	b := &snapshot.Batch{AckSequence: -1, At: 1}
-	for _, r := range replicas {
-		b.Updates = append(b.Updates, snapshot.Update{Kind: snapshot.SetWeight, Table: 1, Replica: r, Weight: 1})
+// ProxyDisconnected is part of pubsub.Events.
+func (i *instance) ProxyDisconnected(model.ProxyID, uint64) {}
+
+// Acknowledged is part of pubsub.Events.
+func (i *instance) Acknowledged(model.ProxyID, uint64, uint32) {}
+
+// LoadReported is part of pubsub.Events.
+func (i *instance) LoadReported(int, []model.LoadReport) {}
+
+// publish binds a proxy to a table of the replicas, and says how batch-log is retried.
+func (i *instance) publish(p model.ProxyID, policy model.RetryPolicy, replicas ...model.ReplicaID) {
+	batch := &snapshot.Batch{AckSequence: -1, At: 1}
+	for _, id := range replicas {
+		batch.Updates = append(batch.Updates, snapshot.Update{Kind: snapshot.SetWeight, Table: 1, Replica: id, Weight: 1})
 	}
-	b.Updates = append(b.Updates, snapshot.Update{Kind: snapshot.BindProxy, Proxy: p, Table: 1},
-		snapshot.Update{Kind: snapshot.SetQuota, Quota: pubsubmsg.Quota{Operations: 1, Share: 1, RetryPolicy: way}})
-	h.Publish(b)
-}
-
-// pair is two holders, a forwarder and two replicas that answer nothing until they are told to.
-type pair struct {
-	t        *testing.T
-	loop     *standin.Loop
-	a, b     *holder
-	f        *Forwarder
-	replicas []*replica.Replica
-	ids      []model.ReplicaID
-	tried    map[uint64]int // by invocation; of the loop's goroutine
-	done     chan Result
-	numbers  uint64
-}
-
-func newPair(t *testing.T) *pair {
-	began := time.Now()
+	quota := pubsubmsg.Quota{Operations: 1, Share: 1, RetryPolicy: policy}
+	batch.Updates = append(batch.Updates,
+		snapshot.Update{Kind: snapshot.BindProxy, Proxy: p, Table: 1},
+		snapshot.Update{Kind: snapshot.SetQuota, Quota: quota})
+	i.Publish(batch)
+}
+
+// fixture is two instances, a proxy and two replicas that answer nothing once a request is sent.
+type fixture struct {
+	t             *testing.T
+	now           func() model.Microseconds
+	loop          *standin.Loop
+	first, second *instance
+	proxy         *Forwarder
+	replicas      []*replica.Replica
+	ids           []model.ReplicaID
+	done          chan Result
+
+	attempts map[uint64]int // by request; of the loop's goroutine
+	requests uint64         // of the loop's goroutine
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	started := time.Now()
 	now := func() model.Microseconds {
-		return model.Second + model.Microseconds(time.Since(began)/time.Microsecond)
-	}
-	p := &pair{t: t, loop: standin.NewLoop(now), tried: map[uint64]int{}, done: make(chan Result, 1)}
-	t.Cleanup(p.loop.Stop)
-	engine, err := NewEngine()
-	if err != nil {
-		t.Fatal(err)
+		return model.Second + model.Microseconds(time.Since(started)/time.Microsecond)
 	}
-	t.Cleanup(engine.Stop)
-	open := func() *holder {
-		h := &holder{joined: make(chan model.ProxyID, 10)}
-		var err error
-		if h.Server, err = pubsub.Listen(pubsub.Config{Listen: "127.0.0.1:0", Incarnation: 1, Zones: []string{"govan"}, ReportPeriod: model.Second, Pace: 1e6, Leases: h,
-			Now: now, Log: zerolog.Nop()}, h); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(h.Close)
-		return h
+	fixture := &fixture{
+		t:        t,
+		now:      now,
+		loop:     standin.NewLoop(now),
+		done:     make(chan Result, 1),
+		attempts: map[uint64]int{},
 	}
-	p.a, p.b = open(), open()
-	p.a.other, p.b.other = p.b, p.a
-	p.a.set(1)
-	seen := func(s invariants.Seen) {
-		if one, is := s.(invariants.Tried); is {
-			p.tried[one.Invocation]++
+	t.Cleanup(fixture.loop.Stop)
+	fixture.first, fixture.second = fixture.newInstance(), fixture.newInstance()
+	fixture.first.other, fixture.second.other = fixture.second, fixture.first
+	fixture.first.setEpoch(1)
+	fixture.loop.Do(func() {
+		for range 2 {
+			fixture.startReplica()
 		}
-	}
-	p.loop.Do(func() {
-		for n := range byte(2) {
-			free, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			free.Close()
-			id := model.ReplicaID{Addr: [4]byte{127, 0, 0, 1}, Port: uint16(free.Addr().(*net.TCPAddr).Port)}
-			r := replica.New(p.loop, replica.Facts{ID: id, Zone: "govan", Bay: fmt.Sprint(n), Cores: 1, Speed: 1, Waiting: 10, Connections: 100, ColdShare: 1, TipFactor: 1000,
-				TipSpan: model.Second}, replica.NewBay(), []model.Microseconds{model.Second}, seen)
-			if err := r.Start(false); err != nil {
-				t.Error(err)
-				return
-			}
-			p.replicas, p.ids = append(p.replicas, r), append(p.ids, r.ID)
-		}
-		p.f = New(p.loop, engine, Facts{Name: "till", Zone: "govan", Rate: 1, Pick: Wheel, Operations: []Operation{{100 * model.Millisecond, 1600 * model.Millisecond}},
-			UsualWay: model.RetryTwiceOnAnyFailure, FirstWait: 5, Redial: 10 * model.Millisecond, ConnectFor: model.Second, IdleFor: model.Second,
-			Governors: []Governor{{"a", p.a.Addr()}, {"b", p.b.Addr()}}}, 1, seen)
-		p.f.Start(nil)
 	})
+	fixture.startProxy()
 	t.Cleanup(func() {
-		p.loop.Do(func() {
-			p.f.Kill()
-			for _, r := range p.replicas {
+		fixture.loop.Do(func() {
+			fixture.proxy.Kill()
+			for _, r := range fixture.replicas {
 				r.Stop()
 			}
 		})
 	})
-	return p
+	return fixture
 }
 
-// until waits for something of the loop's.
-func (p *pair) until(what string, is func() bool) {
-	p.t.Helper()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		so := false
-		p.loop.Do(func() { so = is() })
-		if so {
-			return
-		}
+func (fx *fixture) newInstance() *instance {
+	fx.t.Helper()
+	i := &instance{joined: make(chan model.ProxyID, 10)}
+	server, err := pubsub.Listen(pubsub.Config{
+		Listen: "127.0.0.1:0", Incarnation: 1, Zones: []string{"govan"}, ReportPeriod: model.Second, Pace: 1e6,
+		Leases: i, Now: fx.now, Log: zerolog.Nop(),
+	}, i)
+	if err != nil {
+		fx.t.Fatal(err)
+	}
+	i.Server = server
+	fx.t.Cleanup(i.Close)
+	return i
+}
+
+// observe counts attempts; it is called on the loop.
+func (fx *fixture) observe(event invariants.Seen) {
+	if started, ok := event.(invariants.Tried); ok {
+		fx.attempts[started.Invocation]++
+	}
+}
+
+// startReplica starts one more replica; it is called on the loop.
+func (fx *fixture) startReplica() {
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		fx.t.Error(err)
+		return
+	}
+	if err := free.Close(); err != nil {
+		fx.t.Error(err)
+	}
+	port := free.Addr().(*net.TCPAddr).Port
+	r := replica.New(fx.loop, replica.Facts{
+		ID:   model.ReplicaID{Addr: [4]byte{127, 0, 0, 1}, Port: uint16(port)},
+		Zone: "govan", Bay: fmt.Sprint(len(fx.replicas)), Cores: 1, Speed: 1, Waiting: 10, Connections: 100,
+		ColdShare: 1, TipFactor: 1000, TipSpan: model.Second,
+	}, replica.NewBay(), []model.Microseconds{model.Second}, fx.observe)
+	if err := r.Start(false); err != nil {
+		fx.t.Error(err)
+		return
+	}
+	fx.replicas = append(fx.replicas, r)
+	fx.ids = append(fx.ids, r.ID)
+}
+
+func (fx *fixture) startProxy() {
+	fx.t.Helper()
+	engine, err := NewEngine()
+	if err != nil {
+		fx.t.Fatal(err)
+	}
+	fx.t.Cleanup(engine.Stop)
+	fx.loop.Do(func() {
+		fx.proxy = New(fx.loop, engine, Facts{
+			Name: "till", Zone: "govan", Rate: 1, Pick: Wheel,
+			Operations: []Operation{{100 * model.Millisecond, 1600 * model.Millisecond}},
+			UsualWay:   model.RetryTwiceOnAnyFailure, FirstWait: 5,
+			Redial: 10 * model.Millisecond, ConnectFor: model.Second, IdleFor: model.Second,
+			Governors: []Governor{{"a", fx.first.Addr()}, {"b", fx.second.Addr()}},
+		}, 1, fx.observe)
+		fx.proxy.Start(nil)
+	})
+}
+
+// until waits for a condition on the loop.
+func (fx *fixture) until(what string, condition func() bool) {
+	fx.t.Helper()
+	eventually(fx.t, what, func() bool {
+		holds := false
+		fx.loop.Do(func() { holds = condition() })
+		return holds
+	})
+}
+
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitLimit); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("never: %s", what)
+			t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-// invoke starts a batch-log at replicas that answer nothing, and gives its number.
-func (p *pair) invoke() (number uint64) {
-	p.loop.Do(func() {
-		p.numbers++
-		number = p.numbers
-		for _, r := range p.replicas {
+// send starts a batch-log at replicas that answer nothing, and gives its number.
+func (fx *fixture) send() (number uint64) {
+	fx.loop.Do(func() {
+		fx.requests++
+		number = fx.requests
+		for _, r := range fx.replicas {
 			r.Silent = true
 		}
-		p.f.Invoke(&Invocation{Number: number, Work: 1000, Done: func(r Result, _ model.Microseconds) { p.done <- r }})
+		done := func(r Result, _ model.Microseconds) { fx.done <- r }
+		fx.proxy.Invoke(&Invocation{Number: number, Work: 1000, Done: done})
 	})
 	return number
 }
 
-// tries waits for the end of an invocation and tells how often it was sent.
-func (p *pair) tries(number uint64) (n int) {
-	<-p.done
-	p.loop.Do(func() { n = p.tried[number] })
-	return n
+// attemptsAt waits for the end of a request and gives how often it was sent.
+func (fx *fixture) attemptsAt(number uint64) (attempts int) {
+	<-fx.done
+	fx.loop.Do(func() { attempts = fx.attempts[number] })
+	return attempts
 }
 
-// The holder changes in the middle of the repeats of a batch-log: what may have run is not sent again, though the one before ordered it
-// so; nor is any other until the new holder has ordered it.
-func TestATakeoverInTheMiddleOfRepeats(t *testing.T) {
-	p := newPair(t)
-	p.a.order(<-p.a.joined, model.RetryTwiceOnAnyFailure, p.ids...)
-	p.until("bound", func() bool { return p.f.Bound() && len(p.f.levels) == 1 })
-	if n := p.tries(p.invoke()); n != 3 {
+// The lease holder changes in the middle of the retries of a batch-log: what may have been executed is not sent again,
+// though the former holder ordered it so; nor is any other until the new holder has published a retry policy.
+func TestTakeoverDuringRetriesStopsThem(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.first.publish(<-fixture.first.joined, model.RetryTwiceOnAnyFailure, fixture.ids...)
+	fixture.until("bound", func() bool { return fixture.proxy.Bound() && len(fixture.proxy.table.quotas) == 1 })
+	if n := fixture.attemptsAt(fixture.send()); n != 3 {
 		t.Fatalf("under one holder it is sent %d times, 3 were ordered", n)
 	}
-	number := p.invoke()
-	p.until("sent once", func() bool { return p.tried[number] == 1 })
-	p.b.set(2)
-	p.a.set(0)
-	p.a.LeaseLost(0)
-	moved := <-p.b.joined
-	if n := p.tries(number); n != 1 {
+	number := fixture.send()
+	fixture.until("sent once", func() bool { return fixture.attempts[number] == 1 })
+	fixture.second.setEpoch(2)
+	fixture.first.setEpoch(0)
+	fixture.first.LeaseLost(0)
+	moved := <-fixture.second.joined
+	if n := fixture.attemptsAt(number); n != 1 {
 		t.Errorf("over the change of holder it is sent %d times", n)
 	}
-	if n := p.tries(p.invoke()); n != 1 {
-		t.Errorf("before the new holder has ordered it is sent %d times", n)
+	if n := fixture.attemptsAt(fixture.send()); n != 1 {
+		t.Errorf("before the new holder has published it is sent %d times", n)
 	}
-	p.b.order(moved, model.RetryOnAnyFailure, p.ids...)
-	p.until("ordered", func() bool { return !p.f.caution && p.f.Joined() == "b" })
-	if n := p.tries(p.invoke()); n != 2 {
-		t.Errorf("once the new holder has ordered one repeat it is sent %d times", n)
+	fixture.second.publish(moved, model.RetryOnAnyFailure, fixture.ids...)
+	fixture.until("published", func() bool { return !fixture.proxy.cautious && fixture.proxy.Joined() == "b" })
+	if n := fixture.attemptsAt(fixture.send()); n != 2 {
+		t.Errorf("once the new holder has ordered one retry it is sent %d times", n)
 	}
 }
 
-// A holder that stood still goes on ordering after its lease, on a stream that it has not given up: the forwarder has seen a newer
-// epoch, obeys nothing, and says so.
-func TestAnOldHolderIsNotObeyed(t *testing.T) {
-	p := newPair(t)
-	proxy := <-p.a.joined
-	p.a.order(proxy, model.RetryNever, p.ids[0])
-	p.until("bound", func() bool { return p.f.Bound() })
-	p.loop.Do(func() { p.f.epoch(7) }) // as another holder's word would
-	p.a.order(proxy, model.RetryNever, p.ids[1])
-	p.until("not obeyed", func() bool { return p.f.Fenced == 1 })
-	p.loop.Do(func() {
-		if held := p.f.Holds(); len(held) != 1 || held[0].Replica != p.ids[0] {
+// A holder that stood still goes on publishing after its lease, on a stream that it has not given up: the proxy has
+// seen a newer epoch, obeys nothing, and says so.
+func TestFormerHolderIsFencedOff(t *testing.T) {
+	fixture := newFixture(t)
+	id := <-fixture.first.joined
+	fixture.first.publish(id, model.RetryNever, fixture.ids[0])
+	fixture.until("bound", func() bool { return fixture.proxy.Bound() })
+	fixture.loop.Do(func() { fixture.proxy.acceptEpoch(7) }) // as another holder's message would
+	fixture.first.publish(id, model.RetryNever, fixture.ids[1])
+	fixture.until("not obeyed", func() bool { return fixture.proxy.Fenced == 1 })
+	fixture.loop.Do(func() {
+		if held := fixture.proxy.Holds(); len(held) != 1 || held[0].Replica != fixture.ids[0] {
 			t.Errorf("it holds %v", held)
 		}
 	})
-	for end := time.Now().Add(10 * time.Second); p.a.Stats().Fenced != 1; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the old holder is not told")
-		}
-	}
+	eventually(t, "the former holder is told", func() bool { return fixture.first.Stats().Fenced == 1 })
 	// Joining anew it is not taken by one whose epoch is older than what it has seen, and goes where it is sent.
-	p.b.set(8)
-	p.loop.Do(p.f.Break)
-	p.until("with the new holder", func() bool { return p.f.Joined() == "b" })
+	fixture.second.setEpoch(8)
+	fixture.loop.Do(fixture.proxy.Break)
+	fixture.until("with the new holder", func() bool { return fixture.proxy.Joined() == "b" })
 }
--- /dev/null
+++ b/internal/standin/registry/body.go
@@ -0,0 +1,55 @@
+package registry
+
+import (
+	"encoding/json"
+	"strconv"
+	"strings"
+
+	"peppervale/internal/codec/consulcatalog"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+)
+
+// Body is the list as Consul's JSON.
+func (r *Registry) Body() []byte {
+	all := []consulcatalog.Entry{}
+	for _, entry := range r.entries {
+		all = append(all, r.catalogEntry(entry))
+	}
+	body, err := json.Marshal(all)
+	if err != nil {
+		return []byte("[]") // plain texts always marshal
+	}
+	return body
+}
+
+func (r *Registry) catalogEntry(entry Entry) consulcatalog.Entry {
+	address, portText, _ := strings.Cut(pubsubmsg.Address(entry.ID), ":")
+	node := "node-" + portText
+	id := r.service + "-" + portText
+	listed := consulcatalog.Entry{
+		Node: consulcatalog.Node{Node: node, Address: address},
+		Service: consulcatalog.Service{
+			ID:      id,
+			Service: r.service,
+			Address: address,
+			Port:    int(entry.ID.Port),
+			Meta:    map[string]string{"zone": entry.Zone, "cell": entry.Bay, "kind": entry.Kind},
+		},
+		Checks: []consulcatalog.Check{
+			{Node: node, CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"},
+		},
+	}
+	if entry.Started > 0 {
+		listed.Service.Meta["started"] = strconv.FormatInt(int64(entry.Started/model.Millisecond), 10)
+	}
+	if entry.Draining {
+		listed.Checks = append(listed.Checks, consulcatalog.Check{
+			Node:    node,
+			CheckID: "_service_maintenance:" + id,
+			Name:    "Service Maintenance Mode",
+			Status:  "critical",
+		})
+	}
+	return listed
+}
--- /dev/null
+++ b/internal/standin/registry/query.go
@@ -0,0 +1,123 @@
+package registry
+
+import (
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/lesismal/nbio"
+
+	"peppervale/internal/codec/http1"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/standin"
+)
+
+// How long a blocking query waits for a change, as Consul documents it.
+const (
+	defaultWait = 5 * time.Minute
+	maxWait     = 10 * time.Minute
+)
+
+const (
+	healthPath   = "/v1/health/service/"
+	noLeader     = "No cluster leader" // the body of a failing agent's answer
+	earlierIndex = 7                   // an index far below the last one
+	agentName    = "peppervale/"       // before an instance's name in its User-Agent
+	indexHeader  = "X-Consul-Index"    // of an answer
+	contentType  = "Content-Type"      // of an answer
+	jsonContent  = "application/json"  // of an answer's body
+)
+
+// query is a call for the list that waits for a change.
+type query struct {
+	conn     *nbio.Conn
+	instance string
+	index    uint64
+	timer    *standin.Timer
+}
+
+func (r *Registry) handle(conn *nbio.Conn, message *http1.Message) {
+	target, err := url.Parse(message.Target)
+	if err != nil {
+		_, _ = conn.Write(http1.AppendAnswer(nil, 404, nil))
+		return
+	}
+	service, found := strings.CutPrefix(target.Path, healthPath)
+	switch {
+	case !found:
+		_, _ = conn.Write(http1.AppendAnswer(nil, 404, nil))
+	case service != r.service:
+		_, _ = conn.Write(http1.AppendAnswer(nil, 200, []byte("[]"), indexHeader, "1", contentType, jsonContent))
+	case r.Trouble.Silent:
+	case r.Trouble.Fails:
+		fail(conn)
+	default:
+		q := &query{conn: conn}
+		q.instance, _ = strings.CutPrefix(message.Header["user-agent"], agentName)
+		r.take(q, target.Query())
+	}
+}
+
+// take answers a query at once if its index is not the list's, else once that has changed or the wait is over.
+func (r *Registry) take(q *query, parameters url.Values) {
+	q.index, _ = strconv.ParseUint(parameters.Get("index"), 10, 64) // without one it does not block
+	if q.index != r.index || q.index == 0 {
+		r.answer(q)
+		return
+	}
+	wait := waitOf(parameters)
+	q.timer = r.loop.After(model.Microseconds(wait/time.Microsecond), func() {
+		r.waiting = slices.DeleteFunc(r.waiting, func(other *query) bool { return other == q })
+		r.answer(q)
+	})
+	r.waiting = append(r.waiting, q)
+}
+
+func waitOf(parameters url.Values) time.Duration {
+	wait, err := time.ParseDuration(parameters.Get("wait"))
+	if err != nil || wait <= 0 {
+		return defaultWait
+	}
+	return min(wait, maxWait)
+}
+
+// answer writes the list as it is once the answer leaves.
+func (r *Registry) answer(q *query) {
+	if r.Trouble.Late > 0 {
+		r.loop.After(r.Trouble.Late, func() { r.write(q) })
+		return
+	}
+	r.write(q)
+}
+
+func (r *Registry) write(waiting *query) {
+	if r.Trouble.Silent {
+		return
+	}
+	if r.Trouble.Fails {
+		fail(waiting.conn)
+		return
+	}
+	index := r.index
+	if r.Trouble.IndexBack {
+		index = earlierIndex
+	}
+	body := r.Body()
+	answer := http1.AppendAnswer(nil, 200, body,
+		contentType, jsonContent, indexHeader, strconv.FormatUint(index, 10))
+	if r.Trouble.Half {
+		_, _ = waiting.conn.Write(answer[:len(answer)-len(body)/2-1])
+		_ = waiting.conn.Close()
+		return
+	}
+	r.Calls++
+	r.observe(invariants.Told{At: r.loop.Now(), Governor: waiting.instance, Body: body})
+	_, _ = waiting.conn.Write(answer)
+}
+
+func fail(conn *nbio.Conn) {
+	_, _ = conn.Write(http1.AppendAnswer(nil, 500, []byte(noLeader)))
+}
--- /dev/null
+++ b/internal/standin/replica/deduplication.go
@@ -0,0 +1,35 @@
+package replica
+
+import "peppervale/internal/model"
+
+// Bay is a group of replicas that drop repeats of requests with an idempotency key among themselves for a while.
+type Bay struct {
+	firstAt map[string]model.Microseconds // by idempotency key
+}
+
+// rememberedKeys is how many keys a group remembers before it forgets what is older than the window.
+const rememberedKeys = 10_000
+
+// NewBay makes an empty group.
+func NewBay() *Bay { return &Bay{firstAt: map[string]model.Microseconds{}} }
+
+// repeated notes a key and reports whether it was seen within the window before.
+func (b *Bay) repeated(key string, now, window model.Microseconds) bool {
+	if len(b.firstAt) > rememberedKeys {
+		b.forget(now - window)
+	}
+	at, known := b.firstAt[key]
+	if known && now-at <= window {
+		return true
+	}
+	b.firstAt[key] = now
+	return false
+}
+
+func (b *Bay) forget(before model.Microseconds) {
+	for key, at := range b.firstAt {
+		if at < before {
+			delete(b.firstAt, key)
+		}
+	}
+}
--- /dev/null
+++ b/internal/standin/replica/load.go
@@ -0,0 +1,63 @@
+package replica
+
+import "peppervale/internal/model"
+
+// loadMeter measures the share of the cores in use. It is refreshed now and then, as load reports are.
+type loadMeter struct {
+	busy       float64 // core microseconds used since measuredAt
+	reported   float64
+	measuredAt model.Microseconds
+}
+
+// idleReport is what a replica reports that claims to be idle.
+const idleReport = 0.02
+
+// utilization is the replica's load report.
+func (r *Replica) utilization() float64 {
+	now := r.loop.Now()
+	span := now - r.load.measuredAt
+	if span >= max(r.ReportEvery, model.Millisecond) {
+		r.load.reported = min(1, r.load.busy/float64(span)/float64(r.Cores))
+		r.load.busy = 0
+		r.load.measuredAt = now
+	}
+	if r.Lies {
+		return idleReport
+	}
+	return r.load.reported
+}
+
+// overloadMeter sums the work that came to a warming replica within its overload window.
+type overloadMeter struct {
+	recent []arrival
+}
+
+type arrival struct {
+	at   model.Microseconds
+	work float64
+}
+
+// total adds an arrival and gives all work within the span before it.
+func (m *overloadMeter) total(a arrival, span model.Microseconds) float64 {
+	m.recent = append(m.recent, a)
+	for len(m.recent) > 0 && m.recent[0].at <= a.at-span {
+		m.recent = m.recent[1:]
+	}
+	total := 0.0
+	for _, earlier := range m.recent {
+		total += earlier.work
+	}
+	return total
+}
+
+// overloaded counts new work against what the replica can do, and reports whether it failed for good by it.
+func (r *Replica) overloaded(now model.Microseconds, work float64) bool {
+	if r.warmth(now) >= 1 || r.TipFactor <= 0 {
+		return false
+	}
+	total := r.overload.total(arrival{now, work}, r.TipSpan)
+	if total-work > r.TipFactor*r.capacity()*r.warmth(now)*float64(r.TipSpan) {
+		r.Tipped = true
+	}
+	return r.Tipped
+}
--- /dev/null
+++ b/internal/standin/replica/serve.go
@@ -0,0 +1,187 @@
+package replica
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+
+	"github.com/lesismal/nbio"
+
+	"peppervale/internal/codec/http1"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/netpoll"
+)
+
+// The values of the response header "ran": whether the request was executed.
+const (
+	executed    = "yes"
+	notExecuted = "no"
+	repeated    = "repeat" // it was executed before
+)
+
+// handlers post what comes on the sockets of a run to the loop.
+func (r *Replica) handlers(run int) netpoll.Handlers {
+	return netpoll.Handlers{
+		Open: func(conn *nbio.Conn) {
+			conn.SetSession(http1.NewParser(false, http1.Limits{}))
+			r.loop.Post(func() { r.opened(conn, run) })
+		},
+		Data: func(conn *nbio.Conn, data []byte) { r.received(conn, data, run) },
+		Close: func(*nbio.Conn, error) {
+			r.loop.Post(func() {
+				if r.run == run {
+					r.connections--
+				}
+			})
+		},
+	}
+}
+
+// received runs on the connection's poller.
+func (r *Replica) received(conn *nbio.Conn, data []byte, run int) {
+	parser, ok := conn.Session().(*http1.Parser)
+	if !ok {
+		return
+	}
+	err := parser.Feed(data, func(m *http1.Message) error {
+		r.loop.Post(func() {
+			if r.run == run {
+				r.handle(conn, m)
+			}
+		})
+		return nil
+	})
+	if err != nil {
+		_ = conn.Close()
+	}
+}
+
+func (r *Replica) opened(conn *nbio.Conn, run int) {
+	if r.run != run {
+		_ = conn.Close()
+		return
+	}
+	r.connections++
+	if r.connections > r.Connections {
+		_ = conn.Close()
+		return
+	}
+	r.load.busy += r.Handshake
+}
+
+// request is a request in work.
+type request struct {
+	conn          *nbio.Conn
+	work          float64
+	operation     int
+	number        uint64
+	clientAttempt int
+}
+
+var errNotRequest = errors.New("not a request for a replica")
+
+func (r *Replica) parse(conn *nbio.Conn, message *http1.Message) (*request, error) {
+	if message.Method != "POST" {
+		return nil, errNotRequest
+	}
+	work, err := strconv.ParseFloat(message.Header["work-us"], 64)
+	if err != nil {
+		return nil, fmt.Errorf("work: %w", err)
+	}
+	operation, err := strconv.Atoi(message.Header["operation"])
+	if err != nil {
+		return nil, fmt.Errorf("operation: %w", err)
+	}
+	number, err := strconv.ParseUint(message.Header["invocation"], 10, 64)
+	if err != nil {
+		return nil, fmt.Errorf("request: %w", err)
+	}
+	if operation < 0 || operation >= len(r.windows) {
+		return nil, errNotRequest
+	}
+	clientAttempt, _ := strconv.Atoi(message.Header["caller-try"]) // 0 where a client does not count
+	return &request{conn: conn, work: work, operation: operation, number: number, clientAttempt: clientAttempt}, nil
+}
+
+// handle takes a request in, or answers it at once.
+func (r *Replica) handle(conn *nbio.Conn, m *http1.Message) {
+	if r.Silent || r.Tipped {
+		return
+	}
+	now := r.loop.Now()
+	req, err := r.parse(conn, m)
+	if err != nil {
+		r.respond(conn, 400, notExecuted)
+		return
+	}
+	r.observe(invariants.Arrived{At: now, Replica: r.ID, Forwarder: m.Header["forwarder"], Work: req.work})
+	if r.overloaded(now, req.work) {
+		return
+	}
+	switch {
+	case r.Draining || len(r.queue.waiting) >= r.Waiting:
+		r.respond(conn, 503, notExecuted)
+	case r.FailOps[req.operation]:
+		r.respond(conn, 500, executed)
+	case r.repeated(req, now):
+		r.respond(conn, 200, repeated)
+	default:
+		r.queue.waiting = append(r.queue.waiting, req)
+		r.serveWaiting()
+	}
+}
+
+// repeated reports whether the replica's group took the request before, within the operation's window.
+func (r *Replica) repeated(req *request, now model.Microseconds) bool {
+	window := r.windows[req.operation]
+	if window == 0 || r.group == nil {
+		return false
+	}
+	return r.group.repeated(fmt.Sprint(req.number, "-", req.clientAttempt), now, window)
+}
+
+// workQueue is what waits for a core, and how many cores are in use.
+type workQueue struct {
+	waiting []*request
+	running int
+}
+
+// serveWaiting gives free cores the requests that wait.
+func (r *Replica) serveWaiting() {
+	for r.queue.running < r.Cores && len(r.queue.waiting) > 0 {
+		next := r.queue.waiting[0]
+		r.queue.waiting = r.queue.waiting[1:]
+		r.queue.running++
+		run := r.run
+		takes := next.work / r.Speed / r.warmth(r.loop.Now()) * r.Slow
+		r.loop.After(model.Microseconds(takes), func() {
+			if r.run == run {
+				r.finish(next, takes)
+			}
+		})
+	}
+}
+
+// finish ends a request's work and frees its core.
+func (r *Replica) finish(req *request, took float64) {
+	r.queue.running--
+	r.load.busy += took
+	if !r.Silent && !r.Tipped {
+		r.Served++
+		r.observe(invariants.Ran{
+			At:         r.loop.Now(),
+			Replica:    r.ID,
+			Operation:  req.operation,
+			Invocation: req.number,
+			Caller:     req.clientAttempt,
+		})
+		r.respond(req.conn, 200, executed)
+	}
+	r.serveWaiting()
+}
+
+func (r *Replica) respond(conn *nbio.Conn, status int, ran string) {
+	load := fmt.Sprintf("TEXT cpu_utilization=%.3f", r.utilization())
+	_, _ = conn.Write(http1.AppendAnswer(nil, status, nil, "Ran", ran, "endpoint-load-metrics", load))
+}
