--- a/internal/statestore/doc.go
+++ b/internal/statestore/doc.go
@@ -1,17 +1,18 @@
-// Package store keeps in a folder what a governor must know after a restart: the number of its life, the last machine
-// list that it was given, the tables that it last published, and a bounded part of its journal of causes.
+// Package statestore keeps on disk what an instance must know after a restart: its incarnation number, the last
+// endpoint list that it received, the tables that it last published, and a bounded decision log.
 //
-// Guarantees: the number of a life only grows, whatever of the folder is lost, as long as the clock does not go back.
-// A cut at any byte of a write leaves the older state or the newer one. Each value carries a checksum of its own and is never
-// used if it does not add up. A damaged state is told from an old one and from one of a newer form: what can be trusted of
-// the first is carried over and the file kept beside it, the second is carried over whole, the third is refused and left as it
-// is. One process has a folder at a time.
+// Guarantees: the incarnation number only grows, whichever part of the stored state is lost, as long as the clock
+// does not go back. A crash at any byte of a write leaves either the previous state or the new one. Each value
+// carries its own checksum and is not used if the checksum does not match. Damaged state, state of an earlier schema
+// version and state of a later one are told apart: the usable part of damaged state is recovered and the file is kept
+// beside the new one, an earlier schema version is migrated completely, and a later one is refused and left
+// untouched. One process uses a directory at a time.
 //
-// How: one bbolt file. It is read once at each start, without trusting its inner structure beyond what the checksums cover
-// (its free list is never read), and written anew under another name, which then takes its place. A start thus
-// also counts the life, clears out what writes have left and carries older forms over, all in one rename.
+// Implementation: one bbolt file. It is read once at each start, without trusting its inner structure beyond what the
+// checksums cover (its free list is never read), and rewritten under another name, which then replaces it. A start
+// therefore also counts the incarnation, reclaims free pages and migrates earlier schema versions, all in one rename.
 //
-// Caveats: values are written behind the decisions (see Writer): a cut loses what came in the last part of a second. The lock is the
-// kernel's (flock): it ends with the process and does not reach over network file systems. A start writes the file once more, so it
-// takes as long as the disk takes for causesBytes at most.
+// Limits: values are written after the decisions that they record (see Writer), so a crash loses the last fraction of a
+// second. The lock is the kernel's (flock): it ends with the process and does not reach over network file systems. A
+// start rewrites the file, so it takes as long as the disk needs for maxDecisionBytes at most.
 package statestore
--- /dev/null
+++ b/internal/statestore/errors.go
@@ -0,0 +1,71 @@
+package statestore
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Errors that callers match with errors.Is. Open returns ErrLocked and ErrNewer; each entry of Recovered.Damage matches
+// ErrDamaged.
+var (
+	ErrDamaged = errors.New("damaged")                   // a value or a file that fails its checks
+	ErrLocked  = errors.New("in use by another process") // the state directory
+	ErrNewer   = errors.New("of a newer form")           // the state file, written by a later version
+)
+
+// Causes of damage that are no error of the disk or of bbolt.
+var (
+	errChecksum      = errors.New("its checksum does not match")
+	errMissing       = errors.New("it is missing")
+	errMissingBucket = errors.New("a bucket is missing")
+)
+
+// DamageError names a part of the stored state that cannot be used. It matches ErrDamaged and its Cause.
+type DamageError struct {
+	Part  string // file, or file and key
+	Cause error  // why it cannot be used; nil if there is no more to say than that it is damaged
+}
+
+// Error names the part and the cause.
+func (e *DamageError) Error() string {
+	if e.Cause == nil {
+		return fmt.Sprintf("%s: %s", e.Part, ErrDamaged)
+	}
+	return fmt.Sprintf("%s: %s: %s", e.Part, ErrDamaged, e.Cause)
+}
+
+// Unwrap gives ErrDamaged and the cause.
+func (e *DamageError) Unwrap() []error {
+	if e.Cause == nil {
+		return []error{ErrDamaged}
+	}
+	return []error{ErrDamaged, e.Cause}
+}
+
+// LockedError tells that another process uses the state directory. It matches ErrLocked.
+type LockedError struct {
+	Dir string
+}
+
+// Error names the directory and the remedy.
+func (e *LockedError) Error() string {
+	return fmt.Sprintf("state directory %s: %s; end that one, or name another directory", e.Dir, ErrLocked)
+}
+
+// Unwrap gives ErrLocked.
+func (e *LockedError) Unwrap() error { return ErrLocked }
+
+// NewerSchemaError tells that the state file was written by a later version of the program. It matches ErrNewer.
+type NewerSchemaError struct {
+	Stored    uint64 // schema version of the file
+	Supported uint64 // latest schema version that this program reads
+}
+
+// Error names both versions and the remedy.
+func (e *NewerSchemaError) Error() string {
+	return fmt.Sprintf("%s: %s: schema version %d, and this program reads up to %d; "+
+		"start the later version, or name another directory", stateFile, ErrNewer, e.Stored, e.Supported)
+}
+
+// Unwrap gives ErrNewer.
+func (e *NewerSchemaError) Unwrap() error { return ErrNewer }
--- a/internal/statestore/race_test.go
+++ b/internal/statestore/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package store
+package statestore
 
-func init() { underRace = true }
+func init() { raceDetectorEnabled = true }
--- /dev/null
+++ b/internal/statestore/records.go
@@ -0,0 +1,59 @@
+package statestore
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+)
+
+const (
+	checksumSize    = 4  // bytes before each value
+	decisionKeySize = 16 // bytes: incarnation and number, both big-endian
+)
+
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
+
+// withChecksum gives a value as it is stored: its checksum, then its bytes.
+func withChecksum(value []byte) []byte {
+	stored := make([]byte, 0, checksumSize+len(value))
+	stored = binary.BigEndian.AppendUint32(stored, crc32.Checksum(value, castagnoliTable))
+	return append(stored, value...)
+}
+
+// verifyChecksum gives the value within stored bytes, which it shares, and whether its checksum matches.
+func verifyChecksum(stored []byte) (value []byte, ok bool) {
+	if len(stored) < checksumSize {
+		return nil, false
+	}
+	value = stored[checksumSize:]
+	return value, binary.BigEndian.Uint32(stored) == crc32.Checksum(value, castagnoliTable)
+}
+
+func encodeUint64(number uint64) []byte {
+	return binary.BigEndian.AppendUint64(nil, number)
+}
+
+// decodeUint64 reads a stored number; 0 if it is missing or of another length.
+func decodeUint64(value []byte) uint64 {
+	if len(value) != 8 {
+		return 0
+	}
+	return binary.BigEndian.Uint64(value)
+}
+
+// decisionKey orders the decision log by incarnation, then by number.
+func decisionKey(incarnation, number uint64) []byte {
+	return binary.BigEndian.AppendUint64(encodeUint64(incarnation), number)
+}
+
+// parseDecision reads an entry of the decision log; its body shares the stored bytes. ok is false if the entry is
+// damaged.
+func parseDecision(key, stored []byte) (record Record, ok bool) {
+	body, ok := verifyChecksum(stored)
+	if !ok || len(key) != decisionKeySize {
+		return Record{}, false
+	}
+	record.Incarnation = binary.BigEndian.Uint64(key)
+	record.Number = binary.BigEndian.Uint64(key[8:])
+	record.Body = body
+	return record, true
+}
--- /dev/null
+++ b/internal/statestore/recovery.go
@@ -0,0 +1,267 @@
+package statestore
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime/debug"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+
+	"peppervale/internal/model"
+)
+
+// databaseTimeout bounds the wait for bbolt's own lock on a file.
+const databaseTimeout = time.Second
+
+// Recovered is what Open found.
+type Recovered struct {
+	Incarnation         uint64           // of this start, from 1
+	Endpoints           []model.Endpoint // the last complete list; nil if none is usable
+	Published           []byte           // the tables last published, in the caller's encoding; nil if none are usable
+	PreviousIncarnation uint64           // that was stored; 0 if none was usable
+	Empty               bool             // nothing was stored
+	MigratedFrom        int              // the schema version that was migrated; 0 if it was the present one
+	Damage              []error          // what is not usable, each a *DamageError, or one of the disk
+}
+
+// storedState is what a state directory holds, read completely.
+type storedState struct {
+	values    map[string][]byte // of the state bucket, by key; verified
+	decisions []Record          // in the order of their keys
+	damage    []error
+}
+
+func newStoredState() *storedState {
+	return &storedState{values: map[string][]byte{}}
+}
+
+func (st *storedState) addDamage(part string, cause error) {
+	st.damage = append(st.damage, &DamageError{Part: part, Cause: cause})
+}
+
+// incarnation is the stored incarnation, 0 if there is none.
+func (st *storedState) incarnation() uint64 {
+	return decodeUint64(st.values[string(incarnationKey)])
+}
+
+// nextIncarnation is the incarnation of a start whose predecessor's number is lost: at least floor, and above each
+// incarnation of the decision log.
+func (st *storedState) nextIncarnation(floor uint64) uint64 {
+	next := max(floor, 1)
+	if len(st.decisions) > 0 {
+		newest := st.decisions[len(st.decisions)-1]
+		next = max(next, newest.Incarnation+1)
+	}
+	return next
+}
+
+// recoverState reads what the directory holds and replaces the state file by one for the next incarnation.
+func (s *Store) recoverState(floor uint64) (*Recovered, error) {
+	leftover := filepath.Join(s.dir, newFile) // of a start that was interrupted
+	if err := os.Remove(leftover); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, err
+	}
+	recovered := &Recovered{}
+	stored, err := s.readStored(recovered)
+	if err != nil {
+		return nil, err
+	}
+	recovered.Damage = stored.damage
+	recovered.PreviousIncarnation = stored.incarnation()
+	recovered.Incarnation = recovered.PreviousIncarnation + 1
+	if recovered.PreviousIncarnation == 0 && !recovered.Empty {
+		recovered.Incarnation = stored.nextIncarnation(floor)
+	}
+	if list, ok := stored.values[string(endpointsKey)]; ok {
+		if err := json.Unmarshal(list, &recovered.Endpoints); err != nil {
+			recovered.Endpoints = nil
+			recovered.Damage = append(recovered.Damage, &DamageError{Part: "endpoint list", Cause: err})
+		}
+	}
+	recovered.Published = stored.values[string(publishedKey)]
+	if err := s.replaceFile(stored, recovered); err != nil {
+		return nil, fmt.Errorf("state: %w", err)
+	}
+	return recovered, nil
+}
+
+// readStored reads the state file, or the first schema version's files if there is none, and notes in recovered which
+// it was.
+func (s *Store) readStored(recovered *Recovered) (*storedState, error) {
+	stored, err := readStateFile(filepath.Join(s.dir, stateFile))
+	if !errors.Is(err, os.ErrNotExist) {
+		return stored, err
+	}
+	stored = readFirstVersion(s.dir)
+	if stored == nil {
+		recovered.Empty = true
+		return newStoredState(), nil
+	}
+	recovered.MigratedFrom = firstVersion
+	return stored, nil
+}
+
+// readStateFile gives what is usable of a state file. A page that is missing or makes no sense ends in a panic or a
+// memory fault in bbolt; both are taken here as damage, in the goroutine that reads.
+func readStateFile(path string) (stored *storedState, err error) {
+	if _, err := os.Stat(path); err != nil {
+		return nil, err
+	}
+	stored = newStoredState()
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if reason := recover(); reason != nil {
+			stored.addDamage(stateFile, fmt.Errorf("%v", reason))
+			err = nil
+		}
+	}()
+	db, err := bolt.Open(path, 0o644, &bolt.Options{ReadOnly: true, Timeout: databaseTimeout})
+	if err != nil {
+		stored.addDamage(stateFile, err)
+		return stored, nil
+	}
+	defer func() { _ = db.Close() }()
+	tx, err := db.Begin(false)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = tx.Rollback() }()
+	if err := stored.load(tx); err != nil {
+		return nil, err
+	}
+	return stored, nil
+}
+
+// load reads what a transaction sees. Its only error is ErrNewer; the rest is damage.
+func (st *storedState) load(tx *bolt.Tx) error {
+	state, decisions := tx.Bucket(stateBucket), tx.Bucket(decisionsBucket)
+	if state == nil || decisions == nil {
+		st.addDamage(stateFile, errMissingBucket)
+		return nil
+	}
+	st.loadValues(state)
+	if version := decodeUint64(st.values[string(schemaVersionKey)]); version > schemaVersion {
+		return &NewerSchemaError{Stored: version, Supported: schemaVersion}
+	}
+	if st.incarnation() == 0 && len(st.damage) == 0 {
+		st.addDamage(stateFile+": incarnation", errMissing)
+	}
+	st.loadDecisions(decisions)
+	return nil
+}
+
+func (st *storedState) loadValues(bucket *bolt.Bucket) {
+	for _, key := range [][]byte{schemaVersionKey, incarnationKey, endpointsKey, publishedKey} {
+		stored := bucket.Get(key)
+		if stored == nil {
+			continue
+		}
+		value, ok := verifyChecksum(stored)
+		if !ok {
+			st.addDamage(fmt.Sprintf("%s: %s", stateFile, key), errChecksum)
+			continue
+		}
+		st.values[string(key)] = bytes.Clone(value)
+	}
+}
+
+func (st *storedState) loadDecisions(bucket *bolt.Bucket) {
+	damaged := 0
+	cursor := bucket.Cursor()
+	for key, stored := cursor.First(); key != nil; key, stored = cursor.Next() {
+		record, ok := parseDecision(key, stored)
+		if !ok || len(st.decisions) >= 2*maxDecisions { // a damaged page may lead the cursor in a circle
+			damaged++
+			continue
+		}
+		record.Body = bytes.Clone(record.Body)
+		st.decisions = append(st.decisions, record)
+	}
+	if damaged > 0 {
+		st.addDamage(fmt.Sprintf("%s: %d entries of the decision log", stateFile, damaged), nil)
+	}
+}
+
+// replaceFile writes the recovered state into a new file and puts that in the old one's place. The store goes on with
+// the new file.
+func (s *Store) replaceFile(stored *storedState, recovered *Recovered) error {
+	current, fresh := filepath.Join(s.dir, stateFile), filepath.Join(s.dir, newFile)
+	options := &bolt.Options{Timeout: databaseTimeout, FreelistType: bolt.FreelistMapType}
+	database, err := bolt.Open(fresh, 0o644, options)
+	if err != nil {
+		return err
+	}
+	if err := s.writeRecovered(database, stored, recovered); err != nil {
+		return errors.Join(err, database.Close())
+	}
+	if len(stored.damage) > 0 && recovered.MigratedFrom == 0 {
+		keepDamagedFile(current, filepath.Join(s.dir, damagedFile))
+	}
+	if err := os.Rename(fresh, current); err != nil {
+		return errors.Join(err, database.Close())
+	}
+	if err := syncDirectory(s.dir); err != nil {
+		return errors.Join(err, database.Close())
+	}
+	s.db = database
+	return nil
+}
+
+// writeRecovered fills a new state file.
+func (s *Store) writeRecovered(db *bolt.DB, stored *storedState, recovered *Recovered) error {
+	return db.Update(func(tx *bolt.Tx) error {
+		state, err := tx.CreateBucketIfNotExists(stateBucket)
+		if err != nil {
+			return err
+		}
+		decisions, err := tx.CreateBucketIfNotExists(decisionsBucket)
+		if err != nil {
+			return err
+		}
+		if err := putRecovered(state, stored, recovered); err != nil {
+			return err
+		}
+		return appendDecisions(decisions, stored.decisions, &s.logSize)
+	})
+}
+
+// putRecovered stores the single values of the recovered state.
+func putRecovered(bucket *bolt.Bucket, stored *storedState, recovered *Recovered) error {
+	if err := bucket.Put(schemaVersionKey, withChecksum(encodeUint64(schemaVersion))); err != nil {
+		return err
+	}
+	if err := bucket.Put(incarnationKey, withChecksum(encodeUint64(recovered.Incarnation))); err != nil {
+		return err
+	}
+	if recovered.Endpoints != nil {
+		list := stored.values[string(endpointsKey)]
+		if err := bucket.Put(endpointsKey, withChecksum(list)); err != nil {
+			return err
+		}
+	}
+	if recovered.Published != nil {
+		return bucket.Put(publishedKey, withChecksum(recovered.Published))
+	}
+	return nil
+}
+
+// keepDamagedFile gives a damaged state file a second name, by which it outlives its replacement. It is a link rather
+// than a rename, so that a crash before the replacement does not leave a directory that looks empty. A file system
+// without links keeps no copy.
+func keepDamagedFile(current, kept string) {
+	_ = os.Remove(kept)
+	_ = os.Link(current, kept)
+}
+
+func syncDirectory(dir string) error {
+	handle, err := os.Open(dir)
+	if err != nil {
+		return err
+	}
+	return errors.Join(handle.Sync(), handle.Close())
+}
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -7,152 +7,183 @@
 	"peppervale/internal/model"
 )
 
-// Writer puts things down behind those who decide: nobody waits for the disk, and a disk that is slow or full costs memory only
-// up to a bound. Of the list and of what was published the newest counts; causes queue, and the oldest beyond the bound are
-// left out and counted.
+const (
+	// batchDelay is how long changes are gathered into one write: a sync takes some milliseconds, and a restart that lacks
+	// the last quarter of a second of decisions has lost little.
+	batchDelay = 250 * time.Millisecond
+
+	// initialRetryDelay and maxRetryDelay bound the delay between attempts on a disk that fails.
+	initialRetryDelay = time.Second
+	maxRetryDelay     = 30 * time.Second
+
+	// maxPendingDecisions bounds the decisions that wait in memory.
+	maxPendingDecisions = 4096
+)
+
+// Writer stores changes in the background: its callers never wait for the disk, and a slow or full disk costs memory
+// only up to a limit. Of the endpoint list and the published tables only the newest is kept; decisions queue, and the
+// oldest beyond the limit are dropped and counted.
 //
-//	state    event               next state  effect
-//	idle     something came      gathering   wait for gather
-//	gathering  time is up        writing     put down all that came
-//	writing  done                idle        tell, if it had failed before
-//	writing  failed              waiting     keep what was to be written unless newer came; tell once
-//	waiting  time is up          writing     twice as long a wait next, up to waitMost
+//	state     event             next state  effect
+//	idle      a change arrives  gathering   wait for batchDelay
+//	gathering delay is over     writing     write everything pending
+//	writing   success           idle        report recovery if the write before failed
+//	writing   failure           waiting     keep the change unless a newer one replaces it; report the first failure
+//	waiting   delay is over     writing     double the next delay, up to maxRetryDelay
 type Writer struct {
-	folder  *Store
-	tell    func(err error, leftOut uint64) // nil error: works again
+	store   *Store
+	report  func(err error, dropped uint64)
 	wake    chan struct{}
-	end     chan struct{}
+	stop    chan struct{}
 	stopped chan struct{}
 
 	mu      sync.Mutex
 	pending Change
-	leftOut uint64
+	dropped uint64
 }
 
-// gather is how long changes are put down together: a sync takes some milliseconds, and a restart that lacks the last
-// quarter of a second of causes has lost little. waitFirst and waitMost bound the tries on a disk that fails.
-const (
-	gather      = 250 * time.Millisecond
-	waitFirst   = time.Second
-	waitMost    = 30 * time.Second
-	pendingMost = 4096
-)
-
-// NewWriter starts one; tell is called from its own goroutine when writing fails and when it works again.
-func NewWriter(f *Store, tell func(err error, leftOut uint64)) *Writer {
-	w := &Writer{folder: f, tell: tell, wake: make(chan struct{}, 1), end: make(chan struct{}), stopped: make(chan struct{})}
+// NewWriter starts a writer to an open store. report is called from the writer's goroutine with the error when writing
+// starts to fail, and with nil when it works again; dropped is the number of decisions dropped so far.
+func NewWriter(store *Store, report func(err error, dropped uint64)) *Writer {
+	w := &Writer{
+		store:   store,
+		report:  report,
+		wake:    make(chan struct{}, 1),
+		stop:    make(chan struct{}),
+		stopped: make(chan struct{}),
+	}
 	go w.run()
 	return w
 }
 
-// SetEndpoints puts a whole list down.
-func (w *Writer) SetEndpoints(entries []model.Endpoint) {
-	if entries == nil {
-		entries = []model.Endpoint{}
+// SetEndpoints stores a complete endpoint list. The writer owns the slice from then on.
+func (w *Writer) SetEndpoints(endpoints []model.Endpoint) {
+	if endpoints == nil {
+		endpoints = []model.Endpoint{}
 	}
-	w.add(func(c *Change) { c.Endpoints = entries })
+	w.add(func(pending *Change) { pending.Endpoints = endpoints })
 }
 
-// SetPublished puts down what stands published.
-func (w *Writer) SetPublished(body []byte) { w.add(func(c *Change) { c.Published = body }) }
+// SetPublished stores the published tables. The writer owns the slice from then on.
+func (w *Writer) SetPublished(body []byte) {
+	w.add(func(pending *Change) { pending.Published = body })
+}
 
-// AddDecision puts an entry of the journal down.
-func (w *Writer) AddDecision(r Record) {
-	w.add(func(c *Change) { c.Decisions = append(c.Decisions, r) })
+// AddDecision stores an entry of the decision log. The writer owns its body from then on.
+func (w *Writer) AddDecision(record Record) {
+	w.add(func(pending *Change) { pending.Decisions = append(pending.Decisions, record) })
 }
 
-// Dropped counts the causes that no room was left for.
+// Dropped is the number of decisions that were dropped because too many were pending.
 func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.leftOut
+	return w.dropped
 }
 
-// Close puts down what is left, with one try, and ends. It does not close the folder.
+// Close writes what is pending, in one attempt, and ends the writer. It does not close the store.
 func (w *Writer) Close() {
-	close(w.end)
+	close(w.stop)
 	<-w.stopped
 }
 
-func (w *Writer) add(put func(*Change)) {
+func (w *Writer) add(update func(pending *Change)) {
 	w.mu.Lock()
-	put(&w.pending)
-	w.trim()
+	update(&w.pending)
+	w.dropOldest()
 	w.mu.Unlock()
+	w.signal()
+}
+
+// signal has the goroutine look at what is pending.
+func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Writer) trim() {
-	if over := len(w.pending.Decisions) - pendingMost; over > 0 {
-		w.leftOut += uint64(over)
-		w.pending.Decisions = append([]Record(nil), w.pending.Decisions[over:]...)
+// dropOldest keeps the pending decisions within their limit; the caller holds the lock.
+func (w *Writer) dropOldest() {
+	excess := len(w.pending.Decisions) - maxPendingDecisions
+	if excess <= 0 {
+		return
 	}
+	w.dropped += uint64(excess)
+	w.pending.Decisions = append([]Record(nil), w.pending.Decisions[excess:]...)
 }
 
 func (w *Writer) run() {
 	defer close(w.stopped)
-	var failed bool
-	wait := waitFirst
+	failing := false
+	retryDelay := initialRetryDelay
 	for {
-		select {
-		case <-w.wake:
-		case <-w.end:
-			w.flush()
-			return
-		}
-		pause := gather
-		if failed {
-			pause = wait
+		delay := batchDelay
+		if failing {
+			delay = retryDelay
 		}
-		select {
-		case <-time.After(pause):
-		case <-w.end:
-			w.flush()
+		if !w.waitForWork(delay) {
+			_ = w.flush() // nobody is left to report to
 			return
 		}
 		err := w.flush()
 		switch {
-		case err != nil && failed:
-			wait = min(2*wait, waitMost)
+		case err != nil && failing:
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		case err != nil:
-			failed, wait = true, waitFirst
-			w.tell(err, w.Dropped())
-		case failed:
-			failed = false
-			w.tell(nil, w.Dropped())
+			failing = true
+			retryDelay = initialRetryDelay
+			w.report(err, w.Dropped())
+		case failing:
+			failing = false
+			w.report(nil, w.Dropped())
 		}
 	}
 }
 
-// flush writes what is pending; what could not be written is pending again, unless newer came meanwhile.
+// waitForWork waits until something is pending and the delay after that is over. It gives false if the writer is closed
+// meanwhile.
+func (w *Writer) waitForWork(delay time.Duration) bool {
+	select {
+	case <-w.wake:
+	case <-w.stop:
+		return false
+	}
+	select {
+	case <-time.After(delay):
+		return true
+	case <-w.stop:
+		return false
+	}
+}
+
+// flush writes what is pending; what could not be written becomes pending again, unless something newer replaced it.
 func (w *Writer) flush() error {
 	w.mu.Lock()
-	c := w.pending
+	change := w.pending
 	w.pending = Change{}
 	w.mu.Unlock()
-	if c.Endpoints == nil && c.Published == nil && len(c.Decisions) == 0 {
+	if change.isEmpty() {
 		return nil
 	}
-	err := w.folder.Write(&c)
+	err := w.store.Write(&change)
+	if err != nil {
+		w.restore(&change)
+		w.signal()
+	}
+	return err
+}
+
+// restore makes a change pending again that could not be written.
+func (w *Writer) restore(failed *Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err == nil {
-		return nil
-	}
 	if w.pending.Endpoints == nil {
-		w.pending.Endpoints = c.Endpoints
+		w.pending.Endpoints = failed.Endpoints
 	}
 	if w.pending.Published == nil {
-		w.pending.Published = c.Published
+		w.pending.Published = failed.Published
 	}
-	w.pending.Decisions = append(c.Decisions, w.pending.Decisions...)
-	w.trim()
-	select {
-	case w.wake <- struct{}{}:
-	default:
-	}
-	return err
+	w.pending.Decisions = append(failed.Decisions, w.pending.Decisions...)
+	w.dropOldest()
 }
