--- /dev/null
+++ b/internal/discovery/cache.go
@@ -0,0 +1,68 @@
+package discovery
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/codec/platformmsg"
+	"peppervale/internal/model"
+)
+
+// endpointCache is the endpoint list as the last watch left it.
+type endpointCache struct {
+	zones   []string
+	names   *platformmsg.ReplicaNames
+	log     zerolog.Logger
+	entries map[string]platformmsg.Endpoint // by name
+	version uint64                          // of the list; 0: ask for the complete one
+}
+
+// apply merges a watch event: a complete list, or changed entries.
+func (c *endpointCache) apply(list *platformmsg.EndpointList) {
+	if list.Full {
+		clear(c.entries)
+	}
+	skipped := list.Skipped
+	for _, endpoint := range list.Endpoints {
+		if !c.usable(endpoint) {
+			skipped++
+			continue
+		}
+		if endpoint.Status == model.EndpointGone {
+			delete(c.entries, endpoint.Name)
+		} else {
+			c.entries[endpoint.Name] = endpoint
+		}
+	}
+	c.version = list.Version
+	if skipped > 0 {
+		c.log.Warn().Int("entries", skipped).Msg("endpoint list entries skipped: no usable name, zone or health")
+	}
+}
+
+// usable tells whether an entry has a known zone and a name that can be listed, and lists it.
+func (c *endpointCache) usable(endpoint platformmsg.Endpoint) bool {
+	if !slices.Contains(c.zones, endpoint.Zone) {
+		return false
+	}
+	_, ok := c.names.Listed(endpoint.Name)
+	return ok
+}
+
+// endpoints is the cached list, ordered by name.
+func (c *endpointCache) endpoints() []model.Endpoint {
+	var endpoints []model.Endpoint
+	for _, name := range slices.Sorted(maps.Keys(c.entries)) {
+		entry := c.entries[name]
+		id, _ := c.names.ID(name)
+		endpoints = append(endpoints, model.Endpoint{
+			ID:        id,
+			Zone:      slices.Index(c.zones, entry.Zone),
+			Status:    entry.Status,
+			StartedAt: entry.StartedAt,
+		})
+	}
+	return endpoints
+}
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net/url"
 	"strconv"
-	"sync"
 	"time"
 
 	"github.com/lesismal/nbio"
@@ -14,232 +13,188 @@
 	"peppervale/internal/codec/consulcatalog"
 	"peppervale/internal/codec/http1"
 	"peppervale/internal/model"
-	"peppervale/internal/netpoll"
 )
 
-// ConsulConfig says which list is followed.
+// ConsulConfig says which endpoint list is followed.
 type ConsulConfig struct {
 	Address   string        // host:port of the agent
 	Service   string        // its name in the list
-	UserAgent string        // names the governor to the list's log (User-Agent)
-	Zones     []string      // names that an entry's meta may give
-	Wait      time.Duration // how long a blocking query may wait for news
-	Timeout   time.Duration // how long beyond that an answer may take before the call has failed
+	UserAgent string        // names this instance in the agent's log
+	Zones     []string      // names that an entry's metadata may give
+	Wait      time.Duration // how long a blocking query may wait for a change
+	Timeout   time.Duration // how long beyond that an answer may take before the poll has failed
 	Log       zerolog.Logger
 }
 
-// answerMost bounds an answer: 10,000 entries of 2 KiB.
-const answerMost = 20 << 20
+const (
+	// maxConsulAnswer bounds an answer: 10,000 entries of 2 KiB.
+	maxConsulAnswer = 20 << 20
 
-// leastPause lies between two calls, so that a list that changes all the time costs 20 calls a second at most.
-const leastPause = 50 * time.Millisecond
+	// minPollInterval lies between the starts of two polls, so that a list that changes all the time costs 20 polls a
+	// second at most.
+	minPollInterval = 50 * time.Millisecond
 
-// ConsulClient follows one service. Make it with NewConsul.
+	// waitJitterFraction is the part of the wait that the agent adds at most, at random.
+	waitJitterFraction = 16
+
+	consulIndexHeader = "x-consul-index"
+)
+
+// ConsulClient follows the endpoint list of one service. Make it with NewConsulClient.
 type ConsulClient struct {
-	query  ConsulConfig
-	to     Receiver
-	engine *netpoll.Engine
-	asked  chan struct{}
-	done   chan struct{}
-	wait   sync.WaitGroup
+	config   ConsulConfig
+	receiver Receiver
+	http     *httpClient
+	poller   *poller
+
+	// Of the subscription, used by the poller's goroutine only.
+	index uint64     // to wait for a change of; 0: ask for the list as it is
+	body  []byte     // of the last answer
+	conn  *nbio.Conn // kept open for the next poll; nil if there is none
 }
 
-// NewConsulClient starts a client that does nothing until Follow.
-func NewConsulClient(q ConsulConfig, to Receiver) (*ConsulClient, error) {
-	c := &ConsulClient{query: q, to: to, asked: make(chan struct{}, 1), done: make(chan struct{})}
-	var err error
-	c.engine, err = netpoll.Start(1, netpoll.Handlers{Data: func(conn *nbio.Conn, data []byte) {
-		if k, ok := conn.Session().(*call); ok {
-			k.came(data)
-		}
-	}, Close: func(conn *nbio.Conn, err error) {
-		if k, ok := conn.Session().(*call); ok {
-			k.end(nil, fmt.Errorf("connection ended: %w", err))
-		}
-	}})
+// NewConsulClient starts a client that does nothing until Subscribe. The error is one of the socket engine.
+func NewConsulClient(config ConsulConfig, receiver Receiver) (*ConsulClient, error) {
+	client, err := newHTTPClient()
 	if err != nil {
-		return nil, fmt.Errorf("machine list: %w", err)
+		return nil, fmt.Errorf("endpoint list: %w", err)
 	}
-	c.wait.Add(1)
-	go c.run()
+	c := &ConsulClient{config: config, receiver: receiver, http: client}
+	c.poller = newPoller(c)
+	go c.poller.run()
 	return c, nil
 }
 
-// Subscribe subscribes; while subscribed it changes nothing.
-func (c *ConsulClient) Subscribe() {
-	select {
-	case c.asked <- struct{}{}:
-	default:
-	}
-}
+// Subscribe follows the list until a poll fails. It does not wait. A call while subscribed takes effect after the
+// failure.
+func (c *ConsulClient) Subscribe() { c.poller.subscribe() }
 
-// Close ends the client; a call in work is dropped.
+// Close ends the client and abandons a poll in flight.
 func (c *ConsulClient) Close() {
-	close(c.done)
-	c.wait.Wait()
-	c.engine.Stop()
+	c.poller.close()
+	c.http.close()
 }
 
-func (c *ConsulClient) run() {
-	defer c.wait.Done()
-	for {
-		select {
-		case <-c.asked:
-		case <-c.done:
-			return
-		}
-		if err := c.follow(); err != nil {
-			c.query.Log.Warn().Err(err).Msg("machine list: call failed")
-			c.to.EndpointsChanged(model.PollFailed, nil)
-		}
-	}
+func (c *ConsulClient) begin() {
+	c.index = 0
+	c.body = nil
 }
 
-// follow asks until a call fails (its error) or the client is closed (nil). An index that goes back, or is none,
-// starts anew with the whole list, as the interface's page asks.
-func (c *ConsulClient) follow() error {
-	var index uint64
-	var body []byte // of the last answer
-	var conn *nbio.Conn
-	defer func() {
-		if conn != nil {
-			_ = conn.Close()
-		}
-	}()
-	for {
-		began := time.Now()
-		var m *http1.Message
-		var err error
-		if m, conn, err = c.ask(conn, index); err != nil || m == nil {
-			return err
-		}
-		if m.Status != 200 {
-			return fmt.Errorf("status %d: %.80q", m.Status, m.Body)
-		}
-		told, err := strconv.ParseUint(m.Header["x-consul-index"], 10, 64)
-		if err != nil {
-			return fmt.Errorf("no index in the answer: %.40q", m.Header["x-consul-index"])
-		}
-		entries, skipped, err := consulcatalog.Parse(m.Body, c.query.Zones)
-		if err != nil {
-			return err
-		}
-		if skipped > 0 {
-			c.query.Log.Warn().Int("entries", skipped).Msg("machine list: entries left out, without IPv4 address, known zone, or twice")
-		}
-		// A list may change under the same index where that is wrong (set back, or stuck): the text tells it.
-		if told != index || index == 0 || !bytes.Equal(m.Body, body) {
-			c.to.EndpointsChanged(model.FullList, entries)
-		}
-		body = m.Body
-		switch {
-		case told < index:
-			index = 0 // it went back: what follows it is not known to be whole
-		case told == 0:
-			index = 1 // 0 would not block
-		default:
-			index = told
-		}
-		if m.Close {
-			_ = conn.Close()
-			conn = nil
-		}
-		select {
-		case <-time.After(leastPause - time.Since(began)):
-		case <-c.done:
-			return nil
-		}
+func (c *ConsulClient) pollFailed(err error) {
+	c.config.Log.Warn().Err(err).Msg("endpoint list poll failed")
+	c.receiver.EndpointsChanged(model.PollFailed, nil)
+}
+
+func (c *ConsulClient) poll() (time.Duration, error) {
+	began := time.Now()
+	message, err := c.query()
+	if err == nil {
+		err = c.handle(message)
+	}
+	if err != nil {
+		c.closeConnection()
+		return 0, err
+	}
+	if message.Close {
+		c.closeConnection()
 	}
+	return minPollInterval - time.Since(began), nil
 }
 
-// call is one request in work.
-type call struct {
-	parser *http1.Parser
-	once   sync.Once
-	got    chan reply
-	over   chan struct{} // the call is given up: a connection that comes now is not wanted
+// query sends one query, over the open connection if there is one, and gives its answer.
+func (c *ConsulClient) query() (*http1.Message, error) {
+	request := http1.AppendRequest(nil, "GET", c.target(), c.config.Address, nil,
+		"Accept", "application/json", "User-Agent", c.config.UserAgent)
+	current := c.http.newCall(request, http1.NewParser(true, http1.Limits{Body: maxConsulAnswer}))
+	if c.conn != nil {
+		current.reuse(c.conn)
+	} else {
+		current.dial(c.config.Address, c.config.Timeout)
+	}
+	message, err := c.poller.await(current, &fixedTimeout{began: current.began, timeout: c.timeout()})
+	if err != nil {
+		current.abandon()
+		c.conn = nil
+		return nil, err
+	}
+	c.conn = current.connection()
+	return message, nil
 }
 
-type reply struct {
-	m   *http1.Message
-	err error
+func (c *ConsulClient) closeConnection() {
+	if c.conn != nil {
+		c.http.engine.End(c.conn)
+		c.conn = nil
+	}
 }
 
-func (k *call) end(m *http1.Message, err error) {
-	k.once.Do(func() { k.got <- reply{m, err} })
+// target is the path of the next query: a blocking one unless the list as it is now is asked for.
+func (c *ConsulClient) target() string {
+	path := "/v1/health/service/" + url.PathEscape(c.config.Service)
+	if c.index == 0 {
+		return path
+	}
+	parameters := url.Values{}
+	parameters.Set("index", strconv.FormatUint(c.index, 10))
+	parameters.Set("wait", strconv.FormatInt(c.config.Wait.Milliseconds(), 10)+"ms")
+	return path + "?" + parameters.Encode()
 }
 
-func (k *call) came(data []byte) {
-	err := k.parser.Feed(data, func(m *http1.Message) error {
-		k.end(m, nil)
-		return nil
-	})
-	if err != nil {
-		k.end(nil, err)
+// timeout bounds the next query.
+func (c *ConsulClient) timeout() time.Duration {
+	if c.index == 0 {
+		return c.config.Timeout
 	}
+	return c.config.Timeout + c.config.Wait + c.config.Wait/waitJitterFraction
 }
 
-// ask sends one query, on the open connection if there is one. A nil message with a nil error: the client closed.
-func (c *ConsulClient) ask(conn *nbio.Conn, index uint64) (*http1.Message, *nbio.Conn, error) {
-	q := url.Values{}
-	limit := c.query.Timeout
-	if index > 0 {
-		q.Set("index", strconv.FormatUint(index, 10))
-		q.Set("wait", strconv.FormatInt(c.query.Wait.Milliseconds(), 10)+"ms")
-		limit += c.query.Wait + c.query.Wait/16 // the server adds up to a sixteenth by chance
+// handle parses an answer and hands its list over if it is news.
+func (c *ConsulClient) handle(message *http1.Message) error {
+	if message.Status != 200 {
+		return fmt.Errorf("status %d: %.80q", message.Status, message.Body)
 	}
-	target := "/v1/health/service/" + url.PathEscape(c.query.Service)
-	if len(q) > 0 {
-		target += "?" + q.Encode()
+	index, err := strconv.ParseUint(message.Header[consulIndexHeader], 10, 64)
+	if err != nil {
+		return fmt.Errorf("no index in the answer: %.40q", message.Header[consulIndexHeader])
 	}
-	k := &call{parser: http1.NewParser(true, http1.Limits{Body: answerMost}), got: make(chan reply, 1),
-		over: make(chan struct{})}
-	defer close(k.over)
-	request := http1.AppendRequest(nil, "GET", target, c.query.Address, nil, "Accept", "application/json",
-		"User-Agent", c.query.UserAgent)
-	dialled := make(chan *nbio.Conn, 1)
-	if conn != nil {
-		conn.SetSession(k)
-		if _, err := conn.Write(request); err != nil {
-			return nil, nil, err
-		}
-	} else {
-		netpoll.Dial(c.engine, c.query.Address, c.query.Timeout, k, func(n *nbio.Conn, err error) {
-			if err != nil {
-				k.end(nil, err)
-				return
-			}
-			dialled <- n
-			select {
-			case <-k.over:
-				_ = n.Close()
-				return
-			default:
-			}
-			if _, err := n.Write(request); err != nil {
-				k.end(nil, err)
-			}
-		})
+	endpoints, skipped, err := consulcatalog.Parse(message.Body, c.config.Zones)
+	if err != nil {
+		return err
 	}
-	after := time.NewTimer(limit)
-	defer after.Stop()
-	var r reply
-	select {
-	case r = <-k.got:
-	case <-after.C:
-		r = reply{err: fmt.Errorf("no answer within %s", limit)}
-	case <-c.done:
-		r = reply{}
+	if skipped > 0 {
+		c.config.Log.Warn().Int("entries", skipped).
+			Msg("endpoint list entries skipped: no IPv4 address, unknown zone, or duplicate")
 	}
-	if conn == nil {
-		select {
-		case conn = <-dialled:
-		default:
-		}
+	// Where an index is wrong (set back, or stuck) the list may change under it: its text tells.
+	if index != c.index || c.index == 0 || !bytes.Equal(message.Body, c.body) {
+		c.receiver.EndpointsChanged(model.FullList, endpoints)
 	}
-	if r.m == nil && conn != nil {
-		_ = conn.Close()
-		conn = nil
+	c.body = message.Body
+	c.index = nextIndex(c.index, index)
+	return nil
+}
+
+// nextIndex is the index to wait on after an answer. One that went back starts anew with the list as it is, as Consul's
+// documentation asks, since changes may lie between; 0 would not block.
+func nextIndex(current, answered uint64) uint64 {
+	switch {
+	case answered < current:
+		return 0
+	case answered == 0:
+		return 1
+	default:
+		return answered
 	}
-	return r.m, conn, r.err
 }
+
+// fixedTimeout monitors a call that has one timeout, whatever arrives.
+type fixedTimeout struct {
+	began   time.Time
+	timeout time.Duration
+}
+
+func (f *fixedTimeout) remaining() (time.Duration, error) {
+	return time.Until(f.began.Add(f.timeout)), &noAnswerError{timeout: f.timeout}
+}
+
+func (f *fixedTimeout) superseded() bool { return false }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,394 +1,191 @@
 package discovery
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
-	"hash/fnv"
-	"maps"
-	"net"
-	"slices"
 	"strconv"
 	"sync"
 	"time"
 
-	"github.com/lesismal/nbio"
 	"github.com/rs/zerolog"
 
 	"peppervale/internal/codec/http1"
 	"peppervale/internal/codec/platformmsg"
 	"peppervale/internal/model"
-	"peppervale/internal/netpoll"
 )
 
-// WatchConfig says which list of the operators' platform is watched.
+// WatchConfig says which endpoint list of the operators' platform is watched.
 type WatchConfig struct {
 	Address string // host:port
 	Zones   []string
 	Names   *platformmsg.ReplicaNames // learns each replica that is listed
-	Known   *platformmsg.EndpointList // what the list was when this governor last held it; nil: never
-	Seed    uint64                    // of the pauses
+	Known   *platformmsg.EndpointList // the list when this instance last had it; nil: never
+	Seed    uint64                    // of the random retry delays
 	Log     zerolog.Logger
 }
 
-// What discovery has to tell counts as told 6 s after it was due, whether it came or not, and the platform writes an empty line every 2 s to
-// a watch. A call that waits longer than a second there is ended by the other side. So a watch is dead after 3 s without a whole line: a
-// second more than its sign of life, for the way. With the pause (0.25 s at most) and a call (a second, and the way) the list is there
-// 4.3 to 4.8 s after the last sign; with a call that vanishes between (1.5 s, 0.25 s) at about 6.
+// What discovery has to tell counts as notified 6 s after it was due, whether it arrived or not, and the platform
+// writes an empty line to a watch every 2 s. The platform ends a call that waits there for longer than a second. So a
+// watch is dead after 3 s without a complete line: a second more than its sign of life, for the way. With the retry
+// delay (0.25 s at most) and a call (a second, and the way) the list is there 4.3 to 4.8 s after the last sign; with
+// a call that vanishes between (1.5 s, 0.25 s) at about 6 s.
 const (
-	watchSilence = 3 * time.Second
-	watchHead    = 1500 * time.Millisecond // the dial included
-	watchPause   = 250 * time.Millisecond  // at most; drawn, so that governors cut off together do not call in step
-	watchCalls   = 2                       // made at once after a watch that lived, while nobody answers; then the call has failed
-	lineSlice    = 16 << 10                // bytes of an unfinished line that are a sign of life too: a list may be long
-	objectMost   = 2 << 20                 // bytes of one line of a watch
+	watchSilenceTimeout = 3 * time.Second
+	watchAnswerTimeout  = 1500 * time.Millisecond // connecting included
+	maxWatchRetryDelay  = 250 * time.Millisecond
+
+	// maxWatchRetries is how many calls at most follow a live watch that ended, while nobody answers; then the poll has
+	// failed.
+	maxWatchRetries = 2
+
+	// minLiveWatch is how long a watch must have lasted, by its last sign of life, to have been live.
+	minLiveWatch = watchSilenceTimeout / 2
 )
 
-// Watcher follows discovery over one open answer. Make it with NewWatch.
+// Watcher follows the platform's endpoint list over one open answer. Make it with NewWatcher.
 type Watcher struct {
-	to     Receiver
-	zones  []string
-	names  *platformmsg.ReplicaNames
-	log    zerolog.Logger
-	engine *netpoll.Engine
-	asked  chan struct{}
-	moved  chan struct{}
-	done   chan struct{}
-	wait   sync.WaitGroup
-	seed   uint64
-	draws  int
+	receiver Receiver
+	log      zerolog.Logger
+	http     *httpClient
+	poller   *poller
+
+	// Used by the poller's goroutine only.
+	retryDelay  jitter
+	retriesLeft int
 
 	mu      sync.Mutex
 	address string
-	held    map[string]platformmsg.Endpoint
-	version uint64
+	cache   endpointCache
 }
 
-// NewWatcher starts a client that does nothing until Follow.
-func NewWatcher(d WatchConfig, to Receiver) (*Watcher, error) {
-	w := &Watcher{to: to, zones: d.Zones, names: d.Names, log: d.Log, seed: d.Seed, address: d.Address, asked: make(chan struct{}, 1),
-		moved: make(chan struct{}, 1), done: make(chan struct{}), held: map[string]platformmsg.Endpoint{}}
-	if d.Known != nil {
-		w.take(d.Known)
-	}
-	var err error
-	w.engine, err = netpoll.Start(1, netpoll.Handlers{Data: func(conn *nbio.Conn, data []byte) {
-		if l, ok := conn.Session().(*look); ok {
-			l.came(data)
-		}
-	}, Close: func(conn *nbio.Conn, err error) {
-		if l, ok := conn.Session().(*look); ok {
-			l.end(fmt.Errorf("connection ended: %w", err))
-		}
-	}})
+// NewWatcher starts a client that does nothing until Subscribe. The error is one of the socket engine.
+func NewWatcher(config WatchConfig, receiver Receiver) (*Watcher, error) {
+	client, err := newHTTPClient()
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	w.wait.Add(1)
-	go w.run()
-	return w, nil
-}
-
-// Subscribe subscribes; while subscribed it changes nothing.
-func (w *Watcher) Subscribe() {
-	select {
-	case w.asked <- struct{}{}:
-	default:
+	watcher := &Watcher{
+		receiver:   receiver,
+		log:        config.Log,
+		http:       client,
+		retryDelay: jitter{seed: config.Seed},
+		address:    config.Address,
+		cache: endpointCache{
+			zones:   config.Zones,
+			names:   config.Names,
+			log:     config.Log,
+			entries: map[string]platformmsg.Endpoint{},
+		},
+	}
+	if config.Known != nil {
+		watcher.cache.apply(config.Known)
 	}
+	watcher.poller = newPoller(watcher)
+	go watcher.poller.run()
+	return watcher, nil
 }
 
-// SetAddress goes on at another address, from the version that is held; a call that failed at the one before is not waited for.
+// Subscribe keeps a watch until a poll fails. It does not wait; while subscribed it has no effect.
+func (w *Watcher) Subscribe() { w.poller.subscribe() }
+
+// SetAddress continues at another address, from the cached version; it does not wait for a failure at the one before.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
-	same := w.address == address
+	unchanged := w.address == address
 	w.address = address
 	w.mu.Unlock()
-	if !same {
-		select {
-		case w.moved <- struct{}{}:
-		default:
-		}
+	if !unchanged {
+		w.poller.addressChanged()
 	}
 }
 
-// Close ends the client.
+// Close ends the client and its watch.
 func (w *Watcher) Close() {
-	close(w.done)
-	w.wait.Wait()
-	w.engine.Stop()
+	w.poller.close()
+	w.http.close()
 }
 
-// Endpoints is the list as it is held.
+// Endpoints is the cached list.
 func (w *Watcher) Endpoints() []model.Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.listings()
+	return w.cache.endpoints()
 }
 
-func (w *Watcher) run() {
-	defer w.wait.Done()
-	for subscribed := false; ; {
-		select {
-		case <-w.asked:
-		case <-w.moved:
-			if !subscribed {
-				continue
-			}
-		case <-w.done:
-			return
-		}
-		subscribed = true
-		w.subscribe()
-	}
+func (w *Watcher) currentAddress() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.address
 }
 
-// subscribe keeps watches until a call fails, and tells that, or the client is closed. A watch that lived and ended is no failed call:
-// it is made anew.
-func (w *Watcher) subscribe() {
-	for calls := 0; ; {
-		l := w.follow()
-		switch {
-		case l.err == nil && l.closed:
-			return
-		case l.err == nil: // moved
-			calls = 0
-			w.log.Info().Msg("discovery: going on at the new address")
-			continue
-		case l.lived():
-			calls = watchCalls
-		case !l.mute:
-			calls = 0
-		}
-		w.log.Warn().Err(l.err).Msg("discovery: watch ended")
-		if calls--; calls < 0 {
-			select {
-			case <-w.asked: // asked for before this
-			default:
-			}
-			w.to.EndpointsChanged(model.PollFailed, nil)
-			return
-		}
-		pause := time.NewTimer(w.pause())
-		select {
-		case <-pause.C:
-		case <-w.moved:
-		case <-w.done:
-		}
-		pause.Stop()
-	}
-}
+func (w *Watcher) begin() { w.retriesLeft = 0 }
 
-// pause draws one.
-func (w *Watcher) pause() time.Duration {
-	h := fnv.New64a()
-	w.draws++
-	fmt.Fprint(h, w.seed, " ", w.draws)
-	return time.Duration(h.Sum64() % uint64(watchPause))
+// pollFailed reports the failure; a subscription that was asked for before it does not count after it.
+func (w *Watcher) pollFailed(error) {
+	w.poller.discardRequest()
+	w.receiver.EndpointsChanged(model.PollFailed, nil)
 }
 
-// take folds one object of the watch in.
-func (w *Watcher) take(l *platformmsg.EndpointList) {
-	if l.Full {
-		clear(w.held)
-	}
-	unknown := 0
-	for _, e := range l.Endpoints {
-		if !slices.Contains(w.zones, e.Zone) {
-			unknown++
-			continue
-		}
-		if _, ok := w.names.Listed(e.Name); !ok {
-			unknown++
-			continue
-		}
-		if e.Status == model.EndpointGone {
-			delete(w.held, e.Name)
-		} else {
-			w.held[e.Name] = e
-		}
-	}
-	if w.version = l.Version; unknown+l.Skipped > 0 {
-		w.log.Warn().Int("entries", unknown+l.Skipped).Msg("discovery: entries left out, without a usable name, zone or health")
+// poll makes one call and keeps its watch until it ends. A live watch that ended is no failure: it is made anew.
+func (w *Watcher) poll() (time.Duration, error) {
+	stream := w.newWatchStream()
+	err := w.follow(stream)
+	switch {
+	case errors.Is(err, errClosed):
+		return 0, err
+	case errors.Is(err, errMoved):
+		w.retriesLeft = 0
+		w.log.Info().Msg("endpoint watch moves to the new address")
+		return 0, nil
+	case stream.wasLive():
+		w.retriesLeft = maxWatchRetries
+	case !isTimeout(err):
+		w.retriesLeft = 0
 	}
-}
-
-// listings is what is held, always in the same order.
-func (w *Watcher) listings() (all []model.Endpoint) {
-	for _, host := range slices.Sorted(maps.Keys(w.held)) {
-		e := w.held[host]
-		id, _ := w.names.ID(host)
-		all = append(all, model.Endpoint{ID: id, Zone: slices.Index(w.zones, e.Zone), Status: e.Status, StartedAt: e.StartedAt})
+	w.log.Warn().Err(err).Msg("endpoint watch ended")
+	if w.retriesLeft == 0 {
+		return 0, err
 	}
-	return all
-}
-
-// look is one call, and the watch that it leads to.
-type look struct {
-	watch  *Watcher
-	parser *http1.Parser
-	line   []byte
-	once   sync.Once
-	ended  chan error
-	began  time.Time
-	err    error // why it ended; nil: moved, or closed
-	closed bool
-	mute   bool // it ended for want of any answer, or of a connection
-
-	mu     sync.Mutex
-	conn   *nbio.Conn
-	over   bool // given up: nothing that comes counts
-	heard  bool // the answer has begun
-	last   time.Time
-	slices int // of an unfinished line
+	w.retriesLeft--
+	return w.retryDelay.next(maxWatchRetryDelay), nil
 }
 
-// lived tells a watch that was one: it went on for as long as its signs of life are apart.
-func (l *look) lived() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.heard && l.last.Sub(l.began) >= watchSilence/2
-}
-
-// due is how long until it is dead, by what came; and what it died of.
-func (l *look) due() (time.Duration, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.heard {
-		l.mute = true
-		return time.Until(l.began.Add(watchHead)), fmt.Errorf("no answer within %s", watchHead)
-	}
-	l.mute = false
-	return time.Until(l.last.Add(watchSilence)), fmt.Errorf("nothing came for %s", watchSilence)
+// newWatchStream prepares a call for what changed since the cached version.
+func (w *Watcher) newWatchStream() *watchStream {
+	w.mu.Lock()
+	address, version := w.address, w.cache.version
+	w.mu.Unlock()
+	target := "/v1/endpoints?follow=1&since=" + strconv.FormatUint(version, 10)
+	request := http1.AppendRequest(nil, "GET", target, address, nil, "Accept", "application/json")
+	stream := &watchStream{watcher: w, address: address}
+	parser := http1.NewParser(true, http1.Limits{})
+	parser.Stream = stream.receive
+	stream.call = w.http.newCall(request, parser)
+	return stream
 }
 
-func (l *look) end(err error) { l.once.Do(func() { l.ended <- err }) }
-
-// giveUp ends the connection, also one that comes later.
-func (l *look) giveUp() {
-	l.mu.Lock()
-	l.over = true
-	conn := l.conn
-	l.mu.Unlock()
-	if conn != nil {
-		l.watch.engine.End(conn)
+// follow keeps a watch until it ends, which always has an error.
+func (w *Watcher) follow(stream *watchStream) error {
+	defer stream.call.abandon()
+	stream.call.dial(stream.address, watchAnswerTimeout)
+	message, err := w.poller.await(stream.call, stream)
+	if err == nil {
+		return fmt.Errorf("status %d, and the answer ended: %.80q", message.Status, message.Body)
 	}
+	return err
 }
 
-func (l *look) came(data []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.over {
-		return
-	}
-	if !l.heard {
-		l.heard, l.last = true, time.Now()
-	}
-	if err := l.parser.Feed(data, func(m *http1.Message) error {
-		return fmt.Errorf("status %d, and the answer ended: %.80q", m.Status, m.Body)
-	}); err != nil {
-		l.over = true
-		l.end(err)
-	}
-}
-
-// part takes content of the answer.
-func (l *look) part(m *http1.Message, part []byte) error {
-	if m.Status != 200 {
-		return fmt.Errorf("status %d", m.Status)
-	}
-	for len(part) > 0 {
-		i := bytes.IndexByte(part, '\n')
-		if i < 0 {
-			i = len(part)
-		}
-		if len(l.line)+i > objectMost {
-			return fmt.Errorf("an object of over %d bytes", objectMost)
-		}
-		l.line = append(l.line, part[:i]...)
-		if i == len(part) {
-			if n := len(l.line) / lineSlice; n > l.slices {
-				l.slices, l.last = n, time.Now()
-			}
-			return nil
-		}
-		part = part[i+1:]
-		l.slices, l.last = 0, time.Now()
-		text := bytes.TrimSpace(l.line)
-		l.line = l.line[:0]
-		if len(text) == 0 {
-			continue
-		}
-		list, err := platformmsg.ParseEndpointList(text)
-		if err != nil {
-			return err
-		}
-		w := l.watch
-		w.mu.Lock()
-		if !list.Full && list.Version < w.version { // set back: what lies between is not known
-			w.version = 0
-			w.mu.Unlock()
-			return fmt.Errorf("the version went back to %d", list.Version)
-		}
-		w.take(list)
-		all := w.listings()
+// apply merges a watch event into the cache and hands the complete list over.
+func (w *Watcher) apply(list *platformmsg.EndpointList) error {
+	w.mu.Lock()
+	if !list.Full && list.Version < w.cache.version { // what lies between is not known
+		w.cache.version = 0
 		w.mu.Unlock()
-		w.to.EndpointsChanged(model.FullList, all)
+		return fmt.Errorf("the version went back to %d", list.Version)
 	}
-	return nil
-}
-
-// follow makes one call and keeps its watch until it ends, the address changes or the client is closed.
-func (w *Watcher) follow() *look {
-	w.mu.Lock()
-	address, version := w.address, w.version
+	w.cache.apply(list)
+	endpoints := w.cache.endpoints()
 	w.mu.Unlock()
-	now := time.Now()
-	l := &look{watch: w, ended: make(chan error, 1), began: now, last: now}
-	l.parser = http1.NewParser(true, http1.Limits{})
-	l.parser.Stream = l.part
-	request := http1.AppendRequest(nil, "GET", "/v1/endpoints?follow=1&since="+strconv.FormatUint(version, 10), address, nil,
-		"Accept", "application/json")
-	netpoll.Dial(w.engine, address, watchHead, l, func(c *nbio.Conn, err error) {
-		if err != nil {
-			l.end(err)
-			return
-		}
-		l.mu.Lock()
-		over := l.over
-		l.conn = c
-		l.mu.Unlock()
-		if over {
-			_ = c.Close()
-		} else if _, err := c.Write(request); err != nil {
-			l.end(err)
-		}
-	})
-	defer l.giveUp()
-	alarm := time.NewTimer(watchHead)
-	defer alarm.Stop()
-	for {
-		select {
-		case l.err = <-l.ended:
-			var n net.Error
-			l.mute = errors.As(l.err, &n) && n.Timeout()
-			return l
-		case <-w.moved:
-			w.mu.Lock()
-			there := w.address == address
-			w.mu.Unlock()
-			if !there { // else it moved before this call, or there and back
-				return l
-			}
-		case <-w.done:
-			l.closed = true
-			return l
-		case <-alarm.C:
-			left, dead := l.due()
-			if left <= 0 {
-				l.err = dead
-				return l
-			}
-			alarm.Reset(left)
-		}
-	}
+	w.receiver.EndpointsChanged(model.FullList, endpoints)
+	return nil
 }
