--- /dev/null
+++ b/internal/config/cluster.go
@@ -0,0 +1,99 @@
+package config
+
+import (
+	"slices"
+
+	"peppervale/internal/model"
+)
+
+const (
+	maxClusterMembers = 9
+	maxShards         = 4096
+)
+
+// Limits of a lease. One of 2 s, the default, is four raft heartbeats that may be missed and three renewals; under
+// 300 ms a busy machine loses leases without cause. The default clock drift of 5% of a lease is a thousand times what
+// quartz clocks drift, and leaves room for a machine that was paused for a moment.
+const (
+	defaultLease         = 2 * model.Second
+	minLease             = 300 * model.Millisecond
+	maxLease             = 600 * model.Second
+	defaultDriftFraction = 20
+)
+
+// Cluster is the block group { }: instances that divide the fleet among them and take over from each other.
+// ShardsPerZone and the durations must be alike at all members.
+type Cluster struct {
+	Listen              string // address for raft and commands
+	Gossip              string // address for gossip
+	Zone                string
+	Join                bool               // join a running cluster rather than form one
+	ShardsPerZone       int                // of the fleet
+	LeaseDuration       model.Microseconds // of a shard's lease
+	MaxClockDrift       model.Microseconds // that a clock may lose against another's within a lease
+	StabilizationPeriod model.Microseconds // that a member was back before shards return to it
+	MoveInterval        model.Microseconds // between two migrations that nothing forces
+	Capacity            float64            // requests a second that this member handles at most; 0: any
+	Members             []ClusterMember
+}
+
+// ClusterMember is a member as this one reaches it.
+type ClusterMember struct {
+	Name    string
+	Address string // for raft and commands
+	Gossip  string // address for gossip
+}
+
+// readCluster reads the block of an instance whose name and zones have been read.
+func readCluster(block *Block, server *Server) *Cluster {
+	cluster := &Cluster{
+		Listen:        block.Address("listen", false),
+		Gossip:        block.Address("gossip", false),
+		Zone:          block.Text("zone", "", server.Zones...),
+		Join:          block.Yes("join", false),
+		ShardsPerZone: block.Whole("parts", 4, 1, 256),
+		LeaseDuration: block.Span("span", defaultLease, minLease, maxLease),
+	}
+	defaultDrift := cluster.LeaseDuration / defaultDriftFraction
+	cluster.MaxClockDrift = block.Span("drift", defaultDrift, model.Millisecond, maxLease)
+	cluster.StabilizationPeriod = block.Span("settle", 10*model.Second, 0, maxDuration)
+	cluster.MoveInterval = block.Span("pace", 2*model.Second, 0, maxDuration)
+	cluster.Capacity = block.Number("limit", 0, 0, 1e9)
+	if cluster.MaxClockDrift >= cluster.LeaseDuration {
+		block.Fault("drift", "drift: must be shorter than span")
+	}
+	if len(server.Zones)*cluster.ShardsPerZone > maxShards {
+		block.Fault("parts", "parts: %d zones of %d parts; %d parts are handled in all",
+			len(server.Zones), cluster.ShardsPerZone, maxShards)
+	}
+	cluster.readMembers(block, server.Name)
+	block.Done()
+	return cluster
+}
+
+// readMembers reads the blocks member "NAME" { }; ownName is the name of the instance itself.
+func (c *Cluster) readMembers(block *Block, ownName string) {
+	for _, memberBlock := range block.Blocks("member", 1) {
+		member := ClusterMember{
+			Name:    memberBlock.Labels[0],
+			Address: memberBlock.Address("address", false),
+			Gossip:  memberBlock.Address("gossip", false),
+		}
+		if slices.ContainsFunc(c.Members, member.conflictsWith) {
+			memberBlock.Fault("", "member %q: its name or address is that of another", member.Name)
+		}
+		memberBlock.Done()
+		c.Members = append(c.Members, member)
+	}
+	if len(c.Members) > maxClusterMembers {
+		block.Fault("", "group: %d members; %d are handled, 3 or 5 are usual", len(c.Members), maxClusterMembers)
+	}
+	hasOwnName := func(member ClusterMember) bool { return member.Name == ownName }
+	if !slices.ContainsFunc(c.Members, hasOwnName) {
+		block.Fault("", "group: no block member %q: each member names itself too", ownName)
+	}
+}
+
+func (m ClusterMember) conflictsWith(other ClusterMember) bool {
+	return m.Name == other.Name || m.Address == other.Address
+}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -2,114 +2,208 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
 	"strconv"
+	"strings"
 
 	"peppervale/internal/codec/platformmsg"
 	"peppervale/internal/codec/simulator"
 	"peppervale/internal/model"
 )
 
-// Platform is what the operators' platform tells a governor that it starts.
+const (
+	// maxPlatformFile bounds the platform's file, in bytes.
+	maxPlatformFile = 16 << 20
+
+	bytesPerMegabyte   = 1 << 20
+	minMemoryMegabytes = 8
+	maxMemoryMegabytes = 1 << 20
+	minSockets         = 64
+)
+
+// Platform is what the operators' platform hands to an instance that it starts.
 type Platform struct {
-	Name, Listen, Discovery string
-	Zones, Operations       []string // names, in the order of the terms
-	LoadFields              []string // names of a load report's readings, in the order of the terms
-	Balancer                model.Config
-	Memory                  int64              // bytes that all its processes may use
-	Sockets                 int                // descriptors that a process may hold
-	MaxDeliveryDelay        model.Microseconds // the longest that a message takes to a proxy
-	Known                   *platformmsg.EndpointList
+	Name             string
+	Listen           string   // address of the instance
+	Discovery        string   // address of the platform's discovery
+	Zones            []string // names, in the order of Balancer
+	Operations       []string // names, in the order of Balancer
+	LoadFields       []string // names of a load report's readings, in their order
+	Balancer         model.Config
+	Memory           int64                     // bytes that all its processes may use
+	Sockets          int                       // descriptors that a process may hold
+	MaxDeliveryDelay model.Microseconds        // the longest that a message takes to a proxy
+	Known            *platformmsg.EndpointList // the endpoint list at the start; nil if there is none
+}
+
+// platformFile is the JSON of the platform's file. Keys are matched without regard to case; the tags in upper case are
+// what a decoding error shows. For its sake, too, these types have no names of their own (they are aliases).
+type platformFile = struct {
+	Name      string          `json:"Name"`
+	Listen    string          `json:"Listen"`
+	Discovery string          `json:"Discovery"`
+	Seed      string          `json:"Seed"`
+	Limits    platformLimits  `json:"Limits"`
+	Known     json.RawMessage `json:"Known"`
+	Settings  json.RawMessage `json:"Settings"`
+}
+
+type platformLimits = struct {
+	Memory  float64 `json:"memory_mb"`
+	Sockets int     `json:"Sockets"`
+}
+
+// platformSettings is what is read here of the simulator's settings; package simulator reads the rest.
+type platformSettings = struct {
+	Zones   []string        `json:"Zones"`
+	Classes []platformClass `json:"Classes"`
+	Stats   platformStats   `json:"Stats"`
+	Extra   platformExtra   `json:"Extra"`
 }
 
-// configMost bounds the file.
-const configMost = 16 << 20
+type platformClass = struct {
+	Name string `json:"Name"`
+}
+
+type platformStats = struct {
+	Fields []string `json:"Fields"`
+}
 
-// LoadPlatform reads the file that LB_CONFIG names. The error tells the field.
+type platformExtra = struct {
+	MaxDeliveryDelay float64 `json:"push_delay_max"` // milliseconds
+}
+
+// LoadPlatform reads the file that LB_CONFIG names. The error is Errors, or one of the file system.
 func LoadPlatform(path string) (*Platform, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > configMost {
-		return nil, fmt.Errorf("%s: %d bytes, %d are taken", path, info.Size(), configMost)
+	if info.Size() > maxPlatformFile {
+		return nil, Errors{{File: path, Text: fmt.Sprintf("%d bytes, %d are taken", info.Size(), maxPlatformFile)}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	p, err := readPlatform(text)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	return p, nil
-}
-
-func readPlatform(text []byte) (*Platform, error) {
-	// Keys are matched without regard to case; the upper case is what a decoding error shows.
-	var o struct {
-		Name      string `json:"Name"`
-		Listen    string `json:"Listen"`
-		Discovery string `json:"Discovery"`
-		Seed      string `json:"Seed"`
-		Limits    struct {
-			Memory  float64 `json:"memory_mb"`
-			Sockets int     `json:"Sockets"`
-		} `json:"Limits"`
-		Known    json.RawMessage `json:"Known"`
-		Settings json.RawMessage `json:"Settings"`
-	}
-	if err := json.Unmarshal(text, &o); err != nil {
-		return nil, err
+	return parsePlatform(path, text)
+}
+
+// parsePlatform decodes the text of a file; path names it in errors, which are Errors.
+func parsePlatform(path string, text []byte) (*Platform, error) {
+	platform := &Platform{}
+	err := platform.decode(text)
+	if err == nil {
+		return platform, nil
 	}
-	for _, a := range [][2]string{{"listen", o.Listen}, {"discovery", o.Discovery}} {
-		if at, err := netip.ParseAddrPort(a[1]); err != nil || !at.Addr().Is4() || at.Port() == 0 {
-			return nil, fmt.Errorf("%s: %.60q is no IPv4 address with a port", a[0], a[1])
-		}
+	var located Error
+	if !errors.As(err, &located) {
+		located = Error{Text: err.Error(), Cause: err}
 	}
-	seed, err := strconv.ParseUint(o.Seed, 16, 64)
+	located.File = path
+	return nil, Errors{located}
+}
+
+// fieldError is an error of a field of the platform's JSON.
+func fieldError(field, format string, args ...any) error {
+	return Error{Field: field, Text: field + ": " + fmt.Sprintf(format, args...)}
+}
+
+// wrapError is an error of a decoder, at a field of the file, or at the field within it that the decoder names.
+func wrapError(field, prefix string, err error) error {
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) {
+		field = strings.Trim(field+"."+wrongType.Field, ".")
+	}
+	return Error{Field: field, Text: prefix + err.Error(), Cause: err}
+}
+
+// decode reads a file's text; its errors lack the file's name.
+func (p *Platform) decode(text []byte) error {
+	var file platformFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return wrapError("", "", err)
+	}
+	p.Name = file.Name
+	if err := p.setAddresses(file.Listen, file.Discovery); err != nil {
+		return err
+	}
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %.40q is no hexadecimal number of 64 bits", o.Seed)
+		return fieldError("seed", "%.40q is no hexadecimal number of 64 bits", file.Seed)
 	}
-	if !(o.Limits.Memory >= 8) || o.Limits.Memory > 1<<20 || o.Limits.Sockets < 64 || o.Limits.Sockets > many {
-		return nil, fmt.Errorf("limits: %g MB and %d sockets; 8 MB and 64 sockets at least are wanted", o.Limits.Memory, o.Limits.Sockets)
+	if err := p.setLimits(file.Limits); err != nil {
+		return err
 	}
-	p := &Platform{Name: o.Name, Listen: o.Listen, Discovery: o.Discovery, Memory: int64(o.Limits.Memory * (1 << 20)), Sockets: o.Limits.Sockets}
-	if p.Balancer, err = simulator.Terms(seed, o.Settings); err != nil {
-		return nil, err
+	p.Balancer, err = simulator.Terms(seed, file.Settings)
+	if err != nil {
+		return wrapError("settings", "", err)
+	}
+	if err := p.setNames(file.Settings); err != nil {
+		return err
 	}
-	var names struct {
-		Zones   []string `json:"Zones"`
-		Classes []struct {
-			Name string `json:"Name"`
-		} `json:"Classes"`
-		Stats struct {
-			Fields []string `json:"Fields"`
-		} `json:"Stats"`
-		Extra struct {
-			Carries float64 `json:"push_delay_max"`
-		} `json:"Extra"`
-	}
-	if err := json.Unmarshal(o.Settings, &names); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	p.Zones, p.MaxDeliveryDelay = names.Zones, model.Microseconds(names.Extra.Carries*float64(model.Millisecond))
-	if p.MaxDeliveryDelay < 0 || p.MaxDeliveryDelay > longest {
-		return nil, fmt.Errorf("settings: push_delay_max is %g ms", names.Extra.Carries)
-	}
-	for i, c := range names.Classes {
-		if c.Name == "" {
-			return nil, fmt.Errorf("settings: class %d has no name", i)
+	return p.setKnown(file.Known)
+}
+
+func (p *Platform) setAddresses(listen, discovery string) error {
+	for _, field := range []struct{ name, address string }{
+		{"listen", listen},
+		{"discovery", discovery},
+	} {
+		address, err := netip.ParseAddrPort(field.address)
+		if err != nil || !address.Addr().Is4() || address.Port() == 0 {
+			return fieldError(field.name, "%.60q is no IPv4 address with a port", field.address)
 		}
-		p.Operations = append(p.Operations, c.Name)
 	}
-	p.LoadFields = names.Stats.Fields // reports on sockets have the settings' own words
-	if len(o.Known) > 0 {
-		if p.Known, err = platformmsg.ParseEndpointList(o.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
+	p.Listen = listen
+	p.Discovery = discovery
+	return nil
+}
+
+func (p *Platform) setLimits(limits platformLimits) error {
+	memoryAccepted := limits.Memory >= minMemoryMegabytes && limits.Memory <= maxMemoryMegabytes
+	socketsAccepted := limits.Sockets >= minSockets && limits.Sockets <= maxCount
+	if !memoryAccepted || !socketsAccepted {
+		return fieldError("limits", "%g MB and %d sockets; %d MB and %d sockets at least are wanted",
+			limits.Memory, limits.Sockets, minMemoryMegabytes, minSockets)
+	}
+	p.Memory = int64(limits.Memory * bytesPerMegabyte)
+	p.Sockets = limits.Sockets
+	return nil
+}
+
+// setNames reads the names and the delay that are in the settings. Reports on sockets use the settings' own names.
+func (p *Platform) setNames(text []byte) error {
+	var settings platformSettings
+	if err := json.Unmarshal(text, &settings); err != nil {
+		return wrapError("settings", "settings: ", err)
+	}
+	p.Zones = settings.Zones
+	p.MaxDeliveryDelay = model.Microseconds(settings.Extra.MaxDeliveryDelay * float64(model.Millisecond))
+	if p.MaxDeliveryDelay < 0 || p.MaxDeliveryDelay > maxDuration {
+		return fieldError("settings", "push_delay_max is %g ms", settings.Extra.MaxDeliveryDelay)
+	}
+	for i, class := range settings.Classes {
+		if class.Name == "" {
+			return fieldError("settings", "class %d has no name", i)
 		}
+		p.Operations = append(p.Operations, class.Name)
+	}
+	p.LoadFields = settings.Stats.Fields
+	return nil
+}
+
+func (p *Platform) setKnown(text []byte) error {
+	if len(text) == 0 {
+		return nil
+	}
+	known, err := platformmsg.ParseEndpointList(text)
+	if err != nil {
+		return wrapError("known", "known: ", err)
 	}
-	return p, nil
+	p.Known = known
+	return nil
 }
--- /dev/null
+++ b/internal/config/platform_property_test.go
@@ -0,0 +1,188 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"peppervale/internal/balancer"
+	"peppervale/internal/model"
+)
+
+// discardingPublisher carries nothing out that a balancer decides.
+type discardingPublisher struct{}
+
+func (discardingPublisher) SetWeight(model.TableID, model.ReplicaID, float64)                 {}
+func (discardingPublisher) BindProxy(model.ProxyID, model.TableID, uint16, []model.ReplicaID) {}
+func (discardingPublisher) SetWithdrawn(model.ReplicaID, bool)                                {}
+func (discardingPublisher) SetQuota(uint16, float64, model.RetryPolicy)                       {}
+func (discardingPublisher) RequestAck(uint32, bool)                                           {}
+func (discardingPublisher) SetTimer(model.Microseconds)                                       {}
+func (discardingPublisher) Subscribe()                                                        {}
+func (discardingPublisher) Log(string)                                                        {}
+
+// TestAnySettings shows that a balancer starts on whatever settings a customer has and runs for half a minute, or
+// that one line says which field cannot be used. A quarter of the settings at least must be usable.
+func TestAnySettings(t *testing.T) {
+	total, started := 0, 0
+	defer func() {
+		if started*4 < total {
+			t.Errorf("%d of %d started: the others were refused", started, total)
+		}
+	}()
+	rapid.Check(t, func(t *rapid.T) {
+		total++
+		platform, err := parsePlatform("config.json", drawPlatformFile(t))
+		if err != nil {
+			text := err.Error()
+			namesField := strings.Contains(text, "settings") || strings.Contains(text, "json:")
+			if strings.Contains(text, "\n") || !namesField {
+				t.Fatalf("%v", err)
+			}
+			return
+		}
+		started++
+		runBalancer(t, platform)
+	})
+}
+
+// drawFigure draws a usual figure or, sometimes, an odd value; nil leaves it out.
+func drawFigure(t *rapid.T, name string, usual float64) any {
+	odd := []any{0.0, 1.0, 0.001, 1e9, nil, -1.0, 1e300, "x"}
+	place := rapid.IntRange(0, 99).Draw(t, name) - 50 // draws lean to the ends
+	if place >= 0 && place < len(odd) {
+		return odd[place]
+	}
+	return usual
+}
+
+func drawPlatformFile(t *rapid.T) []byte {
+	text, err := json.Marshal(map[string]any{
+		"name":      "n",
+		"listen":    "127.0.0.1:3000",
+		"discovery": "127.0.0.2:3000",
+		"seed":      "7",
+		"settings":  drawSettings(t),
+		"limits":    map[string]any{"memory_mb": 48, "sockets": 256},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func drawSettings(t *rapid.T) map[string]any {
+	classes := drawClasses(t)
+	extra := drawExtra(t)
+	loadReport := map[string]any{"how": "piggyback", "fields": []string{"busy_reqs", "cpu_share"}}
+	return map[string]any{
+		"zones":           []string{"a", "b", "c", "d", "e"}[:rapid.IntRange(1, 5).Draw(t, "zones")],
+		"classes":         classes,
+		"extra":           extra,
+		"membership_mode": rapid.SampledFrom([]any{"subscribe", "automatic", nil}).Draw(t, "mode"),
+		"guarantees":      map[string]any{"cold": drawFigure(t, "cold", 17000)},
+		"stats":           rapid.SampledFrom([]any{nil, loadReport, map[string]any{"how": "silent"}}).Draw(t, "stats"),
+		"prices":          map[string]any{"cross_zone": drawFigure(t, "cross_zone", 0.08)},
+	}
+}
+
+func drawClasses(t *rapid.T) []any {
+	names := []string{"läsa bud", "a.b", "x", "", "書く"}
+	var classes []any
+	for i := range rapid.IntRange(1, 4).Draw(t, "classes") {
+		classes = append(classes, map[string]any{
+			"name":    rapid.SampledFrom(names).Draw(t, "name") + fmt.Sprint(i),
+			"on_time": drawFigure(t, "on_time", 500),
+			"credit":  drawFigure(t, "credit", 1),
+			"effect":  "at_most_once",
+		})
+	}
+	return classes
+}
+
+func drawExtra(t *rapid.T) map[string]any {
+	ownZone := []any{nil, []bool{}, []bool{true}, []bool{false, true}}
+	extra := map[string]any{
+		"admission":      rapid.SampledFrom([]any{"ratio", "rps", "silent", "?", nil}).Draw(t, "admission"),
+		"class_own_zone": rapid.SampledFrom(ownZone).Draw(t, "own zone"),
+	}
+	for _, figure := range []struct {
+		name  string
+		usual float64
+	}{
+		{"default_size", 6},
+		{"fails_to_eject", 0},
+		{"period", 1000},
+		{"overhead", 6},
+		{"pending_max", 6000},
+		{"reloads_max", 0},
+		{"reload_span", 10000},
+		{"slices", 0},
+		{"push_price", 0.02},
+		{"proxies", 20},
+		{"smallest_conn_table", 150},
+		{"push_delay_max", 500},
+	} {
+		if value := drawFigure(t, figure.name, figure.usual); value != nil {
+			extra[figure.name] = value
+		}
+	}
+	return extra
+}
+
+// runBalancer runs a balancer for half a minute with proxies, load reports and an endpoint that drains.
+func runBalancer(t *rapid.T, platform *Platform) {
+	const (
+		tick          = 200 * model.Millisecond
+		ticks         = 150
+		reportEvery   = 5
+		drainAt       = 100
+		proxyCount    = 10
+		attemptsEach  = 5
+		reportLatency = 100 * model.Millisecond
+	)
+	decisions := balancer.New(platform.Balancer, discardingPublisher{}, model.Second)
+	endpoints := drawEndpoints(t, len(platform.Zones))
+	decisions.EndpointsChanged(model.Second, model.FullList, endpoints)
+	for proxy := range model.ProxyID(proxyCount) {
+		decisions.ProxyConnected(model.Second, proxy, int(proxy)%len(platform.Zones), float64(proxy))
+	}
+	for step := range model.Microseconds(ticks) {
+		now := model.Second + step*tick
+		if step%reportEvery == 0 {
+			for number, endpoint := range endpoints {
+				decisions.LoadReported(now, model.LoadReport{
+					Zone:        endpoint.Zone,
+					Replica:     endpoint.ID,
+					Attempts:    attemptsEach,
+					Errors:      number % 2 * attemptsEach,
+					MeanLatency: reportLatency,
+					Window:      model.Second,
+					Readings:    []float64{1, 1},
+				})
+			}
+		}
+		if step == drainAt && len(endpoints) > 0 {
+			endpoints[0].Status = model.EndpointDraining
+			decisions.EndpointsChanged(now, model.ChangedEntries, endpoints[:1])
+		}
+		decisions.TimerFired(now)
+		decisions.Flush(now)
+	}
+}
+
+// drawEndpoints draws ready endpoints; zones beyond the settings' are not listed, and one may have none.
+func drawEndpoints(t *rapid.T, zoneCount int) []model.Endpoint {
+	var endpoints []model.Endpoint
+	for i := range rapid.IntRange(0, 12).Draw(t, "replicas") {
+		endpoints = append(endpoints, model.Endpoint{
+			ID:     model.ReplicaID{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 1},
+			Zone:   i % max(1, zoneCount-1),
+			Status: model.EndpointReady,
+		})
+	}
+	return endpoints
+}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -6,60 +6,73 @@
 	"strings"
 )
 
-// setting is a part of a governor's file: where it stands, what it holds, and why it cannot change in service; "" if it can.
-type setting struct {
-	name string
-	of   func(*Server) any
-	held string
+// reloadRule says of a part of a file whether a running instance can adopt a change of it.
+type reloadRule struct {
+	name          string
+	value         func(*Server) any
+	restartReason string // why a change needs a restart; "" if it can be adopted
 }
 
+// Reasons that several parts share.
 const (
-	onWire  = "its numbers stand on the wire and in what forwarders hold"
-	decides = "the decisions start with it, and what was learnt rests on it"
-	bound   = "its socket is open"
+	reasonOnWire   = "its numbers are on the wire and in tables that proxies hold"
+	reasonBalancer = "the balancer starts with it, and its statistics depend on it"
+	reasonSocket   = "its socket is open"
 )
 
-// inService tells of each setting whether a running governor can take another one. What is not here cannot: Reload compares the
-// rest of the file too.
-var inService = []setting{
-	{"governor: the name", func(g *Server) any { return g.Name }, "logs, pages and the list's caller carry it"},
-	{"governor: listen", func(g *Server) any { return g.Listen }, bound},
-	{"governor: state", func(g *Server) any { return g.State }, "the folder is locked and open"},
-	{"governor: seed", func(g *Server) any { return g.Balancer.Seed }, "chance is drawn from it since the start"},
-	{"governor: log", func(g *Server) any { return g.LogLevel }, ""},
-	{"governor: farewell", func(g *Server) any { return g.ShutdownGracePeriod }, ""},
-	{"zones", func(g *Server) any { return g.Zones }, onWire},
-	{"operation", func(g *Server) any { return g.Operations }, onWire},
-	{"channel: pace", func(g *Server) any { return g.Pace }, "what waits was given its time by it"},
-	{"channel: intake", func(g *Server) any { return g.ReportLimit }, ""},
-	{"channel: connections, observers, unsent_bytes, unsent_all_bytes, greeting, commands, joins, joined_most", func(g *Server) any { return g.Limits }, ""},
-	{"group", func(g *Server) any { return g.Cluster }, "what the group has agreed on rests on it; restart one member after the other"},
-	{"console: listen", func(g *Server) any { return g.Console }, bound},
-	{"machine_list", func(g *Server) any { return g.Discovery }, "a call to it is under way"},
-	{"fleet, rules, channel: queue, overhead, period, messages_most", func(g *Server) any {
-		t := g.Balancer
-		t.Seed, t.Zones, t.Operations = 0, 0, nil
-		return t
-	}, decides},
-	{"fleet, rules: what only checkers read", func(g *Server) any { return g.Guarantees }, decides},
+// reloadRules covers every part of a file; Reload compares no other.
+var reloadRules = []reloadRule{
+	{"governor: the name", func(s *Server) any { return s.Name }, "logs, pages and the endpoint list's log carry it"},
+	{"governor: listen", func(s *Server) any { return s.Listen }, reasonSocket},
+	{"governor: state", func(s *Server) any { return s.State }, "the directory is locked and open"},
+	{"governor: seed", func(s *Server) any { return s.Balancer.Seed }, "random numbers are drawn from it since the start"},
+	{"governor: log", func(s *Server) any { return s.LogLevel }, ""},
+	{"governor: farewell", func(s *Server) any { return s.ShutdownGracePeriod }, ""},
+	{"zones", func(s *Server) any { return s.Zones }, reasonOnWire},
+	{"operation", func(s *Server) any { return s.Operations }, reasonOnWire},
+	{"channel: pace", func(s *Server) any { return s.Pace }, "what waits was given its time by it"},
+	{"channel: intake", func(s *Server) any { return s.ReportLimit }, ""},
+	{
+		"channel: connections, observers, unsent_bytes, unsent_all_bytes, greeting, commands, joins, joined_most",
+		func(s *Server) any { return s.Limits }, "",
+	},
+	{
+		"group", func(s *Server) any { return s.Cluster },
+		"what the cluster has agreed on depends on it; restart one member after the other",
+	},
+	{"console: listen", func(s *Server) any { return s.Console }, reasonSocket},
+	{"machine_list", func(s *Server) any { return s.Discovery }, "a poll is in flight"},
+	{"fleet, rules, channel: queue, overhead, period, messages_most", remainingBalancerConfig, reasonBalancer},
+	{"fleet, rules: what only checkers read", func(s *Server) any { return s.Guarantees }, reasonBalancer},
 }
 
-// Reload compares the file in force with a new reading of it. The file is taken as a whole: if anything in it cannot change in service
-// the error names each such setting with its reason, and the old file stays in force. Otherwise changed names what did.
+// remainingBalancerConfig is the balancer's configuration without what other rules cover.
+func remainingBalancerConfig(s *Server) any {
+	balancer := s.Balancer
+	balancer.Seed = 0
+	balancer.Zones = 0
+	balancer.Operations = nil
+	return balancer
+}
+
+// Reload compares the file in force with a new reading of it. The file is adopted as a whole: if anything in it cannot
+// change while the instance runs, the error names each such part with its reason, and the old file stays in force.
+// Otherwise changed describes each part that differs.
 func Reload(old, next *Server) (changed []string, err error) {
 	var refused []string
-	for _, s := range inService {
-		was, is := s.of(old), s.of(next)
+	for _, rule := range reloadRules {
+		before, after := rule.value(old), rule.value(next)
 		switch {
-		case reflect.DeepEqual(was, is):
-		case s.held != "":
-			refused = append(refused, fmt.Sprintf("%s: %s", s.name, s.held))
+		case reflect.DeepEqual(before, after):
+		case rule.restartReason != "":
+			refused = append(refused, fmt.Sprintf("%s: %s", rule.name, rule.restartReason))
 		default:
-			changed = append(changed, fmt.Sprintf("%s: %+v, was %+v", s.name, is, was))
+			changed = append(changed, fmt.Sprintf("%s: %+v, was %+v", rule.name, after, before))
 		}
 	}
 	if len(refused) > 0 {
-		return nil, fmt.Errorf("the old settings stay in force, all of them; these need a restart:\n  %s", strings.Join(refused, "\n  "))
+		return nil, fmt.Errorf("the old settings stay in force, all of them; these need a restart:\n  %s",
+			strings.Join(refused, "\n  "))
 	}
 	return changed, nil
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -8,91 +8,97 @@
 	"testing"
 )
 
-func reading(t *testing.T, dir, text string) *Server {
+// withSetting adds a setting to the first block of a kind.
+func withSetting(t *testing.T, text, kind, setting string) string {
 	t.Helper()
-	path := filepath.Join(dir, "governor.hcl")
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
+	changed := strings.Replace(text, kind+" {", kind+" {\n  "+setting, 1)
+	if changed == text {
+		t.Fatalf("no %s in the example", kind)
 	}
-	g, err := LoadServer(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return g
+	return changed
 }
 
-// Each edit of the example's file either changes in service or is refused with its place and reason, and one of each in the same file
-// is refused whole.
+// TestReload shows that each edit of the example file is adopted, or refused with its place and reason, and that a file
+// with one of each is refused completely.
 func TestReload(t *testing.T) {
-	example, err := os.ReadFile("../../examples/governor.hcl")
+	file, err := os.ReadFile("../../examples/governor.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, text := t.TempDir(), string(example)
-	edit := func(pairs ...string) string {
-		for _, p := range pairs {
-			block, line, _ := strings.Cut(p, "|")
-			changed := strings.Replace(text, block+" {", block+" {\n  "+line, 1)
-			if changed == text {
-				t.Fatalf("no %s in the example", block)
-			}
-			text = changed
+	example := string(file)
+	dir := t.TempDir() // one for all, as the state directory is relative to the file
+	load := func(t *testing.T, text string) *Server {
+		t.Helper()
+		path := filepath.Join(dir, "server.hcl")
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
 		}
-		out := text
-		text = string(example)
-		return out
+		server, err := LoadServer(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return server
 	}
-	old := reading(t, dir, text)
-	for _, c := range []struct {
-		text, changed, refused string
+	withJoins := withSetting(t, example, "channel", "joins = 7")
+	withIntake := withSetting(t, example, "channel", "intake = 77")
+	old := load(t, example)
+	for _, tt := range []struct {
+		name, text       string
+		changed, refused string
 	}{
-		{text, "", ""},
-		{edit("channel|joins = 7"), "joins", ""},
-		{edit("channel|unsent_all_bytes = 100000"), "unsent_all_bytes", ""},
-		{edit("channel|intake = 77", `channel|commands = 9`), "intake: 77, was 500", ""},
-		{strings.Replace(text, "pace  = 3000", "pace = 77", 1), "", "pace: what waits"},
-		{edit("rules|cold = \"3s\""), "", "the decisions start with it"},
-		{edit("channel|joins = 7", "rules|cold = \"3s\""), "", "the decisions start with it"},
-		{strings.Replace(text, "zones", "zones = [\"else\"]\n//", 1), "", "zones: its numbers"},
+		{"nothing", example, "", ""},
+		{"joins", withJoins, "joins", ""},
+		{"unsent bytes", withSetting(t, example, "channel", "unsent_all_bytes = 100000"), "unsent_all_bytes", ""},
+		{"two settings", withSetting(t, withIntake, "channel", "commands = 9"), "intake: 77, was 500", ""},
+		{"pace", strings.Replace(example, "pace  = 3000", "pace = 77", 1), "", "pace: what waits"},
+		{"cold", withSetting(t, example, "rules", "cold = \"3s\""), "", "the balancer starts with it"},
+		{"joins and cold", withSetting(t, withJoins, "rules", "cold = \"3s\""), "", "the balancer starts with it"},
+		{"zones", strings.Replace(example, "zones", "zones = [\"else\"]\n//", 1), "", "zones: its numbers"},
 	} {
-		changed, err := Reload(old, reading(t, dir, c.text))
-		all := strings.Join(changed, "; ")
-		if (err != nil) != (c.refused != "") || err != nil && !strings.Contains(err.Error(), c.refused) || !strings.Contains(all, c.changed) || c.changed == "" && all != "" {
-			t.Errorf("want %q or %q, got %q, %v", c.changed, c.refused, all, err)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			changed, err := Reload(old, load(t, tt.text))
+			if (err != nil) != (tt.refused != "") || err != nil && !strings.Contains(err.Error(), tt.refused) {
+				t.Errorf("want refusal %q, got %v", tt.refused, err)
+			}
+			all := strings.Join(changed, "; ")
+			if !strings.Contains(all, tt.changed) || tt.changed == "" && all != "" {
+				t.Errorf("want change %q, got %q", tt.changed, all)
+			}
+		})
 	}
 }
 
-// Every part of a governor's file is compared: one that a later version adds and forgets here would change unseen.
+// TestReloadComparesEverything shows that no part of a file is left out: a change of one that is added and forgotten in
+// the rules would go unnoticed.
 func TestReloadComparesEverything(t *testing.T) {
-	kind := reflect.TypeFor[Server]()
-	for i := range kind.NumField() {
+	serverType := reflect.TypeFor[Server]()
+	for i := range serverType.NumField() {
 		next := &Server{}
-		fill(reflect.ValueOf(next).Elem().Field(i))
+		setNonZero(reflect.ValueOf(next).Elem().Field(i))
 		if changed, err := Reload(&Server{}, next); err == nil && len(changed) == 0 {
-			t.Errorf("a change of %s is not seen", kind.Field(i).Name)
+			t.Errorf("a change of %s is not noticed", serverType.Field(i).Name)
 		}
 	}
 }
 
-// fill puts something other than zero into the first plain value that it finds.
-func fill(v reflect.Value) {
-	switch v.Kind() {
+// setNonZero puts something other than zero into a value; of a struct into its last field.
+func setNonZero(value reflect.Value) {
+	switch value.Kind() {
 	case reflect.Struct:
-		fill(v.Field(v.NumField() - 1))
+		setNonZero(value.Field(value.NumField() - 1))
 	case reflect.String:
-		v.SetString("x")
+		value.SetString("x")
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
 	case reflect.Float64:
-		v.SetFloat(1)
+		value.SetFloat(1)
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
+		value.Set(reflect.New(value.Type().Elem()))
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Uint8, reflect.Uint16, reflect.Uint64:
-		v.SetUint(1)
+		value.SetUint(1)
 	default:
-		v.SetInt(1)
+		value.SetInt(1)
 	}
 }
--- /dev/null
+++ b/internal/config/server.go
@@ -0,0 +1,111 @@
+package config
+
+import (
+	"math"
+	"path/filepath"
+	"time"
+
+	"peppervale/internal/model"
+)
+
+// Limits of the file's figures; generous, they catch a slip of units or digits.
+const (
+	maxDuration = 3600 * model.Second
+	maxCount    = 1_000_000
+)
+
+// Server is the configuration file of an instance.
+type Server struct {
+	Name                string
+	Listen              string // address of the channel
+	State               string // directory of the durable state
+	Zones               []string
+	Operations          []Operation
+	Balancer            model.Config
+	Guarantees          Guarantees
+	ReportLimit         int     // load reports a second that the balancer takes
+	Pace                float64 // entries a second that the channel writes
+	Discovery           Discovery
+	Limits              PeerLimits
+	ShutdownGracePeriod time.Duration
+	LogLevel            string
+	Console             string   // address of the web console; "" for none
+	Cluster             *Cluster // nil: the instance is alone
+}
+
+// Discovery says where the endpoint list is.
+type Discovery struct {
+	Kind    string // "consul"
+	Address string
+	Service string
+	Wait    time.Duration // of a blocking query
+	Timeout time.Duration // beyond the wait
+}
+
+// LoadServer reads an instance's file; the error is Errors.
+func LoadServer(path string) (*Server, error) {
+	reader, top := Open(path)
+	if top == nil {
+		return nil, reader.Err()
+	}
+	server := readServer(top, filepath.Dir(path))
+	return server, reader.Err()
+}
+
+// readServer reads a file's top level; dir is the directory of the file.
+func readServer(top *Block, dir string) *Server {
+	server := &Server{}
+	server.readInstance(top.One("governor", 1, true), dir)
+	server.Zones = top.Texts("zones", true)
+	server.Operations = Operations(top)
+	seed := server.Balancer.Seed
+	server.Balancer, server.Guarantees = ReadTerms(top, seed, server.Zones, server.Operations)
+
+	channel := top.One("channel", 0, true)
+	server.Pace, server.ReportLimit = ReadChannel(channel, &server.Balancer, &server.Guarantees)
+	server.Limits = channel.Peers()
+	channel.Done()
+
+	if console := top.One("console", 0, false); console.Given() {
+		server.Console = console.Address("listen", true)
+		console.Done()
+	}
+	if cluster := top.One("group", 0, false); cluster.Given() {
+		server.Cluster = readCluster(cluster, server)
+	}
+	server.Discovery = readDiscovery(top.One("machine_list", 1, true))
+	top.Done()
+	return server
+}
+
+// readInstance reads the block governor "NAME" { }.
+func (s *Server) readInstance(block *Block, dir string) {
+	s.Name = block.Labels[0]
+	s.Listen = block.Address("listen", true)
+	s.State = block.Text("state", "")
+	if s.State != "" && !filepath.IsAbs(s.State) {
+		s.State = filepath.Join(dir, s.State)
+	}
+	s.Balancer.Seed = uint64(block.Whole("seed", 1, 0, math.MaxInt32))
+	s.LogLevel = block.Text("log", "info", "debug", "info", "warn", "error")
+	s.ShutdownGracePeriod = block.Span("farewell", 2*model.Second, 0, maxDuration).Duration()
+	block.Done()
+}
+
+// readDiscovery reads the block machine_list "KIND" { }.
+func readDiscovery(block *Block) Discovery {
+	const (
+		minWait = 10 * model.Millisecond
+		maxWait = 600 * model.Second
+	)
+	discovery := Discovery{Kind: block.Labels[0]}
+	if discovery.Kind != "consul" && discovery.Kind != "" {
+		block.Fault("", "machine_list: %q is none of consul", discovery.Kind)
+	}
+	discovery.Address = block.Address("address", false)
+	discovery.Service = block.Text("service", "")
+	discovery.Wait = block.Span("wait", 10*model.Second, minWait, maxWait).Duration()
+	discovery.Timeout = block.Span("slack", 2*model.Second, minWait, maxWait).Duration()
+	block.Done()
+	return discovery
+}
--- /dev/null
+++ b/internal/config/values.go
@@ -0,0 +1,196 @@
+package config
+
+import (
+	"math"
+	"net/netip"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/zclconf/go-cty/cty"
+
+	"peppervale/internal/model"
+)
+
+// value evaluates a setting. ok is false, and the error reported, if it is missing and required or no plain value; it
+// is false without an error if it is missing otherwise.
+func (b *Block) value(name string, required bool) (value cty.Value, at hcl.Range, ok bool) {
+	b.attributes = append(b.attributes, name)
+	attribute := b.body.Attributes[name]
+	if attribute == nil {
+		if required {
+			b.reader.addError(b.at, name, "%s is missing", name)
+		}
+		return cty.NilVal, hcl.Range{}, false
+	}
+	at = attribute.Expr.Range()
+	value, diagnostics := attribute.Expr.Value(nil)
+	if diagnostics.HasErrors() || value.IsNull() || !value.IsWhollyKnown() {
+		b.reader.addError(at, name, "%s: only plain values are read here", name)
+		return cty.NilVal, at, false
+	}
+	return value, at, true
+}
+
+// Text reads a string; an empty fallback makes it required. With allowed values it must be one of them.
+func (b *Block) Text(name, fallback string, allowed ...string) string {
+	value, at, ok := b.value(name, fallback == "")
+	if !ok {
+		return fallback
+	}
+	if value.Type() != cty.String {
+		b.reader.addError(at, name, "%s: a text in quotes is wanted", name)
+		return fallback
+	}
+	text := value.AsString()
+	if len(allowed) > 0 && !slices.Contains(allowed, text) {
+		b.reader.addError(at, name, "%s: %q is none of %s", name, text, strings.Join(allowed, ", "))
+	}
+	return text
+}
+
+// Maybe reads a string that may be left out; it is "" then.
+func (b *Block) Maybe(name string) string {
+	if !b.Has(name) {
+		b.attributes = append(b.attributes, name)
+		return ""
+	}
+	return b.Text(name, "")
+}
+
+// Texts reads a list of strings, each of which may stand once.
+func (b *Block) Texts(name string, required bool) []string {
+	return b.texts(name, required, true)
+}
+
+// Governors reads the setting governors: a zone for each instance, which may stand more than once.
+func (b *Block) Governors() []string {
+	const name = "governors"
+	zones := b.texts(name, true, false)
+	if b.Has(name) && len(zones) == 0 {
+		b.Fault(name, "governors: a list of zones is wanted, one for each governor")
+	}
+	return zones
+}
+
+func (b *Block) texts(name string, required, unique bool) []string {
+	value, place, ok := b.value(name, required)
+	if !ok {
+		return nil
+	}
+	if !value.Type().IsTupleType() {
+		b.addNoListError(place, name)
+		return nil
+	}
+	var texts []string
+	for _, element := range value.AsValueSlice() {
+		if element.Type() != cty.String {
+			b.addNoListError(place, name)
+			return nil
+		}
+		text := element.AsString()
+		if unique && slices.Contains(texts, text) {
+			b.reader.addError(place, name, "%s: %q stands there twice; leave one out", name, text)
+		}
+		texts = append(texts, text)
+	}
+	return texts
+}
+
+func (b *Block) addNoListError(at hcl.Range, name string) {
+	b.reader.addError(at, name, "%s: a list of texts is wanted, [\"a\", \"b\"]", name)
+}
+
+// Number reads a number from lowest to highest; NaN as the fallback makes it required.
+func (b *Block) Number(name string, fallback, lowest, highest float64) float64 {
+	value, at, ok := b.value(name, math.IsNaN(fallback))
+	if !ok {
+		return fallback
+	}
+	if value.Type() != cty.Number {
+		b.reader.addError(at, name, "%s: a number is wanted", name)
+		return fallback
+	}
+	number, _ := value.AsBigFloat().Float64()
+	if number < lowest || number > highest {
+		b.reader.addError(at, name, "%s: %v lies outside %v to %v", name, number, lowest, highest)
+	}
+	return number
+}
+
+// Whole reads an integer from lowest to highest; a fallback below lowest makes it required.
+func (b *Block) Whole(name string, fallback, lowest, highest int) int {
+	numberFallback := float64(fallback)
+	if fallback < lowest {
+		numberFallback = math.NaN()
+	}
+	number := b.Number(name, numberFallback, float64(lowest), float64(highest))
+	if number != math.Trunc(number) { // also where it is NaN
+		b.Fault(name, "%s: a whole number is wanted", name)
+	}
+	if math.IsNaN(number) {
+		return lowest
+	}
+	return int(number)
+}
+
+// Yes reads a boolean.
+func (b *Block) Yes(name string, fallback bool) bool {
+	value, at, ok := b.value(name, false)
+	if !ok {
+		return fallback
+	}
+	if value.Type() != cty.Bool {
+		b.reader.addError(at, name, "%s: true or false is wanted", name)
+		return fallback
+	}
+	return value.True()
+}
+
+// Span reads a duration with its unit ("500ms", "2s") from shortest to longest; a fallback below 0 makes it required.
+func (b *Block) Span(name string, fallback, shortest, longest model.Microseconds) model.Microseconds {
+	value, place, ok := b.value(name, fallback < 0)
+	if !ok {
+		return max(fallback, shortest)
+	}
+	if value.Type() == cty.Number {
+		number, _ := value.AsBigFloat().Float64()
+		b.reader.addError(place, name, "%s: a time without a unit; write \"%gms\" or \"%gs\"", name, number, number)
+		return shortest
+	}
+	duration, ok := parseDuration(value)
+	if !ok {
+		b.reader.addError(place, name, "%s: a time with its unit is wanted, as \"500ms\" or \"2s\"", name)
+		return shortest
+	}
+	microseconds := model.Microseconds(duration / time.Microsecond)
+	if microseconds < shortest || microseconds > longest {
+		b.reader.addError(place, name, "%s: %s lies outside %s to %s",
+			name, duration, shortest.Duration(), longest.Duration())
+	}
+	return microseconds
+}
+
+func parseDuration(value cty.Value) (duration time.Duration, ok bool) {
+	if value.Type() != cty.String {
+		return 0, false
+	}
+	duration, err := time.ParseDuration(value.AsString())
+	return duration, err == nil
+}
+
+// Address reads host:port on IPv4. Port 0, any free one, is accepted only if anyPort is set. It may not be empty.
+func (b *Block) Address(name string, anyPort bool) string {
+	text := b.Text(name, "")
+	if text == "" {
+		return text
+	}
+	address, err := netip.ParseAddrPort(text)
+	if err != nil || !address.Addr().Is4() {
+		b.Fault(name, "%s: %q is no IPv4 address with a port, as 127.0.0.1:7700", name, text)
+	} else if address.Port() == 0 && !anyPort {
+		b.Fault(name, "%s: a port above 0 is wanted", name)
+	}
+	return text
+}
