--- a/internal/config/platform_golden_test.go
+++ b/internal/config/platform_golden_test.go
@@ -13,7 +13,7 @@
 	Name:             "n3",
 	Listen:           "10.0.0.4:3000",
 	Discovery:        "10.2.0.1:8500",
-	Zones:            []string{"govan", "partick"}, //nolint:misspell // the golden file's zone, a district of Glasgow
+	Zones:            []string{"govan", "partick"},
 	Operations:       []string{"recipe-read", "batch-log"},
 	LoadFields:       []string{"busy_reqs", "cpu_share"},
 	Memory:           48 << 20,
