--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// ProxyConnected takes a proxy whose stream is established, with the requests a second that it expects. It may hold old
-// withdrawals, and not know ours.
+// ProxyConnected takes a proxy whose stream is established, with the requests a second that it expects. It may have old
+// withdrawals, and lack ours.
 func (b *Balancer) ProxyConnected(now model.Microseconds, id model.ProxyID, zone int, expectedRate float64) {
 	b.ProxyDisconnected(now, id)
 	p := &proxy{id: id, zone: zone % b.config.Zones, expectedRate: expectedRate, state: unbound}
@@ -155,7 +155,7 @@
 		b.binder.forgetCosts()
 		b.bindProxies()
 		b.withdrawReplicas()
-		b.removeDeadEntries()
+		b.removeUnavailableEntries()
 		b.updateWeights()
 		b.ticked = false
 		b.changed = false
--- a/internal/balancer/binding.go
+++ b/internal/balancer/binding.go
@@ -56,9 +56,9 @@
 type binder struct {
 	unbound         int // proxies
 	lastConnectedAt model.Microseconds
-	// bindsFirst: binds carry the withdrawals that are due, so they come before them.
+	// bindsFirst: withdrawals that are due leave with binds, which list them.
 	bindsFirst bool
-	// withdrawalsBlocked: withdrawals wait for room in the send window, so binds and weights hold back.
+	// withdrawalsBlocked: withdrawals wait for room in the send window, so binds and weights are put off.
 	withdrawalsBlocked bool
 
 	// Known costs of a bind by zone, without and with bindsFirst; 0: not known.
@@ -112,7 +112,7 @@
 	}
 }
 
-// maySpendTurn tells whether a proxy may be bound in the ordinary course.
+// maySpendTurn reports whether a proxy may be bound in the ordinary course.
 func (b *Balancer) maySpendTurn(turns int) bool {
 	return !b.safeMode.active() && b.ticked && !b.binder.withdrawalsBlocked && turns > 0
 }
@@ -126,8 +126,8 @@
 	return threatened
 }
 
-// mayHaveEmptyTable tells whether withdrawals may have emptied a standing table, which has few entries, of its zone if
-// that has replicas enough.
+// mayHaveEmptyTable reports whether withdrawals may have emptied a standing table, which has few entries, of its zone
+// if that has replicas enough.
 func (b *Balancer) mayHaveEmptyTable(zone int) bool {
 	candidate := func(r *replica) bool { return r.zone == zone }
 	if b.countReplicas(candidate) < zoneTableReplicas {
@@ -150,14 +150,14 @@
 	}
 	cost := 0
 	for list := zone; list < len(b.subsets.lists); list += b.config.Zones {
-		dearest := 0
+		highest := 0
 		for _, t := range b.subsets.lists[list] {
-			dearest = max(dearest, tableBindCost(t, bindsFirst))
+			highest = max(highest, tableBindCost(t, bindsFirst))
 		}
-		if dearest == 0 {
-			dearest = 2 * b.subsets.longest
+		if highest == 0 {
+			highest = 2 * b.subsets.longest
 		}
-		cost += bindOverhead + dearest
+		cost += bindOverhead + highest
 	}
 	*known = cost
 	return cost
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -1,9 +1,9 @@
-// Package balancer holds every decision of a balancer instance: which weights a table has, which proxy uses which
+// Package balancer makes every decision of a balancer instance: which weights a table has, which proxy uses which
 // table, which replicas are withdrawn, which share of each operation is admitted, and when each of these is sent.
 //
 // A caller makes a Balancer with New, passes it what happens (EndpointsChanged, ProxyConnected, ProxyDisconnected,
 // Acknowledged, LoadReported, TimerFired) and calls Flush once every event of one moment is in. Updates leave through
-// model.Publisher. A Balancer holds no lock, starts no goroutine and reads no clock: the caller serialises its calls
+// model.Publisher. A Balancer takes no lock, starts no goroutine and reads no clock: the caller serialises its calls
 // and passes the time, which must not run backwards. The same events with the same seed give the same updates.
 //
 // The package has one concern a file:
--- a/internal/balancer/drain.go
+++ b/internal/balancer/drain.go
@@ -6,54 +6,55 @@
 )
 
 const (
-	// tableJamLevel is the failure risk of a table's median entry from which proxies may run to a cold replica.
-	tableJamLevel = 0.7
-	// The younger a replica is the less a run may bring: for one just started the level is lower by youthAllowance.
-	// From 0.58 and 0.45 no more of the broken scenarios are kept, and releases beside errors lose far more.
-	youthAllowance = 0.06
-	// newcomersLimit: where half of the fleet is cold and new, none of it is held out.
-	newcomersLimit = 0.5
+	// surgeRiskLevel is the failure risk of a table's median entry above which proxies may turn to a replica that warms
+	// up, all at once.
+	surgeRiskLevel = 0.7
+	// warmUpAllowance lowers that level for a replica just started, as a smaller surge overloads it. With levels from
+	// 0.58 and 0.45 no more of the broken scenarios pass, and releases beside errors lose much more.
+	warmUpAllowance = 0.06
+	// newReplicasLimit: where half of the fleet is new and warming up, its capacity is needed at once.
+	newReplicasLimit = 0.5
 )
 
-// mustWithdraw tells whether a replica is to be withdrawn everywhere: one that is not in use, or one that is cold and
-// held out.
+// mustWithdraw reports whether a replica is to be withdrawn everywhere: one that is not in use, or one that warms up
+// and needs protection.
 func (b *Balancer) mustWithdraw(r *replica) bool {
-	return !r.inUse() || b.isCold(r) && b.holdsOutCold(r)
+	return !r.inUse() || b.isWarmingUp(r) && b.needsProtection(r)
 }
 
-// holdsOutCold tells whether a cold replica is to be held out: in safe mode, as standing tables hold it at full weight,
-// and where a run of proxies that avoid what fails may come.
-func (b *Balancer) holdsOutCold(r *replica) bool {
+// needsProtection reports whether a replica that warms up is to be withdrawn: in safe mode, as standing tables have it
+// at full weight, and where proxies that avoid what fails may turn to it all at once.
+func (b *Balancer) needsProtection(r *replica) bool {
 	if b.safeMode.active() {
 		return true
 	}
-	return b.config.ProxiesAvoidFailing && b.runMayCome(r) && b.load.warmingFraction < newcomersLimit
+	return b.config.ProxiesAvoidFailing && b.surgeLikely(r) && b.load.warmingFraction < newReplicasLimit
 }
 
-// runMayCome tells whether proxies may run to a replica from others: the fleet or one of its tables is near a jam, or
-// a table has a single user, whose run no load report tells.
-func (b *Balancer) runMayCome(r *replica) bool {
-	if b.load.saturation > jammedSaturation {
+// surgeLikely reports whether proxies may turn to a replica from others all at once: the fleet is overloaded, one of
+// its tables nearly is, or a table has a single user, whose surge comes before any load report of it.
+func (b *Balancer) surgeLikely(r *replica) bool {
+	if b.load.saturation > overloadSaturation {
 		return true
 	}
-	level := tableJamLevel - youthAllowance*b.youth(r)
+	level := surgeRiskLevel - warmUpAllowance*b.remainingWarmUp(r)
 	return slices.ContainsFunc(r.entries, func(e *entry) bool {
 		return e.table.failureRisk > level || len(e.table.users) == 1
 	})
 }
 
 // dueWithdrawals are replicas to be withdrawn, in the order in which they may use the send window: what drains comes
-// before what may come back.
+// before what may return soon.
 type dueWithdrawals struct {
-	first    []*replica // draining or gone, and no proxy was notified
-	repeated []*replica // the same, but proxies that connected later were not notified
-	holds    []*replica // may come back
+	first     []*replica // draining or gone, and no proxy was notified
+	repeated  []*replica // the same, but proxies that connected later were not notified
+	temporary []*replica // ejected, or protected while warming up
 }
 
 // withdrawReplicas sends withdrawals, again for proxies that connected later. While a proxy is unbound each message
 // goes to all, and its overhead is most of it: one message a replica would keep the queue full of overhead (many
 // proxies come over from a lost balancer while replicas are lost too). So what waits leaves together, what no proxy was
-// notified of first, and binds and weights hold back until it has left.
+// notified of first, and binds and weights wait until it has left.
 func (b *Balancer) withdrawReplicas() {
 	b.endEjectionsOfEmptyZones()
 	due := b.collectWithdrawals()
@@ -66,7 +67,7 @@
 	if b.ticked {
 		b.sendWithdrawals(due.repeated, withdrawalBudget, true)
 	}
-	b.sendWithdrawals(due.holds, holdBudget, false)
+	b.sendWithdrawals(due.temporary, promptBudget, false)
 }
 
 // endEjectionsOfEmptyZones tries ejected replicas again where none is left in use, in all or for operations that stay
@@ -96,14 +97,15 @@
 }
 
 // collectWithdrawal adds a replica to the withdrawals that are due, if it is to be withdrawn for the first time or
-// again. A repeated hold waits for the tick, so that proxies that connect at one time are notified together.
+// again. A repeated temporary withdrawal waits for the tick, so that proxies that connect at one time are notified
+// together.
 func (b *Balancer) collectWithdrawal(due *dueWithdrawals, r *replica) {
 	repeated := r.withdrawn && b.mayHaveMissedWithdrawal(r)
 	switch {
 	case r.withdrawn && !repeated:
 	case r.listedReady():
 		if b.ticked || !repeated {
-			due.holds = append(due.holds, r)
+			due.temporary = append(due.temporary, r)
 		}
 	case repeated:
 		due.repeated = append(due.repeated, r)
@@ -112,14 +114,14 @@
 	}
 }
 
-// mayHaveMissedWithdrawal tells whether an unbound proxy may have connected after a replica's withdrawal was sent.
+// mayHaveMissedWithdrawal reports whether an unbound proxy may have connected after a replica's withdrawal was sent.
 func (b *Balancer) mayHaveMissedWithdrawal(r *replica) bool {
 	return b.binder.unbound > 0 && r.withdrawnAt <= b.binder.lastConnectedAt
 }
 
-// bindingIsCheaper tells whether withdrawals wait for binds: a bind carries all that is withdrawn too, for less where
-// few proxies are unbound or much is withdrawn. Meanwhile dead entries leave the tables (see removeDeadEntries). Not
-// where an unbound proxy can take no message.
+// bindingIsCheaper reports whether withdrawals wait for binds: a bind lists all that is withdrawn too, for less where
+// few proxies are unbound or much is withdrawn. Meanwhile removeUnavailableEntries covers the bound ones. Not where an
+// unbound proxy can take no message.
 func (b *Balancer) bindingIsCheaper(due *dueWithdrawals) bool {
 	messageCost := b.window.messageCost
 	messages := (len(due.first) + messageCost - 1) / messageCost // of first withdrawals, each full
@@ -160,7 +162,7 @@
 	}
 }
 
-// setWithdrawn withdraws replicas, or readmits them, if that fits all proxies that hold an entry of one. What is
+// setWithdrawn withdraws replicas, or readmits them, if that fits all proxies with an entry of one. What is
 // charged must be acknowledged, or the window fills up: while a proxy is unbound, all acknowledge.
 func (b *Balancer) setWithdrawn(replicas []*replica, withdrawn bool, limits budget) bool {
 	holders := b.proxies
@@ -195,9 +197,9 @@
 	return users
 }
 
-// removeDeadEntries takes entries that proxies must not pick out of the tables while binds carry the withdrawals: who
-// is bound already learns it so, and a bind has less to carry. Binds come first, as who is unbound has waited longer.
-func (b *Balancer) removeDeadEntries() {
+// removeUnavailableEntries takes entries that proxies must not pick out of the tables while binds list the withdrawals:
+// bound proxies learn it so, and a bind has less to list. Binds come first, as unbound proxies have waited longer.
+func (b *Balancer) removeUnavailableEntries() {
 	if !b.binder.bindsFirst {
 		return
 	}
--- a/internal/balancer/loadshed.go
+++ b/internal/balancer/loadshed.go
@@ -10,9 +10,9 @@
 
 // Levels of saturation. With half of the latency objective in the mean, the slower part of the requests is late.
 const (
-	calmSaturation     = 0.4 // below it quotas rise again
+	normalSaturation   = 0.4 // below it the load is normal, and quotas rise again
 	sheddingSaturation = 0.5 // above it quotas fall
-	jammedSaturation   = 1.0 // above it the fleet is jammed
+	overloadSaturation = 1.0 // above it the fleet is overloaded
 )
 
 const (
@@ -28,19 +28,20 @@
 	pauseAfterRise = pauseAfterCut / 2
 	// smallestChange of a quota is published, unless it reaches all.
 	smallestChange = 0.03
-	// retriesWarmingLimit is the share of cold newcomers from which nothing is retried: rejected attempts run to them.
+	// retriesWarmingLimit is the share of new replicas that warm up above which nothing is retried: they would get
+	// the retries.
 	retriesWarmingLimit = 0.25
 )
 
-// loadShedder admits the cheapest operation less while the fleet is short of capacity, and more again once it is
-// calm. It covers any shortage, whatever made it; it hurts if replicas are slow by nature yet not full.
+// loadShedder admits less of the operation with the least value while the fleet is short of capacity, and more again
+// after that. It covers any shortage, whatever its cause; it does harm if replicas are slow by nature yet not full.
 type loadShedder struct {
-	enabled       bool      // proxies honour quotas
-	quotas        []float64 // by operation
-	published     []float64 // the same as last published
-	cheapestFirst []int     // operations, the one with the least value for its latency objective first
-	nextChangeAt  model.Microseconds
-	retryPolicy   model.RetryPolicy // as last published
+	enabled          bool      // proxies honour quotas
+	quotas           []float64 // by operation
+	published        []float64 // the same as last published
+	lowestValueFirst []int     // operations, the one with the least value for its latency objective first
+	nextChangeAt     model.Microseconds
+	retryPolicy      model.RetryPolicy // as last published
 }
 
 func newLoadShedder(config model.Config) loadShedder {
@@ -51,30 +52,31 @@
 	}
 	for i := range config.Operations {
 		shedder.quotas = append(shedder.quotas, config.FullQuota)
-		shedder.cheapestFirst = append(shedder.cheapestFirst, i)
+		shedder.lowestValueFirst = append(shedder.lowestValueFirst, i)
 	}
 	value := func(i int) float64 {
 		return config.Operations[i].PriorityWeight / float64(config.Operations[i].LatencyObjective)
 	}
-	slices.SortStableFunc(shedder.cheapestFirst, func(i, j int) int { return cmp.Compare(value(i), value(j)) })
+	slices.SortStableFunc(shedder.lowestValueFirst, func(i, j int) int { return cmp.Compare(value(i), value(j)) })
 	return shedder
 }
 
-// adjust cuts the quota of the cheapest operation that may be cut, or raises that of the dearest that is cut.
+// adjust cuts the quota of the operation with the least value that may be cut, or raises that of the operation with the
+// most value that was.
 func (s *loadShedder) adjust(now model.Microseconds, saturation float64) {
 	if !s.enabled || now < s.nextChangeAt {
 		return
 	}
-	for k := range s.cheapestFirst {
-		cheapest := &s.quotas[s.cheapestFirst[k]]
-		if saturation > sheddingSaturation && *cheapest > quotaFloor {
-			*cheapest = max(quotaFloor, *cheapest*max(deepestCut, sheddingSaturation/saturation))
+	for k := range s.lowestValueFirst {
+		lowest := &s.quotas[s.lowestValueFirst[k]]
+		if saturation > sheddingSaturation && *lowest > quotaFloor {
+			*lowest = max(quotaFloor, *lowest*max(deepestCut, sheddingSaturation/saturation))
 			s.nextChangeAt = now + pauseAfterCut
 			return
 		}
-		dearest := &s.quotas[s.cheapestFirst[len(s.cheapestFirst)-1-k]]
-		if saturation < calmSaturation && *dearest < 1 {
-			*dearest = min(1, *dearest*min(steepestRise, calmSaturation/saturation)+riseAddend)
+		highest := &s.quotas[s.lowestValueFirst[len(s.lowestValueFirst)-1-k]]
+		if saturation < normalSaturation && *highest < 1 {
+			*highest = min(1, *highest*min(steepestRise, normalSaturation/saturation)+riseAddend)
 			s.nextChangeAt = now + pauseAfterRise
 			return
 		}
@@ -82,18 +84,18 @@
 }
 
 // wantedRetryPolicy is one for all operations: one retry on proof that the first attempt never ran, which is safe for
-// every effect and table. None from the level that sheds load until the fleet is calm, nor while a quarter of it is
-// cold, as rejected attempts would come again and again.
+// every effect and table. None from the level that sheds load until the load is normal, nor while a
+// quarter of the replicas in use is new and warming up, as rejected attempts would come again and again.
 func (s *loadShedder) wantedRetryPolicy(load *fleetLoad) model.RetryPolicy {
 	shedding := load.saturation > sheddingSaturation
-	notYetCalm := load.saturation > calmSaturation && s.retryPolicy == model.RetryNever
-	if shedding || notYetCalm || load.warmingFraction > retriesWarmingLimit {
+	notYetNormal := load.saturation > normalSaturation && s.retryPolicy == model.RetryNever
+	if shedding || notYetNormal || load.warmingFraction > retriesWarmingLimit {
 		return model.RetryNever
 	}
 	return model.RetryIfNotExecuted
 }
 
-// differs tells whether the quotas or the retry policy differ from the published ones by enough to publish them.
+// differs reports whether the quotas or the retry policy differ from the published ones by enough to publish them.
 func (s *loadShedder) differs(policy model.RetryPolicy) bool {
 	for i, quota := range s.quotas {
 		admitsAllAgain := quota == 1 && s.published[i] < 1
--- a/internal/balancer/loadstats.go
+++ b/internal/balancer/loadstats.go
@@ -13,9 +13,9 @@
 	// briefDecay is the same of the brief statistics, which reach over about two.
 	briefDecay = 0.5
 
-	// latencyCap bounds a normalized latency: beyond it a replica is as slow as can be told.
+	// latencyCap bounds a normalized latency: beyond it a replica counts as no slower.
 	latencyCap = 1.5
-	// fewestErrors without a good attempt make a replica as slow as can be told; one may be chance.
+	// fewestErrors without a good attempt give a replica that latency; one may be chance.
 	fewestErrors = 2
 
 	// utilizationLifetime reaches over reports of a few periods, so that a replica that has just left still counts.
@@ -24,8 +24,8 @@
 	idleUtilization = 0.7
 	// fullUtilization is the use of cores that is short of capacity. Beyond it the utilization no longer tells how short.
 	fullUtilization = 0.9
-	// nearlyJammedSaturation is what all cores in use count for.
-	nearlyJammedSaturation = 0.95
+	// nearOverloadSaturation is what all cores in use amount to.
+	nearOverloadSaturation = 0.95
 )
 
 // attemptStats are counts of attempts with the time of the good ones, over a window. The figures decay, so they are
@@ -139,8 +139,8 @@
 	recentRate float64            // attempts a microsecond by the recent statistics
 
 	normalizedLatency float64 // at the median replica
-	saturation        float64 // how short of capacity the fleet is; jammedSaturation and more is a jam
-	warmingFraction   float64 // share of replicas in use that are cold and were not known before
+	saturation        float64 // how short of capacity the fleet is, see the levels of saturation
+	warmingFraction   float64 // share of replicas in use that are new and warming up
 }
 
 func newFleetLoad(config model.Config, now model.Microseconds) fleetLoad {
@@ -151,13 +151,13 @@
 	return load
 }
 
-// contradicts tells whether the figures of a report contradict themselves.
+// contradicts reports whether the figures of a report contradict themselves.
 func contradicts(report model.LoadReport) bool {
 	return report.Attempts <= 0 || report.Window <= 0 || report.Errors < 0 ||
 		report.Errors > report.Attempts || report.MeanLatency < 0
 }
 
-// reportsDue tells whether reports came and a report period has passed since they were last digested.
+// reportsDue reports whether reports came and a report period has passed since they were last digested.
 func (l *fleetLoad) reportsDue(now, reportPeriod model.Microseconds) bool {
 	return l.arrived > 0 && now-l.digestedAt >= reportPeriod
 }
@@ -169,7 +169,7 @@
 		r.load.assess(b.load.objective)
 	}
 	b.measureSaturation()
-	b.load.warmingFraction = float64(b.countReplicas(b.isNewcomer)) / float64(max(b.countReplicas((*replica).inUse), 1))
+	b.load.warmingFraction = float64(b.countReplicas(b.isNewAndWarmingUp)) / float64(max(b.countReplicas((*replica).inUse), 1))
 	if b.everyReplicaReported() {
 		apply(b, safeModeTransitions, &b.safeMode.state, allReplicasReported, struct{}{})
 	}
@@ -211,12 +211,12 @@
 }
 
 // utilizationSaturation is the saturation that a utilization tells of. A full fleet sheds load; from there on it
-// rises faster, as a share of cores cannot pass one, up to nearly a jam.
+// rises faster, as a share of cores cannot pass one, up to nearly an overload.
 func utilizationSaturation(utilization float64) float64 {
 	const headroom = 1 - fullUtilization
 	upToFull := sheddingSaturation * utilization / fullUtilization
 	beyondFull := sheddingSaturation + sheddingSaturation*(utilization-fullUtilization)/headroom
-	return max(upToFull, min(nearlyJammedSaturation, beyondFull))
+	return max(upToFull, min(nearOverloadSaturation, beyondFull))
 }
 
 // quantile sorts the figures and returns the one that a share of them lies below; of none it is 0.
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -34,11 +34,11 @@
 // outlierDetector finds replicas that answer nothing: first they err, then no report names them. Late reports leave
 // all unreported and an overload errs alike, so each is judged beside the others. It stands for one judgement.
 type outlierDetector struct {
-	fleet        attemptStats // brief statistics of all replicas in use
-	silenceLimit float64      // in microseconds
-	presence     float64      // attempts reported over those expected, at most 1
-	absent       int          // replicas that were in use lately and are not
-	candidates   int          // those and the ones in use
+	fleet         attemptStats // brief statistics of all replicas in use
+	silenceLimit  float64      // in microseconds
+	reportedShare float64      // attempts reported over those expected, at most 1
+	unavailable   int          // replicas that were in use lately and are not
+	candidates    int          // those and the ones in use
 }
 
 // newOutlierDetector gathers what a replica is judged beside.
@@ -53,9 +53,9 @@
 	}
 	detector.silenceLimit = silenceRatio * (quantile(silenceQuantile, silences) + float64(b.config.ReportPeriod))
 	expected := float64(b.now-b.load.digestedAt) * b.load.recentRate
-	detector.presence = min(1, b.load.arrived/max(expected, smallestExpectation))
-	detector.absent = b.countReplicas(b.leftLately)
-	detector.candidates = detector.absent + b.countReplicas((*replica).inUse)
+	detector.reportedShare = min(1, b.load.arrived/max(expected, smallestExpectation))
+	detector.unavailable = b.countReplicas(b.leftLately)
+	detector.candidates = detector.unavailable + b.countReplicas((*replica).inUse)
 	return detector
 }
 
@@ -66,15 +66,15 @@
 	return !r.inUse() && b.now-r.load.reportedAt < slowStartSpan
 }
 
-// mayEject tells whether one more replica may be out: with a third out the rest stay in use.
-func (d *outlierDetector) mayEject() bool { return (d.absent+1)*ejectedPart <= d.candidates }
+// mayEject reports whether one more replica may be out: with a third out the rest stay in use.
+func (d *outlierDetector) mayEject() bool { return (d.unavailable+1)*ejectedPart <= d.candidates }
 
 // errorRateElsewhere is the error rate of the other replicas.
 func (d *outlierDetector) errorRateElsewhere(r *replica) float64 {
 	return (d.fleet.errored - r.load.brief.errored) / max(d.fleet.attempts-r.load.brief.attempts, 1)
 }
 
-// fails tells whether nearly all attempts at a replica err, and by far more than elsewhere.
+// fails reports whether nearly all attempts at a replica err, and many more than elsewhere.
 func (d *outlierDetector) fails(r *replica) bool {
 	brief := &r.load.brief
 	byRate := outlierErrorRate * brief.attempts
@@ -84,30 +84,30 @@
 
 // missedAttempts are those that would have been reported of a replica while it was silent.
 func (d *outlierDetector) missedAttempts(r *replica, silence float64) float64 {
-	return r.load.recent.rate() * d.presence * silence
+	return r.load.recent.rate() * d.reportedShare * silence
 }
 
-// isSilent tells whether a replica with entries is unreported for longer than the others and than by chance.
+// isSilent reports whether a replica with entries is unreported for longer than the others and than by chance.
 func (d *outlierDetector) isSilent(r *replica, silence float64) bool {
 	return r.expectedRate > 0 && d.missedAttempts(r, silence) >= fewestMissedAttempts && silence > d.silenceLimit
 }
 
-// isOverloaded tells whether a replica that errs is full rather than broken: its good attempts are late while the
-// fleet is not calm. With it out, the rest would be full next.
+// isOverloaded reports whether a replica that errs is full rather than broken: its good attempts are late while the
+// load is not normal. With it ejected, the rest would be full next.
 func (b *Balancer) isOverloaded(r *replica) bool {
 	late := r.load.brief.latency > r.load.brief.good*b.load.objective
-	return late && b.load.normalizedLatency >= calmSaturation
+	return late && b.load.normalizedLatency >= normalSaturation
 }
 
-// ejectOutliers ejects replicas that fail or are silent, unless the fleet is jammed.
+// ejectOutliers ejects replicas that fail or are silent, unless the fleet is overloaded.
 func (b *Balancer) ejectOutliers() {
 	detector := b.newOutlierDetector()
 	for _, r := range b.replicas {
-		if !r.inUse() || b.load.saturation >= jammedSaturation || !detector.mayEject() {
+		if !r.inUse() || b.load.saturation >= overloadSaturation || !detector.mayEject() {
 			continue
 		}
 		if cause := b.ejectionCause(&detector, r); cause != "" {
-			detector.absent++
+			detector.unavailable++
 			b.changeReplica(r, failureDetected, cause)
 		}
 	}
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -74,10 +74,10 @@
 	withdrawnElsewhere bool // other balancers may have withdrawn it
 }
 
-// listedReady tells whether a replica has entries in our tables, whether proxies may pick them or not.
+// listedReady reports whether a replica has entries in our tables, whether proxies may pick them or not.
 func (r *replica) listedReady() bool { return r.state&(warming|serving|ejected) != 0 }
 
-// inUse tells whether proxies may pick a replica, as far as its state goes.
+// inUse reports whether proxies may pick a replica, as far as its state goes.
 func (r *replica) inUse() bool { return r.state&(warming|serving) != 0 }
 
 // countReplicas counts the replicas that have a property.
@@ -125,7 +125,7 @@
 	}
 }
 
-// startedLately tells whether a start time is news of a replica, and within the span of a slow start.
+// startedLately reports whether a start time is news of a replica, and within the span of a slow start.
 func (b *Balancer) startedLately(r *replica, startedAt model.Microseconds) bool {
 	return startedAt > 0 && startedAt != r.startedAt && b.now-startedAt < slowStartSpan
 }
--- a/internal/balancer/safemode.go
+++ b/internal/balancer/safemode.go
@@ -46,7 +46,7 @@
 
 func (b *Balancer) logSafeModeEnd(struct{}) { b.publisher.Log(safeModeEndedLog) }
 
-// everyReplicaReported tells whether each replica listed as ready was named in a load report. Draining and absent
+// everyReplicaReported reports whether each replica listed as ready was named in a load report. Draining and absent
 // ones are not waited for.
 func (b *Balancer) everyReplicaReported() bool {
 	for _, r := range b.replicas {
--- a/internal/balancer/sendwindow.go
+++ b/internal/balancer/sendwindow.go
@@ -21,8 +21,8 @@
 }
 
 var (
-	withdrawalBudget  = budget{urgentShare, 1} // of replicas that drain or are gone, and of what makes room for them
-	holdBudget        = budget{promptShare, 1} // of replicas that may come back, and of cut weights
+	withdrawalBudget  = budget{urgentShare, 1} // of replicas that drain or are gone, and of what stands in for them
+	promptBudget      = budget{promptShare, 1} // of temporary withdrawals and cut weights
 	urgentBindBudget  = budget{urgentShare, 2}
 	routineBindBudget = budget{routineShare, 2}
 	quotaBudget       = budget{promptShare, 3}
@@ -41,8 +41,8 @@
 	at       model.Microseconds
 }
 
-// sendWindow bounds what waits in the channel by what is not acknowledged, as the channel may be slower than told.
-// Costs are in entries.
+// sendWindow bounds what waits in the channel by what is not acknowledged, as the channel may be slower than
+// configured. Costs are in entries.
 type sendWindow struct {
 	messageCost  int // of a message beyond its own entries
 	queueLimit   int
@@ -104,13 +104,13 @@
 	return true
 }
 
-// messagesExhausted tells whether a further message would leave a proxy too few spare ones.
+// messagesExhausted reports whether a further message would leave a proxy too few spare ones.
 func (w *sendWindow) messagesExhausted(p *proxy, spare int) bool {
 	return w.messageLimit > 0 && len(p.messageTimes)+spare >= w.messageLimit
 }
 
-// exceedsQueue tells whether entries pass a share of the queue limit. The age of what waits counts unless the share is
-// for what can't be put off.
+// exceedsQueue reports whether entries pass a share of the queue limit. The age of what waits counts unless the share
+// is for what can't be put off.
 func (w *sendWindow) exceedsQueue(entries int, share float64) bool {
 	if share < urgentShare {
 		entries += w.aged
@@ -141,13 +141,13 @@
 	w.reached = nil
 }
 
-// acknowledge frees what a proxy's messages up to a sequence number hold. An unknown number frees nothing.
+// acknowledge frees the entries of a proxy's messages up to a sequence number. An unknown number frees nothing.
 func (w *sendWindow) acknowledge(p *proxy, sequence int) {
 	last := slices.IndexFunc(p.unacked, func(m sentMessage) bool { return m.sequence == sequence })
 	w.release(p, last+1)
 }
 
-// release frees what a proxy's first messages hold.
+// release frees the entries of a proxy's first messages.
 func (w *sendWindow) release(p *proxy, messages int) {
 	for _, message := range p.unacked[:messages] {
 		w.unacked -= message.entries
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -11,7 +11,7 @@
 
 // beginSlowStart starts a replica at a quarter of its weight, with no statistics. It may stand in our tables at full
 // weight, so that is cut at once. The span runs from the replica's start if that is why: otherwise a balancer that
-// starts amid a release would hold all for equally young.
+// starts amid a release would take all for equally new.
 func (b *Balancer) beginSlowStart(r *replica) {
 	r.generation++
 	r.restarted = r.load.recent.window > 0
@@ -41,15 +41,15 @@
 	return min(1, slowStartFloor+(1-slowStartFloor)*elapsed/float64(slowStartSpan))
 }
 
-// isCold tells whether a replica started within the warm-up period.
-func (b *Balancer) isCold(r *replica) bool {
+// isWarmingUp reports whether a replica is in its slow start and started within the warm-up period.
+func (b *Balancer) isWarmingUp(r *replica) bool {
 	return r.state == warming && b.now-r.startedAt < b.config.WarmUpPeriod
 }
 
-// isNewcomer tells whether a replica is cold and was not known before its start.
-func (b *Balancer) isNewcomer(r *replica) bool { return b.isCold(r) && !r.restarted }
+// isNewAndWarmingUp reports whether a replica started within the warm-up period and was not known before.
+func (b *Balancer) isNewAndWarmingUp(r *replica) bool { return b.isWarmingUp(r) && !r.restarted }
 
-// youth is 1 for a replica just started, and falls evenly to 0 at the end of its warm-up period.
-func (b *Balancer) youth(r *replica) float64 {
+// remainingWarmUp is 1 for a replica just started, and falls evenly to 0 at the end of its warm-up period.
+func (b *Balancer) remainingWarmUp(r *replica) float64 {
 	return 1 - min(1, float64(b.now-r.startedAt)/float64(max(b.config.WarmUpPeriod, 1)))
 }
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -10,7 +10,7 @@
 const (
 	// entryWorth: an entry is wanted for a request each so many seconds.
 	entryWorth = 2.5
-	// entryWorthPerCost over the cost of publishing is the same where updates are dear, in seconds.
+	// entryWorthPerCost over the cost of publishing is the same where updates are expensive, in seconds.
 	entryWorthPerCost = 0.05
 	smallestCost      = 1e-9
 	// connectionsPart: all proxies take up to one in so many connections of the smallest replica.
@@ -19,16 +19,16 @@
 	fewestEntries = 8
 	// fewestFeeders: so many proxies feed each replica, to even them out.
 	fewestFeeders = 18
-	// Tables are so many that nearNumerator/nearDenominator of their entries are in the zone.
-	nearNumerator   = 2
-	nearDenominator = 3
+	// Tables are so many that sameZoneNumerator/sameZoneDenominator of their entries are in the zone.
+	sameZoneNumerator   = 2
+	sameZoneDenominator = 3
 )
 
 // Scores of a replica that may get a further entry: the one with the fewest entries in the list of tables comes first,
-// near ones before others, then the one with the fewest entries in all.
+// those of the zone before others, then the one with the fewest entries in all.
 const (
 	scoreEntryInAll   = 1
-	scoreOtherZone    = 1000
+	scoreCrossZone    = 1000
 	scoreEntryHere    = 2000
 	scoreAfterAnEntry = scoreEntryHere + scoreEntryInAll
 )
@@ -38,7 +38,7 @@
 	id        model.TableID
 	zone      int
 	list      int  // its place in subsetTables.lists
-	zoneLocal bool // for operations that stay in the zone: it has no far entries
+	zoneLocal bool // for operations that stay in the zone: all its entries are of the zone
 	width     int  // entries that it needs
 	entries   []*entry
 	users     []*proxy
@@ -46,7 +46,7 @@
 	expectedRate      float64 // requests a second of its users
 	normalizedLatency float64 // of the median entry
 	failureRisk       float64 // of the median entry
-	farFactor         float64 // what a replica of another zone counts for
+	crossZoneFactor   float64 // what a replica of another zone counts for, 1 for as much as one of the zone
 }
 
 // entry is a replica's place in a table.
@@ -58,7 +58,7 @@
 	cut        bool    // the weight is to be cut at once
 }
 
-// isNew tells whether the table as sent lacks an entry.
+// isNew reports whether the table as sent lacks an entry.
 func (e *entry) isNew() bool { return e.weight == 0 }
 
 // measure sets a table's latency and risk by its open entries.
@@ -124,7 +124,7 @@
 // allOperations has the bit of each operation set.
 func allOperations(config model.Config) uint16 { return 1<<len(config.Operations) - 1 }
 
-// separate tells whether operations that stay in the zone have tables of their own.
+// separate reports whether operations that stay in the zone have tables of their own.
 func (s *subsetTables) separate() bool { return len(s.lists) > s.zones }
 
 func (s *subsetTables) zoneOf(list int) int { return list % s.zones }
@@ -153,8 +153,8 @@
 func (b *Balancer) createTables(list int) {
 	b.subsets.width = b.wantedWidth()
 	zone, width := b.subsets.zoneOf(list), b.subsets.width
-	near := b.countReplicas(func(r *replica) bool { return r.zone == zone && r.listedReady() })
-	count := (nearDenominator*near + width - 1) / (nearNumerator * width)
+	candidates := b.countReplicas(func(r *replica) bool { return r.zone == zone && r.listedReady() })
+	count := (sameZoneDenominator*candidates + width - 1) / (sameZoneNumerator * width)
 	zoneLocal := b.config.ZoneLocalOperations != 0 && list >= len(b.subsets.lists)-b.subsets.zones
 	for range max(1, count) {
 		b.subsets.add(list, zoneLocal)
@@ -184,7 +184,8 @@
 	return all
 }
 
-// fillTables gives a list's shortest table one more entry, until all have enough and each near replica is in one.
+// fillTables gives a list's shortest table one more entry, until all have enough and each replica of the zone is in
+// one.
 func (b *Balancer) fillTables(list int) {
 	if !b.needsEntries(list) {
 		return
@@ -199,8 +200,8 @@
 			return
 		}
 		wideEnough := open >= t.width
-		everyNearReplicaPlaced := best.score >= scoreOtherZone
-		if wideEnough && everyNearReplicaPlaced {
+		everySameZoneReplicaPlaced := best.score >= scoreCrossZone
+		if wideEnough && everySameZoneReplicaPlaced {
 			return
 		}
 		b.subsets.addEntry(t, best.replica)
@@ -208,7 +209,7 @@
 	}
 }
 
-// needsEntries tells whether a table of a list is short of open entries, or a near replica is in none of them.
+// needsEntries reports whether a table of a list is short of open entries, or a replica of its zone is in none of them.
 func (b *Balancer) needsEntries(list int) bool {
 	tables := b.subsets.lists[list]
 	if len(tables) == 0 {
@@ -231,19 +232,19 @@
 		}
 	}
 	if r.zone != zone {
-		score += scoreOtherZone
+		score += scoreCrossZone
 	}
 	return score
 }
 
-// mayAddEntry tells whether a replica may get an entry of a table with so many open ones. Tables for operations that
-// stay in the zone have near ones only. Beyond the width a far cold one is not wanted: it would take the run of a zone
-// that is short.
+// mayAddEntry reports whether a replica may get an entry of a table with so many open ones. Tables for operations that
+// stay in the zone have replicas of the zone only. Beyond the width a replica of another zone that warms up is not
+// wanted: proxies of a zone that is short of capacity would turn to it all at once.
 func (b *Balancer) mayAddEntry(t *table, r *replica, open int) bool {
 	if !r.inUse() || t.has(r) {
 		return false
 	}
-	near := r.zone == t.zone
-	farWanted := !t.zoneLocal && (open < b.subsets.width || !b.isCold(r))
-	return near || farWanted
+	sameZone := r.zone == t.zone
+	crossZoneWanted := !t.zoneLocal && (open < b.subsets.width || !b.isWarmingUp(r))
+	return sameZone || crossZoneWanted
 }
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -10,9 +10,9 @@
 type View struct {
 	SafeModeEnded      bool
 	UnreportedReplicas []model.ReplicaID // listed as ready, and not named in a load report yet
-	Saturation         float64           // how short of capacity the fleet is: load is shed above 0.5, 1 and more is a jam
+	Saturation         float64           // how short of capacity the fleet is: load is shed above 0.5
 	NormalizedLatency  float64           // time of good attempts over the latency objective, at the median replica
-	WarmingFraction    float64           // share of the replicas in use that are new and cold
+	WarmingFraction    float64           // share of the replicas in use that are new and warming up
 	UnackedEntries     int               // entries sent and not acknowledged
 	Quotas             []float64         // admitted share, by operation
 	RetryPolicy        model.RetryPolicy
@@ -114,7 +114,7 @@
 		Zone:              source.zone,
 		State:             servedStates[source.state],
 		Withdrawn:         source.withdrawn,
-		WarmingUp:         b.isCold(source),
+		WarmingUp:         b.isWarmingUp(source),
 		WithdrawnAt:       source.withdrawnAt,
 		ReportedAt:        source.load.reportedAt,
 		UtilizationAt:     source.load.utilizationAt,
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -17,9 +17,10 @@
 	// warmingCapacityLimit: what a warming replica serves follows from its part, so only latency tells its speed.
 	warmingCapacityLimit = 2
 
-	// crossZonePenalty over the cost of a crossing lies between what quiet and what jammed days want.
+	// crossZonePenalty over the cost of a crossing lies between what suits a low load and what suits an overload.
 	crossZonePenalty = 60
-	// partNotInFull: as one in so many of the near replicas, or of all, is not in full, far ones count in full.
+	// partNotInFull: once one in so many of the replicas of the zone, or of all, is not at full weight, those of
+	// other zones count as much.
 	partNotInFull = 3
 	// noCapacity keeps a division from one by zero.
 	noCapacity = 1e-9
@@ -44,7 +45,7 @@
 	case e.replica.zone == e.table.zone:
 		return b.slowStartFactor(e.replica)
 	default:
-		return b.slowStartFactor(e.replica) * e.table.farFactor
+		return b.slowStartFactor(e.replica) * e.table.crossZoneFactor
 	}
 }
 
@@ -56,7 +57,7 @@
 	expectedRate := 0.0
 	for _, t := range b.subsets.tables {
 		t.measure()
-		t.farFactor = b.farFactor(t, preference)
+		t.crossZoneFactor = b.crossZoneFactor(t, preference)
 		b.spreadExpectedRate(t)
 		expectedRate += t.expectedRate
 	}
@@ -78,49 +79,50 @@
 	return fleet
 }
 
-// zonePreference is how much near replicas are preferred now. A crossing costs its price for sure. The preference gives
-// way near shedding, to quicker far replicas, and as a part of the near ones or of all is not in full.
+// zonePreference is how much replicas of the proxy's own zone are preferred now, as crossing zones has a price. The
+// preference gives way as load is about to be shed, where other zones are quicker, and as a part of the replicas of the
+// zone or of all is not at full weight.
 type zonePreference struct {
-	farFactor     float64 // what a far replica counts for while all is well
-	strength      float64 // 1: in full, 0: not at all
-	fleetFullness float64 // share of the replicas that are in use at full weight
+	crossZoneFactor float64 // what a replica of another zone counts for at full strength
+	strength        float64 // 1: in full, 0: not at all
+	fleetFullness   float64 // share of the replicas that are in use at full weight
 }
 
 func (b *Balancer) newZonePreference() zonePreference {
 	inFull := b.countReplicas(func(r *replica) bool { return r.state == serving })
 	return zonePreference{
-		farFactor:     1 / (1 + crossZonePenalty*b.config.CrossZoneCost),
-		strength:      min(max(2-2*b.load.saturation/sheddingSaturation, 0), 1),
-		fleetFullness: float64(inFull) / float64(max(b.countReplicas((*replica).listedReady), 1)),
+		crossZoneFactor: 1 / (1 + crossZonePenalty*b.config.CrossZoneCost),
+		strength:        min(max(2-2*b.load.saturation/sheddingSaturation, 0), 1),
+		fleetFullness:   float64(inFull) / float64(max(b.countReplicas((*replica).listedReady), 1)),
 	}
 }
 
-// factor is what a far replica counts for in a table.
-func (z *zonePreference) factor(nearFullness float64, near, far *attemptStats) float64 {
-	fullness := max(0, partNotInFull*min(z.fleetFullness, nearFullness)-(partNotInFull-1))
-	factor := math.Pow(z.farFactor, z.strength*fullness)
-	if near.good >= 1 && far.good >= 1 {
-		factor *= near.meanLatency() / max(far.meanLatency(), 1)
+// factor is what a replica of another zone counts for in a table, by the statistics of both kinds.
+func (z *zonePreference) factor(sameZoneFullness float64, sameZone, others *attemptStats) float64 {
+	fullness := max(0, partNotInFull*min(z.fleetFullness, sameZoneFullness)-(partNotInFull-1))
+	factor := math.Pow(z.crossZoneFactor, z.strength*fullness)
+	if sameZone.good >= 1 && others.good >= 1 {
+		factor *= sameZone.meanLatency() / max(others.meanLatency(), 1)
 	}
-	return min(max(factor, z.farFactor), 1)
+	return min(max(factor, z.crossZoneFactor), 1)
 }
 
-// farFactor is what a far replica counts for in a table.
-func (b *Balancer) farFactor(t *table, preference zonePreference) float64 {
-	var near, far attemptStats
-	nearCapacity, nearCount := 0.0, noCapacity
+// crossZoneFactor is what a replica of another zone counts for in a table.
+func (b *Balancer) crossZoneFactor(t *table, preference zonePreference) float64 {
+	var sameZone, others attemptStats
+	sameZoneCapacity, sameZoneCount := 0.0, noCapacity
 	for _, e := range t.entries {
 		switch r := e.replica; {
 		case !r.listedReady():
 		case r.zone == t.zone:
-			near.add(r.load.recent)
-			nearCapacity += b.slowStartFactor(r)
-			nearCount++
+			sameZone.add(r.load.recent)
+			sameZoneCapacity += b.slowStartFactor(r)
+			sameZoneCount++
 		default:
-			far.add(r.load.recent)
+			others.add(r.load.recent)
 		}
 	}
-	return preference.factor(nearCapacity/nearCount, &near, &far)
+	return preference.factor(sameZoneCapacity/sameZoneCount, &sameZone, &others)
 }
 
 // spreadExpectedRate adds a table's expected rate to its replicas, by the priors of their entries.
@@ -176,7 +178,7 @@
 	}
 }
 
-// weightsDue tells whether weights may move: once a report, within a part of the messages that a proxy may get.
+// weightsDue reports whether weights may move: once a report, within a part of the messages that a proxy may get.
 func (b *Balancer) weightsDue() bool {
 	period := b.config.ReportPeriod
 	if b.config.MessageLimit > 0 {
@@ -191,7 +193,7 @@
 		b.sendWeights(t, withdrawalBudget, func(e *entry) bool { return e.cut || e.isNew() })
 		return
 	}
-	b.sendWeights(t, holdBudget, func(e *entry) bool { return e.cut })
+	b.sendWeights(t, promptBudget, func(e *entry) bool { return e.cut })
 }
 
 // widenIfOverloaded gives a table more entries if most of its own are slower than the fleet: proxies grew, or the
@@ -203,7 +205,7 @@
 	}
 }
 
-// takeStep bounds the change of a sent weight and tells whether it is worth sending.
+// takeStep bounds the change of a sent weight and reports whether it is worth sending.
 func takeStep(e *entry) bool {
 	if e.isNew() || e.nextWeight == 0 {
 		return true
