--- a/internal/balancer/binding.go
+++ b/internal/balancer/binding.go
@@ -154,7 +154,7 @@
 		for _, t := range b.subsets.lists[list] {
 			highest = max(highest, tableBindCost(t, bindsFirst))
 		}
-		if highest == 0 {
+		if highest == 0 { // no table yet, or none was sent: as much as the longest table costs at most
 			highest = 2 * b.subsets.longest
 		}
 		cost += bindOverhead + highest
--- a/internal/balancer/loadstats.go
+++ b/internal/balancer/loadstats.go
@@ -169,7 +169,8 @@
 		r.load.assess(b.load.objective)
 	}
 	b.measureSaturation()
-	b.load.warmingFraction = float64(b.countReplicas(b.isNewAndWarmingUp)) / float64(max(b.countReplicas((*replica).inUse), 1))
+	newReplicas := b.countReplicas(b.isNewAndWarmingUp)
+	b.load.warmingFraction = float64(newReplicas) / float64(max(b.countReplicas((*replica).inUse), 1))
 	if b.everyReplicaReported() {
 		apply(b, safeModeTransitions, &b.safeMode.state, allReplicasReported, struct{}{})
 	}
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -122,7 +122,7 @@
 			r.load.brief.errored, r.load.brief.attempts, 100*detector.errorRateElsewhere(r))
 	case detector.isSilent(r, silence):
 		return fmt.Sprintf(": not reported for %.1f s, over %.1f, %.0f attempts due",
-			silence/1e6, detector.silenceLimit/1e6, detector.missedAttempts(r, silence))
+			silence/float64(model.Second), detector.silenceLimit/float64(model.Second), detector.missedAttempts(r, silence))
 	}
 	return ""
 }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -90,9 +90,11 @@
 
 func (b *Balancer) newZonePreference() zonePreference {
 	inFull := b.countReplicas(func(r *replica) bool { return r.state == serving })
+	// In full up to half of the saturation that sheds load, and not at all from that on.
+	strength := min(max(2-2*b.load.saturation/sheddingSaturation, 0), 1)
 	return zonePreference{
 		crossZoneFactor: 1 / (1 + crossZonePenalty*b.config.CrossZoneCost),
-		strength:        min(max(2-2*b.load.saturation/sheddingSaturation, 0), 1),
+		strength:        strength,
 		fleetFullness:   float64(inFull) / float64(max(b.countReplicas((*replica).listedReady), 1)),
 	}
 }
