--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -20,8 +20,11 @@
 //   - binding.go: which proxy uses which table
 //   - drain.go: withdrawals and readmissions
 //   - sendwindow.go: bounds on what is sent and not acknowledged
-//   - timers.go: the queue of deadlines; statemachine.go: transition tables
+//   - timers.go: the queue of deadlines
+//   - statemachine.go: transition tables; random.go: draws from the seed
 //   - view.go: a copy of the state for readers
 //
-// docs/design.md has the design and the reason for each exception to it.
+// Beside the design there are six mechanisms at most: the preference for the proxy's zone, the damped feedback of served
+// rates, ejections, admission quotas, early binds with the protection of replicas that warm up, and the send window.
+// docs/design.md has the design, when each mechanism acts, and why.
 package balancer
