--- a/internal/balancer/binding.go
+++ b/internal/balancer/binding.go
@@ -70,9 +70,9 @@
 	return binder{costs: make([]int, zones), costsBindsFirst: make([]int, zones)}
 }
 
-func (binder *binder) forgetCosts() {
-	clear(binder.costs)
-	clear(binder.costsBindsFirst)
+func (bd *binder) forgetCosts() {
+	clear(bd.costs)
+	clear(bd.costsBindsFirst)
 }
 
 // forgetProxy removes a proxy whose stream ended. What it had not acknowledged is lost.
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -24,7 +24,7 @@
 //   - statemachine.go: transition tables; random.go: draws from the seed
 //   - view.go: a copy of the state for readers
 //
-// Beside the design there are six mechanisms at most: the preference for the proxy's zone, the damped feedback of served
+// Beside the design there are six mechanisms at most: the preference for the own zone, the damped feedback of served
 // rates, ejections, admission quotas, early binds with the protection of replicas that warm up, and the send window.
 // docs/design.md has the design, when each mechanism acts, and why.
 package balancer
--- a/internal/balancer/fakefleet_test.go
+++ b/internal/balancer/fakefleet_test.go
@@ -225,7 +225,7 @@
 	f.balancer.EndpointsChanged(f.now, update, endpoints)
 }
 
-// change tells of replicas of zone 0 with a status and a start time.
+// change lists replicas of zone 0 with a status and a start time.
 func (f *fakeFleet) change(status model.EndpointStatus, startedAt model.Microseconds, numbers ...int) {
 	var endpoints []model.Endpoint
 	for _, n := range numbers {
@@ -234,7 +234,7 @@
 	f.list(model.ChangedEntries, endpoints...)
 }
 
-// start tells of replicas started so long ago.
+// start lists replicas of zone 0 as started so long ago.
 func (f *fakeFleet) start(age model.Microseconds, numbers ...int) {
 	f.change(model.EndpointReady, f.now-age, numbers...)
 }
--- a/internal/balancer/golden_plans_test.go
+++ b/internal/balancer/golden_plans_test.go
@@ -90,7 +90,7 @@
 		connect: 0.1, disconnect: 0.08, drain: 0.08, removed: 0.05, restarted: 0.08, readyAgain: 0.12, fullList: 0.02,
 		failedPoll: 0.02, startFailing: 0.04, recover: 0.1, contradictory: 0.02,
 	}
-	// Drains beat by beat while no proxy is bound, until the queue is full; later proxies come over amid drains.
+	// Drains tick by tick while no proxy is bound, until the queue is full; later proxies come over amid drains.
 	plan.script = func(tr *trace, tick int) {
 		switch {
 		case tick < 5:
@@ -186,7 +186,7 @@
 	expectKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-// The two traces of a full queue hold it near its limits, where a decision turns on a few lines: replicas restart
+// The two traces of a full queue hold it near its limits, where a decision turns on a few entries: replicas restart
 // (their quarters are sent at once), fail and are ejected, and the load moves the admitted shares up and down. Their
 // seeds were chosen among 20 so that a hundredth more in any of the queue's limits (0.5, 0.7, 0.9) changes a trace.
 func TestGoldenTraceOfAFullQueue(t *testing.T) {
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -16,9 +16,9 @@
 	"peppervale/internal/model"
 )
 
-// The golden traces pin what the balancer orders, bit for bit: seeded event sequences are driven through its public
-// methods, and after every step the orders given are hashed and compared with testdata/trace-*.txt. The traces know
-// nothing of the balancer but its orders. Every float is hashed by its bits; the files were written on amd64, and an
+// The golden traces pin what the balancer publishes, bit for bit: seeded event sequences are driven through its public
+// methods, and after every step the updates given are hashed and compared with testdata/trace-*.txt. The traces know
+// nothing of the balancer but its updates. Every float is hashed by its bits; the files were written on amd64, and an
 // architecture whose compiler fuses multiplications with additions may round differently.
 
 var updateTraces = flag.Bool("update", false, "rewrite testdata/trace-*.txt from the code as it is")
@@ -51,29 +51,29 @@
 	number uint32
 }
 
-// trace drives one scenario, records what is ordered, and compares it with the golden lines.
+// trace drives one scenario, records what is published, and compares it with the golden lines.
 type trace struct {
 	t          *testing.T
 	plan       scenario
 	random     *rand.Rand
 	balancer   *balancer.Balancer
 	now        model.Microseconds
-	timerAt    model.Microseconds // when the timer fires next, as ordered by Wake
+	timerAt    model.Microseconds // when the timer fires next, as set by SetTimer
 	tick       int
-	subscribed bool // a subscription was ordered and not answered yet
+	subscribed bool // a subscription was asked for and not answered yet
 	replicas   []*tracedReplica
 	proxies    []*tracedProxy
 	acks       []pendingAck
 
-	text    []string // of the step: its single events and the orders, in the order given
+	text    []string // of the step: its single events and the updates, in the order given
 	updates int      // of the step
 	logs    int      // of the step
 	want    []string // golden lines
 	got     []string
-	kinds   map[string]int // orders of the whole trace by kind
+	kinds   map[string]int // updates of the whole trace by kind
 }
 
-// scenario is a fleet, its start settings and the chances of what happens in it.
+// scenario is a fleet, its configuration and the chances of what happens in it.
 type scenario struct {
 	name         string
 	seed         uint64
@@ -81,17 +81,17 @@
 	replicas     int
 	proxies      int
 	ticks        int
-	expectedRate float64 // invocations a second of a proxy
-	attempts     int     // mean tries in a load report
+	expectedRate float64 // requests a second of a proxy
+	attempts     int     // mean attempts in a load report
 	ackDelay     model.Microseconds
 	ackLoss      float64
 	churn        churn
 	load         func(tick int) float64 // mean latency over the objective
 	script       func(tr *trace, tick int)
-	allAtOnce    bool // every proxy joins at the start
+	allAtOnce    bool // every proxy connects at the start
 }
 
-// churn holds the chances for each beat that an event comes.
+// churn holds the chances for each tick that an event comes.
 type churn struct {
 	connect, disconnect                   float64 // of a proxy
 	drain, removed, restarted, readyAgain float64 // of a replica, as the endpoint list has it
--- a/internal/balancer/loadstats.go
+++ b/internal/balancer/loadstats.go
@@ -22,7 +22,7 @@
 	utilizationLifetime = 3 * model.Second
 	// idleUtilization is the use of cores below which few attempts wait: they may be slow for other reasons.
 	idleUtilization = 0.7
-	// fullUtilization is the use of cores that is short of capacity. Beyond it the utilization no longer tells how short.
+	// fullUtilization is the use of cores that is short of capacity. Beyond it the utilization no longer shows how short.
 	fullUtilization = 0.9
 	// nearOverloadSaturation is what all cores in use amount to.
 	nearOverloadSaturation = 0.95
@@ -115,7 +115,7 @@
 }
 
 // assess works out the normalized latency and the failure risk. Errors count as far as the good attempts are slow:
-// quick ones tell of replicas that fail, and admitting less helps none of them. Too few attempts tell nothing, or a
+// quick ones come from replicas that fail, and admitting less helps none of them. Too few attempts show nothing, or a
 // fleet that admits little would stay so.
 func (l *replicaLoad) assess(objective float64) {
 	switch {
@@ -211,7 +211,7 @@
 	b.load.saturation = saturation
 }
 
-// utilizationSaturation is the saturation that a utilization tells of. A full fleet sheds load; from there on it
+// utilizationSaturation is the saturation that a utilization stands for. A full fleet sheds load; from there on it
 // rises faster, as a share of cores cannot pass one, up to nearly an overload.
 func utilizationSaturation(utilization float64) float64 {
 	const headroom = 1 - fullUtilization
--- a/internal/balancer/ranking.go
+++ b/internal/balancer/ranking.go
@@ -36,7 +36,7 @@
 func (ranks *ranking) takeBest(fits func(*replica) bool) (best *rankedReplica) {
 	var aside []*rankedReplica
 	for best == nil && len(ranks.heap) > 0 {
-		next, _ := heap.Pop(&ranks.heap).(*rankedReplica)
+		next := heap.Pop(&ranks.heap).(*rankedReplica)
 		if fits(next.replica) {
 			best = next
 		} else {
@@ -64,8 +64,7 @@
 
 // Push is called by package heap alone.
 func (h *rankingHeap) Push(x any) {
-	ranked, _ := x.(*rankedReplica)
-	*h = append(*h, ranked)
+	*h = append(*h, x.(*rankedReplica))
 }
 
 // Pop is called by package heap alone.
--- a/internal/balancer/sendwindow.go
+++ b/internal/balancer/sendwindow.go
@@ -155,7 +155,7 @@
 	p.unacked = p.unacked[messages:]
 }
 
-// finishMessage asks for an acknowledgement of what was ordered since the last message, if anything was.
+// finishMessage asks for an acknowledgement of what was published since the last message, if anything was.
 func (b *Balancer) finishMessage() {
 	if len(b.window.reached) > 0 {
 		b.publisher.RequestAck(b.window.nextSequence(), b.window.ackFromAll)
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -407,7 +407,7 @@
 	f.startBalancer(numbers)
 }
 
-// setStatus changes the status of replicas and tells the balancer.
+// setStatus changes the status of replicas and notifies the balancer.
 func (f *simulatedFleet) setStatus(status model.EndpointStatus, numbers ...int) {
 	for _, n := range numbers {
 		f.replicas[replicaID(n)].status = status
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -25,7 +25,7 @@
 type ReplicaView struct {
 	ID                model.ReplicaID
 	Zone              int
-	State             string // one of servedStates
+	State             string // away (absent), draining, easing (warming), serving or resting (ejected)
 	Withdrawn         bool   // its withdrawal was sent
 	WarmingUp         bool   // it started within the warm-up period
 	WithdrawnAt       model.Microseconds
@@ -70,7 +70,7 @@
 	OldestUnackedAt model.Microseconds // when the first of them was sent; 0 if there is none
 }
 
-// servedStates are the words for states that the console serves. Its readers rely on them.
+// servedStates are the words of ReplicaView.State. The console serves them as JSON, so its readers rely on them.
 var servedStates = map[replicaState]string{
 	absent:   "away",
 	draining: "draining",
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -14,7 +14,7 @@
 
 	// averagingAttempts weigh as much as the average does: below that a mean latency says little.
 	averagingAttempts = 10
-	// warmingCapacityLimit: what a warming replica serves follows from its part, so only latency tells its speed.
+	// warmingCapacityLimit: what a warming replica serves follows from its part, so only latency shows its speed.
 	warmingCapacityLimit = 2
 
 	// crossZonePenalty over the cost of a crossing lies between what suits a low load and what suits an overload.
