--- a/internal/balancer/golden_plans_test.go
+++ b/internal/balancer/golden_plans_test.go
@@ -40,7 +40,8 @@
 			return 0.2 + 0.15*float64(tick/60%3)
 		},
 	}
-	plan.config.ProxyCount, plan.config.MinReplicaConnections = 80, 30 // so that a zone has several tables
+	plan.config.ProxyCount = 80 // so that a zone has several tables
+	plan.config.MinReplicaConnections = 30
 	plan.churn = churn{
 		connect: 0.15, disconnect: 0.1, drain: 0.06, removed: 0.04, restarted: 0.06, readyAgain: 0.1, fullList: 0.02,
 		cachedList: 0.02, failedPoll: 0.03, startFailing: 0.03, recover: 0.1, contradictory: 0.03,
@@ -54,7 +55,8 @@
 		attempts: 10, ackDelay: 500 * model.Millisecond, ackLoss: 0.01, load: steady(0.3),
 	}
 	plan.config.ZoneLocalOperations = 0b010
-	plan.config.ProxyCount, plan.config.MinReplicaConnections = 80, 30
+	plan.config.ProxyCount = 80
+	plan.config.MinReplicaConnections = 30
 	plan.churn = churn{
 		connect: 0.15, disconnect: 0.1, drain: 0.05, removed: 0.03, restarted: 0.08, readyAgain: 0.1, fullList: 0.02,
 		failedPoll: 0.02, startFailing: 0.04, recover: 0.1, contradictory: 0.02,
@@ -85,7 +87,8 @@
 		},
 	}
 	plan.config.QueueLimit = 900
-	plan.config.MessageLimit, plan.config.MessageWindow = 6, 5*model.Second
+	plan.config.MessageLimit = 6
+	plan.config.MessageWindow = 5 * model.Second
 	plan.churn = churn{
 		connect: 0.1, disconnect: 0.08, drain: 0.08, removed: 0.05, restarted: 0.08, readyAgain: 0.12, fullList: 0.02,
 		failedPoll: 0.02, startFailing: 0.04, recover: 0.1, contradictory: 0.02,
@@ -128,7 +131,9 @@
 		name: "herd", seed: 5, config: tracedConfig(), replicas: 90, proxies: 150, ticks: 240, expectedRate: 20,
 		attempts: 10, ackDelay: 600 * model.Millisecond, ackLoss: 0.01, load: steady(0.25), allAtOnce: true,
 	}
-	plan.config.ProxyCount, plan.config.QueueLimit, plan.config.StandingTableSize = 150, 12000, 6
+	plan.config.ProxyCount = 150
+	plan.config.QueueLimit = 12000
+	plan.config.StandingTableSize = 6
 	plan.config.MinReplicaConnections = 40
 	plan.churn = churn{
 		connect: 0.1, disconnect: 0.05, restarted: 0.1, readyAgain: 0.1, failedPoll: 0.01, contradictory: 0.01,
@@ -164,8 +169,12 @@
 			return 0.2 + 0.4*float64(tick/50%3)
 		},
 	}
-	plan.config.ProxiesAvoidFailing, plan.config.AdmissionControl, plan.config.FullQuota = false, false, 5000
-	plan.config.CrossZoneCost, plan.config.PublishCost, plan.config.SubscriptionRequired = 0, 0.02, false
+	plan.config.ProxiesAvoidFailing = false
+	plan.config.AdmissionControl = false
+	plan.config.FullQuota = 5000
+	plan.config.CrossZoneCost = 0
+	plan.config.PublishCost = 0.02
+	plan.config.SubscriptionRequired = false
 	plan.churn = churn{
 		connect: 0.1, disconnect: 0.1, drain: 0.05, removed: 0.05, restarted: 0.06, readyAgain: 0.1, fullList: 0.03,
 		cachedList: 0.02, failedPoll: 0.02, startFailing: 0.04, recover: 0.08, contradictory: 0.03,
@@ -205,7 +214,8 @@
 		},
 	}
 	plan.config.QueueLimit = 900
-	plan.config.ProxyCount, plan.config.MinReplicaConnections = 80, 30
+	plan.config.ProxyCount = 80
+	plan.config.MinReplicaConnections = 30
 	plan.churn = churn{
 		connect: 0.2, disconnect: 0.15, drain: 0.1, removed: 0.05, restarted: 0.2, readyAgain: 0.15, fullList: 0.01,
 		failedPoll: 0.01, startFailing: 0.1, recover: 0.1, contradictory: 0.02,
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -176,7 +176,9 @@
 // step runs one step and compares its line with the golden one.
 func (tr *trace) step(event string, run func()) {
 	tr.t.Helper()
-	tr.text, tr.updates, tr.logs = nil, 0, 0
+	tr.text = nil
+	tr.updates = 0
+	tr.logs = 0
 	run()
 	number := len(tr.got)
 	line := fmt.Sprintf("%04d %d %s | orders %d logs %d %s", number, int64(tr.now), event, tr.updates, tr.logs,
@@ -305,7 +307,8 @@
 			later = append(later, a)
 		}
 	}
-	if tr.acks = later; len(due) == 0 {
+	tr.acks = later
+	if len(due) == 0 {
 		return
 	}
 	tr.step(fmt.Sprintf("acks %d", len(due)), func() {
--- a/internal/balancer/loadstats.go
+++ b/internal/balancer/loadstats.go
@@ -186,7 +186,8 @@
 // cores in use at the median replica, or of all replicas over the capacity of those that stay in use.
 func (b *Balancer) measureSaturation() {
 	var latencies, utilizations []float64
-	work, capacity := 0.0, 0.0
+	work := 0.0
+	capacity := 0.0
 	for _, r := range b.replicas {
 		if r.listedReady() && r.load.normalizedLatency > 0 {
 			latencies = append(latencies, r.load.normalizedLatency)
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -74,7 +74,7 @@
 	withdrawnElsewhere bool // other balancers may have withdrawn it
 }
 
-// listedReady reports whether a replica has entries in our tables, whether proxies may pick them or not.
+// listedReady reports whether the list has a replica as ready, whether proxies may pick it or not.
 func (r *replica) listedReady() bool { return r.state&(warming|serving|ejected) != 0 }
 
 // inUse reports whether proxies may pick a replica, as far as its state goes.
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -152,7 +152,8 @@
 // createTables makes the tables of a list, fills them and sends their first weights.
 func (b *Balancer) createTables(list int) {
 	b.subsets.width = b.wantedWidth()
-	zone, width := b.subsets.zoneOf(list), b.subsets.width
+	zone := b.subsets.zoneOf(list)
+	width := b.subsets.width
 	candidates := b.countReplicas(func(r *replica) bool { return r.zone == zone && r.listedReady() })
 	count := (sameZoneDenominator*candidates + width - 1) / (sameZoneNumerator * width)
 	zoneLocal := b.config.ZoneLocalOperations != 0 && list >= len(b.subsets.lists)-b.subsets.zones
@@ -173,7 +174,8 @@
 	for _, p := range b.proxies {
 		meanRate += p.expectedRate / float64(len(b.proxies))
 	}
-	replicas, proxies := float64(len(b.replicas)), float64(max(b.config.ProxyCount, 1))
+	replicas := float64(len(b.replicas))
+	proxies := float64(max(b.config.ProxyCount, 1))
 	byTraffic := meanRate * min(entryWorth, entryWorthPerCost/max(b.config.PublishCost, smallestCost))
 	byConnections := replicas / connectionsPart * float64(b.config.MinReplicaConnections) / proxies
 	byFeeders := fewestFeeders * replicas / proxies
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -112,7 +112,8 @@
 // crossZoneFactor is what a replica of another zone counts for in a table.
 func (b *Balancer) crossZoneFactor(t *table, preference zonePreference) float64 {
 	var sameZone, others attemptStats
-	sameZoneCapacity, sameZoneCount := 0.0, noCapacity
+	sameZoneCapacity := 0.0
+	sameZoneCount := noCapacity
 	for _, e := range t.entries {
 		switch r := e.replica; {
 		case !r.listedReady():
@@ -174,7 +175,8 @@
 		}
 		b.weightsSentAt = b.now
 		b.widenIfOverloaded(t)
-		if due = b.sendWeights(t, weightBudget, takeStep); !due {
+		due = b.sendWeights(t, weightBudget, takeStep)
+		if !due {
 			b.subsets.turn = first + k
 		}
 	}
