--- /dev/null
+++ b/internal/scenario/console_test.go
@@ -0,0 +1,211 @@
+package scenario
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"peppervale/internal/console/comparison"
+	"peppervale/internal/controller"
+)
+
+const (
+	survivingInstance = "govan-1"
+	lostInstance      = lostZone + "-2"
+	lostReplicas      = 5 // of the lost zone
+)
+
+var consolePages = []string{
+	"/", "/zones", "/replicas", "/forwarders", "/tables", "/orders?about=" + lostZone, "/settings", "/plot/ready.svg",
+}
+
+var comparisonPages = []string{"/", "/replicas", "/forwarders"}
+
+// While a zone is lost and comes back, every page of the consoles answers, and what they show is what the stand-ins
+// did.
+func TestConsolesShowALostZoneAndItsReturn(t *testing.T) {
+	if testing.Short() {
+		t.Skip("a scenario takes seconds of sockets")
+	}
+	t.Parallel()
+	script := openScript(t, zoneLossFile)
+	script.Length = seconds(20)
+	script.Steps = []Step{{Kind: ZoneLoss, At: seconds(5), Duration: seconds(5), Zone: lostZone}}
+	progress := make(chan string, 1000)
+	watched := make(chan error, 1)
+	go func() { watched <- watchConsoles(progress) }()
+	report, err := Run(context.Background(), script, Setting{
+		Program:  instanceProgram(),
+		Folder:   t.TempDir(),
+		Progress: writerFunc(func(line []byte) { progress <- string(line) }),
+	})
+	close(progress)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireInvariants(t, report)
+	if err := <-watched; err != nil {
+		t.Error(err)
+	}
+}
+
+// watchConsoles follows the consoles from the loss of the zone until they have shown all of its return.
+func watchConsoles(progress chan string) error {
+	defer http.DefaultClient.CloseIdleConnections()
+	consoles := awaitConsoles(progress)
+	if len(consoles) != len(twoInstances) {
+		return fmt.Errorf("consoles of %d instances, want %d", len(consoles), len(twoInstances))
+	}
+	// The comparison has to know the instances from before the loss.
+	addresses := []string{consoles[survivingInstance], consoles[lostInstance]}
+	server, err := comparison.Listen("127.0.0.1:0", addresses, controller.Clock())
+	if err != nil {
+		return err
+	}
+	defer server.Close()
+	awaitStep(progress, ZoneLoss)
+	watch := consoleWatch{console: consoles[survivingInstance], comparison: "http://" + server.Addr()}
+	deadline := time.Now().Add(14 * time.Second)
+	for time.Now().Before(deadline) && !watch.complete() {
+		if err := watch.observe(); err != nil {
+			return err
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	if !watch.complete() {
+		return fmt.Errorf("of a zone lost and back, cold, with its instance, the consoles show %+v", watch)
+	}
+	return nil
+}
+
+// awaitConsoles reads the progress until each instance has told its console's address, and gives them by instance.
+func awaitConsoles(progress chan string) map[string]string {
+	consoles := map[string]string{}
+	for line := range progress {
+		_, rest, found := strings.Cut(line, "console of ")
+		if !found {
+			continue
+		}
+		name, address, _ := strings.Cut(rest, ": ")
+		consoles[name] = strings.TrimSpace(address)
+		if len(consoles) == len(twoInstances) {
+			break
+		}
+	}
+	return consoles
+}
+
+// awaitStep reads the progress until a step of the kind begins.
+func awaitStep(progress chan string, kind StepKind) {
+	for line := range progress {
+		if strings.Contains(line, string(kind)) {
+			return
+		}
+	}
+}
+
+// consoleWatch is what the consoles have shown so far. The lost zone's replicas come back cold, so they are warming up.
+// Its instance is shown as it was last known, and as a new incarnation once it is back.
+type consoleWatch struct {
+	console    string // URL of the surviving instance's
+	comparison string // URL of the console that compares the instances
+
+	zoneLost         bool
+	zoneBack         bool
+	instanceLost     bool
+	instanceBack     bool
+	firstIncarnation uint64
+}
+
+func (w *consoleWatch) complete() bool { return w.zoneLost && w.zoneBack && w.instanceBack }
+
+func (w *consoleWatch) observe() error {
+	for _, page := range consolePages {
+		if _, err := getPage(w.console + page); err != nil {
+			return err
+		}
+	}
+	for _, page := range comparisonPages {
+		if _, err := getPage(w.comparison + page); err != nil {
+			return err
+		}
+	}
+	if err := w.observeInstances(); err != nil {
+		return err
+	}
+	return w.observeReplicas()
+}
+
+func (w *consoleWatch) observeInstances() error {
+	text, err := getPage(w.comparison + "/?as=json")
+	if err != nil {
+		return err
+	}
+	var page struct {
+		Body struct {
+			Instances []struct {
+				Name        string `json:"governor"`
+				Error       string `json:"error"`
+				Incarnation uint64 `json:"life"`
+			} `json:"governors"`
+		} `json:"body"`
+	}
+	if err := json.Unmarshal([]byte(text), &page); err != nil {
+		return fmt.Errorf("comparison: %w: %.300s", err, text)
+	}
+	if len(page.Body.Instances) != 2 {
+		return fmt.Errorf("comparison shows %d instances: %.300s", len(page.Body.Instances), text)
+	}
+	shown := page.Body.Instances[1]
+	if shown.Name != lostInstance {
+		return nil
+	}
+	if shown.Error != "" && shown.Incarnation > 0 {
+		w.instanceLost = true
+	}
+	if w.instanceLost && shown.Error == "" && shown.Incarnation > w.firstIncarnation {
+		w.instanceBack = true
+	}
+	if !w.instanceLost {
+		w.firstIncarnation = shown.Incarnation
+	}
+	return nil
+}
+
+func (w *consoleWatch) observeReplicas() error {
+	text, err := getPage(w.console + "/replicas?as=json")
+	if err != nil {
+		return err
+	}
+	absent := strings.Count(text, `"state": "away"`)
+	warming := strings.Count(text, `"state": "easing"`)
+	if absent == lostReplicas {
+		w.zoneLost = true
+	}
+	if w.zoneLost && absent == 0 && warming >= lostReplicas {
+		w.zoneBack = true
+	}
+	return nil
+}
+
+// getPage gives the body of a page; every status but 200 is an error.
+func getPage(url string) (string, error) {
+	response, err := http.Get(url)
+	if err != nil {
+		return "", err
+	}
+	text, readErr := io.ReadAll(response.Body)
+	if err := errors.Join(readErr, response.Body.Close()); err != nil {
+		return "", err
+	}
+	if response.StatusCode != http.StatusOK {
+		return "", fmt.Errorf("%s answers %d: %.200s", url, response.StatusCode, text)
+	}
+	return string(text), nil
+}
--- /dev/null
+++ b/internal/scenario/faulty.go
@@ -0,0 +1,212 @@
+package scenario
+
+import (
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/discovery"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+	"peppervale/internal/snapshot"
+	"peppervale/internal/standin"
+)
+
+// The kinds of faulty controllers, as scenario files spell them.
+const (
+	emptiesTable       = "empty-table"      // takes every entry back
+	retriesAnything    = "repeats-anything" // orders retries after any failure, for every operation
+	hidesDrains        = "hides-drains"     // never withdraws draining replicas
+	fullLoadToCold     = "full-to-cold"     // gives a started replica nearly all traffic at once
+	floodsWithMessages = "floods"           // sends every entry to every proxy, again and again
+)
+
+// FaultyControllerKinds are the kinds of faulty controllers. Each puts all proxies on one table of all replicas and
+// then violates one invariant, which shows that the check of the invariants can fail.
+var FaultyControllerKinds = []string{emptiesTable, retriesAnything, hidesDrains, fullLoadToCold, floodsWithMessages}
+
+const (
+	faultyControllerName = "rogue"
+	faultyTable          = model.TableID(1)
+	faultyTickInterval   = 200 * model.Millisecond
+	faultyStartDelay     = 3 * model.Second // the fault begins so long after the scenario
+	faultyColdWeight     = 1000
+	faultyFloodSize      = 20 // batches a tick
+	faultyMessageRate    = 1e6
+	ackSequenceLimit     = 65536
+)
+
+// faultyController serves the publish-subscribe channel and follows the registry like an instance. All its fields
+// belong to the goroutine of loop.
+type faultyController struct {
+	kind        string
+	loop        *standin.Loop
+	now         func() model.Microseconds
+	server      *pubsub.Server
+	registry    *discovery.ConsulClient
+	proxies     map[model.ProxyID]bool
+	ready       map[model.ReplicaID]model.Endpoint
+	ackSequence int
+	started     model.Microseconds
+}
+
+func newFaultyController(run *runner) (*faultyController, error) {
+	controller := &faultyController{
+		kind:    run.script.FaultyController,
+		loop:    run.loop,
+		now:     run.now,
+		proxies: map[model.ProxyID]bool{},
+		ready:   map[model.ReplicaID]model.Endpoint{},
+		started: run.now(),
+	}
+	var err error
+	controller.server, err = pubsub.Listen(pubsub.Config{
+		Listen:          run.network.instanceAddress(0, channelPort),
+		Incarnation:     1,
+		Zones:           run.script.Zones,
+		ReportPeriod:    run.script.Config.ReportPeriod,
+		MessageOverhead: run.script.Config.MessageOverhead,
+		Pace:            faultyMessageRate,
+		Now:             run.now,
+		Log:             zerolog.Nop(),
+	}, controller)
+	if err != nil {
+		return nil, err
+	}
+	controller.registry, err = discovery.NewConsulClient(discovery.ConsulConfig{
+		Address:   run.endpoints.Addr(),
+		Service:   serviceName,
+		UserAgent: "peppervale/" + faultyControllerName,
+		Zones:     run.script.Zones,
+		Wait:      (5 * model.Second).Duration(),
+		Timeout:   (2 * model.Second).Duration(),
+		Log:       zerolog.Nop(),
+	}, controller)
+	if err != nil {
+		controller.server.Close()
+		return nil, err
+	}
+	controller.registry.Subscribe()
+	controller.loop.After(faultyTickInterval, controller.tick)
+	return controller, nil
+}
+
+func (c *faultyController) close() {
+	c.registry.Close()
+	c.server.Close()
+}
+
+// ProxyConnected admits the proxy and puts it on the one table.
+func (c *faultyController) ProxyConnected(proxy model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
+	c.loop.Post(func() {
+		c.server.AdmitProxy(proxy, stream)
+		c.proxies[proxy] = true
+		c.publish(snapshot.Update{Kind: snapshot.BindProxy, Proxy: proxy, Table: faultyTable})
+	})
+}
+
+// ProxyDisconnected forgets the proxy.
+func (c *faultyController) ProxyDisconnected(proxy model.ProxyID, _ uint64) {
+	c.loop.Post(func() { delete(c.proxies, proxy) })
+}
+
+// Acknowledged is ignored.
+func (c *faultyController) Acknowledged(model.ProxyID, uint64, uint32) {}
+
+// LoadReported is ignored.
+func (c *faultyController) LoadReported(int, []model.LoadReport) {}
+
+// EndpointsChanged follows the endpoint list; all kinds but hidesDrains withdraw replicas as they should.
+func (c *faultyController) EndpointsChanged(scope model.EndpointUpdate, endpoints []model.Endpoint) {
+	c.loop.Post(func() {
+		if scope == model.PollFailed {
+			c.registry.Subscribe()
+			return
+		}
+		updates := c.addReady(endpoints)
+		updates = append(updates, c.withdrawMissing(endpoints)...)
+		c.publish(updates...)
+	})
+}
+
+// addReady takes the ready endpoints in and gives the updates for those that are new or restarted.
+func (c *faultyController) addReady(endpoints []model.Endpoint) []snapshot.Update {
+	var updates []snapshot.Update
+	for _, endpoint := range endpoints {
+		if endpoint.Status != model.EndpointReady {
+			continue
+		}
+		old, known := c.ready[endpoint.ID]
+		if !known || old.StartedAt != endpoint.StartedAt {
+			updates = append(updates,
+				setWeight(endpoint.ID, c.initialWeight(endpoint)),
+				snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: endpoint.ID})
+		}
+		c.ready[endpoint.ID] = endpoint
+	}
+	return updates
+}
+
+func (c *faultyController) initialWeight(endpoint model.Endpoint) float64 {
+	if c.kind == fullLoadToCold && endpoint.StartedAt > c.started {
+		return faultyColdWeight
+	}
+	return 1
+}
+
+// withdrawMissing forgets the replicas that are no longer ready and gives the updates that withdraw them.
+func (c *faultyController) withdrawMissing(endpoints []model.Endpoint) []snapshot.Update {
+	stillReady := map[model.ReplicaID]bool{}
+	for _, endpoint := range endpoints {
+		stillReady[endpoint.ID] = endpoint.Status == model.EndpointReady
+	}
+	var updates []snapshot.Update
+	for id := range c.ready {
+		if stillReady[id] {
+			continue
+		}
+		delete(c.ready, id)
+		if c.kind != hidesDrains {
+			updates = append(updates, snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: id, Withdrawn: true})
+		}
+	}
+	return updates
+}
+
+func (c *faultyController) publish(updates ...snapshot.Update) {
+	if len(updates) == 0 {
+		return
+	}
+	c.ackSequence = (c.ackSequence + 1) % ackSequenceLimit
+	c.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: c.ackSequence, At: c.now()})
+}
+
+// tick does at intervals what the kind does wrong, once the scenario has run for a while.
+func (c *faultyController) tick() {
+	c.loop.After(faultyTickInterval, c.tick)
+	if c.now()-c.started < faultyStartDelay {
+		return
+	}
+	switch c.kind {
+	case emptiesTable:
+		c.publish(c.setAllWeights(0)...)
+	case retriesAnything:
+		quota := pubsubmsg.Quota{Operations: 0, Share: 1, RetryPolicy: model.RetryTwiceOnAnyFailure}
+		c.publish(snapshot.Update{Kind: snapshot.SetQuota, Quota: quota})
+	case floodsWithMessages:
+		for range faultyFloodSize {
+			c.publish(c.setAllWeights(1)...)
+		}
+	}
+}
+
+func (c *faultyController) setAllWeights(weight float64) []snapshot.Update {
+	var updates []snapshot.Update
+	for id := range c.ready {
+		updates = append(updates, setWeight(id, weight))
+	}
+	return updates
+}
+
+func setWeight(id model.ReplicaID, weight float64) snapshot.Update {
+	return snapshot.Update{Kind: snapshot.SetWeight, Table: faultyTable, Replica: id, Weight: weight}
+}
--- /dev/null
+++ b/internal/scenario/faulty_test.go
@@ -0,0 +1,61 @@
+package scenario
+
+import (
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"peppervale/internal/invariants"
+)
+
+// Each faulty controller violates its own invariant and no other, and the violation names who, where and when.
+func TestEachFaultyControllerViolatesItsOwnInvariantOnly(t *testing.T) {
+	for kind, invariant := range map[string]string{
+		emptiesTable:       invariants.Lost,
+		retriesAnything:    invariants.Double,
+		hidesDrains:        invariants.Drain,
+		fullLoadToCold:     invariants.Failback,
+		floodsWithMessages: invariants.Backlog,
+	} {
+		t.Run(kind, func(t *testing.T) {
+			t.Parallel()
+			report := runScript(t, openScript(t, filepath.Join("broken", kind+".hcl")))
+			for _, verdict := range report.Invariants {
+				checkVerdict(t, verdict, invariant)
+			}
+		})
+	}
+}
+
+// checkVerdict requires a violation of the one invariant and of no other.
+func checkVerdict(t *testing.T, verdict invariants.Verdict, violated string) {
+	t.Helper()
+	isViolated := len(verdict.Breaks) > 0
+	if isViolated != (verdict.Rule == violated) {
+		t.Errorf("%s: %.2f of the limit, %v", verdict.Rule, verdict.Nearest, verdict.Breaks)
+		return
+	}
+	if !isViolated {
+		return
+	}
+	violation := verdict.Breaks[0]
+	namesTime := strings.Contains(violation, " s: ")
+	namesLimit := strings.Contains(violation, "allowed") || verdict.Rule == invariants.Double
+	if !namesTime || !namesLimit {
+		t.Errorf("%s: the violation lacks its time or limit: %s", verdict.Rule, violation)
+	}
+}
+
+func TestAProxyThatIgnoresWithdrawalsIsDetected(t *testing.T) {
+	t.Parallel()
+	script := openScript(t, zoneLossFile)
+	script.Length = seconds(12)
+	script.Steps = []Step{
+		{Kind: ProxyMisbehaviour, At: 0, Duration: seconds(12), Fraction: 0.5, Group: groupIgnoresWithdrawals},
+		{Kind: Drain, At: seconds(3), Duration: seconds(9), Fraction: 0.4},
+	}
+	verdict := runScript(t, script).Invariants[2]
+	if verdict.Rule != invariants.Drain || len(verdict.Breaks) == 0 {
+		t.Errorf("the proxies' misbehaviour is not detected: %+v", verdict)
+	}
+}
--- /dev/null
+++ b/internal/scenario/instance.go
@@ -0,0 +1,148 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"syscall"
+	"time"
+
+	"peppervale/internal/config"
+)
+
+const (
+	listenTimeout      = 10 * time.Second
+	listenPollInterval = 20 * time.Millisecond
+	logTailLength      = 2000 // bytes
+)
+
+// instance is an instance of the control plane in a process of its own.
+type instance struct {
+	name       string
+	zone       string
+	address    string // of the publish-subscribe channel
+	console    string // address
+	configPath string
+	logPath    string
+	program    []string
+
+	command *exec.Cmd // nil: it does not run
+	log     *os.File
+	cpuTime time.Duration // of the processes that ended
+}
+
+// start starts the process unless it runs.
+func (i *instance) start() error {
+	if i.command != nil {
+		return nil
+	}
+	log, err := os.OpenFile(i.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		return err
+	}
+	arguments := append(slices.Clone(i.program[1:]), "--config", i.configPath)
+	command := exec.Command(i.program[0], arguments...)
+	command.Stdout = log
+	command.Stderr = log
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := command.Start(); err != nil {
+		_ = log.Close()
+		return fmt.Errorf("instance %s: %w", i.name, err)
+	}
+	i.command = command
+	i.log = log
+	return nil
+}
+
+// signal sends a signal to the process if it runs.
+func (i *instance) signal(signal syscall.Signal) {
+	if i.command != nil {
+		_ = i.command.Process.Signal(signal)
+	}
+}
+
+// beginEnd sends a signal that ends the process, which counts as ended from now on. The function that it returns waits
+// for the end and gives the process's CPU time; a process that still runs after the timeout is killed.
+func (i *instance) beginEnd(signal syscall.Signal, timeout time.Duration) (wait func() time.Duration) {
+	if i.command == nil {
+		return func() time.Duration { return 0 }
+	}
+	command, log := i.command, i.log
+	i.command, i.log = nil, nil
+	_ = command.Process.Signal(signal)
+	return func() time.Duration {
+		killTimer := time.AfterFunc(timeout, func() { _ = command.Process.Kill() })
+		_ = command.Wait()
+		killTimer.Stop()
+		_ = log.Close()
+		return command.ProcessState.UserTime() + command.ProcessState.SystemTime()
+	}
+}
+
+// end ends the process and waits for it.
+func (i *instance) end(signal syscall.Signal, timeout time.Duration) {
+	i.cpuTime += i.beginEnd(signal, timeout)()
+}
+
+// logTail gives the end of the process's log.
+func (i *instance) logTail() string {
+	text, _ := os.ReadFile(i.logPath)
+	return string(text[max(0, len(text)-logTailLength):])
+}
+
+// configureInstances writes the configuration file of each instance and checks that it can be read.
+func (r *runner) configureInstances() error {
+	for i, zone := range r.script.InstanceZones {
+		configured := r.newInstance(i, zone)
+		settings := instanceSettings{
+			index:    i,
+			name:     configured.name,
+			listen:   configured.address,
+			console:  configured.console,
+			state:    filepath.Join(r.directory, configured.name+".state"),
+			registry: r.endpoints.Addr(),
+			seed:     r.script.Seed*100 + uint64(i),
+			network:  r.network,
+		}
+		if err := os.WriteFile(configured.configPath, r.script.instanceConfig(settings), 0o644); err != nil {
+			return err
+		}
+		if _, err := config.LoadServer(configured.configPath); err != nil {
+			return fmt.Errorf("the scenario's instances cannot be started:\n%w", err)
+		}
+		r.instances = append(r.instances, configured)
+	}
+	return nil
+}
+
+func (r *runner) newInstance(index int, zone string) *instance {
+	name := instanceName(zone, index)
+	return &instance{
+		name:       name,
+		zone:       zone,
+		address:    r.network.instanceAddress(index, channelPort),
+		console:    r.network.instanceAddress(index, consolePort),
+		configPath: filepath.Join(r.directory, name+".hcl"),
+		logPath:    filepath.Join(r.directory, name+".log"),
+		program:    r.setting.Program,
+	}
+}
+
+// awaitListener waits until a connection to the address can be made.
+func awaitListener(ctx context.Context, address string) error {
+	deadline := time.Now().Add(listenTimeout)
+	for {
+		connection, err := net.DialTimeout("tcp", address, time.Second)
+		if err == nil {
+			return connection.Close()
+		}
+		if ctx.Err() != nil || time.Now().After(deadline) {
+			return err
+		}
+		time.Sleep(listenPollInterval)
+	}
+}
--- /dev/null
+++ b/internal/scenario/instancesteps.go
@@ -0,0 +1,98 @@
+package scenario
+
+import (
+	"syscall"
+	"time"
+
+	"peppervale/internal/model"
+)
+
+const (
+	killTimeout     = time.Second
+	shutdownTimeout = 5 * time.Second
+)
+
+// crashInstances kills the targets. A step with a number repeats, at moments drawn around each Size seconds.
+func (r *runner) crashInstances(step Step) {
+	if step.Number > 1 {
+		next := step
+		next.Number--
+		delay := model.Microseconds(r.random.Between(0.7, 1.3) * float64(seconds(step.Size)))
+		r.loop.After(delay, func() { r.crashInstances(next) })
+	}
+	targets, _ := r.targetInstances(step)
+	for _, target := range targets {
+		r.crashInstance(target, step.Duration)
+	}
+}
+
+// crashInstance kills an instance and restarts it after a while with nothing but its state directory.
+func (r *runner) crashInstance(target *instance, down model.Microseconds) {
+	target.end(syscall.SIGKILL, killTimeout)
+	r.loop.After(down, func() { r.restartInstance(target) })
+}
+
+func (r *runner) restartInstance(target *instance) {
+	if err := target.start(); err != nil {
+		r.failures = append(r.failures, err)
+	}
+}
+
+func (r *runner) stallInstances(step Step) {
+	targets, _ := r.targetInstances(step)
+	for _, target := range targets {
+		target.signal(syscall.SIGSTOP)
+		r.loop.After(step.Duration, func() { target.signal(syscall.SIGCONT) })
+	}
+}
+
+// rollInstances restarts the targets one after the other.
+func (r *runner) rollInstances(step Step) {
+	targets, candidates := r.targetInstances(step)
+	for k, target := range targets {
+		start := step.Duration * model.Microseconds(k) / model.Microseconds(candidates)
+		r.loop.After(start, func() { r.restartGracefully(target) })
+	}
+}
+
+// restartGracefully waits for the graceful shutdown of an instance outside the loop, then starts it again.
+func (r *runner) restartGracefully(target *instance) {
+	wait := target.beginEnd(syscall.SIGTERM, shutdownTimeout)
+	go func() {
+		cpuTime := wait()
+		r.loop.Post(func() {
+			target.cpuTime += cpuTime
+			r.restartInstance(target)
+		})
+	}()
+}
+
+// loseZone ends all of a zone; what it ends comes back when the step is over.
+func (r *runner) loseZone(step Step) {
+	for _, target := range r.replicas {
+		if target.Zone == step.Zone && target.Up {
+			r.loseReplica(target, step)
+		}
+	}
+	for _, target := range r.proxies {
+		if target.Zone == step.Zone {
+			r.crashProxy(target, step.Duration)
+		}
+	}
+	for _, target := range r.instances {
+		if target.zone == step.Zone {
+			r.crashInstance(target, step.Duration)
+		}
+	}
+}
+
+func (r *runner) loseReplica(target *managedReplica, step Step) {
+	target.fault++
+	if step.Silent {
+		r.silence(target)
+	} else {
+		target.Stop()
+		r.deregister(target, r.script.Registry.ExitDelay)
+	}
+	r.whenStillFaulty(target, step.Duration, r.restartCold)
+}
--- /dev/null
+++ b/internal/scenario/main_test.go
@@ -0,0 +1,135 @@
+package scenario
+
+import (
+	"bytes"
+	"context"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"syscall"
+	"testing"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"peppervale/internal/config"
+	"peppervale/internal/server"
+)
+
+const (
+	instanceCommand = "governor"
+	zoneLossFile    = "hall-lost.hcl"
+	shardedFile     = "takeover.hcl"
+)
+
+// lostZone is the zone that zoneLossFile loses.
+const lostZone = "partick" //nolint:misspell // a name of the scenario files
+
+// The instances of most tests: one in each zone, or one in the first zone only.
+var (
+	twoInstances = []string{"govan", lostZone}
+	oneInstance  = twoInstances[:1]
+)
+
+// The test binary is the instances' program too: started with "governor --config FILE" it runs an instance.
+func TestMain(m *testing.M) {
+	if len(os.Args) == 4 && os.Args[1] == instanceCommand {
+		if err := serveInstance(os.Args[3]); err != nil {
+			_, _ = os.Stderr.WriteString(err.Error())
+			os.Exit(1)
+		}
+		return
+	}
+	goleak.VerifyTestMain(m)
+}
+
+func serveInstance(configPath string) error {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
+	defer stop()
+	settings, err := config.LoadServer(configPath)
+	if err != nil {
+		return err
+	}
+	log := zerolog.New(os.Stdout).With().Timestamp().Logger()
+	return server.Serve(ctx, settings, server.Outside{}, log)
+}
+
+// instanceProgram is the command that runs an instance.
+func instanceProgram() []string { return []string{os.Args[0], instanceCommand} }
+
+// scenarioPath gives the path of a file of the repository's scenarios.
+func scenarioPath(name string) string { return filepath.Join("..", "..", "scenarios", name) }
+
+func openScript(t *testing.T, name string) *Script {
+	t.Helper()
+	script, err := Open(scenarioPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return script
+}
+
+// runScript runs a scenario to its end.
+func runScript(t *testing.T, script *Script) *Report {
+	t.Helper()
+	setting := Setting{Program: instanceProgram(), Folder: t.TempDir()}
+	report, err := Run(context.Background(), script, setting)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return report
+}
+
+// runSteps runs a short scenario with these steps and requires that every invariant holds.
+func runSteps(t *testing.T, length float64, instanceZones []string, rate float64, steps ...Step) *Report {
+	t.Helper()
+	script := openScript(t, zoneLossFile)
+	script.Name = t.Name()
+	script.Length = seconds(length)
+	script.InstanceZones = instanceZones
+	script.Load.Rate = rate
+	script.Steps = steps
+	report := runScript(t, script)
+	requireInvariants(t, report)
+	return report
+}
+
+// runSharded runs a short scenario with three instances that share the zones, and requires that every invariant holds
+// and that each proxy is bound at the end.
+func runSharded(t *testing.T, length float64, steps ...Step) *Report {
+	t.Helper()
+	script := openScript(t, shardedFile)
+	script.Name = t.Name()
+	script.Length = seconds(length)
+	script.Load.Rate = 60
+	script.Steps = steps
+	script.Sharding.StabilizationPeriod = seconds(1)
+	script.Sharding.MoveInterval = seconds(0.2)
+	report := runScript(t, script)
+	requireInvariants(t, report)
+	if report.Channel.Bound != report.Proxies {
+		t.Errorf("%d of %d proxies are bound at the end", report.Channel.Bound, report.Proxies)
+	}
+	return report
+}
+
+// requireInvariants requires that a scenario violated no invariant and ended with proxies bound.
+func requireInvariants(t *testing.T, report *Report) {
+	t.Helper()
+	var text bytes.Buffer
+	report.Print(&text)
+	if report.Broken() || report.CollapsedReplicas > 0 {
+		t.Errorf("an invariant was violated:\n%s", text.String())
+	}
+	if report.Channel.Bound == 0 {
+		t.Errorf("no proxy is bound at the end:\n%s", text.String())
+	}
+}
+
+// writerFunc is a writer that calls the function.
+type writerFunc func([]byte)
+
+func (w writerFunc) Write(data []byte) (int, error) {
+	w(data)
+	return len(data), nil
+}
--- /dev/null
+++ b/internal/scenario/parse_test.go
@@ -0,0 +1,51 @@
+package scenario
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"peppervale/internal/config"
+)
+
+func TestScenariosOfTheRepositoryParse(t *testing.T) {
+	for _, pattern := range []string{"*.hcl", "broken/*.hcl"} {
+		files, err := filepath.Glob(scenarioPath(pattern))
+		if err != nil || len(files) == 0 {
+			t.Fatal("no scenarios: ", err)
+		}
+		for _, file := range files {
+			t.Run(filepath.Base(file), func(t *testing.T) {
+				script, err := Open(file)
+				if err != nil || script.About == "" {
+					t.Errorf("%s: %v", file, err)
+				}
+			})
+		}
+	}
+}
+
+func TestMistakesOfAScenarioAreReported(t *testing.T) {
+	valid, err := os.ReadFile(scenarioPath(zoneLossFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, tt := range []struct{ name, from, to, want string }{
+		{"unknown kind of step", `"zone_loss"`, `"earthquake"`, `no kind "earthquake"; there are [ageing`},
+		{"unknown zone", `zone  = "` + lostZone + `"`, `zone  = "leith"`, `"leith" is none of the zones`},
+		{"step after the end", `"12s"`, `"50s"`, "the day has ended by then"},
+		{"instance in an unknown zone", `["govan", "` + lostZone + `"]`, `["leith"]`, `"leith" is none of the zones`},
+		{"missing base file", "lib/town.hcl", "lib/city.hcl", "no such file"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			text := strings.Replace(string(valid), tt.from, tt.to, 1)
+			_, err := Parse(scenarioPath("x.hcl"), []byte(text))
+			var mistakes config.Errors
+			if !errors.As(err, &mistakes) || !strings.Contains(mistakes.Error(), tt.want) {
+				t.Errorf("got %v, want %q", err, tt.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/scenario/proxysteps.go
@@ -0,0 +1,75 @@
+package scenario
+
+import (
+	"peppervale/internal/model"
+	"peppervale/internal/standin/proxy"
+	"peppervale/internal/standin/registry"
+)
+
+func (r *runner) crashProxies(step Step) {
+	for _, target := range r.targetProxies(step) {
+		r.crashProxy(target, step.Duration)
+	}
+}
+
+// crashProxy ends a proxy and starts it again after a while, on a new standing table.
+func (r *runner) crashProxy(target *managedProxy, down model.Microseconds) {
+	target.Kill()
+	r.loop.After(down, func() { target.Start(r.standingTable(target)) })
+}
+
+// stallProxies has the targets stand still for as long as they run between two stalls.
+func (r *runner) stallProxies(step Step) {
+	duration := seconds(step.Size)
+	for _, target := range r.targetProxies(step) {
+		for k := range max(step.Number, 1) {
+			r.loop.After(model.Microseconds(2*k)*duration, func() { target.Stall(duration) })
+		}
+	}
+}
+
+func (r *runner) breakStreams(step Step) {
+	for _, target := range r.targetProxies(step) {
+		target.Break()
+	}
+}
+
+func (r *runner) partitionProxies(step Step) {
+	for _, target := range r.targetProxies(step) {
+		unreachable := target.Governors[0].Name
+		target.Cut[unreachable] = true
+		target.Break()
+		r.loop.After(step.Duration, func() { delete(target.Cut, unreachable) })
+	}
+}
+
+func (r *runner) delayLoadReports(step Step) {
+	for _, target := range r.proxies {
+		target.SumsLate = seconds(step.Size)
+		r.loop.After(step.Duration, func() { target.SumsLate = 0 })
+	}
+}
+
+func (r *runner) stopAcknowledging(step Step) {
+	for _, target := range r.targetProxies(step) {
+		target.Disobey.NeverAcks = true
+		r.loop.After(step.Duration, func() { target.Disobey.NeverAcks = false })
+	}
+}
+
+func (r *runner) misbehave(step Step) {
+	for _, target := range r.targetProxies(step) {
+		target.Disobey = misbehaviourOf(step.Group)
+		r.loop.After(step.Duration, func() { target.Disobey = proxy.Disobey{} })
+	}
+}
+
+func (r *runner) makeTailHeavy(step Step) {
+	r.heavyTail = heavyTail{fraction: step.Fraction, factor: step.Size}
+	r.loop.After(step.Duration, func() { r.heavyTail.fraction = 0 })
+}
+
+func (r *runner) disturbRegistry(step Step, fault registry.Trouble) {
+	r.endpoints.Trouble = fault
+	r.loop.After(step.Duration, func() { r.endpoints.Trouble = registry.Trouble{} })
+}
--- /dev/null
+++ b/internal/scenario/replicasteps.go
@@ -0,0 +1,213 @@
+package scenario
+
+import "peppervale/internal/model"
+
+const (
+	alternationPeriod  = model.Second
+	agingPeriod        = 500 * model.Millisecond
+	restartDelay       = 50 * model.Millisecond
+	restartMaxAttempts = 20
+)
+
+// disturbReplicas starts a fault on the targets of a step. When the step is over it ends the fault on those that no
+// later fault affects.
+func (r *runner) disturbReplicas(step Step, begin, end func(target *managedReplica)) {
+	for _, target := range r.targetReplicas(step) {
+		begin(target)
+		r.whenStillFaulty(target, step.Duration, end)
+	}
+}
+
+// whenStillFaulty calls do after a delay unless a later fault affects the replica by then.
+func (r *runner) whenStillFaulty(target *managedReplica, delay model.Microseconds, do func(*managedReplica)) {
+	fault := target.fault
+	r.loop.After(delay, func() {
+		if target.fault == fault {
+			do(target)
+		}
+	})
+}
+
+// slowdown gives what makes a replica take so many times as long.
+func slowdown(factor float64) func(*managedReplica) {
+	return func(target *managedReplica) { target.Slow = factor }
+}
+
+func (r *runner) slowAllReplicas(step Step) {
+	step.Fraction = 1
+	r.disturbReplicas(step, slowdown(step.Size), slowdown(1))
+}
+
+func (r *runner) alternateSpeed(step Step) {
+	begin := func(target *managedReplica) { r.alternate(target, true, slowdown(step.Size), slowdown(1)) }
+	r.disturbReplicas(step, begin, slowdown(1))
+}
+
+func (r *runner) flapReplicas(step Step) {
+	silence := func(target *managedReplica) { target.Silent = true }
+	answer := func(target *managedReplica) { target.Silent = false }
+	begin := func(target *managedReplica) { r.alternate(target, true, silence, answer) }
+	r.disturbReplicas(step, begin, answer)
+}
+
+// alternate switches a fault on and off each second until a later fault affects the replica.
+func (r *runner) alternate(target *managedReplica, active bool, begin, end func(*managedReplica)) {
+	if active {
+		begin(target)
+	} else {
+		end(target)
+	}
+	r.whenStillFaulty(target, alternationPeriod, func(*managedReplica) {
+		r.alternate(target, !active, begin, end)
+	})
+}
+
+func (r *runner) ageReplicas(step Step) {
+	started := r.now()
+	begin := func(target *managedReplica) { r.age(target, step, started) }
+	end := func(target *managedReplica) {
+		target.Slow = 1
+		target.Stop()
+		r.restartCold(target)
+	}
+	r.disturbReplicas(step, begin, end)
+}
+
+// age slows a replica evenly up to the size of the step, until a later fault affects it.
+func (r *runner) age(target *managedReplica, step Step, started model.Microseconds) {
+	progress := float64(r.now()-started) / float64(max(step.Duration, 1))
+	target.Slow = 1 + (step.Size-1)*min(1, progress)
+	r.whenStillFaulty(target, agingPeriod, func(*managedReplica) { r.age(target, step, started) })
+}
+
+func (r *runner) failOperation(step Step) {
+	operation := r.script.operationIndex(step.Group)
+	begin := func(target *managedReplica) { target.FailOps = map[int]bool{operation: true} }
+	end := func(target *managedReplica) { target.FailOps = nil }
+	r.disturbReplicas(step, begin, end)
+}
+
+func (r *runner) limitConnections(step Step) {
+	step.Fraction = 1
+	begin := func(target *managedReplica) { target.Connections = step.Number }
+	end := func(target *managedReplica) { target.Connections = r.script.Replicas.Connections }
+	r.disturbReplicas(step, begin, end)
+}
+
+func (r *runner) slowHandshakes(step Step) {
+	step.Fraction = 1
+	usual := float64(r.script.Replicas.Handshake)
+	begin := func(target *managedReplica) { target.Handshake = usual * step.Size }
+	end := func(target *managedReplica) { target.Handshake = usual }
+	r.disturbReplicas(step, begin, end)
+}
+
+func (r *runner) falsifyReports(step Step) {
+	begin := func(target *managedReplica) { target.Lies = true }
+	end := func(target *managedReplica) { target.Lies = false }
+	r.disturbReplicas(step, begin, end)
+}
+
+// silence keeps the replica's process but has it answer nothing; the registry learns of it late.
+func (r *runner) silence(target *managedReplica) {
+	target.Silent = true
+	r.deregister(target, r.script.Registry.SilentDelay)
+}
+
+// restartCold starts a replica on its old address, cold.
+func (r *runner) restartCold(target *managedReplica) {
+	target.Stop()
+	r.startCold(target, restartMaxAttempts)
+}
+
+// startCold makes an attempt and up to so many retries, as the port of the old process may still be in use.
+func (r *runner) startCold(target *managedReplica, retries int) {
+	r.loop.After(restartDelay, func() {
+		err := target.Start(true)
+		switch {
+		case err == nil:
+			r.register(target, r.script.Registry.AddDelay)
+		case retries == 0:
+			r.failures = append(r.failures, err)
+		default:
+			r.startCold(target, retries-1)
+		}
+	})
+}
+
+// deploy replaces the targets in groups: drained and registered as draining, then restarted cold.
+func (r *runner) deploy(step Step) {
+	targets := r.targetReplicas(step)
+	groupSize := max(step.Number, 1)
+	groups := (len(targets) + groupSize - 1) / groupSize
+	for group := range groups {
+		start := step.Duration * model.Microseconds(group) / model.Microseconds(groups)
+		for _, target := range targets[group*groupSize : min(len(targets), (group+1)*groupSize)] {
+			r.loop.After(start, func() { r.replace(target, seconds(step.Size)) })
+		}
+	}
+}
+
+// replace drains a replica for a while and restarts it cold.
+func (r *runner) replace(target *managedReplica, drainFor model.Microseconds) {
+	if !target.Up {
+		return
+	}
+	r.drain(target)
+	r.loop.After(drainFor, func() { r.restartCold(target) })
+}
+
+// drain has a replica finish the work that it has. The registry says so a little later; until then it gets new work.
+func (r *runner) drain(target *managedReplica) {
+	target.Draining = true
+	r.register(target, r.script.Registry.AddDelay)
+}
+
+func (r *runner) undrain(target *managedReplica) {
+	target.Draining = false
+	r.register(target, r.script.Registry.AddDelay)
+}
+
+func (r *runner) drainReplicas(step Step) {
+	if step.Group == groupAllButOne {
+		r.drainAllButLast(step)
+		return
+	}
+	r.disturbReplicas(step, r.drain, r.undrain)
+}
+
+// drainAllButLast spares the last replica, which is of the last zone.
+func (r *runner) drainAllButLast(step Step) {
+	spared := r.replicas[len(r.replicas)-1]
+	for _, target := range r.replicas {
+		if target != spared && target.Up {
+			r.drain(target)
+		}
+	}
+	r.loop.After(step.Duration, func() {
+		for _, target := range r.replicas {
+			r.undrain(target)
+		}
+	})
+}
+
+func (r *runner) grow(step Step) {
+	for zone := range r.script.Zones {
+		for range max(step.Number, 1) {
+			if err := r.addReplica(zone, r.replicasIn(zone), true); err != nil {
+				r.failures = append(r.failures, err)
+			}
+		}
+	}
+}
+
+// replicasIn counts the replicas of a zone, also those that are down.
+func (r *runner) replicasIn(zone int) int {
+	count := 0
+	for _, candidate := range r.replicas {
+		if candidate.Zone == r.script.Zones[zone] {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/scenario/run_test.go
@@ -0,0 +1,139 @@
+package scenario
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"strings"
+	"testing"
+
+	"peppervale/internal/standin"
+)
+
+func TestInvariantsHoldThroughFaults(t *testing.T) {
+	if testing.Short() {
+		t.Skip("scenarios take seconds of sockets each")
+	}
+	for _, tt := range []struct {
+		name string
+		run  func(t *testing.T)
+	}{
+		{"a zone is lost with its proxies and instance and comes back cold", loseAZone},
+		{"the only instance is killed under load", killOnlyInstance},
+		{"all streams break at once, repeatedly", breakAllStreams},
+		{"a single warm replica is left, in another zone", drainAllButOne},
+		{"the registry fails in every way while replicas drain", failRegistry},
+		{"an instance restarts twenty times at random moments", restartTwentyTimes},
+		{"proxies stall or never acknowledge while replicas drain", stallProxies},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			t.Parallel()
+			tt.run(t)
+		})
+	}
+}
+
+func loseAZone(t *testing.T) {
+	runSteps(t, 22, twoInstances, 100,
+		Step{Kind: ZoneLoss, At: seconds(6), Duration: seconds(5), Zone: lostZone})
+}
+
+func killOnlyInstance(t *testing.T) {
+	report := runSteps(t, 18, oneInstance, 100,
+		Step{Kind: InstanceCrash, At: seconds(6), Duration: seconds(2), Fraction: 1},
+		Step{Kind: Drain, At: seconds(7), Duration: seconds(8), Fraction: 0.2})
+	if report.Channel.Joins < 80 {
+		t.Errorf("%d joins: not every proxy came back", report.Channel.Joins)
+	}
+}
+
+func breakAllStreams(t *testing.T) {
+	report := runSteps(t, 15, twoInstances, 100,
+		Step{Kind: ProxyReconnect, At: seconds(5), Fraction: 1},
+		Step{Kind: ProxyReconnect, At: seconds(5.05), Fraction: 1},
+		Step{Kind: ProxyReconnect, At: seconds(8), Fraction: 1},
+		Step{Kind: Drain, At: seconds(8), Duration: seconds(5), Fraction: 0.2})
+	if report.Channel.Bound != 40 || report.Channel.Joins < 120 {
+		t.Errorf("%d of 40 proxies bound after %d joins", report.Channel.Bound, report.Channel.Joins)
+	}
+}
+
+func drainAllButOne(t *testing.T) {
+	runSteps(t, 18, twoInstances, 15,
+		Step{Kind: Drain, At: seconds(5), Duration: seconds(7), Group: groupAllButOne})
+}
+
+func failRegistry(t *testing.T) {
+	runSteps(t, 22, twoInstances, 100,
+		Step{Kind: RegistryFails, At: seconds(4), Duration: seconds(3)},
+		Step{Kind: Drain, At: seconds(6), Duration: seconds(9), Fraction: 0.2},
+		Step{Kind: RegistryTruncates, At: seconds(8), Duration: seconds(2)},
+		Step{Kind: RegistryIndexBack, At: seconds(11), Duration: seconds(2)},
+		Step{Kind: RegistrySilent, At: seconds(14), Duration: seconds(2)},
+		Step{Kind: LoadReportsLate, At: seconds(5), Duration: seconds(12), Size: 2})
+}
+
+func restartTwentyTimes(t *testing.T) {
+	kinds := []StepKind{InstanceCrash, InstanceRoll}
+	random := standin.NewChance(3, "restarts")
+	var steps []Step
+	for at := 4.0; len(steps) < 20; at += random.Between(0.5, 1.5) {
+		steps = append(steps, Step{
+			Kind:     kinds[len(steps)%2],
+			At:       seconds(at),
+			Duration: seconds(random.Between(0.05, 0.4)),
+			Fraction: 0.5,
+		})
+	}
+	report := runSteps(t, 32, twoInstances, 60, steps...)
+	if report.Channel.Bound != 40 {
+		t.Errorf("%d of 40 proxies bound at the end", report.Channel.Bound)
+	}
+}
+
+func stallProxies(t *testing.T) {
+	runSteps(t, 16, twoInstances, 100,
+		Step{Kind: ProxyStall, At: seconds(4), Fraction: 0.2, Size: 1, Number: 4},
+		Step{Kind: NeverAcknowledge, At: seconds(4), Duration: seconds(8), Fraction: 0.1},
+		Step{Kind: Drain, At: seconds(6), Duration: seconds(6), Fraction: 0.2})
+}
+
+// The other instances take the proxies of a killed one over and hand them back.
+func TestProxiesMoveWhenAShardedInstanceIsKilledTwice(t *testing.T) {
+	report := runSharded(t, 15,
+		Step{Kind: InstanceCrash, At: seconds(4), Duration: seconds(2.5), Fraction: 0.34, Number: 2, Size: 5})
+	if report.Channel.Joins < 60 {
+		t.Errorf("%d joins of 40 proxies: none was taken over", report.Channel.Joins)
+	}
+}
+
+// An instance that was stopped for longer than a lease goes on with what it had in hand. Its leases have expired, and
+// no proxy obeys it.
+func TestAnInstanceStoppedLongerThanItsLeaseIsNotObeyed(t *testing.T) {
+	runSharded(t, 14, Step{Kind: InstanceStall, At: seconds(4), Duration: seconds(5), Fraction: 0.34})
+}
+
+// Proxies go on with the tables that they have until the cluster has started again.
+func TestServiceContinuesWhileAllShardedInstancesAreDown(t *testing.T) {
+	report := runSharded(t, 14, Step{Kind: InstanceCrash, At: seconds(4), Duration: seconds(4), Fraction: 1})
+	if report.Service < 0.9 {
+		t.Errorf("service %.3f", report.Service)
+	}
+}
+
+// What a canceled scenario leaves behind is seen by the check for leaked goroutines.
+func TestACanceledScenarioEndsAllItStarted(t *testing.T) {
+	script := openScript(t, zoneLossFile)
+	script.Steps = []Step{{Kind: ProxyReconnect, At: seconds(1), Fraction: 1}}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	progress := writerFunc(func(line []byte) {
+		if bytes.Contains(line, []byte(ProxyReconnect)) {
+			cancel()
+		}
+	})
+	_, err := Run(ctx, script, Setting{Program: instanceProgram(), Progress: progress})
+	if !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "cut off") {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/scenario/runner.go
@@ -0,0 +1,257 @@
+package scenario
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"syscall"
+	"time"
+
+	"peppervale/internal/controller"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/netpoll"
+	"peppervale/internal/standin"
+	"peppervale/internal/standin/proxy"
+	"peppervale/internal/standin/registry"
+	"peppervale/internal/standin/replica"
+)
+
+// Setting says how and where a scenario is run.
+type Setting struct {
+	Program  []string  // the command that runs an instance; --config FILE is appended to it
+	Folder   string    // for configuration files and logs; "": a temporary one, removed at the end unless Keep
+	Keep     bool      // leave a temporary folder
+	Progress io.Writer // a line for each event; nil: none are written
+}
+
+// Run runs a scenario until its end or until ctx is done. An error means that the scenario could not be run; violated
+// invariants are in the report.
+func Run(ctx context.Context, script *Script, setting Setting) (*Report, error) {
+	run := &runner{
+		script:  script,
+		setting: setting,
+		now:     controller.Clock(),
+		random:  standin.NewChance(script.Seed, "day"),
+	}
+	defer run.close()
+	if err := run.open(); err != nil {
+		return nil, err
+	}
+	return run.run(ctx)
+}
+
+// runner is a scenario that is being run. The fields from started on belong to the goroutine of loop.
+type runner struct {
+	script          *Script
+	setting         Setting
+	now             func() model.Microseconds
+	random          *standin.Chance
+	directory       string
+	removeDirectory bool
+	network         loopbackNetwork
+	engine          *netpoll.Engine
+	loop            *standin.Loop
+	instances       []*instance
+	faulty          *faultyController // nil: none
+
+	started      model.Microseconds
+	observations []invariants.Seen
+	endpoints    *registry.Registry
+	replicas     []*managedReplica
+	proxies      []*managedProxy
+	bays         map[string]*replica.Bay
+	totalShare   float64 // of all operations' loads
+	lastRequest  uint64
+	heavyTail    heavyTail
+	statistics   *statistics
+	failures     []error // of steps
+}
+
+// observe records what a stand-in observed, for the check of the invariants.
+func (r *runner) observe(observation invariants.Seen) {
+	r.observations = append(r.observations, observation)
+}
+
+// progress writes a line that says when something happened.
+func (r *runner) progress(format string, args ...any) {
+	if r.setting.Progress == nil {
+		return
+	}
+	elapsed := float64(r.now()-r.started) / float64(model.Second)
+	_, _ = fmt.Fprintf(r.setting.Progress, "%7.3f s  %s\n", elapsed, fmt.Sprintf(format, args...))
+}
+
+// open sets up the directory, the stand-ins and the configuration of the instances.
+func (r *runner) open() error {
+	if err := r.openDirectory(); err != nil {
+		return err
+	}
+	var err error
+	if r.network, err = findFreeNetwork(); err != nil {
+		return err
+	}
+	if r.engine, err = proxy.NewEngine(); err != nil {
+		return err
+	}
+	r.loop = standin.NewLoop(r.now)
+	r.started = r.now()
+	r.bays = map[string]*replica.Bay{}
+	r.statistics = newStatistics(r.script)
+	r.loop.Do(func() { err = r.setUp() })
+	return err
+}
+
+func (r *runner) openDirectory() error {
+	if r.setting.Folder != "" {
+		r.directory = r.setting.Folder
+		return os.MkdirAll(r.directory, 0o755)
+	}
+	directory, err := os.MkdirTemp("", "peppervale-day-")
+	if err != nil {
+		return err
+	}
+	r.directory = directory
+	r.removeDirectory = !r.setting.Keep
+	return nil
+}
+
+// setUp starts the registry and the replicas, and prepares the proxies and the instances.
+func (r *runner) setUp() error {
+	if err := r.addRegistry(); err != nil {
+		return err
+	}
+	if err := r.addReplicas(); err != nil {
+		return err
+	}
+	for _, work := range r.script.Load.Works {
+		r.totalShare += work.Share
+	}
+	r.addProxies()
+	if r.script.FaultyController != noFaultyController {
+		var err error
+		r.faulty, err = newFaultyController(r)
+		return err
+	}
+	return r.configureInstances()
+}
+
+// run starts the instances and the load, waits for the end and makes the report.
+func (r *runner) run(ctx context.Context) (*Report, error) {
+	if err := r.startInstances(ctx); err != nil {
+		return nil, err
+	}
+	r.loop.Do(r.begin)
+	if err := r.wait(ctx, r.script.Length); err != nil {
+		return nil, err
+	}
+	// Requests that were sent before the end still complete, and the invariants hold for them too.
+	if err := r.wait(ctx, r.longestTimeout()); err != nil {
+		return nil, err
+	}
+	var report *Report
+	r.loop.Do(func() {
+		end := r.now()
+		report = r.report(invariants.Judge(r.observations, r.script.invariantSettings(), end))
+	})
+	for _, instance := range r.instances {
+		instance.signal(syscall.SIGCONT)
+		instance.end(syscall.SIGTERM, shutdownTimeout)
+		report.Channel.InstanceCPU += instance.cpuTime.Seconds()
+	}
+	return report, errors.Join(r.failures...)
+}
+
+// startInstances starts all instances and waits until each listens.
+func (r *runner) startInstances(ctx context.Context) error {
+	for _, instance := range r.instances {
+		if err := instance.start(); err != nil {
+			return err
+		}
+	}
+	for _, instance := range r.instances {
+		if err := awaitListener(ctx, instance.address); err != nil {
+			return fmt.Errorf("instance %s does not listen: %w\n%s", instance.name, err, instance.logTail())
+		}
+	}
+	return nil
+}
+
+// begin starts the proxies and their load, and schedules the steps.
+func (r *runner) begin() {
+	r.started = r.now()
+	for _, instance := range r.instances {
+		r.progress("console of %s: http://%s", instance.name, instance.console)
+	}
+	r.progress("day %s begins: %d forwarders, %d replicas, %d governors",
+		r.script.Name, len(r.proxies), len(r.replicas), r.instanceCount())
+	for i, started := range r.proxies {
+		started.Governors = r.instanceAddresses(started, i)
+		started.Start(r.standingTable(started))
+		r.scheduleRequest(started)
+	}
+	for _, step := range r.script.Steps {
+		r.loop.At(r.started+step.At, func() {
+			r.progress("%s %s", step.Kind, step.Zone)
+			stepKinds[step.Kind].apply(r, step)
+		})
+	}
+}
+
+// instanceCount counts a faulty controller as one.
+func (r *runner) instanceCount() int { return max(len(r.instances), 1) }
+
+// wait lets the scenario run on for a while.
+func (r *runner) wait(ctx context.Context, duration model.Microseconds) error {
+	select {
+	case <-ctx.Done():
+		return fmt.Errorf("day %s was cut off: %w", r.script.Name, ctx.Err())
+	case <-time.After(duration.Duration()):
+		return nil
+	}
+}
+
+func (r *runner) longestTimeout() model.Microseconds {
+	var longest model.Microseconds
+	for _, operation := range r.script.Operations {
+		longest = max(longest, operation.Timeout)
+	}
+	return longest
+}
+
+// close ends all that was started, however far that went.
+func (r *runner) close() {
+	for _, instance := range r.instances {
+		instance.signal(syscall.SIGCONT)
+		instance.end(syscall.SIGKILL, killTimeout)
+	}
+	if r.faulty != nil {
+		r.faulty.close()
+	}
+	if r.loop != nil {
+		r.loop.Do(r.stopStandIns)
+		if r.endpoints != nil {
+			r.endpoints.Close()
+		}
+	}
+	if r.engine != nil {
+		r.engine.Stop()
+	}
+	if r.loop != nil {
+		r.loop.Stop()
+	}
+	if r.removeDirectory {
+		_ = os.RemoveAll(r.directory)
+	}
+}
+
+func (r *runner) stopStandIns() {
+	for _, running := range r.proxies {
+		running.Kill()
+	}
+	for _, running := range r.replicas {
+		running.Stop()
+	}
+}
--- /dev/null
+++ b/internal/scenario/simulatorimport.go
@@ -0,0 +1,324 @@
+package scenario
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+const (
+	minReplicasPerZone = 3
+	minRedial          = 1000 // microseconds
+	minFirstWait       = 0.01 // of the latency objective
+	utilizationField   = "util"
+	quotaAdmission     = "share"
+	noAdmission        = "none"
+)
+
+// The simulator's words and those of scenario files.
+var (
+	effectNames = map[string]string{"safe": "idempotent", "keyed": "fingerprinted", "unsafe": "side-effecting"}
+	pickNames   = map[string]string{"two": "pair", "weighted": "lottery", "round": "wheel"}
+	retryNames  = []string{"never", "when-unrun", "any-failure", "two-more"}
+)
+
+// FromBench converts a scenario of the operators' simulator into a scenario file with at most so many proxies: fleet,
+// load and queue shrink alike. notes says what could not be carried over. Bays, random draws and moments are not the
+// simulator's. Errors are of type *SimulatorScenarioError.
+func FromBench(text []byte, maxProxies int) (script []byte, notes []string, err error) {
+	source, err := parseSimulatorScenario(text)
+	if err != nil {
+		return nil, nil, err
+	}
+	fleet, err := source.scaledFleet(maxProxies)
+	if err != nil {
+		return nil, nil, err
+	}
+	converter := &simulatorConverter{source: source, fleet: fleet}
+	converter.writeScenario()
+	return converter.text.Bytes(), converter.notes, nil
+}
+
+// scaledFleet is the size of the converted fleet.
+type scaledFleet struct {
+	scale           float64 // of the simulator's size
+	sourceReplicas  int     // that run at the start, before scaling
+	zones           float64
+	proxiesPerZone  int
+	replicasPerZone int
+	cores           int // of each replica
+	slowest         float64
+	fastest         float64
+	rate            float64 // requests a second
+}
+
+// runningReplicas adds up the replicas that run at the start.
+type runningReplicas struct {
+	count   int
+	speed   float64 // sum
+	cores   float64 // sum
+	slowest float64
+	fastest float64
+}
+
+func (s *simulatorScenario) runningReplicas() runningReplicas {
+	running := runningReplicas{slowest: 1e9}
+	kinds := s.tier().Kinds
+	for _, replica := range s.Replicas {
+		if !replica.Up || replica.Kind < 0 || replica.Kind >= len(kinds) {
+			continue
+		}
+		running.count++
+		running.speed += replica.Speed
+		running.cores += float64(kinds[replica.Kind].Cores)
+		running.slowest = min(running.slowest, replica.Speed)
+		running.fastest = max(running.fastest, replica.Speed)
+	}
+	return running
+}
+
+// scaledFleet shrinks the fleet to fewer replicas, each with the mean cores and speed, so that the load's share of the
+// capacity stays.
+func (s *simulatorScenario) scaledFleet(maxProxies int) (scaledFleet, error) {
+	running := s.runningReplicas()
+	if running.count == 0 {
+		return scaledFleet{}, &SimulatorScenarioError{Problem: "no server runs at the start"}
+	}
+	zones := float64(len(s.Zones))
+	scale := min(1, float64(max(maxProxies, len(s.Zones)))/float64(len(s.Proxies)))
+	fleet := scaledFleet{
+		scale:           scale,
+		sourceReplicas:  running.count,
+		zones:           zones,
+		proxiesPerZone:  atLeastOne(float64(len(s.Proxies)) * scale / zones),
+		replicasPerZone: max(minReplicasPerZone, atLeastOne(float64(running.count)*scale/zones)),
+		cores:           atLeastOne(running.cores / float64(running.count)),
+		slowest:         running.slowest,
+		fastest:         running.fastest,
+	}
+	capacity := s.Traffic.Load * float64(fleet.replicasPerZone) * zones * float64(fleet.cores)
+	fleet.rate = capacity * running.speed / float64(running.count) / s.meanWork() * 1e6
+	return fleet, nil
+}
+
+// meanWork is the mean work of a request, in microseconds.
+func (s *simulatorScenario) meanWork() float64 {
+	shares, work := 0.0, 0.0
+	for _, operation := range s.Operations {
+		shares += operation.Share
+		work += operation.Share * operation.Work
+	}
+	return work / max(shares, 1e-9)
+}
+
+// simulatorConverter writes the blocks of the scenario file one after the other.
+type simulatorConverter struct {
+	source *simulatorScenario
+	fleet  scaledFleet
+	text   bytes.Buffer
+	notes  []string
+}
+
+func (c *simulatorConverter) writeScenario() {
+	c.writeHeader()
+	c.writeOperations()
+	c.writeFleet()
+	c.writeGuarantees()
+	c.writeChannel()
+	c.writeReplicas()
+	c.writeProxies()
+	c.writeRegistry()
+	c.writeLoad()
+	for _, fault := range c.source.Faults {
+		c.writeStep(fault)
+	}
+	if c.fleet.scale < 1 {
+		note := fmt.Sprintf("the fleet is played at %.2f of its size, channel pace and queue with it", c.fleet.scale)
+		c.notes = append(c.notes, note)
+	}
+}
+
+// printf writes a line.
+func (c *simulatorConverter) printf(format string, arguments ...any) {
+	fmt.Fprintf(&c.text, format+"\n", arguments...)
+}
+
+// open begins a block.
+func (c *simulatorConverter) open(header string) { c.printf("%s {", header) }
+
+// set writes an attribute of a block.
+func (c *simulatorConverter) set(name, format string, value any) {
+	c.printf("  %s = "+format, name, value)
+}
+
+// setDuration writes an attribute that is a duration.
+func (c *simulatorConverter) setDuration(name string, microseconds float64) {
+	c.set(name, "%s", quotedDuration(microseconds))
+}
+
+// closeBlock ends a block.
+func (c *simulatorConverter) closeBlock() { c.printf("}") }
+
+func (c *simulatorConverter) writeHeader() {
+	source := c.source
+	c.printf("# A bench day of %s (%s), %d proxies and %d servers there, carried over at %.2f of its size.",
+		source.Site, source.Kind, len(source.Proxies), c.fleet.sourceReplicas, c.fleet.scale)
+	c.open(fmt.Sprintf("day %q", source.Site+"-bench"))
+	c.printf("  about = \"from the bench: %s\"", source.faultNames())
+	c.setDuration("length", source.Length)
+	c.set("governors", "[%s]", quotedList(source.controllerZones()))
+	c.closeBlock()
+	c.printf("zones = [%s]", quotedList(source.Zones))
+}
+
+// controllerZones gives the zone of each controller; without a valid one there is one in the first zone.
+func (s *simulatorScenario) controllerZones() []string {
+	var zones []string
+	for _, zone := range s.Control.ControllerZones {
+		if zone >= 0 && zone < len(s.Zones) {
+			zones = append(zones, s.Zones[zone])
+		}
+	}
+	if len(zones) == 0 {
+		return s.Zones[:1]
+	}
+	return zones
+}
+
+func (c *simulatorConverter) writeOperations() {
+	for _, operation := range c.source.Operations {
+		c.open(fmt.Sprintf("operation %q", operation.Name))
+		c.setDuration("objective", operation.Objective)
+		c.setDuration("timeout", operation.Timeout)
+		c.set("billed_value", "%g", operation.Value)
+		c.set("effect", "%q", effectNames[operation.Effect])
+		if operation.Effect == "keyed" {
+			c.setDuration("window", operation.Window)
+		}
+		c.closeBlock()
+	}
+}
+
+func (c *simulatorConverter) writeFleet() {
+	control := c.source.Control
+	admission := noAdmission
+	if control.Admission == quotaAdmission {
+		admission = quotaAdmission
+	}
+	c.open("fleet")
+	c.set("forwarders", "%d", c.fleet.proxiesPerZone*len(c.source.Zones))
+	c.set("standing", "%d", control.StandingTable)
+	c.set("connections_least", "%d", c.connectionsPerReplica())
+	c.set("avoids", "%v", control.EjectAfter > 0)
+	c.set("admits", "%q", admission)
+	c.set("crossing_price", "%g", c.source.Prices.CrossZone)
+	c.set("order_price", "%g", control.OrderPrice)
+	if slices.Contains(c.source.tier().ReportFields, utilizationField) {
+		c.set("load_report", "[%q]", utilizationField)
+	}
+	policy := min(max(control.RetryPolicy, 0), len(retryNames)-1)
+	c.set("usual_way", "%q", retryNames[policy])
+	c.set("first_wait", "%g", max(control.FirstWait, minFirstWait))
+	c.closeBlock()
+}
+
+func (c *simulatorConverter) connectionsPerReplica() int {
+	return atLeastOne(c.source.tier().ConnectionsCore * float64(c.fleet.cores))
+}
+
+func (c *simulatorConverter) writeGuarantees() {
+	c.open("rules")
+	c.setDuration("bare", c.source.Control.Bare)
+	c.setDuration("drain_grace", c.source.DrainGrace)
+	c.setDuration("cold", c.source.tier().StatedCold)
+	c.set("cold_share", "%g", c.source.tier().StatedColdFrom)
+	c.set("tip_factor", "%g", c.source.FallMultiple)
+	c.setDuration("tip_span", c.source.FallFor)
+	c.closeBlock()
+}
+
+func (c *simulatorConverter) writeChannel() {
+	control := c.source.Control
+	c.open("channel")
+	c.set("pace", "%d", atLeastOne(control.Rate*c.fleet.scale))
+	c.set("queue", "%d", atLeastOne(control.Backlog*c.fleet.scale))
+	c.set("overhead", "%d", int(control.MessageOverhead))
+	c.setDuration("period", control.ReportPeriod)
+	c.set("intake", "%d", atLeastOne(control.Intake))
+	c.set("messages_most", "%d", control.MessagesMost)
+	c.closeBlock()
+}
+
+func (c *simulatorConverter) writeReplicas() {
+	tier := c.source.tier()
+	kind := tier.Kinds[0]
+	c.open("replicas")
+	c.set("each_zone", "%d", c.fleet.replicasPerZone)
+	c.set("cores", "%d", c.fleet.cores)
+	c.set("speed_from", "%.3f", c.fleet.slowest)
+	c.set("speed_to", "%.3f", c.fleet.fastest)
+	c.set("waiting", "%d", kind.Queue)
+	c.set("connections", "%d", c.connectionsPerReplica())
+	c.set("cold_share", "%.3f", kind.ColdFrom)
+	c.setDuration("cold_span", kind.Cold)
+	c.setDuration("report_every", tier.ReportPeriod)
+	c.setDuration("handshake", tier.HandshakeWork)
+	c.closeBlock()
+}
+
+func (c *simulatorConverter) writeProxies() {
+	control := c.source.Control
+	c.open("forwarders")
+	c.set("each_zone", "%d", c.fleet.proxiesPerZone)
+	c.set("pick", "%q", pickNames[control.Pick])
+	c.set("ejects", "%d", control.EjectAfter)
+	c.setDuration("eject_for", control.EjectFor)
+	c.setDuration("redial", max(control.Redial, minRedial))
+	c.set("client_tries", "%d", 1+c.source.Clients.Retries)
+	c.closeBlock()
+}
+
+func (c *simulatorConverter) writeRegistry() {
+	discovery := c.source.Discovery
+	c.open("list")
+	c.setDuration("notice", discovery.Notice)
+	c.setDuration("silent_notice", discovery.SilentNotice)
+	c.setDuration("add", discovery.Add)
+	c.closeBlock()
+}
+
+func (c *simulatorConverter) writeLoad() {
+	c.open("load")
+	c.set("rate", "%.1f", c.fleet.rate)
+	for _, operation := range c.source.Operations {
+		c.printf("  work %q {\n    share = %g\n    mean = %s\n    spread = %.2f\n  }",
+			operation.Name, operation.Share, quotedDuration(operation.Work), operation.CV)
+	}
+	c.closeBlock()
+}
+
+// faultNames gives the kinds of all faults, for the description.
+func (s *simulatorScenario) faultNames() string {
+	var names []string
+	for _, fault := range s.Faults {
+		names = append(names, fault.Kind)
+	}
+	return strings.Join(names, ", ")
+}
+
+// atLeastOne rounds to a whole number, 1 at least.
+func atLeastOne(value float64) int { return max(1, int(value+0.5)) }
+
+// quotedDuration gives a duration as scenario files spell it, in whole milliseconds.
+func quotedDuration(microseconds float64) string {
+	return fmt.Sprintf("%q", fmt.Sprintf("%dms", int(microseconds/1000+0.5)))
+}
+
+func quotedList(words []string) string {
+	quoted := make([]string, len(words))
+	for i, word := range words {
+		quoted[i] = fmt.Sprintf("%q", word)
+	}
+	return strings.Join(quoted, ", ")
+}
--- /dev/null
+++ b/internal/scenario/standins.go
@@ -0,0 +1,221 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/standin/proxy"
+	"peppervale/internal/standin/registry"
+	"peppervale/internal/standin/replica"
+)
+
+const (
+	proxyConnectTimeout  = 250 * model.Millisecond
+	proxyIdleTimeout     = 15 * model.Second
+	standingZoneReplicas = 3 // with fewer in its zone, a proxy's standing table is drawn from all replicas
+)
+
+// managedReplica is a stand-in replica with its place in the registry.
+type managedReplica struct {
+	*replica.Replica
+	entry registry.Entry
+	fault int // counts the faults that affected it; a fault ends only if no later one began
+}
+
+// managedProxy is a stand-in proxy with the clients behind it.
+type managedProxy struct {
+	*proxy.Forwarder
+	zone int
+	rate float64 // requests a second
+}
+
+func (r *runner) addRegistry() error {
+	var err error
+	r.endpoints, err = registry.New(r.loop, r.network.registryAddress(0), serviceName, r.observe)
+	return err
+}
+
+func (r *runner) addReplicas() error {
+	for zone := range r.script.Zones {
+		for k := range r.script.Replicas.PerZone {
+			if err := r.addReplica(zone, k, false); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// addReplica starts a replica. A cold one is registered a little later, a warm one at once.
+func (r *runner) addReplica(zone, index int, cold bool) error {
+	settings := r.replicaSettings(zone, index)
+	if r.bays[settings.Bay] == nil {
+		r.bays[settings.Bay] = replica.NewBay()
+	}
+	windows := make([]model.Microseconds, len(r.script.Operations))
+	for i, operation := range r.script.Operations {
+		windows[i] = operation.Window
+	}
+	added := &managedReplica{
+		Replica: replica.New(r.loop, settings, r.bays[settings.Bay], windows, r.observe),
+		entry: registry.Entry{
+			ID:   settings.ID,
+			Zone: settings.Zone,
+			Bay:  settings.Bay,
+			Kind: fmt.Sprintf("%d-core", settings.Cores),
+		},
+	}
+	r.replicas = append(r.replicas, added)
+	if err := added.Start(cold); err != nil {
+		return err
+	}
+	added.entry.Started = added.Started
+	if cold {
+		r.register(added, r.script.Registry.AddDelay)
+	} else {
+		r.endpoints.Set(added.entry)
+	}
+	return nil
+}
+
+// replicaSettings draws the speed of the replica.
+func (r *runner) replicaSettings(zone, index int) replica.Facts {
+	common := r.script.Replicas
+	return replica.Facts{
+		ID:          r.network.replicaID(zone, index),
+		Zone:        r.script.Zones[zone],
+		Bay:         fmt.Sprintf("%s-%d", r.script.Zones[zone], index/common.BaySize),
+		Cores:       common.Cores,
+		Speed:       r.random.Between(common.SpeedFrom, common.SpeedTo),
+		Waiting:     common.QueueLimit,
+		Connections: common.Connections,
+		ColdShare:   common.ColdShare,
+		ColdSpan:    common.ColdSpan,
+		ReportEvery: common.ReportInterval,
+		Handshake:   float64(common.Handshake),
+		TipFactor:   r.script.Guarantees.TipFactor,
+		TipSpan:     r.script.Guarantees.TipSpan,
+	}
+}
+
+// register enters a replica, in its state at that time, after a delay unless the process ended or restarted meanwhile.
+func (r *runner) register(target *managedReplica, delay model.Microseconds) {
+	incarnation := target.Started
+	r.loop.After(delay, func() {
+		if target.Up && target.Started == incarnation {
+			target.entry.Started = target.Started
+			target.entry.Draining = target.Draining
+			r.endpoints.Set(target.entry)
+		}
+	})
+}
+
+// deregister removes a replica after a delay unless it answers by then.
+func (r *runner) deregister(target *managedReplica, delay model.Microseconds) {
+	r.loop.After(delay, func() {
+		if !target.Up || target.Silent {
+			r.endpoints.Remove(target.ID)
+		}
+	})
+}
+
+// addProxies draws the proxies' request rates and prepares the proxies; they are not started yet.
+func (r *runner) addProxies() {
+	zones := len(r.script.Zones)
+	weights := make([]float64, r.script.Proxies.PerZone*zones)
+	totalWeight := 0.0
+	for i := range weights {
+		weights[i] = r.random.Spread(r.script.Proxies.RateSpread)
+		totalWeight += weights[i]
+	}
+	operations := r.proxyOperations()
+	for i, weight := range weights {
+		rate := r.script.Load.Rate * weight / totalWeight
+		settings := r.proxySettings(i, rate, operations)
+		r.proxies = append(r.proxies, &managedProxy{
+			Forwarder: proxy.New(r.loop, r.engine, settings, r.script.Seed, r.observe),
+			zone:      settings.ZoneIndex,
+			rate:      rate,
+		})
+	}
+}
+
+func (r *runner) proxyOperations() []proxy.Operation {
+	var operations []proxy.Operation
+	for _, operation := range r.script.Operations {
+		operations = append(operations, proxy.Operation{Objective: operation.Objective, Timeout: operation.Timeout})
+	}
+	return operations
+}
+
+func (r *runner) proxySettings(index int, rate float64, operations []proxy.Operation) proxy.Facts {
+	common := r.script.Proxies
+	zone := index % len(r.script.Zones)
+	return proxy.Facts{
+		Name:       fmt.Sprintf("%s-till-%d", r.script.Zones[zone], index/len(r.script.Zones)+1),
+		Zone:       r.script.Zones[zone],
+		ZoneIndex:  zone,
+		Rate:       rate,
+		Pick:       proxy.Pick(common.Pick),
+		Operations: operations,
+		UsualWay:   r.script.Guarantees.DefaultWay,
+		FirstWait:  r.script.Guarantees.FirstWait,
+		Ejects:     common.EjectAfter,
+		EjectFor:   common.EjectFor,
+		Redial:     common.RedialInterval,
+		ConnectFor: proxyConnectTimeout,
+		IdleFor:    proxyIdleTimeout,
+		StallFor:   common.StallPerEntry,
+	}
+}
+
+// instanceAddresses gives a proxy's instances, those of its own zone first. The order of the rest begins elsewhere for
+// each proxy.
+func (r *runner) instanceAddresses(target *managedProxy, proxyIndex int) []proxy.Governor {
+	if r.faulty != nil {
+		return []proxy.Governor{{Name: faultyControllerName, Address: r.faulty.server.Addr()}}
+	}
+	zone := r.script.Zones[target.zone]
+	var local, remote []proxy.Governor
+	for k := range r.instances {
+		candidate := r.instances[(proxyIndex+k)%len(r.instances)]
+		address := proxy.Governor{Name: candidate.name, Address: candidate.address}
+		if candidate.zone == zone {
+			local = append(local, address)
+		} else {
+			remote = append(remote, address)
+		}
+	}
+	return append(local, remote...)
+}
+
+// standingTable draws a proxy's first table: of its own zone if enough replicas are there.
+func (r *runner) standingTable(target *managedProxy) []invariants.Line {
+	candidates := r.standingCandidates(r.script.Zones[target.zone])
+	var entries []invariants.Line
+	for len(entries) < r.script.Config.StandingTableSize && len(candidates) > 0 {
+		k := r.random.Below(len(candidates))
+		entries = append(entries, invariants.Line{Replica: candidates[k].ID, Weight: 1})
+		candidates = slices.Delete(candidates, k, k+1)
+	}
+	return entries
+}
+
+func (r *runner) standingCandidates(zone string) []*managedReplica {
+	var local, all []*managedReplica
+	for _, candidate := range r.replicas {
+		if !candidate.Up || candidate.Draining {
+			continue
+		}
+		all = append(all, candidate)
+		if candidate.Zone == zone {
+			local = append(local, candidate)
+		}
+	}
+	if len(local) < standingZoneReplicas {
+		return all
+	}
+	return local
+}
--- /dev/null
+++ b/internal/scenario/targets.go
@@ -0,0 +1,70 @@
+package scenario
+
+// sample draws a fraction of the indices below count, at least one, in random order.
+func (r *runner) sample(fraction float64, count int) []int {
+	indices := make([]int, count)
+	for i := range indices {
+		indices[i] = i
+	}
+	for i := count - 1; i > 0; i-- {
+		j := r.random.Below(i + 1)
+		indices[i], indices[j] = indices[j], indices[i]
+	}
+	wanted := max(1, int(fraction*float64(count)+0.5))
+	return indices[:min(count, wanted)]
+}
+
+// targetReplicas draws the replicas that a step affects from those that answer, in its zone if it names one. It marks
+// each as affected by a new fault.
+func (r *runner) targetReplicas(step Step) []*managedReplica {
+	var candidates []*managedReplica
+	for _, candidate := range r.replicas {
+		if candidate.Up && !candidate.Silent && step.includes(candidate.Zone) {
+			candidates = append(candidates, candidate)
+		}
+	}
+	if len(candidates) == 0 {
+		return nil
+	}
+	var targets []*managedReplica
+	for _, i := range r.sample(step.Fraction, len(candidates)) {
+		candidates[i].fault++
+		targets = append(targets, candidates[i])
+	}
+	return targets
+}
+
+// targetProxies draws the proxies that a step affects.
+func (r *runner) targetProxies(step Step) []*managedProxy {
+	var candidates []*managedProxy
+	for _, candidate := range r.proxies {
+		if step.includes(candidate.Zone) {
+			candidates = append(candidates, candidate)
+		}
+	}
+	var targets []*managedProxy
+	for _, i := range r.sample(step.Fraction, len(candidates)) {
+		targets = append(targets, candidates[i])
+	}
+	return targets
+}
+
+// targetInstances draws the instances that a step affects. candidates is how many it could have affected.
+func (r *runner) targetInstances(step Step) (targets []*instance, candidates int) {
+	var eligible []*instance
+	for _, candidate := range r.instances {
+		if step.includes(candidate.zone) {
+			eligible = append(eligible, candidate)
+		}
+	}
+	if len(eligible) == 0 {
+		return nil, 0
+	}
+	for _, i := range r.sample(step.Fraction, len(eligible)) {
+		targets = append(targets, eligible[i])
+	}
+	return targets, len(eligible)
+}
+
+// includes tells whether a step may affect what is in a zone.
+func (s Step) includes(zone string) bool { return s.Zone == "" || s.Zone == zone }
--- /dev/null
+++ b/internal/scenario/traffic.go
@@ -0,0 +1,86 @@
+package scenario
+
+import (
+	"peppervale/internal/config"
+	"peppervale/internal/model"
+	"peppervale/internal/standin/proxy"
+)
+
+// heavyTail makes a fraction of the requests cost so many times their work.
+type heavyTail struct {
+	fraction float64
+	factor   float64
+}
+
+// clientRequest is a client's request: every attempt of the client is a request of its own to the proxy.
+type clientRequest struct {
+	proxy   *managedProxy
+	started model.Microseconds // of the first attempt
+}
+
+// scheduleRequest schedules a proxy's next request. Arrivals do not wait for responses.
+func (r *runner) scheduleRequest(target *managedProxy) {
+	if target.rate <= 0 {
+		return
+	}
+	delay := model.Microseconds(r.random.Wait(target.rate) * float64(model.Second))
+	r.loop.After(delay, func() {
+		if r.now()-r.started < r.script.Length {
+			r.sendRequest(target)
+			r.scheduleRequest(target)
+		}
+	})
+}
+
+// sendRequest draws a request and sends its first attempt.
+func (r *runner) sendRequest(target *managedProxy) {
+	load := r.drawOperation()
+	r.lastRequest++
+	work := float64(load.Mean) * r.random.Spread(load.Spread)
+	if r.heavyTail.fraction > 0 && r.random.Float() < r.heavyTail.fraction {
+		work *= r.heavyTail.factor
+	}
+	attempt := proxy.Invocation{Number: r.lastRequest, Operation: load.Operation, Work: work}
+	r.sendAttempt(clientRequest{proxy: target, started: r.now()}, attempt)
+}
+
+// drawOperation draws an operation by its share of the load.
+func (r *runner) drawOperation() Work {
+	works := r.script.Load.Works
+	point := r.random.Float() * r.totalShare
+	for _, work := range works {
+		if point < work.Share {
+			return work
+		}
+		point -= work.Share
+	}
+	return works[len(works)-1]
+}
+
+// sendAttempt sends an attempt and, after a backoff, its retry as clients do.
+func (r *runner) sendAttempt(request clientRequest, attempt proxy.Invocation) {
+	attempt.Done = func(result proxy.Result, _ model.Microseconds) {
+		latency := r.now() - request.started
+		if !r.clientRetries(attempt, result, latency) {
+			r.statistics.count(attempt.Operation, result, latency, request.started-r.started)
+			return
+		}
+		r.loop.After(r.script.Proxies.ClientBackoff, func() {
+			next := attempt
+			next.Caller++
+			r.sendAttempt(request, next)
+		})
+	}
+	request.proxy.Invoke(&attempt)
+}
+
+// clientRetries tells whether a client retries: idempotent work after any failure, the rest only after it was rejected.
+func (r *runner) clientRetries(attempt proxy.Invocation, result proxy.Result, latency model.Microseconds) bool {
+	operation := r.script.Operations[attempt.Operation]
+	attemptsLeft := attempt.Caller+1 < r.script.Proxies.ClientAttempts
+	timeLeft := latency+r.script.Proxies.ClientBackoff < operation.Timeout
+	if !attemptsLeft || !timeLeft {
+		return false
+	}
+	return result == proxy.RateLimited || result == proxy.Failed && operation.Effect == config.Idempotent
+}
