--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,8 +1,10 @@
-// Package emulate is the emulator's core: simulated time with one ordered queue of events, streams of chance, and stations that work
-// invocations off. What stands on it so far are the pieces that have closed results to be checked against; it hosts no governor yet.
+// Package simulation is a discrete-event simulation core: simulated time with one ordered queue of events, independent
+// random streams, queueing stations that serve jobs, and sources that send them jobs. It holds what can be checked
+// against closed-form results of queueing theory; the control plane is not simulated.
 //
-// Guarantees: the same seed gives the same run, on any machine; events of one moment happen in the order in which they were booked; a
-// stream's draws depend on its own name and seed only, so that a new one changes none of the others.
+// The same seed gives the same run on any machine. Events of one moment happen in the order in which they were
+// scheduled. The draws of a random stream depend on its seed and name only, so adding a stream changes no other one.
 //
-// Caveats: one core a run. Times are whole microseconds; a stream carries the parts of one, so that its rate is kept.
+// A simulation runs on one goroutine. Times are whole microseconds; a source carries fractions over, so that its rate
+// is exact on average.
 package simulation
--- /dev/null
+++ b/internal/simulation/eventqueue.go
@@ -0,0 +1,67 @@
+package simulation
+
+import "peppervale/internal/model"
+
+// event is an action at a time. Events of one time happen in the order of their sequence numbers.
+type event struct {
+	at       model.Microseconds
+	sequence uint64
+	action   func()
+}
+
+func (e *event) before(other *event) bool {
+	if e.at != other.at {
+		return e.at < other.at
+	}
+	return e.sequence < other.sequence
+}
+
+// heapArity is the number of children of a node. Four of them halve the levels of a binary heap, and most of an
+// event's cost is its way up and down.
+const heapArity = 4
+
+// eventQueue is a heap whose first element is the next event.
+type eventQueue []event
+
+func (q *eventQueue) push(added event) {
+	*q = append(*q, added)
+	events := *q
+	for i := len(events) - 1; i > 0; {
+		parent := (i - 1) / heapArity
+		if !events[i].before(&events[parent]) {
+			break
+		}
+		events[i], events[parent] = events[parent], events[i]
+		i = parent
+	}
+}
+
+// pop removes the next event; the queue must not be empty.
+func (q *eventQueue) pop() event {
+	events := *q
+	first, last := events[0], len(events)-1
+	events[0] = events[last]
+	events[last] = event{}
+	events = events[:last]
+	*q = events
+	events.siftDown()
+	return first
+}
+
+// siftDown moves the first event down to its place.
+func (q eventQueue) siftDown() {
+	for i := 0; ; {
+		least := i
+		firstChild := heapArity*i + 1
+		for child := firstChild; child < firstChild+heapArity && child < len(q); child++ {
+			if q[child].before(&q[least]) {
+				least = child
+			}
+		}
+		if least == i {
+			return
+		}
+		q[i], q[least] = q[least], q[i]
+		i = least
+	}
+}
--- /dev/null
+++ b/internal/simulation/queueing_test.go
@@ -0,0 +1,133 @@
+package simulation
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"peppervale/internal/model"
+)
+
+// workload describes a simulation with one source.
+type workload struct {
+	seed     uint64
+	stations int
+	cores    int     // of each station
+	load     float64 // of each core
+	seconds  int
+	policy   func(RandomStream) Policy
+}
+
+// simulate runs a workload; the first tenth of the time is not measured.
+func simulate(workload workload) *Source {
+	const meanWork = 10 * model.Millisecond
+	simulator := &Simulator{}
+	totalLoad := workload.load * float64(workload.stations*workload.cores)
+	source := &Source{
+		Simulator:    simulator,
+		Arrivals:     NewRandomStream(workload.seed, "arrivals"),
+		Work:         NewRandomStream(workload.seed, "work"),
+		MeanWork:     meanWork,
+		Interarrival: float64(meanWork) / totalLoad,
+		Policy:       workload.policy(NewRandomStream(workload.seed, "pick")),
+		MeasureFrom:  model.Microseconds(workload.seconds) * model.Second / 10,
+	}
+	for range workload.stations {
+		source.Stations = append(source.Stations, NewStation(simulator, workload.cores))
+	}
+	source.Start()
+	simulator.RunUntil(model.Microseconds(workload.seconds) * model.Second)
+	return source
+}
+
+// relativeTime is the mean time of a job over the mean work.
+func relativeTime(source *Source) float64 { return source.MeanTime() / float64(source.MeanWork) }
+
+// erlangWait is the mean wait of M/M/c over the mean work by Erlang's C formula; load is that of one core.
+func erlangWait(cores int, load float64) float64 {
+	offered := load * float64(cores)
+	sum, term := 0.0, 1.0
+	for k := range cores {
+		sum += term
+		term *= offered / float64(k+1)
+	}
+	waitProbability := term / (1 - load) / (sum + term/(1-load))
+	return waitProbability / (float64(cores) * (1 - load))
+}
+
+// twoChoicesTime is the mean time of a job over the mean work with the power of two choices among very many M/M/1
+// stations (Mitzenmacher; Vvedenskaya, Dobrushin and Karpelevich).
+func twoChoicesTime(load float64) float64 {
+	sum := 0.0
+	for k := 1; k < 30; k++ {
+		sum += math.Pow(load, math.Pow(2, float64(k))-2)
+	}
+	return sum
+}
+
+// checkRelative requires a value within a relative tolerance.
+func checkRelative(t *testing.T, quantity string, got, want, tolerance float64) {
+	t.Helper()
+	t.Logf("%s: %.4f, exact %.4f", quantity, got, want)
+	deviation := math.Abs(got/want - 1)
+	if math.IsNaN(deviation) || deviation > tolerance {
+		t.Errorf("%s: %.4f, want %.4f within %g", quantity, got, want, tolerance)
+	}
+}
+
+func TestOneStationMeetsQueueingTheory(t *testing.T) {
+	const (
+		littleTolerance      = 0.03
+		utilizationTolerance = 0.02
+	)
+	for _, tt := range []struct {
+		cores     int
+		load      float64
+		seconds   int
+		tolerance float64
+	}{
+		{1, 0.5, 4000, 0.02},
+		{1, 0.8, 8000, 0.04},
+		{2, 0.7, 4000, 0.02},
+		{8, 0.9, 2000, 0.03},
+		{32, 0.95, 1000, 0.03},
+	} {
+		t.Run(fmt.Sprintf("M/M/%d at load %.2f", tt.cores, tt.load), func(t *testing.T) {
+			source := simulate(workload{
+				seed: 1, stations: 1, cores: tt.cores, load: tt.load, seconds: tt.seconds, policy: RandomChoice,
+			})
+			station := source.Stations[0]
+			checkRelative(t, "time over work", relativeTime(source), 1+erlangWait(tt.cores, tt.load), tt.tolerance)
+			// Little's law: the jobs at a station are its rate times their time there, whatever the distributions.
+			jobs, busyCores := station.Means()
+			rate := float64(station.Served()) / (float64(tt.seconds) * float64(model.Second))
+			checkRelative(t, "jobs by Little's law", jobs, rate*source.MeanTime(), littleTolerance)
+			checkRelative(t, "utilization", busyCores/float64(tt.cores), tt.load, utilizationTolerance)
+		})
+	}
+}
+
+func TestTwoChoicesMeetTheLimitForManyStations(t *testing.T) {
+	for _, tt := range []struct{ load, tolerance float64 }{{0.5, 0.01}, {0.8, 0.01}, {0.95, 0.02}} {
+		t.Run(fmt.Sprintf("load %.2f", tt.load), func(t *testing.T) {
+			source := simulate(workload{
+				seed: 1, stations: 500, cores: 1, load: tt.load, seconds: 60, policy: TwoChoices,
+			})
+			checkRelative(t, "time over work", relativeTime(source), twoChoicesTime(tt.load), tt.tolerance)
+		})
+	}
+}
+
+func TestPoliciesThatKnowMoreAreFaster(t *testing.T) {
+	timeOf := func(policy func(RandomStream) Policy) float64 {
+		return relativeTime(simulate(workload{
+			seed: 1, stations: 50, cores: 1, load: 0.8, seconds: 60, policy: policy,
+		}))
+	}
+	random := timeOf(RandomChoice)
+	twoChoices := timeOf(TwoChoices)
+	leastLoaded := timeOf(func(RandomStream) Policy { return LeastLoaded() })
+	if random <= 1.5*twoChoices || twoChoices <= 1.1*leastLoaded || leastLoaded < 1 {
+		t.Errorf("random %.3f, two choices %.3f, least loaded %.3f", random, twoChoices, leastLoaded)
+	}
+}
--- /dev/null
+++ b/internal/simulation/random.go
@@ -0,0 +1,36 @@
+package simulation
+
+import (
+	"hash/fnv"
+	"math/rand/v2"
+
+	"gonum.org/v1/gonum/stat/distuv"
+
+	"peppervale/internal/model"
+)
+
+// RandomStream is a stream of random draws that is independent of all other streams.
+type RandomStream struct{ *rand.Rand }
+
+// NewRandomStream makes the stream of a name under a seed.
+func NewRandomStream(seed uint64, name string) RandomStream {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name))
+	return RandomStream{rand.New(rand.NewPCG(seed, hash.Sum64()))}
+}
+
+// Exponential draws an exponentially distributed duration of this mean.
+func (s RandomStream) Exponential(mean model.Microseconds) model.Microseconds {
+	distribution := distuv.Exponential{Rate: 1 / float64(mean), Src: s}
+	return model.Microseconds(distribution.Rand() + 0.5)
+}
+
+// LogNormal draws a log-normally distributed duration of this mean. sigma is the standard deviation of its logarithm;
+// without any, the duration is the mean.
+func (s RandomStream) LogNormal(mean model.Microseconds, sigma float64) model.Microseconds {
+	if sigma <= 0 {
+		return mean
+	}
+	distribution := distuv.LogNormal{Mu: -sigma * sigma / 2, Sigma: sigma, Src: s}
+	return model.Microseconds(float64(mean)*distribution.Rand() + 0.5)
+}
--- /dev/null
+++ b/internal/simulation/simulator_test.go
@@ -0,0 +1,77 @@
+package simulation
+
+import (
+	"fmt"
+	"testing"
+
+	"peppervale/internal/model"
+)
+
+func TestEventsOfOneMomentHappenInTheOrderOfScheduling(t *testing.T) {
+	const events = 10_000
+	simulator := &Simulator{}
+	random := NewRandomStream(1, "order")
+	lastEvent := -1
+	lastTime := model.Microseconds(-1)
+	for i := range events {
+		due := model.Microseconds(random.IntN(50))
+		simulator.Schedule(due, func() {
+			isOutOfOrder := due < lastTime || due == lastTime && i < lastEvent
+			if simulator.Now() != due || isOutOfOrder {
+				t.Fatalf("event %d, due at %d, happens at %d after %d", i, due, simulator.Now(), lastEvent)
+			}
+			lastEvent = i
+			lastTime = due
+		})
+	}
+	simulator.RunUntil(model.Second)
+	if simulator.Processed() != events || simulator.Now() != model.Second {
+		t.Errorf("%d events, the clock at %d", simulator.Processed(), simulator.Now())
+	}
+}
+
+func TestARunFollowsFromItsSeed(t *testing.T) {
+	summary := func(seed uint64) string {
+		source := simulate(workload{seed: seed, stations: 10, cores: 2, load: 0.9, seconds: 20, policy: TwoChoices})
+		return fmt.Sprint(source.totalTime, source.measured, source.Simulator.Processed())
+	}
+	first, again, other := summary(1), summary(1), summary(2)
+	if first != again || first == other {
+		t.Errorf("seed 1: %s and %s, seed 2: %s", first, again, other)
+	}
+}
+
+func TestARandomStreamDoesNotDependOnOthers(t *testing.T) {
+	want := NewRandomStream(1, "a").Uint64()
+	_ = NewRandomStream(1, "b").Uint64()
+	if got := NewRandomStream(1, "a").Uint64(); got != want {
+		t.Error("a stream depends on another")
+	}
+}
+
+func TestAFullStationRejectsAndServesWhatItAccepted(t *testing.T) {
+	simulator := &Simulator{}
+	station := NewStation(simulator, 2)
+	station.QueueLimit = 3
+	completed, accepted := 0, 0
+	for range 10 {
+		if station.Submit(model.Millisecond, func() { completed++ }) {
+			accepted++
+		}
+	}
+	simulator.RunUntil(model.Second)
+	if accepted != 5 || completed != 5 || station.Rejected() != 5 || station.Jobs() != 0 {
+		t.Errorf("%d accepted, %d completed, %d rejected, %d left",
+			accepted, completed, station.Rejected(), station.Jobs())
+	}
+}
+
+// BenchmarkEvents has two events a job.
+func BenchmarkEvents(b *testing.B) {
+	events := uint64(0)
+	for b.Loop() {
+		source := simulate(workload{seed: 1, stations: 2000, cores: 2, load: 0.8, seconds: 2, policy: TwoChoices})
+		events += source.Simulator.Processed()
+	}
+	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
+}
--- a/internal/simulation/station.go
+++ b/internal/simulation/station.go
@@ -2,20 +2,31 @@
 
 import "peppervale/internal/model"
 
-// Station works invocations off, first come first served, on some cores, each as fast as the other. It stands for a replica's inside.
+const (
+	// Unlimited is the QueueLimit of a station that rejects no job.
+	Unlimited = -1
+
+	// minCompaction is how many served jobs the queue's slice holds at least before it is compacted.
+	minCompaction = 1024
+)
+
+// Station serves jobs first come, first served, on a number of equal cores. It models the inside of a replica.
 type Station struct {
-	core    *Core
-	cores   int
-	Waiting int // invocations that may wait; beyond them one is turned away. Below 0: any number
-	Slow    float64
-	busy    int
-	queue   []job
-	head    int // of the queue: what is before it was served
-	seen    model.Microseconds
-	area    float64 // invocations here, over time
-	used    float64 // cores in use, over time
-	Served  uint64
-	Turned  uint64 // away, as it was full
+	QueueLimit int     // jobs that may wait; one more is rejected. Unlimited: any number
+	Slowdown   float64 // each job takes so many times its work; 1 without any
+
+	simulator *Simulator
+	cores     int
+	busyCores int
+	queue     []job
+	head      int // index in queue of the next job; those before it were served
+
+	served   uint64
+	rejected uint64
+
+	updatedAt model.Microseconds // when the integrals were last updated
+	jobsArea  float64            // integral of the jobs at the station over time
+	busyArea  float64            // integral of the busy cores over time
 }
 
 type job struct {
@@ -23,132 +34,82 @@
 	done func()
 }
 
-// NewStation makes an idle one.
-func NewStation(core *Core, cores int) *Station {
-	return &Station{core: core, cores: cores, Waiting: -1, Slow: 1}
+// NewStation makes an idle station with an unlimited queue.
+func NewStation(simulator *Simulator, cores int) *Station {
+	return &Station{simulator: simulator, cores: cores, QueueLimit: Unlimited, Slowdown: 1}
 }
 
-// Here is how many invocations are served or wait.
-func (s *Station) Here() int { return s.busy + len(s.queue) - s.head }
+// Jobs is the number of jobs that are served or wait.
+func (s *Station) Jobs() int { return s.busyCores + s.waiting() }
 
-// Take takes an invocation of so much work and calls done at its end; false: it is full.
-func (s *Station) Take(work model.Microseconds, done func()) bool {
-	s.look()
-	switch {
-	case s.busy < s.cores:
-		s.serve(job{work, done})
-	case s.Waiting >= 0 && len(s.queue)-s.head >= s.Waiting:
-		s.Turned++
+// Served is the number of jobs that were completed.
+func (s *Station) Served() uint64 { return s.served }
+
+// Rejected is the number of jobs that the station had no room for.
+func (s *Station) Rejected() uint64 { return s.rejected }
+
+func (s *Station) waiting() int { return len(s.queue) - s.head }
+
+// Submit hands in a job of so much work; done is called when it is completed. It gives false if the job is rejected.
+func (s *Station) Submit(work model.Microseconds, done func()) bool {
+	s.updateIntegrals()
+	submitted := job{work: work, done: done}
+	if s.busyCores < s.cores {
+		s.serve(submitted)
+		return true
+	}
+	if s.QueueLimit >= 0 && s.waiting() >= s.QueueLimit {
+		s.rejected++
 		return false
-	default:
-		s.queue = append(s.queue, job{work, done})
 	}
+	s.queue = append(s.queue, submitted)
 	return true
 }
 
-func (s *Station) serve(j job) {
-	s.busy++
-	s.core.After(model.Microseconds(float64(j.work)*s.Slow), func() {
-		s.look()
-		s.busy--
-		s.Served++
-		if s.head < len(s.queue) {
-			next := s.queue[s.head]
-			s.queue[s.head] = job{}
-			if s.head++; s.head == len(s.queue) {
-				s.queue, s.head = s.queue[:0], 0
-			} else if s.head > 1024 && s.head > len(s.queue)/2 {
-				s.queue, s.head = s.queue[:copy(s.queue, s.queue[s.head:])], 0
-			}
-			s.serve(next)
+func (s *Station) serve(current job) {
+	s.busyCores++
+	duration := model.Microseconds(float64(current.work) * s.Slowdown)
+	s.simulator.Schedule(duration, func() {
+		s.updateIntegrals()
+		s.busyCores--
+		s.served++
+		if s.waiting() > 0 {
+			s.serve(s.takeNext())
 		}
-		j.done()
+		current.done()
 	})
 }
 
-// look counts what was here since the last change.
-func (s *Station) look() {
-	span := float64(s.core.Now() - s.seen)
-	s.area += span * float64(s.Here())
-	s.used += span * float64(s.busy)
-	s.seen = s.core.Now()
-}
-
-// Means gives the mean number here and the mean cores in use, since the start.
-func (s *Station) Means() (here, used float64) {
-	s.look()
-	if s.seen == 0 {
-		return 0, 0
+// takeNext removes the first job of the queue, which must not be empty.
+func (s *Station) takeNext() job {
+	next := s.queue[s.head]
+	s.queue[s.head] = job{}
+	s.head++
+	switch {
+	case s.head == len(s.queue):
+		s.queue = s.queue[:0]
+		s.head = 0
+	case s.head > minCompaction && s.head > len(s.queue)/2:
+		remaining := copy(s.queue, s.queue[s.head:])
+		s.queue = s.queue[:remaining]
+		s.head = 0
 	}
-	return s.area / float64(s.seen), s.used / float64(s.seen)
-}
-
-// Pick chooses a station for an invocation.
-type Pick func(all []*Station) *Station
-
-// Even draws any, each as likely.
-func Even(c Chance) Pick {
-	return func(all []*Station) *Station { return all[c.IntN(len(all))] }
+	return next
 }
 
-// Pair draws two and takes the one with less here: a pair choice with true loads.
-func Pair(c Chance) Pick {
-	return func(all []*Station) *Station {
-		a, b := all[c.IntN(len(all))], all[c.IntN(len(all))]
-		if b.Here() < a.Here() {
-			return b
-		}
-		return a
-	}
+// updateIntegrals adds what was at the station since the last change.
+func (s *Station) updateIntegrals() {
+	elapsed := float64(s.simulator.Now() - s.updatedAt)
+	s.jobsArea += elapsed * float64(s.Jobs())
+	s.busyArea += elapsed * float64(s.busyCores)
+	s.updatedAt = s.simulator.Now()
 }
 
-// Least takes the one with the least here, the first of equals: the best that whoever knows all can do without knowing the work.
-func Least() Pick {
-	return func(all []*Station) *Station {
-		best := all[0]
-		for _, s := range all[1:] {
-			if s.Here() < best.Here() {
-				best = s
-			}
-		}
-		return best
+// Means gives the mean number of jobs at the station and the mean number of busy cores since the start.
+func (s *Station) Means() (jobs, busyCores float64) {
+	s.updateIntegrals()
+	if s.updatedAt == 0 {
+		return 0, 0
 	}
-}
-
-// Stream sends invocations to stations: Poisson arrivals at a rate, exponential work. Took is the sum of their times here, of those that
-// came after From.
-type Stream struct {
-	Core     *Core
-	Arrivals Chance
-	Work     Chance
-	Gap      float64            // mean, between two arrivals, microseconds and parts of one: a whole number of them would change a high rate
-	Mean     model.Microseconds // of the work
-	Stations []*Station
-	Pick     Pick
-	From     model.Microseconds
-	Took     float64 // microseconds, of Count
-	Count    uint64
-	carry    float64
-}
-
-// Start books the first arrival.
-func (s *Stream) Start() { s.Core.After(s.gap(), s.arrive) }
-
-// gap draws the next one and carries what whole microseconds leave of it, so that the rate is kept.
-func (s *Stream) gap() model.Microseconds {
-	s.carry += s.Arrivals.ExpFloat64() * s.Gap
-	whole := model.Microseconds(s.carry)
-	s.carry -= float64(whole)
-	return whole
-}
-
-func (s *Stream) arrive() {
-	s.Core.After(s.gap(), s.arrive)
-	at := s.Core.Now()
-	s.Pick(s.Stations).Take(s.Work.Exponential(s.Mean), func() {
-		if at >= s.From {
-			s.Took += float64(s.Core.Now() - at)
-			s.Count++
-		}
-	})
+	return s.jobsArea / float64(s.updatedAt), s.busyArea / float64(s.updatedAt)
 }
