--- /dev/null
+++ b/internal/benchmark/measure.go
@@ -0,0 +1,48 @@
+package benchmark
+
+import (
+	"fmt"
+	"io"
+	"runtime"
+	"slices"
+	"syscall"
+	"time"
+
+	"peppervale/internal/model"
+)
+
+// medianAndP99 sorts the durations and gives their median and 99th percentile.
+func medianAndP99(durations []time.Duration) (median, p99 time.Duration) {
+	slices.Sort(durations)
+	count := len(durations)
+	return durations[count/2], durations[min(count-1, count*99/100)]
+}
+
+// quantile gives a quantile of sorted durations.
+func quantile(sorted []model.Microseconds, fraction float64) time.Duration {
+	return sorted[int(fraction*float64(len(sorted)-1))].Duration()
+}
+
+// cpuTime is the CPU time of this process, system time included.
+func cpuTime() time.Duration {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
+		return 0
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
+
+// memoryInUse is the memory of heap and stacks in bytes, after a garbage collection.
+func memoryInUse() int {
+	runtime.GC()
+	var statistics runtime.MemStats
+	runtime.ReadMemStats(&statistics)
+	return int(statistics.HeapInuse + statistics.StackInuse)
+}
+
+// printf writes a part of a table. Errors of the writer are ignored: the tables go to a terminal.
+func printf(out io.Writer, format string, arguments ...any) {
+	_, _ = fmt.Fprintf(out, format, arguments...)
+}
+
+func roundMilliseconds(duration time.Duration) time.Duration { return duration.Round(time.Millisecond) }
--- /dev/null
+++ b/internal/benchmark/publisher.go
@@ -0,0 +1,119 @@
+package benchmark
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/admission"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+	"peppervale/internal/snapshot"
+)
+
+const (
+	noReportPeriod  = 3600 * model.Second // longer than an experiment
+	messageOverhead = 6
+	roundTimeout    = 30 * time.Second
+)
+
+// publisher is a publish-subscribe server that admits every proxy and waits for acknowledgements.
+type publisher struct {
+	server       *pubsub.Server
+	connected    func() // told of each proxy before it is admitted; nil: not told
+	admitted     chan model.ProxyID
+	acknowledged chan uint32
+}
+
+// publisherSettings is what differs between the experiments.
+type publisherSettings struct {
+	proxies   int
+	rate      float64 // entries a second
+	limits    pubsub.Limits
+	admission admission.Limits
+	connected func()
+}
+
+func newPublisher(now func() model.Microseconds, settings publisherSettings) (*publisher, error) {
+	created := &publisher{
+		connected:    settings.connected,
+		admitted:     make(chan model.ProxyID, settings.proxies),
+		acknowledged: make(chan uint32, 2*settings.proxies),
+	}
+	var err error
+	created.server, err = pubsub.Listen(pubsub.Config{
+		Listen:          loopbackAnyPort,
+		Incarnation:     1,
+		Zones:           []string{"zone"},
+		ReportPeriod:    noReportPeriod,
+		MessageOverhead: messageOverhead,
+		Pace:            settings.rate,
+		Now:             now,
+		Log:             zerolog.Nop(),
+		Limits:          settings.limits,
+		Joins:           settings.admission,
+	}, created)
+	if err != nil {
+		return nil, err
+	}
+	return created, nil
+}
+
+// ProxyConnected admits the proxy on a goroutine of its own, as the server holds the connection's turn meanwhile.
+func (p *publisher) ProxyConnected(proxy model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
+	if p.connected != nil {
+		p.connected()
+	}
+	go func() {
+		p.server.AdmitProxy(proxy, stream)
+		p.admitted <- proxy
+	}()
+}
+
+// ProxyDisconnected is ignored.
+func (p *publisher) ProxyDisconnected(model.ProxyID, uint64) {}
+
+// Acknowledged counts for the round that waits.
+func (p *publisher) Acknowledged(_ model.ProxyID, _ uint64, sequence uint32) {
+	p.acknowledged <- sequence
+}
+
+// LoadReported is ignored.
+func (p *publisher) LoadReported(int, []model.LoadReport) {}
+
+// awaitProxies waits until so many proxies were admitted, each within the timeout, and gives them.
+func (p *publisher) awaitProxies(count int, timeout time.Duration) ([]model.ProxyID, error) {
+	var proxies []model.ProxyID
+	for range count {
+		select {
+		case proxy := <-p.admitted:
+			proxies = append(proxies, proxy)
+		case <-time.After(timeout):
+			return nil, &TimeoutError{Condition: fmt.Sprintf("%d proxies connected", count)}
+		}
+	}
+	return proxies, nil
+}
+
+// publishRound publishes updates and gives the time until each of the proxies has acknowledged them.
+func (p *publisher) publishRound(
+	updates []snapshot.Update, sequence, proxies int, now func() model.Microseconds,
+) (time.Duration, error) {
+	started := time.Now()
+	p.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: sequence, At: now()})
+	timeout := time.After(roundTimeout)
+	for received := 0; received < proxies; {
+		select {
+		case acknowledged := <-p.acknowledged:
+			if acknowledged == uint32(sequence) {
+				received++
+			}
+		case <-timeout:
+			condition := fmt.Sprintf("round %d acknowledged by %d proxies, is by %d", sequence, proxies, received)
+			return 0, &TimeoutError{Condition: condition}
+		}
+	}
+	return time.Since(started), nil
+}
--- /dev/null
+++ b/internal/benchmark/reconnect.go
@@ -0,0 +1,108 @@
+package benchmark
+
+import (
+	"fmt"
+	"io"
+	"time"
+
+	"peppervale/internal/admission"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+)
+
+const (
+	stormMessageRate = 1e9
+	stormBurst       = 50
+	stormJoinTimeout = 60 * time.Second
+)
+
+// StormFigures is the result of Storm: all proxies connect within a tenth of a second.
+type StormFigures struct {
+	Proxies       int
+	AdmissionRate float64       // joins a second that are admitted; 0: all
+	Duration      time.Duration // until all are admitted
+	Deferrals     uint64
+	MaxDeferrals  int // of one proxy
+	PeakJoins     int // in a second
+	Storms        uint64
+	CPU           time.Duration // of both ends
+}
+
+// Storm has so many proxies connect at once.
+func Storm(proxies int, admissionRate float64) (*StormFigures, error) {
+	bed, err := newTestbed()
+	if err != nil {
+		return nil, err
+	}
+	defer bed.close()
+	joinSeconds := make(chan model.Microseconds, 10*proxies)
+	source, err := newPublisher(bed.now, publisherSettings{
+		proxies:   proxies,
+		rate:      stormMessageRate,
+		limits:    pubsub.Limits{Connections: 2 * proxies},
+		admission: admission.Limits{Rate: admissionRate, Burst: stormBurst, Jitter: 1, Seed: 1},
+		connected: func() { joinSeconds <- bed.now() / model.Second },
+	})
+	if err != nil {
+		return nil, err
+	}
+	defer source.server.Close()
+	started := time.Now()
+	cpuBefore := cpuTime()
+	bed.addListeners(proxies, source.server.Addr(), model.Second, ignore)
+	defer bed.stopProxies()
+	if _, err := source.awaitProxies(proxies, stormJoinTimeout); err != nil {
+		return nil, err
+	}
+	result := &StormFigures{
+		Proxies:       proxies,
+		AdmissionRate: admissionRate,
+		Duration:      time.Since(started),
+		CPU:           cpuTime() - cpuBefore,
+	}
+	statistics := source.server.Stats()
+	result.Deferrals = statistics.Deferred
+	result.Storms = statistics.Storms
+	result.MaxDeferrals = bed.maxDeferrals()
+	result.PeakJoins = peakPerSecond(joinSeconds)
+	return result, nil
+}
+
+// maxDeferrals is how often the proxy was deferred that was deferred most.
+func (b *testbed) maxDeferrals() int {
+	most := 0
+	b.loop.Do(func() {
+		for _, connected := range b.proxies {
+			most = max(most, connected.Deferred)
+		}
+	})
+	return most
+}
+
+// peakPerSecond counts how often the most frequent second stands in the channel by now.
+func peakPerSecond(joinSeconds chan model.Microseconds) int {
+	counts := map[model.Microseconds]int{}
+	peak := 0
+	for range len(joinSeconds) {
+		second := <-joinSeconds
+		counts[second]++
+		peak = max(peak, counts[second])
+	}
+	return peak
+}
+
+// PrintStorms writes a table of the results of Storm.
+func PrintStorms(out io.Writer, results []*StormFigures) {
+	printf(out, "| forwarders | joins a second let in | all in after | put off, in all | of one at most | "+
+		"most joins in a second | storms | CPU, both ends |\n"+
+		"| --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	for _, result := range results {
+		rate := "all"
+		if result.AdmissionRate > 0 {
+			rate = fmt.Sprint(result.AdmissionRate)
+		}
+		printf(out, "| %d | %s | %s | %d | %d | %d | %d | %s |\n",
+			result.Proxies, rate, roundMilliseconds(result.Duration), result.Deferrals, result.MaxDeferrals,
+			result.PeakJoins, result.Storms, roundMilliseconds(result.CPU))
+	}
+}
--- /dev/null
+++ b/internal/benchmark/takeovermembers.go
@@ -0,0 +1,130 @@
+package benchmark
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"peppervale/internal/cluster"
+)
+
+const (
+	addressesOfTakeoverMember = 3 // channel, raft and gossip
+	statusTimeout             = 5 * time.Second
+)
+
+// takeoverMember is an instance's process with its addresses.
+type takeoverMember struct {
+	instanceProcess
+	index   int
+	name    string
+	channel string // address
+	raft    string // address
+	gossip  string // address
+}
+
+// newTakeoverMembers writes the members' configuration files.
+func newTakeoverMembers(directory, registry string, settings takeoverSettings) ([]*takeoverMember, error) {
+	addresses, err := reserveAddresses(takeoverMembers * addressesOfTakeoverMember)
+	if err != nil {
+		return nil, err
+	}
+	var members []*takeoverMember
+	for k := range takeoverMembers {
+		own := addresses[k*addressesOfTakeoverMember:]
+		member := &takeoverMember{index: k, name: memberName(k), channel: own[0], raft: own[1], gossip: own[2]}
+		member.program = settings.program
+		member.configPath = filepath.Join(directory, member.name+".hcl")
+		members = append(members, member)
+	}
+	for _, member := range members {
+		text := fmt.Sprintf(takeoverConfigFormat, member.name, member.channel, member.name+".state",
+			member.index+1, settings.proxies, registry)
+		if settings.shared {
+			text += member.clusterConfig(members, settings)
+		}
+		if err := os.WriteFile(member.configPath, []byte(text), 0o644); err != nil {
+			return nil, err
+		}
+	}
+	return members, nil
+}
+
+const takeoverConfigFormat = `governor %q {
+  listen = %q
+  state = %q
+  seed = %d
+  farewell = "` + gracefulShutdown + `"
+}
+zones = ["zone-0", "zone-1", "zone-2"]
+operation "recipe-read" {
+  objective = "500ms"
+  timeout = "1200ms"
+  effect = "idempotent"
+}
+fleet {
+  forwarders = %d
+}
+rules {
+}
+channel {
+  pace = 100000
+  period = "500ms"
+}
+machine_list "consul" {
+  address = %q
+  service = "` + serviceName + `"
+}
+`
+
+const takeoverClusterFormat = `group {
+  listen = %q
+  gossip = %q
+  zone = %q
+  parts = %d
+  span = %q
+  settle = "300ms"
+  pace = "50ms"
+`
+
+const takeoverMemberFormat = `  member %q {
+    address = %q
+    gossip = %q
+  }
+`
+
+// clusterConfig is the configuration of the cluster that the members form.
+func (m *takeoverMember) clusterConfig(members []*takeoverMember, settings takeoverSettings) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, takeoverClusterFormat,
+		m.raft, m.gossip, zoneName(m.index), takeoverShards, settings.leaseDuration.Duration())
+	for _, member := range members {
+		fmt.Fprintf(&text, takeoverMemberFormat, member.name, member.raft, member.gossip)
+	}
+	text.WriteString("}\n")
+	return text.String()
+}
+
+// grantsKnown counts the leases that were ever granted as far as the member knows; 0 if it does not answer or if
+// nothing is shared.
+func (m *takeoverMember) grantsKnown(shared bool) uint64 {
+	if !shared {
+		return 0
+	}
+	text, err := cluster.Request(m.raft, statusTimeout, "STATUS")
+	if err != nil {
+		return 0
+	}
+	var status cluster.Status
+	if json.Unmarshal([]byte(text), &status) != nil {
+		return 0
+	}
+	var grants uint64
+	for _, shard := range status.Shards {
+		grants += shard.Epoch
+	}
+	return grants
+}
