--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -23,7 +23,7 @@
 )
 
 // lostZone is the zone that zoneLossFile loses.
-const lostZone = "partick" //nolint:misspell // a name of the scenario files
+const lostZone = "partick"
 
 // The instances of most tests: one in each zone, or one in the first zone only.
 var (
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -179,7 +179,7 @@
 		Silent:   block.Yes("silent", false),
 		Group:    block.Maybe("group"),
 	}
-	if _, known := stepKinds[step.Kind]; !known {
+	if _, known := stepActions[step.Kind]; !known {
 		block.Fault("", "step: no kind %q; there are %v", step.Kind, StepKinds())
 	}
 	if step.Zone != "" && !slices.Contains(s.Zones, step.Zone) {
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -195,7 +195,7 @@
 	for _, step := range r.script.Steps {
 		r.loop.At(r.started+step.At, func() {
 			r.progress("%s %s", step.Kind, step.Zone)
-			stepKinds[step.Kind].apply(r, step)
+			stepActions[step.Kind](r, step)
 		})
 	}
 }
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -11,38 +11,82 @@
 // StepKind names what a step does, as scenario files spell it.
 type StepKind string
 
-// The kinds of steps; stepKinds says what each does.
+// Steps that affect instances of the control plane, or a whole zone.
 const (
-	ZoneLoss          StepKind = "zone_loss"
-	InstanceCrash     StepKind = "governor_crash"
-	InstanceRoll      StepKind = "governor_roll"
-	InstanceStall     StepKind = "governor_stall"
-	ProxyCrash        StepKind = "forwarder_crash"
-	ProxyStall        StepKind = "forwarder_stall"
-	ProxyReconnect    StepKind = "reconnect"
-	ProxyPartition    StepKind = "one_sided"
-	LoadReportsLate   StepKind = "sums_late"
-	NeverAcknowledge  StepKind = "never_ack"
+	// ZoneLoss: the zone's replicas, proxies and instances end and come back cold. Silent: its replicas stay but answer
+	// nothing.
+	ZoneLoss StepKind = "zone_loss"
+	// InstanceCrash: a fraction of the instances is killed and restarted, Number times, about Size seconds apart.
+	InstanceCrash StepKind = "governor_crash"
+	// InstanceRoll: a fraction of the instances restarts one after the other, by graceful shutdown.
+	InstanceRoll StepKind = "governor_roll"
+	// InstanceStall: a fraction of the instances is stopped and continued.
+	InstanceStall StepKind = "governor_stall"
+)
+
+// Steps that affect proxies or the requests of their clients.
+const (
+	// ProxyCrash: a fraction of the proxies ends and starts again.
+	ProxyCrash StepKind = "forwarder_crash"
+	// ProxyStall: a fraction of the proxies stands still for Size seconds, Number times.
+	ProxyStall StepKind = "forwarder_stall"
+	// ProxyReconnect: a fraction of the proxies loses its stream.
+	ProxyReconnect StepKind = "reconnect"
+	// ProxyPartition: a fraction of the proxies cannot reach its first instance.
+	ProxyPartition StepKind = "one_sided"
+	// LoadReportsLate: the proxies send their load reports Size seconds late.
+	LoadReportsLate StepKind = "sums_late"
+	// NeverAcknowledge: a fraction of the proxies acknowledges nothing.
+	NeverAcknowledge StepKind = "never_ack"
+	// ProxyMisbehaviour: a fraction of the proxies ignores withdrawals (Group "shuts") or retries any failure (Group
+	// "repeats").
 	ProxyMisbehaviour StepKind = "disobey"
-	RegistryFails     StepKind = "list_down"
-	RegistrySilent    StepKind = "list_silent"
-	RegistryLate      StepKind = "list_late"
+	// HeavyTail: a fraction of the requests costs Size times the work.
+	HeavyTail StepKind = "heavy_tail"
+)
+
+// Steps that affect the endpoint registry.
+const (
+	// RegistryFails: the registry answers 500.
+	RegistryFails StepKind = "list_down"
+	// RegistrySilent: the registry accepts requests and answers nothing.
+	RegistrySilent StepKind = "list_silent"
+	// RegistryLate: the registry answers Size seconds late.
+	RegistryLate StepKind = "list_late"
+	// RegistryTruncates: the registry ends its answers halfway.
 	RegistryTruncates StepKind = "list_half"
+	// RegistryIndexBack: the registry's index goes back.
 	RegistryIndexBack StepKind = "list_back"
-	ReplicaVanish     StepKind = "vanish"
-	ReplicaSlow       StepKind = "slow"
-	NoisyNeighbor     StepKind = "neighbour"
-	AllReplicasSlow   StepKind = "shared_slow"
-	ReplicaAging      StepKind = "ageing"
-	ReplicaFlapping   StepKind = "flapping"
-	Deploy            StepKind = "deploy"
-	Drain             StepKind = "drain"
-	Grow              StepKind = "grow"
-	HeavyTail         StepKind = "heavy_tail"
-	OperationFails    StepKind = "class_fail"
-	FewerConnections  StepKind = "conn_squeeze"
-	SlowHandshake     StepKind = "handshake_slow"
-	FalseReports      StepKind = "false_reports"
+)
+
+// Steps that affect replicas.
+const (
+	// ReplicaVanish: a fraction of the replicas answers nothing, then comes back cold.
+	ReplicaVanish StepKind = "vanish"
+	// ReplicaSlow: a fraction of the replicas takes Size times as long.
+	ReplicaSlow StepKind = "slow"
+	// NoisyNeighbor: a fraction of the replicas takes Size times as long, on and off each second.
+	NoisyNeighbor StepKind = "neighbour"
+	// AllReplicasSlow: all replicas take Size times as long.
+	AllReplicasSlow StepKind = "shared_slow"
+	// ReplicaAging: a fraction of the replicas becomes slower up to Size times, then restarts cold.
+	ReplicaAging StepKind = "ageing"
+	// ReplicaFlapping: a fraction of the replicas answers nothing every other second.
+	ReplicaFlapping StepKind = "flapping"
+	// Deploy: a fraction of the replicas is replaced, Number at a time: drained for Size seconds, then restarted cold.
+	Deploy StepKind = "deploy"
+	// Drain: a fraction of the replicas drains (Group "but-one": all but the last one).
+	Drain StepKind = "drain"
+	// Grow: each zone gets Number more replicas, cold.
+	Grow StepKind = "grow"
+	// OperationFails: a fraction of the replicas fails the operation that Group names.
+	OperationFails StepKind = "class_fail"
+	// FewerConnections: all replicas accept only Number connections.
+	FewerConnections StepKind = "conn_squeeze"
+	// SlowHandshake: a new connection costs all replicas Size times the work.
+	SlowHandshake StepKind = "handshake_slow"
+	// FalseReports: a fraction of the replicas reports that it is idle.
+	FalseReports StepKind = "false_reports"
 )
 
 // The groups that narrow some kinds of steps down.
@@ -52,137 +96,42 @@
 	groupRetriesAnything    = "repeats" // ProxyMisbehaviour
 )
 
-// stepKind describes a kind of step and carries it out.
-type stepKind struct {
-	about string // what it does, and what Fraction, Size, Number and Group mean
-	apply func(r *runner, step Step)
-}
-
-var stepKinds = map[StepKind]stepKind{
-	ZoneLoss: {
-		"the zone's replicas, proxies and instances end and come back cold (Silent: replicas stay but answer nothing)",
-		(*runner).loseZone,
-	},
-	InstanceCrash: {
-		"a fraction of the instances is killed and restarted, Number times, about Size seconds apart",
-		(*runner).crashInstances,
-	},
-	InstanceRoll: {
-		"a fraction of the instances restarts one after the other, by graceful shutdown",
-		(*runner).rollInstances,
-	},
-	InstanceStall: {
-		"a fraction of the instances is stopped and continued",
-		(*runner).stallInstances,
-	},
-	ProxyCrash: {
-		"a fraction of the proxies ends and starts again",
-		(*runner).crashProxies,
-	},
-	ProxyStall: {
-		"a fraction of the proxies stands still for Size seconds, Number times",
-		(*runner).stallProxies,
-	},
-	ProxyReconnect: {
-		"a fraction of the proxies loses its stream",
-		(*runner).breakStreams,
-	},
-	ProxyPartition: {
-		"a fraction of the proxies cannot reach its first instance",
-		(*runner).partitionProxies,
-	},
-	LoadReportsLate: {
-		"the proxies send their load reports Size seconds late",
-		(*runner).delayLoadReports,
-	},
-	NeverAcknowledge: {
-		"a fraction of the proxies acknowledges nothing",
-		(*runner).stopAcknowledging,
-	},
-	ProxyMisbehaviour: {
-		`a fraction of the proxies ignores withdrawals (Group "shuts") or retries any failure (Group "repeats")`,
-		(*runner).misbehave,
-	},
-	RegistryFails: {
-		"the registry answers 500",
-		func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{Fails: true}) },
-	},
-	RegistrySilent: {
-		"the registry accepts requests and answers nothing",
-		func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{Silent: true}) },
-	},
-	RegistryLate: {
-		"the registry answers Size seconds late",
-		func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{Late: seconds(step.Size)}) },
-	},
-	RegistryTruncates: {
-		"the registry ends its answers halfway",
-		func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{Half: true}) },
-	},
-	RegistryIndexBack: {
-		"the registry's index goes back",
-		func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{IndexBack: true}) },
-	},
-	ReplicaVanish: {
-		"a fraction of the replicas answers nothing, then comes back cold",
-		func(r *runner, step Step) { r.disturbReplicas(step, r.silence, r.restartCold) },
-	},
-	ReplicaSlow: {
-		"a fraction of the replicas takes Size times as long",
-		func(r *runner, step Step) { r.disturbReplicas(step, slowdown(step.Size), slowdown(1)) },
-	},
-	NoisyNeighbor: {
-		"a fraction of the replicas takes Size times as long, on and off each second",
-		(*runner).alternateSpeed,
-	},
-	AllReplicasSlow: {
-		"all replicas take Size times as long",
-		(*runner).slowAllReplicas,
-	},
-	ReplicaAging: {
-		"a fraction of the replicas becomes slower up to Size times, then restarts cold",
-		(*runner).ageReplicas,
-	},
-	ReplicaFlapping: {
-		"a fraction of the replicas answers nothing every other second",
-		(*runner).flapReplicas,
-	},
-	Deploy: {
-		"a fraction of the replicas is replaced, Number at a time: drained for Size seconds, then restarted cold",
-		(*runner).deploy,
-	},
-	Drain: {
-		`a fraction of the replicas drains (Group "but-one": all but the last one)`,
-		(*runner).drainReplicas,
-	},
-	Grow: {
-		"each zone gets Number more replicas, cold",
-		(*runner).grow,
-	},
-	HeavyTail: {
-		"a fraction of the requests costs Size times the work",
-		(*runner).makeTailHeavy,
-	},
-	OperationFails: {
-		"a fraction of the replicas fails the operation that Group names",
-		(*runner).failOperation,
-	},
-	FewerConnections: {
-		"all replicas accept only Number connections",
-		(*runner).limitConnections,
-	},
-	SlowHandshake: {
-		"a new connection costs all replicas Size times the work",
-		(*runner).slowHandshakes,
-	},
-	FalseReports: {
-		"a fraction of the replicas reports that it is idle",
-		(*runner).falsifyReports,
-	},
+// stepActions carry out the kinds of steps.
+var stepActions = map[StepKind]func(r *runner, step Step){
+	ZoneLoss:          (*runner).loseZone,
+	InstanceCrash:     (*runner).crashInstances,
+	InstanceRoll:      (*runner).rollInstances,
+	InstanceStall:     (*runner).stallInstances,
+	ProxyCrash:        (*runner).crashProxies,
+	ProxyStall:        (*runner).stallProxies,
+	ProxyReconnect:    (*runner).breakStreams,
+	ProxyPartition:    (*runner).partitionProxies,
+	LoadReportsLate:   (*runner).delayLoadReports,
+	NeverAcknowledge:  (*runner).stopAcknowledging,
+	ProxyMisbehaviour: (*runner).misbehave,
+	RegistryFails:     func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{Fails: true}) },
+	RegistrySilent:    func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{Silent: true}) },
+	RegistryLate:      func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{Late: seconds(step.Size)}) },
+	RegistryTruncates: func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{Half: true}) },
+	RegistryIndexBack: func(r *runner, step Step) { r.disturbRegistry(step, registry.Trouble{IndexBack: true}) },
+	ReplicaVanish:     func(r *runner, step Step) { r.disturbReplicas(step, r.silence, r.restartCold) },
+	ReplicaSlow:       func(r *runner, step Step) { r.disturbReplicas(step, slowdown(step.Size), slowdown(1)) },
+	NoisyNeighbor:     (*runner).alternateSpeed,
+	AllReplicasSlow:   (*runner).slowAllReplicas,
+	ReplicaAging:      (*runner).ageReplicas,
+	ReplicaFlapping:   (*runner).flapReplicas,
+	Deploy:            (*runner).deploy,
+	Drain:             (*runner).drainReplicas,
+	Grow:              (*runner).grow,
+	HeavyTail:         (*runner).makeTailHeavy,
+	OperationFails:    (*runner).failOperation,
+	FewerConnections:  (*runner).limitConnections,
+	SlowHandshake:     (*runner).slowHandshakes,
+	FalseReports:      (*runner).falsifyReports,
 }
 
 // StepKinds gives the names of all kinds of steps, sorted.
-func StepKinds() []StepKind { return slices.Sorted(maps.Keys(stepKinds)) }
+func StepKinds() []StepKind { return slices.Sorted(maps.Keys(stepActions)) }
 
 // misbehaviourOf says what the proxies do wrong that a group of ProxyMisbehaviour names.
 func misbehaviourOf(group string) proxy.Disobey {
