--- /dev/null
+++ b/internal/benchmark/watch_test.go
@@ -0,0 +1,77 @@
+package benchmark
+
+import (
+	"slices"
+	"testing"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+)
+
+func opened(at model.Microseconds, proxy, instance string) invariants.Stream {
+	return invariants.Stream{At: at, Forwarder: proxy, Governor: instance, Up: true}
+}
+
+func lost(at model.Microseconds, proxy, instance string) invariants.Stream {
+	return invariants.Stream{At: at, Forwarder: proxy, Governor: instance}
+}
+
+func TestStreamWatchMeasuresTheGapsBetweenStreams(t *testing.T) {
+	watch := newStreamWatch()
+	for _, event := range []invariants.Stream{
+		lost(1, "never connected", "a"),
+		opened(10, "p", "a"),
+		opened(10, "q", "a"),
+		lost(20, "p", "a"),
+		lost(25, "p", "a"), // a failed attempt to connect
+		opened(50, "p", "a"),
+		lost(60, "q", "a"),
+	} {
+		watch.observe(event)
+	}
+	if connected, streams := watch.count(); connected != 1 || streams != 3 {
+		t.Errorf("%d connected after %d streams, want 1 after 3", connected, streams)
+	}
+	if gaps := watch.sortedGaps(); !slices.Equal(gaps, []model.Microseconds{30}) {
+		t.Errorf("gaps %v, want one of 30", gaps)
+	}
+}
+
+func TestTakeoverWatchMeasuresTheOrphansOnly(t *testing.T) {
+	watch := newTakeoverWatch()
+	watch.observe(opened(1, "orphan", "killed"))
+	watch.observe(opened(1, "other", "survivor"))
+	watch.beginRound("killed", 100)
+	if watch.allOrphansBound() {
+		t.Error("the orphan counts as bound before any message")
+	}
+	bind := &pubsubmsg.Message{Bound: true}
+	watch.observe(lost(101, "orphan", "killed"))
+	watch.observe(lost(102, "other", "survivor"))
+	watch.messageApplied(105, "orphan", "killed", bind) // sent before the kill
+	watch.messageApplied(110, "other", "survivor", bind)
+	watch.messageApplied(130, "orphan", "survivor", &pubsubmsg.Message{})
+	watch.messageApplied(150, "orphan", "survivor", bind)
+	watch.messageApplied(170, "orphan", "survivor", bind)
+	if !watch.allOrphansBound() {
+		t.Error("the orphan is not bound")
+	}
+	if !slices.Equal(watch.firstMessage, []model.Microseconds{30}) {
+		t.Errorf("first messages after %v, want one after 30", watch.firstMessage)
+	}
+	if !slices.Equal(watch.firstBound, []model.Microseconds{50}) {
+		t.Errorf("bound after %v, want one after 50", watch.firstBound)
+	}
+	if watch.brokenOthers != 1 {
+		t.Errorf("%d streams to other instances broke, want 1", watch.brokenOthers)
+	}
+	watch.endRound()
+	watch.observe(lost(200, "other", "survivor"))
+	if watch.brokenOthers != 1 {
+		t.Error("a stream that breaks between two rounds counts")
+	}
+	if count := watch.proxiesOf("survivor"); count != 1 {
+		t.Errorf("%d proxies of the survivor, want 1", count)
+	}
+}
