--- /dev/null
+++ b/internal/controller/check.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+
+	"peppervale/internal/model"
+)
+
+// Errors of Check.
+var (
+	ErrNoZones                  = errors.New("no zones")
+	ErrPeriodOrQueueNotPositive = errors.New("the period and the queue must be above 0")
+)
+
+// OperationCountError tells that a configuration has no operation, or more than model.MaxOperations.
+type OperationCountError struct {
+	Count int // operations configured
+}
+
+// Error implements error.
+func (e *OperationCountError) Error() string {
+	return fmt.Sprintf("%d operations; 1 to %d are handled", e.Count, model.MaxOperations)
+}
+
+// Check returns an error if the balancer cannot run with a configuration: an *OperationCountError, ErrNoZones or
+// ErrPeriodOrQueueNotPositive.
+func Check(config model.Config) error {
+	operations := len(config.Operations)
+	switch {
+	case operations == 0 || operations > model.MaxOperations:
+		return &OperationCountError{Count: operations}
+	case config.Zones == 0:
+		return ErrNoZones
+	case config.ReportPeriod <= 0 || config.QueueLimit <= 0:
+		return ErrPeriodOrQueueNotPositive
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/controller/eventloop.go
@@ -0,0 +1,149 @@
+package controller
+
+import (
+	"time"
+
+	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
+)
+
+// gatherPeriod is how long the loop waits after the first event, so that many proxies which connect at once make one
+// step.
+const gatherPeriod = 2 * time.Millisecond
+
+// loop takes a step whenever the balancer's timer fires or events have arrived, until Stop.
+func (c *Controller) loop() {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		timer.Reset(max(0, (c.wakeAt - c.now()).Duration()))
+		select {
+		case <-c.stop:
+			return
+		case <-timer.C:
+		case <-c.mailbox.signal:
+			if c.stoppedWhileGathering() {
+				return
+			}
+		}
+		c.step()
+	}
+}
+
+// stoppedWhileGathering waits for gatherPeriod and reports whether Stop was called meanwhile.
+func (c *Controller) stoppedWhileGathering() bool {
+	select {
+	case <-c.stop:
+		return true
+	case <-time.After(gatherPeriod):
+		return false
+	}
+}
+
+// step hands everything that has arrived to the balancer and publishes what it decides.
+func (c *Controller) step() {
+	now := c.now()
+	events := c.mailbox.drain(c.reportBudget.refill(now))
+	c.reportBudget.spend(len(events.reports))
+
+	c.deliverEndpoints(now, events.endpoints)
+	c.deliverProxyEvents(now, events.proxies)
+	c.deliverReports(now, events.reports)
+	c.fireTimer(now)
+	c.finishStep(now)
+}
+
+// finishStep lets the balancer decide, publishes the result and makes the step visible to readers.
+func (c *Controller) finishStep(now model.Microseconds) {
+	c.balancer.Flush(now)
+	c.publish(now)
+	c.decisions.closeStep(now, c.pending.Updates)
+	c.pending = newBatch()
+	c.storeView(now)
+}
+
+// deliverEndpoints hands endpoint discovery's newest event on; nil: there was none.
+func (c *Controller) deliverEndpoints(now model.Microseconds, event *endpointEvent) {
+	if event == nil {
+		return
+	}
+	c.decisions.addInput(inputEndpoints, endpointUpdateNames[event.update], len(event.entries))
+	c.balancer.EndpointsChanged(now, event.update, event.entries)
+	c.endpoints.apply(now, event)
+	if event.update == model.FullList {
+		c.latestReports.dropUnlisted(c.endpoints.byID)
+	}
+}
+
+func (c *Controller) deliverProxyEvents(now model.Microseconds, events []proxyEvents) {
+	for i := range events {
+		event := &events[i]
+		if event.disconnected {
+			c.deliverDisconnected(now, event.proxy)
+		}
+		if event.connected {
+			c.deliverConnected(now, event)
+		}
+		if event.acknowledged != noSequence {
+			c.deliverAcknowledged(now, event)
+		}
+	}
+}
+
+func (c *Controller) deliverDisconnected(now model.Microseconds, id model.ProxyID) {
+	proxy, known := c.proxies[id]
+	if !known {
+		return
+	}
+	c.balancer.ProxyDisconnected(now, id)
+	c.decisions.addInput(inputDisconnected, proxy.Name)
+	delete(c.proxies, id)
+}
+
+func (c *Controller) deliverConnected(now model.Microseconds, event *proxyEvents) {
+	c.proxyServer.AdmitProxy(event.proxy, event.stream)
+	c.balancer.ProxyConnected(now, event.proxy, event.zone, event.join.ExpectedRate)
+	c.proxies[event.proxy] = Proxy{
+		Name:            event.join.Name,
+		Zone:            event.zone,
+		ExpectedRate:    event.join.ExpectedRate,
+		OnStandingTable: event.join.OnStandingTable,
+		ConnectedAt:     now,
+	}
+	c.decisions.addInput(inputConnected, event.join.Name)
+}
+
+func (c *Controller) deliverAcknowledged(now model.Microseconds, event *proxyEvents) {
+	if _, known := c.proxies[event.proxy]; !known {
+		return
+	}
+	c.decisions.addAcknowledgement()
+	c.balancer.Acknowledged(now, event.proxy, uint32(event.acknowledged))
+}
+
+func (c *Controller) deliverReports(now model.Microseconds, reports []model.LoadReport) {
+	for _, report := range reports {
+		c.balancer.LoadReported(now, report)
+	}
+	c.latestReports.add(now, reports)
+	c.decisions.addReports(len(reports))
+}
+
+func (c *Controller) fireTimer(now model.Microseconds) {
+	if now < c.wakeAt {
+		return
+	}
+	c.decisions.addTimer()
+	c.balancer.TimerFired(now)
+}
+
+// publish sends what has been gathered, if it concerns any proxy.
+func (c *Controller) publish(now model.Microseconds) {
+	if c.pending.Empty() && c.pending.AckSequence == snapshot.NoAckSequence {
+		return
+	}
+	c.pending.At = now
+	c.proxyServer.Publish(c.pending)
+}
+
+func newBatch() *snapshot.Batch { return &snapshot.Batch{AckSequence: snapshot.NoAckSequence} }
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -7,173 +7,182 @@
 	"peppervale/internal/model"
 )
 
-// mailbox keeps what came for the module. It is free of I/O; every method returns at once.
+// noSequence stands where no acknowledgement is waiting.
+const noSequence = -1
+
+// mailbox keeps the events that wait for the balancer: of each proxy, of the endpoint list and of each replica and zone
+// only the newest state. It does no I/O, and every method returns at once. It may be used from any goroutine.
 type mailbox struct {
-	mu      sync.Mutex
-	signal  chan struct{}
-	zones   int
-	streams map[model.ProxyID]*slot
-	dirty   []*slot // in the order of their first news
-	list    *news   // the newest
-	sums    map[key]*folded
-	turn    []key // in the order of the oldest news
-	folds   uint64
-}
-
-// slot is what waits of one forwarder.
-type slot struct {
-	proxy   model.ProxyID
-	dirty   bool
-	stream  uint64 // the newest that came; 0: none is open
-	join    pubsubmsg.Join
-	zone    int
-	joined  bool // a join waits
-	left    bool // the stream that the module knows of has ended
-	receipt int  // -1: none waits
-}
-
-type news struct {
-	scope   model.EndpointUpdate
-	entries []model.Endpoint
+	signal chan struct{} // has a value while a step is wanted
+
+	mu        sync.Mutex
+	proxies   map[model.ProxyID]*proxySlot // those with an open stream or with waiting events
+	waiting   []*proxySlot                 // those with waiting events, in the order of their first one
+	endpoints *endpointEvent               // nil: none waits
+	reports   pendingReports
+}
+
+// proxyEvents are the events of one proxy that wait, in the order in which they are delivered.
+type proxyEvents struct {
+	proxy  model.ProxyID
+	stream uint64 // the newest that was opened; 0: none is open
+	join   pubsubmsg.Join
+	zone   int
+
+	disconnected bool // the stream that the balancer knows of has ended
+	connected    bool // the newest stream is not known to the balancer
+	acknowledged int  // the newest acknowledgement sequence, or noSequence
 }
 
-type key struct {
-	zone    int
-	replica model.ReplicaID
+// proxySlot is the mailbox's state of one proxy.
+type proxySlot struct {
+	proxyEvents
+	isWaiting bool // it is in mailbox.waiting
 }
 
-type folded struct {
-	sum   model.LoadReport
-	time  float64 // of the good tries together, microseconds
-	ready bool    // its period has passed once: it waits for its turn only
+// clearEvents forgets the events, which have been taken.
+func (s *proxySlot) clearEvents() {
+	s.isWaiting = false
+	s.disconnected = false
+	s.connected = false
+	s.acknowledged = noSequence
+}
+
+// endpointEvent is what endpoint discovery told last.
+type endpointEvent struct {
+	update  model.EndpointUpdate
+	entries []model.Endpoint
+}
+
+// receivedEvents is what one step hands to the balancer.
+type receivedEvents struct {
+	endpoints *endpointEvent // nil: none came
+	proxies   []proxyEvents
+	reports   []model.LoadReport
 }
 
 func newMailbox() *mailbox {
-	return &mailbox{signal: make(chan struct{}, 1), streams: map[model.ProxyID]*slot{}, sums: map[key]*folded{}}
+	return &mailbox{
+		signal:  make(chan struct{}, 1),
+		proxies: map[model.ProxyID]*proxySlot{},
+		reports: pendingReports{byKey: map[reportKey]*mergedReport{}},
+	}
 }
 
-func (m *mailbox) ring() {
+// wake asks for a step.
+func (m *mailbox) wake() {
 	select {
 	case m.signal <- struct{}{}:
 	default:
 	}
 }
 
-// of gives a forwarder's slot and notes that there is news in it; m.mu is held.
-func (m *mailbox) of(p model.ProxyID) *slot {
-	s := m.streams[p]
-	if s == nil {
-		s = &slot{proxy: p, receipt: -1}
-		m.streams[p] = s
+// waitingSlot returns a proxy's slot and enters it among those with waiting events. The caller holds m.mu.
+func (m *mailbox) waitingSlot(proxy model.ProxyID) *proxySlot {
+	slot := m.proxies[proxy]
+	if slot == nil {
+		slot = &proxySlot{proxyEvents: proxyEvents{proxy: proxy, acknowledged: noSequence}}
+		m.proxies[proxy] = slot
 	}
-	if !s.dirty {
-		s.dirty = true
-		m.dirty = append(m.dirty, s)
+	if !slot.isWaiting {
+		slot.isWaiting = true
+		m.waiting = append(m.waiting, slot)
 	}
-	return s
+	return slot
 }
 
-// ProxyConnected notes a forwarder's new stream; a join that still waited is replaced by it.
-func (m *mailbox) ProxyConnected(p model.ProxyID, stream uint64, j pubsubmsg.Join, zone int) {
+// hasNewest reports whether a stream is the newest of its proxy. The caller holds m.mu.
+func (m *mailbox) hasNewest(proxy model.ProxyID, stream uint64) bool {
+	slot := m.proxies[proxy]
+	return slot != nil && slot.stream == stream
+}
+
+func (m *mailbox) proxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.of(p)
-	s.stream, s.join, s.zone, s.joined, s.receipt = stream, j, zone, true, -1
-	m.ring()
+	slot := m.waitingSlot(proxy)
+	slot.stream = stream
+	slot.join = join
+	slot.zone = zone
+	slot.connected = true
+	slot.acknowledged = noSequence
+	m.wake()
 }
 
-// ProxyDisconnected notes a stream's end; that of an older stream than the newest says nothing.
-func (m *mailbox) ProxyDisconnected(p model.ProxyID, stream uint64) {
+func (m *mailbox) proxyDisconnected(proxy model.ProxyID, stream uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if s := m.streams[p]; s != nil && s.stream == stream {
-		s = m.of(p)
-		s.stream, s.joined, s.left, s.receipt = 0, false, true, -1
-		m.ring()
+	if !m.hasNewest(proxy, stream) {
+		return
 	}
+	slot := m.waitingSlot(proxy)
+	slot.stream = 0
+	slot.connected = false
+	slot.disconnected = true
+	slot.acknowledged = noSequence
+	m.wake()
 }
 
-// Acknowledged notes a receipt of the newest stream; it covers those before it.
-func (m *mailbox) Acknowledged(p model.ProxyID, stream uint64, receipt uint32) {
+// acknowledged is ignored while the stream's connection itself waits: nothing can have been sent over it.
+func (m *mailbox) acknowledged(proxy model.ProxyID, stream uint64, sequence uint32) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if s := m.streams[p]; s != nil && s.stream == stream && !s.joined {
-		m.of(p).receipt = int(receipt)
-		m.ring()
+	if !m.hasNewest(proxy, stream) || m.proxies[proxy].connected {
+		return
 	}
+	m.waitingSlot(proxy).acknowledged = int(sequence)
+	m.wake()
 }
 
-// LoadReported folds a forwarder's sums into those of its zone.
-func (m *mailbox) LoadReported(zone int, sums []model.LoadReport) {
+// loadReported does not ask for a step: reports wait for the next one.
+func (m *mailbox) loadReported(zone int, reports []model.LoadReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, n := range sums {
-		if n.Attempts <= 0 {
-			continue
-		}
-		k := key{zone, n.Replica}
-		f := m.sums[k]
-		if f == nil {
-			f = &folded{sum: model.LoadReport{Zone: zone, Replica: n.Replica}}
-			m.sums[k] = f
-			m.turn = append(m.turn, k)
-		} else if f.ready {
-			m.folds++
-		}
-		f.sum.Attempts += n.Attempts
-		f.sum.Errors += n.Errors
-		f.sum.Window = max(f.sum.Window, n.Window)
-		f.time += float64(n.Attempts-n.Errors) * float64(n.MeanLatency)
-		if len(n.Readings) > 0 {
-			f.sum.Readings = n.Readings
-		}
+	for i := range reports {
+		m.reports.add(zone, &reports[i])
 	}
 }
 
-// EndpointsChanged notes news of the machine list. A whole list replaces what waits; a failed call never hides one.
-func (m *mailbox) EndpointsChanged(scope model.EndpointUpdate, entries []model.Endpoint) {
+// endpointsChanged replaces the event that waits. A failed poll does not replace a list; then the list counts as a
+// complete one, and the balancer subscribes anew at the next failure.
+func (m *mailbox) endpointsChanged(update model.EndpointUpdate, entries []model.Endpoint) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if scope == model.PollFailed && m.list != nil && m.list.scope != model.PollFailed {
-		m.list.scope = model.FullList // the module asks again at its next failure
+	listWaits := m.endpoints != nil && m.endpoints.update != model.PollFailed
+	if update == model.PollFailed && listWaits {
+		m.endpoints.update = model.FullList
 		return
 	}
-	m.list = &news{scope, entries}
-	m.ring()
+	m.endpoints = &endpointEvent{update, entries}
+	m.wake()
 }
 
-// taken is what a step hands to the module.
-type taken struct {
-	list  *news
-	slots []slot
-	sums  []model.LoadReport
-}
-
-// take empties the mailbox but for sums beyond most.
-func (m *mailbox) take(most int) (t taken) {
+// drain takes everything that waits, but at most reportLimit load reports.
+func (m *mailbox) drain(reportLimit int) receivedEvents {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t.list, m.list = m.list, nil
-	for _, s := range m.dirty {
-		t.slots = append(t.slots, *s)
-		s.dirty, s.joined, s.left, s.receipt = false, false, false, -1
-		if s.stream == 0 {
-			delete(m.streams, s.proxy)
-		}
-	}
-	m.dirty = nil
-	n := min(most, len(m.turn))
-	for _, k := range m.turn[:n] {
-		f := m.sums[k]
-		if good := f.sum.Attempts - f.sum.Errors; good > 0 {
-			f.sum.MeanLatency = model.Microseconds(f.time / float64(good))
+	events := receivedEvents{endpoints: m.endpoints, proxies: m.drainProxies(), reports: m.reports.take(reportLimit)}
+	m.endpoints = nil
+	return events
+}
+
+// drainProxies forgets a proxy whose stream has ended. The caller holds m.mu.
+func (m *mailbox) drainProxies() []proxyEvents {
+	var events []proxyEvents
+	for _, slot := range m.waiting {
+		events = append(events, slot.proxyEvents)
+		slot.clearEvents()
+		if slot.stream == 0 {
+			delete(m.proxies, slot.proxy)
 		}
-		t.sums = append(t.sums, f.sum)
-		delete(m.sums, k)
 	}
-	m.turn = append([]key(nil), m.turn[n:]...)
-	for _, k := range m.turn {
-		m.sums[k].ready = true
-	}
-	return t
+	m.waiting = nil
+	return events
+}
+
+// reportCounts returns how many load reports wait and how many were merged since the start.
+func (m *mailbox) reportCounts() (pending int, merged uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.reports.order), m.reports.merged
 }
--- /dev/null
+++ b/internal/controller/mailbox_test.go
@@ -0,0 +1,105 @@
+package controller
+
+import (
+	"reflect"
+	"testing"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+)
+
+func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
+
+// Whatever came in which order, a proxy's newest state is one slot, and the balancer is told once of each stream's end.
+func TestMailboxKeepsNewestStateOfAProxy(t *testing.T) {
+	box := newMailbox()
+	box.proxyConnected(1, 10, pubsubmsg.Join{Name: "a", ExpectedRate: 1}, 0)
+	box.acknowledged(1, 10, 3) // before its connection was taken: nothing was sent yet
+	box.proxyDisconnected(1, 10)
+	box.proxyConnected(1, 11, pubsubmsg.Join{Name: "a", ExpectedRate: 2}, 1)
+	box.proxyDisconnected(1, 10) // the old stream's end comes late
+	got := box.drain(10).proxies
+	if len(got) != 1 || !got[0].connected || got[0].stream != 11 || got[0].join.ExpectedRate != 2 ||
+		got[0].acknowledged != noSequence {
+		t.Fatalf("after two connections: %+v", got)
+	}
+	box.acknowledged(1, 11, 4)
+	box.acknowledged(1, 11, 5)
+	box.acknowledged(1, 10, 9) // over the old stream
+	if got = box.drain(10).proxies; len(got) != 1 || got[0].acknowledged != 5 || got[0].connected {
+		t.Fatalf("after acknowledgements: %+v", got)
+	}
+	box.proxyDisconnected(1, 11)
+	if got = box.drain(10).proxies; len(got) != 1 || !got[0].disconnected {
+		t.Fatalf("after the end: %+v", got)
+	}
+	if len(box.proxies) != 0 || len(box.drain(10).proxies) != 0 {
+		t.Fatal("a disconnected proxy is kept")
+	}
+}
+
+// A hundred thousand connections, endpoint lists and load reports of one fleet wait in no more room than the fleet
+// takes.
+func TestMailboxIsBoundedByTheFleet(t *testing.T) {
+	box := newMailbox()
+	for n := range 100_000 {
+		box.proxyConnected(model.ProxyID(n%50), uint64(n+1), pubsubmsg.Join{}, 0)
+		box.loadReported(n%2, []model.LoadReport{
+			{Replica: id(byte(n % 30)), Attempts: 2, Errors: 1, MeanLatency: 100, Window: model.Second},
+		})
+		box.endpointsChanged(model.FullList, nil)
+	}
+	if len(box.waiting) != 50 || len(box.reports.byKey) != 30 || len(box.reports.order) != 30 {
+		t.Fatalf("%d proxies, %d reports", len(box.waiting), len(box.reports.byKey))
+	}
+	got := box.drain(4)
+	if len(got.proxies) != 50 || len(got.reports) != 4 || got.endpoints == nil {
+		t.Fatalf("%d proxies, %d reports", len(got.proxies), len(got.reports))
+	}
+	attempts, errors := 0, 0
+	for _, report := range append(got.reports, box.drain(100).reports...) {
+		attempts += report.Attempts
+		errors += report.Errors
+		if report.MeanLatency != 100 {
+			t.Fatalf("merged to %+v", report)
+		}
+	}
+	if attempts != 200_000 || errors != 100_000 {
+		t.Fatalf("%d attempts, %d errors: merging loses some", attempts, errors)
+	}
+}
+
+// Load reports that wait longer than a step are merged, and the merges are counted; means weigh by successful attempts.
+func TestMergedReportsAreCounted(t *testing.T) {
+	box := newMailbox()
+	report := func(attempts int, latency model.Microseconds) {
+		box.loadReported(0, []model.LoadReport{{
+			Replica: id(1), Attempts: attempts, MeanLatency: latency, Window: model.Second,
+			Readings: []float64{float64(attempts)},
+		}})
+	}
+	report(1, 100)
+	box.drain(0)
+	report(3, 200)
+	got := box.drain(1).reports
+	want := []model.LoadReport{
+		{Replica: id(1), Attempts: 4, MeanLatency: 175, Window: model.Second, Readings: []float64{3}},
+	}
+	if box.reports.merged != 1 || !reflect.DeepEqual(got, want) {
+		t.Fatalf("%d merged, %+v", box.reports.merged, got)
+	}
+}
+
+// A failed poll never hides a list that waits, and neither is lost.
+func TestFailedPollDoesNotReplaceWaitingList(t *testing.T) {
+	box := newMailbox()
+	box.endpointsChanged(model.FullList, []model.Endpoint{{ID: id(1)}})
+	box.endpointsChanged(model.PollFailed, nil)
+	if got := box.drain(0).endpoints; got == nil || got.update != model.FullList || len(got.entries) != 1 {
+		t.Fatalf("a list, then a failed poll: %+v", got)
+	}
+	box.endpointsChanged(model.PollFailed, nil)
+	if got := box.drain(0).endpoints; got == nil || got.update != model.PollFailed {
+		t.Fatalf("a failed poll alone: %+v", got)
+	}
+}
--- /dev/null
+++ b/internal/controller/pendingreports.go
@@ -0,0 +1,74 @@
+package controller
+
+import "peppervale/internal/model"
+
+// reportKey names a load report: there is at most one of each replica and zone of proxies.
+type reportKey struct {
+	zone    int
+	replica model.ReplicaID
+}
+
+// pendingReports merges the load reports that wait for the balancer, one for each replica and zone.
+type pendingReports struct {
+	byKey  map[reportKey]*mergedReport
+	order  []reportKey // in the order of their first report
+	merged uint64      // reports merged into one that a step had already left waiting
+}
+
+// mergedReport is a load report with what its mean is made from.
+type mergedReport struct {
+	report       model.LoadReport
+	totalLatency float64 // of the successful attempts together, microseconds
+	leftWaiting  bool    // a step had no room for it
+}
+
+// add merges a report into the one of its replica and zone. A report without attempts is ignored.
+func (p *pendingReports) add(zone int, report *model.LoadReport) {
+	if report.Attempts <= 0 {
+		return
+	}
+	key := reportKey{zone, report.Replica}
+	merged := p.byKey[key]
+	if merged == nil {
+		merged = &mergedReport{report: model.LoadReport{Zone: zone, Replica: report.Replica}}
+		p.byKey[key] = merged
+		p.order = append(p.order, key)
+	} else if merged.leftWaiting {
+		p.merged++
+	}
+	merged.add(report)
+}
+
+func (r *mergedReport) add(report *model.LoadReport) {
+	r.report.Attempts += report.Attempts
+	r.report.Errors += report.Errors
+	r.report.Window = max(r.report.Window, report.Window)
+	r.totalLatency += float64(report.Attempts-report.Errors) * float64(report.MeanLatency)
+	if len(report.Readings) > 0 {
+		r.report.Readings = report.Readings
+	}
+}
+
+// result returns the report with the mean over all successful attempts.
+func (r *mergedReport) result() model.LoadReport {
+	result := r.report
+	if succeeded := result.Attempts - result.Errors; succeeded > 0 {
+		result.MeanLatency = model.Microseconds(r.totalLatency / float64(succeeded))
+	}
+	return result
+}
+
+// take removes at most limit reports, the longest waiting first.
+func (p *pendingReports) take(limit int) []model.LoadReport {
+	var taken []model.LoadReport
+	count := min(limit, len(p.order))
+	for _, key := range p.order[:count] {
+		taken = append(taken, p.byKey[key].result())
+		delete(p.byKey, key)
+	}
+	p.order = append([]reportKey(nil), p.order[count:]...)
+	for _, key := range p.order {
+		p.byKey[key].leftWaiting = true
+	}
+	return taken
+}
--- /dev/null
+++ b/internal/controller/view.go
@@ -0,0 +1,108 @@
+package controller
+
+import (
+	"maps"
+	"sync/atomic"
+
+	"peppervale/internal/balancer"
+	"peppervale/internal/model"
+)
+
+// View is the state of a controller after a step. It is never written again and may be read from any goroutine.
+type View struct {
+	At               model.Microseconds // time of the step
+	SafeModeEnded    bool               // the balancer has left safe mode: weights follow load reports
+	ConnectedProxies int
+	ReadyReplicas    int                // replicas listed as ready
+	ListedReplicas   int                // replicas in the endpoint list
+	EndpointsAt      model.Microseconds // when the newest complete endpoint list came; 0: none has
+	Steps            uint64             // steps taken since the start
+	LongestStep      model.Microseconds // the longest that a step has taken
+	PendingReports   int                // load reports that wait for the balancer
+	MergedReports    uint64             // load reports merged because they came faster than the report limit
+	Detail           *Detail            // nil or out of date unless DetailedView was called in the last seconds
+}
+
+// Detail is a copy of all that a controller and its balancer know, taken only while somebody asks for it. It is never
+// written again.
+type Detail struct {
+	At        model.Microseconds // when it was copied
+	Balancer  *balancer.View
+	Proxies   map[model.ProxyID]Proxy
+	Endpoints map[model.ReplicaID]model.Endpoint
+}
+
+// Proxy is what a connected proxy said of itself.
+type Proxy struct {
+	Name            string
+	Zone            int                // index of its zone in the configuration
+	ExpectedRate    float64            // requests a second that it usually gets
+	OnStandingTable bool               // it still uses the table that it started with
+	ConnectedAt     model.Microseconds // when the balancer was told of it
+}
+
+// A Detail costs a copy of the fleet. It is renewed at most once each detailInterval, and only within
+// detailDemandPeriod after a call of DetailedView: two hundred viewers cost no more than one.
+const (
+	detailInterval     = 200 * model.Millisecond
+	detailDemandPeriod = 5 * model.Second
+)
+
+// viewStore holds the newest view and what the next one is made from. Its plain fields belong to the event loop.
+type viewStore struct {
+	current           atomic.Pointer[View]
+	detailRequestedAt atomic.Int64 // by the controller's clock, microseconds
+
+	detail      *Detail
+	detailAt    model.Microseconds
+	steps       uint64
+	longestStep model.Microseconds
+}
+
+// detailIsDue reports whether somebody is looking and the last copy is old enough.
+func (s *viewStore) detailIsDue(now model.Microseconds) bool {
+	requestedAt := model.Microseconds(s.detailRequestedAt.Load())
+	return now-requestedAt < detailDemandPeriod && now-s.detailAt >= detailInterval
+}
+
+// View returns the newest view; nil before the first step has ended. It costs nothing.
+func (c *Controller) View() *View { return c.views.current.Load() }
+
+// DetailedView returns the newest view and asks that views carry a Detail for the next seconds, from the next step on.
+func (c *Controller) DetailedView() *View {
+	c.views.detailRequestedAt.Store(int64(c.now()))
+	return c.views.current.Load()
+}
+
+// storeView ends a step that began at now: it stores the view that readers get from here on.
+func (c *Controller) storeView(now model.Microseconds) {
+	c.views.steps++
+	c.views.longestStep = max(c.views.longestStep, c.now()-now)
+	pendingReports, mergedReports := c.mailbox.reportCounts()
+	if c.views.detailIsDue(now) {
+		c.views.detailAt = now
+		c.views.detail = c.copyDetail(now)
+	}
+	c.views.current.Store(&View{
+		At:               now,
+		SafeModeEnded:    c.safeModeEnded,
+		ConnectedProxies: len(c.proxies),
+		ReadyReplicas:    c.endpoints.ready,
+		ListedReplicas:   len(c.endpoints.byID),
+		EndpointsAt:      c.endpoints.fullListAt,
+		Steps:            c.views.steps,
+		LongestStep:      c.views.longestStep,
+		PendingReports:   pendingReports,
+		MergedReports:    mergedReports,
+		Detail:           c.views.detail,
+	})
+}
+
+func (c *Controller) copyDetail(now model.Microseconds) *Detail {
+	return &Detail{
+		At:        now,
+		Balancer:  c.balancer.View(),
+		Proxies:   maps.Clone(c.proxies),
+		Endpoints: maps.Clone(c.endpoints.byID),
+	}
+}
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -35,6 +35,9 @@
 	RetryTwiceOnAnyFailure                    // two more after any failure
 )
 
+// MaxOperations is the most operations.
+const MaxOperations = 16
+
 // Operation is one kind of invocation.
 type Operation struct {
 	LatencyObjective Microseconds // latency objective
--- a/internal/snapshot/board.go
+++ b/internal/snapshot/board.go
@@ -44,6 +44,9 @@
 	At          model.Microseconds
 }
 
+// NoAckSequence stands where no acknowledgement is asked for.
+const NoAckSequence = -1
+
 // Empty tells a batch that reaches nobody.
 func (b *Batch) Empty() bool { return len(b.Updates) == 0 && !b.AckFromAll }
 
