--- /dev/null
+++ b/internal/snapshot/state.go
@@ -0,0 +1,168 @@
+package snapshot
+
+import (
+	"slices"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+)
+
+// State is the published state of one controller. Make it with New; its exported fields are to be read only.
+type State struct {
+	Incarnation uint64 // of the controller
+	Version     uint64 // counts the batches applied
+
+	Tables      map[model.TableID]*Table
+	Withdrawn   []model.ReplicaID // withdrawn replicas, in the order of their withdrawal
+	Quotas      []pubsubmsg.Quota // in the order in which they were first set
+	Subscribers []*Subscriber     // in the order of their subscription
+	ByProxy     map[model.ProxyID]*Subscriber
+
+	messageOverhead int // cost of a message beyond its entries, in entries
+	isWithdrawn     map[model.ReplicaID]bool
+}
+
+// New makes the empty state of one incarnation of a controller; messageOverhead is what a message costs beyond its
+// entries, in entries.
+func New(incarnation uint64, messageOverhead int) *State {
+	return &State{
+		Incarnation:     incarnation,
+		Tables:          map[model.TableID]*Table{},
+		ByProxy:         map[model.ProxyID]*Subscriber{},
+		messageOverhead: messageOverhead,
+		isWithdrawn:     map[model.ReplicaID]bool{},
+	}
+}
+
+// Subscribe adds a proxy, which uses its standing table. If it is subscribed already, the new subscription replaces the
+// old one.
+func (s *State) Subscribe(proxy model.ProxyID, name string) *Subscriber {
+	s.Unsubscribe(proxy)
+	subscriber := &Subscriber{
+		Proxy:       proxy,
+		Name:        name,
+		version:     s.Version,
+		ackSequence: NoAckSequence,
+		withdrawn:   map[model.ReplicaID]bool{},
+	}
+	s.ByProxy[proxy] = subscriber
+	s.Subscribers = append(s.Subscribers, subscriber)
+	return subscriber
+}
+
+// Unsubscribe removes a proxy, if it is subscribed.
+func (s *State) Unsubscribe(proxy model.ProxyID) {
+	subscriber := s.ByProxy[proxy]
+	if subscriber == nil {
+		return
+	}
+	delete(s.ByProxy, proxy)
+	s.Subscribers = removeSubscriber(s.Subscribers, subscriber)
+	subscriber.unbind()
+}
+
+// Apply brings the state up to date and makes one message for each subscriber concerned. An empty batch changes
+// nothing, also not the version.
+func (s *State) Apply(batch *Batch) []Delivery {
+	if batch.Empty() {
+		return nil
+	}
+	s.Version++
+	for i := range batch.Updates {
+		s.applyUpdate(&batch.Updates[i])
+	}
+	var deliveries []Delivery
+	for _, subscriber := range s.Subscribers {
+		if subscriber.pending != nil || batch.AckFromAll {
+			deliveries = append(deliveries, s.deliver(subscriber, batch))
+		}
+	}
+	return deliveries
+}
+
+func (s *State) applyUpdate(update *Update) {
+	switch update.Kind {
+	case SetWeight:
+		s.setWeight(update)
+	case BindProxy:
+		s.bindProxy(update)
+	case SetWithdrawn:
+		s.setWithdrawn(update)
+	case SetQuota:
+		s.setQuota(update.Quota)
+	}
+}
+
+func (s *State) table(id model.TableID) *Table {
+	table := s.Tables[id]
+	if table == nil {
+		table = newTable(id)
+		s.Tables[id] = table
+	}
+	return table
+}
+
+func (s *State) setWeight(update *Update) {
+	table := s.table(update.Table)
+	replica := update.Replica
+	isNew := !table.has(replica)
+	table.setWeight(replica, update.Weight)
+	for _, user := range table.users {
+		pending := user.pendingChanges()
+		if user.ZoneLocalTable == table {
+			pending.zoneLocal = append(pending.zoneLocal, replica)
+		} else {
+			pending.entries = append(pending.entries, replica)
+		}
+		// A withdrawal, or its end, was not told to those who had no entry for the replica: it comes with the entry.
+		if isNew && s.isWithdrawn[replica] != user.IsWithdrawn(replica) {
+			pending.withdrawals = append(pending.withdrawals, replica)
+		}
+	}
+}
+
+func (s *State) bindProxy(update *Update) {
+	subscriber := s.ByProxy[update.Proxy]
+	if subscriber == nil {
+		return
+	}
+	subscriber.bind(s.table(update.Table), update.Operations)
+	pending := subscriber.pendingChanges()
+	pending.bound = true
+	pending.readmitted = append(pending.readmitted, update.Readmitted...)
+}
+
+func (s *State) setWithdrawn(update *Update) {
+	replica := update.Replica
+	if update.Withdrawn != s.isWithdrawn[replica] {
+		s.recordWithdrawn(replica, update.Withdrawn)
+	}
+	for _, subscriber := range s.Subscribers {
+		if subscriber.mayUse(replica) {
+			pending := subscriber.pendingChanges()
+			pending.withdrawals = append(pending.withdrawals, replica)
+		}
+	}
+}
+
+func (s *State) recordWithdrawn(replica model.ReplicaID, withdrawn bool) {
+	if withdrawn {
+		s.isWithdrawn[replica] = true
+		s.Withdrawn = append(s.Withdrawn, replica)
+		return
+	}
+	delete(s.isWithdrawn, replica)
+	s.Withdrawn = slices.DeleteFunc(s.Withdrawn, func(r model.ReplicaID) bool { return r == replica })
+}
+
+func (s *State) setQuota(quota pubsubmsg.Quota) {
+	place := slices.IndexFunc(s.Quotas, func(q pubsubmsg.Quota) bool { return q.Operations == quota.Operations })
+	if place >= 0 {
+		s.Quotas[place] = quota
+	} else {
+		s.Quotas = append(s.Quotas, quota)
+	}
+	for _, subscriber := range s.Subscribers {
+		subscriber.pendingChanges().quotas = true
+	}
+}
