--- a/internal/model/stored_test.go
+++ b/internal/model/stored_test.go
@@ -5,26 +5,30 @@
 	"testing"
 )
 
-// TestListingStoredNames fixes the JSON of a stored endpoint list entry: state folders of earlier versions hold these bytes.
-func TestListingStoredNames(t *testing.T) {
-	listing := Endpoint{ID: ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 4, Status: EndpointDraining, StartedAt: 5_000_006}
+// TestEndpointStoredNames fixes the JSON of a stored endpoint: state stores of earlier versions hold these bytes.
+func TestEndpointStoredNames(t *testing.T) {
+	endpoint := Endpoint{
+		ID: ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 4, Status: EndpointDraining, StartedAt: 5_000_006,
+	}
 	const stored = `{"ID":{"Addr":[10,1,2,3],"Port":8081},"Zone":4,"Life":2,"Since":5000006}`
-	body, err := json.Marshal(listing)
+	body, err := json.Marshal(endpoint)
 	if err != nil || string(body) != stored {
 		t.Errorf("stored as %s, %v; want %s", body, err, stored)
 	}
 	var decoded Endpoint
-	if err := json.Unmarshal([]byte(stored), &decoded); err != nil || decoded != listing {
-		t.Errorf("read back as %+v, %v; want %+v", decoded, err, listing)
+	if err := json.Unmarshal([]byte(stored), &decoded); err != nil || decoded != endpoint {
+		t.Errorf("read back as %+v, %v; want %+v", decoded, err, endpoint)
 	}
 }
 
-// TestStoredNumbers fixes the numbers that stand for named values in stored data.
+// TestStoredNumbers fixes the numbers that stand for named values in stored data and on the wire.
 func TestStoredNumbers(t *testing.T) {
 	if EndpointGone != 0 || EndpointReady != 1 || EndpointDraining != 2 {
-		t.Errorf("lives are stored as gone %d, ready %d, draining %d; want 0, 1, 2", EndpointGone, EndpointReady, EndpointDraining)
+		t.Errorf("statuses are stored as gone %d, ready %d, draining %d; want 0, 1, 2",
+			EndpointGone, EndpointReady, EndpointDraining)
 	}
 	if RetryNever != 0 || RetryIfNotExecuted != 1 || RetryOnAnyFailure != 2 || RetryTwiceOnAnyFailure != 3 {
-		t.Errorf("ways are published as %d, %d, %d, %d; want 0 to 3", RetryNever, RetryIfNotExecuted, RetryOnAnyFailure, RetryTwiceOnAnyFailure)
+		t.Errorf("retry policies are published as %d, %d, %d, %d; want 0 to 3",
+			RetryNever, RetryIfNotExecuted, RetryOnAnyFailure, RetryTwiceOnAnyFailure)
 	}
 }
--- /dev/null
+++ b/internal/model/time.go
@@ -0,0 +1,16 @@
+package model
+
+import "time"
+
+// Microseconds is a point in time or a duration in whole microseconds. Points in time count from 1970 in a running
+// controller and from the start of the clock in a simulation.
+type Microseconds int64
+
+// Common durations.
+const (
+	Millisecond Microseconds = 1000
+	Second                   = 1000 * Millisecond
+)
+
+// Duration returns a duration in the standard library's type.
+func (m Microseconds) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
