--- /dev/null
+++ b/internal/placement/planner_test.go
@@ -0,0 +1,263 @@
+package placement
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"peppervale/internal/model"
+)
+
+var testConfig = Config{StabilizationPeriod: 10 * model.Second, MoveInterval: 2 * model.Second}
+
+// testCluster has one member a zone, and shards that belong to each zone.
+type testCluster struct {
+	members []Member
+	shards  []Shard
+	planner Planner
+	now     model.Microseconds
+}
+
+func newTestCluster(zones, shardsPerZone int, load float64) *testCluster {
+	cluster := &testCluster{now: 100 * model.Second}
+	for z := range zones {
+		name := fmt.Sprint("zone", z)
+		cluster.members = append(cluster.members, Member{Name: "member-" + name, Zone: name, Alive: true})
+		for range shardsPerZone {
+			cluster.shards = append(cluster.shards, Shard{Number: len(cluster.shards), Zone: name, Load: load})
+		}
+	}
+	return cluster
+}
+
+// planAfter lets time pass, then plans and carries the migrations out.
+func (c *testCluster) planAfter(span model.Microseconds) []Migration {
+	c.now += span
+	return c.planner.Plan(testConfig, c.now, c.members, c.shards)
+}
+
+func (c *testCluster) shardCount(member string) int {
+	count := 0
+	for _, shard := range c.shards {
+		if shard.Target == member {
+			count++
+		}
+	}
+	return count
+}
+
+func (c *testCluster) load(member string) float64 {
+	load := 0.0
+	for _, shard := range c.shards {
+		if shard.Target == member {
+			load += shard.Load
+		}
+	}
+	return load
+}
+
+// member returns nil for a name that is no member's.
+func (c *testCluster) member(name string) *Member {
+	for i := range c.members {
+		if c.members[i].Name == name {
+			return &c.members[i]
+		}
+	}
+	return nil
+}
+
+func TestShardsArePlacedInTheirZone(t *testing.T) {
+	cluster := newTestCluster(3, 4, 10)
+	if migrations := cluster.planAfter(0); len(migrations) != 12 {
+		t.Fatalf("%d migrations at first", len(migrations))
+	}
+	for _, shard := range cluster.shards {
+		if shard.Target != "member-"+shard.Zone {
+			t.Errorf("shard %d of %s is on %s", shard.Number, shard.Zone, shard.Target)
+		}
+	}
+	if migrations := cluster.planAfter(testConfig.StabilizationPeriod); len(migrations) != 0 {
+		t.Errorf("migrated without need: %v", migrations)
+	}
+}
+
+// A member is lost: its shards migrate at once, evenly, and no others do. It is back: nothing for the stabilization
+// period, then one shard at a time.
+func TestLostMemberComesBackSlowly(t *testing.T) {
+	cluster := newTestCluster(3, 4, 10)
+	cluster.planAfter(0)
+	lost := &cluster.members[0]
+	lost.Alive = false
+	if migrations := cluster.planAfter(model.Second); len(migrations) != 4 {
+		t.Fatalf("%d migrations of 4 shards", len(migrations))
+	}
+	if a, b := cluster.shardCount("member-zone1"), cluster.shardCount("member-zone2"); a != 6 || b != 6 {
+		t.Fatalf("%d and %d shards", a, b)
+	}
+	lost.Alive, lost.AliveSince = true, cluster.now
+	for cluster.now-lost.AliveSince < testConfig.StabilizationPeriod-model.Second {
+		if migrations := cluster.planAfter(model.Second); len(migrations) != 0 {
+			t.Fatalf("after %v: %v", cluster.now-lost.AliveSince, migrations)
+		}
+	}
+	last := model.Microseconds(0)
+	for cluster.shardCount("member-zone0") < 4 {
+		migrations := cluster.planAfter(100 * model.Millisecond)
+		isTooEarly := last > 0 && cluster.now-last < testConfig.MoveInterval
+		if len(migrations) > 1 || len(migrations) == 1 && isTooEarly {
+			t.Fatalf("%v, %d us after the one before", migrations, cluster.now-last)
+		}
+		if len(migrations) == 1 {
+			last = cluster.now
+		}
+		if cluster.now > 1000*model.Second {
+			t.Fatalf("only %d are back", cluster.shardCount("member-zone0"))
+		}
+	}
+}
+
+// Without capacity anywhere a shard stays unplaced; with capacity again it is placed.
+func TestCapacityIsNotExceeded(t *testing.T) {
+	cluster := newTestCluster(2, 2, 10)
+	cluster.members[0].Capacity, cluster.members[1].Capacity = 20, 30
+	cluster.planAfter(0)
+	cluster.members[0].Alive = false
+	if migrations := cluster.planAfter(model.Second); len(migrations) != 1 {
+		t.Fatalf("%v: there is capacity for one", migrations)
+	}
+	cluster.members[1].Capacity = 40
+	migrations := cluster.planAfter(model.Second)
+	if len(migrations) != 1 || cluster.shardCount("member-zone1") != 4 {
+		t.Fatalf("%v with capacity for the last", migrations)
+	}
+}
+
+// A draining member gives up one shard at a time; a pinned shard stays, unless its member drains.
+func TestDrainingMemberAndPinnedShard(t *testing.T) {
+	cluster := newTestCluster(2, 3, 10)
+	cluster.planAfter(0)
+	cluster.shards[5].Target, cluster.shards[5].Pinned = "member-zone0", true
+	if migrations := cluster.planAfter(model.Second); len(migrations) != 0 {
+		t.Fatalf("a pinned shard: %v", migrations)
+	}
+	cluster.members[0].Draining = true
+	for k := range 4 {
+		if migrations := cluster.planAfter(testConfig.MoveInterval); len(migrations) != 1 {
+			t.Fatalf("migration %d of a draining member: %v", k, migrations)
+		}
+	}
+	if n := cluster.shardCount("member-zone0"); n != 0 {
+		t.Fatalf("%d shards are left", n)
+	}
+}
+
+// A shard's proxies reach another member and not their own: the other gets it, and it does not return for a while.
+func TestUnreachableMember(t *testing.T) {
+	cluster := newTestCluster(2, 2, 10)
+	cluster.planAfter(0)
+	cluster.shards[0].Asked = "member-zone1"
+	migrations := cluster.planAfter(model.Second)
+	if len(migrations) != 1 || migrations[0].Shard != 0 || migrations[0].To != "member-zone1" {
+		t.Fatalf("%v", migrations)
+	}
+	for span := model.Microseconds(0); span < returnDelay-testConfig.MoveInterval; span += testConfig.MoveInterval {
+		for _, migration := range cluster.planAfter(testConfig.MoveInterval) {
+			if migration.Shard == 0 {
+				t.Fatalf("after %d us: %+v", span, migration)
+			}
+		}
+	}
+	cluster.planAfter(2 * testConfig.MoveInterval)
+	cluster.planAfter(2 * testConfig.MoveInterval)
+	if cluster.shards[0].Target != "member-zone0" {
+		t.Errorf("it stays on %s", cluster.shards[0].Target)
+	}
+}
+
+// A stopping member gives all shards up at once.
+func TestStoppingMember(t *testing.T) {
+	cluster := newTestCluster(3, 4, 10)
+	cluster.planAfter(0)
+	cluster.members[0].Stopping = true
+	if migrations := cluster.planAfter(model.Second); len(migrations) != 4 || cluster.shardCount("member-zone0") != 0 {
+		t.Fatalf("%v", migrations)
+	}
+}
+
+// Whatever happens: no member gets a shard that is lost, draining or at its capacity; no more shards migrate from lost
+// members than they had; and what is not forced comes to an end.
+func TestAnySequenceOfEvents(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		zones := rapid.IntRange(1, 4).Draw(t, "zones")
+		cluster := newTestCluster(zones, rapid.IntRange(1, 6).Draw(t, "shards"), 0)
+		for i := range cluster.shards {
+			cluster.shards[i].Load = float64(rapid.IntRange(0, 30).Draw(t, "load"))
+		}
+		for range rapid.IntRange(0, 3).Draw(t, "more") {
+			name := fmt.Sprint("more", len(cluster.members))
+			cluster.members = append(cluster.members, Member{Name: name, Zone: "zone0", Alive: true})
+		}
+		for range rapid.IntRange(1, 15).Draw(t, "events") {
+			cluster.drawEvent(t)
+			lost := cluster.lostShards()
+			span := model.Microseconds(rapid.IntRange(0, 3).Draw(t, "seconds")) * model.Second
+			forced := cluster.checkMigrations(t, cluster.planAfter(span))
+			if forced > lost {
+				t.Fatalf("%d migrations of %d shards whose members are lost", forced, lost)
+			}
+		}
+		for k := 0; ; k++ {
+			migrations := cluster.planAfter(testConfig.StabilizationPeriod)
+			if len(migrations) == 0 {
+				break
+			}
+			if k > 10*len(cluster.shards)+10 {
+				t.Fatalf("it goes on migrating: %v", migrations)
+			}
+		}
+	})
+}
+
+// drawEvent changes a member.
+func (c *testCluster) drawEvent(t *rapid.T) {
+	member := &c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "member")]
+	switch rapid.IntRange(0, 3).Draw(t, "event") {
+	case 0:
+		member.Alive = !member.Alive
+		if member.Alive {
+			member.AliveSince = c.now
+		}
+	case 1:
+		member.Draining = !member.Draining
+	case 2:
+		member.Capacity = float64(rapid.IntRange(0, 100).Draw(t, "capacity"))
+	}
+}
+
+// lostShards counts those without target or whose target is not alive.
+func (c *testCluster) lostShards() int {
+	lost := 0
+	for _, shard := range c.shards {
+		if member := c.member(shard.Target); member == nil || !member.Alive {
+			lost++
+		}
+	}
+	return lost
+}
+
+// checkMigrations checks where shards went and counts those that left a lost member.
+func (c *testCluster) checkMigrations(t *rapid.T, migrations []Migration) int {
+	forced := 0
+	for _, migration := range migrations {
+		to := c.member(migration.To)
+		isFull := to.Capacity > 0 && c.load(migration.To) > to.Capacity
+		if !to.Alive || to.Draining || isFull {
+			t.Fatalf("%+v to %+v with %v", migration, *to, c.load(migration.To))
+		}
+		if migration.Reason == "its member is gone" {
+			forced++
+		}
+	}
+	return forced
+}
--- /dev/null
+++ b/internal/placement/rules.go
@@ -0,0 +1,67 @@
+package placement
+
+// The reasons of migrations. They stand in the replicated state and its records, so they must not change.
+const (
+	reasonUnplaced     = "with nobody"
+	reasonNotAlive     = "its member is gone"
+	reasonUnreachable  = "its forwarders do not reach its member"
+	reasonStopping     = "its member is ending"
+	reasonDraining     = "its member is leaving"
+	reasonPinned       = "moved by hand"
+	reasonOverCapacity = "its member is beyond its limit"
+	reasonForeignZone  = "back to its zone"
+	reasonUneven       = "evener"
+)
+
+// rule is a row of the package's decision table.
+type rule struct {
+	reason  string
+	applies func(shard *Shard, target *memberLoad) bool // target is nil if the shard has none
+
+	staysPut     bool // the shard does not migrate
+	rateLimited  bool // one each move interval
+	needsStable  bool // only to a member that has been alive for the stabilization period
+	sameZone     bool // only to the shard's own zone
+	toAsked      bool // only to the member that the shard's proxies connect to
+	mustEvenLoad bool // only if the two members' loads are closer together afterwards
+}
+
+// rules are in the order of precedence.
+var rules = []rule{
+	{reason: reasonUnplaced, applies: isUnplaced},
+	{reason: reasonNotAlive, applies: isTargetLost},
+	{reason: reasonUnreachable, applies: isTargetUnreachable, toAsked: true},
+	{reason: reasonStopping, applies: isTargetStopping},
+	{reason: reasonDraining, applies: isTargetDraining, rateLimited: true},
+	{reason: reasonPinned, applies: isPinned, staysPut: true},
+	{reason: reasonOverCapacity, applies: isTargetOverCapacity, rateLimited: true},
+	{reason: reasonForeignZone, applies: isInForeignZone, rateLimited: true, needsStable: true, sameZone: true},
+	{reason: reasonUneven, applies: always, rateLimited: true, needsStable: true, mustEvenLoad: true},
+}
+
+func isUnplaced(_ *Shard, target *memberLoad) bool       { return target == nil }
+func isTargetLost(_ *Shard, target *memberLoad) bool     { return !target.Alive }
+func isTargetStopping(_ *Shard, target *memberLoad) bool { return target.Stopping }
+func isTargetDraining(_ *Shard, target *memberLoad) bool { return target.Draining }
+func isPinned(shard *Shard, _ *memberLoad) bool          { return shard.Pinned }
+func always(*Shard, *memberLoad) bool                    { return true }
+
+func isTargetUnreachable(shard *Shard, target *memberLoad) bool {
+	return shard.Asked != "" && shard.Asked != target.Name
+}
+
+func isTargetOverCapacity(_ *Shard, target *memberLoad) bool {
+	return target.Capacity > 0 && target.load > target.Capacity
+}
+
+func isInForeignZone(shard *Shard, target *memberLoad) bool { return target.Zone != shard.Zone }
+
+// firstRule returns the first rule that applies; the last one always does.
+func firstRule(shard *Shard, target *memberLoad) *rule {
+	for i := range rules {
+		if rules[i].applies(shard, target) {
+			return &rules[i]
+		}
+	}
+	return nil
+}
