--- /dev/null
+++ b/internal/admission/controller_test.go
@@ -0,0 +1,172 @@
+package admission
+
+import (
+	"container/heap"
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"peppervale/internal/model"
+)
+
+func TestBurstIsAdmittedAtOnce(t *testing.T) {
+	controller := New(Limits{Rate: 10, Burst: 20}, 0)
+	for n := range 20 {
+		if decision, _ := controller.Join(0, fmt.Sprint(n), n); decision != Admit {
+			t.Fatalf("connection %d of a burst is not admitted", n)
+		}
+	}
+	decision, retryAfter := controller.Join(0, "late", 20)
+	if decision != Defer || retryAfter != model.Second/10 || !controller.InStorm() {
+		t.Fatalf("beyond the burst: %v after %d", decision, retryAfter)
+	}
+}
+
+func TestReservationIsKept(t *testing.T) {
+	controller := New(Limits{Rate: 10, Burst: 1}, 0)
+	controller.Join(0, "first", 0)
+	_, retryAfter := controller.Join(0, "second", 1)
+	if decision, again := controller.Join(retryAfter/2, "second", 1); decision != Defer || again != retryAfter/2 {
+		t.Fatalf("early: %v after %d", decision, again)
+	}
+	if decision, _ := controller.Join(retryAfter, "second", 1); decision != Admit {
+		t.Fatal("in time, and not admitted")
+	}
+}
+
+func TestStormEndsThoughAProxyStaysAway(t *testing.T) {
+	controller := New(Limits{Rate: 10, Burst: 1}, 0)
+	controller.Join(0, "first", 0)
+	controller.Join(0, "goes elsewhere", 1)
+	decision, _ := controller.Join(100*model.Second, "much later", 1)
+	if decision != Admit || controller.InStorm() || len(controller.reservations) != 0 {
+		t.Fatalf("the storm does not end: %v, %d reservations", decision, len(controller.reservations))
+	}
+}
+
+func TestFullControllerRejects(t *testing.T) {
+	controller := New(Limits{Rate: 10, Burst: 10, MaxProxies: 2, Jitter: 0.5}, 0)
+	decision, retryAfter := controller.Join(0, "third", 2)
+	if decision != Reject || retryAfter < rejectRetryAfter || retryAfter > rejectRetryAfter*3/2 {
+		t.Fatalf("%v after %d", decision, retryAfter)
+	}
+}
+
+// arrivals is a heap of connections by their time.
+type arrivals []arrival
+
+type arrival struct {
+	at    model.Microseconds
+	proxy int
+}
+
+func (a arrivals) Len() int           { return len(a) }
+func (a arrivals) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a arrivals) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *arrivals) Push(x any)        { *a = append(*a, x.(arrival)) }
+func (a *arrivals) Pop() any {
+	old := *a
+	last := old[len(old)-1]
+	*a = old[:len(old)-1]
+	return last
+}
+
+// Two thousand that connect at once are all admitted after the time that the rate asks for, with no second storm:
+// none is deferred more than twice, and no second brings more than the rate and the burst allow.
+func TestStormOfTwoThousandConnections(t *testing.T) {
+	const proxies, rate, burst = 2000, 200, 50
+	controller := New(Limits{Rate: rate, Burst: burst, Jitter: 1, Seed: 7}, 0)
+	var queue arrivals
+	for proxy := range proxies {
+		heap.Push(&queue, arrival{model.Microseconds(proxy % 100), proxy})
+	}
+	deferred := map[int]int{}
+	arrivalsIn := map[model.Microseconds]int{} // by second
+	admitted := 0
+	var lastAdmitted model.Microseconds
+	for len(queue) > 0 {
+		next := heap.Pop(&queue).(arrival)
+		arrivalsIn[next.at/model.Second]++
+		decision, retryAfter := controller.Join(next.at, fmt.Sprint(next.proxy), admitted)
+		if decision == Admit {
+			admitted++
+			lastAdmitted = next.at
+			continue
+		}
+		deferred[next.proxy]++
+		if deferred[next.proxy] > 2 {
+			t.Fatalf("proxy %d is deferred %d times", next.proxy, deferred[next.proxy])
+		}
+		heap.Push(&queue, arrival{next.at + retryAfter, next.proxy})
+	}
+	if admitted != proxies || lastAdmitted > model.Microseconds(float64(proxies)/rate*1.1)*model.Second {
+		t.Fatalf("%d admitted after %d us", admitted, lastAdmitted)
+	}
+	for second, count := range arrivalsIn {
+		if second > 0 && count > rate+burst {
+			t.Fatalf("%d come in second %d: a second storm", count, second)
+		}
+	}
+}
+
+// Whoever connects when: no span admits more than its burst and rate, a proxy that retries in time is admitted, and the
+// memory is bounded by the number of proxies.
+func TestAnySequenceOfConnections(t *testing.T) {
+	const proxies = 41
+	rapid.Check(t, func(t *rapid.T) {
+		rate, burst := rapid.IntRange(1, 50).Draw(t, "rate"), rapid.IntRange(1, 20).Draw(t, "burst")
+		controller := New(Limits{Rate: float64(rate), Burst: burst, Jitter: 0.5, Seed: 1}, 0)
+		var now model.Microseconds
+		var admittedAt []model.Microseconds
+		retryAt := map[int]model.Microseconds{}
+		for range rapid.IntRange(1, 300).Draw(t, "connections") {
+			now += model.Microseconds(rapid.IntRange(0, 200_000).Draw(t, "pause"))
+			proxy := rapid.IntRange(0, proxies-1).Draw(t, "proxy")
+			decision, retryAfter := controller.Join(now, fmt.Sprint(proxy), 0)
+			if decision == Admit {
+				admittedAt = append(admittedAt, now)
+				delete(retryAt, proxy)
+				continue
+			}
+			due, isDeferred := retryAt[proxy]
+			if isDeferred && now >= due && now <= due+model.Second/model.Microseconds(rate) {
+				t.Fatalf("proxy %d retries in time and is deferred again", proxy)
+			}
+			if retryAfter <= 0 {
+				t.Fatalf("deferred by %d", retryAfter)
+			}
+			retryAt[proxy] = now + retryAfter
+		}
+		for i, from := range admittedAt {
+			for k, until := range admittedAt[i:] {
+				// Reservations of a storm that were not used in time may be used up to a storm's length later.
+				seconds := float64(until-from) / float64(model.Second)
+				if limit := float64(burst) + seconds*float64(rate) + proxies; float64(k+1) > limit {
+					t.Fatalf("%d admitted within %d us", k+1, until-from)
+				}
+			}
+		}
+		if len(controller.reservations) > proxies {
+			t.Fatalf("%d reservations", len(controller.reservations))
+		}
+	})
+}
+
+// The limits change in a storm: who has a reservation finds it, and without limits all are admitted.
+func TestLimitsChangeInAStorm(t *testing.T) {
+	controller := New(Limits{Rate: 1, Burst: 1}, 0)
+	controller.Join(0, "first", 0)
+	_, retryAfter := controller.Join(0, "second", 1)
+	controller.SetLimits(Limits{Rate: 100, Burst: 5}, model.Second/10)
+	if decision, _ := controller.Join(retryAfter, "second", 1); decision != Admit {
+		t.Fatal("a reservation was taken back")
+	}
+	controller.Join(retryAfter, "third", 2)
+	controller.SetLimits(Limits{}, retryAfter)
+	for n := range 100 {
+		if decision, _ := controller.Join(retryAfter, fmt.Sprint("all", n), n); decision != Admit {
+			t.Fatalf("without limits the decision is %v", decision)
+		}
+	}
+}
