--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,17 +8,23 @@
 	"testing"
 )
 
-// hello is one batch: target 3, then a Hello with these settings.
-func hello(settings string) []byte {
-	var b []byte
-	b = binary.LittleEndian.AppendUint32(b, 2)
-	b = binary.LittleEndian.AppendUint32(b, uint32(12+2*56+len(settings)))
-	b = binary.LittleEndian.AppendUint64(b, math.Float64bits(1))
-	b = binary.LittleEndian.AppendUint32(b, 1)
-	target, greet := make([]byte, 56), make([]byte, 56)
-	target[0], target[1], greet[0] = 2, 3, 3
-	binary.LittleEndian.PutUint32(greet[13:], uint32(len(settings)))
-	return append(append(append(b, target...), greet...), settings...)
+const testEventSize = 56
+
+// helloFrame is a frame with two events: instance 3 is the target, and starts with these settings.
+func helloFrame(settings string) []byte {
+	var frame []byte
+	frame = binary.LittleEndian.AppendUint32(frame, 2)
+	frame = binary.LittleEndian.AppendUint32(frame, uint32(12+2*testEventSize+len(settings)))
+	frame = binary.LittleEndian.AppendUint64(frame, math.Float64bits(1))
+	frame = binary.LittleEndian.AppendUint32(frame, 1)
+	target := make([]byte, testEventSize)
+	target[0], target[1] = 2, 3
+	hello := make([]byte, testEventSize)
+	hello[0] = 3
+	binary.LittleEndian.PutUint32(hello[13:], uint32(len(settings)))
+	frame = append(frame, target...)
+	frame = append(frame, hello...)
+	return append(frame, settings...)
 }
 
 func TestRun(t *testing.T) {
@@ -27,23 +33,24 @@
 			t.Fatal(err)
 		}
 	})
-	t.Run("a frame cut short is", func(t *testing.T) {
-		if err := run(bytes.NewReader(hello("{}")[:40]), &bytes.Buffer{}); err == nil {
-			t.Fatal("taken")
+	t.Run("a frame cut short is an error", func(t *testing.T) {
+		if err := run(bytes.NewReader(helloFrame("{}")[:40]), &bytes.Buffer{}); err == nil {
+			t.Fatal("no error")
 		}
 	})
 	t.Run("settings that do not parse are told in an Exception", func(t *testing.T) {
-		var out bytes.Buffer
-		if err := run(bytes.NewReader(hello("{")), &out); err != nil || !strings.Contains(out.String(), "start settings") {
-			t.Fatalf("%v, %q", err, out.String())
+		var output bytes.Buffer
+		err := run(bytes.NewReader(helloFrame("{")), &output)
+		if err != nil || !strings.Contains(output.String(), "start settings") {
+			t.Fatalf("%v, %q", err, output.String())
 		}
 	})
 }
 
-func TestGuard(t *testing.T) {
+func TestPanicIsToldInAnException(t *testing.T) {
 	inst := newInstance(1)
-	_ = inst.guard(func() error { panic("index out of range") })
+	inst.guard(func() { panic("index out of range") })
 	if !strings.Contains(string(inst.reply.Frame(1)), "panic: index out of range") {
-		t.Fatal("a panic of the module is not told in an Exception")
+		t.Fatal("a panic of the balancer is not told")
 	}
 }
--- /dev/null
+++ b/internal/codec/simulator/frame.go
@@ -0,0 +1,78 @@
+package simulator
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+
+	"peppervale/internal/model"
+)
+
+// Sizes in bytes.
+const (
+	batchHeaderSize = 20
+	replyHeaderSize = 12
+	lengthSkips     = 8  // of the batch header, which the length in it does not count
+	replyLengthSkip = 4  // of the reply header, which the length in it does not count
+	eventSize       = 56 // of an event record
+	actionSize      = 24 // of an action record
+	endpointSize    = 24 // of an endpoint in the tail
+	maxFrameLength  = 1 << 28
+)
+
+// Batch is one frame of events.
+type Batch struct {
+	Clock   model.Microseconds // the only time that the instances know
+	Number  uint32             // that the reply has to name
+	records []byte
+	tail    []byte
+}
+
+// Read reads one frame. It returns io.EOF if the input ends between frames, and another error if it ends within one or
+// if the header is wrong.
+func Read(input *bufio.Reader) (*Batch, error) {
+	var header [batchHeaderSize]byte
+	if _, err := io.ReadFull(input, header[:]); err != nil {
+		if errors.Is(err, io.ErrUnexpectedEOF) {
+			return nil, errors.New("frame header cut short")
+		}
+		return nil, err
+	}
+	fields := fieldReader{header[:]}
+	count := int64(fields.uint32())
+	length := int64(fields.uint32())
+	batch := &Batch{Clock: fields.milliseconds(), Number: fields.uint32()}
+	const headerRest = batchHeaderSize - lengthSkips
+	if length < headerRest || length > maxFrameLength || count*eventSize > length-headerRest {
+		return nil, fmt.Errorf("%d records do not fit a frame of %d bytes", count, length)
+	}
+	body := make([]byte, length-headerRest)
+	if _, err := io.ReadFull(input, body); err != nil {
+		return nil, fmt.Errorf("frame of %d bytes cut short", length)
+	}
+	batch.records = body[:count*eventSize]
+	batch.tail = body[count*eventSize:]
+	return batch, nil
+}
+
+// Events returns the batch's events in order. They share the batch's memory.
+func (b *Batch) Events() []Event {
+	events := make([]Event, 0, len(b.records)/eventSize)
+	for start := 0; start < len(b.records); start += eventSize {
+		events = append(events, Event{record: b.records[start : start+eventSize], tail: b.tail})
+	}
+	return events
+}
+
+// Frame returns the reply to the batch of a number as bytes to be sent.
+func (r *Reply) Frame(number uint32) []byte {
+	length := replyHeaderSize + len(r.records) + len(r.tail)
+	frame := make([]byte, 0, length)
+	frame = binary.LittleEndian.AppendUint32(frame, uint32(length-replyLengthSkip))
+	frame = binary.LittleEndian.AppendUint32(frame, uint32(len(r.records)/actionSize))
+	frame = binary.LittleEndian.AppendUint32(frame, number)
+	frame = append(frame, r.records...)
+	return append(frame, r.tail...)
+}
--- a/internal/codec/simulator/golden_test.go
+++ b/internal/codec/simulator/golden_test.go
@@ -17,8 +17,8 @@
 	"peppervale/internal/model"
 )
 
-// pinned gives the bytes of a golden file.
-func pinned(t *testing.T, name string) []byte {
+// readGolden returns the bytes of a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
@@ -27,39 +27,40 @@
 	return want
 }
 
-// samePinned fails unless the bytes are those of the golden file.
-func samePinned(t *testing.T, name string, got []byte) {
+// compareGolden fails unless the bytes are those of the golden file.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if want := pinned(t, name); !bytes.Equal(got, want) {
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
 	}
 }
 
-// samePinnedErrors compares error texts, a line each in the order of their names, with the golden file.
-func samePinnedErrors(t *testing.T, name string, errs map[string]error) {
+// compareGoldenErrors compares error texts, a line each in the order of their names, with the golden file.
+func compareGoldenErrors(t *testing.T, name string, errs map[string]error) {
 	t.Helper()
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(errs)) {
 		if errs[key] == nil {
-			t.Errorf("%s is taken", key)
+			t.Errorf("%s: no error", key)
 		}
 		fmt.Fprintf(&text, "%s: %v\n", key, errs[key])
 	}
-	samePinned(t, name, []byte(text.String()))
+	compareGolden(t, name, []byte(text.String()))
 }
 
 // hexText shows bytes as lines of hexadecimal digits, a record of 24 bytes each.
 func hexText(b []byte) []byte {
 	var text strings.Builder
-	for part := range slices.Chunk(b, orderSize) {
+	for part := range slices.Chunk(b, actionSize) {
 		fmt.Fprintf(&text, "%x\n", part)
 	}
 	return []byte(text.String())
 }
 
-func fromHex(t *testing.T, name string) []byte {
+// readGoldenHex returns the bytes that a golden file shows as hexadecimal digits.
+func readGoldenHex(t *testing.T, name string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.ReplaceAll(string(pinned(t, name)), "\n", ""))
+	b, err := hex.DecodeString(strings.ReplaceAll(string(readGolden(t, name)), "\n", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +74,7 @@
 // goldenBatch reads the golden frame: a record of each code, with a start text and two list entries in its tail.
 func goldenBatch(t *testing.T) []Event {
 	t.Helper()
-	batch, err := read(fromHex(t, "batch.hex"))
+	batch, err := read(readGoldenHex(t, "batch.hex"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,25 +98,29 @@
 	if seed != 0xfe429af2f6dae94c || string(text) != `{"zones":["a"]}` || err != nil {
 		t.Errorf("hello: %x, %q, %v", seed, text, err)
 	}
-	scope, entries, err := events[1].RosterChange()
-	want := []model.Endpoint{{ID: replicaID(1), Zone: 258, Status: model.EndpointReady, StartedAt: 1_500_250},
-		{ID: replicaID(2), Zone: 3, Status: model.EndpointDraining, StartedAt: 7_000}}
-	if scope != model.ChangedEntries || !reflect.DeepEqual(entries, want) || err != nil {
-		t.Errorf("list: %v, %+v, %v", scope, entries, err)
+	update, endpoints, err := events[1].EndpointsChanged()
+	want := []model.Endpoint{
+		{ID: replicaID(1), Zone: 258, Status: model.EndpointReady, StartedAt: 1_500_250},
+		{ID: replicaID(2), Zone: 3, Status: model.EndpointDraining, StartedAt: 7_000},
 	}
-	if proxy, number := events[2].TookEffect(); proxy != 65534 || number != 0x01020304 {
-		t.Errorf("took effect: %d, %d", proxy, number)
+	if update != model.ChangedEntries || !reflect.DeepEqual(endpoints, want) || err != nil {
+		t.Errorf("endpoint list: %v, %+v, %v", update, endpoints, err)
 	}
-	if proxy, zone, usual := events[3].DialledIn(); proxy != 513 || zone != 4 || usual != 21.5 {
-		t.Errorf("dialled in: %d, %d, %v", proxy, zone, usual)
+	if proxy, sequence := events[2].Acknowledged(); proxy != 65534 || sequence != 0x01020304 {
+		t.Errorf("acknowledged: %d, %d", proxy, sequence)
 	}
-	sum := model.LoadReport{Zone: 2, Replica: replicaID(3), Attempts: 1 << 31, Errors: 70_000, MeanLatency: 12_500, Window: model.Second,
-		Readings: []float64{0.5, 0.25, 7, 1}}
-	if got := events[4].Roundup(); !reflect.DeepEqual(got, sum) {
-		t.Errorf("sum: %+v", got)
+	if proxy, zone, rate := events[3].ProxyConnected(); proxy != 513 || zone != 4 || rate != 21.5 {
+		t.Errorf("connected: %d, %d, %v", proxy, zone, rate)
 	}
-	if left, target := events[5].Left(), events[8].Target(); left != 772 || target != 9 {
-		t.Errorf("left %d, target %d", left, target)
+	report := model.LoadReport{
+		Zone: 2, Replica: replicaID(3), Attempts: 1 << 31, Errors: 70_000, MeanLatency: 12_500, Window: model.Second,
+		Readings: []float64{0.5, 0.25, 7, 1},
+	}
+	if got := events[4].LoadReport(); !reflect.DeepEqual(got, report) {
+		t.Errorf("load report: %+v", got)
+	}
+	if proxy, target := events[5].ProxyDisconnected(), events[8].TargetInstance(); proxy != 772 || target != 9 {
+		t.Errorf("disconnected %d, target %d", proxy, target)
 	}
 }
 
@@ -128,32 +133,34 @@
 	return append(record, make([]byte, eventSize-len(record))...)
 }
 
-func listEntry(id model.ReplicaID, zone uint16, life byte, since float64) []byte {
+// goldenEndpoint is an entry of a list.
+func goldenEndpoint(id model.ReplicaID, zone uint16, status byte, startedAt float64) []byte {
 	entry, _ := binary.Append(id.Addr[:], binary.LittleEndian, []uint16{id.Port, zone})
-	entry = append(entry, 0, 0, 0, life, 0, 0, 0, 0)
-	return binary.LittleEndian.AppendUint64(entry, math.Float64bits(since))
+	entry = append(entry, 0, 0, 0, status, 0, 0, 0, 0)
+	return binary.LittleEndian.AppendUint64(entry, math.Float64bits(startedAt))
 }
 
 // TestGoldenFrame builds the golden frame from its values, so that the file can be read by its source.
 func TestGoldenFrame(t *testing.T) {
 	hello := `{"zones":["a"]}`
-	tail := append([]byte(hello), listEntry(replicaID(1), 258, 1, 1500.25)...)
-	tail = append(tail, listEntry(replicaID(2), 3, 2, 7)...)
+	tail := append([]byte(hello), goldenEndpoint(replicaID(1), 258, 1, 1500.25)...)
+	tail = append(tail, goldenEndpoint(replicaID(2), 3, 2, 7)...)
 	address := []byte{10, 1, 2, 3, 0x8b, 0x13}
 	records := slices.Concat(
 		goldenEvent(3, uint64(0xfe429af2f6dae94c), uint32(0), uint32(len(hello))),
 		goldenEvent(7, byte(1), uint32(0), uint32(len(hello)), uint32(2)),
 		goldenEvent(8, uint16(65534), uint32(0x01020304)),
 		goldenEvent(13, uint16(4), byte(0), float32(21.5), uint16(513)),
-		goldenEvent(6, uint16(2), address, uint32(1<<31), uint32(70_000), 12.5, 1000.0, byte(4), []float32{0.5, 0.25, 7, 1}),
+		goldenEvent(6, uint16(2), address, uint32(1<<31), uint32(70_000), 12.5, 1000.0, byte(4),
+			[]float32{0.5, 0.25, 7, 1}),
 		goldenEvent(14, uint16(772)), goldenEvent(12), goldenEvent(9), goldenEvent(2, uint16(9)))
 	head, _ := binary.Append(nil, binary.LittleEndian, []uint32{9, uint32(12 + len(records) + len(tail))})
 	head = binary.LittleEndian.AppendUint64(head, math.Float64bits(1234.567))
 	head = binary.LittleEndian.AppendUint32(head, 0xfedcba98)
-	samePinned(t, "batch.hex", hexText(slices.Concat(head, records, tail)))
+	compareGolden(t, "batch.hex", hexText(slices.Concat(head, records, tail)))
 }
 
-// TestGoldenReply writes each order once, some of them appended from another reply.
+// TestGoldenReply writes each action once, some of them appended from another reply.
 func TestGoldenReply(t *testing.T) {
 	first, second := &Reply{}, &Reply{}
 	first.Log("first")
@@ -169,50 +176,55 @@
 	second.OnBehalf(772)
 	second.Exception("a cause")
 	first.Append(second)
-	samePinned(t, "reply.hex", hexText(first.Frame(0xfedcba98)))
+	compareGolden(t, "reply.hex", hexText(first.Frame(0xfedcba98)))
 }
 
 func TestGoldenErrorsOfFrames(t *testing.T) {
-	bell := frame(nil, []byte{CodeBell})
+	whole := testFrame(nil, []byte{CodeBell})
 	readError := func(b []byte) error {
 		_, err := read(b)
 		return err
 	}
 	listError := func(record []byte) error {
-		batch, err := read(frame(nil, record))
+		batch, err := read(testFrame(nil, record))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _, err = batch.Events()[0].RosterChange()
+		_, _, err = batch.Events()[0].EndpointsChanged()
 		return err
 	}
-	samePinnedErrors(t, "frame-errors.txt", map[string]error{
+	compareGoldenErrors(t, "frame-errors.txt", map[string]error{
 		"end":              readError(nil),
-		"header cut":       readError(bell[:7]),
-		"body cut":         readError(bell[:len(bell)-1]),
-		"too many records": readError(append([]byte{9, 0, 0, 0}, bell[4:]...)),
+		"header cut":       readError(whole[:7]),
+		"body cut":         readError(whole[:len(whole)-1]),
+		"too many records": readError(append([]byte{9, 0, 0, 0}, whole[4:]...)),
 		"scope":            listError([]byte{CodeRosterChange, 4}),
 		"offset":           listError([]byte{CodeRosterChange, 0, 0, 0, 0, 0, 5, 0, 0, 0, 1}),
 	})
 }
 
-// goldenTerms is what the golden settings mean.
-var goldenTerms = model.Config{
-	Seed: 0xfe429af2f6dae94c, Zones: 2, SubscriptionRequired: true, AdmissionControl: true, FullQuota: 1, ProxiesAvoidFailing: true, StandingTableSize: 7,
-	Operations: []model.Operation{{LatencyObjective: 500_500, PriorityWeight: 2.5}, {LatencyObjective: 750_000, PriorityWeight: 3}}, ReportPeriod: 1_000_250,
-	MessageOverhead: 7, QueueLimit: 6400, MessageLimit: 12, MessageWindow: 10_000_000, CrossZoneCost: 0.08, PublishCost: 0.02,
+// goldenConfig is what the golden settings mean.
+var goldenConfig = model.Config{
+	Seed: 0xfe429af2f6dae94c, Zones: 2, SubscriptionRequired: true, AdmissionControl: true, FullQuota: 1,
+	ProxiesAvoidFailing: true, StandingTableSize: 7,
+	Operations: []model.Operation{
+		{LatencyObjective: 500_500, PriorityWeight: 2.5}, {LatencyObjective: 750_000, PriorityWeight: 3},
+	},
+	ReportPeriod:    1_000_250,
+	MessageOverhead: 7, QueueLimit: 6400, MessageLimit: 12, MessageWindow: 10_000_000,
+	CrossZoneCost: 0.08, PublishCost: 0.02,
 	UtilizationField: 1, WarmUpPeriod: 17_000_000, ProxyCount: 60, MinReplicaConnections: 160, ZoneLocalOperations: 2,
 }
 
-func TestGoldenTerms(t *testing.T) {
-	got, err := Terms(0xfe429af2f6dae94c, pinned(t, "settings.json"))
-	if err != nil || !reflect.DeepEqual(got, goldenTerms) {
+func TestGoldenSettings(t *testing.T) {
+	got, err := Terms(0xfe429af2f6dae94c, readGolden(t, "settings.json"))
+	if err != nil || !reflect.DeepEqual(got, goldenConfig) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
 
-// goldenSlips are edits of the golden settings, each with one error.
-var goldenSlips = map[string][2]string{
+// goldenMistakes are edits of the golden settings, each with one error.
+var goldenMistakes = map[string][2]string{
 	"no object":           {"{", "["},
 	"another type":        {`"period": 1000.25`, `"period": "x"`},
 	"no classes":          {`"classes"`, `"lasses"`},
@@ -237,14 +249,14 @@
 	"credit":              {`"credit": 3`, `"credit": -1`},
 }
 
-func TestGoldenErrorsOfTerms(t *testing.T) {
-	settings, errs := string(pinned(t, "settings.json")), map[string]error{}
-	for name, edit := range goldenSlips {
+func TestGoldenErrorsOfSettings(t *testing.T) {
+	settings, errs := string(readGolden(t, "settings.json")), map[string]error{}
+	for name, edit := range goldenMistakes {
 		text := strings.Replace(settings, edit[0], edit[1], 1)
 		if text == settings {
 			t.Fatalf("%s: nothing to edit", name)
 		}
 		_, errs[name] = Terms(1, []byte(text))
 	}
-	samePinnedErrors(t, "terms-errors.txt", errs)
+	compareGoldenErrors(t, "terms-errors.txt", errs)
 }
--- /dev/null
+++ b/internal/codec/simulator/reply_test.go
@@ -0,0 +1,39 @@
+package simulator
+
+import (
+	"bytes"
+	"encoding/binary"
+	"strings"
+	"testing"
+
+	"peppervale/internal/model"
+)
+
+func TestReplyBindsForSomeOperations(t *testing.T) {
+	reply := &Reply{}
+	reply.BindProxy(258, 3, 6, nil)
+	if record := reply.Frame(1)[replyHeaderSize:]; !bytes.Equal(record[:7], []byte{14, 2, 1, 3, 0, 6, 0}) {
+		t.Fatalf("% x", record[:7])
+	}
+}
+
+func TestReplyAppendsAnother(t *testing.T) {
+	one, all := &Reply{}, &Reply{}
+	one.SetWeight(7, model.ReplicaID{Addr: [4]byte{1, 2, 3, 4}, Port: 5}, 0.5)
+	one.Log("hi")
+	all.Log("first")
+	all.OnBehalf(3)
+	all.Append(one)
+	frame := all.Frame(12)
+	if binary.LittleEndian.Uint32(frame) != uint32(len(frame)-4) || frame[4] != 4 || frame[8] != 12 {
+		t.Fatalf("header % x", frame[:12])
+	}
+	weight := frame[12+2*actionSize:]
+	if want := []byte{1, 7, 0, 0, 0, 0, 0x3f, 1, 2, 3, 4, 5, 0}; !bytes.Equal(weight[:13], want) {
+		t.Fatalf("weight % x", weight[:13])
+	}
+	text := frame[12+3*actionSize:]
+	if text[1] != 5 || text[5] != 2 || !strings.HasSuffix(string(frame), "firsthi") {
+		t.Fatal("the second text is not moved behind the first")
+	}
+}
