--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -21,7 +21,7 @@
 
 func newInstance(number uint16) *instance { return &instance{number: number} }
 
-// answer takes a batch and returns the reply to it. An error tells that the batch is malformed.
+// answer takes a batch and returns the reply to it. An error means that the batch is malformed.
 func (s instanceSet) answer(batch *simulator.Batch) (*simulator.Reply, error) {
 	involved, err := s.handleEvents(batch)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return inst
 }
 
-// handle hands an event to the balancer. An error tells that the event is malformed.
+// handle hands an event to the balancer. An error means that the event is malformed.
 func (i *instance) handle(event simulator.Event, now model.Microseconds) error {
 	var err error
 	i.guard(func() { err = i.dispatch(event, now) })
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -38,7 +38,7 @@
 			t.Fatal("no error")
 		}
 	})
-	t.Run("settings that do not parse are told in an Exception", func(t *testing.T) {
+	t.Run("settings that do not parse are reported in an Exception", func(t *testing.T) {
 		var output bytes.Buffer
 		err := run(bytes.NewReader(helloFrame("{")), &output)
 		if err != nil || !strings.Contains(output.String(), "start settings") {
@@ -47,10 +47,10 @@
 	})
 }
 
-func TestPanicIsToldInAnException(t *testing.T) {
+func TestPanicIsReportedInAnException(t *testing.T) {
 	inst := newInstance(1)
 	inst.guard(func() { panic("index out of range") })
 	if !strings.Contains(string(inst.reply.Frame(1)), "panic: index out of range") {
-		t.Fatal("a panic of the balancer is not told")
+		t.Fatal("a panic of the balancer is not reported")
 	}
 }
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,5 +1,5 @@
 // Package admission controls the load that connecting peers put on a controller: which proxies may connect now and
-// which are told to retry later (Controller), how many commands a peer may send (TokenBucket), and how many bytes may
+// which retry later (Controller), how many commands a peer may send (TokenBucket), and how many bytes may
 // wait for peers to read them (Budget). It does no I/O and reads no clock: the caller passes the time and carries the
 // decision out.
 //
--- a/internal/admission/tokenbucket_test.go
+++ b/internal/admission/tokenbucket_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/model"
 )
 
-// A peer is held to its rate in any span, and one that retries when it was told may go on.
+// A peer is held to its rate in any span, and one that retries after its Retry-After may go on.
 func TestTokenBucketHoldsToRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := Rate{
@@ -24,7 +24,7 @@
 			if !ok {
 				now += retryAfter + 1
 				if ok, _ = bucket.Take(now, rate); !ok {
-					t.Fatalf("back after %d and told to retry again", retryAfter)
+					t.Fatalf("back after %d and rejected again", retryAfter)
 				}
 			}
 			taken++
--- a/internal/codec/simulator/event.go
+++ b/internal/codec/simulator/event.go
@@ -63,7 +63,7 @@
 	model.FullList, model.ChangedEntries, model.CachedList, model.PollFailed,
 }
 
-// EndpointsChanged returns what a RosterChange tells of the endpoint list.
+// EndpointsChanged returns what a RosterChange reports of the endpoint list.
 func (e Event) EndpointsChanged() (model.EndpointUpdate, []model.Endpoint, error) {
 	fields := e.fields()
 	update := int(fields.uint8())
@@ -115,7 +115,7 @@
 	return model.ProxyID(fields.uint16())
 }
 
-// LoadReport returns what a Roundup tells: what the proxies of a zone measured at a replica.
+// LoadReport returns what a Roundup reports: what the proxies of a zone measured at a replica.
 func (e Event) LoadReport() model.LoadReport {
 	fields := e.fields()
 	report := model.LoadReport{
--- a/internal/codec/simulator/reply.go
+++ b/internal/codec/simulator/reply.go
@@ -54,7 +54,7 @@
 	fields.uint16(instance)
 }
 
-// Exception tells that an instance has failed; the simulation ends with this text.
+// Exception reports that an instance has failed; the simulation ends with this text.
 func (r *Reply) Exception(cause string) { r.textAction(actionException, cause) }
 
 // Log implements model.Publisher.
@@ -75,7 +75,7 @@
 }
 
 // BindProxy implements model.Publisher. The simulator's proxies forget the withdrawals of other controllers as they are
-// bound, so they are not told of readmitted replicas.
+// bound, so they are not notified of readmitted replicas.
 func (r *Reply) BindProxy(proxy model.ProxyID, table model.TableID, operations uint16, _ []model.ReplicaID) {
 	fields := r.action(actionInstall)
 	fields.uint16(uint16(proxy))
--- a/internal/codec/simulator/settings.go
+++ b/internal/codec/simulator/settings.go
@@ -187,7 +187,7 @@
 	return mask
 }
 
-// utilizationField returns -1 if load reports don't tell the CPU utilization.
+// utilizationField returns -1 if load reports do not contain the CPU utilization.
 func (o *options) utilizationField() int {
 	if o.Stats.How != statsInReports {
 		return -1
--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -13,7 +13,7 @@
 	ErrPeriodOrQueueNotPositive = errors.New("the period and the queue must be above 0")
 )
 
-// OperationCountError tells that a configuration has no operation, or more than model.MaxOperations.
+// OperationCountError reports that a configuration has no operation, or more than model.MaxOperations.
 type OperationCountError struct {
 	Count int // operations configured
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,7 +15,7 @@
 // ProxyServer carries the balancer's updates to the proxies; pubsub.Server and platform.Server implement it. Its
 // methods are called from the event loop's goroutine and must not block.
 type ProxyServer interface {
-	// AdmitProxy tells that the balancer knows of a proxy's stream: from now on updates may be sent over it.
+	// AdmitProxy reports that the balancer knows of a proxy's stream: from now on updates may be sent over it.
 	AdmitProxy(p model.ProxyID, stream uint64)
 	// Publish sends a batch. The batch belongs to the server afterwards.
 	Publish(b *snapshot.Batch)
@@ -101,18 +101,18 @@
 // entry will get.
 func (c *Controller) OldestDecision() uint64 { return c.decisions.oldest() }
 
-// ProxyConnected tells of a proxy's new stream. A connection that is still waiting for the balancer is replaced by it.
+// ProxyConnected reports a proxy's new stream. A connection that is still waiting for the balancer is replaced by it.
 func (c *Controller) ProxyConnected(p model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
 	c.mailbox.proxyConnected(p, stream, join, zone)
 }
 
-// ProxyDisconnected tells of a stream's end. The end of an older stream than the proxy's newest is ignored.
+// ProxyDisconnected reports a stream's end. The end of an older stream than the proxy's newest is ignored.
 func (c *Controller) ProxyDisconnected(p model.ProxyID, stream uint64) {
 	c.mailbox.proxyDisconnected(p, stream)
 }
 
-// Acknowledged tells that a proxy has applied everything up to an acknowledgement sequence. An acknowledgement over an
-// older stream than the proxy's newest is ignored.
+// Acknowledged reports that a proxy has applied everything up to an acknowledgement sequence. An acknowledgement over
+// an older stream than the proxy's newest is ignored.
 func (c *Controller) Acknowledged(p model.ProxyID, stream uint64, sequence uint32) {
 	c.mailbox.acknowledged(p, stream, sequence)
 }
@@ -123,7 +123,7 @@
 	c.mailbox.loadReported(zone, reports)
 }
 
-// EndpointsChanged tells of an endpoint list, a change to it, or a failed poll. The entries belong to the controller
+// EndpointsChanged reports an endpoint list, a change to it, or a failed poll. The entries belong to the controller
 // afterwards.
 func (c *Controller) EndpointsChanged(update model.EndpointUpdate, entries []model.Endpoint) {
 	c.mailbox.endpointsChanged(update, entries)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// environment stands in for the proxy server and for endpoint discovery and records what they are told.
+// environment stands in for the proxy server and for endpoint discovery and records the calls that they get.
 type environment struct {
 	batches chan *snapshot.Batch
 	events  chan string
--- a/internal/controller/decisionlog.go
+++ b/internal/controller/decisionlog.go
@@ -11,7 +11,7 @@
 	"peppervale/internal/snapshot"
 )
 
-// Decision is a decision log entry: one step that published something or changed what is believed. It tells what came
+// Decision is a decision log entry: one step that published something or changed what is believed. It records what came
 // in, the balancer's reasons, and what was published; together they answer why a proxy has no entry for a replica. It
 // is stored as JSON; its tags are names in stored data and must not change.
 type Decision struct {
--- a/internal/controller/endpointlist.go
+++ b/internal/controller/endpointlist.go
@@ -2,7 +2,7 @@
 
 import "peppervale/internal/model"
 
-// endpointList is the endpoint list as endpoint discovery last told it.
+// endpointList is the endpoint list as endpoint discovery last reported it.
 type endpointList struct {
 	byID       map[model.ReplicaID]model.Endpoint
 	ready      int                // entries that are ready
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -48,7 +48,7 @@
 	s.acknowledged = noSequence
 }
 
-// endpointEvent is what endpoint discovery told last.
+// endpointEvent is what endpoint discovery reported last.
 type endpointEvent struct {
 	update  model.EndpointUpdate
 	entries []model.Endpoint
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -10,7 +10,8 @@
 
 func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
-// Whatever came in which order, a proxy's newest state is one slot, and the balancer is told once of each stream's end.
+// Whatever came in which order, a proxy's newest state is one slot, and the balancer is notified once of each
+// stream's end.
 func TestMailboxKeepsNewestStateOfAProxy(t *testing.T) {
 	box := newMailbox()
 	box.proxyConnected(1, 10, pubsubmsg.Join{Name: "a", ExpectedRate: 1}, 0)
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -38,7 +38,7 @@
 	Zone            int                // index of its zone in the configuration
 	ExpectedRate    float64            // requests a second that it usually gets
 	OnStandingTable bool               // it still uses the table that it started with
-	ConnectedAt     model.Microseconds // when the balancer was told of it
+	ConnectedAt     model.Microseconds // when the balancer was notified of it
 }
 
 // A Detail costs a copy of the fleet. It is renewed at most once each detailInterval, and only within
--- a/internal/model/publisher.go
+++ b/internal/model/publisher.go
@@ -10,7 +10,7 @@
 
 	// BindProxy has a proxy use a table, with all its entries, for some operations: a mask with 1 << index for each, or
 	// 0 for all. Other controllers may have withdrawn the replicas in readmitted from this proxy and not readmitted
-	// them; where such a withdrawal outlasts a binding, the proxy is told with it that they may be used.
+	// them; where such a withdrawal outlasts a binding, the proxy is notified with it that they may be used.
 	BindProxy(proxy ProxyID, table TableID, operations uint16, readmitted []ReplicaID)
 
 	// SetWithdrawn withdraws a replica from every table, also from the standing tables of proxies that are not bound, or
--- a/internal/snapshot/delivery.go
+++ b/internal/snapshot/delivery.go
@@ -100,8 +100,8 @@
 }
 
 // endedWithdrawals returns the withdrawals that a snapshot has to take back. A bound proxy forgets every withdrawal
-// that the snapshot does not name; one on its standing table keeps those of other controllers, and is told the end of
-// ours. They are sorted by address, so that the same updates give the same bytes.
+// that the snapshot does not name; one on its standing table keeps those of other controllers, and is notified of the
+// end of ours. They are sorted by address, so that the same updates give the same bytes.
 func (s *State) endedWithdrawals(subscriber *Subscriber) []pubsubmsg.Withdrawal {
 	if subscriber.Table != nil {
 		return nil
--- a/internal/snapshot/state.go
+++ b/internal/snapshot/state.go
@@ -114,7 +114,7 @@
 		} else {
 			pending.entries = append(pending.entries, replica)
 		}
-		// A withdrawal, or its end, was not told to those who had no entry for the replica: it comes with the entry.
+		// A withdrawal, or its end, was not sent to those who had no entry for the replica: it comes with the entry.
 		if isNew && s.isWithdrawn[replica] != user.IsWithdrawn(replica) {
 			pending.withdrawals = append(pending.withdrawals, replica)
 		}
--- a/internal/snapshot/subscriber.go
+++ b/internal/snapshot/subscriber.go
@@ -18,7 +18,7 @@
 	pending     *changes                 // for its next message; nil: nothing changed
 }
 
-// changes is what a subscriber's next message has to tell. Replicas stand in the order of their first change.
+// changes is what a subscriber's next message has to contain. Replicas stand in the order of their first change.
 type changes struct {
 	bound       bool              // it was bound anew: the message is a snapshot
 	readmitted  []model.ReplicaID // of its tables, replicas that other controllers may have withdrawn
