--- /dev/null
+++ b/internal/netpoll/connserver/conn.go
@@ -0,0 +1,29 @@
+package connserver
+
+import (
+	"sync/atomic"
+
+	"github.com/lesismal/nbio"
+)
+
+// Conn is the part of a connection's state that every protocol server needs. It belongs to the Server that registered
+// it and must not be copied.
+type Conn struct {
+	socket      *nbio.Conn
+	ended       atomic.Bool
+	unsentBytes atomic.Int64 // written and not yet accepted by the socket
+}
+
+func (c *Conn) connection() *Conn { return c }
+
+// Socket is the connection's socket; nil before it is registered.
+func (c *Conn) Socket() *nbio.Conn { return c.socket }
+
+// Ended tells whether nothing more is read from the connection: it was marked as ended, or unregistered.
+func (c *Conn) Ended() bool { return c.ended.Load() }
+
+// MarkEnded marks the connection as ended without closing it, and tells whether it was not so before.
+func (c *Conn) MarkEnded() bool { return !c.ended.Swap(true) }
+
+// UnsentBytes is the number of bytes that were written to the connection and wait to be accepted by the socket.
+func (c *Conn) UnsentBytes() int64 { return c.unsentBytes.Load() }
--- /dev/null
+++ b/internal/netpoll/connserver/events.go
@@ -0,0 +1,18 @@
+package connserver
+
+import (
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+)
+
+// ProxyEvents is told what proxies and collectors send, whichever protocol they speak. It is called from network
+// goroutines and must neither block nor call the server from within, unless the server's package says otherwise.
+//
+// A stream is one connection of one proxy and has a new number each time. The events of a stream come in order:
+// ProxyConnected first, ProxyDisconnected last and once.
+type ProxyEvents interface {
+	ProxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int)
+	ProxyDisconnected(proxy model.ProxyID, stream uint64)
+	Acknowledged(proxy model.ProxyID, stream uint64, ackSequence uint32)
+	LoadReported(zone int, reports []model.LoadReport)
+}
--- /dev/null
+++ b/internal/platform/connection.go
@@ -0,0 +1,237 @@
+package platform
+
+import (
+	"container/list"
+	"errors"
+	"fmt"
+	"slices"
+	"sync/atomic"
+
+	"github.com/lesismal/nbio"
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/codec/platformmsg"
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+	"peppervale/internal/netpoll/connserver"
+)
+
+// noZone is the collector zone of a connection that is no collector's.
+const noZone = -1
+
+// malformedLogged is how many malformed messages have a log line of their own; the others are only counted.
+const malformedLogged = 20
+
+// errEnded stops the reader of a connection that has been ended; it is not reported.
+var errEnded = errors.New("ended")
+
+// connection is one connection of a proxy, a collector or anybody else.
+type connection struct {
+	connserver.Conn
+	server         *Server
+	reader         *resp.Reader
+	openedAt       model.Microseconds
+	lastReceivedAt atomic.Int64  // in model.Microseconds
+	queued         *list.Element // its place in Server.unauthenticated; nil once it has joined
+	collectorZone  int           // the zone whose reports it brings, or noZone
+	stream         *stream       // nil unless a proxy has joined on it
+}
+
+// opened takes a connection in. If there are too many, the oldest unauthenticated one makes room.
+func (s *Server) opened(socket *nbio.Conn) {
+	conn := &connection{server: s, reader: resp.NewReader(platformmsg.Limits), collectorZone: noZone}
+	s.mu.Lock()
+	conn.openedAt = s.config.Now()
+	conn.lastReceivedAt.Store(int64(conn.openedAt))
+	s.connections.Register(socket, conn)
+	conn.queued = s.unauthenticated.PushBack(conn)
+	var evicted []*connection
+	if s.connections.Count() > s.config.Limits.Connections {
+		oldest := s.unauthenticated.Front().Value.(*connection)
+		s.stats.Evicted++
+		s.remove(oldest)
+		evicted = append(evicted, oldest)
+	}
+	s.mu.Unlock()
+	s.connections.CloseOnPoller(evicted...)
+}
+
+// received reads what came. Bytes that are no message end the connection.
+func (s *Server) received(conn *connection, data []byte) {
+	conn.lastReceivedAt.Store(int64(s.config.Now()))
+	err := conn.reader.Feed(data, conn.handle)
+	if err == nil || errors.Is(err, errEnded) {
+		return
+	}
+	if s.isUnauthenticated(conn) {
+		s.reject(conn, err.Error())
+		return
+	}
+	s.mu.Lock()
+	s.stats.ProtocolErrors++
+	s.mu.Unlock()
+	event := s.config.Log.Warn().Err(err)
+	if conn.stream != nil {
+		event.Int("proxy", int(conn.stream.proxy))
+	} else {
+		event.Int("collector_zone", conn.collectorZone)
+	}
+	event.Msg("connection closed: protocol error")
+	s.end(conn)
+}
+
+// closed takes a connection out that has closed of itself.
+func (s *Server) closed(conn *connection) {
+	s.mu.Lock()
+	s.remove(conn)
+	s.mu.Unlock()
+}
+
+// reject tells an unauthenticated connection why it is not served, and ends it.
+func (s *Server) reject(conn *connection, reason string) {
+	s.mu.Lock()
+	s.stats.Rejected++
+	s.connections.Write(conn, platformmsg.AppendRefused(nil, reason))
+	s.mu.Unlock()
+	s.end(conn)
+}
+
+// end ends a connection. What follows from that follows at once, not when the poller has closed the socket.
+func (s *Server) end(conn *connection) {
+	s.mu.Lock()
+	s.remove(conn)
+	s.mu.Unlock()
+	s.connections.CloseOnPoller(conn)
+}
+
+// remove takes connections out of all that the server keeps, each once, and reports the end of their streams; s.mu is
+// held. Their sockets remain to be closed.
+func (s *Server) remove(connections ...*connection) {
+	for _, c := range connections {
+		if !s.connections.Unregister(c) {
+			continue
+		}
+		if c.queued != nil {
+			s.unauthenticated.Remove(c.queued)
+			s.stats.Unauthenticated++
+		}
+		if c.collectorZone != noZone {
+			s.removeCollector(c)
+		}
+		if c.stream != nil && s.streams[c.stream.proxy] == c.stream {
+			s.removeStream(c.stream)
+		}
+	}
+}
+
+// authenticate notes that a connection has joined; s.mu is held.
+func (s *Server) authenticate(conn *connection) {
+	s.unauthenticated.Remove(conn.queued)
+	conn.queued = nil
+}
+
+func (s *Server) isUnauthenticated(conn *connection) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return conn.queued != nil
+}
+
+// hasTooMuchUnsent tells whether more bytes wait for a peer than it may leave unread.
+func (s *Server) hasTooMuchUnsent(conn *connection) bool {
+	return conn.UnsentBytes() > int64(s.config.Limits.Unsent)
+}
+
+// handle takes one message. An error ends the connection.
+func (c *connection) handle(value resp.Value) error {
+	if c.Ended() {
+		return errEnded
+	}
+	message, err := platformmsg.Parse(value)
+	if err == nil && message.Kind == platformmsg.Ping {
+		return c.server.answerPing(c)
+	}
+	if c.server.isUnauthenticated(c) {
+		if err != nil {
+			return err
+		}
+		return c.server.handleGreeting(c, message)
+	}
+	if err := c.server.handleJoined(c, message, err); err != nil {
+		c.server.dropMalformed(err)
+	}
+	return nil
+}
+
+// handleGreeting takes the first message of a connection. An error is the reason for which it is rejected.
+func (s *Server) handleGreeting(conn *connection, message platformmsg.Message) error {
+	switch message.Kind {
+	case platformmsg.Joined:
+		return s.join(conn, message)
+	case platformmsg.Collector:
+		return s.registerCollector(conn, message)
+	default:
+		return fmt.Errorf("%s: nothing has joined on this connection", message.Kind)
+	}
+}
+
+// handleJoined takes a message of a connection that has joined. An error is why the message is dropped.
+func (s *Server) handleJoined(conn *connection, message platformmsg.Message, malformed error) error {
+	if message.Kind == platformmsg.Applied && conn.stream != nil {
+		s.acknowledge(conn.stream, message, malformed)
+		return nil
+	}
+	if malformed != nil {
+		return malformed
+	}
+	switch {
+	case message.Kind == platformmsg.Heard && conn.collectorZone != noZone:
+		return s.reportLoad(message)
+	case message.Kind == platformmsg.Usage:
+		s.countUsage(message)
+		return nil
+	default:
+		return fmt.Errorf("%s: not from here", message.Kind)
+	}
+}
+
+// answerPing answers a ping. A peer that pings and reads no answer is closed: answers are bounded like all else that
+// waits.
+func (s *Server) answerPing(conn *connection) error {
+	s.mu.Lock()
+	s.connections.Write(conn, platformmsg.AppendPong(nil))
+	slow := s.hasTooMuchUnsent(conn)
+	if slow {
+		s.stats.Slow++
+		s.remove(conn)
+	}
+	s.mu.Unlock()
+	if !slow {
+		return nil
+	}
+	s.connections.CloseOnPoller(conn)
+	return errEnded
+}
+
+// dropMalformed counts and logs a malformed message that is dropped.
+func (s *Server) dropMalformed(reason error) {
+	s.mu.Lock()
+	event := s.malformedMessage()
+	s.mu.Unlock()
+	event.Err(reason).Msg("malformed message dropped")
+}
+
+// malformedMessage counts a malformed message and gives the log line that tells of it; nil, to which nothing is
+// logged, once there were malformedLogged. s.mu is held.
+func (s *Server) malformedMessage() *zerolog.Event {
+	s.stats.MalformedMessages++
+	if s.stats.MalformedMessages > malformedLogged {
+		return nil
+	}
+	return s.config.Log.Warn()
+}
+
+// zoneIndex is the place of a zone in Config.Zones; ok is false if there is none of that name.
+func (s *Server) zoneIndex(name string) (index int, ok bool) {
+	index = slices.Index(s.config.Zones, name)
+	return index, index >= 0
+}
--- /dev/null
+++ b/internal/platform/connection_test.go
@@ -0,0 +1,108 @@
+package platform
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"peppervale/internal/netpoll/netpolltest"
+)
+
+// TestUnauthenticatedConnectionsTimeOut: Connections that send nothing, or half a message, or only a ping, are closed
+// when their time to join has passed.
+func TestUnauthenticatedConnectionsTimeOut(t *testing.T) {
+	harness := startServer(t, func(config *Config) { config.Limits.Greeting = 300 * time.Millisecond })
+	for _, bytes := range []string{"", "*3\r\n$4\r\njo", netpolltest.Command("ping")} {
+		client := harness.dial(t)
+		client.Send([]byte(bytes))
+		if got := client.next(); got == "pong" {
+			got = client.next()
+			if got != closedConnection {
+				t.Fatalf("after a pong: %q", got)
+			}
+		} else if got != closedConnection {
+			t.Fatalf("%q", got)
+		}
+	}
+	harness.waitForNoConnections()
+}
+
+// TestFloodOfUnauthenticatedConnectionsLeavesRoomForProxies: A flood of silent connections takes no place from
+// proxies: the oldest of them make room.
+func TestFloodOfUnauthenticatedConnectionsLeavesRoomForProxies(t *testing.T) {
+	harness := startServer(t, func(config *Config) { config.Limits.Connections = 10 })
+	for range 50 {
+		harness.dial(t)
+	}
+	for n := range 5 {
+		client := harness.join(t, n)
+		harness.publish(n, harness.withdraw(n+1, true))
+		client.expect(fmt.Sprintf("update out s-%d ticket %d", n+1, n))
+	}
+	for range 50 {
+		harness.dial(t)
+	}
+	harness.waitUntil("evictions", func() bool { return harness.server.Stats().Evicted >= 90 })
+	if stats := harness.server.Stats(); stats.Proxies != 5 || stats.Connections > 10 {
+		t.Fatalf("%+v", stats)
+	}
+}
+
+// TestUnauthenticatedConnectionAtLimitIsEvicted: Where streams have taken every place, a new connection finds none,
+// as it is itself the oldest that may go; the streams notice nothing.
+func TestUnauthenticatedConnectionAtLimitIsEvicted(t *testing.T) {
+	harness := startServer(t, func(config *Config) { config.Limits.Connections = 3 })
+	var joined []*testClient
+	for n := range 3 {
+		joined = append(joined, harness.join(t, n))
+	}
+	for range 20 {
+		if got := harness.dial(t).next(); got != closedConnection {
+			t.Fatalf("a connection beyond the limit receives %q", got)
+		}
+	}
+	harness.publish(1, harness.withdraw(1, true))
+	for _, client := range joined {
+		client.expect("update out s-1 ticket 1")
+	}
+	if stats := harness.server.Stats(); stats.Proxies != 3 || stats.Connections != 3 || stats.Evicted != 20 {
+		t.Fatalf("%+v", stats)
+	}
+}
+
+// TestResetsRightAfterAcceptLeaveNothing: Connections that are reset right after they came up, with bytes waiting or
+// none, leave no connection and no descriptor.
+func TestResetsRightAfterAcceptLeaveNothing(t *testing.T) {
+	harness := startServer(t, nil)
+	harness.join(t, 7)
+	descriptors := func() int {
+		open, _ := os.ReadDir("/proc/self/fd")
+		return len(open)
+	}
+	before := descriptors()
+	openings := []string{
+		"",
+		netpolltest.Command(joinMessage(3)),
+		netpolltest.Command("ping")[:5],
+		netpolltest.Command("collector site govan"),
+	}
+	for n := range 300 {
+		conn, err := net.Dial("tcp", harness.server.Addr())
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, _ = conn.Write([]byte(openings[n%len(openings)]))
+		_ = conn.(*net.TCPConn).SetLinger(0)
+		_ = conn.Close()
+	}
+	harness.waitUntil("end of all but one", func() bool {
+		stats := harness.server.Stats()
+		onlyOneLeft := stats.Connections == 1 && stats.Collectors == 0
+		return onlyOneLeft && harness.unauthenticatedCount() == 0 && descriptors() == before
+	})
+	if open := harness.expectStreamOrder(); len(open) != 1 {
+		t.Fatalf("open: %v", open)
+	}
+}
--- /dev/null
+++ b/internal/platform/harness_test.go
@@ -0,0 +1,322 @@
+package platform
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"peppervale/internal/codec/platformmsg"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/netpoll/netpolltest"
+	"peppervale/internal/snapshot"
+)
+
+// patience is how long a test waits for anything before it fails.
+const patience = 20 * time.Second
+
+// closedConnection is what testClient.next gives once the server has closed the connection.
+const closedConnection = "closed"
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testHarness stands in for the controller: it keeps what it was told, and admits whoever joins on a goroutine of its
+// own, as the controller does.
+type testHarness struct {
+	t      *testing.T
+	server *Server
+	names  *platformmsg.ReplicaNames
+	steps  chan func() // run one after another, as the controller's mailbox
+
+	mu           sync.Mutex
+	events       []string      // as the steps have run
+	streamEvents []streamEvent // in the order told, at once
+	reports      []model.LoadReport
+}
+
+// streamEvent is one event of a stream.
+type streamEvent struct {
+	kind   streamEventKind
+	proxy  model.ProxyID
+	stream uint64
+}
+
+type streamEventKind int
+
+const (
+	streamConnected streamEventKind = iota + 1
+	streamDisconnected
+	streamAcknowledged
+)
+
+func (h *testHarness) tell(event streamEvent, step func()) {
+	h.mu.Lock()
+	h.streamEvents = append(h.streamEvents, event)
+	h.mu.Unlock()
+	h.steps <- step
+}
+
+func (h *testHarness) note(format string, args ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.events = append(h.events, fmt.Sprintf(format, args...))
+}
+
+// ProxyConnected admits the proxy in a later step and notes it then.
+func (h *testHarness) ProxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
+	h.tell(streamEvent{streamConnected, proxy, stream}, func() {
+		h.server.AdmitProxy(proxy, stream)
+		h.note("connected %d zone %d rate %g standing %t", proxy, zone, join.ExpectedRate, join.OnStandingTable)
+	})
+}
+
+// ProxyDisconnected notes the end of a stream.
+func (h *testHarness) ProxyDisconnected(proxy model.ProxyID, stream uint64) {
+	h.tell(streamEvent{streamDisconnected, proxy, stream}, func() { h.note("disconnected %d", proxy) })
+}
+
+// Acknowledged notes an acknowledgement.
+func (h *testHarness) Acknowledged(proxy model.ProxyID, stream uint64, ackSequence uint32) {
+	h.tell(streamEvent{streamAcknowledged, proxy, stream}, func() { h.note("acknowledged %d %d", proxy, ackSequence) })
+}
+
+// LoadReported keeps load reports.
+func (h *testHarness) LoadReported(_ int, reports []model.LoadReport) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.reports = append(h.reports, reports...)
+}
+
+// unauthenticatedCount is the number of connections that have not joined.
+func (h *testHarness) unauthenticatedCount() int {
+	h.server.mu.Lock()
+	defer h.server.mu.Unlock()
+	return h.server.unauthenticated.Len()
+}
+
+// waitForAdmission waits until a proxy's stream is admitted and fits.
+func (h *testHarness) waitForAdmission(proxy model.ProxyID, fits func(*stream) bool) {
+	h.t.Helper()
+	h.waitUntil("admission", func() bool {
+		h.server.mu.Lock()
+		defer h.server.mu.Unlock()
+		stream := h.server.streams[proxy]
+		return stream != nil && stream.subscriber != nil && fits(stream)
+	})
+}
+
+// reportCount is the number of load reports that came.
+func (h *testHarness) reportCount() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.reports)
+}
+
+// waitForEvent waits until an event was noted.
+func (h *testHarness) waitForEvent(want string) {
+	h.t.Helper()
+	h.waitUntil(want, func() bool {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		return slices.Contains(h.events, want)
+	})
+}
+
+func (h *testHarness) waitUntil(what string, reached func() bool) {
+	h.t.Helper()
+	for deadline := time.Now().Add(patience); !reached(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			h.t.Fatalf("not reached: %s; events %q, %+v", what, h.events, h.server.Stats())
+		}
+	}
+}
+
+// waitForNoConnections waits until the server has no connection.
+func (h *testHarness) waitForNoConnections() {
+	h.t.Helper()
+	h.waitUntil("end of all connections", func() bool { return h.server.Stats().Connections == 0 })
+}
+
+// expectStreamOrder checks what was told of each proxy: a stream's start, then its acknowledgements, then its end,
+// once, and no two streams at a time. It gives the streams that are open by it.
+func (h *testHarness) expectStreamOrder() map[model.ProxyID]uint64 {
+	h.t.Helper()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	open := map[model.ProxyID]uint64{}
+	for i, event := range h.streamEvents {
+		current := open[event.proxy]
+		switch {
+		case event.kind == streamConnected && current == 0:
+			open[event.proxy] = event.stream
+		case event.kind == streamDisconnected && current == event.stream:
+			delete(open, event.proxy)
+		case event.kind == streamAcknowledged && current == event.stream:
+		default:
+			h.t.Fatalf("event %d, %+v, while stream %d is open", i, event, current)
+		}
+	}
+	return open
+}
+
+// startServer opens an address with two zones, two operations, twenty proxies and nine listed replicas, s-1 to s-9.
+func startServer(t *testing.T, change func(*Config)) *testHarness {
+	t.Helper()
+	harness := &testHarness{t: t, names: platformmsg.NewReplicaNames(), steps: make(chan func(), 100_000)}
+	for n := range 9 {
+		harness.names.Listed(fmt.Sprint("s-", n+1))
+	}
+	config := Config{
+		Listen:          "127.0.0.1:0",
+		Zones:           []string{"govan", "kelvin"},
+		Operations:      []string{"read", "log"},
+		LoadFields:      []string{"busy", "cpu_share"},
+		Proxies:         20,
+		MessageOverhead: 6,
+		Names:           harness.names,
+		Now:             controller.Clock(),
+		Log:             zerolog.Nop(),
+		Limits: Limits{
+			Connections: 100,
+			Greeting:    20 * time.Second,
+			Unsent:      64 << 10,
+			Silence:     20 * time.Second,
+			AskAgain:    time.Minute,
+		},
+	}
+	if change != nil {
+		change(&config)
+	}
+	var err error
+	if harness.server, err = Listen(config, harness); err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for step := range harness.steps {
+			step()
+		}
+	}()
+	t.Cleanup(func() {
+		harness.server.Close()
+		close(harness.steps)
+		<-done
+	})
+	return harness
+}
+
+// testClock is moved by the test.
+type testClock struct {
+	mu  sync.Mutex
+	now model.Microseconds
+}
+
+func (c *testClock) read() model.Microseconds {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.now
+}
+
+func (c *testClock) advance(by time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.now += model.Microseconds(by / time.Microsecond)
+}
+
+func (h *testHarness) replica(n int) model.ReplicaID {
+	id, _ := h.names.ID(fmt.Sprint("s-", n))
+	return id
+}
+
+// publish publishes updates; the acknowledgement sequence is -1 where none is asked for.
+func (h *testHarness) publish(ackSequence int, updates ...snapshot.Update) {
+	h.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: ackSequence})
+}
+
+// weight sets the weight of a replica in table 1.
+func (h *testHarness) weight(n int, weight float64) snapshot.Update {
+	return snapshot.Update{Kind: snapshot.SetWeight, Table: 1, Replica: h.replica(n), Weight: weight}
+}
+
+// withdraw withdraws a replica, or readmits it.
+func (h *testHarness) withdraw(n int, withdrawn bool) snapshot.Update {
+	return snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: h.replica(n), Withdrawn: withdrawn}
+}
+
+// bind binds a proxy to table 1.
+func bind(proxy model.ProxyID) snapshot.Update {
+	return snapshot.Update{Kind: snapshot.BindProxy, Proxy: proxy, Table: 1}
+}
+
+// admitQuota admits a share of the first operation.
+func admitQuota(share float64) snapshot.Update {
+	return snapshot.Update{
+		Kind:  snapshot.SetQuota,
+		Quota: pubsubmsg.Quota{Operations: 1, Share: share, RetryPolicy: model.RetryIfNotExecuted},
+	}
+}
+
+// testClient is the far end of a connection, driven by hand.
+type testClient struct {
+	*netpolltest.Client
+	t *testing.T
+}
+
+func (h *testHarness) dial(t *testing.T) *testClient {
+	t.Helper()
+	return &testClient{netpolltest.Dial(t, h.server.Addr(), patience), t}
+}
+
+// join connects a proxy of the first zone on its standing table and waits until it is admitted.
+func (h *testHarness) join(t *testing.T, proxy int) *testClient {
+	t.Helper()
+	client := h.dial(t).say(joinMessage(proxy))
+	h.waitForEvent(fmt.Sprintf("connected %d zone 0 rate 1 standing true", proxy))
+	return client
+}
+
+// joinMessage is what a proxy of the first zone says on its standing table.
+func joinMessage(proxy int) string { return fmt.Sprintf("joined id %d site govan rps 1 new 1", proxy) }
+
+// say sends messages, each given as words.
+func (c *testClient) say(messages ...string) *testClient {
+	c.t.Helper()
+	c.SendCommands(messages...)
+	return c
+}
+
+// next is the next message in words; closedConnection once the connection has ended.
+func (c *testClient) next() string {
+	c.t.Helper()
+	value, ok := c.Next()
+	if !ok {
+		return closedConnection
+	}
+	var words []string
+	for _, item := range value.Items {
+		words = append(words, item.Text)
+	}
+	return strings.Join(words, " ")
+}
+
+func (c *testClient) expect(want string) {
+	c.t.Helper()
+	if got := c.next(); got != want {
+		c.t.Fatalf("received:  %s\nwant:      %s", got, want)
+	}
+}
+
+// ping exchanges a ping: all that was sent before it has been read by the server.
+func (c *testClient) ping() {
+	c.t.Helper()
+	c.say("ping")
+	c.expect("pong")
+}
--- /dev/null
+++ b/internal/platform/publish.go
@@ -0,0 +1,125 @@
+package platform
+
+import (
+	"peppervale/internal/codec/platformmsg"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/snapshot"
+)
+
+// Publish carries a batch out: one message on each stream that it concerns. A stream whose peer reads or acknowledges
+// too little is closed.
+func (s *Server) Publish(batch *snapshot.Batch) {
+	s.mu.Lock()
+	var slow []*connection
+	for _, delivery := range s.published.Apply(batch) {
+		stream := s.streams[delivery.To.Proxy]
+		if stream == nil || stream.subscriber != delivery.To {
+			continue
+		}
+		if err := s.deliver(stream, delivery); err != nil {
+			s.config.Log.Error().Int("proxy", int(stream.proxy)).Err(err).Msg("update cannot be encoded, dropped")
+			continue
+		}
+		if s.isSlow(stream) {
+			slow = append(slow, stream.conn)
+		}
+	}
+	s.stats.Slow += uint64(len(slow))
+	for _, c := range slow {
+		s.config.Log.Warn().Int("proxy", int(c.stream.proxy)).Int64("unsent_bytes", c.UnsentBytes()).
+			Int("pending_acks", len(c.stream.acks.pending)).Msg("stream closed: proxy reads or acknowledges too slowly")
+	}
+	s.remove(slow...)
+	s.mu.Unlock()
+	s.connections.CloseOnPoller(slow...)
+}
+
+// isSlow tells whether too much waits for a stream's peer; s.mu is held.
+func (s *Server) isSlow(stream *stream) bool {
+	return s.hasTooMuchUnsent(stream.conn) || len(stream.acks.pending) > maxPendingAcks
+}
+
+// deliver writes a message to a stream; s.mu is held. Errors are lists that do not fit into an update.
+func (s *Server) deliver(stream *stream, delivery snapshot.Delivery) error {
+	message := delivery.Message
+	update := s.update(stream, delivery)
+	encoded, err := update.Append(nil)
+	if err != nil {
+		return err
+	}
+	if message.AckSequence >= 0 {
+		stream.acks.newest = uint32(message.AckSequence)
+		s.expectAck(&stream.acks, s.config.Now())
+	}
+	s.stats.Updates++
+	s.stats.Entries += uint64(message.Cost)
+	s.connections.Write(stream.conn, encoded)
+	return nil
+}
+
+// update puts a message into the platform's form, with the readmissions that the stream needs; s.mu is held.
+func (s *Server) update(stream *stream, delivery snapshot.Delivery) platformmsg.Update {
+	message := delivery.Message
+	update := platformmsg.Update{
+		Full:        message.Full && len(delivery.OperationTables) == 0,
+		AckSequence: message.AckSequence,
+		Entries:     s.entries(message.Entries),
+	}
+	for _, table := range delivery.OperationTables {
+		update.OperationTables = append(update.OperationTables, platformmsg.OperationTable{
+			Operations: s.operationNames(table.Operations),
+			Full:       table.Full,
+			Entries:    s.entries(table.Entries),
+		})
+	}
+	for _, withdrawal := range message.Withdrawals {
+		name := s.config.Names.Name(withdrawal.Replica)
+		if withdrawal.Withdrawn {
+			update.Withdrawn = append(update.Withdrawn, name)
+		} else {
+			update.Readmitted = append(update.Readmitted, name)
+		}
+		stream.readmissions.settle(withdrawal.Replica)
+	}
+	for _, replica := range stream.readmissions.next(delivery, s.spareReadmissions(stream, message)) {
+		update.Readmitted = append(update.Readmitted, s.config.Names.Name(replica))
+	}
+	for _, quota := range message.Quotas {
+		for _, operation := range s.operationNames(quota.Operations) {
+			update.Quotas = append(update.Quotas, platformmsg.Quota{
+				Operation:   operation,
+				Share:       quota.Share,
+				RetryPolicy: quota.RetryPolicy,
+			})
+		}
+	}
+	return update
+}
+
+// spareReadmissions is how many deferred readmissions fit into a message: the place of the quotas that every message is
+// charged for and few have, on a stream that owes no acknowledgement.
+func (s *Server) spareReadmissions(stream *stream, message *pubsubmsg.Message) int {
+	if message.Full || len(stream.acks.pending) > 0 {
+		return 0
+	}
+	return len(s.config.Operations) - len(message.Quotas)
+}
+
+// entries names the replicas of a table's entries.
+func (s *Server) entries(of []pubsubmsg.Entry) (named []platformmsg.Entry) {
+	for _, entry := range of {
+		named = append(named, platformmsg.Entry{Replica: s.config.Names.Name(entry.Replica), Weight: entry.Weight})
+	}
+	return named
+}
+
+// operationNames are the names of operations, each given by the bit of its place in Config.Operations; 0 stands for
+// all.
+func (s *Server) operationNames(operations uint16) (names []string) {
+	for i, name := range s.config.Operations {
+		if operations>>i&1 == 1 || operations == 0 {
+			names = append(names, name)
+		}
+	}
+	return names
+}
--- /dev/null
+++ b/internal/platform/publish_test.go
@@ -0,0 +1,77 @@
+package platform
+
+import (
+	"net"
+	"testing"
+
+	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
+)
+
+// TestWithdrawalsOfOtherControllersAreReadmitted: A proxy that comes with withdrawals of other controllers would
+// never use an entry whose replica one of them has withdrawn: the replicas of its entries are readmitted.
+func TestWithdrawalsOfOtherControllersAreReadmitted(t *testing.T) {
+	harness := startServer(t, nil)
+	client := harness.dial(t).say("joined id 7 site govan rps 1 new 0")
+	harness.waitForEvent("connected 7 zone 0 rate 1 standing false")
+	bound := bind(7)
+	bound.Readmitted = []model.ReplicaID{harness.replica(1), harness.replica(2)}
+	var updates []snapshot.Update
+	for _, replica := range []int{1, 2, 4, 5, 6, 7} {
+		updates = append(updates, harness.weight(replica, 1))
+	}
+	harness.publish(-1, append(updates, harness.withdraw(2, true), bound)...)
+	client.expect("update whole 1 lines s-1:1,s-2:1,s-4:1,s-5:1,s-6:1,s-7:1 out s-2 back s-1")
+	// The others follow, two with each message, in the place of quotas that it is charged for; a new entry brings its own.
+	harness.publish(-1, harness.weight(1, 2), harness.weight(3, 1))
+	client.expect("update lines s-1:2,s-3:1 back s-3,s-4,s-5")
+	harness.publish(-1, harness.weight(1, 1), admitQuota(0.9))
+	client.expect("update lines s-1:1 back s-6 more 1")
+	client.expect("update classes read level 0.9 retry 1")
+	harness.publish(-1, harness.weight(1, 2))
+	client.expect("update lines s-1:2 back s-7")
+	harness.publish(-1, harness.weight(1, 1))
+	client.expect("update lines s-1:1")
+}
+
+// TestTablesOfSomeOperations: Operations with tables of their own are named in the parts of an update.
+func TestTablesOfSomeOperations(t *testing.T) {
+	harness := startServer(t, nil)
+	client := harness.dial(t).say("joined id 7 site govan rps 1 new 0")
+	harness.waitForEvent("connected 7 zone 0 rate 1 standing false")
+	read := bind(7)
+	read.Operations = 1
+	log := bind(7)
+	log.Operations = 2
+	log.Table = 2
+	log.Readmitted = []model.ReplicaID{harness.replica(3)}
+	near := harness.weight(3, 1)
+	near.Table = 2
+	harness.publish(5, harness.weight(1, 1), harness.weight(2, 1), near, read, log, harness.withdraw(2, true))
+	client.expect("update out s-2 back s-3 more 1")
+	client.expect("update classes read whole 1 lines s-1:1,s-2:1 more 1")
+	client.expect("update classes log whole 1 lines s-3:1 ticket 5")
+	client.say("applied id 7 seq 5 ms 1")
+	harness.waitForEvent("acknowledged 7 5")
+	near.Weight = 2
+	harness.publish(-1, near, harness.weight(4, 1))
+	client.expect("update back s-4,s-1 more 1")
+	client.expect("update classes read lines s-4:1 more 1")
+	client.expect("update classes log lines s-3:2")
+}
+
+// TestProxyThatReadsNothingIsClosed: A proxy that reads nothing is closed before what waits for it grows beyond the
+// bound.
+func TestProxyThatReadsNothingIsClosed(t *testing.T) {
+	harness := startServer(t, nil)
+	client := harness.dial(t).say(joinMessage(7))
+	_ = client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+	harness.waitForEvent("connected 7 zone 0 rate 1 standing true")
+	for n := 0; harness.server.Stats().Slow == 0; n++ {
+		harness.publish(-1, harness.withdraw(n%9+1, n%2 == 0))
+		if n > 5_000_000 {
+			t.Fatal("it is still joined")
+		}
+	}
+	harness.waitForEvent("disconnected 7")
+}
--- /dev/null
+++ b/internal/platform/stream.go
@@ -0,0 +1,89 @@
+package platform
+
+import (
+	"fmt"
+	"strconv"
+
+	"peppervale/internal/codec/platformmsg"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
+)
+
+// stream is one connection of one proxy that has joined.
+type stream struct {
+	conn            *connection
+	proxy           model.ProxyID
+	id              uint64
+	onStandingTable bool                 // it came with no withdrawals of other controllers
+	subscriber      *snapshot.Subscriber // nil until admitted
+	readmissions    readmissions
+	acks            ackQueue
+}
+
+// join registers a proxy's stream. An older stream of the same proxy ends.
+func (s *Server) join(conn *connection, message platformmsg.Message) error {
+	if s.config.Proxies > 0 && message.Proxy >= s.config.Proxies {
+		return fmt.Errorf("joined: there is no proxy %d", message.Proxy)
+	}
+	zone, known := s.zoneIndex(message.Zone)
+	if !known {
+		return fmt.Errorf("joined: there is no site %.40q", message.Zone)
+	}
+	proxy := model.ProxyID(message.Proxy)
+	s.mu.Lock()
+	if !s.connections.Registered(conn) { // ended meanwhile
+		s.mu.Unlock()
+		return errEnded
+	}
+	var replaced []*connection
+	if older := s.streams[proxy]; older != nil {
+		s.stats.Replaced++
+		s.remove(older.conn)
+		replaced = append(replaced, older.conn)
+	}
+	s.authenticate(conn)
+	s.lastStreamID++
+	conn.stream = &stream{conn: conn, proxy: proxy, id: s.lastStreamID, onStandingTable: message.OnStandingTable}
+	s.streams[proxy] = conn.stream
+	s.events.ProxyConnected(proxy, conn.stream.id, pubsubmsg.Join{
+		Name:            strconv.Itoa(message.Proxy),
+		Zone:            message.Zone,
+		ExpectedRate:    message.ExpectedRate,
+		OnStandingTable: message.OnStandingTable,
+	}, zone)
+	s.mu.Unlock()
+	s.connections.CloseOnPoller(replaced...)
+	return nil
+}
+
+// AdmitProxy subscribes a joined proxy to what is published from now on. The proxy is sent nothing for it. A stream
+// that has ended meanwhile is ignored.
+func (s *Server) AdmitProxy(proxy model.ProxyID, streamID uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stream := s.streams[proxy]
+	if stream == nil || stream.id != streamID {
+		return
+	}
+	stream.subscriber = s.published.Subscribe(proxy, strconv.Itoa(int(proxy)))
+	if !stream.onStandingTable {
+		stream.readmissions.settled = map[model.ReplicaID]bool{}
+	}
+}
+
+// removeStream takes a stream out and reports its end; s.mu is held.
+func (s *Server) removeStream(stream *stream) {
+	delete(s.streams, stream.proxy)
+	if stream.subscriber != nil {
+		s.published.Unsubscribe(stream.proxy)
+	}
+	s.events.ProxyDisconnected(stream.proxy, stream.id)
+}
+
+// countUsage counts the requests that a proxy reports.
+func (s *Server) countUsage(message platformmsg.Message) {
+	s.mu.Lock()
+	s.stats.UsageRequests += uint64(message.Attempts)
+	s.mu.Unlock()
+}
