--- a/internal/netpoll/connserver/server.go
+++ b/internal/netpoll/connserver/server.go
@@ -112,7 +112,7 @@
 }
 
 // RunOnPoller has a task run on the first poller's goroutine, after what could be read there when it was called.
-func (s *Server[S]) RunOnPoller(task func()) { s.engine.Between(task) }
+func (s *Server[S]) RunOnPoller(task func()) { s.engine.RunOnPoller(task) }
 
 // Register takes a connection into the register; the lock is held.
 func (s *Server[S]) Register(socket *nbio.Conn, session S) {
--- /dev/null
+++ b/internal/netpoll/descriptorreuse_test.go
@@ -0,0 +1,193 @@
+package netpoll
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/lesismal/nbio"
+)
+
+// TestDescriptorReusedAfterCloseInOpen: A connection that is closed in Open frees its descriptor's number, and
+// somebody takes it at once: the poller does not watch what is behind that number now. It once did, found a
+// connection there that was closed, and kept a core busy without reading.
+func TestDescriptorReusedAfterCloseInOpen(t *testing.T) {
+	var engine *Engine
+	taken := make(chan []int, 1)
+	started := make(chan struct{})
+	engine = startEngine(t, Handlers{Open: func(conn *nbio.Conn) {
+		<-started
+		engine.End(conn)
+		taken <- takeDescriptors(t)
+	}}, "127.0.0.1:0")
+	close(started)
+	conn := connect(t, engine.Addrs[0])
+	descriptors := <-taken
+	waitForEnd(t, conn)
+	engine.pollerLoops[0].waitUntilDone()
+	watched := watchedDescriptors(t)
+	for _, descriptor := range descriptors {
+		if slices.Contains(watched, fmt.Sprint(descriptor)) {
+			t.Errorf("descriptor %d is watched, and is none of the engine's", descriptor)
+		}
+		_ = syscall.Close(descriptor)
+	}
+}
+
+// takeDescriptors takes the next eight descriptors, among them a number that was freed just before.
+func takeDescriptors(t *testing.T) (taken []int) {
+	for range 4 {
+		ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+		if err != nil {
+			t.Error(err)
+			break
+		}
+		taken = append(taken, ends[0], ends[1])
+	}
+	return taken
+}
+
+// watchedDescriptors are the descriptors that some epoll of this process watches.
+func watchedDescriptors(t *testing.T) (watched []string) {
+	t.Helper()
+	infos, err := filepath.Glob("/proc/self/fdinfo/*")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, info := range infos {
+		text, _ := os.ReadFile(info)
+		for _, line := range strings.Split(string(text), "\n") {
+			if fields := strings.Fields(line); len(fields) > 1 && fields[0] == "tfd:" {
+				watched = append(watched, fields[1])
+			}
+		}
+	}
+	return watched
+}
+
+// heldPoller is an engine with one poller that stays in each Data event, other than that of an echo, until it is
+// released.
+type heldPoller struct {
+	*Engine
+	opened  connLog
+	data    chan string // what each event has
+	release chan struct{}
+}
+
+const echoWord = "echo"
+
+func startHeldPoller(t *testing.T) *heldPoller {
+	t.Helper()
+	held := &heldPoller{data: make(chan string, 10), release: make(chan struct{})}
+	held.Engine = startEngine(t, Handlers{
+		Open: held.opened.add,
+		Data: func(conn *nbio.Conn, data []byte) {
+			held.data <- string(data)
+			if string(data) == echoWord {
+				_, _ = conn.Write(data)
+				return
+			}
+			<-held.release
+		},
+	}, "127.0.0.1:0")
+	return held
+}
+
+// waitForConnections waits until so many connections were opened.
+func (p *heldPoller) waitForConnections(t *testing.T, count int) {
+	t.Helper()
+	runWithin(t, "connections", func() {
+		for len(p.opened.all()) < count {
+			time.Sleep(time.Millisecond)
+		}
+	})
+}
+
+// TestStaleEventEndsNoOtherConnection: An event that the poller gathered before its connection was closed does not end
+// the connection that has got the number since. The poller is held in the first of two events of one round; the second
+// one's connection is closed, and another is given its number.
+func TestStaleEventEndsNoOtherConnection(t *testing.T) {
+	poller := startHeldPoller(t)
+	address := poller.Addrs[0]
+	// Numbers are given from the lowest on: this one will be free for the connection as it is accepted, the closed one's
+	// for nbio's copy.
+	hole, err := syscall.Dup(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	blocker := connect(t, address)
+	first := connect(t, address)
+	second := connect(t, address)
+	poller.waitForConnections(t, 3)
+	socket := unconnectedSocket(t)
+	send(t, blocker, "block")
+	<-poller.data // the poller is in the blocker's event; the next two come in one round after it
+	send(t, first, "first")
+	reset(t, second)
+	poller.release <- struct{}{}
+	if got := <-poller.data; got != "first" {
+		t.Fatalf("%q", got)
+	}
+	stale := poller.opened.all()[2]
+	takeDescriptorsBelow(t, stale.Hash())
+	_ = stale.Close()
+	_ = syscall.Close(hole)
+	if err := connectSocket(socket, port(t, address)); err != nil {
+		t.Fatal(err)
+	}
+	poller.awaitEarlyAccept(4)
+	poller.release <- struct{}{}
+	for range 2 { // the first one may be answered in the very round of the stale event
+		expectEcho(t, socket)
+	}
+	conns := poller.opened.all()
+	if n := len(conns); n != 4 || conns[3].Hash() != stale.Hash() {
+		t.Errorf("%d connections; the last one has descriptor %d, not %d", n, conns[3].Hash(), stale.Hash())
+	}
+}
+
+// reset closes a connection without taking leave of its peer.
+func reset(t *testing.T, conn net.Conn) {
+	t.Helper()
+	_ = conn.(*net.TCPConn).SetLinger(0)
+	_ = conn.Close()
+}
+
+// takeDescriptorsBelow takes every free descriptor below a bound.
+func takeDescriptorsBelow(t *testing.T, bound int) {
+	t.Helper()
+	for descriptor := 0; descriptor < bound; {
+		descriptor = duplicateDescriptor(t)
+	}
+}
+
+// awaitEarlyAccept gives a new connection, which has the stale number then, the time to be opened, as far as it is
+// opened at all while the poller is held.
+func (p *heldPoller) awaitEarlyAccept(count int) {
+	for deadline := time.Now().Add(200 * time.Millisecond); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if len(p.opened.all()) == count {
+			return
+		}
+	}
+}
+
+// expectEcho checks that a connection is up.
+func expectEcho(t *testing.T, socket int) {
+	t.Helper()
+	runWithin(t, "answer", func() {
+		if _, err := syscall.Write(socket, []byte(echoWord)); err != nil {
+			t.Errorf("the new connection was ended: %v", err)
+			return
+		}
+		answer := make([]byte, len(echoWord))
+		if n, err := syscall.Read(socket, answer); n != len(echoWord) || err != nil {
+			t.Errorf("the new connection was ended: %d bytes, %v", n, err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/netpoll/inherited_test.go
@@ -0,0 +1,95 @@
+package netpoll
+
+import (
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/lesismal/nbio"
+)
+
+// TestSocketOutlivesItsProcess: A dial that falls between two processes waits in the socket that whoever starts them
+// holds, and the next process serves it. The address is taken all the while, so a process that was not handed the
+// socket cannot listen there.
+func TestSocketOutlivesItsProcess(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := listener.Addr().String()
+	held, err := listener.(*net.TCPListener).File()
+	_ = listener.Close()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = held.Close() }()
+	output, err := exec.Command("env", echoAddressVariable+"="+address, os.Args[0]).CombinedOutput()
+	if err == nil || !strings.Contains(string(output), "in use") {
+		t.Fatalf("without the socket: %v\n%s", err, output)
+	}
+	for range 3 {
+		conn := connect(t, address) // nobody is there
+		_ = conn.SetDeadline(time.Now().Add(patience))
+		send(t, conn, "hello")
+		expectEchoFromNewProcess(t, conn, address, held)
+	}
+}
+
+// expectEchoFromNewProcess starts an echo server with the socket that is held, and reads its answer to hello.
+func expectEchoFromNewProcess(t *testing.T, conn net.Conn, address string, held *os.File) {
+	t.Helper()
+	process := exec.Command("sh", "-c", `LISTEN_FDS=1 LISTEN_PID=$$ exec "$0"`, os.Args[0])
+	process.Env = append(os.Environ(), echoAddressVariable+"="+address)
+	process.ExtraFiles = []*os.File{held}
+	input, err := process.StdinPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := process.Start(); err != nil {
+		t.Fatal(err)
+	}
+	answer := make([]byte, len("hello"))
+	_, readErr := io.ReadFull(conn, answer)
+	_ = input.Close()
+	exitErr := process.Wait()
+	if readErr != nil || string(answer) != "hello" || exitErr != nil {
+		t.Fatalf("%q, %v, %v", answer, readErr, exitErr)
+	}
+}
+
+// TestChildProcessInheritsNoConnection: A child process started while a connection is open does not hold it: its end is
+// seen when this side closes it.
+func TestChildProcessInheritsNoConnection(t *testing.T) {
+	closed := make(chan struct{}, 2)
+	server := startEngine(t, Handlers{Close: func(*nbio.Conn, error) { closed <- struct{}{} }}, "127.0.0.1:0")
+	client := startEngine(t, Handlers{})
+	dialed := make(chan *nbio.Conn, 1)
+	Dial(client, server.Addrs[0], 5*time.Second, nil, func(conn *nbio.Conn, err error) {
+		if err != nil {
+			t.Error(err)
+		}
+		dialed <- conn
+	})
+	conn := <-dialed
+	child := exec.Command("sleep", "20")
+	if err := child.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		_ = child.Process.Kill()
+		_ = child.Wait()
+	}()
+	if conn == nil {
+		return
+	}
+	_ = conn.Close()
+	select {
+	case <-closed:
+	case <-time.After(10 * time.Second):
+		t.Fatal("the child keeps the connection open")
+	}
+}
