--- /dev/null
+++ b/internal/netpoll/connserver/server_test.go
@@ -0,0 +1,136 @@
+package connserver
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/lesismal/nbio"
+	"go.uber.org/goleak"
+
+	"peppervale/internal/netpoll/netpolltest"
+)
+
+const patience = 20 * time.Second
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testSession is a connection of a protocol without messages.
+type testSession struct{ Conn }
+
+// testServer hands the sessions that come and go to the test.
+type testServer struct {
+	*Server[*testSession]
+	mu     sync.Mutex
+	opened chan *testSession
+	closed chan *testSession
+}
+
+func startServer(t *testing.T) *testServer {
+	t.Helper()
+	server := &testServer{opened: make(chan *testSession, 1), closed: make(chan *testSession, 1)}
+	server.Server = New(&server.mu, Handlers[*testSession]{
+		Opened: func(socket *nbio.Conn) {
+			session := &testSession{}
+			server.mu.Lock()
+			server.Register(socket, session)
+			server.mu.Unlock()
+			server.opened <- session
+		},
+		Received: func(session *testSession, data []byte) {
+			server.mu.Lock()
+			server.Write(session, data)
+			server.mu.Unlock()
+		},
+		Closed: func(session *testSession) { server.closed <- session },
+	})
+	if err := server.Listen(1, "127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(server.Close)
+	return server
+}
+
+// TestWriteCountsUnsentBytes: What was written counts until the socket has accepted it, and the total with it.
+func TestWriteCountsUnsentBytes(t *testing.T) {
+	server := startServer(t)
+	client := netpolltest.Dial(t, server.Addr(), patience)
+	session := <-server.opened
+	client.SendCommands("ping")
+	if value, ok := client.Next(); !ok || value.Items[0].Text != "ping" {
+		t.Fatalf("received %v, %t", value, ok)
+	}
+	waitForNoUnsentBytes(t, server, session)
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if got, want := server.BytesWritten(), uint64(len(netpolltest.Command("ping"))); got != want {
+		t.Errorf("%d bytes written, want %d", got, want)
+	}
+}
+
+func waitForNoUnsentBytes(t *testing.T, server *testServer, session *testSession) {
+	t.Helper()
+	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		if session.UnsentBytes() == 0 && server.UnsentBytes() == 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("%d bytes unsent, %d in all", session.UnsentBytes(), server.UnsentBytes())
+		}
+	}
+}
+
+// TestUnregisteredConnection: A connection that was unregistered is ended, is sent nothing more, and leaves no unsent
+// bytes behind; it can be unregistered once only.
+func TestUnregisteredConnection(t *testing.T) {
+	server := startServer(t)
+	client := netpolltest.Dial(t, server.Addr(), patience)
+	session := <-server.opened
+	expectUnregister(t, server, session)
+	server.CloseOnPoller(session)
+	if value, ok := client.Next(); ok {
+		t.Errorf("received %v", value)
+	}
+	if closed := <-server.closed; closed != session {
+		t.Errorf("end of %p reported, want %p", closed, session)
+	}
+}
+
+func expectUnregister(t *testing.T, server *testServer, session *testSession) {
+	t.Helper()
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if server.Count() != 1 || !server.Registered(session) || session.Ended() {
+		t.Fatalf("%d registered, this one %t, ended %t", server.Count(), server.Registered(session), session.Ended())
+	}
+	if !server.Unregister(session) || server.Unregister(session) {
+		t.Error("unregistered never or twice")
+	}
+	server.Write(session, []byte("after the end"))
+	if !session.Ended() || server.Count() != 0 {
+		t.Errorf("ended %t, %d registered", session.Ended(), server.Count())
+	}
+	if server.BytesWritten() != 0 || server.UnsentBytes() != 0 || session.UnsentBytes() != 0 {
+		t.Errorf("%d bytes written, %d unsent", server.BytesWritten(), server.UnsentBytes())
+	}
+}
+
+// TestCloseWaitsForRoutines: Close ends background routines and every connection, and may be called again.
+func TestCloseWaitsForRoutines(t *testing.T) {
+	server := startServer(t)
+	client := netpolltest.Dial(t, server.Addr(), patience)
+	<-server.opened
+	ended := false
+	server.Go(func() {
+		<-server.Done()
+		ended = true
+	})
+	server.Close()
+	if !ended {
+		t.Error("a background routine outlives Close")
+	}
+	if value, ok := client.Next(); ok {
+		t.Errorf("received %v", value)
+	}
+	server.Close()
+}
--- /dev/null
+++ b/internal/pubsub/command.go
@@ -0,0 +1,135 @@
+package pubsub
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+)
+
+// commands are the commands that a peer may send. ACK, SUMS and FENCED have no reply. An error of a command is a
+// protocol error: it is sent to the peer and ends the connection.
+var commands = map[string]func(*connection, []resp.Value) error{
+	"HELLO":       (*connection).hello,
+	"PING":        (*connection).ping,
+	"CLIENT":      (*connection).client,
+	"QUIT":        (*connection).quit,
+	"SUBSCRIBE":   (*connection).subscribe,
+	"UNSUBSCRIBE": (*connection).unsubscribe,
+	"JOIN":        (*connection).joinProxy,
+	"ACK":         (*connection).acknowledge,
+	"SUMS":        (*connection).reportLoad,
+	"RESYNC":      (*connection).resync,
+	"FENCED":      (*connection).fenced,
+}
+
+var (
+	errNoCommand  = errors.New("a command is an array that begins with its name")
+	errHelloFirst = errors.New("say HELLO 3 first")
+	errJoinFirst  = errors.New("say JOIN first")
+)
+
+// protocolVersion is the version of RESP that the server speaks.
+const protocolVersion = 3
+
+// handle takes one command.
+func (c *connection) handle(value resp.Value) error {
+	if value.Kind != resp.Array || len(value.Items) == 0 {
+		return errNoCommand
+	}
+	name := strings.ToUpper(value.Items[0].Word())
+	command := commands[name]
+	if command == nil {
+		known := slices.Sorted(maps.Keys(commands))
+		c.replyError("ERR unknown command '%.40s'; known are %s", name, strings.Join(known, ", "))
+		return nil
+	}
+	if !c.mayCommand() {
+		return nil
+	}
+	return command(c, value.Items[1:])
+}
+
+// mayCommand counts a command. A peer that sends more than it may is ended with a time to come back; what it holds
+// stays in force meanwhile.
+func (c *connection) mayCommand() bool {
+	server := c.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	rate := server.config.Limits.Commands
+	ok, after := c.commandRate.Take(server.config.Now(), rate)
+	if !ok && !c.Ended() {
+		server.stats.PutOff++
+		server.endWithError(c, fmt.Sprintf(
+			errorLater+" %d milliseconds: %g commands a second are taken from one peer, %d at once; keep what you hold",
+			after/model.Millisecond+1, rate.PerSecond, rate.Burst))
+	}
+	return ok
+}
+
+func (c *connection) hello(args []resp.Value) error {
+	if len(args) > 0 && args[0].Word() != fmt.Sprint(protocolVersion) {
+		c.replyError("NOPROTO this server speaks protocol %d", protocolVersion)
+		return nil
+	}
+	for _, arg := range args {
+		if strings.EqualFold(arg.Word(), "AUTH") {
+			c.replyError("ERR no password is set on this server; leave AUTH out")
+			return nil
+		}
+	}
+	c.saidHello = true
+	properties := [][2]string{
+		{"server", "peppervale"},
+		{"version", "1"},
+		{"mode", "standalone"},
+		{"role", "master"},
+	}
+	encoded := resp.AppendHead(nil, resp.Map, len(properties)+3)
+	for _, property := range properties {
+		encoded = resp.AppendBulk(encoded, property[0])
+		encoded = resp.AppendBulk(encoded, property[1])
+	}
+	encoded = appendNumber(encoded, "proto", protocolVersion)
+	encoded = appendNumber(encoded, "id", int64(c.id))
+	encoded = resp.AppendBulk(encoded, "modules")
+	encoded = resp.AppendHead(encoded, resp.Array, 0)
+	c.reply(encoded)
+	return nil
+}
+
+// appendNumber appends one key of a map.
+func appendNumber(encoded []byte, key string, value int64) []byte {
+	return resp.AppendInt(resp.AppendBulk(encoded, key), value)
+}
+
+func (c *connection) ping(args []resp.Value) error {
+	if len(args) > 0 {
+		c.reply(resp.AppendBulk(nil, args[0].Word()))
+	} else {
+		c.reply([]byte("+PONG\r\n"))
+	}
+	return nil
+}
+
+// client takes what libraries tell of themselves; the other subcommands of CLIENT are not here.
+func (c *connection) client(args []resp.Value) error {
+	if len(args) > 0 {
+		subcommand := strings.ToUpper(args[0].Word())
+		if subcommand == "SETINFO" || subcommand == "SETNAME" {
+			c.replyOK()
+			return nil
+		}
+	}
+	c.replyError("ERR of CLIENT there are SETINFO and SETNAME")
+	return nil
+}
+
+func (c *connection) quit([]resp.Value) error {
+	c.replyOK()
+	return c.Socket().Close()
+}
--- /dev/null
+++ b/internal/pubsub/connection.go
@@ -0,0 +1,144 @@
+package pubsub
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/lesismal/nbio"
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/admission"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+	"peppervale/internal/netpoll/connserver"
+	"peppervale/internal/snapshot"
+)
+
+// connection is one connection of a proxy, an observer or anybody else.
+type connection struct {
+	connserver.Conn
+	server      *Server
+	id          uint64
+	reader      *resp.Reader
+	commandRate admission.TokenBucket
+	saidHello   bool
+	observes    bool
+	stream      stream
+}
+
+// stream is what a connection is as a proxy's. The join and the shard are set once a JOIN was read, all else once it
+// was taken.
+type stream struct {
+	id         uint64 // 0: not joined
+	join       pubsubmsg.Join
+	zone       int
+	shard      int
+	proxy      model.ProxyID
+	subscriber *snapshot.Subscriber // nil until admitted
+	lastReport uint64               // number of the newest load report
+	resyncedAt model.Microseconds
+}
+
+// Errors that end a connection for no fault of its peer begin with one of these words; the others begin with ERR.
+const (
+	errorLater  = "LATER"  // come back after a time that is told
+	errorEnding = "ENDING" // this controller shuts down
+	errorMoved  = "MOVED"  // another controller holds the proxy's shard
+)
+
+// isNoFault tells whether an error says that the peer has done nothing wrong; in a storm of joins there are thousands.
+func isNoFault(reason string) bool {
+	return strings.HasPrefix(reason, errorLater) ||
+		strings.HasPrefix(reason, errorEnding) ||
+		strings.HasPrefix(reason, errorMoved)
+}
+
+func (s *Server) opened(socket *nbio.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastID++
+	conn := &connection{server: s, id: s.lastID, reader: resp.NewReader(resp.Limits{})}
+	s.connections.Register(socket, conn)
+	if s.connections.Count() > s.config.Limits.Connections {
+		s.endWithError(conn, "ERR too many connections; come back later")
+		return
+	}
+	_ = socket.SetReadDeadline(time.Now().Add(s.config.Limits.Greeting))
+	_ = socket.SetWriteBuffer(s.config.Limits.Unsent) // what the kernel keeps for a slow reader is bounded too
+}
+
+// received reads what came. A protocol error ends the connection.
+func (s *Server) received(conn *connection, data []byte) {
+	err := conn.reader.Feed(data, conn.handle)
+	if err == nil {
+		return
+	}
+	s.mu.Lock()
+	s.stats.Faults++
+	s.endWithError(conn, "ERR "+err.Error())
+	s.mu.Unlock()
+}
+
+// endWithError tells a peer why its connection ends, and closes it; s.mu is held. An ended connection is left alone.
+func (s *Server) endWithError(conn *connection, reason string) {
+	if !conn.MarkEnded() {
+		return
+	}
+	level := zerolog.WarnLevel
+	if isNoFault(reason) {
+		level = zerolog.DebugLevel
+	}
+	s.config.Log.WithLevel(level).Str("peer", conn.Socket().RemoteAddr().String()).Str("proxy", conn.stream.join.Name).
+		Str("reason", reason).Msg("connection closed")
+	s.connections.Write(conn, resp.AppendLine(nil, resp.Failure, reason))
+	_ = conn.Socket().Close()
+}
+
+// closed takes a connection out, and reports the end of its stream.
+func (s *Server) closed(conn *connection) {
+	s.mu.Lock()
+	if !s.connections.Unregister(conn) {
+		s.mu.Unlock()
+		return
+	}
+	delete(s.folded, conn)
+	if conn.observes {
+		s.observerCount--
+	}
+	hasStream := conn.stream.id != 0 && s.streams[conn.stream.proxy] == conn
+	if hasStream {
+		s.removeStream(conn)
+	}
+	s.mu.Unlock()
+	if hasStream {
+		s.events.ProxyDisconnected(conn.stream.proxy, conn.stream.id)
+	}
+}
+
+// removeStream takes a stream out; what waits for it is dropped. s.mu is held.
+func (s *Server) removeStream(conn *connection) {
+	delete(s.streams, conn.stream.proxy)
+	if conn.stream.subscriber != nil {
+		s.published.Unsubscribe(conn.stream.proxy)
+	}
+	s.queue.dropStream(conn.stream.id)
+}
+
+// reply writes an answer.
+func (c *connection) reply(encoded []byte) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.server.connections.Write(c, encoded)
+}
+
+// replyError writes an error that leaves the connection open.
+func (c *connection) replyError(format string, args ...any) {
+	c.reply(resp.AppendLine(nil, resp.Failure, fmt.Sprintf(format, args...)))
+}
+
+func (c *connection) replyOK() { c.reply([]byte("+OK\r\n")) }
+
+// stayOpen lifts the deadline by which a peer has to join or subscribe.
+func (c *connection) stayOpen() { _ = c.Socket().SetReadDeadline(time.Time{}) }
--- /dev/null
+++ b/internal/pubsub/harness_test.go
@@ -0,0 +1,226 @@
+package pubsub
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+	"peppervale/internal/netpoll/netpolltest"
+	"peppervale/internal/snapshot"
+)
+
+// patience is how long a test waits for anything before it fails.
+const patience = 10 * time.Second
+
+func TestMain(m *testing.M) {
+	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
+}
+
+// testHarness stands in for the controller: it admits who joins and keeps what it was told.
+type testHarness struct {
+	t       *testing.T
+	server  *Server
+	started time.Time
+
+	mu     sync.Mutex
+	events []string
+	came   chan struct{} // signalled after each event
+}
+
+func (h *testHarness) note(format string, args ...any) {
+	h.mu.Lock()
+	h.events = append(h.events, fmt.Sprintf(format, args...))
+	h.mu.Unlock()
+	select {
+	case h.came <- struct{}{}:
+	default:
+	}
+}
+
+// ProxyConnected admits the proxy.
+func (h *testHarness) ProxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
+	h.server.AdmitProxy(proxy, stream)
+	h.note("connected %s %d", join.Name, zone)
+}
+
+// ProxyDisconnected notes the end of a stream.
+func (h *testHarness) ProxyDisconnected(proxy model.ProxyID, _ uint64) {
+	h.note("disconnected %d", proxy)
+}
+
+// Acknowledged notes an acknowledgement.
+func (h *testHarness) Acknowledged(proxy model.ProxyID, _ uint64, ackSequence uint32) {
+	h.note("acknowledged %d %d", proxy, ackSequence)
+}
+
+// LoadReported notes how many load reports came.
+func (h *testHarness) LoadReported(zone int, reports []model.LoadReport) {
+	h.note("reported %d %d", zone, len(reports))
+}
+
+func (h *testHarness) now() model.Microseconds {
+	return model.Microseconds(time.Since(h.started) / time.Microsecond)
+}
+
+// waitForEvent waits until an event was noted; the events of one proxy come in order.
+func (h *testHarness) waitForEvent(event string) {
+	h.t.Helper()
+	deadline := time.After(patience)
+	for {
+		h.mu.Lock()
+		all := strings.Join(h.events, "\n")
+		h.mu.Unlock()
+		if strings.Contains("\n"+all+"\n", "\n"+event+"\n") {
+			return
+		}
+		select {
+		case <-h.came:
+		case <-deadline:
+			h.t.Fatalf("no event %q; there were\n%s", event, all)
+		}
+	}
+}
+
+func startServer(t *testing.T, change func(*Config)) *testHarness {
+	t.Helper()
+	harness := &testHarness{t: t, came: make(chan struct{}, 1), started: time.Now()}
+	config := Config{
+		Listen:          "127.0.0.1:0",
+		Incarnation:     3,
+		Zones:           []string{"govan", "kelvin"},
+		ReportPeriod:    model.Second,
+		MessageOverhead: 6,
+		Pace:            1e6,
+		Now:             harness.now,
+		Log:             zerolog.Nop(),
+	}
+	if change != nil {
+		change(&config)
+	}
+	harness.mu.Lock() // nobody joins before the server is known
+	var err error
+	if harness.server, err = Listen(config, harness); err != nil {
+		t.Fatal(err)
+	}
+	harness.mu.Unlock()
+	t.Cleanup(harness.server.Close)
+	return harness
+}
+
+// publish publishes updates; the acknowledgement sequence is -1 where none is asked for.
+func (h *testHarness) publish(ackSequence int, updates ...snapshot.Update) {
+	h.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: ackSequence, At: h.now()})
+}
+
+// testClient is the far end of a connection, driven by hand.
+type testClient struct {
+	*netpolltest.Client
+	t *testing.T
+}
+
+func (h *testHarness) dial(t *testing.T) *testClient {
+	t.Helper()
+	return &testClient{netpolltest.Dial(t, h.server.Addr(), patience), t}
+}
+
+// join connects a proxy of the second zone on its standing table, and gives the snapshot that it is sent.
+func (h *testHarness) join(t *testing.T, name string) (*testClient, *pubsubmsg.Message) {
+	t.Helper()
+	client := h.dial(t)
+	client.Send(pubsubmsg.AppendJoin(helloCommand(), pubsubmsg.Join{
+		Name:            name,
+		Zone:            "kelvin",
+		ExpectedRate:    2,
+		OnStandingTable: true,
+	}))
+	for range 2 {
+		if value, _ := client.Next(); value.Kind != resp.Map {
+			t.Fatalf("no answer to a join: %v", value)
+		}
+	}
+	return client, client.message()
+}
+
+// message is the next message that comes.
+func (c *testClient) message() *pubsubmsg.Message {
+	c.t.Helper()
+	value, ok := c.Next()
+	if !ok {
+		c.t.Fatal("the connection ended")
+	}
+	message, err := pubsubmsg.Parse(value)
+	if err != nil {
+		c.t.Fatalf("%v: %v", value, err)
+	}
+	return message
+}
+
+// expectAckSequence checks the next message's acknowledgement sequence.
+func (c *testClient) expectAckSequence(want int) {
+	c.t.Helper()
+	if message := c.message(); message.AckSequence != want {
+		c.t.Fatalf("received %+v, want acknowledgement sequence %d", message, want)
+	}
+}
+
+// expectPong checks that the next value answers a PING.
+func (c *testClient) expectPong() {
+	c.t.Helper()
+	if value, ok := c.Next(); !ok || value.Text != "PONG" {
+		c.t.Fatalf("received %v, %t, want PONG", value, ok)
+	}
+}
+
+// expectError checks that the next value is an error that has a text.
+func (c *testClient) expectError(text string) {
+	c.t.Helper()
+	if value, _ := c.Next(); value.Kind != resp.Failure || !strings.Contains(value.Text, text) {
+		c.t.Fatalf("received %v, want an error with %q", value, text)
+	}
+}
+
+// expectClosed checks that the connection ends without another value.
+func (c *testClient) expectClosed() {
+	c.t.Helper()
+	if value, ok := c.Next(); ok {
+		c.t.Fatalf("received %v, want the end of the connection", value)
+	}
+}
+
+func helloCommand() []byte { return resp.AppendCommand(nil, "HELLO", "3") }
+
+func pingCommand() []byte { return resp.AppendCommand(nil, "PING") }
+
+// replica is a replica's address by its last byte.
+func replica(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
+
+// weight sets the weight of a replica in table 1.
+func weight(n byte, weight float64) snapshot.Update {
+	return snapshot.Update{Kind: snapshot.SetWeight, Table: 1, Replica: replica(n), Weight: weight}
+}
+
+// weights sets the weights of 200 replicas in table 1.
+func weights(value float64) (updates []snapshot.Update) {
+	for n := range byte(200) {
+		updates = append(updates, weight(n+1, value))
+	}
+	return updates
+}
+
+// withdraw withdraws a replica.
+func withdraw(n byte) snapshot.Update {
+	return snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: replica(n), Withdrawn: true}
+}
+
+// bind binds a proxy to table 1.
+func bind(proxy model.ProxyID) snapshot.Update {
+	return snapshot.Update{Kind: snapshot.BindProxy, Proxy: proxy, Table: 1}
+}
--- /dev/null
+++ b/internal/pubsub/join.go
@@ -0,0 +1,124 @@
+package pubsub
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"peppervale/internal/admission"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+)
+
+// maxProxyNames bounds the names that may join in one incarnation: model.ProxyID has 16 bits.
+const maxProxyNames = 65535
+
+// joinProxy takes a proxy in.
+func (c *connection) joinProxy(args []resp.Value) error {
+	if !c.saidHello {
+		return errHelloFirst
+	}
+	join, err := pubsubmsg.ParseJoin(args)
+	if err != nil {
+		return err
+	}
+	server := c.server
+	zone := slices.Index(server.config.Zones, join.Zone)
+	if zone < 0 {
+		return fmt.Errorf("JOIN: no zone %.60q here; there are %s", join.Zone, strings.Join(server.config.Zones, ", "))
+	}
+	joined, err := server.registerStream(c, join, zone)
+	if err != nil || !joined {
+		return err
+	}
+	server.events.ProxyConnected(c.stream.proxy, c.stream.id, join, zone)
+	return nil
+}
+
+// registerStream makes a connection a proxy's stream and answers its JOIN. A stream of the same name that is still here
+// is replaced: its connection is the older one. The proxy is not joined if it was told to come back or to go elsewhere.
+func (s *Server) registerStream(conn *connection, join pubsubmsg.Join, zone int) (joined bool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if conn.stream.id != 0 {
+		return false, fmt.Errorf("JOIN: this connection has joined as %q", conn.stream.join.Name)
+	}
+	conn.stream.join = join
+	if s.isShuttingDown() {
+		s.endWithError(conn, fmt.Sprintf(
+			errorEnding+" this governor ends: join another, or here again in %d milliseconds; keep what you hold", s.backIn()))
+		return false, nil
+	}
+	epoch, isHolder := s.leaseFor(conn, zone)
+	if !isHolder {
+		s.redirect(conn)
+		return false, nil
+	}
+	if !s.admitJoin(conn) {
+		return false, nil
+	}
+	proxy, err := s.proxyID(join.Name)
+	if err != nil {
+		return false, err
+	}
+	if older := s.streams[proxy]; older != nil {
+		s.removeStream(older)
+		s.stats.Replaced++
+		s.endWithError(older, "ERR replaced by a newer connection of the same name")
+	}
+	s.lastID++
+	conn.stream.zone = zone
+	conn.stream.proxy = proxy
+	conn.stream.id = s.lastID
+	s.streams[proxy] = conn
+	conn.stayOpen()
+	s.answerJoin(conn, epoch)
+	return true, nil
+}
+
+// leaseFor notes a proxy's shard and tells whether this controller holds its lease, in no older epoch than the proxy
+// has seen; s.mu is held. Without leases it holds all in epoch 0.
+func (s *Server) leaseFor(conn *connection, zone int) (epoch uint64, isHolder bool) {
+	if s.config.Leases == nil {
+		return 0, true
+	}
+	join := conn.stream.join
+	conn.stream.shard = s.config.Leases.Shard(zone, join.Name)
+	epoch, isHolder = s.config.Leases.IsLeaseHolder(conn.stream.shard)
+	return epoch, isHolder && epoch >= join.Epoch
+}
+
+// admitJoin tells whether a proxy may join now; s.mu is held. One that may not is told when to come back, and ended so
+// that it holds no place among the connections.
+func (s *Server) admitJoin(conn *connection) bool {
+	decision, after := s.joins.Join(s.config.Now(), conn.stream.join.Name, len(s.streams))
+	if decision == admission.Admit {
+		return true
+	}
+	s.endWithError(conn, fmt.Sprintf(
+		errorLater+" %d milliseconds, then join again; keep what you hold", after/model.Millisecond+1))
+	return false
+}
+
+// proxyID is the number of a name, the same throughout an incarnation; s.mu is held.
+func (s *Server) proxyID(name string) (model.ProxyID, error) {
+	if proxy, known := s.proxyIDs[name]; known {
+		return proxy, nil
+	}
+	if len(s.proxyIDs) >= maxProxyNames {
+		return 0, fmt.Errorf("JOIN: %d names have joined in this life, no more are taken", maxProxyNames)
+	}
+	proxy := model.ProxyID(len(s.proxyIDs))
+	s.proxyIDs[name] = proxy
+	return proxy, nil
+}
+
+func (s *Server) answerJoin(conn *connection, epoch uint64) {
+	encoded := resp.AppendHead(nil, resp.Map, 4)
+	encoded = appendNumber(encoded, "life", int64(s.published.Incarnation))
+	encoded = appendNumber(encoded, "version", int64(s.published.Version))
+	encoded = appendNumber(encoded, "period", int64(s.config.ReportPeriod))
+	encoded = appendNumber(encoded, "epoch", int64(epoch))
+	s.connections.Write(conn, encoded)
+}
--- /dev/null
+++ b/internal/pubsub/observer.go
@@ -0,0 +1,92 @@
+package pubsub
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/snapshot"
+)
+
+// topic is what observers subscribe to.
+const topic = "tables"
+
+// subscribe makes a connection an observer's. It is sent the whole state, and each version from now on.
+func (c *connection) subscribe(args []resp.Value) error {
+	if !c.saidHello {
+		return errHelloFirst
+	}
+	for _, arg := range args {
+		if arg.Word() != topic {
+			c.replyError("ERR no topic '%.40s'; there is %s", arg.Word(), topic)
+			return nil
+		}
+	}
+	server := c.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if !c.observes && server.observerCount >= server.config.Limits.Observers {
+		return fmt.Errorf("%d observers are here, no more are taken", server.observerCount)
+	}
+	c.stayOpen()
+	server.connections.Write(c, encodeSubscription("subscribe", 1))
+	if !c.observes {
+		c.observes = true
+		server.observerCount++
+		server.sendObserverSnapshot(c)
+	}
+	return nil
+}
+
+func (c *connection) unsubscribe([]resp.Value) error {
+	server := c.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if c.observes {
+		c.observes = false
+		server.observerCount--
+		delete(server.folded, c)
+	}
+	server.connections.Write(c, encodeSubscription("unsubscribe", 0))
+	return nil
+}
+
+// encodeSubscription is what Redis pushes after a subscription has changed.
+func encodeSubscription(change string, topics int64) []byte {
+	encoded := resp.AppendHead(nil, resp.Push, 3)
+	encoded = resp.AppendBulk(encoded, change)
+	return appendNumber(encoded, topic, topics)
+}
+
+// encodeTopicMessage is a published message as Redis pushes it.
+func encodeTopicMessage(text []byte) []byte {
+	encoded := resp.AppendHead(nil, resp.Push, 3)
+	encoded = resp.AppendBulk(encoded, "message")
+	encoded = resp.AppendBulk(encoded, topic)
+	return resp.AppendBulk(encoded, string(text))
+}
+
+// notifyObservers sends a batch to all observers; s.mu is held.
+func (s *Server) notifyObservers(batch *snapshot.Batch) {
+	text, err := json.Marshal(s.change(batch))
+	if err != nil {
+		return // weights are finite: the balancer's tests hold that
+	}
+	encoded := encodeTopicMessage(text)
+	for conn := range s.connections.Sessions() {
+		switch {
+		case !conn.observes || s.folded[conn]:
+		case s.hasTooMuchUnsent(conn):
+			s.fold(conn)
+		default:
+			s.connections.Write(conn, encoded)
+		}
+	}
+}
+
+// sendObserverSnapshot sends an observer the whole state; s.mu is held.
+func (s *Server) sendObserverSnapshot(conn *connection) {
+	if text, err := json.Marshal(s.snapshot()); err == nil {
+		s.connections.Write(conn, encodeTopicMessage(text))
+	}
+}
--- /dev/null
+++ b/internal/pubsub/observer_test.go
@@ -0,0 +1,53 @@
+package pubsub
+
+import (
+	"context"
+	"encoding/json"
+	"testing"
+
+	"github.com/redis/go-redis/v9"
+)
+
+// TestRedisClientObserves: An observer with a client that nobody here wrote gets the whole state once, then each
+// version once and in order.
+func TestRedisClientObserves(t *testing.T) {
+	harness := startServer(t, nil)
+	harness.join(t, "till")
+	harness.publish(-1, weight(1, 1), bind(0))
+	client := redis.NewClient(&redis.Options{Addr: harness.server.Addr(), Protocol: 3, PoolSize: 2})
+	defer func() { _ = client.Close() }()
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	subscription := client.Subscribe(ctx, topic)
+	defer func() { _ = subscription.Close() }()
+
+	var state Snapshot
+	receive(ctx, t, subscription, &state)
+	isExpected := state.Kind == "snapshot" && state.Version == 1 && state.Life == 3
+	if !isExpected || len(state.Tables["1"]) != 1 || state.Forwarders["till"] != "1" {
+		t.Fatalf("%+v", state)
+	}
+	const changes = 200
+	for n := range changes {
+		harness.publish(-1, weight(byte(n+2), 0.5))
+	}
+	for n := range changes {
+		var change Change
+		receive(ctx, t, subscription, &change)
+		if change.Kind != "change" || change.Version != uint64(n+2) || len(change.Updates) != 1 {
+			t.Fatalf("change %d: %+v", n, change)
+		}
+	}
+}
+
+// receive decodes the next message of a subscription.
+func receive(ctx context.Context, t *testing.T, subscription *redis.PubSub, into any) {
+	t.Helper()
+	message, err := subscription.ReceiveMessage(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal([]byte(message.Payload), into); err != nil {
+		t.Fatalf("%s: %v", message.Payload, err)
+	}
+}
--- a/internal/pubsub/golden_test.go
+++ b/internal/pubsub/observermessage_test.go
@@ -14,27 +14,27 @@
 	"peppervale/internal/snapshot"
 )
 
-var update = flag.Bool("update", false, "write the golden messages in testdata anew")
+var updateGolden = flag.Bool("update", false, "write the golden messages in testdata anew")
 
-// TestObserverMessages compares what observers are sent, and what is stored of it, with the bytes that programs read today: its keys
-// must not change.
-func TestObserverMessages(t *testing.T) {
+// TestObserverMessages compares what observers are sent, and what is stored of it, with the bytes that programs read
+// today: its keys must not change.
+func TestObserverMessagesKeepTheirKeys(t *testing.T) {
 	published := snapshot.New(3, 6)
 	published.Subscribe(7, "till-1")
 	published.Subscribe(8, "till-2")
 	batch := &snapshot.Batch{AckSequence: -1, Updates: []snapshot.Update{
-		{Kind: snapshot.SetWeight, Table: 5, Replica: id(1), Weight: 0.25},
-		{Kind: snapshot.SetWeight, Table: 5, Replica: id(2), Weight: 0.75},
+		{Kind: snapshot.SetWeight, Table: 5, Replica: replica(1), Weight: 0.25},
+		{Kind: snapshot.SetWeight, Table: 5, Replica: replica(2), Weight: 0.75},
 		{Kind: snapshot.BindProxy, Proxy: 7, Table: 5},
-		{Kind: snapshot.SetWithdrawn, Replica: id(3), Withdrawn: true},
-		{Kind: snapshot.SetWithdrawn, Replica: id(4), Withdrawn: true},
-		{Kind: snapshot.SetWithdrawn, Replica: id(4), Withdrawn: false},
+		{Kind: snapshot.SetWithdrawn, Replica: replica(3), Withdrawn: true},
+		{Kind: snapshot.SetWithdrawn, Replica: replica(4), Withdrawn: true},
+		{Kind: snapshot.SetWithdrawn, Replica: replica(4), Withdrawn: false},
 		{Kind: snapshot.SetQuota, Quota: pubsubmsg.Quota{Operations: 3, Share: 0.5, RetryPolicy: model.RetryOnAnyFailure}},
 	}}
 	published.Apply(batch)
-	server := &Server{board: published}
-	checkMessage(t, "change.json", server.step(batch), &Step{})
-	checkMessage(t, "snapshot.json", server.picture(), &Snapshot{})
+	server := &Server{published: published}
+	checkMessage(t, "change.json", server.change(batch), &Change{})
+	checkMessage(t, "snapshot.json", server.snapshot(), &Snapshot{})
 }
 
 // checkMessage compares a message's JSON with a golden file, and what decoding that into empty gives with the message.
@@ -46,7 +46,7 @@
 	}
 	got = append(got, '\n')
 	file := filepath.Join("testdata", name)
-	if *update {
+	if *updateGolden {
 		if err := os.WriteFile(file, got, 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,8 @@
 	if !bytes.Equal(got, want) {
 		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
 	}
-	if err := json.Unmarshal(want, empty); err != nil || !reflect.DeepEqual(reflect.ValueOf(empty).Elem().Interface(), message) {
+	err = json.Unmarshal(want, empty)
+	if err != nil || !reflect.DeepEqual(reflect.ValueOf(empty).Elem().Interface(), message) {
 		t.Errorf("%s: read back as %+v, %v; want %+v", file, empty, err, message)
 	}
 }
--- /dev/null
+++ b/internal/pubsub/protocolerror_test.go
@@ -0,0 +1,70 @@
+package pubsub
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/codec/resp"
+)
+
+func joinCommand(name, zone string) []byte {
+	return pubsubmsg.AppendJoin(nil, pubsubmsg.Join{Name: name, Zone: zone})
+}
+
+// TestProtocolErrorsEndTheirConnection: What makes no sense ends that connection with one clear error and touches no
+// other.
+func TestProtocolErrorsEndTheirConnection(t *testing.T) {
+	harness := startServer(t, func(config *Config) { config.Limits.Greeting = time.Minute })
+	good, _ := harness.join(t, "till")
+	hello := string(helloCommand())
+	joined := hello + string(joinCommand("other", "govan"))
+	contradicting := resp.AppendCommand(nil, "SUMS", "1", "1000000", "127.0.0.1:80", "1", "2", "0", "")
+	for name, tt := range map[string]struct{ sent, reason string }{
+		"no RESP":                {"GET / HTTP/1.1\r\n\r\n", "opens no value"},
+		"a length of 2^62":       {"$4611686018427387904\r\n", "a string of"},
+		"nesting":                {strings.Repeat("*1\r\n", 1000), "nesting deeper"},
+		"a value, not a command": {":1\r\n", "a command is an array"},
+		"a join without hello":   {string(joinCommand("x", "govan")), "HELLO 3 first"},
+		"an unknown zone":        {hello + string(joinCommand("x", "leith")), "there are govan, kelvin"},
+		"contradicting reports":  {joined + string(contradicting), "tries"},
+		"an acknowledgement without join": {
+			hello + string(resp.AppendCommand(nil, "ACK", "1", "1", "1")), "JOIN first",
+		},
+		"a second join": {joined + string(joinCommand("y", "govan")), "has joined as"},
+		"a subscription without hello": {
+			string(resp.AppendCommand(nil, "SUBSCRIBE", "tables")), "HELLO 3 first",
+		},
+		"an incomplete join":   {hello + string(resp.AppendCommand(nil, "JOIN", "x")), "JOIN takes"},
+		"reports over no time": {joined + string(resp.AppendCommand(nil, "SUMS", "1", "0")), "a span of"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client := harness.dial(t)
+			client.Send([]byte(tt.sent))
+			client.expectEndWith(tt.reason)
+		})
+	}
+	unknown := harness.dial(t)
+	unknown.Send(resp.AppendCommand(nil, "FLUSHALL"))
+	unknown.expectError("known are ACK")
+	harness.publish(1, withdraw(1))
+	good.expectAckSequence(1)
+}
+
+// expectEndWith checks that the connection ends, after an error that has a reason.
+func (c *testClient) expectEndWith(reason string) {
+	c.t.Helper()
+	for {
+		value, ok := c.Next()
+		if !ok {
+			c.t.Fatalf("ended without the reason %q", reason)
+		}
+		if value.Kind == resp.Failure && strings.Contains(value.Text, reason) {
+			break
+		}
+	}
+	for ok := true; ok; {
+		_, ok = c.Next()
+	}
+}
--- /dev/null
+++ b/internal/pubsub/proxycommand.go
@@ -0,0 +1,91 @@
+package pubsub
+
+import (
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+)
+
+// maxAckSequence is the largest acknowledgement sequence: it has 16 bits.
+const maxAckSequence = 65535
+
+// resyncInterval is how often one proxy is sent a snapshot that it asks for: a proxy in a loop costs no more than that.
+const resyncInterval = model.Second
+
+// requireJoined gives an error unless a proxy has joined on the connection.
+func (c *connection) requireJoined() error {
+	if c.stream.id == 0 {
+		return errJoinFirst
+	}
+	return nil
+}
+
+// acknowledge takes an acknowledgement. One of an earlier incarnation says nothing about the messages of this one.
+func (c *connection) acknowledge(args []resp.Value) error {
+	ack, err := pubsubmsg.ParseAck(args)
+	if err != nil {
+		return err
+	}
+	if err := c.requireJoined(); err != nil {
+		return err
+	}
+	asksForNone := ack.Sequence < 0 || ack.Sequence > maxAckSequence
+	if ack.Incarnation != c.server.config.Incarnation || asksForNone {
+		return nil
+	}
+	c.server.events.Acknowledged(c.stream.proxy, c.stream.id, uint32(ack.Sequence))
+	return nil
+}
+
+// reportLoad takes load reports. Those whose number is not newer than the last one came before.
+func (c *connection) reportLoad(args []resp.Value) error {
+	message, err := pubsubmsg.ParseLoadReports(args)
+	if err != nil {
+		return err
+	}
+	if err := c.requireJoined(); err != nil {
+		return err
+	}
+	if message.Sequence <= c.stream.lastReport {
+		return nil
+	}
+	c.stream.lastReport = message.Sequence
+	for i := range message.Reports {
+		message.Reports[i].Zone = c.stream.zone
+		message.Reports[i].Window = message.Window
+	}
+	c.server.events.LoadReported(c.stream.zone, message.Reports)
+	return nil
+}
+
+// fenced takes a proxy's word that it did not obey a message, as it has seen a newer epoch.
+func (c *connection) fenced([]resp.Value) error {
+	if err := c.requireJoined(); err != nil {
+		return err
+	}
+	server := c.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.stats.Fenced++
+	server.config.Log.Warn().Str("proxy", c.stream.join.Name).Int("shard", c.stream.shard).
+		Msg("message fenced: proxy has seen a newer epoch")
+	return nil
+}
+
+// resync sends a snapshot anew, at most once each resyncInterval.
+func (c *connection) resync([]resp.Value) error {
+	if err := c.requireJoined(); err != nil {
+		return err
+	}
+	server := c.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	now := server.config.Now()
+	if c.stream.subscriber == nil || now-c.stream.resyncedAt < resyncInterval {
+		return nil
+	}
+	c.stream.resyncedAt = now
+	server.stats.Resyncs++
+	server.sendSnapshot(c)
+	return nil
+}
--- /dev/null
+++ b/internal/pubsub/slowreader_test.go
@@ -0,0 +1,82 @@
+package pubsub
+
+import (
+	"fmt"
+	"net"
+	"testing"
+
+	"peppervale/internal/admission"
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+	"peppervale/internal/snapshot"
+)
+
+// limitReceiveBuffer bounds what the kernel keeps for a client, in bytes.
+func (c *testClient) limitReceiveBuffer(size int) { _ = c.Conn.(*net.TCPConn).SetReadBuffer(size) }
+
+// receiveUntil reads messages up to the one with an acknowledgement sequence.
+func (c *testClient) receiveUntil(ackSequence int) {
+	c.t.Helper()
+	for c.message().AckSequence != ackSequence {
+	}
+}
+
+// TestSlowReaderGetsSnapshot: One slow reader delays nobody, and gets what it missed as one snapshot.
+func TestSlowReaderGetsSnapshot(t *testing.T) {
+	harness := startServer(t, func(config *Config) {
+		config.Limits.Unsent = 4096
+		config.Pace = 1e9
+	})
+	slow, _ := harness.join(t, "slow")
+	quick, _ := harness.join(t, "quick")
+	slow.limitReceiveBuffer(64 << 10)
+	harness.publish(-1, bind(0), bind(1), weight(1, 1))
+	last := 0
+	for n := 1; harness.server.Stats().Folds == 0; n++ {
+		harness.publish(n%65536, weights(float64(n))...)
+		quick.receiveUntil(n) // it is served all the while
+		last = n
+		if n > 5000 {
+			t.Fatal("nothing is folded though nobody reads")
+		}
+	}
+	for !isSnapshotOf(slow.message(), last) {
+	}
+}
+
+// isSnapshotOf tells whether a message is a snapshot of the weights that were published n-th.
+func isSnapshotOf(message *pubsubmsg.Message, n int) bool {
+	isComplete := message.Full && len(message.Entries) == 200
+	return isComplete && message.Entries[0].Weight == float64(n) && message.AckSequence == n
+}
+
+// TestSlowReadersShareUnsentBudget: Many peers that do not read share the bound on all unsent bytes: what waits stays
+// under it, and the proxy that reads misses nothing.
+func TestSlowReadersShareUnsentBudget(t *testing.T) {
+	const slowReaders, unsentAll = 20, 64 << 10
+	harness := startServer(t, func(config *Config) {
+		config.Limits.Unsent = 4096 // and as little in the kernel
+		config.Pace = 1e9
+	})
+	reader, _ := harness.join(t, "reads")
+	updates := []snapshot.Update{bind(0)}
+	for n := range slowReaders {
+		client, _ := harness.join(t, fmt.Sprint("slow", n))
+		client.limitReceiveBuffer(4096)
+		updates = append(updates, bind(model.ProxyID(n+1)))
+	}
+	harness.server.SetLimits(Limits{Unsent: 1 << 20, UnsentAll: unsentAll}, admission.Limits{})
+	harness.publish(-1, updates...)
+	var most int64
+	for n := 1; harness.server.Stats().Folds < slowReaders; n++ {
+		harness.publish(n%65536, weights(float64(n))...)
+		reader.receiveUntil(n % 65536) // it misses nothing
+		most = max(most, harness.server.Stats().Unsent)
+		if n > 20_000 {
+			t.Fatalf("%d folds", harness.server.Stats().Folds)
+		}
+	}
+	if most < unsentAll/2 || most > unsentAll+(slowReaders+1)*16<<10 {
+		t.Fatalf("at most %d bytes waited of %d", most, unsentAll)
+	}
+}
