--- a/internal/netpoll/accept.go
+++ b/internal/netpoll/accept.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// wait gives false if the engine stops before the time has passed.
+// wait returns false if the engine stops before the time has passed.
 func (e *Engine) wait(duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
--- a/internal/netpoll/connserver/conn.go
+++ b/internal/netpoll/connserver/conn.go
@@ -19,10 +19,10 @@
 // Socket is the connection's socket; nil before it is registered.
 func (c *Conn) Socket() *nbio.Conn { return c.socket }
 
-// Ended tells whether nothing more is read from the connection: it was marked as ended, or unregistered.
+// Ended reports whether nothing more is read from the connection: it was marked as ended, or unregistered.
 func (c *Conn) Ended() bool { return c.ended.Load() }
 
-// MarkEnded marks the connection as ended without closing it, and tells whether it was not so before.
+// MarkEnded marks the connection as ended without closing it, and reports whether it was not so before.
 func (c *Conn) MarkEnded() bool { return !c.ended.Swap(true) }
 
 // UnsentBytes is the number of bytes that were written to the connection and wait to be accepted by the socket.
--- a/internal/netpoll/connserver/events.go
+++ b/internal/netpoll/connserver/events.go
@@ -5,7 +5,7 @@
 	"peppervale/internal/model"
 )
 
-// ProxyEvents is told what proxies and collectors send, whichever protocol they speak. It is called from network
+// ProxyEvents receives what proxies and collectors send, whichever protocol they speak. It is called from network
 // goroutines and must neither block nor call the server from within, unless the server's package says otherwise.
 //
 // A stream is one connection of one proxy and has a new number each time. The events of a stream come in order:
--- a/internal/netpoll/connserver/server.go
+++ b/internal/netpoll/connserver/server.go
@@ -5,8 +5,8 @@
 // Conn, and guards that state and the register with one lock of its own, which it hands to New. Methods that need the
 // lock say so; the others may be called with or without it.
 //
-// What a connection may do before it has joined, which one makes room when there are too many, and how one is told why
-// it ends differ between the protocols and stay with them.
+// What a connection may do before it has joined, which one makes room when there are too many, and how a peer
+// learns why it ends, differ between the protocols and stay with them.
 package connserver
 
 import (
@@ -33,7 +33,7 @@
 	Opened func(socket *nbio.Conn)
 	// Received takes bytes of a connection that has not ended. They are valid during the call only.
 	Received func(session S, data []byte)
-	// Closed is told that the socket is closed, whoever closed it.
+	// Closed is called once the socket is closed, whoever closed it.
 	Closed func(session S)
 }
 
@@ -121,7 +121,7 @@
 	s.sessions[socket] = session
 }
 
-// Unregister takes a connection out of the register and marks it as ended; the lock is held. It tells whether the
+// Unregister takes a connection out of the register and marks it as ended; the lock is held. It reports whether the
 // connection was registered until now.
 func (s *Server[S]) Unregister(session S) bool {
 	conn := session.connection()
@@ -134,7 +134,7 @@
 	return true
 }
 
-// Registered tells whether a connection is in the register; the lock is held.
+// Registered reports whether a connection is in the register; the lock is held.
 func (s *Server[S]) Registered(session S) bool {
 	return s.sessions[session.connection().socket] == session
 }
--- a/internal/netpoll/descriptorreuse_test.go
+++ b/internal/netpoll/descriptorreuse_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// awaitEarlyAccept gives a new connection, which has the stale number then, the time to be opened, as far as it is
+// awaitEarlyAccept returns a new connection, which has the stale number then, the time to be opened, as far as it is
 // opened at all while the poller is held.
 func (p *heldPoller) awaitEarlyAccept(count int) {
 	for deadline := time.Now().Add(200 * time.Millisecond); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
--- a/internal/netpoll/engine.go
+++ b/internal/netpoll/engine.go
@@ -12,13 +12,13 @@
 
 // Handlers take a connection's events on the engine's goroutines; nil ones are left out.
 type Handlers struct {
-	// Open is told of a new connection before any data of it.
+	// Open is called for a new connection before any data of it.
 	Open func(conn *nbio.Conn)
 	// Data takes what came. The bytes belong to the engine and are valid during the call only.
 	Data func(conn *nbio.Conn, data []byte)
-	// Close is told of the end of a connection, after all its other events.
+	// Close is called at the end of a connection, after all its other events.
 	Close func(conn *nbio.Conn, err error)
-	// Wrote is told of so many bytes that the socket has accepted.
+	// Wrote is called with the number of bytes that the socket has accepted.
 	Wrote func(conn *nbio.Conn, count int)
 }
 
@@ -168,7 +168,7 @@
 }
 
 // RunOnPoller has a task run on the first poller's goroutine, between two of its rounds: after what could be read there
-// when it was called. It gives false once the engine has stopped; the task then never runs.
+// when it was called. It returns false once the engine has stopped; the task then never runs.
 func (e *Engine) RunOnPoller(task func()) bool { return e.pollerLoops[0].post(task) }
 
 // loopFor is the loop of a connection's poller.
--- a/internal/platform/acknowledge.go
+++ b/internal/platform/acknowledge.go
@@ -48,8 +48,8 @@
 	return slices.IndexFunc(q.pending, func(ack pendingAck) bool { return ack.sequence == sequence })
 }
 
-// isLateDuplicate tells whether a sequence that is not pending was asked for twice: the first acknowledgement has come
-// after the second.
+// isLateDuplicate reports whether a sequence that is not pending was asked for twice: the first acknowledgement has
+// come after the second.
 func (q *ackQueue) isLateDuplicate(sequence uint32) bool {
 	return q.askedAgainAt > 0 && sequence == q.askedAgainSequence
 }
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -136,7 +136,7 @@
 	return conn.queued != nil
 }
 
-// hasTooMuchUnsent tells whether more bytes wait for a peer than it may leave unread.
+// hasTooMuchUnsent reports whether more bytes wait for a peer than it may leave unread.
 func (s *Server) hasTooMuchUnsent(conn *connection) bool {
 	return conn.UnsentBytes() > int64(s.config.Limits.Unsent)
 }
@@ -220,7 +220,7 @@
 	event.Err(reason).Msg("malformed message dropped")
 }
 
-// malformedMessage counts a malformed message and gives the log line that tells of it; nil, to which nothing is
+// malformedMessage counts a malformed message and returns its log line; nil, to which nothing is
 // logged, once there were malformedLogged. s.mu is held.
 func (s *Server) malformedMessage() *zerolog.Event {
 	s.stats.MalformedMessages++
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -27,7 +27,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testHarness stands in for the controller: it keeps what it was told, and admits whoever joins on a goroutine of its
+// testHarness stands in for the controller: it keeps the events, and admits whoever joins on a goroutine of its
 // own, as the controller does.
 type testHarness struct {
 	t      *testing.T
@@ -37,7 +37,7 @@
 
 	mu           sync.Mutex
 	events       []string      // as the steps have run
-	streamEvents []streamEvent // in the order told, at once
+	streamEvents []streamEvent // in the order of the calls
 	reports      []model.LoadReport
 }
 
@@ -56,7 +56,7 @@
 	streamAcknowledged
 )
 
-func (h *testHarness) tell(event streamEvent, step func()) {
+func (h *testHarness) record(event streamEvent, step func()) {
 	h.mu.Lock()
 	h.streamEvents = append(h.streamEvents, event)
 	h.mu.Unlock()
@@ -71,7 +71,7 @@
 
 // ProxyConnected admits the proxy in a later step and notes it then.
 func (h *testHarness) ProxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
-	h.tell(streamEvent{streamConnected, proxy, stream}, func() {
+	h.record(streamEvent{streamConnected, proxy, stream}, func() {
 		h.server.AdmitProxy(proxy, stream)
 		h.note("connected %d zone %d rate %g standing %t", proxy, zone, join.ExpectedRate, join.OnStandingTable)
 	})
@@ -79,12 +79,12 @@
 
 // ProxyDisconnected notes the end of a stream.
 func (h *testHarness) ProxyDisconnected(proxy model.ProxyID, stream uint64) {
-	h.tell(streamEvent{streamDisconnected, proxy, stream}, func() { h.note("disconnected %d", proxy) })
+	h.record(streamEvent{streamDisconnected, proxy, stream}, func() { h.note("disconnected %d", proxy) })
 }
 
 // Acknowledged notes an acknowledgement.
 func (h *testHarness) Acknowledged(proxy model.ProxyID, stream uint64, ackSequence uint32) {
-	h.tell(streamEvent{streamAcknowledged, proxy, stream}, func() { h.note("acknowledged %d %d", proxy, ackSequence) })
+	h.record(streamEvent{streamAcknowledged, proxy, stream}, func() { h.note("acknowledged %d %d", proxy, ackSequence) })
 }
 
 // LoadReported keeps load reports.
@@ -144,8 +144,8 @@
 	h.waitUntil("end of all connections", func() bool { return h.server.Stats().Connections == 0 })
 }
 
-// expectStreamOrder checks what was told of each proxy: a stream's start, then its acknowledgements, then its end,
-// once, and no two streams at a time. It gives the streams that are open by it.
+// expectStreamOrder checks the events of each proxy: a stream's start, then its acknowledgements, then its end,
+// once, and no two streams at a time. It returns the streams that are open by it.
 func (h *testHarness) expectStreamOrder() map[model.ProxyID]uint64 {
 	h.t.Helper()
 	h.mu.Lock()
--- a/internal/platform/liveness.go
+++ b/internal/platform/liveness.go
@@ -76,7 +76,7 @@
 	return now - model.Microseconds(c.lastReceivedAt.Load())
 }
 
-// isSilent tells whether a stream's machine is taken as vanished; s.mu is held.
+// isSilent reports whether a stream's machine is taken as vanished; s.mu is held.
 func (s *Server) isSilent(stream *stream, now model.Microseconds) bool {
 	limit := microseconds(s.config.Limits.Silence)
 	silent := stream.conn.silentFor(now)
@@ -87,7 +87,7 @@
 	return len(pending) > 0 && min(now-pending[0].sentAt, silent) > idleChannelFactor*limit
 }
 
-// shouldAskAgain tells whether a stream is to be asked again for its acknowledgement; s.mu is held.
+// shouldAskAgain reports whether a stream is to be asked again for its acknowledgement; s.mu is held.
 func (s *Server) shouldAskAgain(stream *stream, now model.Microseconds) bool {
 	interval := microseconds(s.config.Limits.AskAgain)
 	if stream.subscriber == nil || now-stream.acks.askedAgainAt <= interval {
@@ -97,7 +97,7 @@
 	return stream.acks.overdueFor(now) > interval || owesNothing && stream.conn.silentFor(now) > interval
 }
 
-// askedBefore tells whether a stream was last asked again before the other one, if there is another.
+// askedBefore reports whether a stream was last asked again before the other one, if there is another.
 func askedBefore(stream, other *stream) bool {
 	return other == nil || stream.acks.askedAgainAt < other.acks.askedAgainAt
 }
--- a/internal/platform/publish.go
+++ b/internal/platform/publish.go
@@ -34,7 +34,7 @@
 	s.connections.CloseOnPoller(slow...)
 }
 
-// isSlow tells whether too much waits for a stream's peer; s.mu is held.
+// isSlow reports whether too much waits for a stream's peer; s.mu is held.
 func (s *Server) isSlow(stream *stream) bool {
 	return s.hasTooMuchUnsent(stream.conn) || len(stream.acks.pending) > maxPendingAcks
 }
--- a/internal/platform/race_test.go
+++ b/internal/platform/race_test.go
@@ -137,7 +137,7 @@
 }
 
 // TestStreamsUpdatesAndChecksAtOnce: Updates are published, streams come and end and liveness checks run, all at
-// once, for a while: nobody is told of a stream that has not joined, and the subscribers are those who have.
+// once, for a while: no event comes of a stream that has not joined, and the subscribers are those who have.
 func TestStreamsUpdatesAndChecksAtOnce(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 12 })
 	stop := make(chan struct{})
--- a/internal/platform/readmission.go
+++ b/internal/platform/readmission.go
@@ -5,9 +5,9 @@
 	"peppervale/internal/snapshot"
 )
 
-// readmissions are the replicas that a proxy which came with withdrawals of other controllers has yet to be told are
-// usable again. Such a proxy keeps each withdrawal that it was sent on earlier streams, by any controller and through
-// full tables (measured, see docs/platform.md): an entry takes effect for certain only once its replica is
+// readmissions are the replicas that a proxy which came with withdrawals of other controllers has yet to be notified
+// of as usable again. Such a proxy keeps each withdrawal that it was sent on earlier streams, by any controller and
+// through full tables (measured, see docs/platform.md): an entry takes effect for certain only once its replica is
 // readmitted.
 //
 // A bind readmits at once the replicas that the controller thinks may be withdrawn, and a new entry its own, as both
@@ -27,7 +27,7 @@
 	}
 }
 
-// next gives the replicas that a message readmits beyond its own readmissions, at most so many deferred ones among
+// next returns the replicas that a message readmits beyond its own readmissions, at most so many deferred ones among
 // them.
 func (r *readmissions) next(delivery snapshot.Delivery, spare int) (readmitted []model.ReplicaID) {
 	if r.settled == nil {
@@ -57,8 +57,8 @@
 	return append(readmitted, r.takeDeferred(delivery.To, spare)...)
 }
 
-// takeDeferred takes deferred replicas out, at most so many that the subscriber was not told are withdrawn. Those
-// that it was told are withdrawn are dropped.
+// takeDeferred removes and returns the next deferred replicas, spare of them at most. Those of which the subscriber was
+// notified that they are withdrawn are dropped, and do not count.
 func (r *readmissions) takeDeferred(subscriber *snapshot.Subscriber, spare int) (readmitted []model.ReplicaID) {
 	for spare > 0 && len(r.deferred) > 0 {
 		replica := r.deferred[0]
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -49,7 +49,7 @@
 	UsageRequests uint64 `json:"Usage"` // requests in usage messages
 }
 
-// Stats gives the figures of now.
+// Stats returns the figures of now.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -26,7 +26,7 @@
 }
 
 // TestNewerStreamReplacesOlder: A proxy may join again before the end of its old stream was seen: the old stream
-// ends, and the controller is told of both in order.
+// ends, and the controller is notified of both in order.
 func TestNewerStreamReplacesOlder(t *testing.T) {
 	harness := startServer(t, nil)
 	old := harness.join(t, 7)
--- a/internal/pubsub/config.go
+++ b/internal/pubsub/config.go
@@ -16,7 +16,7 @@
 	Unsent      int            // bytes that wait for one peer before its changes are folded into a snapshot
 	UnsentAll   int            // bytes that wait for all peers before the changes of the slowest are folded
 	Greeting    time.Duration  // within which a peer joins or subscribes
-	Commands    admission.Rate // that one peer may send; beyond it the peer is told when to come back
+	Commands    admission.Rate // that one peer may send; beyond it the peer is sent away with a time to wait
 }
 
 // DefaultLimits suit some thousand proxies: 64 KiB hold a table of 2,000 entries. All together may leave a quarter of
@@ -77,7 +77,7 @@
 type Leases interface {
 	// Shard is the shard of a proxy.
 	Shard(zone int, name string) int
-	// IsLeaseHolder tells whether this controller holds a shard's lease now, and in which epoch.
+	// IsLeaseHolder reports whether this controller holds a shard's lease now, and in which epoch.
 	IsLeaseHolder(shard int) (epoch uint64, ok bool)
 	// Holder is the channel's address of the controller that should hold a shard; "": this one, or not known.
 	Holder(shard int) (address string)
--- a/internal/pubsub/connection.go
+++ b/internal/pubsub/connection.go
@@ -43,12 +43,13 @@
 
 // Errors that end a connection for no fault of its peer begin with one of these words; the others begin with ERR.
 const (
-	errorLater  = "LATER"  // come back after a time that is told
+	errorLater  = "LATER"  // come back after the given time
 	errorEnding = "ENDING" // this controller shuts down
 	errorMoved  = "MOVED"  // another controller holds the proxy's shard
 )
 
-// isNoFault tells whether an error says that the peer has done nothing wrong; in a storm of joins there are thousands.
+// isNoFault reports whether an error says that the peer has done nothing wrong; in a storm of joins there are
+// thousands.
 func isNoFault(reason string) bool {
 	return strings.HasPrefix(reason, errorLater) ||
 		strings.HasPrefix(reason, errorEnding) ||
--- a/internal/pubsub/delivery.go
+++ b/internal/pubsub/delivery.go
@@ -95,7 +95,7 @@
 	s.send(conn, message)
 }
 
-// hasTooMuchUnsent tells whether so much waits for a peer that it gets a snapshot later instead of the next message;
+// hasTooMuchUnsent reports whether so much waits for a peer that it gets a snapshot later instead of the next message;
 // s.mu is held.
 func (s *Server) hasTooMuchUnsent(conn *connection) bool {
 	budget := s.config.Limits.budget()
--- a/internal/pubsub/harness_test.go
+++ b/internal/pubsub/harness_test.go
@@ -24,7 +24,7 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// testHarness stands in for the controller: it admits who joins and keeps what it was told.
+// testHarness stands in for the controller: it admits who joins and keeps the events.
 type testHarness struct {
 	t       *testing.T
 	server  *Server
@@ -131,7 +131,7 @@
 	return &testClient{netpolltest.Dial(t, h.server.Addr(), patience), t}
 }
 
-// join connects a proxy of the second zone on its standing table, and gives the snapshot that it is sent.
+// join connects a proxy of the second zone on its standing table, and returns the snapshot that it is sent.
 func (h *testHarness) join(t *testing.T, name string) (*testClient, *pubsubmsg.Message) {
 	t.Helper()
 	client := h.dial(t)
--- a/internal/pubsub/join.go
+++ b/internal/pubsub/join.go
@@ -77,7 +77,7 @@
 	return true, nil
 }
 
-// leaseFor notes a proxy's shard and tells whether this controller holds its lease, in no older epoch than the proxy
+// leaseFor notes a proxy's shard and reports whether this controller holds its lease, in no older epoch than the proxy
 // has seen; s.mu is held. Without leases it holds all in epoch 0.
 func (s *Server) leaseFor(conn *connection, zone int) (epoch uint64, isHolder bool) {
 	if s.config.Leases == nil {
@@ -89,8 +89,8 @@
 	return epoch, isHolder && epoch >= join.Epoch
 }
 
-// admitJoin tells whether a proxy may join now; s.mu is held. One that may not is told when to come back, and ended so
-// that it holds no place among the connections.
+// admitJoin reports whether a proxy may join now; s.mu is held. One that may not is told when to come back, and ended
+// so that it holds no place among the connections.
 func (s *Server) admitJoin(conn *connection) bool {
 	decision, after := s.joins.Join(s.config.Now(), conn.stream.join.Name, len(s.streams))
 	if decision == admission.Admit {
--- a/internal/pubsub/misrouted.go
+++ b/internal/pubsub/misrouted.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// count gives how many proxies have gone on asking for at least so long, by shard, and forgets those that have stopped.
+// count returns how many proxies have gone on asking for at least so long, by shard, and forgets those that have
+// stopped.
 func (m misroutedProxies) count(now, atLeast model.Microseconds) map[int]int {
 	counts := map[int]int{}
 	for name, proxy := range m {
--- a/internal/pubsub/proxycommand.go
+++ b/internal/pubsub/proxycommand.go
@@ -12,7 +12,7 @@
 // resyncInterval is how often one proxy is sent a snapshot that it asks for: a proxy in a loop costs no more than that.
 const resyncInterval = model.Second
 
-// requireJoined gives an error unless a proxy has joined on the connection.
+// requireJoined returns an error unless a proxy has joined on the connection.
 func (c *connection) requireJoined() error {
 	if c.stream.id == 0 {
 		return errJoinFirst
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -18,7 +18,7 @@
 const (
 	minSendWait         = 50 * time.Microsecond
 	maxSendWait         = time.Hour
-	foldedCheckInterval = 10 * time.Millisecond // how often slow readers are looked at
+	foldedCheckInterval = 10 * time.Millisecond // how often slow readers are checked
 )
 
 // Server is a controller's channel. Make it with Listen.
--- a/internal/pubsub/shutdown.go
+++ b/internal/pubsub/shutdown.go
@@ -14,8 +14,9 @@
 const restartTime = 200 * time.Millisecond
 
 // Shutdown shuts the channel down gracefully: it tells proxies to go elsewhere, a part of them at a time, and waits
-// until the span has passed or all have gone. From its beginning nobody joins any more; who tries is told when this
-// address may answer again. A proxy that has no other controller may stay to the end. It leaves the sockets open.
+// until the span has passed or all have gone. From its beginning nobody joins any more; a proxy that tries is
+// answered when this address may answer again. A proxy that has no other controller may stay to the end. It leaves
+// the sockets open.
 func (s *Server) Shutdown(span time.Duration) {
 	s.mu.Lock()
 	s.shutdownEnds = time.Now().Add(span)
@@ -32,7 +33,7 @@
 	}
 }
 
-// sendElsewhere tells the proxies of one step to go elsewhere, and gives how many are still here.
+// sendElsewhere tells the proxies of one step to go elsewhere, and returns how many are still here.
 func (s *Server) sendElsewhere(step int) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +48,7 @@
 	return len(s.published.Subscribers)
 }
 
-// isShuttingDown tells whether Shutdown was called; s.mu is held.
+// isShuttingDown reports whether Shutdown was called; s.mu is held.
 func (s *Server) isShuttingDown() bool { return !s.shutdownEnds.IsZero() }
 
 // backIn is in how many milliseconds a controller that shuts down may be here again; s.mu is held.
--- a/internal/pubsub/slowreader_test.go
+++ b/internal/pubsub/slowreader_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// isSnapshotOf tells whether a message is a snapshot of the weights that were published n-th.
+// isSnapshotOf reports whether a message is a snapshot of the weights that were published n-th.
 func isSnapshotOf(message *pubsubmsg.Message, n int) bool {
 	isComplete := message.Full && len(message.Entries) == 200
 	return isComplete && message.Entries[0].Weight == float64(n) && message.AckSequence == n
--- a/internal/pubsub/stats.go
+++ b/internal/pubsub/stats.go
@@ -20,11 +20,11 @@
 	Storms      uint64 `json:"join_storms"`
 	Unsent      int64  `json:"unsent_bytes"` // wait for all peers now
 	PutOff      uint64 `json:"put_off"`      // peers that sent more commands than they may
-	Moved       uint64 `json:"moved"`        // peers told that another controller has their shard
+	Moved       uint64 `json:"moved"`        // peers redirected as another controller has their shard
 	Fenced      uint64 `json:"fenced"`       // messages that proxies did not obey, as their epoch was old
 }
 
-// Stats gives the figures of now.
+// Stats returns the figures of now.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +43,7 @@
 	return stats
 }
 
-// Loads gives the request rates that joined proxies expect, by shard.
+// Loads returns the request rates that joined proxies expect, by shard.
 func (s *Server) Loads() map[int]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
