--- /dev/null
+++ b/internal/pubsub/lease_test.go
@@ -0,0 +1,139 @@
+package pubsub
+
+import (
+	"sync"
+	"testing"
+
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+)
+
+// testLeases has two shards, one for each zone of testHarness.
+type testLeases struct {
+	mu      sync.Mutex
+	held    map[int]uint64 // epoch by shard
+	holders map[int]string // other controllers' addresses by shard
+}
+
+// Shard is the shard of a zone.
+func (l *testLeases) Shard(zone int, _ string) int { return zone }
+
+// IsLeaseHolder reports whether the shard is among those held.
+func (l *testLeases) IsLeaseHolder(shard int) (epoch uint64, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	epoch, ok = l.held[shard]
+	return epoch, ok
+}
+
+// Holder is the other controller's address.
+func (l *testLeases) Holder(shard int) (address string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.holders[shard]
+}
+
+func (l *testLeases) lose(shard int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.held, shard)
+}
+
+// tryJoin sends HELLO and JOIN, and reads the answer to HELLO.
+func (h *testHarness) tryJoin(t *testing.T, name, zone string) *testClient {
+	t.Helper()
+	client := h.dial(t)
+	client.Send(append(helloCommand(), joinCommand(name, zone)...))
+	if value, _ := client.Next(); value.Kind != resp.Map {
+		t.Fatalf("HELLO is answered by %v", value)
+	}
+	return client
+}
+
+// TestJoinIsRedirectedToLeaseHolder: A proxy whose shard another controller holds is told where to join, or to ask
+// again where nobody holds it, and its connection is closed.
+func TestJoinIsRedirectedToLeaseHolder(t *testing.T) {
+	leases := &testLeases{held: map[int]uint64{}, holders: map[int]string{0: "127.0.0.1:7001"}}
+	harness := startServer(t, func(config *Config) { config.Leases = leases })
+	for zone, want := range map[string]string{
+		"govan":  "MOVED 0 127.0.0.1:7001: join there; keep what you hold",
+		"kelvin": "MOVED 1 - : nobody has it yet, ask again in 100 milliseconds; keep what you hold",
+	} {
+		client := harness.tryJoin(t, "till", zone)
+		if value, _ := client.Next(); value.Kind != resp.Failure || value.Text != want {
+			t.Errorf("%s: received %v, want %q", zone, value, want)
+		}
+		client.expectClosed()
+	}
+	if stats := harness.server.Stats(); stats.Moved != 2 || stats.Faults != 0 || stats.Forwarders != 0 {
+		t.Fatalf("%+v", stats)
+	}
+}
+
+// TestLostLeaseEndsStreams: Messages carry the epoch of the proxy's shard. Once its lease is lost, its streams end, and
+// those of other shards stay.
+func TestLostLeaseEndsStreams(t *testing.T) {
+	leases := &testLeases{held: map[int]uint64{0: 5, 1: 8}, holders: map[int]string{1: "127.0.0.1:7001"}}
+	harness := startServer(t, func(config *Config) { config.Leases = leases })
+	stays := harness.tryJoin(t, "stays", "govan")
+	stays.expectMap()
+	if message := stays.message(); message.Epoch != 5 {
+		t.Fatalf("%+v", message)
+	}
+	moves, first := harness.join(t, "moves")
+	if first.Epoch != 8 {
+		t.Fatalf("%+v", first)
+	}
+	if rates := harness.server.Loads(); len(rates) != 2 || rates[1] != 2 {
+		t.Fatalf("expected rates %v", rates)
+	}
+	leases.lose(1)
+	harness.server.LeaseLost(1)
+	moves.expectError("MOVED 1 127.0.0.1:7001")
+	moves.expectClosed()
+	harness.waitForEvent("disconnected 1")
+	harness.publish(3, withdraw(1))
+	stays.expectAckSequence(3)
+	stays.Send(resp.AppendCommand(nil, "FENCED", "6", "3", "1"))
+	stays.Send(pingCommand())
+	stays.expectPong()
+	if stats := harness.server.Stats(); stats.Fenced != 1 || stats.Moved != 1 || stats.Forwarders != 1 {
+		t.Fatalf("%+v", stats)
+	}
+}
+
+// expectMap checks that the next value is a map.
+func (c *testClient) expectMap() {
+	c.t.Helper()
+	if value, _ := c.Next(); value.Kind != resp.Map {
+		c.t.Fatalf("received %v, want a map", value)
+	}
+}
+
+// TestMisroutedProxiesAreCounted: A proxy counts once it has gone on asking for long enough, until it has not asked for
+// misroutedMemory; a pause as long, or another shard, begins anew.
+func TestMisroutedProxiesAreCounted(t *testing.T) {
+	misrouted := misroutedProxies{}
+	misrouted.note("asks on", 1, 0)
+	misrouted.note("asks once", 1, 0)
+	misrouted.note("changes shard", 1, 0)
+	misrouted.note("asks on", 1, 2*model.Second)
+	misrouted.note("changes shard", 2, 2*model.Second)
+	for _, tt := range []struct {
+		name         string
+		now, atLeast model.Microseconds
+		want         int
+	}{
+		{"long enough", 2 * model.Second, 2 * model.Second, 1},
+		{"not long enough", 2 * model.Second, 2*model.Second + 1, 0},
+		{"still remembered", 2*model.Second + misroutedMemory - 1, model.Second, 1},
+		{"forgotten", 2*model.Second + misroutedMemory, model.Second, 0},
+	} {
+		if got := misrouted.count(tt.now, tt.atLeast); got[1] != tt.want || got[2] != 0 {
+			t.Errorf("%s: %v, want %d of shard 1", tt.name, got, tt.want)
+		}
+	}
+	if len(misrouted) != 0 {
+		t.Errorf("%d are still remembered", len(misrouted))
+	}
+}
