--- /dev/null
+++ b/internal/codec/resp/decode.go
@@ -0,0 +1,149 @@
+package resp
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+)
+
+const (
+	// maxPreallocatedItems bounds the memory reserved for an aggregate when its header arrives. A header costs the
+	// peer a few bytes only, so the announced count is not reserved in full.
+	maxPreallocatedItems = 64
+
+	// maxQuotedLength bounds the bytes of malformed input that an error repeats.
+	maxQuotedLength = 40
+
+	// nullLength is the length by which RESP2 encodes a null string or a null array.
+	nullLength = -1
+)
+
+// aggregate is an array, map, set, push or attribute whose items have not all arrived.
+type aggregate struct {
+	kind    Kind
+	missing int // items still to come
+	items   []Value
+}
+
+// decodeLine decodes a line without its kind marker and line end: a scalar, or the header of a string or an
+// aggregate.
+func (r *Reader) decodeLine(kind Kind, content []byte, take func(Value) error) error {
+	switch kind {
+	case Bulk, BlobError, Verbatim:
+		return r.openString(kind, content, take)
+	case Array, Map, Set, Push, attribute:
+		return r.openAggregate(kind, content, take)
+	}
+	value, err := decodeScalar(kind, string(content))
+	if err != nil {
+		return r.fail(err.Error())
+	}
+	return r.add(value, take)
+}
+
+// decodeScalar decodes a value that is one line. The error is the reason of a ProtocolError.
+func decodeScalar(kind Kind, content string) (Value, error) {
+	value := Value{Kind: kind}
+	var err error
+	switch kind {
+	case Null:
+		if content != "" {
+			return value, errors.New("a null with a text")
+		}
+	case Bool:
+		value.Bool = content == "t"
+		if !value.Bool && content != "f" {
+			return value, errors.New("a boolean that is neither t nor f")
+		}
+	case Number:
+		value.Int, err = strconv.ParseInt(content, 10, 64)
+		if err != nil {
+			return value, fmt.Errorf("%q is no whole number of 64 bits", truncate(content))
+		}
+	case Double:
+		value.Float, err = strconv.ParseFloat(content, 64)
+		if err != nil {
+			return value, fmt.Errorf("%q is no double", truncate(content))
+		}
+	default:
+		value.Text = content
+	}
+	return value, nil
+}
+
+// openString decodes the length of a string; the string itself follows as the payload.
+func (r *Reader) openString(kind Kind, content []byte, take func(Value) error) error {
+	length, err := strconv.Atoi(string(content))
+	if err == nil && length == nullLength && kind == Bulk {
+		return r.add(Value{Kind: Null}, take)
+	}
+	if err != nil || length < 0 {
+		return r.fail(fmt.Sprintf("%q is no length", truncate(string(content))))
+	}
+	if length > r.limits.Bulk {
+		return r.fail(fmt.Sprintf("a string of %d bytes, %d are taken", length, r.limits.Bulk))
+	}
+	r.payloadKind = kind
+	r.payloadMissing = length + len(lineEnd)
+	return nil
+}
+
+// openAggregate decodes the item count of an aggregate; the items follow as values.
+func (r *Reader) openAggregate(kind Kind, content []byte, take func(Value) error) error {
+	count, err := strconv.Atoi(string(content))
+	if err == nil && count == nullLength && kind == Array {
+		return r.add(Value{Kind: Null}, take)
+	}
+	if err != nil || count < 0 {
+		return r.fail(fmt.Sprintf("%q is no count", truncate(string(content))))
+	}
+	if count > r.limits.Items {
+		return r.fail(fmt.Sprintf("an aggregate of %d values, %d are taken", count, r.limits.Items))
+	}
+	if len(r.aggregates) >= r.limits.Depth {
+		return r.fail(fmt.Sprintf("nesting deeper than %d", r.limits.Depth))
+	}
+	if kind == Map || kind == attribute {
+		count *= 2 // keys and values
+	}
+	if count > 0 {
+		items := make([]Value, 0, min(count, maxPreallocatedItems))
+		r.aggregates = append(r.aggregates, aggregate{kind: kind, missing: count, items: items})
+		return nil
+	}
+	if kind == attribute {
+		return nil
+	}
+	return r.add(Value{Kind: kind}, take)
+}
+
+// add appends a value to the innermost open aggregate and closes each aggregate that becomes complete. A value
+// outside all aggregates is a complete message.
+func (r *Reader) add(value Value, take func(Value) error) error {
+	for {
+		r.valueCount++
+		if r.valueCount > r.limits.Items {
+			return r.fail(fmt.Sprintf("a message of over %d values", r.limits.Items))
+		}
+		if len(r.aggregates) == 0 {
+			r.valueCount = 0
+			r.messageBytes = 0
+			return take(value)
+		}
+		innermost := &r.aggregates[len(r.aggregates)-1]
+		innermost.items = append(innermost.items, value)
+		innermost.missing--
+		if innermost.missing > 0 {
+			return nil
+		}
+		value = Value{Kind: innermost.kind, Items: innermost.items}
+		r.aggregates = r.aggregates[:len(r.aggregates)-1]
+		if value.Kind == attribute {
+			return nil
+		}
+	}
+}
+
+func truncate(text string) string {
+	return text[:min(len(text), maxQuotedLength)]
+}
--- a/internal/codec/resp/doc.go
+++ b/internal/codec/resp/doc.go
@@ -1,13 +1,13 @@
-// Package resp reads and writes RESP3, the published serialisation protocol of Redis, in its client and server
-// directions.
+// Package resp encodes and decodes RESP3, the serialization protocol of Redis, for clients and servers alike.
 //
-// Guarantees: a Reader takes bytes in pieces of any size, does work in proportion to the bytes that it was
-// given, and keeps no more of them than Limits say; bytes that are no RESP end in one *Fault that names the
-// place in the stream and the cause, and a Reader that faulted takes nothing more. Nothing here does I/O.
+// A Reader decodes a stream that arrives in chunks of any size. The work it does is proportional to the bytes it
+// was given, and it buffers no more of them than its Limits allow. A malformed stream, or one beyond a limit, ends
+// in a *ProtocolError that states the offset and the reason; the Reader accepts nothing after that. The Append
+// functions encode values. Nothing in this package does I/O.
 //
-// Caveats: the streamed forms of RESP3 (lengths given as '?') and inline commands are turned down. Attributes
-// are read and dropped. A big number is handed over as its text. Doubles are written in the shortest form that
-// reads back the same.
+// Limitations: streamed strings and aggregates (a length of '?') and inline commands are rejected. Attributes are
+// decoded and dropped. A big number is delivered as its text. Doubles are encoded in the shortest form that decodes
+// to the same value.
 //
-// Source: the RESP3 specification, as published with the Redis documentation.
+// Reference: the RESP3 specification in the Redis documentation.
 package resp
--- a/internal/codec/resp/golden_test.go
+++ b/internal/codec/resp/golden_test.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// pinned gives the bytes of a golden file.
-func pinned(t *testing.T, name string) []byte {
+// readGolden returns the bytes of a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
@@ -24,28 +24,28 @@
 	return want
 }
 
-// samePinned fails unless the bytes are those of the golden file.
-func samePinned(t *testing.T, name string, got []byte) {
+// checkGolden reports bytes that differ from the golden file.
+func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if want := pinned(t, name); !bytes.Equal(got, want) {
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
 	}
 }
 
-// samePinnedErrors compares error texts, a line each in the order of their names, with the golden file.
-func samePinnedErrors(t *testing.T, name string, errs map[string]error) {
+// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
+func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
 	t.Helper()
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(errs)) {
 		if errs[key] == nil {
-			t.Errorf("%s is taken", key)
+			t.Errorf("%s: accepted, want an error", key)
 		}
 		fmt.Fprintf(&text, "%s: %v\n", key, errs[key])
 	}
-	samePinned(t, name, []byte(text.String()))
+	checkGolden(t, name, []byte(text.String()))
 }
 
-// goldenValues holds one value of each kind that is both written and read.
+// goldenValues holds one value of each kind that is both encoded and decoded.
 var goldenValues = map[string]Value{
 	"simple":       {Kind: Simple, Text: "OK"},
 	"failure":      {Kind: Failure, Text: "ERR no such command"},
@@ -60,9 +60,9 @@
 	"minus-inf":    {Kind: Double, Float: math.Inf(-1)},
 	"true":         {Kind: Bool, Bool: true},
 	"false":        {Kind: Bool},
-	"blob-failure": {Kind: BlobFail, Text: "SYNTAX not here"},
+	"blob-failure": {Kind: BlobError, Text: "SYNTAX not here"},
 	"verbatim":     {Kind: Verbatim, Text: "txt:some text"},
-	"big-number":   {Kind: BigNum, Text: "-123456789012345678901234567890"},
+	"big-number":   {Kind: BigNumber, Text: "-123456789012345678901234567890"},
 	"array":        {Kind: Array, Items: []Value{{Kind: Number, Int: 7}, {Kind: Array}, {Kind: Bulk, Text: ""}}},
 	"map":          {Kind: Map, Items: []Value{{Kind: Simple, Text: "key"}, {Kind: Double, Float: 2.5}}},
 	"set":          {Kind: Set, Items: []Value{{Kind: Number, Int: 1}, {Kind: Number, Int: 2}}},
@@ -72,55 +72,59 @@
 func TestGoldenValues(t *testing.T) {
 	for name, value := range goldenValues {
 		file := name + ".resp"
-		samePinned(t, file, Append(nil, value))
-		got, err := read(string(pinned(t, file)), 1, Limits{})
+		checkGolden(t, file, Append(nil, value))
+		got, err := decode(string(readGolden(t, file)), 1, Limits{})
 		if err != nil || !reflect.DeepEqual(got, []Value{value}) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: decoded as %+v, %v", name, got, err)
 		}
 	}
 }
 
-// NaN is equal to nothing, not even itself.
+// TestGoldenNaN stands apart because NaN does not equal itself.
 func TestGoldenNaN(t *testing.T) {
-	samePinned(t, "nan.resp", AppendDouble(nil, math.NaN()))
-	got, err := read(string(pinned(t, "nan.resp")), 1, Limits{})
+	checkGolden(t, "nan.resp", AppendDouble(nil, math.NaN()))
+	got, err := decode(string(readGolden(t, "nan.resp")), 1, Limits{})
 	if err != nil || len(got) != 1 || got[0].Kind != Double || !math.IsNaN(got[0].Float) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, %v", got, err)
 	}
 }
 
 func TestGoldenCommand(t *testing.T) {
-	samePinned(t, "command.resp", AppendCommand(nil, "JOIN", "till 7", ""))
-	got, err := read(string(pinned(t, "command.resp")), 1, Limits{})
-	want := []Value{{Kind: Array, Items: []Value{{Kind: Bulk, Text: "JOIN"}, {Kind: Bulk, Text: "till 7"}, {Kind: Bulk}}}}
+	checkGolden(t, "command.resp", AppendCommand(nil, "JOIN", "till 7", ""))
+	got, err := decode(string(readGolden(t, "command.resp")), 1, Limits{})
+	want := []Value{{Kind: Array, Items: []Value{
+		{Kind: Bulk, Text: "JOIN"},
+		{Kind: Bulk, Text: "till 7"},
+		{Kind: Bulk},
+	}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, %v", got, err)
 	}
 }
 
-func TestGoldenLineEndsInALine(t *testing.T) {
-	samePinned(t, "line-ends.resp", AppendLine(nil, Failure, "ERR one\r\ntwo"))
+func TestGoldenLineEndsBecomeSpaces(t *testing.T) {
+	checkGolden(t, "line-ends.resp", AppendLine(nil, Failure, "ERR one\r\ntwo"))
 }
 
-// TestGoldenReadOnly reads what peers may send and this package never writes.
-func TestGoldenReadOnly(t *testing.T) {
+// TestDecodeOnlyForms decodes forms that peers may send and this package never encodes.
+func TestDecodeOnlyForms(t *testing.T) {
 	for stream, want := range map[string]Value{
 		"$-1\r\n":                    {Kind: Null},
 		"*-1\r\n":                    {Kind: Null},
 		"|1\r\n+ttl\r\n:1\r\n:5\r\n": {Kind: Number, Int: 5},
 	} {
-		got, err := read(stream, 1, Limits{})
+		got, err := decode(stream, 1, Limits{})
 		if err != nil || !reflect.DeepEqual(got, []Value{want}) {
-			t.Errorf("%q: read as %+v, %v", stream, got, err)
+			t.Errorf("%q: decoded as %+v, %v", stream, got, err)
 		}
 	}
 }
 
-// goldenFaults holds a stream for each cause of a fault.
-var goldenFaults = map[string]string{
+// malformedStreams holds a stream for each reason of a ProtocolError.
+var malformedStreams = map[string]string{
 	"an unknown kind":          ":1\r\n?1\r\n",
 	"a string past its length": "$3\r\nabcd\r\n",
-	"a line too long":          "+" + strings.Repeat("x", lineMost),
+	"a line too long":          "+" + strings.Repeat("x", maxLineLength),
 	"a line without its end":   ":1\n",
 	"a message too long":       "*2\r\n" + strings.Repeat("$40\r\n"+strings.Repeat("x", 40)+"\r\n", 2),
 	"a null with a text":       "_x\r\n",
@@ -135,15 +139,15 @@
 	"too many values":          "*3\r\n*3\r\n:1\r\n:1\r\n:1\r\n:1\r\n:1\r\n",
 }
 
-func TestGoldenFaults(t *testing.T) {
+func TestGoldenProtocolErrors(t *testing.T) {
 	errs := map[string]error{}
-	for name, stream := range goldenFaults {
-		_, err := read(stream, len(stream), Limits{Depth: 2, Items: 5, Bulk: 50, Message: 80})
-		var fault *ProtocolError
-		if !errors.As(err, &fault) {
-			t.Errorf("%s: %v is no fault", name, err)
+	for name, stream := range malformedStreams {
+		_, err := decode(stream, len(stream), Limits{Depth: 2, Items: 5, Bulk: 50, Message: 80})
+		var protocolError *ProtocolError
+		if !errors.As(err, &protocolError) {
+			t.Errorf("%s: %v is no ProtocolError", name, err)
 		}
 		errs[name] = err
 	}
-	samePinnedErrors(t, "faults.txt", errs)
+	checkGoldenErrors(t, "faults.txt", errs)
 }
--- a/internal/codec/resp/reader.go
+++ b/internal/codec/resp/reader.go
@@ -3,242 +3,147 @@
 import (
 	"bytes"
 	"fmt"
-	"strconv"
 )
 
-// Limits bound what one message may hold. A zero field takes the value of Ordinary.
-type Limits struct {
-	Depth   int // aggregates inside each other
-	Items   int // values in one message, nested ones included
-	Bulk    int // bytes of one string
-	Message int // bytes of one message
-}
-
-// DefaultLimits suits peers that send commands and sums: a table of 2,000 lines fits many times.
-var DefaultLimits = Limits{Depth: 8, Items: 100_000, Bulk: 1 << 20, Message: 4 << 20}
+const (
+	// maxLineLength bounds one line (a header, a number, a simple string) in bytes, its line end included. The
+	// longest legitimate line is the text of an error.
+	maxLineLength = 4096
 
-// lineMost bounds a line (a head, a number, a simple string): the longest honest one is an error text.
-const lineMost = 4096
+	// maxRetainedPayload is the capacity in bytes beyond which the payload buffer is released after use.
+	maxRetainedPayload = 1 << 16
 
-// ProtocolError is a stream that is no RESP, or passes a limit. The peer is told Why and its connection ended.
-type ProtocolError struct {
-	Offset int64 // bytes of the stream before the fault
-	Reason string
-}
+	// kindMarkers are the first bytes of all values that a Reader decodes.
+	kindMarkers = "+-:$*_,#!=(%~>|"
 
-func (f *ProtocolError) Error() string {
-	return fmt.Sprintf("protocol error at byte %d: %s", f.Offset, f.Reason)
-}
+	lineEnd = "\r\n"
+)
 
-// Reader takes a stream in pieces. The zero value is not usable; see NewReader.
+// Reader decodes a stream that arrives in chunks. It is created by NewReader and is not safe for concurrent use.
 type Reader struct {
-	most   Limits
-	line   []byte // an unfinished line
-	body   []byte // an unfinished string
-	need   int    // bytes of it to come, line end included; 0: none is being read
-	kind   Kind   // of that string
-	stack  []frame
-	items  int
-	size   int
-	at     int64
-	failed *ProtocolError
+	limits Limits
+
+	line           []byte // the start of an unfinished line
+	payload        []byte // the start of an unfinished string
+	payloadMissing int    // bytes of payload still to come, line end included; 0 while no string is open
+	payloadKind    Kind
+
+	aggregates   []aggregate // open aggregates, the outermost first
+	valueCount   int         // values in the current message
+	messageBytes int         // bytes of the current message
+	offset       int64       // bytes of the stream that were consumed
+	failure      *ProtocolError
 }
 
-type frame struct {
-	kind  Kind
-	left  int
-	items []Value
+// NewReader returns a Reader that enforces the limits.
+func NewReader(limits Limits) *Reader {
+	return &Reader{limits: limits.withDefaults()}
 }
 
-// NewReader makes a Reader that keeps to the limits.
-func NewReader(most Limits) *Reader {
-	fill := func(n *int, usual int) {
-		if *n <= 0 {
-			*n = usual
-		}
-	}
-	fill(&most.Depth, DefaultLimits.Depth)
-	fill(&most.Items, DefaultLimits.Items)
-	fill(&most.Bulk, DefaultLimits.Bulk)
-	fill(&most.Message, DefaultLimits.Message)
-	return &Reader{most: most}
-}
-
-// Idle tells whether the stream stands between two messages.
+// Idle reports whether the stream is between two messages.
 func (r *Reader) Idle() bool {
-	return r.failed == nil && len(r.line) == 0 && r.need == 0 && len(r.stack) == 0
+	return r.failure == nil && len(r.line) == 0 && r.payloadMissing == 0 && len(r.aggregates) == 0
 }
 
-// Feed takes the next bytes and hands each whole message to take. It stops at take's first error and returns it;
-// a *Fault is returned at once and at every later call.
+// Feed decodes the next bytes of the stream and passes each complete message to take. It stops at the first error
+// of take and returns it. A *ProtocolError is returned at once and by every later call with data.
 func (r *Reader) Feed(data []byte, take func(Value) error) error {
 	for len(data) > 0 {
-		if r.failed != nil {
-			return r.failed
-		}
-		if r.need > 0 {
-			n := min(r.need, len(data))
-			r.body = append(r.body, data[:n]...)
-			if data, r.need = data[n:], r.need-n; !r.count(n) {
-				return r.failed
-			}
-			if r.need > 0 {
-				return nil
-			}
-			text, end := r.body[:len(r.body)-2], r.body[len(r.body)-2:]
-			if end[0] != '\r' || end[1] != '\n' {
-				return r.fault("a string runs on past its length")
-			}
-			v := Value{Kind: r.kind, Text: string(text)}
-			if r.body = r.body[:0]; cap(r.body) > 1<<16 {
-				r.body = nil
-			}
-			if err := r.put(v, take); err != nil {
-				return err
-			}
-			continue
+		if r.failure != nil {
+			return r.failure
 		}
-		i := bytes.IndexByte(data, '\n')
-		n := i + 1
-		if i < 0 {
-			n = len(data)
+		var err error
+		if r.payloadMissing > 0 {
+			data, err = r.feedPayload(data, take)
+		} else {
+			data, err = r.feedLine(data, take)
 		}
-		if len(r.line)+n > lineMost {
-			return r.fault(fmt.Sprintf("a line of over %d bytes", lineMost))
-		}
-		whole := data[:n]
-		if len(r.line) > 0 || i < 0 {
-			r.line = append(r.line, whole...)
-			whole = r.line
-		}
-		// A first byte that opens nothing is told at once: such a peer may never send a line end.
-		if len(whole) > 0 && !opens(whole[0]) {
-			return r.fault(fmt.Sprintf("%q opens no value", whole[0]))
-		}
-		if data = data[n:]; !r.count(n) {
-			return r.failed
-		}
-		if i < 0 {
-			return nil
-		}
-		if len(whole) < 3 || whole[len(whole)-2] != '\r' {
-			return r.fault("a line without its \\r\\n")
-		}
-		err := r.head(Kind(whole[0]), whole[1:len(whole)-2], take)
-		if r.line = r.line[:0]; err != nil {
+		if err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func opens(c byte) bool { return bytes.IndexByte([]byte("+-:$*_,#!=(%~>|"), c) >= 0 }
-
-func (r *Reader) fault(why string) error {
-	r.failed = &ProtocolError{Offset: r.at, Reason: why}
-	r.line, r.body, r.stack = nil, nil, nil
-	return r.failed
-}
-
-func (r *Reader) count(n int) bool {
-	r.at += int64(n)
-	if r.size += n; r.size > r.most.Message {
-		_ = r.fault(fmt.Sprintf("a message of over %d bytes", r.most.Message))
+// feedPayload consumes bytes of the open string and its line end. It returns the bytes that follow.
+func (r *Reader) feedPayload(data []byte, take func(Value) error) ([]byte, error) {
+	n := min(r.payloadMissing, len(data))
+	r.payload = append(r.payload, data[:n]...)
+	r.payloadMissing -= n
+	if err := r.consume(n); err != nil {
+		return nil, err
 	}
-	return r.failed == nil
+	rest := data[n:]
+	if r.payloadMissing > 0 {
+		return rest, nil
+	}
+	text, terminated := bytes.CutSuffix(r.payload, []byte(lineEnd))
+	if !terminated {
+		return nil, r.fail("a string runs on past its length")
+	}
+	value := Value{Kind: r.payloadKind, Text: string(text)}
+	r.payload = r.payload[:0]
+	if cap(r.payload) > maxRetainedPayload {
+		r.payload = nil
+	}
+	return rest, r.add(value, take)
 }
 
-// head reads a line: a whole value, the head of a string, or that of an aggregate.
-func (r *Reader) head(k Kind, text []byte, take func(Value) error) error {
-	switch v := (Value{Kind: k}); k {
-	case Simple, Failure, BigNum:
-		v.Text = string(text)
-		return r.put(v, take)
-	case Null:
-		if len(text) > 0 {
-			return r.fault("a null with a text")
-		}
-		return r.put(v, take)
-	case Bool:
-		if v.Bool = string(text) == "t"; !v.Bool && string(text) != "f" {
-			return r.fault("a boolean that is neither t nor f")
-		}
-		return r.put(v, take)
-	case Number:
-		n, err := strconv.ParseInt(string(text), 10, 64)
-		if err != nil {
-			return r.fault(fmt.Sprintf("%q is no whole number of 64 bits", clip(text)))
-		}
-		v.Int = n
-		return r.put(v, take)
-	case Double:
-		f, err := strconv.ParseFloat(string(text), 64)
-		if err != nil {
-			return r.fault(fmt.Sprintf("%q is no double", clip(text)))
-		}
-		v.Float = f
-		return r.put(v, take)
-	case Bulk, BlobFail, Verbatim:
-		n, err := strconv.Atoi(string(text))
-		switch {
-		case err == nil && n == -1 && k == Bulk: // the null of RESP2
-			return r.put(Value{Kind: Null}, take)
-		case err != nil || n < 0:
-			return r.fault(fmt.Sprintf("%q is no length", clip(text)))
-		case n > r.most.Bulk:
-			return r.fault(fmt.Sprintf("a string of %d bytes, %d are taken", n, r.most.Bulk))
-		}
-		r.kind, r.need = k, n+2
-		return nil
+// feedLine consumes bytes up to the end of a line and decodes the line. It returns the bytes that follow.
+func (r *Reader) feedLine(data []byte, take func(Value) error) ([]byte, error) {
+	n := len(data)
+	newline := bytes.IndexByte(data, '\n')
+	complete := newline >= 0
+	if complete {
+		n = newline + 1
 	}
-	n, err := strconv.Atoi(string(text))
-	if err == nil && n == -1 && k == Array {
-		return r.put(Value{Kind: Null}, take)
+	if len(r.line)+n > maxLineLength {
+		return nil, r.fail(fmt.Sprintf("a line of over %d bytes", maxLineLength))
 	}
-	if err != nil || n < 0 {
-		return r.fault(fmt.Sprintf("%q is no count", clip(text)))
+	line := data[:n]
+	if len(r.line) > 0 || !complete {
+		r.line = append(r.line, line...)
+		line = r.line
 	}
-	if n > r.most.Items {
-		return r.fault(fmt.Sprintf("an aggregate of %d values, %d are taken", n, r.most.Items))
+	// An invalid first byte is reported at once: such a peer may never send a line end.
+	if !isKindMarker(line[0]) {
+		return nil, r.fail(fmt.Sprintf("%q opens no value", line[0]))
 	}
-	if k == Map || k == attr {
-		n *= 2
+	if err := r.consume(n); err != nil {
+		return nil, err
 	}
-	if len(r.stack) >= r.most.Depth {
-		return r.fault(fmt.Sprintf("nesting deeper than %d", r.most.Depth))
+	rest := data[n:]
+	if !complete {
+		return rest, nil
 	}
-	if n == 0 {
-		if k == attr {
-			return nil
-		}
-		return r.put(Value{Kind: k}, take)
+	content, terminated := bytes.CutSuffix(line[1:], []byte(lineEnd))
+	if !terminated {
+		return nil, r.fail("a line without its \\r\\n")
 	}
-	// What the peer announces is not set aside before it comes: a head costs it a few bytes.
-	r.stack = append(r.stack, frame{kind: k, left: n, items: make([]Value, 0, min(n, 64))})
-	return nil
+	err := r.decodeLine(Kind(line[0]), content, take)
+	r.line = r.line[:0]
+	return rest, err
 }
 
-// put adds a value to the innermost open aggregate, and closes those that it fills.
-func (r *Reader) put(v Value, take func(Value) error) error {
-	for {
-		if r.items++; r.items > r.most.Items {
-			return r.fault(fmt.Sprintf("a message of over %d values", r.most.Items))
-		}
-		if len(r.stack) == 0 {
-			r.items, r.size = 0, 0
-			return take(v)
-		}
-		top := &r.stack[len(r.stack)-1]
-		top.items = append(top.items, v)
-		if top.left--; top.left > 0 {
-			return nil
-		}
-		v = Value{Kind: top.kind, Items: top.items}
-		r.stack = r.stack[:len(r.stack)-1]
-		if v.Kind == attr {
-			return nil
-		}
+func isKindMarker(char byte) bool {
+	return bytes.IndexByte([]byte(kindMarkers), char) >= 0
+}
+
+// consume counts bytes of the current message against its limit.
+func (r *Reader) consume(n int) error {
+	r.offset += int64(n)
+	r.messageBytes += n
+	if r.messageBytes > r.limits.Message {
+		return r.fail(fmt.Sprintf("a message of over %d bytes", r.limits.Message))
 	}
+	return nil
 }
 
-func clip(text []byte) string { return string(text[:min(len(text), 40)]) }
+// fail puts the Reader into its final state and returns the error.
+func (r *Reader) fail(reason string) error {
+	r.failure = &ProtocolError{Offset: r.offset, Reason: reason}
+	r.line = nil
+	r.payload = nil
+	r.aggregates = nil
+	return r.failure
+}
--- /dev/null
+++ b/internal/codec/resp/reader_test.go
@@ -0,0 +1,146 @@
+package resp
+
+import (
+	"errors"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// decode feeds a stream in chunks of one size and returns the messages decoded before the first error.
+func decode(stream string, chunkSize int, limits Limits) (messages []Value, err error) {
+	reader := NewReader(limits)
+	collect := func(message Value) error {
+		messages = append(messages, message)
+		return nil
+	}
+	for len(stream) > 0 && err == nil {
+		n := min(chunkSize, len(stream))
+		err = reader.Feed([]byte(stream[:n]), collect)
+		stream = stream[n:]
+	}
+	return messages, err
+}
+
+// appendAll encodes messages one after the other.
+func appendAll(messages []Value) []byte {
+	var encoded []byte
+	for _, message := range messages {
+		encoded = Append(encoded, message)
+	}
+	return encoded
+}
+
+func TestChunkSizeDoesNotMatter(t *testing.T) {
+	messages := []Value{
+		{Kind: Push, Items: []Value{
+			{Kind: Bulk, Text: "change\r\n"},
+			{Kind: Number, Int: -7},
+			{Kind: Double, Float: 0.1},
+		}},
+		{Kind: Map, Items: []Value{
+			{Kind: Simple, Text: "life"},
+			{Kind: Null},
+			{Kind: Simple, Text: "on"},
+			{Kind: Bool, Bool: true},
+		}},
+		{Kind: Array, Items: []Value{
+			{Kind: Set},
+			{Kind: Array, Items: []Value{{Kind: Verbatim, Text: "txt:hi"}}},
+		}},
+		{Kind: Failure, Text: "ERR no"},
+		{Kind: BigNumber, Text: "123456789012345678901234567890"},
+	}
+	stream := appendAll(messages)
+	for _, chunkSize := range []int{1, 2, 3, 7, len(stream)} {
+		got, err := decode(string(stream), chunkSize, Limits{})
+		if err != nil || !reflect.DeepEqual(got, messages) {
+			t.Fatalf("in chunks of %d: %v, %v", chunkSize, got, err)
+		}
+	}
+}
+
+func TestMalformedStreamsAreRejected(t *testing.T) {
+	tests := map[string]struct {
+		stream string
+		reason string
+	}{
+		"no RESP at all":                  {"GET / HTTP/1.1\r\n", "opens no value"},
+		"no RESP and no line end":         {"\x00", "opens no value"},
+		"a length of 2^62":                {"$4611686018427387904\r\n", "a string of 4611686018427387904 bytes"},
+		"a count of 2^62":                 {"*4611686018427387904\r\n", "an aggregate of"},
+		"a negative length":               {"$-2\r\n", "is no length"},
+		"nesting a thousand deep":         {strings.Repeat("*1\r\n", 1000), "nesting deeper"},
+		"a string longer than its length": {"$3\r\nabcd\r\n", "runs on past its length"},
+		"a line without end":              {"+" + strings.Repeat("x", maxLineLength), "a line of over"},
+		"a megabyte in one message": {
+			"*90000\r\n" + strings.Repeat("$10\r\n0123456789\r\n", 90000),
+			"a message of over",
+		},
+		"streamed strings":        {"$?\r\n", "is no length"},
+		"a bare line feed":        {":1\n", "without its"},
+		"aggregates inside items": {strings.Repeat("*9\r\n:1\r\n", 3), "nesting deeper"},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			for _, chunkSize := range []int{1, 4096} {
+				_, err := decode(test.stream, chunkSize, Limits{Depth: 2, Message: 1 << 20})
+				var protocolError *ProtocolError
+				if !errors.As(err, &protocolError) || !strings.Contains(protocolError.Reason, test.reason) {
+					t.Fatalf("in chunks of %d: %v", chunkSize, err)
+				}
+			}
+		})
+	}
+}
+
+func TestProtocolErrorIsFinal(t *testing.T) {
+	reader := NewReader(Limits{})
+	first := reader.Feed([]byte("?"), nil)
+	again := reader.Feed([]byte(":1\r\n"), nil)
+	if first == nil || again != first { //nolint:errorlint // the same error is wanted, not one that wraps it
+		t.Fatal("the stream is decoded after its protocol error: ", again)
+	}
+}
+
+func TestAttributesAreDropped(t *testing.T) {
+	got, err := decode("|1\r\n+ttl\r\n:3600\r\n*2\r\n:1\r\n|1\r\n+k\r\n+v\r\n:2\r\n", 1, Limits{})
+	want := []Value{{Kind: Array, Items: []Value{{Kind: Number, Int: 1}, {Kind: Number, Int: 2}}}}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Fatalf("%v, %v", got, err)
+	}
+}
+
+// FuzzReader shows that a stream decodes alike as a whole and in single bytes, and that decoded messages survive
+// another round of encoding and decoding.
+func FuzzReader(f *testing.F) {
+	for _, seed := range []string{
+		"*2\r\n$3\r\nACK\r\n:1\r\n",
+		">1\r\n,1e300\r\n",
+		"%1\r\n+a\r\n_\r\n",
+		"|1\r\n+a\r\n:1\r\n#t\r\n",
+		"$-1\r\n",
+		"*-1\r\n",
+		"(1\r\n",
+		"=5\r\ntxt:a\r\n",
+		"~0\r\n",
+		"!1\r\nx\r\n",
+	} {
+		f.Add(seed)
+	}
+	f.Fuzz(func(t *testing.T, stream string) {
+		limits := Limits{Depth: 4, Items: 100, Bulk: 100, Message: 1000}
+		whole, wholeErr := decode(stream, max(len(stream), 1), limits)
+		single, singleErr := decode(stream, 1, limits)
+		if (wholeErr == nil) != (singleErr == nil) || len(whole) != len(single) {
+			t.Fatalf("whole %v %v, in single bytes %v %v", whole, wholeErr, single, singleErr)
+		}
+		encoded := appendAll(whole)
+		limits.Message = 100_000
+		again, err := decode(string(encoded), max(len(encoded), 1), limits)
+		encodedAgain := appendAll(again)
+		if err != nil || string(encoded) != string(encodedAgain) {
+			t.Fatalf("%q comes back as %q: %v", encoded, encodedAgain, err)
+		}
+	})
+}
