--- a/internal/codec/http1/golden_test.go
+++ b/internal/codec/http1/golden_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// pinned gives the bytes of a golden file.
-func pinned(t *testing.T, name string) []byte {
+// readGolden returns the bytes of a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
@@ -23,83 +23,102 @@
 	return want
 }
 
-// samePinned fails unless the bytes are those of the golden file.
-func samePinned(t *testing.T, name string, got []byte) {
+// checkGolden reports bytes that differ from the golden file.
+func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if want := pinned(t, name); !bytes.Equal(got, want) {
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
 	}
 }
 
-// samePinnedErrors compares error texts, a line each in the order of their names, with the golden file.
-func samePinnedErrors(t *testing.T, name string, errs map[string]error) {
+// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
+func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
 	t.Helper()
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(errs)) {
 		if errs[key] == nil {
-			t.Errorf("%s is taken", key)
+			t.Errorf("%s: accepted, want an error", key)
 		}
 		fmt.Fprintf(&text, "%s: %v\n", key, errs[key])
 	}
-	samePinned(t, name, []byte(text.String()))
+	checkGolden(t, name, []byte(text.String()))
 }
 
-// golden is a message in bytes and as it is read.
-type golden struct {
-	answer  bool
-	written []byte // nil: this package reads it and never writes it
-	read    Message
+// goldenMessage is a message in bytes and as it is parsed.
+type goldenMessage struct {
+	response bool
+	encoded  []byte // nil: this package never encodes such a message
+	parsed   Message
 }
 
-var goldenMessages = map[string]golden{
+var goldenMessages = map[string]goldenMessage{
 	"get.http": {
-		written: AppendRequest(nil, "GET", "/v1/health?index=7", "127.0.0.1:8500", nil,
+		encoded: AppendRequest(nil, "GET", "/v1/health?index=7", "127.0.0.1:8500", nil,
 			"Accept", "application/json", "Connection", "close"),
-		read: Message{Method: "GET", Target: "/v1/health?index=7", Close: true,
-			Header: map[string]string{"host": "127.0.0.1:8500", "accept": "application/json", "connection": "close"}},
+		parsed: Message{
+			Method: "GET",
+			Target: "/v1/health?index=7",
+			Header: map[string]string{"host": "127.0.0.1:8500", "accept": "application/json", "connection": "close"},
+			Close:  true,
+		},
 	},
 	"post.http": {
-		written: AppendRequest(nil, "POST", "/recipe", "127.0.0.1:7601", []byte("a\r\nbody\x00"), "X-Fingerprint", "12ab"),
-		read: Message{Method: "POST", Target: "/recipe", Body: []byte("a\r\nbody\x00"),
-			Header: map[string]string{"host": "127.0.0.1:7601", "x-fingerprint": "12ab", "content-length": "8"}},
+		encoded: AppendRequest(nil, "POST", "/recipe", "127.0.0.1:7601", []byte("a\r\nbody\x00"),
+			"X-Fingerprint", "12ab"),
+		parsed: Message{
+			Method: "POST",
+			Target: "/recipe",
+			Header: map[string]string{"host": "127.0.0.1:7601", "x-fingerprint": "12ab", "content-length": "8"},
+			Body:   []byte("a\r\nbody\x00"),
+		},
 	},
 	"answer.http": {
-		answer: true, written: AppendAnswer(nil, 200, []byte("[]"), "X-Consul-Index", "9"),
-		read: Message{Status: 200, Body: []byte("[]"),
-			Header: map[string]string{"x-consul-index": "9", "content-length": "2"}},
+		response: true,
+		encoded:  AppendAnswer(nil, 200, []byte("[]"), "X-Consul-Index", "9"),
+		parsed: Message{
+			Status: 200,
+			Header: map[string]string{"x-consul-index": "9", "content-length": "2"},
+			Body:   []byte("[]"),
+		},
 	},
 	"chunked.http": {
-		read: Message{Method: "PUT", Target: "/", Body: []byte("abc0123456789"), Close: true,
-			Header: map[string]string{"transfer-encoding": "chunked", "x-a": "1, 2"}},
+		parsed: Message{
+			Method: "PUT",
+			Target: "/",
+			Header: map[string]string{"transfer-encoding": "chunked", "x-a": "1, 2"},
+			Body:   []byte("abc0123456789"),
+			Close:  true,
+		},
 	},
 	"no-body.http": {
-		answer: true, read: Message{Status: 204, Header: map[string]string{"connection": "keep-alive"}},
+		response: true,
+		parsed:   Message{Status: 204, Header: map[string]string{"connection": "keep-alive"}},
 	},
 }
 
 func TestGoldenMessages(t *testing.T) {
 	for file, message := range goldenMessages {
-		if message.written != nil {
-			samePinned(t, file, message.written)
+		if message.encoded != nil {
+			checkGolden(t, file, message.encoded)
 		}
-		got, err := read(string(pinned(t, file)), message.answer, 1)
-		if err != nil || len(got) != 1 || !reflect.DeepEqual(*got[0], message.read) {
-			t.Errorf("%s: read as %+v, %v", file, got, err)
+		got, err := parse(string(readGolden(t, file)), message.response, 1)
+		if err != nil || len(got) != 1 || !reflect.DeepEqual(*got[0], message.parsed) {
+			t.Errorf("%s: parsed as %+v, %v", file, got, err)
 		}
 	}
 }
 
-// TestGoldenReasons writes an answer of each status that has a reason, and one that has none.
-func TestGoldenReasons(t *testing.T) {
+// TestGoldenReasonPhrases encodes a response of each status that has a reason phrase, and of one that has none.
+func TestGoldenReasonPhrases(t *testing.T) {
 	var all []byte
 	for _, status := range []int{200, 400, 404, 413, 429, 431, 500, 501, 503, 505, 418} {
 		all = AppendAnswer(all, status, nil)
 	}
-	samePinned(t, "reasons.http", all)
+	checkGolden(t, "reasons.http", all)
 }
 
-// goldenFaults holds a stream for each cause of a fault; "answer" in a name marks answers.
-var goldenFaults = map[string]string{
+// malformedStreams holds a stream for each reason of a ProtocolError; "answer" in a name marks responses.
+var malformedStreams = map[string]string{
 	"a first byte":               "\x16\x03",
 	"a head too long":            "GET / HTTP/1.1\r\nX: " + strings.Repeat("y", 500),
 	"a request line":             "GET /\r\n",
@@ -118,16 +137,16 @@
 	"a chunk past its size":      "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc",
 }
 
-func TestGoldenFaults(t *testing.T) {
+func TestGoldenProtocolErrors(t *testing.T) {
 	errs := map[string]error{}
-	for name, stream := range goldenFaults {
-		_, err := read(stream, strings.Contains(name, "answer"), len(stream))
-		var fault *ProtocolError
-		if !errors.As(err, &fault) {
-			t.Errorf("%s: %v is no fault", name, err)
+	for name, stream := range malformedStreams {
+		_, err := parse(stream, strings.Contains(name, "answer"), len(stream))
+		var protocolError *ProtocolError
+		if !errors.As(err, &protocolError) {
+			t.Errorf("%s: %v is no ProtocolError", name, err)
 			continue
 		}
-		errs[name] = fmt.Errorf("%w (%d)", err, fault.Status)
+		errs[name] = fmt.Errorf("%w (%d)", err, protocolError.Status)
 	}
-	samePinnedErrors(t, "faults.txt", errs)
+	checkGoldenErrors(t, "faults.txt", errs)
 }
--- /dev/null
+++ b/internal/codec/http1/head.go
@@ -0,0 +1,156 @@
+package http1
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+const (
+	minStatus = 100
+	maxStatus = 999
+
+	// lengthBits bounds lengths and chunk sizes to values that an int holds with room for a line end.
+	lengthBits = 62
+)
+
+// parseLine parses a line without its line end, by the state of the parser.
+func (p *Parser) parseLine(text string, take func(*Message) error) error {
+	switch {
+	case p.state == inChunkSize:
+		return p.parseChunkSize(text)
+	case p.state == inTrailer:
+		if text == "" {
+			return p.deliver(take)
+		}
+		return nil
+	case p.message == nil:
+		if text == "" { // empty lines before a message are allowed
+			return nil
+		}
+		return p.parseStartLine(text)
+	case text == "":
+		return p.endHead(take)
+	default:
+		return p.parseField(text)
+	}
+}
+
+// parseStartLine parses a request line or a status line and begins a message.
+func (p *Parser) parseStartLine(text string) error {
+	message := &Message{Header: map[string]string{}}
+	words := strings.SplitN(text, " ", 3)
+	var version string
+	if p.responses {
+		if len(words) < 2 {
+			return p.fail(http.StatusBadRequest, "no status line: %.40q", text)
+		}
+		status, err := strconv.Atoi(words[1])
+		if err != nil || status < minStatus || status > maxStatus {
+			return p.fail(http.StatusBadRequest, "no status: %.40q", text)
+		}
+		version = words[0]
+		message.Status = status
+	} else {
+		if len(words) != 3 || words[0] == "" || words[1] == "" {
+			return p.fail(http.StatusBadRequest, "no request line: %.40q", text)
+		}
+		message.Method = words[0]
+		message.Target = words[1]
+		version = words[2]
+	}
+	switch version {
+	case "HTTP/1.1":
+	case "HTTP/1.0":
+		message.Close = true
+	default:
+		return p.fail(http.StatusHTTPVersionNotSupported, "not HTTP/1.1: %.40q", text)
+	}
+	p.message = message
+	return nil
+}
+
+// parseField parses a header field.
+func (p *Parser) parseField(text string) error {
+	name, value, found := strings.Cut(text, ":")
+	if !found || name == "" || strings.ContainsAny(name, " \t") {
+		return p.fail(http.StatusBadRequest, "no header line: %.40q", text)
+	}
+	name = strings.ToLower(name)
+	value = strings.Trim(value, " \t")
+	previous, repeated := p.message.Header[name]
+	switch {
+	case repeated && name == headerContentLength && previous != value:
+		return p.fail(http.StatusBadRequest, "two lengths that differ")
+	case repeated && name != headerContentLength:
+		value = previous + ", " + value
+	}
+	p.message.Header[name] = value
+	return nil
+}
+
+// endHead decides by the header how the body is delimited. A message without a body is complete.
+func (p *Parser) endHead(take func(*Message) error) error {
+	message := p.message
+	message.applyConnectionHeader()
+	length, hasLength := message.Header[headerContentLength]
+	coding, hasCoding := message.Header[headerTransferEncoding]
+	p.lineBytes = 0
+	switch {
+	case p.responses && statusHasNoBody(message.Status):
+		return p.deliver(take)
+	case hasCoding && hasLength:
+		return p.fail(http.StatusBadRequest, "a length beside a chunked body")
+	case hasCoding && !strings.EqualFold(coding, "chunked"):
+		return p.fail(http.StatusNotImplemented, "transfer coding %.40q is not read", coding)
+	case hasCoding:
+		p.state = inChunkSize
+		return nil
+	case hasLength:
+		return p.beginBody(length)
+	case p.responses:
+		return p.fail(http.StatusBadRequest, "an answer that ends with its connection is not read")
+	default:
+		return p.deliver(take)
+	}
+}
+
+func statusHasNoBody(status int) bool {
+	informational := status < http.StatusOK
+	return informational || status == http.StatusNoContent || status == http.StatusNotModified
+}
+
+// beginBody parses the length of a body; the body follows as content.
+func (p *Parser) beginBody(text string) error {
+	length, err := strconv.ParseUint(text, 10, lengthBits)
+	if err != nil {
+		return p.fail(http.StatusBadRequest, "%.40q is no length", text)
+	}
+	if length > uint64(p.limits.Body) {
+		return p.fail(http.StatusRequestEntityTooLarge, "a body of %d bytes, %d are taken", length, p.limits.Body)
+	}
+	p.state = inBody
+	p.missing = int(length)
+	return nil
+}
+
+// parseChunkSize parses the size of a chunk and drops its extensions; the chunk follows as content. A chunk of
+// size 0 ends the body.
+func (p *Parser) parseChunkSize(text string) error {
+	sizeText, _, _ := strings.Cut(text, ";")
+	size, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, lengthBits)
+	if err != nil {
+		return p.fail(http.StatusBadRequest, "%.40q is no chunk size", text)
+	}
+	if size > uint64(p.limits.Body-len(p.message.Body)) {
+		return p.fail(http.StatusRequestEntityTooLarge, "a body of over %d bytes", p.limits.Body)
+	}
+	if size == 0 {
+		p.state = inTrailer
+		p.lineBytes = 0
+		return nil
+	}
+	p.state = inChunk
+	p.missing = int(size) + len(lineEnd)
+	return nil
+}
--- /dev/null
+++ b/internal/codec/http1/parser.go
@@ -0,0 +1,173 @@
+package http1
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+)
+
+// Defaults of Limits.
+const (
+	defaultHeadLimit = 16 << 10
+	defaultBodyLimit = 1 << 20
+)
+
+const lineEnd = "\r\n"
+
+// Limits bounds one message, in bytes. A zero or negative field selects the default: 16 KiB for the head, 1 MiB
+// for the body.
+type Limits struct {
+	Head int
+	Body int
+}
+
+type parserState int
+
+const (
+	inHead parserState = iota
+	inBody
+	inChunkSize
+	inChunk   // a chunk and its line end
+	inTrailer // lines after the last chunk
+)
+
+// Parser parses one direction of a connection. It is created by NewParser and is not safe for concurrent use.
+type Parser struct {
+	responses bool
+	limits    Limits
+
+	state     parserState
+	line      []byte // the start of an unfinished line
+	lineBytes int    // bytes of the lines of the head, of a chunk size or of the trailer
+	missing   int    // bytes of the body or the chunk still to come
+	message   *Message
+	failure   error
+
+	// Stream, where set, receives the content of chunked bodies as it arrives, for responses without end. Such a
+	// body is neither collected nor limited. Stream is given the message as far as its head and a part of the
+	// content that belongs to the parser and is valid during the call.
+	Stream func(m *Message, part []byte) error
+}
+
+// NewParser returns a Parser of responses, or of requests.
+func NewParser(responses bool, limits Limits) *Parser {
+	if limits.Head <= 0 {
+		limits.Head = defaultHeadLimit
+	}
+	if limits.Body <= 0 {
+		limits.Body = defaultBodyLimit
+	}
+	return &Parser{responses: responses, limits: limits}
+}
+
+// Idle reports whether the stream is between two messages.
+func (p *Parser) Idle() bool {
+	return p.failure == nil && p.message == nil && len(p.line) == 0
+}
+
+// Feed parses the next bytes of the stream and passes each complete message to take. It stops at the first error
+// of take or Stream and returns it. A *ProtocolError is returned at once and by every later call.
+func (p *Parser) Feed(data []byte, take func(*Message) error) error {
+	for len(data) > 0 || p.atEmptyBody() {
+		if p.failure != nil {
+			return p.failure
+		}
+		var err error
+		switch p.state {
+		case inBody, inChunk:
+			data, err = p.feedContent(data, take)
+		default:
+			data, err = p.feedLine(data, take)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return p.failure
+}
+
+// atEmptyBody reports whether the message is complete without further bytes.
+func (p *Parser) atEmptyBody() bool {
+	return p.state == inBody && p.missing == 0
+}
+
+// feedContent consumes bytes of a body of known length, or of a chunk with its line end. It returns the bytes that
+// follow.
+func (p *Parser) feedContent(data []byte, take func(*Message) error) ([]byte, error) {
+	// The line end of a streamed chunk is collected like that of any other.
+	if p.state == inChunk && p.Stream != nil && p.missing > len(lineEnd) {
+		n := min(p.missing-len(lineEnd), len(data))
+		p.missing -= n
+		return data[n:], p.Stream(p.message, data[:n])
+	}
+	n := min(p.missing, len(data))
+	p.message.Body = append(p.message.Body, data[:n]...)
+	p.missing -= n
+	rest := data[n:]
+	if p.missing > 0 {
+		return rest, nil
+	}
+	if p.state == inBody {
+		return rest, p.deliver(take)
+	}
+	body, terminated := bytes.CutSuffix(p.message.Body, []byte(lineEnd))
+	if !terminated {
+		return nil, p.fail(http.StatusBadRequest, "a chunk runs on past its size")
+	}
+	p.message.Body = body
+	p.state = inChunkSize
+	p.lineBytes = 0
+	return rest, nil
+}
+
+// feedLine consumes bytes up to the end of a line and parses the line. It returns the bytes that follow.
+func (p *Parser) feedLine(data []byte, take func(*Message) error) ([]byte, error) {
+	n := len(data)
+	newline := bytes.IndexByte(data, '\n')
+	complete := newline >= 0
+	if complete {
+		n = newline + 1
+	}
+	p.lineBytes += n
+	if p.lineBytes > p.limits.Head {
+		return nil, p.fail(http.StatusRequestHeaderFieldsTooLarge, "a head of over %d bytes", p.limits.Head)
+	}
+	line := data[:n]
+	if len(p.line) > 0 || !complete {
+		p.line = append(p.line, line...)
+		line = p.line
+	}
+	// An invalid first byte is reported at once: such a peer may never send a line end.
+	if p.state == inHead && p.message == nil && !canStartMessage(line[0]) {
+		return nil, p.fail(http.StatusBadRequest, "no HTTP: the first byte is %#x", line[0])
+	}
+	if !complete {
+		return nil, nil
+	}
+	text := string(bytes.TrimSuffix(line[:len(line)-1], []byte("\r")))
+	p.line = p.line[:0]
+	return data[n:], p.parseLine(text, take)
+}
+
+// canStartMessage reports whether a message or one of the empty lines before it may start with the byte.
+func canStartMessage(char byte) bool {
+	return char > ' ' || char == '\r' || char == '\n'
+}
+
+// deliver passes the complete message on and prepares for the next one.
+func (p *Parser) deliver(take func(*Message) error) error {
+	message := p.message
+	p.message = nil
+	p.state = inHead
+	p.lineBytes = 0
+	p.missing = 0
+	return take(message)
+}
+
+// fail puts the Parser into its final state and returns the error.
+func (p *Parser) fail(status int, format string, args ...any) error {
+	p.failure = &ProtocolError{Status: status, Reason: fmt.Sprintf(format, args...)}
+	p.line = nil
+	p.message = nil
+	return p.failure
+}
