--- /dev/null
+++ b/internal/codec/pubsubmsg/doc.go
@@ -0,0 +1,10 @@
+// Package pubsubmsg converts the messages of the publish-subscribe channel to and from RESP3 values, and validates
+// them: what a controller publishes to a proxy (Message) and the commands that a proxy sends (Join, Ack,
+// LoadReports). Nothing in this package does I/O.
+//
+// A Message carries the controller's version and the version of the message sent to the same proxy before it. A
+// proxy that does not hold the previous version has missed a message and asks for a snapshot (RESYNC). The
+// incarnation grows with each start of the controller; a message of an earlier incarnation is obsolete.
+//
+// docs/channel.md describes the protocol for authors of proxies.
+package pubsubmsg
--- /dev/null
+++ b/internal/codec/pubsubmsg/errors.go
@@ -0,0 +1,20 @@
+package pubsubmsg
+
+import "fmt"
+
+// ParseError reports a message or a command that cannot be used.
+type ParseError struct {
+	// Field names what is malformed, e.g. "epoch". It is empty where the number of values is wrong.
+	Field string
+	// Reason is the whole text of the error. A proxy that sent the command is told it.
+	Reason string
+}
+
+// Error returns the reason.
+func (e *ParseError) Error() string {
+	return e.Reason
+}
+
+func parseErrorf(field, format string, args ...any) *ParseError {
+	return &ParseError{Field: field, Reason: fmt.Sprintf(format, args...)}
+}
--- /dev/null
+++ b/internal/codec/pubsubmsg/parse_command.go
@@ -0,0 +1,178 @@
+package pubsubmsg
+
+import (
+	"strconv"
+
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+)
+
+const (
+	// Arguments of JOIN without and with the epoch.
+	joinLengthWithoutEpoch = 6
+	joinLength             = 7
+
+	ackLength = 3
+
+	// Arguments of SUMS before the reports, and of each report.
+	loadReportsHeaderLength = 2
+	loadReportLength        = 5
+
+	// maxExpectedRate bounds the request rate of a proxy, in requests per second.
+	maxExpectedRate = 1e9
+
+	// maxReadings bounds the readings in the load report of one replica.
+	maxReadings = 4
+
+	// maxWindow bounds the time that load reports cover.
+	maxWindow = 3600 * model.Second
+
+	// unsignedBits bounds unsigned numbers to values that a RESP number holds.
+	unsignedBits = 63
+)
+
+// ParseJoin parses the arguments of JOIN. Its error is a *ParseError.
+func ParseJoin(arguments []resp.Value) (Join, error) {
+	if len(arguments) != joinLengthWithoutEpoch && len(arguments) != joinLength {
+		return Join{}, parseErrorf("", "JOIN takes name, zone, rate, fresh, life, version and epoch; %d words came",
+			len(arguments))
+	}
+	join := Join{
+		Name:            arguments[0].Word(),
+		Zone:            arguments[1].Word(),
+		OnStandingTable: arguments[3].Word() == "1",
+	}
+	if join.Name == "" || len(join.Name) > MaxNameLength {
+		return Join{}, parseErrorf("name", "JOIN: a name has 1 to %d bytes", MaxNameLength)
+	}
+	var err error
+	rate := arguments[2].Word()
+	join.ExpectedRate, err = strconv.ParseFloat(rate, 64)
+	if err != nil || !(join.ExpectedRate >= 0) || join.ExpectedRate > maxExpectedRate {
+		return Join{}, parseErrorf("rate", "JOIN: %.40q is no rate", rate)
+	}
+	if join.Incarnation, err = parseUnsigned(arguments[4]); err != nil {
+		return Join{}, parseErrorf("incarnation", "JOIN: %.40q is no life's number", arguments[4].Word())
+	}
+	if join.Version, err = parseUnsigned(arguments[5]); err != nil {
+		return Join{}, parseErrorf("version", "JOIN: %.40q is no version", arguments[5].Word())
+	}
+	if len(arguments) == joinLengthWithoutEpoch {
+		return join, nil
+	}
+	if join.Epoch, err = parseUnsigned(arguments[6]); err != nil {
+		return Join{}, parseErrorf("epoch", "JOIN: %.40q is no epoch", arguments[6].Word())
+	}
+	return join, nil
+}
+
+func parseUnsigned(value resp.Value) (uint64, error) {
+	return strconv.ParseUint(value.Word(), 10, unsignedBits)
+}
+
+// ParseAck parses the arguments of ACK. Its error is a *ParseError.
+func ParseAck(arguments []resp.Value) (Ack, error) {
+	if len(arguments) != ackLength {
+		return Ack{}, parseErrorf("", "ACK takes life, version and receipt; %d words came", len(arguments))
+	}
+	incarnation, err := parseUnsigned(arguments[0])
+	if err != nil {
+		return Ack{}, ackNumberError("incarnation")
+	}
+	version, err := parseUnsigned(arguments[1])
+	if err != nil {
+		return Ack{}, ackNumberError("version")
+	}
+	sequence, err := strconv.Atoi(arguments[2].Word())
+	if err != nil {
+		return Ack{}, ackNumberError("acknowledgement sequence")
+	}
+	return Ack{Incarnation: incarnation, Version: version, Sequence: sequence}, nil
+}
+
+func ackNumberError(field string) *ParseError {
+	return parseErrorf(field, "ACK takes three numbers")
+}
+
+// ParseLoadReports parses the arguments of SUMS; numbers may arrive as numbers or as text. Its error is a
+// *ParseError.
+func ParseLoadReports(arguments []resp.Value) (LoadReports, error) {
+	if !hasLoadReportsLength(arguments) {
+		return LoadReports{}, parseErrorf("", "SUMS takes number, span and five values a replica; %d words came",
+			len(arguments))
+	}
+	var parser loadReportParser
+	reports := LoadReports{
+		Sequence: uint64(parser.number("sequence", arguments[0])),
+		Window:   model.Microseconds(parser.number("window", arguments[1])),
+	}
+	for rest := arguments[loadReportsHeaderLength:]; len(rest) > 0; rest = rest[loadReportLength:] {
+		report, err := parser.report(rest[:loadReportLength])
+		if err != nil {
+			return LoadReports{}, err
+		}
+		reports.Reports = append(reports.Reports, report)
+	}
+	if parser.err != nil {
+		return LoadReports{}, parser.err
+	}
+	if reports.Window <= 0 || reports.Window > maxWindow {
+		return LoadReports{}, parseErrorf("window", "SUMS: a span of %d us", reports.Window)
+	}
+	return reports, nil
+}
+
+func hasLoadReportsLength(arguments []resp.Value) bool {
+	reportValues := len(arguments) - loadReportsHeaderLength
+	return reportValues >= 0 && reportValues%loadReportLength == 0
+}
+
+// loadReportParser parses the numbers of SUMS and keeps an error until all reports are parsed: that of the last
+// malformed number, else that of the first report whose numbers contradict each other.
+type loadReportParser struct {
+	err *ParseError
+}
+
+// number returns a whole number. A malformed one replaces the kept error.
+func (p *loadReportParser) number(field string, value resp.Value) int64 {
+	if value.Kind == resp.Number {
+		return value.Int
+	}
+	number, err := strconv.ParseInt(value.Word(), 10, 64)
+	if err != nil {
+		p.err = parseErrorf(field, "SUMS: %.40q is no number", value.Word())
+	}
+	return number
+}
+
+// report returns the report of one replica. The errors that it returns go before the kept one.
+func (p *loadReportParser) report(values []resp.Value) (model.LoadReport, error) {
+	address := values[0].Word()
+	replica, err := ParseAddress(address)
+	if err != nil {
+		return model.LoadReport{}, parseErrorf("replica", "SUMS: %v", err)
+	}
+	readings := values[4].Items
+	if len(readings) > maxReadings {
+		return model.LoadReport{}, parseErrorf("readings", "SUMS: a load report of %d figures, %d are taken",
+			len(readings), maxReadings)
+	}
+	report := model.LoadReport{
+		Replica:     replica,
+		Attempts:    int(p.number("attempts", values[1])),
+		Errors:      int(p.number("errors", values[2])),
+		MeanLatency: model.Microseconds(p.number("latency", values[3])),
+	}
+	for _, reading := range readings {
+		report.Readings = append(report.Readings, reading.Float)
+	}
+	if p.err == nil && !isConsistent(report) {
+		p.err = parseErrorf("report", "SUMS: %s has %d tries, %d errored, %d us",
+			address, report.Attempts, report.Errors, report.MeanLatency)
+	}
+	return report, nil
+}
+
+func isConsistent(report model.LoadReport) bool {
+	return report.Attempts >= 0 && report.Errors >= 0 && report.Errors <= report.Attempts && report.MeanLatency >= 0
+}
