--- /dev/null
+++ b/internal/codec/platformmsg/doc.go
@@ -0,0 +1,10 @@
+// Package platformmsg converts the messages of the operators' platform to and from plain values, and validates
+// them: the messages that arrive at a controller (Message), the updates on a proxy's stream (Update) and the
+// endpoint list of discovery (EndpointList). Nothing in this package does I/O.
+//
+// A message is a RESP2 array of bulk strings: its kind, then names and values that alternate. A field that is
+// absent, of another type or out of range makes the message invalid; the *ParseError names the field. Fields with
+// unknown names are ignored, so that the platform can add some.
+//
+// Whether a zone, a replica or a proxy of a name exists is for the caller to decide; see ReplicaNames.
+package platformmsg
--- /dev/null
+++ b/internal/codec/platformmsg/errors.go
@@ -0,0 +1,19 @@
+package platformmsg
+
+import "fmt"
+
+// ParseError reports a message that cannot be used. A client that has not joined is told its text.
+type ParseError struct {
+	// Kind and Field say what is malformed. Both are empty where it is the message as a whole.
+	Kind   Kind
+	Field  string
+	Reason string
+}
+
+// Error states the kind, the field and the reason.
+func (e *ParseError) Error() string {
+	if e.Kind == "" {
+		return e.Reason
+	}
+	return fmt.Sprintf("%s: %s: %s", e.Kind, e.Field, e.Reason)
+}
--- a/internal/codec/platformmsg/golden_test.go
+++ b/internal/codec/platformmsg/golden_test.go
@@ -16,8 +16,8 @@
 	"peppervale/internal/model"
 )
 
-// pinned gives the bytes of a golden file.
-func pinned(t *testing.T, name string) []byte {
+// readGolden returns the bytes of a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
@@ -26,55 +26,59 @@
 	return want
 }
 
-// samePinned fails unless the bytes are those of the golden file.
-func samePinned(t *testing.T, name string, got []byte) {
+// checkGolden reports bytes that differ from the golden file.
+func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if want := pinned(t, name); !bytes.Equal(got, want) {
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
 	}
 }
 
-// samePinnedErrors compares error texts, a line each in the order of their names, with the golden file.
-// What package json says of Go's own types, which nobody but a log is told, is left out.
-func samePinnedErrors(t *testing.T, name string, errs map[string]error) {
+// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
+// The Go types that errors of encoding/json name are internal, so that part of a text is left out.
+func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
 	t.Helper()
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(errs)) {
 		if errs[key] == nil {
-			t.Errorf("%s is taken", key)
+			t.Errorf("%s: accepted, want an error", key)
 		}
-		told, _, _ := strings.Cut(fmt.Sprint(errs[key]), " into Go ")
-		fmt.Fprintf(&text, "%s: %s\n", key, told)
+		message, _, _ := strings.Cut(fmt.Sprint(errs[key]), " into Go ")
+		fmt.Fprintf(&text, "%s: %s\n", key, message)
 	}
-	samePinned(t, name, []byte(text.String()))
+	checkGolden(t, name, []byte(text.String()))
 }
 
-// goldenMessages is a message of each kind that a governor reads, by its golden file.
+// goldenMessages holds a message of each kind that a controller receives, by its golden file.
 var goldenMessages = map[string]Message{
 	"ping.resp":      {Kind: Ping},
 	"collector.resp": {Kind: Collector, Zone: "govan"},
-	"joined.resp":    {Kind: Joined, Proxy: math.MaxUint16, Zone: "govan", ExpectedRate: 21.5, OnStandingTable: true},
-	"applied.resp":   {Kind: Applied, Proxy: 17, AckSequence: math.MaxUint16},
-	"heard.resp": {Kind: Heard, Zone: "govan", Replica: "s-5be2a07c", Attempts: triesMost, Errors: 3, MeanLatency: 41_700,
-		Window: spanMost, Readings: []Reading{{"inflight", 7}, {"util", 0.61}}},
+	"joined.resp": {
+		Kind: Joined, Proxy: math.MaxUint16, Zone: "govan", ExpectedRate: 21.5, OnStandingTable: true,
+	},
+	"applied.resp": {Kind: Applied, Proxy: 17, AckSequence: math.MaxUint16},
+	"heard.resp": {
+		Kind: Heard, Zone: "govan", Replica: "s-5be2a07c", Attempts: maxAttempts, Errors: 3, MeanLatency: 41_700,
+		Window: maxDuration, Readings: []Reading{{"inflight", 7}, {"util", 0.61}},
+	},
 	"usage.resp": {Kind: Usage, Proxy: 17, Operation: "lookup", Attempts: 19, Errors: 2, Window: 1_000_500},
 }
 
 func TestGoldenMessages(t *testing.T) {
 	for file, want := range goldenMessages {
-		values, err := read(t, pinned(t, file), Limits)
+		values, err := decode(t, readGolden(t, file), Limits)
 		if err != nil || len(values) != 1 {
 			t.Fatalf("%s: %d values, %v", file, len(values), err)
 		}
 		if got, err := Parse(values[0]); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as %+v, %v", file, got, err)
+			t.Errorf("%s: parsed as %+v, %v", file, got, err)
 		}
 	}
 }
 
 func TestGoldenAnswers(t *testing.T) {
-	samePinned(t, "pong.resp", AppendPong(nil))
-	samePinned(t, "refused.resp", AppendRefused(nil, "a reason longer than the forty bytes that are told"))
+	checkGolden(t, "pong.resp", AppendPong(nil))
+	checkGolden(t, "refused.resp", AppendRefused(nil, "a reason longer than the forty bytes that are told"))
 }
 
 // goldenUpdate has every field set.
@@ -84,8 +88,14 @@
 		{Operations: []string{"read", "log"}, Full: true, Entries: []Entry{{"s-5", 1.5}}},
 		{Operations: []string{"read"}, Entries: []Entry{{"s-6", 2}}},
 	},
-	Quotas:    []Quota{{"read", 0.25, model.RetryIfNotExecuted}, {"log", 1, model.RetryOnAnyFailure}, {"", 2, model.RetryTwiceOnAnyFailure}},
-	Withdrawn: []string{"s-7", "s-8"}, Readmitted: []string{"s-9"}, AckSequence: 905,
+	Quotas: []Quota{
+		{"read", 0.25, model.RetryIfNotExecuted},
+		{"log", 1, model.RetryOnAnyFailure},
+		{"", 2, model.RetryTwiceOnAnyFailure},
+	},
+	Withdrawn:   []string{"s-7", "s-8"},
+	Readmitted:  []string{"s-9"},
+	AckSequence: 905,
 }
 
 func TestGoldenUpdates(t *testing.T) {
@@ -94,46 +104,65 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		samePinned(t, file, got)
+		checkGolden(t, file, got)
 	}
 }
 
 func TestGoldenList(t *testing.T) {
 	want := &EndpointList{Version: math.MaxUint64, Full: true, Skipped: 1, Endpoints: []Endpoint{
 		{Name: "s-1", Zone: "govan", Status: model.EndpointDraining, StartedAt: 1_796_152_905_047_500},
-		{Name: "s-2", Zone: "partick", Status: model.EndpointReady, StartedAt: 1000},
+		{Name: "s-2", Zone: "partick", Status: model.EndpointReady, StartedAt: 1000}, //nolint:misspell // a place name
 		{Name: "s-3", Zone: "govan", Status: model.EndpointGone},
 	}}
-	if got, err := ParseEndpointList(pinned(t, "list.json")); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, %v", got, err)
+	if got, err := ParseEndpointList(readGolden(t, "list.json")); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("parsed as %+v, %v", got, err)
 	}
 }
 
 func TestGoldenErrorsOfMessages(t *testing.T) {
 	errs := map[string]error{}
 	for _, line := range []string{
-		"collector", "joined id 17 site a rps 21.5", "joined id 70000 site a rps 1 new 1", "joined id 1 site a rps inf new 1",
-		"joined id 1 site a rps 1 new 2", "joined id 1 id 2 site a rps 1 new 1", "joined id 1 site a rps 1 new 1 x",
-		"applied id 17 seq 65536 ms 1", "applied id 17 seq 5 ms x", "heard site a target s count 2 fail 3 mean 1 over 1",
-		"heard site a target s count 2 fail 0 mean 1 over 0", "heard site a target s count 2 fail 0 mean 1 over 1 util x:-1",
-		"heard site a target s count 2 fail 0 mean 1e300 over 1", "usage id 17 lane a count x fail 0 over 1",
-		"heard site a target s count 2 fail 0 mean 1 over 1 util " + strings.Repeat("x:1,", 16) + "x:1", "update whole 1",
+		"collector",
+		"joined id 17 site a rps 21.5",
+		"joined id 70000 site a rps 1 new 1",
+		"joined id 1 site a rps inf new 1",
+		"joined id 1 site a rps 1 new 2",
+		"joined id 1 id 2 site a rps 1 new 1",
+		"joined id 1 site a rps 1 new 1 x",
+		"applied id 17 seq 65536 ms 1",
+		"applied id 17 seq 5 ms x",
+		"heard site a target s count 2 fail 3 mean 1 over 1",
+		"heard site a target s count 2 fail 0 mean 1 over 0",
+		"heard site a target s count 2 fail 0 mean 1 over 1 util x:-1",
+		"heard site a target s count 2 fail 0 mean 1e300 over 1",
+		"heard site a target s count 2 fail 0 mean 1 over 1 util " + strings.Repeat("x:1,", 16) + "x:1",
+		"usage id 17 lane a count x fail 0 over 1",
+		"update whole 1",
 	} {
-		_, errs[line] = message(t, line)
+		_, errs[line] = parseLine(t, line)
 	}
 	_, errs["(no array)"] = Parse(resp.Value{Kind: resp.Number})
 	_, errs["(no bulk string)"] = Parse(resp.Value{Kind: resp.Array, Items: []resp.Value{{Kind: resp.Number}}})
-	_, errs["(an update too large)"] = (&Update{Entries: make([]Entry, lineMost+1)}).Append(nil)
-	samePinnedErrors(t, "message-errors.txt", errs)
+	_, errs["(an update too large)"] = (&Update{Entries: make([]Entry, maxEntries+1)}).Append(nil)
+	checkGoldenErrors(t, "message-errors.txt", errs)
 }
 
 func TestGoldenErrorsOfLists(t *testing.T) {
 	errs := map[string]error{}
-	for _, text := range []string{"", "[]", "{}", `{"seq":-1}`, `{"seq":1,"hosts":3}`, `{"seq":1,"whole":1}`,
-		`{"seq":1,"hosts":[{"host":1}]}`, `{"seq":1,"hosts":[{"site":1}]}`, `{"seq":1,"hosts":[{"health":1}]}`,
-		`{"seq":1,"hosts":[{"born_ms":"x"}]}`} {
+	for _, text := range []string{
+		"",
+		"[]",
+		"{}",
+		`{"seq":-1}`,
+		`{"seq":1,"hosts":3}`,
+		`{"seq":1,"whole":1}`,
+		`{"seq":1,"hosts":[{"host":1}]}`,
+		`{"seq":1,"hosts":[{"site":1}]}`,
+		`{"seq":1,"hosts":[{"health":1}]}`,
+		`{"seq":1,"hosts":[{"born_ms":"x"}]}`,
+	} {
 		_, errs[text] = ParseEndpointList([]byte(text))
 	}
-	_, errs["(too many)"] = ParseEndpointList([]byte(`{"seq":1,"hosts":[` + strings.Repeat("{},", entriesMost) + `{}]}`))
-	samePinnedErrors(t, "list-errors.txt", errs)
+	_, errs["(too many)"] = ParseEndpointList([]byte(listTooLong))
+	checkGoldenErrors(t, "list-errors.txt", errs)
 }
--- /dev/null
+++ b/internal/codec/platformmsg/replica_names.go
@@ -0,0 +1,59 @@
+package platformmsg
+
+import (
+	"encoding/binary"
+	"sync"
+
+	"peppervale/internal/model"
+)
+
+// maxReplicaNames bounds the names in one incarnation of a controller: a fleet that replaces one replica a second
+// reaches it after 18 hours.
+const maxReplicaNames = 65_536
+
+// ReplicaNames maps the names by which the platform knows replicas to the ids that the rest of the program uses. A
+// name keeps its id for good, since tables may still contain a replica that is gone. It is safe for concurrent use.
+type ReplicaNames struct {
+	mu    sync.RWMutex
+	ids   map[string]model.ReplicaID
+	names []string // by id; the first id is 1
+}
+
+// NewReplicaNames returns an empty map.
+func NewReplicaNames() *ReplicaNames {
+	return &ReplicaNames{ids: map[string]model.ReplicaID{}}
+}
+
+// ID returns the id of a name that was registered by Listed; ok is false for any other name.
+func (n *ReplicaNames) ID(name string) (id model.ReplicaID, ok bool) {
+	n.mu.RLock()
+	defer n.mu.RUnlock()
+	id, ok = n.ids[name]
+	return id, ok
+}
+
+// Listed returns the id of a name and assigns one if it has none; ok is false once there are too many names.
+func (n *ReplicaNames) Listed(name string) (id model.ReplicaID, ok bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	id, ok = n.ids[name]
+	if ok || len(n.names) >= maxReplicaNames {
+		return id, ok
+	}
+	n.names = append(n.names, name)
+	binary.BigEndian.PutUint32(id.Addr[:], uint32(len(n.names)))
+	id.Port = 1
+	n.ids[name] = id
+	return id, true
+}
+
+// Name returns the name of an id that Listed assigned, and an empty string for any other id.
+func (n *ReplicaNames) Name(id model.ReplicaID) string {
+	n.mu.RLock()
+	defer n.mu.RUnlock()
+	number := binary.BigEndian.Uint32(id.Addr[:])
+	if number == 0 || int(number) > len(n.names) {
+		return ""
+	}
+	return n.names[number-1]
+}
--- /dev/null
+++ b/internal/codec/platformmsg/replica_names_test.go
@@ -0,0 +1,23 @@
+package platformmsg
+
+import (
+	"testing"
+
+	"peppervale/internal/model"
+)
+
+func TestReplicaNamesKeepTheirIDs(t *testing.T) {
+	names := NewReplicaNames()
+	first, _ := names.Listed("s-1")
+	second, _ := names.Listed("s-2")
+	again, ok := names.Listed("s-1")
+	if first != again || !ok || first == second {
+		t.Fatalf("%v %v %v", first, second, again)
+	}
+	if names.Name(first) != "s-1" || names.Name(second) != "s-2" || names.Name(model.ReplicaID{}) != "" {
+		t.Fatalf("%q %q %q", names.Name(first), names.Name(second), names.Name(model.ReplicaID{}))
+	}
+	if _, known := names.ID("s-3"); known {
+		t.Fatal("a name that was never listed has an id")
+	}
+}
