--- a/internal/codec/consulcatalog/golden_test.go
+++ b/internal/codec/consulcatalog/golden_test.go
@@ -15,8 +15,8 @@
 	"peppervale/internal/model"
 )
 
-// pinned gives the bytes of a golden file.
-func pinned(t *testing.T, name string) []byte {
+// readGolden returns the bytes of a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
@@ -25,33 +25,37 @@
 	return want
 }
 
-// samePinned fails unless the bytes are those of the golden file.
-func samePinned(t *testing.T, name string, got []byte) {
+// checkGolden reports bytes that differ from the golden file.
+func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if want := pinned(t, name); !bytes.Equal(got, want) {
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
 	}
 }
 
-// samePinnedErrors compares error texts, a line each in the order of their names, with the golden file.
-// What package json says of Go's own types, which nobody but a log is told, is left out.
-func samePinnedErrors(t *testing.T, name string, errs map[string]error) {
+// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
+// The Go types that errors of encoding/json name are internal, so that part of a text is left out.
+func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
 	t.Helper()
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(errs)) {
 		if errs[key] == nil {
-			t.Errorf("%s is taken", key)
+			t.Errorf("%s: accepted, want an error", key)
 		}
-		told, _, _ := strings.Cut(fmt.Sprint(errs[key]), " into Go ")
-		fmt.Fprintf(&text, "%s: %s\n", key, told)
+		message, _, _ := strings.Cut(fmt.Sprint(errs[key]), " into Go ")
+		fmt.Fprintf(&text, "%s: %s\n", key, message)
 	}
-	samePinned(t, name, []byte(text.String()))
+	checkGolden(t, name, []byte(text.String()))
 }
 
+const zonePartick = "partick" //nolint:misspell // a place name
+
 var goldenEntry = Entry{
 	Node: Node{Node: "node-1", Address: "127.0.0.9"},
-	Service: Service{ID: "recipe-1", Service: "recipe", Address: "127.0.0.1", Port: 65535,
-		Meta: map[string]string{"zone": "partick", "started": "1790000000001"}},
+	Service: Service{
+		ID: "recipe-1", Service: "recipe", Address: "127.0.0.1", Port: 65535,
+		Meta: map[string]string{"zone": zonePartick, "started": "1790000000001"},
+	},
 	Checks: []Check{{Node: "node-1", CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"}},
 }
 
@@ -60,25 +64,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	samePinned(t, "entry.json", append(text, '\n'))
+	checkGolden(t, "entry.json", append(text, '\n'))
 	var got Entry
-	if err := json.Unmarshal(pinned(t, "entry.json"), &got); err != nil || !reflect.DeepEqual(got, goldenEntry) {
-		t.Errorf("read as %+v, %v", got, err)
+	if err := json.Unmarshal(readGolden(t, "entry.json"), &got); err != nil || !reflect.DeepEqual(got, goldenEntry) {
+		t.Errorf("parsed as %+v, %v", got, err)
 	}
 }
 
-// TestGoldenList reads an entry in each state, one by its node's address, and three that cannot be read.
+// TestGoldenList parses an entry in each status, one by its node's address, and three that are skipped.
 func TestGoldenList(t *testing.T) {
-	id := func(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 7601} }
+	id := func(n byte) model.ReplicaID {
+		return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 7601}
+	}
 	want := []model.Endpoint{
 		{ID: id(1), Zone: 1, Status: model.EndpointReady, StartedAt: 1_790_000_000_001_000},
 		{ID: id(2), Zone: 0, Status: model.EndpointDraining, StartedAt: 1_790_000_000_500_000},
 		{ID: id(3), Zone: 1, Status: model.EndpointDraining, StartedAt: 1000},
 		{ID: id(4), Zone: 0, Status: model.EndpointGone},
 	}
-	got, skipped, err := Parse(pinned(t, "list.json"), []string{"govan", "partick"})
+	got, skipped, err := Parse(readGolden(t, "list.json"), []string{"govan", zonePartick})
 	if err != nil || skipped != 3 || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, %d skipped, %v", got, skipped, err)
+		t.Errorf("parsed as %+v, %d skipped, %v", got, skipped, err)
 	}
 }
 
@@ -87,11 +93,11 @@
 		_, _, err := Parse([]byte(text), []string{"govan"})
 		return err
 	}
-	samePinnedErrors(t, "errors.txt", map[string]error{
+	checkGoldenErrors(t, "errors.txt", map[string]error{
 		"nothing":        parse(""),
 		"no list":        parse("{}"),
 		"a text as port": parse(`[{"Service":{"Port":"x"}}]`),
 		"a number as ID": parse(`[{"Checks":[{"CheckID":1}]}]`),
-		"too many":       parse("[" + strings.Repeat("{},", entriesMost) + "{}]"),
+		"too many":       parse("[" + strings.Repeat("{},", maxEntries) + "{}]"),
 	})
 }
--- /dev/null
+++ b/internal/codec/consulcatalog/parse_test.go
@@ -0,0 +1,32 @@
+package consulcatalog
+
+import (
+	"testing"
+
+	"peppervale/internal/model"
+)
+
+func TestStatusOfChecks(t *testing.T) {
+	passing := Check{CheckID: "serfHealth", Status: "passing"}
+	critical := Check{CheckID: "serfHealth", Status: "critical"}
+	nodeMaintenance := Check{CheckID: "_node_maintenance", Status: "critical"}
+	serviceMaintenance := Check{CheckID: "_service_maintenance:recipe-1", Status: "critical"}
+	tests := map[string]struct {
+		checks []Check
+		want   model.EndpointStatus
+	}{
+		"no checks":                            {nil, model.EndpointReady},
+		"passing":                              {[]Check{passing}, model.EndpointReady},
+		"one critical of two":                  {[]Check{critical, passing}, model.EndpointGone},
+		"a node in maintenance":                {[]Check{passing, nodeMaintenance}, model.EndpointDraining},
+		"a critical service, then maintenance": {[]Check{critical, serviceMaintenance}, model.EndpointDraining},
+		"maintenance, then a critical service": {[]Check{serviceMaintenance, critical}, model.EndpointDraining},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			if got := statusOf(test.checks); got != test.want {
+				t.Errorf("status %d, want %d", got, test.want)
+			}
+		})
+	}
+}
