--- a/internal/console/comparison/pages.go
+++ b/internal/console/comparison/pages.go
@@ -172,10 +172,10 @@
 			return cell{Says: says, Link: address + "/forwarders/" + url.PathEscape(about)}, known
 		})
 	default:
-		httpserver.Fail(w, http.StatusNotFound, "no page here; there are / /replicas /forwarders, each with ?about=")
+		httpserver.WriteText(w, http.StatusNotFound, "no page here; there are / /replicas /forwarders, each with ?about=")
 		return
 	}
-	httpserver.Write(w, r, pages, p)
+	httpserver.WritePage(w, r, pages, p)
 }
 
 func (s *Server) overview(now model.Microseconds, seen []Seen) overview {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -104,7 +104,7 @@
 	defer tick.Stop()
 	for {
 		select {
-		case <-s.frame.Done:
+		case <-s.frame.Done():
 			return
 		case <-tick.C:
 			s.sample()
@@ -179,7 +179,7 @@
 	}
 	route, known := routes[first]
 	if !known {
-		httpserver.Fail(w, http.StatusNotFound, "no page here; there are / /zones /replicas /forwarders /tables /orders /settings /before /group")
+		httpserver.WriteText(w, http.StatusNotFound, "no page here; there are / /zones /replicas /forwarders /tables /orders /settings /before /group")
 		return
 	}
 	// The first to look for a while waits for a step that carries a look: five a second, if the governor steps at all.
@@ -201,21 +201,21 @@
 		if v == nil && s.about.Cluster != nil {
 			why = "this governor stands by: it holds no part of the fleet yet; see /group"
 		}
-		httpserver.Fail(w, http.StatusServiceUnavailable, why)
+		httpserver.WriteText(w, http.StatusServiceUnavailable, why)
 		return
 	}
 	now := s.about.Now()
 	p := &page{Title: route.title, Kind: first, About: s.about, Name: s.about.Name, Life: s.about.Incarnation, At: v.Detail.At, Now: now, Age: Ago(now, v.Detail.At), View: v, Stats: s.from.Stats()}
 	body, err := route.make(s, p, rest, r)
 	if err != nil {
-		httpserver.Fail(w, http.StatusNotFound, err.Error())
+		httpserver.WriteText(w, http.StatusNotFound, err.Error())
 		return
 	}
 	p.Body = body
 	if p.Kind == "" {
 		p.Kind = "overview"
 	}
-	httpserver.Write(w, r, pages, p)
+	httpserver.WritePage(w, r, pages, p)
 }
 
 // ready is for machines: the gate is open and the list is fresh.
@@ -223,11 +223,11 @@
 	v := s.from.View()
 	switch {
 	case v == nil || !v.SafeModeEnded:
-		httpserver.Fail(w, http.StatusServiceUnavailable, "the gate is shut")
+		httpserver.WriteText(w, http.StatusServiceUnavailable, "the gate is shut")
 	case v.EndpointsAt == 0:
-		httpserver.Fail(w, http.StatusServiceUnavailable, "no list came in this life")
+		httpserver.WriteText(w, http.StatusServiceUnavailable, "no list came in this life")
 	default:
-		httpserver.Fail(w, http.StatusOK, "ready")
+		httpserver.WriteText(w, http.StatusOK, "ready")
 	}
 }
 
@@ -241,7 +241,7 @@
 	s.mu.Unlock()
 	if full {
 		w.Header().Set("Retry-After", "5")
-		httpserver.Fail(w, http.StatusServiceUnavailable, "many viewers hold live streams; reload by hand")
+		httpserver.WriteText(w, http.StatusServiceUnavailable, "many viewers hold live streams; reload by hand")
 		return
 	}
 	defer func() {
@@ -264,7 +264,7 @@
 			}
 			text += fmt.Sprintf(", gate %s, %d of %d replicas ready, last step %s", gate, v.ReadyReplicas, v.ListedReplicas, Ago(now, v.At))
 		}
-		_ = control.SetWriteDeadline(time.Now().Add(httpserver.WriteFor))
+		_ = control.SetWriteDeadline(time.Now().Add(httpserver.WriteTimeout))
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", text); err != nil || control.Flush() != nil {
 			return
 		}
@@ -272,7 +272,7 @@
 		case <-tick.C:
 		case <-r.Context().Done():
 			return
-		case <-s.frame.Done:
+		case <-s.frame.Done():
 			return
 		}
 	}
--- /dev/null
+++ b/internal/console/httpserver/server.go
@@ -0,0 +1,119 @@
+// Package httpserver serves read-only pages over HTTP with bounds on what viewers may cost: the pages that are made
+// at the same time, the length of paths, and the time that a viewer may take to read. Each page is HTML, or JSON
+// under the same path.
+//
+// There is no login. A server that listens beyond loopback shows its pages to everybody who can reach it.
+package httpserver
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// WriteTimeout is how long a viewer may take to read a page, or one line of a stream.
+const WriteTimeout = 5 * time.Second
+
+const (
+	// maxConcurrentPages bounds the pages that are made at the same time; further viewers are told to retry.
+	maxConcurrentPages = 64
+
+	maxPathLength  = 1024
+	maxHeaderBytes = 16 << 10
+	idleTimeout    = time.Minute
+
+	// streamPath is the path that streams are served at.
+	streamPath = "/live"
+
+	contentSecurityPolicy = "default-src 'none'; style-src 'unsafe-inline'; img-src 'self'; " +
+		"script-src 'unsafe-inline'; connect-src 'self'"
+)
+
+// Server serves pages until Close. It is created by Listen.
+type Server struct {
+	http    *http.Server
+	address string
+	done    chan struct{}
+	serving sync.WaitGroup
+}
+
+// Listen opens the address and serves until Close. The page handler makes a page. The stream handler, if any, serves
+// /live and is not bounded in time; it must return when Done is closed. Errors are those of the address.
+func Listen(address string, page, stream http.HandlerFunc) (*Server, error) {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("console: %w; another process may have the address", err)
+	}
+	server := &Server{
+		http: &http.Server{
+			Handler:           boundedHandler(page, stream),
+			ReadHeaderTimeout: WriteTimeout,
+			IdleTimeout:       idleTimeout,
+			MaxHeaderBytes:    maxHeaderBytes,
+		},
+		address: listener.Addr().String(),
+		done:    make(chan struct{}),
+	}
+	server.serving.Add(1)
+	go func() {
+		defer server.serving.Done()
+		_ = server.http.Serve(listener) // it always ends with an error, that of Close
+	}()
+	return server, nil
+}
+
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() string {
+	return s.address
+}
+
+// Done returns a channel that is closed when Close is called.
+func (s *Server) Done() <-chan struct{} {
+	return s.done
+}
+
+// Close ends the streams, waits for pages in progress up to WriteTimeout, and closes all connections.
+func (s *Server) Close() {
+	close(s.done)
+	ctx, cancel := context.WithTimeout(context.Background(), WriteTimeout)
+	defer cancel()
+	if err := s.http.Shutdown(ctx); err != nil {
+		_ = s.http.Close() // the connections are given up either way
+	}
+	s.serving.Wait()
+}
+
+// boundedHandler enforces the bounds on viewers around the handlers.
+func boundedHandler(page, stream http.HandlerFunc) http.HandlerFunc {
+	slots := make(chan struct{}, maxConcurrentPages)
+	return func(w http.ResponseWriter, r *http.Request) {
+		header := w.Header()
+		header.Set("Content-Security-Policy", contentSecurityPolicy)
+		header.Set("X-Content-Type-Options", "nosniff")
+		// A connection without deadlines is served all the same.
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(WriteTimeout))
+		switch {
+		case r.Method != http.MethodGet && r.Method != http.MethodHead:
+			http.Error(w, "this console is read only", http.StatusMethodNotAllowed)
+			return
+		case len(r.URL.Path) > maxPathLength:
+			http.Error(w, "the path is too long", http.StatusRequestURITooLong)
+			return
+		case r.URL.Path == streamPath && stream != nil:
+			stream(w, r)
+			return
+		}
+		select {
+		case slots <- struct{}{}:
+			defer func() { <-slots }()
+		default:
+			header.Set("Retry-After", "1")
+			http.Error(w, "too many pages are being made; retry in a second", http.StatusServiceUnavailable)
+			return
+		}
+		page(w, r)
+	}
+}
--- a/internal/console/plot.go
+++ b/internal/console/plot.go
@@ -32,7 +32,7 @@
 func (s *Server) plot(w http.ResponseWriter, name string) {
 	kind, known := plots[name]
 	if !known {
-		httpserver.Fail(w, http.StatusNotFound, "no such plot")
+		httpserver.WriteText(w, http.StatusNotFound, "no such plot")
 		return
 	}
 	s.mu.Lock()
@@ -50,7 +50,7 @@
 	if len(points) > 0 {
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			httpserver.Fail(w, http.StatusInternalServerError, err.Error())
+			httpserver.WriteText(w, http.StatusInternalServerError, err.Error())
 			return
 		}
 		line.Color = color.RGBA{R: 0x1f, G: 0x6f, B: 0xb4, A: 0xff}
@@ -62,7 +62,7 @@
 	p.Draw(draw.New(canvas))
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
-		httpserver.Fail(w, http.StatusInternalServerError, err.Error())
+		httpserver.WriteText(w, http.StatusInternalServerError, err.Error())
 		return
 	}
 	w.Header().Set("Content-Type", "image/svg+xml")
