--- a/internal/codec/consulcatalog/golden_test.go
+++ b/internal/codec/consulcatalog/golden_test.go
@@ -48,7 +48,7 @@
 	checkGolden(t, name, []byte(text.String()))
 }
 
-const zonePartick = "partick" //nolint:misspell // a place name
+const zonePartick = "partick"
 
 var goldenEntry = Entry{
 	Node: Node{Node: "node-1", Address: "127.0.0.9"},
--- a/internal/codec/platformmsg/golden_test.go
+++ b/internal/codec/platformmsg/golden_test.go
@@ -111,7 +111,7 @@
 func TestGoldenList(t *testing.T) {
 	want := &EndpointList{Version: math.MaxUint64, Full: true, Skipped: 1, Endpoints: []Endpoint{
 		{Name: "s-1", Zone: "govan", Status: model.EndpointDraining, StartedAt: 1_796_152_905_047_500},
-		{Name: "s-2", Zone: "partick", Status: model.EndpointReady, StartedAt: 1000}, //nolint:misspell // a place name
+		{Name: "s-2", Zone: "partick", Status: model.EndpointReady, StartedAt: 1000},
 		{Name: "s-3", Zone: "govan", Status: model.EndpointGone},
 	}}
 	if got, err := ParseEndpointList(readGolden(t, "list.json")); err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/console/comparison/pages.go
+++ b/internal/console/comparison/pages.go
@@ -42,10 +42,11 @@
 func Listen(address string, governors []string, now func() model.Microseconds) (*Server, error) {
 	s := &Server{now: now, done: make(chan struct{}), ledger: NewLedger(), poller: NewPoller(governors, now)}
 	var err error
-	if s.frame, err = httpserver.Listen(address, s.serve, nil); err != nil {
+	if s.frame, err = httpserver.Listen(address); err != nil {
 		s.poller.Close()
 		return nil, err
 	}
+	s.frame.Serve(s.serve, nil)
 	s.wait.Add(1)
 	go s.compareOn()
 	return s, nil
--- a/internal/console/fixture_test.go
+++ b/internal/console/fixture_test.go
@@ -31,8 +31,8 @@
 	// fixtureProxies is the number of proxies that are connected.
 	fixtureProxies = 3
 
-	secondZone   = "partick"   //nolint:misspell // a place name
-	secondMember = "partick-1" //nolint:misspell // a place name
+	secondZone   = "partick"
+	secondMember = "partick-1"
 
 	startDeadline = 20 * time.Second
 )
--- a/internal/console/httpserver/server.go
+++ b/internal/console/httpserver/server.go
@@ -32,42 +32,42 @@
 		"script-src 'unsafe-inline'; connect-src 'self'"
 )
 
-// Server serves pages until Close. It is created by Listen.
+// Server serves pages. It is created by Listen.
 type Server struct {
-	http    *http.Server
-	address string
-	done    chan struct{}
-	serving sync.WaitGroup
+	listener net.Listener
+	http     *http.Server
+	done     chan struct{}
+	serving  sync.WaitGroup
 }
 
-// Listen opens the address and serves until Close. The page handler makes a page. The stream handler, if any, serves
-// /live and is not bounded in time; it must return when Done is closed. Errors are those of the address.
-func Listen(address string, page, stream http.HandlerFunc) (*Server, error) {
+// Listen opens the address. The server serves from Serve until Close. Errors are those of the address.
+func Listen(address string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w; another process may have the address", err)
 	}
-	server := &Server{
-		http: &http.Server{
-			Handler:           boundedHandler(page, stream),
-			ReadHeaderTimeout: WriteTimeout,
-			IdleTimeout:       idleTimeout,
-			MaxHeaderBytes:    maxHeaderBytes,
-		},
-		address: listener.Addr().String(),
-		done:    make(chan struct{}),
+	return &Server{listener: listener, done: make(chan struct{})}, nil
+}
+
+// Serve begins to serve, and returns at once; it is called once. The page handler makes a page. The stream handler,
+// if any, serves /live and is not bounded in time; it must return when Done is closed.
+func (s *Server) Serve(page, stream http.HandlerFunc) {
+	s.http = &http.Server{
+		Handler:           boundedHandler(page, stream),
+		ReadHeaderTimeout: WriteTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	server.serving.Add(1)
+	s.serving.Add(1)
 	go func() {
-		defer server.serving.Done()
-		_ = server.http.Serve(listener) // it always ends with an error, that of Close
+		defer s.serving.Done()
+		_ = s.http.Serve(s.listener) // it always ends with an error, that of Close
 	}()
-	return server, nil
 }
 
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string {
-	return s.address
+	return s.listener.Addr().String()
 }
 
 // Done returns a channel that is closed when Close is called.
--- a/internal/console/httpserver/server_test.go
+++ b/internal/console/httpserver/server_test.go
@@ -115,3 +115,37 @@
 		t.Errorf("%d %s", response.Code, response.Body)
 	}
 }
+
+func TestServeUntilClose(t *testing.T) {
+	server, err := Listen("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Listen(server.Addr()); err == nil || !strings.Contains(err.Error(), "another process") {
+		t.Errorf("an address in use: %v", err)
+	}
+	streamed := make(chan struct{})
+	server.Serve(
+		func(w http.ResponseWriter, _ *http.Request) { WriteText(w, http.StatusOK, "a page") },
+		func(http.ResponseWriter, *http.Request) {
+			close(streamed)
+			<-server.Done()
+		},
+	)
+	streamEnded := make(chan error)
+	go func() {
+		response, err := http.Get("http://" + server.Addr() + "/live")
+		if err == nil {
+			err = response.Body.Close()
+		}
+		streamEnded <- err
+	}()
+	<-streamed
+	server.Close()
+	if err := <-streamEnded; err != nil {
+		t.Errorf("the stream: %v", err)
+	}
+	if _, err := http.Get("http://" + server.Addr() + "/"); err == nil {
+		t.Error("a page is served after Close")
+	}
+}
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -63,12 +63,12 @@
 
 // Listen opens the address and serves until Close. Errors are those of the address.
 func Listen(address string, instance Instance, source Source) (*Server, error) {
-	s := &Server{instance: instance, source: source, metrics: newMetricsHandler(instance, source)}
-	var err error
-	s.http, err = httpserver.Listen(address, s.serve, s.serveLive)
+	server, err := httpserver.Listen(address)
 	if err != nil {
 		return nil, err
 	}
+	s := &Server{instance: instance, source: source, http: server, metrics: newMetricsHandler(instance, source)}
+	s.http.Serve(s.serve, s.serveLive)
 	s.sampling.Add(1)
 	go s.collectSamples()
 	return s, nil
