--- /dev/null
+++ b/internal/console/comparison/disagreement.go
@@ -0,0 +1,85 @@
+package comparison
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+
+	"peppervale/internal/model"
+)
+
+// settlingTime is how long disagreements usually last with nothing wrong: a change of the endpoint list reaches
+// controllers within a blocking query and its slack.
+const settlingTime = 4 * model.Second
+
+// disagreementKind is what a disagreement is about. Its values are served as JSON.
+type disagreementKind string
+
+const (
+	// sendsToLeaving: the endpoint list of one controller has a replica as draining or gone, another sends to it.
+	sendsToLeaving disagreementKind = "sends to what another was told is leaving"
+	// listDiffers: a replica is ready in one endpoint list, and draining, gone or missing in another.
+	listDiffers disagreementKind = "the list differs"
+	// stateDiffers: one controller has withdrawn a replica and another sends to it, though both list it as ready.
+	stateDiffers disagreementKind = "out here, in there"
+	// connectedTwice: a proxy is connected to several controllers.
+	connectedTwice disagreementKind = "joined at two"
+	// connectedNowhere: a proxy that was connected before is connected to no controller.
+	connectedNowhere disagreementKind = "joined nowhere"
+	// duplicateName: two controllers have the same name.
+	duplicateName disagreementKind = "one name at two addresses"
+	// incarnationDecreased: a controller reports an earlier incarnation than before.
+	incarnationDecreased disagreementKind = "its life went back"
+)
+
+// kindsBySeverity has the most severe kind first.
+var kindsBySeverity = []disagreementKind{
+	sendsToLeaving, incarnationDecreased, duplicateName, listDiffers, connectedNowhere, connectedTwice, stateDiffers,
+}
+
+// side is what one controller reports about the subject of a disagreement.
+type side struct {
+	Controller string `json:"governor"`
+	Report     string `json:"says"`
+}
+
+// disagreement is a disagreement that has lasted since a time without a break.
+type disagreement struct {
+	Kind    disagreementKind   `json:"kind"`
+	Subject string             `json:"about"` // a replica's address, or the name of a proxy or a controller
+	Sides   []side             `json:"sides"`
+	Since   model.Microseconds `json:"since_us"`
+}
+
+// isStanding reports whether a disagreement has lasted longer than usual.
+func (d *disagreement) isStanding(now model.Microseconds) bool {
+	return now-d.Since >= settlingTime
+}
+
+// key identifies a disagreement from one comparison to the next.
+func (d *disagreement) key() string {
+	return string(d.Kind) + " " + d.Subject
+}
+
+// sortDisagreements puts standing disagreements first, and of these and the others the most severe and oldest ones.
+func sortDisagreements(disagreements []disagreement, now model.Microseconds) {
+	slices.SortFunc(disagreements, func(a, b disagreement) int {
+		return cmp.Or(
+			compareTrueFirst(a.isStanding(now), b.isStanding(now)),
+			cmp.Compare(slices.Index(kindsBySeverity, a.Kind), slices.Index(kindsBySeverity, b.Kind)),
+			cmp.Compare(a.Since, b.Since),
+			strings.Compare(a.Subject, b.Subject),
+		)
+	})
+}
+
+func compareTrueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
+	default:
+		return 1
+	}
+}
--- /dev/null
+++ b/internal/console/comparison/json_golden_test.go
@@ -0,0 +1,173 @@
+package comparison
+
+import (
+	"bytes"
+	"flag"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"peppervale/internal/model"
+)
+
+var update = flag.Bool("update", false, "write the golden pages in testdata anew")
+
+// consolePage returns a page that the golden tests of package console pin, so that both packages agree on every key.
+func consolePage(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("..", "testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func parseConsolePages(t *testing.T) *reportedView {
+	t.Helper()
+	view, err := parseView(consolePages{
+		overview: consolePage(t, "overview.json"),
+		replicas: consolePage(t, "replicas.json"),
+		proxies:  consolePage(t, "forwarders.json"),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return view
+}
+
+// TestConsolePagesAreParsed asserts every value that is taken from a controller's console.
+func TestConsolePagesAreParsed(t *testing.T) {
+	want := &reportedView{
+		name: "govan-1", incarnation: 26, version: 4, at: 99_500_000, gate: "shut", unreportedReplicas: 1,
+		connectedProxies: 1, boundProxies: 1, readyReplicas: 82, endpointListAge: "13s ago", saturation: 0.31,
+		queuedEntries: 5, queueLimit: 100,
+		replicas: map[string]reportedReplica{
+			"10.0.0.1:81": {
+				Address: "10.0.0.1:81", Zone: "partick", ListedStatus: "ready", State: "resting", Withdrawn: true,
+				SlowStartFactor: 0.43, ErrorRate: 0.45, ReportAge: "8.0 s ago",
+			},
+			"10.0.0.2:82": {
+				Address: "10.0.0.2:82", Zone: "govan", ListedStatus: "draining", State: "serving",
+				SlowStartFactor: 0.53, ErrorRate: 0.55, ReportAge: "2.0 s ago",
+			},
+		},
+		proxies: map[string]reportedProxy{"till-1": {Name: "till-1", Zone: "partick", Table: 6}},
+	}
+	if got := parseConsolePages(t); !reflect.DeepEqual(got, want) {
+		t.Errorf("parsed %+v; want %+v", got, want)
+	}
+}
+
+// serverOf returns a server that neither polls nor listens.
+func serverOf(now model.Microseconds, controllers []polledController, disagreements []disagreement) *Server {
+	return &Server{
+		now:           func() model.Microseconds { return now },
+		poller:        &poller{controllers: controllers},
+		disagreements: disagreements,
+		compared:      7,
+	}
+}
+
+// goldenServer returns a server of one controller, with a number of disagreements.
+func goldenServer(t *testing.T, disagreements int) *Server {
+	t.Helper()
+	controllers := []polledController{{
+		address: "http://127.0.0.1:7780", view: parseConsolePages(t), receivedAt: 199 * model.Second,
+		lastError: "a try failed", polls: 3, failures: 2,
+	}}
+	found := make([]disagreement, disagreements)
+	for i := range found {
+		found[i] = disagreement{
+			Kind:    sendsToLeaving,
+			Subject: "10.0.0.1:81",
+			Sides:   []side{{"govan-1", "serving, listed ready"}},
+			Since:   150 * model.Second,
+		}
+	}
+	return serverOf(200*model.Second, controllers, found)
+}
+
+// TestPagesAsJSON compares each page's JSON with the bytes that programs parse today: its keys must not change.
+func TestPagesAsJSON(t *testing.T) {
+	server := goldenServer(t, 1)
+	for _, test := range []struct {
+		file string
+		path string
+	}{
+		{"overview.json", "/"},
+		{"replicas.json", "/replicas"},
+		{"forwarders.json", "/forwarders?about=till"},
+	} {
+		t.Run(test.file, func(t *testing.T) {
+			checkGolden(t, filepath.Join("testdata", test.file), pageAsJSON(t, server, test.path))
+		})
+	}
+}
+
+// TestPagesAsHTML shows that each page's template fits its view model, with and without omitted rows.
+func TestPagesAsHTML(t *testing.T) {
+	for _, server := range []*Server{goldenServer(t, 1), goldenServer(t, maxShownDisagreements+1), serverOf(0, nil, nil)} {
+		for _, path := range []string{"/", "/replicas", "/forwarders"} {
+			response := httptest.NewRecorder()
+			server.serve(response, httptest.NewRequest(http.MethodGet, path, nil))
+			if text := response.Body.String(); response.Code != http.StatusOK || !strings.Contains(text, "</html>") {
+				t.Errorf("%s: %d %s", path, response.Code, text)
+			}
+		}
+	}
+}
+
+// TestOmittedDisagreementsAsJSON asserts the key that is absent where all disagreements are shown.
+func TestOmittedDisagreementsAsJSON(t *testing.T) {
+	text := pageAsJSON(t, goldenServer(t, maxShownDisagreements+1), "/")
+	if !bytes.Contains(text, []byte(`"disagreements_left_out": 1,`)) {
+		t.Errorf("an overview with one disagreement too many does not say so: %.600s", text)
+	}
+}
+
+// TestOmittedRowsAsJSON asserts the key that is absent where all rows are shown.
+func TestOmittedRowsAsJSON(t *testing.T) {
+	view := &reportedView{name: "govan-1", proxies: map[string]reportedProxy{}}
+	for n := range maxRows + 2 {
+		view.proxies[string(rune(0x4e00+n))] = reportedProxy{}
+	}
+	server := serverOf(model.Second, []polledController{{
+		address: "http://127.0.0.1:7780", view: view, receivedAt: model.Second,
+	}}, nil)
+	if text := pageAsJSON(t, server, "/forwarders"); !bytes.Contains(text, []byte(`"rows_left_out": 2`)) {
+		t.Errorf("a table with two rows too many does not say so: %.600s", text)
+	}
+}
+
+func pageAsJSON(t *testing.T, server *Server, path string) []byte {
+	t.Helper()
+	request := httptest.NewRequest(http.MethodGet, path, nil)
+	request.Header.Set("Accept", "application/json")
+	response := httptest.NewRecorder()
+	server.serve(response, request)
+	if response.Code != http.StatusOK || response.Header().Get("Content-Type") != "application/json" {
+		t.Fatalf("%s: %d %s", path, response.Code, response.Body)
+	}
+	return response.Body.Bytes()
+}
+
+// checkGolden reports bytes that differ from the golden file. With -update it writes them to the file before.
+func checkGolden(t *testing.T, file string, got []byte) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+	}
+}
--- /dev/null
+++ b/internal/console/comparison/overview.go
@@ -0,0 +1,125 @@
+package comparison
+
+import (
+	"time"
+
+	"peppervale/internal/console"
+	"peppervale/internal/model"
+)
+
+const (
+	// maxShownDisagreements bounds the disagreements on the overview.
+	maxShownDisagreements = 500
+
+	// shownPrecision is the precision of the time that a disagreement has lasted.
+	shownPrecision = 100 * time.Millisecond
+)
+
+// overviewBody is the controllers and their disagreements.
+type overviewBody struct {
+	Controllers          []controllerRow   `json:"governors"`
+	Compared             int               `json:"compared"`
+	Standing             int               `json:"standing"`
+	OmittedDisagreements int               `json:"disagreements_left_out,omitempty"`
+	Disagreements        []disagreementRow `json:"disagreements"`
+}
+
+// controllerRow is a controller by its newest view.
+type controllerRow struct {
+	Address            string  `json:"address"` // URL of its console
+	Name               string  `json:"governor"`
+	ViewAge            string  `json:"last_known"`
+	Recent             bool    `json:"fresh"`
+	Error              string  `json:"error,omitempty"`
+	Incarnation        uint64  `json:"life"`
+	Version            uint64  `json:"version"`
+	Gate               string  `json:"gate"`
+	UnreportedReplicas int     `json:"gate_waits_for"`
+	ConnectedProxies   int     `json:"forwarders_joined"`
+	BoundProxies       int     `json:"forwarders_bound"`
+	ReadyReplicas      int     `json:"listed_ready"`
+	EndpointListAge    string  `json:"list_age"` // at the time of the view
+	Saturation         float64 `json:"stress"`
+	QueuedEntries      int     `json:"queue_lines"`
+	QueueLimit         int     `json:"queue_limit"`
+}
+
+// SafeMode returns whether the controller awaits load reports before weights follow them, for readers.
+func (r controllerRow) SafeMode() string {
+	switch r.Gate {
+	case "":
+		return ""
+	case gateOpen:
+		return "ended"
+	default:
+		return "on"
+	}
+}
+
+// gateOpen is the value of a console's JSON after safe mode.
+const gateOpen = "open"
+
+// disagreementRow is a disagreement and how long it has lasted.
+type disagreementRow struct {
+	disagreement
+	Duration string `json:"stands_for"`
+	Standing bool   `json:"standing"`
+}
+
+func (s *Server) overview(now model.Microseconds, controllers []polledController) overviewBody {
+	body := overviewBody{Controllers: []controllerRow{}, Disagreements: []disagreementRow{}}
+	for i := range controllers {
+		body.Controllers = append(body.Controllers, newControllerRow(now, &controllers[i]))
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	body.Compared = s.compared
+	for i := range s.disagreements {
+		row := newDisagreementRow(now, s.disagreements[i])
+		if row.Standing {
+			body.Standing++
+		}
+		if len(body.Disagreements) < maxShownDisagreements {
+			body.Disagreements = append(body.Disagreements, row)
+		} else {
+			body.OmittedDisagreements++
+		}
+	}
+	return body
+}
+
+func newControllerRow(now model.Microseconds, controller *polledController) controllerRow {
+	row := controllerRow{
+		Address: controller.address,
+		Name:    controller.address,
+		ViewAge: "never",
+		Recent:  controller.isRecent(now),
+		Error:   controller.lastError,
+	}
+	view := controller.view
+	if view == nil {
+		return row
+	}
+	row.Name = view.name
+	row.ViewAge = console.FormatAge(now, controller.receivedAt)
+	row.Incarnation = view.incarnation
+	row.Version = view.version
+	row.Gate = view.gate
+	row.UnreportedReplicas = view.unreportedReplicas
+	row.ConnectedProxies = view.connectedProxies
+	row.BoundProxies = view.boundProxies
+	row.ReadyReplicas = view.readyReplicas
+	row.EndpointListAge = view.endpointListAge
+	row.Saturation = view.saturation
+	row.QueuedEntries = view.queuedEntries
+	row.QueueLimit = view.queueLimit
+	return row
+}
+
+func newDisagreementRow(now model.Microseconds, found disagreement) disagreementRow {
+	return disagreementRow{
+		disagreement: found,
+		Duration:     (now - found.Since).Duration().Round(shownPrecision).String(),
+		Standing:     found.isStanding(now),
+	}
+}
--- /dev/null
+++ b/internal/console/comparison/poller.go
@@ -0,0 +1,168 @@
+package comparison
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"peppervale/internal/model"
+)
+
+const (
+	pollInterval = time.Second
+	pollTimeout  = 3 * time.Second
+
+	// maxPageBytes bounds one page. The largest one of a console, of 5,000 proxies, has about 2 MB.
+	maxPageBytes = 16 << 20
+
+	// maxConnections bounds the connections to one console.
+	maxConnections = 2
+
+	idleTimeout = 30 * time.Second
+)
+
+// polledController is what is known of one controller.
+type polledController struct {
+	address    string             // URL of its console
+	view       *reportedView      // the newest one; nil: it never answered
+	receivedAt model.Microseconds // when the view was received, by the clock of this program
+	lastError  string             // of the newest poll; empty if it succeeded
+	polls      uint64
+	failures   uint64
+}
+
+// isRecent reports whether the view is new enough to be compared.
+func (c *polledController) isRecent(now model.Microseconds) bool {
+	return c.view != nil && now-c.receivedAt <= maxViewAge
+}
+
+// poller polls the consoles of controllers, each in a goroutine of its own, so that a console that hangs delays no
+// other. It is created by startPoller.
+type poller struct {
+	now    func() model.Microseconds
+	client *http.Client
+	cancel context.CancelFunc
+	polls  sync.WaitGroup
+
+	mu          sync.Mutex
+	controllers []polledController
+}
+
+// startPoller begins to poll the consoles at the addresses: host:port, or whole URLs.
+func startPoller(addresses []string, now func() model.Microseconds) *poller {
+	ctx, cancel := context.WithCancel(context.Background())
+	transport := &http.Transport{MaxConnsPerHost: maxConnections, IdleConnTimeout: idleTimeout}
+	p := &poller{
+		now:    now,
+		client: &http.Client{Timeout: pollTimeout, Transport: transport},
+		cancel: cancel,
+	}
+	for _, address := range addresses {
+		p.controllers = append(p.controllers, polledController{address: consoleURL(address)})
+	}
+	for i := range addresses {
+		p.polls.Add(1)
+		go p.pollRepeatedly(ctx, i)
+	}
+	return p
+}
+
+func consoleURL(address string) string {
+	if !strings.Contains(address, "://") {
+		address = "http://" + address
+	}
+	return strings.TrimSuffix(address, "/")
+}
+
+// close ends the polling.
+func (p *poller) close() {
+	p.cancel()
+	p.polls.Wait()
+	p.client.CloseIdleConnections()
+}
+
+// snapshot returns what is known now, in the order of the addresses.
+func (p *poller) snapshot() []polledController {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.controllers)
+}
+
+func (p *poller) pollRepeatedly(ctx context.Context, place int) {
+	defer p.polls.Done()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for {
+		p.poll(ctx, place)
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// poll polls one console. The newest view is kept if it fails.
+func (p *poller) poll(ctx context.Context, place int) {
+	p.mu.Lock()
+	address := p.controllers[place].address
+	p.mu.Unlock()
+	view, err := p.fetchView(ctx, address)
+	if ctx.Err() != nil {
+		return
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	controller := &p.controllers[place]
+	controller.polls++
+	if err != nil {
+		controller.failures++
+		controller.lastError = err.Error()
+		return
+	}
+	controller.view = view
+	controller.receivedAt = p.now()
+	controller.lastError = ""
+}
+
+func (p *poller) fetchView(ctx context.Context, address string) (*reportedView, error) {
+	var pages consolePages
+	var err error
+	if pages.overview, err = p.fetchPage(ctx, address+"/?as=json"); err != nil {
+		return nil, err
+	}
+	if pages.replicas, err = p.fetchPage(ctx, address+"/replicas?as=json"); err != nil {
+		return nil, err
+	}
+	if pages.proxies, err = p.fetchPage(ctx, address+"/forwarders?as=json"); err != nil {
+		return nil, err
+	}
+	return parseView(pages)
+}
+
+func (p *poller) fetchPage(ctx context.Context, url string) ([]byte, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := p.client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = response.Body.Close() }() // the page was read, or is given up
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes+1))
+	switch {
+	case err != nil:
+		return nil, err
+	case len(text) > maxPageBytes:
+		return nil, fmt.Errorf("%s: more than %d bytes", url, maxPageBytes)
+	case response.StatusCode != http.StatusOK:
+		return nil, fmt.Errorf("%s: %s: %.200s", url, response.Status, strings.TrimSpace(string(text)))
+	}
+	return text, nil
+}
--- /dev/null
+++ b/internal/console/comparison/proxies.go
@@ -0,0 +1,61 @@
+package comparison
+
+import (
+	"fmt"
+
+	"peppervale/internal/model"
+)
+
+const (
+	// maxMissingTime is how long a proxy that is connected nowhere is reported; then it was taken down or renamed.
+	maxMissingTime = 120 * model.Second
+
+	// maxKnownProxies bounds the proxies that are remembered.
+	maxKnownProxies = 20_000
+)
+
+// compareProxies returns the disagreements about where proxies are connected. That a proxy is connected nowhere can
+// be told only if the views of all controllers are recent.
+func (t *tracker) compareProxies(
+	now model.Microseconds, controllers []polledController, allRecent bool,
+) []disagreement {
+	var found []disagreement
+	for name, sides := range t.connections(now, controllers) {
+		if len(sides) > 1 {
+			found = append(found, disagreement{Kind: connectedTwice, Subject: name, Sides: sides})
+		}
+	}
+	for name, connectedAt := range t.connectedAt {
+		switch {
+		case now-connectedAt > maxMissingTime:
+			delete(t.connectedAt, name)
+		case allRecent && connectedAt < now:
+			found = append(found, disagreement{Kind: connectedNowhere, Subject: name, Sides: []side{}})
+		}
+	}
+	return found
+}
+
+// connections returns the controllers that each proxy is connected to, by the proxy's name, and remembers the proxies.
+func (t *tracker) connections(now model.Microseconds, controllers []polledController) map[string][]side {
+	connections := map[string][]side{}
+	for _, controller := range controllers {
+		for name, proxy := range controller.view.proxies {
+			report := side{Controller: controller.view.name, Report: "on " + proxy.tableName("its own tables")}
+			connections[name] = append(connections[name], report)
+			_, known := t.connectedAt[name]
+			if known || len(t.connectedAt) < maxKnownProxies {
+				t.connectedAt[name] = now
+			}
+		}
+	}
+	return connections
+}
+
+// tableName returns the name of the table that the proxy uses, or standing for tables of its own.
+func (p reportedProxy) tableName(standing string) string {
+	if p.Table < 0 {
+		return standing
+	}
+	return fmt.Sprintf("table %d", p.Table)
+}
--- /dev/null
+++ b/internal/console/comparison/server.go
@@ -0,0 +1,123 @@
+package comparison
+
+import (
+	"embed"
+	"html/template"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"peppervale/internal/console"
+	"peppervale/internal/console/httpserver"
+	"peppervale/internal/model"
+)
+
+// compareInterval is the time between two comparisons. They go on without viewers, since only who follows a
+// disagreement knows how long it has lasted.
+const compareInterval = pollInterval / 2
+
+//go:embed templates/*.html
+var templateFiles embed.FS
+
+var templates = template.Must(template.New("").Funcs(template.FuncMap{
+	"style": func() template.CSS { return console.Style },
+}).ParseFS(templateFiles, "templates/*.html"))
+
+// Server serves the console of several controllers. It is created by Listen.
+type Server struct {
+	poller    *poller
+	http      *httpserver.Server
+	now       func() model.Microseconds
+	comparing sync.WaitGroup
+
+	mu            sync.Mutex
+	tracker       *tracker
+	disagreements []disagreement
+	compared      int // controllers in the newest comparison
+}
+
+// Listen opens the address, begins to poll the controllers' consoles, and serves until Close. Errors are those of
+// the address.
+func Listen(address string, consoles []string, now func() model.Microseconds) (*Server, error) {
+	server, err := httpserver.Listen(address)
+	if err != nil {
+		return nil, err
+	}
+	s := &Server{now: now, http: server, tracker: newTracker(), poller: startPoller(consoles, now)}
+	s.http.Serve(s.serve, nil)
+	s.comparing.Add(1)
+	go s.compareRepeatedly()
+	return s, nil
+}
+
+// Addr returns the address that the console listens on.
+func (s *Server) Addr() string {
+	return s.http.Addr()
+}
+
+// Close ends the server and the polling.
+func (s *Server) Close() {
+	s.http.Close()
+	s.poller.close()
+	s.comparing.Wait()
+}
+
+func (s *Server) compareRepeatedly() {
+	defer s.comparing.Done()
+	ticker := time.NewTicker(compareInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-s.http.Done():
+			return
+		case <-ticker.C:
+			s.compare()
+		}
+	}
+}
+
+func (s *Server) compare() {
+	now := s.now()
+	controllers := s.poller.snapshot()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.disagreements, s.compared = s.tracker.compare(now, controllers)
+}
+
+// pageModel is what the template "page" is given, and what is shown as JSON.
+type pageModel struct {
+	Title    string             `json:"title"`
+	Heading  string             `json:"-"`
+	Template string             `json:"-"`
+	Now      model.Microseconds `json:"now_us"`
+	Body     any                `json:"body"`
+}
+
+func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
+	now := s.now()
+	controllers := s.poller.snapshot()
+	filter := r.URL.Query().Get("about")
+	page := &pageModel{Now: now}
+	switch strings.TrimPrefix(r.URL.Path, "/") {
+	case "":
+		page.Title = "Governors"
+		page.Heading = "Controllers"
+		page.Template = "overview"
+		page.Body = s.overview(now, controllers)
+	case "replicas":
+		page.Title = "Replicas, as each governor believes"
+		page.Heading = "Replicas, as each controller reports them"
+		page.Template = "matrix"
+		page.Body = replicaRows.matrix(now, controllers, filter)
+	case "forwarders":
+		page.Title = "Forwarders, and where they are joined"
+		page.Heading = "Proxies, and the controllers that they are connected to"
+		page.Template = "matrix"
+		page.Body = proxyRows.matrix(now, controllers, filter)
+	default:
+		httpserver.WriteText(w, http.StatusNotFound, "no page here; there are / /replicas /forwarders, each with ?about=")
+		return
+	}
+	httpserver.WritePage(w, r, templates, page)
+}
--- /dev/null
+++ b/internal/console/comparison/tracker_test.go
@@ -0,0 +1,236 @@
+package comparison
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"peppervale/internal/model"
+)
+
+// testView is a controller's view in short.
+type testView struct {
+	name        string
+	incarnation uint64
+	replicas    map[string]string // by address: a key of testReplicas
+	proxies     []string
+	age         model.Microseconds
+}
+
+// testReplicas are reports about a replica.
+var testReplicas = map[string]reportedReplica{
+	"serving":  {State: "serving", ListedStatus: "ready", SlowStartFactor: 1},
+	"ejected":  {State: "resting", ListedStatus: "ready", SlowStartFactor: 1, Withdrawn: true},
+	"draining": {State: "away", ListedStatus: "draining", Withdrawn: true},
+	"gone":     {State: "away", ListedStatus: "gone", Withdrawn: true},
+	// Listed as gone, and not withdrawn yet.
+	"not withdrawn": {State: "serving", ListedStatus: "gone", SlowStartFactor: 1},
+}
+
+// poll returns controllers with these views, each at an address of its own.
+func poll(now model.Microseconds, views ...testView) []polledController {
+	var controllers []polledController
+	for i, view := range views {
+		reported := &reportedView{
+			name:        view.name,
+			incarnation: view.incarnation,
+			gate:        gateOpen,
+			replicas:    map[string]reportedReplica{},
+			proxies:     map[string]reportedProxy{},
+		}
+		for address, report := range view.replicas {
+			replica := testReplicas[report]
+			replica.Address = address
+			reported.replicas[address] = replica
+		}
+		for _, proxy := range view.proxies {
+			reported.proxies[proxy] = reportedProxy{Name: proxy, Table: 0}
+		}
+		controllers = append(controllers, polledController{
+			address: fmt.Sprint("http://", i), view: reported, receivedAt: now - view.age,
+		})
+	}
+	return controllers
+}
+
+// TestKindsOfReplicaDisagreements shows that each pair of reports about one replica is one kind of disagreement, or
+// none.
+func TestKindsOfReplicaDisagreements(t *testing.T) {
+	for _, test := range []struct {
+		first  string
+		second string // empty: the replica is unknown
+		want   disagreementKind
+	}{
+		{"serving", "serving", ""},
+		{"serving", "draining", sendsToLeaving},
+		{"gone", "serving", sendsToLeaving},
+		{"ejected", "draining", listDiffers},
+		{"serving", "", listDiffers},
+		{"serving", "ejected", stateDiffers},
+		{"ejected", "ejected", ""},
+		{"gone", "draining", ""},
+		{"gone", "", ""},
+		{"not withdrawn", "gone", ""},
+	} {
+		t.Run(test.first+" and "+test.second, func(t *testing.T) {
+			first := testView{name: "a", replicas: map[string]string{"r": test.first}}
+			second := testView{name: "b", replicas: map[string]string{}}
+			if test.second != "" {
+				second.replicas["r"] = test.second
+			}
+			found, compared := newTracker().compare(0, poll(0, first, second))
+			if compared != 2 || (len(found) == 0) != (test.want == "") {
+				t.Fatalf("%d compared, %+v", compared, found)
+			}
+			if len(found) > 0 && (found[0].Kind != test.want || len(found[0].Sides) != 2) {
+				t.Errorf("%+v", found)
+			}
+		})
+	}
+}
+
+// TestPassingAndStandingDisagreements shows that a disagreement passes when a list arrives late, and stands and is
+// reported first when it never arrives.
+func TestPassingAndStandingDisagreements(t *testing.T) {
+	tracker := newTracker()
+	complete := testView{name: "a", replicas: map[string]string{"late": "gone", "never": "gone"}}
+	compare := func(now model.Microseconds, late, never string) []disagreement {
+		other := testView{name: "b", replicas: map[string]string{"late": late, "never": never}}
+		found, _ := tracker.compare(now, poll(now, complete, other))
+		return found
+	}
+	compare(0, "serving", "serving")
+
+	now := 2 * model.Second
+	found := compare(now, "gone", "serving")
+	if len(found) != 1 || found[0].Subject != "never" || found[0].isStanding(now) {
+		t.Fatalf("%+v", found)
+	}
+
+	now = 5 * model.Second
+	found = compare(now, "serving", "serving")
+	if len(found) != 2 || found[0].Subject != "never" || !found[0].isStanding(now) || found[0].Since != 0 {
+		t.Fatalf("%+v", found)
+	}
+	if found[1].isStanding(now) || found[1].Since != now {
+		t.Fatalf("%+v", found)
+	}
+
+	if found = compare(6*model.Second, "gone", "gone"); len(found) != 0 {
+		t.Fatalf("%+v", found)
+	}
+}
+
+// TestOldViewsAreNotCompared shows also that proxies are missed only while the views of all controllers are recent.
+func TestOldViewsAreNotCompared(t *testing.T) {
+	tracker := newTracker()
+	tracker.compare(0, poll(0,
+		testView{name: "a", proxies: []string{"till"}},
+		testView{name: "b", proxies: []string{"bar"}},
+	))
+
+	now := 6 * model.Second
+	found, compared := tracker.compare(now, poll(now,
+		testView{name: "a", proxies: []string{"till"}, replicas: map[string]string{"r": "serving"}},
+		testView{name: "b", proxies: []string{"bar"}, replicas: map[string]string{"r": "gone"}, age: 6 * model.Second},
+	))
+	if compared != 1 || len(found) != 0 {
+		t.Fatalf("%d compared, %+v", compared, found)
+	}
+
+	withoutBar := []testView{{name: "a", proxies: []string{"till"}}, {name: "b"}}
+	now = 7 * model.Second
+	found, _ = tracker.compare(now, poll(now, withoutBar...))
+	if len(found) != 1 || found[0].Kind != connectedNowhere || found[0].Subject != "bar" {
+		t.Fatalf("%+v", found)
+	}
+
+	now = 300 * model.Second
+	if found, _ = tracker.compare(now, poll(now, withoutBar...)); len(found) != 0 {
+		t.Fatalf("missed long after it has gone: %+v", found)
+	}
+}
+
+func TestDisagreementsOfControllersThemselves(t *testing.T) {
+	tracker := newTracker()
+	tracker.compare(0, poll(0, testView{name: "a", incarnation: 7}, testView{name: "b", incarnation: 3}))
+	found, _ := tracker.compare(model.Second, poll(model.Second,
+		testView{name: "a", incarnation: 6, proxies: []string{"till"}},
+		testView{name: "a", incarnation: 4, proxies: []string{"till"}},
+	))
+	var kinds []disagreementKind
+	for _, disagreement := range found {
+		kinds = append(kinds, disagreement.Kind)
+	}
+	if !slices.Equal(kinds, []disagreementKind{incarnationDecreased, duplicateName, connectedTwice}) {
+		t.Fatalf("%+v", found)
+	}
+}
+
+// TestCompareProperties shows, for any views: controllers that report the same do not disagree about replicas; the
+// order of the controllers does not matter; and no disagreement began in the future.
+func TestCompareProperties(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		forward, backward := newTracker(), newTracker()
+		var now model.Microseconds
+		for range rapid.IntRange(1, 12).Draw(t, "comparisons") {
+			now += model.Microseconds(rapid.IntRange(0, 6).Draw(t, "pause")) * model.Second
+			views := drawViews(t)
+			checkAgreement(t, now, views)
+			controllers := poll(now, views...)
+			found, _ := forward.compare(now, controllers)
+			slices.Reverse(controllers)
+			reversed, _ := backward.compare(now, controllers)
+			checkSameDisagreements(t, now, found, reversed)
+		}
+	})
+}
+
+// drawViews draws the views of three controllers of two replicas.
+func drawViews(t *rapid.T) []testView {
+	reports := []string{"", "serving", "ejected", "draining", "gone", "not withdrawn"}
+	var views []testView
+	for i, name := range []string{"a", "b", "c"} {
+		view := testView{
+			name:        name,
+			incarnation: uint64(i),
+			replicas:    map[string]string{},
+			age:         model.Microseconds(rapid.IntRange(0, 7).Draw(t, "age")) * model.Second,
+		}
+		for _, address := range []string{"r1", "r2"} {
+			if report := rapid.SampledFrom(reports).Draw(t, "report"); report != "" {
+				view.replicas[address] = report
+			}
+		}
+		views = append(views, view)
+	}
+	return views
+}
+
+// checkAgreement fails if controllers disagree that all report what the first one does.
+func checkAgreement(t *rapid.T, now model.Microseconds, views []testView) {
+	t.Helper()
+	same := slices.Clone(views)
+	for i := range same {
+		same[i].replicas = views[0].replicas
+	}
+	if found, _ := newTracker().compare(now, poll(now, same...)); len(found) != 0 {
+		t.Fatalf("the reports are the same: %+v", found)
+	}
+}
+
+func checkSameDisagreements(t *rapid.T, now model.Microseconds, found, reversed []disagreement) {
+	t.Helper()
+	if len(found) != len(reversed) {
+		t.Fatalf("%+v\n%+v", found, reversed)
+	}
+	for i, first := range found {
+		second := reversed[i]
+		same := first.Kind == second.Kind && first.Subject == second.Subject && first.Since == second.Since
+		if !same || first.Since > now {
+			t.Fatalf("%+v\n%+v", first, second)
+		}
+	}
+}
--- /dev/null
+++ b/internal/console/comparison/view.go
@@ -0,0 +1,148 @@
+package comparison
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"peppervale/internal/model"
+)
+
+// maxRows bounds the rows that are taken from one page of a console; a console sends no more.
+const maxRows = 5000
+
+// errNoConsole reports pages that are JSON but not of a console.
+var errNoConsole = errors.New("its overview names no governor or no gate; is it a peppervale console?")
+
+// reportedView is what one controller's console reported at a time. It is immutable.
+type reportedView struct {
+	name               string
+	incarnation        uint64
+	version            uint64
+	at                 model.Microseconds // by the controller's clock
+	gate               string             // open, or shut in safe mode
+	unreportedReplicas int                // replicas whose load reports safe mode awaits
+	connectedProxies   int
+	boundProxies       int
+	readyReplicas      int // listed as ready
+	endpointListAge    string
+	saturation         float64
+	queuedEntries      int
+	queueLimit         int
+	replicas           map[string]reportedReplica // by address
+	proxies            map[string]reportedProxy   // by name
+}
+
+// reportedReplica is a row of a console's list of replicas.
+type reportedReplica struct {
+	Address         string  `json:"address"`
+	Zone            string  `json:"zone"`
+	ListedStatus    string  `json:"listed"`
+	State           string  `json:"state"`
+	Withdrawn       bool    `json:"withdrawn"`
+	SlowStartFactor float64 `json:"part"`
+	ErrorRate       float64 `json:"errors"`
+	ReportAge       string  `json:"heard"`
+}
+
+// reportedProxy is a row of a console's list of connected proxies.
+type reportedProxy struct {
+	Name  string `json:"name"`
+	Zone  string `json:"zone"`
+	Table int    `json:"table"` // -1: on tables of its own
+}
+
+type overviewObject struct {
+	Name        string             `json:"governor"`
+	Incarnation uint64             `json:"life"`
+	At          model.Microseconds `json:"at_us"`
+	Channel     struct {
+		Version       uint64 `json:"version"`
+		QueuedEntries int    `json:"queue_lines"`
+	} `json:"channel"`
+	Body struct {
+		Gate               string   `json:"gate"`
+		UnreportedReplicas []string `json:"gate_waits_for"`
+		ConnectedProxies   int      `json:"forwarders_joined"`
+		BoundProxies       int      `json:"forwarders_bound"`
+		ReadyReplicas      int      `json:"listed_ready"`
+		EndpointListAge    string   `json:"list_age"`
+		Saturation         float64  `json:"stress"`
+		QueueLimit         int      `json:"queue_limit"`
+	} `json:"body"`
+}
+
+type replicasObject struct {
+	Body []reportedReplica `json:"body"`
+}
+
+type proxiesObject struct {
+	Body []reportedProxy `json:"body"`
+}
+
+// consolePages are the pages of a console that a view is made from, in JSON.
+type consolePages struct {
+	overview []byte
+	replicas []byte
+	proxies  []byte
+}
+
+// parseView makes a view from the pages of a console.
+func parseView(pages consolePages) (*reportedView, error) {
+	var overview overviewObject
+	if err := parsePage("overview", pages.overview, &overview); err != nil {
+		return nil, err
+	}
+	var replicas replicasObject
+	if err := parsePage("replicas", pages.replicas, &replicas); err != nil {
+		return nil, err
+	}
+	var proxies proxiesObject
+	if err := parsePage("forwarders", pages.proxies, &proxies); err != nil {
+		return nil, err
+	}
+	if overview.Name == "" || overview.Body.Gate == "" {
+		return nil, errNoConsole
+	}
+	if len(replicas.Body) > maxRows || len(proxies.Body) > maxRows {
+		return nil, fmt.Errorf("%d replicas and %d forwarders on its pages; %d of each are taken",
+			len(replicas.Body), len(proxies.Body), maxRows)
+	}
+	return newReportedView(&overview, replicas.Body, proxies.Body), nil
+}
+
+func parsePage(name string, text []byte, object any) error {
+	if err := json.Unmarshal(text, object); err != nil {
+		return fmt.Errorf("its page of %s is not a peppervale console's: %w", name, err)
+	}
+	return nil
+}
+
+func newReportedView(
+	overview *overviewObject, replicas []reportedReplica, proxies []reportedProxy,
+) *reportedView {
+	view := &reportedView{
+		name:               overview.Name,
+		incarnation:        overview.Incarnation,
+		version:            overview.Channel.Version,
+		at:                 overview.At,
+		gate:               overview.Body.Gate,
+		unreportedReplicas: len(overview.Body.UnreportedReplicas),
+		connectedProxies:   overview.Body.ConnectedProxies,
+		boundProxies:       overview.Body.BoundProxies,
+		readyReplicas:      overview.Body.ReadyReplicas,
+		endpointListAge:    overview.Body.EndpointListAge,
+		saturation:         overview.Body.Saturation,
+		queuedEntries:      overview.Channel.QueuedEntries,
+		queueLimit:         overview.Body.QueueLimit,
+		replicas:           map[string]reportedReplica{},
+		proxies:            map[string]reportedProxy{},
+	}
+	for _, replica := range replicas {
+		view.replicas[replica.Address] = replica
+	}
+	for _, proxy := range proxies {
+		view.proxies[proxy.Name] = proxy
+	}
+	return view
+}
