--- a/internal/codec/platformmsg/errors.go
+++ b/internal/codec/platformmsg/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ParseError reports a message that cannot be used. A client that has not joined is told its text.
+// ParseError reports a message that cannot be used. Its text is sent to a client that has not joined.
 type ParseError struct {
 	// Kind and Field say what is malformed. Both are empty where it is the message as a whole.
 	Kind   Kind
--- a/internal/codec/platformmsg/message.go
+++ b/internal/codec/platformmsg/message.go
@@ -28,23 +28,24 @@
 // hundred bytes.
 var Limits = resp.Limits{Depth: 1, Items: 64, Bulk: 2 << 10, Message: 8 << 10}
 
-// Message is a message that a controller received. Kind determines which other fields are set.
+// Message is a message that a controller received. Its kind determines which other fields are set; they are listed by
+// the words for the kinds on the wire.
 type Message struct {
 	Kind            Kind
-	Proxy           int     // Joined, Applied, Usage
-	Zone            string  // Collector, Joined, Heard
-	ExpectedRate    float64 // Joined: requests per second, roughly
-	OnStandingTable bool    // Joined: the proxy holds no table of a controller
-	AckSequence     uint32  // Applied
-	Replica         string  // Heard
-	Operation       string  // Usage
-	Attempts        int     // Heard: attempts that ended. Usage: requests that arrived
-	// Errors counts, for Heard, the attempts that failed. For Usage it counts requests that were admitted and not
+	Proxy           int     // joined, applied, usage
+	Zone            string  // collector, joined, heard
+	ExpectedRate    float64 // joined: requests per second, roughly
+	OnStandingTable bool    // joined: the proxy holds no table of a controller
+	AckSequence     uint32  // applied
+	Replica         string  // heard
+	Operation       string  // usage
+	Attempts        int     // heard: attempts that ended; usage: requests that arrived
+	// Errors counts, for heard, the attempts that failed. For usage it counts requests that were admitted and not
 	// served, in this window or an earlier one.
 	Errors      int
-	MeanLatency model.Microseconds // Heard
-	Window      model.Microseconds // Heard, Usage
-	Readings    []Reading          // Heard: the newest ones of the replica
+	MeanLatency model.Microseconds // heard
+	Window      model.Microseconds // heard, usage
+	Readings    []Reading          // heard: the newest ones of the replica
 }
 
 // Reading is one figure that a replica reports about its load.
--- a/internal/codec/pubsubmsg/parse_test.go
+++ b/internal/codec/pubsubmsg/parse_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// TestErrorPrecedenceOfLoadReports shows which of several errors a proxy is told.
+// TestErrorPrecedenceOfLoadReports shows which of several errors is sent to a proxy.
 func TestErrorPrecedenceOfLoadReports(t *testing.T) {
 	tests := map[string]struct {
 		arguments []string
