--- a/internal/codec/resp/decode.go
+++ b/internal/codec/resp/decode.go
@@ -34,7 +34,7 @@
 	case Array, Map, Set, Push, attribute:
 		return r.openAggregate(kind, content, take)
 	}
-	value, err := decodeScalar(kind, string(content))
+	value, err := decodeScalar(kind, content)
 	if err != nil {
 		return r.fail(err.Error())
 	}
@@ -42,31 +42,31 @@
 }
 
 // decodeScalar decodes a value that is one line. The error is the reason of a ProtocolError.
-func decodeScalar(kind Kind, content string) (Value, error) {
+func decodeScalar(kind Kind, content []byte) (Value, error) {
 	value := Value{Kind: kind}
 	var err error
 	switch kind {
 	case Null:
-		if content != "" {
+		if len(content) > 0 {
 			return value, errors.New("a null with a text")
 		}
 	case Bool:
-		value.Bool = content == "t"
-		if !value.Bool && content != "f" {
+		value.Bool = string(content) == "t"
+		if !value.Bool && string(content) != "f" {
 			return value, errors.New("a boolean that is neither t nor f")
 		}
 	case Number:
-		value.Int, err = strconv.ParseInt(content, 10, 64)
+		value.Int, err = strconv.ParseInt(string(content), 10, 64)
 		if err != nil {
 			return value, fmt.Errorf("%q is no whole number of 64 bits", truncate(content))
 		}
 	case Double:
-		value.Float, err = strconv.ParseFloat(content, 64)
+		value.Float, err = strconv.ParseFloat(string(content), 64)
 		if err != nil {
 			return value, fmt.Errorf("%q is no double", truncate(content))
 		}
 	default:
-		value.Text = content
+		value.Text = string(content)
 	}
 	return value, nil
 }
@@ -78,7 +78,7 @@
 		return r.add(Value{Kind: Null}, take)
 	}
 	if err != nil || length < 0 {
-		return r.fail(fmt.Sprintf("%q is no length", truncate(string(content))))
+		return r.fail(fmt.Sprintf("%q is no length", truncate(content)))
 	}
 	if length > r.limits.Bulk {
 		return r.fail(fmt.Sprintf("a string of %d bytes, %d are taken", length, r.limits.Bulk))
@@ -95,7 +95,7 @@
 		return r.add(Value{Kind: Null}, take)
 	}
 	if err != nil || count < 0 {
-		return r.fail(fmt.Sprintf("%q is no count", truncate(string(content))))
+		return r.fail(fmt.Sprintf("%q is no count", truncate(content)))
 	}
 	if count > r.limits.Items {
 		return r.fail(fmt.Sprintf("an aggregate of %d values, %d are taken", count, r.limits.Items))
@@ -144,6 +144,6 @@
 	}
 }
 
-func truncate(text string) string {
+func truncate(text []byte) []byte {
 	return text[:min(len(text), maxQuotedLength)]
 }
