--- a/internal/codec/resp/reader.go
+++ b/internal/codec/resp/reader.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"strings"
 )
 
 const (
@@ -126,7 +127,7 @@
 }
 
 func isKindMarker(char byte) bool {
-	return bytes.IndexByte([]byte(kindMarkers), char) >= 0
+	return strings.IndexByte(kindMarkers, char) >= 0
 }
 
 // consume counts bytes of the current message against its limit.
