--- a/internal/codec/resp/decode.go
+++ b/internal/codec/resp/decode.go
@@ -34,41 +34,40 @@
 	case Array, Map, Set, Push, attribute:
 		return r.openAggregate(kind, content, take)
 	}
-	value, err := decodeScalar(kind, content)
-	if err != nil {
+	value := Value{Kind: kind}
+	if err := value.decodeScalar(content); err != nil {
 		return r.fail(err.Error())
 	}
 	return r.add(value, take)
 }
 
-// decodeScalar decodes a value that is one line. The error is the reason of a ProtocolError.
-func decodeScalar(kind Kind, content []byte) (Value, error) {
-	value := Value{Kind: kind}
+// decodeScalar decodes a value that is one line, by its kind. The error is the reason of a ProtocolError.
+func (v *Value) decodeScalar(content []byte) error {
 	var err error
-	switch kind {
+	switch v.Kind {
 	case Null:
 		if len(content) > 0 {
-			return value, errors.New("a null with a text")
+			return errors.New("a null with a text")
 		}
 	case Bool:
-		value.Bool = string(content) == "t"
-		if !value.Bool && string(content) != "f" {
-			return value, errors.New("a boolean that is neither t nor f")
+		v.Bool = string(content) == "t"
+		if !v.Bool && string(content) != "f" {
+			return errors.New("a boolean that is neither t nor f")
 		}
 	case Number:
-		value.Int, err = strconv.ParseInt(string(content), 10, 64)
+		v.Int, err = strconv.ParseInt(string(content), 10, 64)
 		if err != nil {
-			return value, fmt.Errorf("%q is no whole number of 64 bits", truncate(content))
+			return fmt.Errorf("%q is no whole number of 64 bits", truncate(content))
 		}
 	case Double:
-		value.Float, err = strconv.ParseFloat(string(content), 64)
+		v.Float, err = strconv.ParseFloat(string(content), 64)
 		if err != nil {
-			return value, fmt.Errorf("%q is no double", truncate(content))
+			return fmt.Errorf("%q is no double", truncate(content))
 		}
 	default:
-		value.Text = string(content)
+		v.Text = string(content)
 	}
-	return value, nil
+	return nil
 }
 
 // openString decodes the length of a string; the string itself follows as the payload.
