--- /dev/null
+++ b/internal/codec/platformmsg/message.go
@@ -0,0 +1,55 @@
+package platformmsg
+
+import (
+	"peppervale/internal/codec/resp"
+	"peppervale/internal/model"
+)
+
+// Kind is the first string of a message.
+type Kind string
+
+// The kinds of messages that a controller receives.
+const (
+	Ping      Kind = "ping"
+	Collector Kind = "collector" // the connection will deliver the load reports of a zone
+	Joined    Kind = "joined"    // the connection is the stream of a proxy
+	Applied   Kind = "applied"   // a proxy acknowledges an update
+	Heard     Kind = "heard"     // a load report
+	Usage     Kind = "usage"     // the requests that arrived at a proxy
+)
+
+// The kinds of messages that a controller sends, apart from updates.
+const (
+	kindPong     Kind = "pong"
+	kindRejected Kind = "refused"
+)
+
+// Limits bounds one message that a controller receives: the longest legitimate one is a load report of some
+// hundred bytes.
+var Limits = resp.Limits{Depth: 1, Items: 64, Bulk: 2 << 10, Message: 8 << 10}
+
+// Message is a message that a controller received. Its kind determines which other fields are set; they are listed by
+// the words for the kinds on the wire.
+type Message struct {
+	Kind            Kind
+	Proxy           int     // joined, applied, usage
+	Zone            string  // collector, joined, heard
+	ExpectedRate    float64 // joined: requests per second, roughly
+	OnStandingTable bool    // joined: the proxy holds no table of a controller
+	AckSequence     uint32  // applied
+	Replica         string  // heard
+	Operation       string  // usage
+	Attempts        int     // heard: attempts that ended; usage: requests that arrived
+	// Errors counts, for heard, the attempts that failed. For usage it counts requests that were admitted and not
+	// served, in this window or an earlier one.
+	Errors      int
+	MeanLatency model.Microseconds // heard
+	Window      model.Microseconds // heard, usage
+	Readings    []Reading          // heard: the newest ones of the replica
+}
+
+// Reading is one figure that a replica reports about its load.
+type Reading struct {
+	Name  string
+	Value float64
+}
