--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -65,13 +65,13 @@
 		out = zerolog.ConsoleWriter{Out: out}
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log, threshold, err := server.NewLog(out, g.LogLevel)
+	log, threshold, err := server.NewLogger(out, g.LogLevel)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	reload := reloads(ctx)
-	return server.Serve(ctx, g, server.Outside{Reload: reload, Threshold: threshold,
-		Read: func() (*config.Server, error) { return config.LoadServer(c.Config) }}, log)
+	return server.Serve(ctx, g, server.Outside{Reload: reload, LogLevel: threshold,
+		LoadConfig: func() (*config.Server, error) { return config.LoadServer(c.Config) }}, log)
 }
 
 // reloads passes SIGHUP on until the context ends: one that comes while another waits adds nothing, as the file is then read as it is.
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -45,10 +45,10 @@
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log, _, err := server.NewLog(out, c.Log)
+	log, _, err := server.NewLogger(out, c.Log)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInput, err)
 	}
 	return server.ServePlatform(ctx, p, server.PlatformOutside{Reload: reload,
-		Read: func() (*config.Platform, error) { return config.LoadPlatform(c.Config) }}, log)
+		LoadConfig: func() (*config.Platform, error) { return config.LoadPlatform(c.Config) }}, log)
 }
--- /dev/null
+++ b/internal/server/cluster_testbed_test.go
@@ -0,0 +1,258 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/cluster"
+	"peppervale/internal/config"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/netpoll"
+	"peppervale/internal/standin"
+	"peppervale/internal/standin/proxy"
+	"peppervale/internal/standin/registry"
+	"peppervale/internal/testaddr"
+)
+
+const (
+	clusterProxies     = 6
+	clusterWaitTimeout = 30 * time.Second
+)
+
+var clusterZones = []string{"govan", "partick", "dalmarnock"}
+
+// clusterMember is one instance of a clusterTestbed, with its addresses.
+type clusterMember struct {
+	name    string
+	zone    string
+	channel string // for proxies
+	request string // for other members and operators
+	gossip  string
+	console string
+}
+
+// clusterTestbed is three instances, one a zone, that share six proxies out, with links between the instances that can
+// be interrupted.
+type clusterTestbed struct {
+	t        *testing.T
+	loop     *standin.Loop
+	members  []clusterMember
+	proxies  []*proxy.Forwarder
+	registry *registry.Registry
+
+	mu       sync.Mutex
+	isolated map[string]bool // members that reach no other and are reached by none
+
+	observations []invariants.Seen // by the proxies; only on the loop
+}
+
+// Open implements cluster.Links.
+func (bed *clusterTestbed) Open(from, to string) bool {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return from == to || !bed.isolated[from] && !bed.isolated[to]
+}
+
+// setIsolated interrupts a member's links to the others, or restores them.
+func (bed *clusterTestbed) setIsolated(name string, isolated bool) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	bed.isolated[name] = isolated
+}
+
+// newClusterTestbed starts the instances and proxies; they end with the test.
+func newClusterTestbed(t *testing.T, leaseDuration string) *clusterTestbed {
+	t.Helper()
+	bed := &clusterTestbed{t: t, isolated: map[string]bool{}, loop: newLoop(t)}
+	engine, err := proxy.NewEngine()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(engine.Stop)
+	bed.registry = newRegistry(t, bed.loop)
+	bed.loop.Do(func() {
+		for n, zone := range clusterZones {
+			bed.registry.Set(registry.Entry{ID: replicaID(byte(n + 1)), Zone: zone})
+		}
+	})
+	for _, zone := range clusterZones {
+		bed.members = append(bed.members, clusterMember{
+			name:    zone + "-1",
+			zone:    zone,
+			channel: testaddr.Address(t),
+			request: testaddr.Address(t),
+			gossip:  testaddr.Address(t),
+			console: testaddr.Address(t),
+		})
+	}
+	directory := t.TempDir()
+	for _, member := range bed.members {
+		bed.startMember(member, directory, leaseDuration)
+	}
+	bed.loop.Do(func() {
+		for k := range clusterProxies {
+			bed.startProxy(k, engine)
+		}
+	})
+	killAtEnd(t, bed.loop, &bed.proxies)
+	return bed
+}
+
+// startMember starts an instance that ends with the test.
+func (bed *clusterTestbed) startMember(member clusterMember, directory, leaseDuration string) {
+	bed.t.Helper()
+	path := filepath.Join(directory, member.name+".hcl")
+	if err := os.WriteFile(path, []byte(bed.configuration(member, leaseDuration)), 0o644); err != nil {
+		bed.t.Fatal(err)
+	}
+	settings, err := config.LoadServer(path)
+	if err != nil {
+		bed.t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- Serve(ctx, settings, Outside{Links: bed}, zerolog.Nop()) }()
+	bed.t.Cleanup(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			bed.t.Error(err)
+		}
+	})
+}
+
+// configuration returns a member's file.
+func (bed *clusterTestbed) configuration(member clusterMember, leaseDuration string) string {
+	var members strings.Builder
+	for _, m := range bed.members {
+		fmt.Fprintf(&members, "member %q {\n address = %q\n gossip = %q\n}\n", m.name, m.request, m.gossip)
+	}
+	return fmt.Sprintf(`governor %q {
+  listen = %q
+  state = %q
+  farewell = "1s"
+}
+console {
+  listen = %q
+}
+zones = ["govan", "partick", "dalmarnock"]
+operation "recipe-read" {
+  objective = "500ms"
+  timeout = "1200ms"
+  effect = "idempotent"
+}
+fleet {
+  forwarders = 6
+}
+rules {
+}
+channel {
+  period = "200ms"
+}
+machine_list "consul" {
+  address = %q
+  service = "recipe"
+}
+group {
+  listen = %q
+  gossip = %q
+  zone = %q
+  parts = 2
+  span = %q
+  settle = "1s"
+  pace = "100ms"
+  %s
+}
+`, member.name, member.channel, member.name+".state", member.console, bed.registry.Addr(), member.request,
+		member.gossip, member.zone, leaseDuration, members.String())
+}
+
+// startProxy starts the k-th proxy, in zone k modulo 3. It tries its own zone's instance first. To be called on the
+// loop.
+func (bed *clusterTestbed) startProxy(k int, engine *netpoll.Engine) {
+	home := k % len(clusterZones)
+	var governors []proxy.Governor
+	for n := range bed.members {
+		member := bed.members[(home+n)%len(bed.members)]
+		governors = append(governors, proxy.Governor{Name: member.name, Address: member.channel})
+	}
+	p := proxy.New(bed.loop, engine, proxy.Facts{
+		Name:        fmt.Sprint("till-", k),
+		Zone:        clusterZones[home],
+		ZoneIndex:   home,
+		Rate:        2,
+		Redial:      50 * model.Millisecond,
+		ConnectFor:  model.Second,
+		StreamsOnly: true,
+		Governors:   governors,
+	}, uint64(k), func(seen invariants.Seen) { bed.observations = append(bed.observations, seen) })
+	p.Start([]invariants.Line{{Replica: replicaID(1), Weight: 1}})
+	bed.proxies = append(bed.proxies, p)
+}
+
+// homeOf returns the name of the instance in the k-th proxy's zone.
+func (bed *clusterTestbed) homeOf(k int) string { return bed.members[k%len(bed.members)].name }
+
+// isHome reports whether the k-th proxy is connected to the instance of its zone.
+func (bed *clusterTestbed) isHome(k int, instance string) bool { return instance == bed.homeOf(k) }
+
+// waitForPlacement waits until each proxy is bound, and connected to an instance that is as wanted.
+func (bed *clusterTestbed) waitForPlacement(what string, isWanted func(k int, instance string) bool) {
+	bed.t.Helper()
+	for deadline := time.Now().Add(clusterWaitTimeout); ; time.Sleep(10 * time.Millisecond) {
+		allWanted := true
+		var instances []string
+		bed.loop.Do(func() {
+			for k, p := range bed.proxies {
+				instances = append(instances, p.Joined())
+				allWanted = allWanted && p.Bound() && isWanted(k, p.Joined())
+			}
+		})
+		if allWanted {
+			return
+		}
+		if time.Now().After(deadline) {
+			for _, member := range bed.members {
+				text, err := cluster.Request(member.request, time.Second, "STATUS")
+				bed.t.Log(text, err)
+			}
+			bed.t.Fatalf("never: %s; the proxies are connected to %v", what, instances)
+		}
+	}
+}
+
+// waitForProxies waits until a condition holds of each proxy.
+func (bed *clusterTestbed) waitForProxies(what string, holds func(p *proxy.Forwarder) bool) {
+	bed.t.Helper()
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
+		allHold := true
+		bed.loop.Do(func() {
+			for _, p := range bed.proxies {
+				allHold = allHold && holds(p)
+			}
+		})
+		if allHold {
+			return
+		}
+		if time.Now().After(deadline) {
+			bed.t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// expectNoMajority fails the test unless a member's status says that it has no majority.
+func (bed *clusterTestbed) expectNoMajority(member clusterMember) {
+	bed.t.Helper()
+	text, err := cluster.Request(member.request, 5*time.Second, "STATUS")
+	if err != nil || !strings.Contains(text, "majority") {
+		bed.t.Errorf("%s without a majority says %v %.300s", member.name, err, text)
+	}
+}
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -1,10 +1,17 @@
-// Package daemon puts a governor together: state folder, host, channel, machine list and console, from one file, and takes
-// it apart again in order. One mechanism a file: serve.go the order of it, archive.go what goes to disk behind the decisions,
-// reload.go a file read again in service, log.go the threshold of the log.
+// Package server puts one running instance together from its configuration: state store, controller, publish-subscribe
+// server, endpoint discovery, cluster membership and console. It takes the instance apart again in order.
 //
-// Guarantees: what decides never waits for the disk. A file that cannot be taken in service changes nothing. At the end forwarders are
-// told to go elsewhere in parts, within the file's farewell, and what is pending is put down.
+// Serve runs an instance of its own protocol, ServePlatform one on the operators' platform. The parts:
 //
-// Caveats: at a kill the last quarter of a second of the journal, and a list that came within it, are lost; a restart then begins with the
-// list before.
+//   - instance.go: start, operation and graceful shutdown; platform.go the same on the platform;
+//   - recorder.go: what goes to the state store, behind the decisions, and the search of stored decisions;
+//   - membership.go: the instance as a member of a cluster; runner.go: the controller's start and stop;
+//   - settings.go: the settings in force and their reload; loglevel.go: a log level that can change in operation;
+//   - statistics.go: the periodic statistics in the log.
+//
+// Guarantees: the controller never waits for the disk. A configuration that cannot be reloaded changes nothing. At the
+// end proxies are notified in portions within the configured grace period, and pending state is written.
+//
+// Limits: when the process is killed, the last quarter of a second of the decision log, and an endpoint list that came
+// within it, are lost; the next start begins with the list before.
 package server
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -18,122 +18,205 @@
 	"peppervale/internal/platform"
 )
 
-// What a governor on the platform keeps for itself of its descriptors: standard streams, pollers, the listening socket, the watch of
-// discovery and its successor, and one more for each connection while it is taken in.
-const ownDescriptors = 40
+const (
+	// reservedDescriptors is how many of its descriptors an instance on the platform keeps for itself: standard streams,
+	// pollers, the listening socket, the watch of discovery and its successor, and one more for each connection while it
+	// is accepted.
+	reservedDescriptors = 40
+
+	// joinTimeout is how long a connection may take to join. The platform lets it be closed after 1 s and asks for that
+	// within 3 s; the half second more is for joins that come in pieces while the core is shared.
+	joinTimeout = 1500 * time.Millisecond
+
+	// maxUnsentBytes is what may wait for one stream: the platform resets a connection with 128 KiB unread, the kernel's
+	// part included.
+	maxUnsentBytes = 64 << 10
+
+	// platformReportLimit is no limit in operation: the platform's collectors keep to their own, and the mailbox holds a
+	// report for each zone and replica.
+	platformReportLimit = 100_000
+
+	platformStatisticsInterval = 5 * time.Second
 
-// greeting is how long a connection may take to join. The platform lets it be closed after 1 s and asks for that within 3 s; the
-// half second more is for joins that come in pieces while the core is shared.
-const greeting = 1500 * time.Millisecond
+	// An address that an earlier process still holds is tried again for listenTimeout: the platform restarts instances
+	// under their addresses, and gives them 30 s to be ready.
+	listenRetryInterval = 20 * time.Millisecond
+	listenTimeout       = 20 * time.Second
 
-// unsentMost is what may wait for one stream: the platform resets a connection with 128 KiB unread, the kernel's part included.
-const unsentMost = 64 << 10
+	maxPlatformProcs      = 4 // two pollers, an acceptor, the controller: more only adds idle stacks
+	platformGCPercent     = 50
+	retransmissionTimeout = 3 * model.Second // a lost segment comes again after a second, and after two more (RFC 6298)
+)
 
-// PlatformOutside is what a governor on the platform is handed of its process.
+// PlatformOutside is what an instance on the platform is handed by the process that it runs in.
 type PlatformOutside struct {
-	Reload <-chan struct{}                  // asks that the file is read again
-	Read   func() (*config.Platform, error) // reads it
+	Reload     <-chan struct{}                  // asks for the configuration to be read again
+	LoadConfig func() (*config.Platform, error) // reads it; needed with Reload
+}
+
+// platformInstance is one running instance on the operators' platform.
+type platformInstance struct {
+	settings   *config.Platform
+	outside    PlatformOutside
+	log        zerolog.Logger
+	controller *controller.Controller
+	discovery  *discovery.Watcher
+	proxies    *platform.Server
 }
 
-// ServePlatform runs one governor on the operators' platform until the context ends. It has no state folder, console or group: there
-// is no disk that outlives it, and no room for them in its limits. Errors are those of the address.
-func ServePlatform(ctx context.Context, p *config.Platform, out PlatformOutside, log zerolog.Logger) error {
-	if err := controller.Check(p.Balancer); err != nil {
+// ServePlatform runs one instance on the operators' platform until the context is done. It has no state store, console
+// or cluster: there is no disk that outlives it, and no room for them in its limits. Errors are those of settings that
+// the balancer rejects, of the discovery client and of the address.
+func ServePlatform(
+	ctx context.Context, settings *config.Platform, outside PlatformOutside, log zerolog.Logger,
+) error {
+	if err := controller.Check(settings.Balancer); err != nil {
 		return err
 	}
-	// The limit counts the whole process; a third is left for what Go's own limit does not see: stacks of the kernel, the text.
-	debug.SetMemoryLimit(p.Memory / 3 * 2)
-	debug.SetGCPercent(50)
-	runtime.GOMAXPROCS(min(runtime.NumCPU(), 4)) // two pollers, an acceptor, the host: more only adds idle stacks
+	limitProcess(settings)
 	now := controller.Clock()
-	host := controller.New(p.Balancer, intakeMost, now, log)
-	host.DisableDecisionLog()
+	inst := &platformInstance{settings: settings, outside: outside, log: log}
+	inst.controller = controller.New(settings.Balancer, platformReportLimit, now, log)
+	inst.controller.DisableDecisionLog()
+
 	names := platformmsg.NewReplicaNames()
-	list, err := discovery.NewWatcher(discovery.WatchConfig{Address: p.Discovery, Zones: p.Zones, Names: names, Known: p.Known,
-		Seed: p.Balancer.Seed, Log: log}, host)
-	if err != nil {
+	if err := inst.openDiscovery(names); err != nil {
 		return err
 	}
-	defer list.Close()
-	// Proxies speak each report period; three without a word, and the way of a message, are silence. A segment that is lost comes again
-	// after a second, and after two more (RFC 6298): no less than that, however short the period.
-	silence := (max(3*p.Balancer.ReportPeriod, 3*model.Second) + p.MaxDeliveryDelay).Duration()
-	// An answer that is three times as late is lost, not slow; and one more message a span is what the module leaves free.
-	server, err := listen(ctx, platform.Config{Listen: p.Listen, Zones: p.Zones, Operations: p.Operations, LoadFields: p.LoadFields,
-		Proxies: p.Balancer.ProxyCount, MessageOverhead: p.Balancer.MessageOverhead, Names: names, Now: now, Log: log, Limits: platform.Limits{
-			Connections: p.Sockets - ownDescriptors, Greeting: greeting, Unsent: unsentMost, Silence: silence,
-			AskAgain: max(3*silence, p.Balancer.MessageWindow.Duration())}}, host)
-	if err != nil || server == nil { // nil: ended while the address was waited for
+	defer inst.discovery.Close()
+	err := inst.listen(ctx, names, now)
+	if err != nil {
+		if errors.Is(err, ctx.Err()) { // ended while the address was waited for
+			return nil
+		}
 		return err
 	}
-	defer server.Close()
-	known := list.Endpoints()
-	log.Info().Str("governor", p.Name).Str("listen", server.Addr()).Int("known", len(known)).Int64("memory_mb", p.Memory>>20).Int("sockets", p.Sockets).Msg("serving")
-	go host.Run(server, list, known)
-	defer host.Stop()
-	if !p.Balancer.SubscriptionRequired {
-		list.Subscribe() // the module does not ask where the platform tells unasked; here nobody tells
+	defer inst.proxies.Close()
+	inst.startController()
+	defer inst.controller.Stop()
+	inst.operate(ctx)
+	return nil
+}
+
+// limitProcess has the Go runtime keep to the instance's limits. The memory limit counts the whole process; a third is
+// left for what the runtime's own limit does not count: the kernel's stacks, the program's text.
+func limitProcess(settings *config.Platform) {
+	debug.SetMemoryLimit(settings.Memory / 3 * 2)
+	debug.SetGCPercent(platformGCPercent)
+	runtime.GOMAXPROCS(min(runtime.NumCPU(), maxPlatformProcs))
+}
+
+// openDiscovery makes the watch of the endpoint list; it begins once it is subscribed.
+func (inst *platformInstance) openDiscovery(names *platformmsg.ReplicaNames) error {
+	watcher, err := discovery.NewWatcher(discovery.WatchConfig{
+		Address: inst.settings.Discovery,
+		Zones:   inst.settings.Zones,
+		Names:   names,
+		Known:   inst.settings.Known,
+		Seed:    inst.settings.Balancer.Seed,
+		Log:     inst.log,
+	}, inst.controller)
+	if err != nil {
+		return err
 	}
-	tell := time.NewTicker(tellEvery)
-	defer tell.Stop()
+	inst.discovery = watcher
+	return nil
+}
+
+// listen opens the address for proxies and collectors. It tries again while another process holds the address, until
+// listenTimeout has passed. Errors are those of the address, and that of a context which is done before.
+func (inst *platformInstance) listen(
+	ctx context.Context, names *platformmsg.ReplicaNames, now func() model.Microseconds,
+) error {
+	serverConfig := inst.serverConfig(names, now)
+	deadline := time.Now().Add(listenTimeout)
 	for {
+		proxies, err := platform.Listen(serverConfig, inst.controller)
+		if err == nil {
+			inst.proxies = proxies
+			return nil
+		}
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			return err
+		}
 		select {
-		case <-tell.C:
-			tellPlatform(log, host, server)
-		case <-out.Reload:
-			fresh, err := out.Read()
-			if err != nil {
-				log.Error().Err(err).Msg("reload: the file cannot be used; going on with what is in force")
-				continue
-			}
-			log.Info().Str("discovery", fresh.Discovery).Msg("reload")
-			list.SetAddress(fresh.Discovery)
+		case <-time.After(listenRetryInterval):
 		case <-ctx.Done():
-			log.Info().Msg("ending")
-			tellPlatform(log, host, server)
-			return nil
+			return ctx.Err()
 		}
 	}
 }
 
-// An address that an earlier process still holds is tried again each bindPause for up to bindMost: the platform restarts governors under
-// their addresses, and gives them 30 s to be ready.
-const (
-	bindPause = 20 * time.Millisecond
-	bindMost  = 20 * time.Second
-)
+// serverConfig returns the configuration of the server for proxies and collectors. Proxies speak in each report period;
+// three without a message, and the delay of one, are silence, but never less than a lost segment may take. An answer
+// that is three times as late is lost, not slow; one more message in each window is what the balancer leaves free.
+func (inst *platformInstance) serverConfig(
+	names *platformmsg.ReplicaNames, now func() model.Microseconds,
+) platform.Config {
+	settings := inst.settings
+	quietPeriod := max(3*settings.Balancer.ReportPeriod, retransmissionTimeout)
+	silence := (quietPeriod + settings.MaxDeliveryDelay).Duration()
+	return platform.Config{
+		Listen:          settings.Listen,
+		Zones:           settings.Zones,
+		Operations:      settings.Operations,
+		LoadFields:      settings.LoadFields,
+		Proxies:         settings.Balancer.ProxyCount,
+		MessageOverhead: settings.Balancer.MessageOverhead,
+		Names:           names,
+		Now:             now,
+		Log:             inst.log,
+		Limits: platform.Limits{
+			Connections: settings.Sockets - reservedDescriptors,
+			Greeting:    joinTimeout,
+			Unsent:      maxUnsentBytes,
+			Silence:     silence,
+			AskAgain:    max(3*silence, settings.Balancer.MessageWindow.Duration()),
+		},
+	}
+}
 
-func listen(ctx context.Context, line platform.Config, host *controller.Controller) (*platform.Server, error) {
-	for late := time.Now().Add(bindMost); ; {
-		server, err := platform.Listen(line, host)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(late) {
-			return server, err
-		}
+// startController starts the controller on the endpoint list that the platform handed over.
+func (inst *platformInstance) startController() {
+	known := inst.discovery.Endpoints()
+	inst.log.Info().
+		Str("instance", inst.settings.Name).
+		Str("listen", inst.proxies.Addr()).
+		Int("endpoints", len(known)).
+		Int64("memory_mb", inst.settings.Memory/mebibyte).
+		Int("sockets", inst.settings.Sockets).
+		Msg("serving")
+	go inst.controller.Run(inst.proxies, inst.discovery, known)
+	if !inst.settings.Balancer.SubscriptionRequired {
+		inst.discovery.Subscribe() // the balancer does not subscribe where it expects the list unasked
+	}
+}
+
+// operate does the periodic work and reloads until the context is done.
+func (inst *platformInstance) operate(ctx context.Context) {
+	statistics := time.NewTicker(platformStatisticsInterval)
+	defer statistics.Stop()
+	for {
 		select {
-		case <-time.After(bindPause):
+		case <-statistics.C:
+			logPlatformStatistics(inst.log, inst.controller, inst.proxies)
+		case <-inst.outside.Reload:
+			inst.reload()
 		case <-ctx.Done():
-			return nil, nil
+			inst.log.Info().Msg("shutdown begins")
+			logPlatformStatistics(inst.log, inst.controller, inst.proxies)
+			return
 		}
 	}
 }
 
-// intakeMost is no bound in service: the platform's collectors keep to their own, and the mailbox holds a sum for each zone and replica.
-const intakeMost = 100_000
-
-// tellEvery is how often the figures go to the log.
-const tellEvery = 5 * time.Second
-
-func tellPlatform(log zerolog.Logger, host *controller.Controller, server *platform.Server) {
-	st, v := server.Stats(), host.DetailedView()
-	if v == nil {
+// reload reads the configuration again and follows its discovery address; nothing else of it changes in operation.
+func (inst *platformInstance) reload() {
+	fresh, err := inst.outside.LoadConfig()
+	if err != nil {
+		inst.log.Error().Err(err).Msg("reload rejected: the file cannot be read; the settings in force stay")
 		return
 	}
-	e := log.Info().Interface("figures", st).Bool("gate_open", v.SafeModeEnded).Int("ready", v.ReadyReplicas).Uint64("steps", v.Steps).Int64("worst_step_us", int64(v.LongestStep))
-	if v.Detail != nil {
-		m := v.Detail.Balancer
-		e = e.Float64("stress", m.Saturation).Float64("pace", m.NormalizedLatency).Int("unacked", m.UnackedEntries).Floats64("shares", m.Quotas).Int("waits", len(m.UnreportedReplicas))
-	}
-	var mem runtime.MemStats
-	runtime.ReadMemStats(&mem)
-	e.Uint64("heap_mb", mem.HeapAlloc>>20).Uint64("sys_mb", mem.Sys>>20).Int("goroutines", runtime.NumGoroutine()).Msg("figures")
+	inst.log.Info().Str("discovery", fresh.Discovery).Msg("reloaded")
+	inst.discovery.SetAddress(fresh.Discovery)
 }
--- /dev/null
+++ b/internal/server/serve_test.go
@@ -0,0 +1,137 @@
+package server
+
+import (
+	"context"
+	"errors"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	bolt "go.etcd.io/bbolt"
+
+	"peppervale/internal/config"
+)
+
+// decisionsPage is the JSON of the console's page of decisions.
+type decisionsPage struct {
+	Causes []struct {
+		Life   uint64
+		Orders []string
+		Said   []string
+	}
+}
+
+// An instance is ended and started again: the next incarnation knows what the one before published, and still answers
+// why it did.
+func TestStateSurvivesRestart(t *testing.T) {
+	bed := newTestbed(t, 2)
+	bed.start()
+	bed.waitForLog("gate open")
+	var proxies []struct{ Table int }
+	bed.waitForPage("/forwarders?as=json", &proxies, func() bool {
+		return len(proxies) == 2 && proxies[0].Table == 0 && proxies[1].Table == 0
+	})
+	var decisions decisionsPage
+	const decisionsPath = "/orders?about=on+table&as=json"
+	bed.waitForPage(decisionsPath, &decisions, func() bool { return len(decisions.Causes) > 0 })
+	bed.end()
+
+	bed.start()
+	bed.waitForLog(`"incarnation":2,"endpoints":2`)
+	var previous struct {
+		Known      bool
+		Life       uint64
+		Forwarders map[string]int `json:"forwarders_by_table"`
+		Tables     []struct{ Lines []any }
+	}
+	bed.waitForPage("/before?as=json", &previous, func() bool { return previous.Known })
+	oneTable := len(previous.Tables) == 1 && len(previous.Tables[0].Lines) == 2
+	if previous.Life != 1 || previous.Forwarders["0"] != 2 || !oneTable {
+		t.Errorf("published by the previous incarnation: %+v", previous)
+	}
+	var found decisionsPage
+	bed.waitForPage(decisionsPath, &found, func() bool {
+		return len(found.Causes) > 0 && found.Causes[len(found.Causes)-1].Life == 1
+	})
+}
+
+// A second instance on the same state directory, and one on a directory of a later version, fail and touch nothing.
+func TestStateDirectoryIsRejected(t *testing.T) {
+	bed := newTestbed(t, 0)
+	bed.start()
+	bed.waitForLog(`"serving"`)
+	settings, err := config.LoadServer(filepath.Join(bed.directory, "governor.hcl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	log, _, err := NewLogger(io.Discard, "error")
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = Serve(context.Background(), settings, Outside{}, log)
+	if err == nil || !strings.Contains(err.Error(), "in use by another process; end that one") {
+		t.Fatalf("a second instance: %v", err)
+	}
+	bed.end()
+	writeLaterSchemaVersion(t, filepath.Join(settings.State, "state.db"))
+	err = Serve(context.Background(), settings, Outside{}, log)
+	if err == nil || !strings.Contains(err.Error(), "of a newer form") {
+		t.Fatalf("a later version's directory: %v", err)
+	}
+}
+
+// writeLaterSchemaVersion puts schema version 3 into a state file, with the checksum that the store puts before each
+// value.
+func writeLaterSchemaVersion(t *testing.T, path string) {
+	t.Helper()
+	db, err := bolt.Open(path, 0o644, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	value := []byte{0x9f, 0x78, 0x41, 0x7e, 0, 0, 0, 0, 0, 0, 0, 3}
+	err = db.Update(func(tx *bolt.Tx) error { return tx.Bucket([]byte("state")).Put([]byte("form"), value) })
+	if err := errors.Join(err, db.Close()); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The state is damaged while no instance runs: the next incarnation says so, counts on above the clock, and serves.
+func TestDamagedStateIsLogged(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.start()
+	bed.waitForLog("gate open")
+	bed.end()
+	if err := os.WriteFile(filepath.Join(bed.directory, "state", "state.db"), []byte("no store"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	bed.start()
+	bed.waitForLog("state store: damaged data is ignored")
+	bed.waitForLog("state store: the incarnation number is lost")
+	bed.waitForLog("gate open")
+}
+
+// An address that is in use is a ListenError, and everything that was open is closed again: the next instance starts on
+// the same state directory.
+func TestListenErrorReleasesTheStore(t *testing.T) {
+	bed := newTestbed(t, 0)
+	bed.start()
+	bed.waitForLog(`"serving"`)
+	path := bed.writeConfiguration(strings.Replace(bed.configuration(""), `"state"`, `"other-state"`, 1))
+	settings, err := config.LoadServer(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	log, _, err := NewLogger(io.Discard, "error")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range 2 { // a store that stayed open would be in use at the second
+		var listenError *ListenError
+		err := Serve(context.Background(), settings, Outside{}, log)
+		if !errors.As(err, &listenError) || listenError.Address != bed.listen {
+			t.Fatalf("got %v, want a ListenError of %s", err, bed.listen)
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/statistics.go
@@ -0,0 +1,74 @@
+package server
+
+import (
+	"runtime"
+
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/controller"
+	"peppervale/internal/platform"
+	"peppervale/internal/pubsub"
+)
+
+const (
+	statisticsMessage = "statistics"
+
+	mebibyte = 1 << 20 // bytes
+)
+
+// logStatistics logs the statistics of an instance, once its controller has taken a step.
+func logStatistics(log zerolog.Logger, source *controller.Controller, proxies *pubsub.Server) {
+	stats := proxies.Stats()
+	view := source.View()
+	if view == nil {
+		return
+	}
+	log.Info().
+		Int("proxies", stats.Forwarders).
+		Uint64("version", stats.Version).
+		Bool("safe_mode_ended", view.SafeModeEnded).
+		Int("ready_replicas", view.ReadyReplicas).
+		Int("max_queued_entries", stats.QueueMost).
+		Uint64("messages", stats.Messages).
+		Uint64("entries", stats.Lines).
+		Uint64("snapshot_fallbacks", stats.Folds).
+		Uint64("resyncs", stats.Resyncs).
+		Uint64("merged_reports", view.MergedReports).
+		Uint64("protocol_errors", stats.Faults).
+		Uint64("rate_limited_peers", stats.PutOff).
+		Int64("unsent_bytes", stats.Unsent).
+		Int64("longest_step_us", int64(view.LongestStep)).
+		Msg(statisticsMessage)
+}
+
+// logPlatformStatistics logs the statistics of an instance on the operators' platform, once its controller has taken a
+// step.
+func logPlatformStatistics(log zerolog.Logger, source *controller.Controller, proxies *platform.Server) {
+	stats := proxies.Stats()
+	view := source.DetailedView()
+	if view == nil {
+		return
+	}
+	event := log.Info().
+		Interface("server", stats).
+		Bool("safe_mode_ended", view.SafeModeEnded).
+		Int("ready_replicas", view.ReadyReplicas).
+		Uint64("steps", view.Steps).
+		Int64("longest_step_us", int64(view.LongestStep))
+	if view.Detail != nil {
+		balancer := view.Detail.Balancer
+		event = event.
+			Float64("saturation", balancer.Saturation).
+			Float64("normalized_latency", balancer.NormalizedLatency).
+			Int("unacked_entries", balancer.UnackedEntries).
+			Floats64("quotas", balancer.Quotas).
+			Int("unreported_replicas", len(balancer.UnreportedReplicas))
+	}
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	event.
+		Uint64("heap_mb", memory.HeapAlloc/mebibyte).
+		Uint64("sys_mb", memory.Sys/mebibyte).
+		Int("goroutines", runtime.NumGoroutine()).
+		Msg(statisticsMessage)
+}
