--- a/cmd/peppervale/golden_test.go
+++ b/cmd/peppervale/golden_test.go
@@ -4,8 +4,10 @@
 	"bytes"
 	"context"
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
+	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -16,11 +18,11 @@
 	"peppervale/internal/cli"
 )
 
-// callMost bounds a command that ought to refuse its file: one that took it would serve until then.
-const callMost = 20 * time.Second
+// commandTimeout bounds a command that ought to reject its file: one that accepted it would serve until then.
+const commandTimeout = 20 * time.Second
 
-// samePinned fails unless the text is that of the golden file.
-func samePinned(t *testing.T, name, got string) {
+// expectGolden fails the test unless a text is that of the golden file.
+func expectGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	want, err := os.ReadFile(path)
@@ -43,7 +45,7 @@
 	return "(nothing)"
 }
 
-// repositoryRoot is what outputs are made relative to.
+// repositoryRoot returns the directory that paths in outputs are relative to.
 func repositoryRoot(t *testing.T) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -53,20 +55,23 @@
 	return root
 }
 
-// transcript runs a command line and tells its exit status and output, with paths from the root of the repository.
+// transcript runs a command line and returns its exit status and output, with paths from the root of the repository.
 func transcript(t *testing.T, args ...string) string {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), callMost)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
-	var out, errs bytes.Buffer
-	status := run(ctx, args, &out, &errs)
-	text := fmt.Sprintf("$ peppervale %s\nstatus %d\n%s%s\n", strings.Join(args, " "), status, out.String(), errs.String())
+	var out, errOut bytes.Buffer
+	status := run(ctx, args, &out, &errOut)
+	text := fmt.Sprintf("$ peppervale %s\nstatus %d\n%s%s\n",
+		strings.Join(args, " "), status, out.String(), errOut.String())
 	root := repositoryRoot(t) + string(filepath.Separator)
 	return strings.ReplaceAll(strings.ReplaceAll(text, root, ""), "../../", "")
 }
 
-func files(t *testing.T, patterns ...string) (all []string) {
+// files returns the files that match the patterns, sorted for each pattern.
+func files(t *testing.T, patterns ...string) []string {
 	t.Helper()
+	var all []string
 	for _, pattern := range patterns {
 		found, err := filepath.Glob(pattern)
 		if err != nil || len(found) == 0 {
@@ -81,14 +86,15 @@
 // TestGoldenCheck checks every file that the repository offers.
 func TestGoldenCheck(t *testing.T) {
 	var text strings.Builder
-	offered := files(t, "../../scenarios/*.hcl", "../../scenarios/broken/*.hcl", "../../scenarios/lib/*.hcl", "../../examples/*.hcl")
+	offered := files(t, "../../scenarios/*.hcl", "../../scenarios/broken/*.hcl", "../../scenarios/lib/*.hcl",
+		"../../examples/*.hcl")
 	for _, file := range offered {
 		text.WriteString(transcript(t, "check", file))
 	}
-	samePinned(t, "check.txt", text.String())
+	expectGolden(t, "check.txt", text.String())
 }
 
-// faultyCommand is the command that reads a faulty file, by the first word of its name.
+// faultyCommand returns the command that reads a faulty file, by the first word of its name.
 func faultyCommand(file string) []string {
 	kind, _, _ := strings.Cut(filepath.Base(file), "-")
 	switch kind {
@@ -100,44 +106,50 @@
 	return []string{"stand", kind, "--config", file}
 }
 
-// TestGoldenFaults pins what is told of faulty files of each kind. The files "types" give every setting a value of a
-// wrong type; the files "unknown" give each block a setting that it does not have, and the answers list those it has.
+// TestGoldenFaults pins what is reported of faulty files of each kind. The files "types" give every setting a value of
+// a wrong type; the files "unknown" give each block a setting that it does not have, and the answers list those it
+// has.
 func TestGoldenFaults(t *testing.T) {
 	var text strings.Builder
 	for _, file := range files(t, "testdata/faulty/*") {
-		one := transcript(t, faultyCommand(file)...)
-		if !strings.Contains(one, "\nstatus 2\n") {
-			t.Errorf("it is taken:\n%s", one)
+		output := transcript(t, faultyCommand(file)...)
+		if !strings.Contains(output, "\nstatus 2\n") {
+			t.Errorf("a faulty file is accepted:\n%s", output)
 		}
-		text.WriteString(one)
+		text.WriteString(output)
 	}
-	samePinned(t, "faulty.txt", text.String())
+	expectGolden(t, "faulty.txt", text.String())
 }
 
-// parse gives what the command line makes of the words, and runs nothing.
+// parse parses a command line and runs nothing.
 func parse(t *testing.T, words ...string) (*kong.Context, error) {
 	t.Helper()
-	var line cli.Line
-	parser, err := kong.New(&line, kong.Name("peppervale"))
+	parser, err := kong.New(&cli.CommandLine{}, kong.Name("peppervale"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return parser.Parse(words)
 }
 
-// TestGoldenCommands parses every command with all its flags, as it was first published: a name that changes stays
-// as an alias.
-func TestGoldenCommands(t *testing.T) {
-	t.Setenv("LB_CONFIG", "")
-	text, err := os.ReadFile("testdata/commands.txt")
+// readCommands returns the command lines of a file in testdata.
+func readCommands(t *testing.T, name string) []string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	commands := strings.Split(strings.TrimSpace(string(text)), "\n")
 	if len(commands) < 2 {
-		t.Fatal("no commands")
+		t.Fatalf("no commands in %s", name)
 	}
-	for _, words := range commands {
+	return commands
+}
+
+// TestGoldenCommands parses every command with all its flags, as it was first published: a name that changes stays
+// as an alias.
+func TestGoldenCommands(t *testing.T) {
+	t.Setenv("LB_CONFIG", "")
+	for _, words := range readCommands(t, "commands.txt") {
 		if _, err := parse(t, strings.Fields(words)...); err != nil {
 			t.Errorf("%s: %v", words, err)
 		}
@@ -149,14 +161,61 @@
 	}
 }
 
+// formerWords are the words of commands that have new names; the former ones are aliases.
+var formerWords = map[string]string{
+	"serve":         "governor",
+	"cluster":       "group",
+	"remove-member": "strike",
+	"scenario":      "day",
+	"standin":       "stand",
+	"proxy":         "forwarder",
+	"benchmark":     "measure",
+}
+
+// TestRenamedCommands parses every renamed command with all its flags, by its new name and by its former one, which has
+// to be in commands.txt word for word: both are the same command with the same flags and values.
+func TestRenamedCommands(t *testing.T) {
+	published := readCommands(t, "commands.txt")
+	unused := maps.Clone(formerWords)
+	for _, line := range readCommands(t, "commands-renamed.txt") {
+		t.Run(line, func(t *testing.T) {
+			words := strings.Fields(line)
+			formerLine := slices.Clone(words)
+			for i, word := range words {
+				if former, ok := formerWords[word]; ok {
+					formerLine[i] = former
+					delete(unused, word)
+				}
+			}
+			if !slices.Contains(published, strings.Join(formerLine, " ")) {
+				t.Fatalf("%q is not in commands.txt", strings.Join(formerLine, " "))
+			}
+			renamed, err := parse(t, words...)
+			if err != nil {
+				t.Fatal(err)
+			}
+			former, err := parse(t, formerLine...)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if renamed.Command() != former.Command() {
+				t.Errorf("command %q, formerly %q", renamed.Command(), former.Command())
+			}
+			got, want := renamed.Selected().Target.Interface(), former.Selected().Target.Interface()
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("parsed %+v, formerly %+v", got, want)
+			}
+		})
+	}
+	if len(unused) > 0 {
+		t.Errorf("commands-renamed.txt has no line for %v", unused)
+	}
+}
+
 // TestGoldenFlags pins what the help model says of each flag of commands.txt, by its published name or an alias.
 func TestGoldenFlags(t *testing.T) {
-	commands, err := os.ReadFile("testdata/commands.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
 	var text strings.Builder
-	for line := range strings.Lines(string(commands)) {
+	for _, line := range readCommands(t, "commands.txt") {
 		words := strings.Fields(line)
 		parsed, err := parse(t, words...)
 		if err != nil {
@@ -168,16 +227,16 @@
 			}
 		}
 	}
-	samePinned(t, "flags.txt", text.String())
+	expectGolden(t, "flags.txt", text.String())
 }
 
-// published gives the words of a command line before its first flag.
+// published returns the words of a command line before its first flag.
 func published(words []string) string {
 	end := slices.IndexFunc(words, func(word string) bool { return strings.HasPrefix(word, "-") })
 	return strings.Join(words[:end], " ")
 }
 
-// flagFacts tells a flag's default value and what else it takes.
+// flagFacts returns a flag's default value and what else it takes.
 func flagFacts(t *testing.T, parsed *kong.Context, name string) string {
 	t.Helper()
 	for _, flag := range parsed.Flags() {
@@ -198,7 +257,7 @@
 // TestPlatformFileFromTheEnvironment pins the variable by which the platform names its file.
 func TestPlatformFileFromTheEnvironment(t *testing.T) {
 	t.Setenv("LB_CONFIG", "testdata/faulty/platform-seed.json")
-	if one := transcript(t, "platform"); !strings.Contains(one, "platform-seed.json: seed: ") {
-		t.Error(one)
+	if output := transcript(t, "platform"); !strings.Contains(output, "platform-seed.json: seed: ") {
+		t.Error(output)
 	}
 }
--- a/cmd/peppervale/main.go
+++ b/cmd/peppervale/main.go
@@ -1,5 +1,5 @@
-// Command peppervale runs a governor, checks files, and plays scripted days. It reads its command line and calls one
-// room; docs/running.md is its page.
+// Command peppervale runs an instance of the control plane, checks files, and runs scripted scenarios. It parses its
+// command line and calls package cli; docs/running.md is its page.
 package main
 
 import (
@@ -16,36 +16,67 @@
 	"peppervale/internal/cli"
 )
 
+// Exit statuses.
+const (
+	statusSuccess      = 0
+	statusFailed       = 1 // it ran, and failed or violated an invariant
+	statusInvalidInput = 2 // a command line or a file that cannot be used
+)
+
 func main() {
+	os.Exit(runProcess())
+}
+
+// runProcess runs the process's command line until it ends or a signal comes, and returns the exit status.
+func runProcess() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
+	return run(ctx, os.Args[1:], os.Stdout, os.Stderr)
 }
 
-// run gives the exit status: 0 done; 1 it ran, and a rule broke or it failed on the way; 2 input that cannot be used.
-func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	var line cli.Line
-	parser, err := kong.New(&line, kong.Name("peppervale"), kong.Writers(out, errs), kong.UsageOnError(),
-		kong.Description("Publishes weights to plain proxies."), kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)))
+// run runs a command line and returns the exit status.
+func run(ctx context.Context, args []string, out, errOut io.Writer) int {
+	parser, err := newParser(ctx, out, errOut)
 	if err != nil {
-		fmt.Fprintln(errs, "peppervale:", err)
-		return 2
+		printError(errOut, err)
+		return statusInvalidInput
 	}
 	parsed, err := parser.Parse(args)
-	if err == nil {
-		err = parsed.Run()
+	if err != nil {
+		err = cli.NewInputError(fmt.Errorf("%w; try peppervale --help", err))
 	} else {
-		err = fmt.Errorf("%w: %w; try peppervale --help", cli.ErrInput, err)
+		err = parsed.Run()
+	}
+	if err != nil && !errors.Is(err, cli.ErrInvariantViolated) { // its report has been written
+		printError(errOut, err)
 	}
+	return exitStatus(err)
+}
+
+func newParser(ctx context.Context, out, errOut io.Writer) (*kong.Kong, error) {
+	return kong.New(
+		&cli.CommandLine{},
+		kong.Name("peppervale"),
+		kong.Description("Publishes weights to plain proxies."),
+		kong.Writers(out, errOut),
+		kong.UsageOnError(),
+		kong.BindTo(ctx, (*context.Context)(nil)),
+		kong.BindTo(out, (*io.Writer)(nil)),
+	)
+}
+
+func exitStatus(err error) int {
+	var inputError *cli.InputError
 	switch {
 	case err == nil:
-		return 0
-	case errors.Is(err, cli.ErrBroken):
-	default:
-		fmt.Fprintln(errs, "peppervale:", err)
+		return statusSuccess
+	case errors.As(err, &inputError):
+		return statusInvalidInput
 	}
-	if errors.Is(err, cli.ErrInput) {
-		return 2
-	}
-	return 1
+	return statusFailed
+}
+
+// printError writes an error. The exit status tells it too if nobody reads that.
+func printError(errOut io.Writer, err error) {
+	_, _ = fmt.Fprintln(errOut, "peppervale:", err)
 }
--- a/cmd/peppervale/main_test.go
+++ b/cmd/peppervale/main_test.go
@@ -10,142 +10,180 @@
 	"strings"
 	"testing"
 	"time"
+
+	"peppervale/internal/testaddr"
 )
 
-// call runs a command line to its end.
-func call(args ...string) (status int, out, errs string) {
-	var o, e bytes.Buffer
-	status = run(context.Background(), args, &o, &e)
-	return status, o.String(), e.String()
+const (
+	outputTimeout = 30 * time.Second
+
+	exampleListen  = "127.0.0.1:7700" // addresses and the state directory in the examples' files
+	exampleConsole = "127.0.0.1:7780"
+	exampleList    = "127.0.0.1:7500"
+	exampleReplica = "127.0.0.1:7601"
+	exampleState   = "/tmp/peppervale-govan-1"
+)
+
+// runToEnd runs a command line until it ends by itself.
+func runToEnd(args ...string) (status int, out, errOut string) {
+	var outBuffer, errBuffer bytes.Buffer
+	status = run(context.Background(), args, &outBuffer, &errBuffer)
+	return status, outBuffer.String(), errBuffer.String()
+}
+
+// closeAtEnd closes what a test opened when it ends.
+func closeAtEnd(t *testing.T, closer io.Closer) {
+	t.Helper()
+	t.Cleanup(func() {
+		if err := closer.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// listenUntilEnd listens on a free port until the test ends.
+func listenUntilEnd(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, listener)
+	return listener
 }
 
 func TestExitStatus(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.hcl")
-	if err := os.WriteFile(bad, []byte("governor \"a\" {\n  listen = 5\n}\n"), 0o644); err != nil {
+	faulty := filepath.Join(t.TempDir(), "bad.hcl")
+	if err := os.WriteFile(faulty, []byte("governor \"a\" {\n  listen = 5\n}\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]struct {
-		args   []string
-		status int
-		says   string
+	const wrongType = "bad.hcl:2:12: listen: a text in quotes is wanted"
+	scenarios := "../../scenarios"
+	tests := []struct {
+		name       string
+		args       []string
+		wantStatus int
+		wantOutput string
 	}{
-		"a version":                {[]string{"version"}, 0, "peppervale 0."},
-		"a good governor":          {[]string{"check", "../../examples/governor.hcl"}, 0, "a governor's file, no fault"},
-		"a good day":               {[]string{"check", "../../scenarios/hall-lost.hcl"}, 0, "a day, no fault"},
-		"the days":                 {[]string{"day", "list", "../../scenarios"}, 0, "hall-lost.hcl"},
-		"a bad file":               {[]string{"check", bad}, 2, "bad.hcl:2:12: listen: a text in quotes is wanted"},
-		"a bad file to run":        {[]string{"governor", "--config", bad}, 2, "bad.hcl:2:12"},
-		"a file that is not there": {[]string{"check", "nowhere.hcl"}, 2, "nowhere.hcl"},
-		"a command that is none":   {[]string{"frobnicate"}, 2, "try peppervale --help"},
-		"a folder without days":    {[]string{"day", "list", t.TempDir()}, 2, "no day scripts"},
-		"a stand-in's bad file":    {[]string{"stand", "replica", "--config", bad}, 2, "bad.hcl"},
-		"no bench day":             {[]string{"day", "from-bench", bad, "-o", bad + ".out"}, 2, "bench day"},
-		"sizes that are none":      {[]string{"measure", "channel", "--forwarders", "0"}, 2, "are wanted"},
-	} {
-		t.Run(name, func(t *testing.T) {
-			status, out, errs := call(c.args...)
-			if status != c.status || !strings.Contains(out+errs, c.says) {
-				t.Fatalf("status %d, %s%s", status, out, errs)
+		{"version", []string{"version"}, 0, "peppervale 0."},
+		{"sound instance", []string{"check", "../../examples/governor.hcl"}, 0, "a governor's file, no fault"},
+		{"sound scenario", []string{"check", scenarios + "/hall-lost.hcl"}, 0, "a day, no fault"},
+		{"list of scenarios", []string{"scenario", "list", scenarios}, 0, "hall-lost.hcl"},
+		{"list of scenarios, former name", []string{"day", "list", scenarios}, 0, "hall-lost.hcl"},
+		{"faulty file", []string{"check", faulty}, 2, wrongType},
+		{"faulty file to serve", []string{"serve", "--config", faulty}, 2, "bad.hcl:2:12"},
+		{"faulty file to serve, former name", []string{"governor", "--config", faulty}, 2, "bad.hcl:2:12"},
+		{"missing file", []string{"check", "nowhere.hcl"}, 2, "nowhere.hcl"},
+		{"unknown command", []string{"frobnicate"}, 2, "try peppervale --help"},
+		{"directory without scenarios", []string{"day", "list", t.TempDir()}, 2, "no day scripts"},
+		{"faulty file of a stand-in", []string{"stand", "replica", "--config", faulty}, 2, "bad.hcl"},
+		{"no scenario of the bench", []string{"day", "from-bench", faulty, "-o", faulty + ".out"}, 2, "bench day"},
+		{"sizes out of range", []string{"measure", "channel", "--forwarders", "0"}, 2, "are wanted"},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			status, out, errOut := runToEnd(tt.args...)
+			if status != tt.wantStatus || !strings.Contains(out+errOut, tt.wantOutput) {
+				t.Fatalf("status %d, %s%s", status, out, errOut)
 			}
 		})
 	}
 }
 
-// A port that is in use is told in one line, with status 1.
-func TestAPortInUse(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	file := moved(t, "governor.hcl", map[string]string{"127.0.0.1:7700": l.Addr().String(), "/tmp/peppervale-govan-1": t.TempDir()})
-	status, _, errs := call("governor", "--config", file)
-	if status != 1 || !strings.Contains(errs, "address already in use; another process may have the address") {
-		t.Fatalf("status %d, %s", status, errs)
+// An address that is in use is reported in one line, with status 1.
+func TestAddressInUse(t *testing.T) {
+	listener := listenUntilEnd(t)
+	file := writeExample(t, "governor.hcl", map[string]string{
+		exampleListen: listener.Addr().String(),
+		exampleState:  t.TempDir(),
+	})
+	status, _, errOut := runToEnd("governor", "--config", file)
+	if status != 1 || !strings.Contains(errOut, "address already in use; another process may have the address") {
+		t.Fatalf("status %d, %s", status, errOut)
 	}
 }
 
-// moved is an example's file with other addresses.
-func moved(t *testing.T, name string, change map[string]string) string {
+// writeExample writes an example's file with other addresses, and returns its path.
+func writeExample(t *testing.T, name string, replacements map[string]string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("../../examples", name))
+	content, err := os.ReadFile(filepath.Join("../../examples", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for from, to := range change {
-		text = []byte(strings.ReplaceAll(string(text), from, to))
+	text := string(content)
+	for from, to := range replacements {
+		text = strings.ReplaceAll(text, from, to)
 	}
 	path := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(path, text, 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// lines is an output that can be waited for.
-type lines struct {
-	t    *testing.T
-	came chan string
+// outputLines is an output that a test can wait on.
+type outputLines struct {
+	t       *testing.T
+	written chan string
 }
 
-func (l *lines) Write(b []byte) (int, error) {
-	l.came <- string(b)
-	return len(b), nil
+// Write implements io.Writer.
+func (l *outputLines) Write(text []byte) (int, error) {
+	l.written <- string(text)
+	return len(text), nil
 }
 
-func (l *lines) wait(what string) {
+// waitFor waits until a text is written.
+func (l *outputLines) waitFor(text string) {
 	l.t.Helper()
-	late := time.After(30 * time.Second)
+	timeout := time.After(outputTimeout)
 	for {
 		select {
-		case line := <-l.came:
-			if strings.Contains(line, what) {
+		case line := <-l.written:
+			if strings.Contains(line, text) {
 				return
 			}
-		case <-late:
-			l.t.Fatalf("%q never comes", what)
+		case <-timeout:
+			l.t.Fatalf("%q is not written", text)
 		}
 	}
 }
 
-// The examples, as a new user would try them: each process of the four by its command; a forwarder ends up bound and
+// The examples, as a new user would try them: each of the four processes by its command; a proxy ends up bound and
 // served; ending them leaves no socket.
-func TestTheExamples(t *testing.T) {
+func TestExamples(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes seconds of sockets")
 	}
-	var free []string
-	for range 4 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		free = append(free, l.Addr().String())
-		defer l.Close()
-		l.Close()
+	replacements := map[string]string{exampleState: t.TempDir()}
+	var addresses []string
+	for _, example := range []string{exampleListen, exampleConsole, exampleList, exampleReplica} {
+		address := testaddr.Address(t)
+		replacements[example] = address
+		addresses = append(addresses, address)
 	}
-	change := map[string]string{"127.0.0.1:7700": free[0], "127.0.0.1:7780": free[1], "127.0.0.1:7500": free[2], "127.0.0.1:7601": free[3],
-		"/tmp/peppervale-govan-1": t.TempDir()}
 	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	ended := make(chan int, 4)
-	begin := func(args []string, file string) *lines {
-		l := &lines{t, make(chan string, 10_000)}
-		go func() { ended <- run(ctx, append(args, "--config", moved(t, file, change)), l, io.Discard) }()
-		return l
+	start := func(file string, command ...string) *outputLines {
+		output := &outputLines{t, make(chan string, 10_000)}
+		args := append(command, "--config", writeExample(t, file, replacements))
+		go func() { ended <- run(ctx, args, output, io.Discard) }()
+		return output
 	}
-	begin([]string{"stand", "registry"}, "registry.hcl").wait("lists 1 of recipe")
-	begin([]string{"stand", "replica"}, "replica.hcl").wait("serves")
-	begin([]string{"governor"}, "governor.hcl").wait("serving")
-	begin([]string{"stand", "forwarder"}, "forwarder.hcl").wait("bound true")
+	start("registry.hcl", "standin", "registry").waitFor("lists 1 of recipe")
+	start("replica.hcl", "standin", "replica").waitFor("serves")
+	start("governor.hcl", "serve").waitFor("serving")
+	start("forwarder.hcl", "standin", "proxy").waitFor("bound true")
 	cancel()
 	for range 4 {
 		if status := <-ended; status != 0 {
 			t.Errorf("one ended with status %d", status)
 		}
 	}
-	for _, address := range free {
-		if c, err := net.Dial("tcp", address); err == nil {
-			c.Close()
+	for _, address := range addresses {
+		if conn, err := net.Dial("tcp", address); err == nil {
+			closeAtEnd(t, conn)
 			t.Errorf("%s is still listened on", address)
 		}
 	}
--- /dev/null
+++ b/cmd/peppervale/platform_process_test.go
@@ -0,0 +1,192 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"peppervale/internal/testaddr"
+)
+
+const (
+	// programVariable has the test program run as the program itself.
+	programVariable = "PEPPERVALE_TEST_PROGRAM"
+
+	processTimeout = 20 * time.Second
+
+	// maxShutdown is how soon the platform kills a process after SIGTERM.
+	maxShutdown = 700 * time.Millisecond
+)
+
+// TestMain runs the program itself where a test has started it so.
+func TestMain(m *testing.M) {
+	if os.Getenv(programVariable) != "" {
+		main()
+	}
+	os.Exit(m.Run())
+}
+
+// programCommand returns the command `peppervale platform` on a file.
+func programCommand(file string) *exec.Cmd {
+	command := exec.Command(os.Args[0], "platform")
+	command.Env = append(os.Environ(), programVariable+"=1", "LB_CONFIG="+file)
+	return command
+}
+
+// platformProcess is `peppervale platform` as a process of its own.
+type platformProcess struct {
+	t       *testing.T
+	command *exec.Cmd
+	address string
+	file    string
+	ended   chan struct{}
+}
+
+// startAnywhere starts a process on a free address, with a discovery address where nothing listens.
+func startAnywhere(t *testing.T) *platformProcess {
+	t.Helper()
+	return startPlatform(t, testaddr.Address(t), testaddr.Address(t))
+}
+
+// startPlatform writes a file and starts a process on it.
+func startPlatform(t *testing.T, address, discovery string) *platformProcess {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(file, []byte(platformFile(address, discovery)), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	return startOnFile(t, address, file)
+}
+
+// startOnFile starts a process on a file. It is killed when the test ends, if it still runs.
+func startOnFile(t *testing.T, address, file string) *platformProcess {
+	t.Helper()
+	process := &platformProcess{
+		t:       t,
+		command: programCommand(file),
+		address: address,
+		file:    file,
+		ended:   make(chan struct{}),
+	}
+	if err := process.command.Start(); err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		_ = process.command.Wait() // the state tells the exit status
+		close(process.ended)
+	}()
+	t.Cleanup(func() {
+		_ = process.command.Process.Kill() // it may have ended
+		<-process.ended
+	})
+	return process
+}
+
+// platformFile returns the platform's file of an instance.
+func platformFile(address, discovery string) string {
+	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+"limits":{"cores":1.0,"memory_mb":64,"sockets":256},"settings":{"zones":["govan"],"membership_mode":"subscribe",
+"classes":[{"name":"read","on_time":500,"credit":1}],"extra":{"admission":"ratio","default_size":6,"overhead":6,
+"pending_max":2000,"period":1000,"proxies":8,"push_delay_max":300}}}`, address, discovery)
+}
+
+// waitUntilReady waits for the answer to a ping.
+func (p *platformProcess) waitUntilReady() {
+	p.t.Helper()
+	for deadline := time.Now().Add(processTimeout); !p.answersPing(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			p.t.Fatal("the process does not answer a ping")
+		}
+	}
+}
+
+// answersPing reports whether the process answers a ping.
+func (p *platformProcess) answersPing() bool {
+	conn, err := net.Dial("tcp", p.address)
+	if err != nil {
+		return false
+	}
+	_, _ = conn.Write([]byte("*1\r\n$4\r\nping\r\n")) // the answer shows whether it was written
+	if err := conn.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
+		p.t.Error(err)
+	}
+	line, _ := bufio.NewReader(conn).ReadString('\n')
+	if err := conn.Close(); err != nil {
+		p.t.Error(err)
+	}
+	return line == "*1\r\n"
+}
+
+// waitUntilListening waits until the process tries its address: it catches its signals by then, and discovery's client
+// has a poller beside the runtime's own.
+func (p *platformProcess) waitUntilListening() {
+	p.t.Helper()
+	for deadline := time.Now().Add(processTimeout); p.pollers() < 2; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			p.t.Fatal("the process does not try its address")
+		}
+	}
+}
+
+// pollers counts the process's epoll descriptors.
+func (p *platformProcess) pollers() int {
+	directory := fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid)
+	descriptors, _ := os.ReadDir(directory) // none before the process runs
+	count := 0
+	for _, descriptor := range descriptors {
+		target, _ := os.Readlink(filepath.Join(directory, descriptor.Name())) // it may have been closed meanwhile
+		if strings.Contains(target, "eventpoll") {
+			count++
+		}
+	}
+	return count
+}
+
+// signal sends a signal to the process.
+func (p *platformProcess) signal(signal syscall.Signal) {
+	p.t.Helper()
+	if err := p.command.Process.Signal(signal); err != nil {
+		p.t.Error(err)
+	}
+}
+
+// terminate ends the process by SIGTERM, and checks that it ends in time with status 0.
+func (p *platformProcess) terminate() {
+	p.t.Helper()
+	signalled := time.Now()
+	p.signal(syscall.SIGTERM)
+	p.expectEnd(signalled)
+}
+
+// expectEnd checks that the process ends with status 0, within maxShutdown after it was signalled.
+func (p *platformProcess) expectEnd(signalled time.Time) {
+	p.t.Helper()
+	select {
+	case <-p.ended:
+	case <-time.After(processTimeout):
+		p.t.Fatal("the process does not end")
+	}
+	if status := p.command.ProcessState.ExitCode(); status != 0 {
+		p.t.Errorf("status %d", status)
+	}
+	if took := time.Since(signalled); took > maxShutdown {
+		p.t.Errorf("the process took %s to end", took)
+	}
+}
+
+// openForWriting opens a named pipe; it returns once the process reads.
+func openForWriting(t *testing.T, pipe string) {
+	t.Helper()
+	writer, err := os.OpenFile(pipe, os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, writer)
+}
--- /dev/null
+++ b/internal/cli/benchmark_channel.go
@@ -0,0 +1,38 @@
+package cli
+
+import (
+	"io"
+
+	"peppervale/internal/benchmark"
+)
+
+// BenchmarkChannel is peppervale benchmark channel.
+type BenchmarkChannel struct {
+	Proxies []int `name:"forwarders" help:"Numbers of proxies." default:"40,400,2000"`
+	Entries int   `name:"lines" help:"Entries changed in a round." default:"20"`
+	Rounds  int   `help:"Rounds." default:"50"`
+}
+
+// Run runs the benchmark for each number of proxies.
+func (c *BenchmarkChannel) Run(out io.Writer) error {
+	var results []*benchmark.ChannelFigures
+	for _, proxies := range c.Proxies {
+		if !c.areUsable(proxies) {
+			return inputErrorf("1 to 10000 forwarders and lines, and a round, are wanted")
+		}
+		result, err := benchmark.Channel(proxies, c.Entries, c.Rounds)
+		if err != nil {
+			return err
+		}
+		results = append(results, result)
+	}
+	benchmark.Print(out, results)
+	return nil
+}
+
+// areUsable reports whether the sizes are within their limits.
+func (c *BenchmarkChannel) areUsable(proxies int) bool {
+	return proxies >= 1 && proxies <= maxBenchmarkProxies &&
+		c.Entries >= 1 && c.Entries <= maxBenchmarkProxies &&
+		c.Rounds >= 1
+}
--- /dev/null
+++ b/internal/cli/benchmark_restart.go
@@ -0,0 +1,40 @@
+package cli
+
+import (
+	"context"
+	"io"
+
+	"peppervale/internal/benchmark"
+)
+
+// BenchmarkRestart is peppervale benchmark restart.
+type BenchmarkRestart struct {
+	Proxies int `name:"forwarders" help:"Number of proxies." default:"400"`
+	Rounds  int `help:"Restarts of each way." default:"5"`
+}
+
+// Run runs the benchmark for each way of restarting.
+func (c *BenchmarkRestart) Run(ctx context.Context, out io.Writer) error {
+	if !c.isUsable() {
+		return inputErrorf("1 to 5000 forwarders and 1 to 1000 restarts are wanted")
+	}
+	program, err := childProgram()
+	if err != nil {
+		return err
+	}
+	var results []*benchmark.RestartFigures
+	for _, way := range benchmark.RestartWays {
+		result, err := benchmark.Restart(ctx, program, way, c.Proxies, c.Rounds)
+		if err != nil {
+			return err
+		}
+		results = append(results, result)
+	}
+	benchmark.PrintRestarts(out, results)
+	return nil
+}
+
+// isUsable reports whether the sizes are within their limits.
+func (c *BenchmarkRestart) isUsable() bool {
+	return c.Proxies >= 1 && c.Proxies <= maxRestartProxies && c.Rounds >= 1 && c.Rounds <= maxRounds
+}
--- /dev/null
+++ b/internal/cli/benchmark_takeover.go
@@ -0,0 +1,60 @@
+package cli
+
+import (
+	"context"
+	"io"
+	"os"
+	"time"
+
+	"peppervale/internal/benchmark"
+	"peppervale/internal/model"
+)
+
+// BenchmarkTakeover is peppervale benchmark takeover.
+type BenchmarkTakeover struct {
+	Proxies       int           `name:"forwarders" help:"Number of proxies." default:"400"`
+	Rounds        int           `help:"Kills." default:"20"`
+	LeaseDuration time.Duration `name:"span" help:"Of a lease." default:"2s"`
+	Seed          uint64        `help:"Of the moments and of who is killed." default:"1"`
+	Only          string        `help:"In a cluster, without one, or both." enum:"shared,alone,both" default:"both"`
+}
+
+// Run runs the benchmark, with a cluster and without one.
+func (c *BenchmarkTakeover) Run(ctx context.Context, out io.Writer) error {
+	if !c.isUsable() {
+		return inputErrorf("3 to 5000 forwarders, 1 to 1000 kills and a lease of 300ms to 1m are wanted")
+	}
+	program, err := childProgram()
+	if err != nil {
+		return err
+	}
+	lease := model.Microseconds(c.LeaseDuration / time.Microsecond)
+	var results []*benchmark.TakeoverFigures
+	for _, inCluster := range c.variants() {
+		result, err := benchmark.Takeover(ctx, program, c.Proxies, c.Rounds, lease, inCluster, c.Seed, os.Stderr)
+		if err != nil {
+			return err
+		}
+		results = append(results, result)
+	}
+	benchmark.PrintTakeovers(out, results)
+	return nil
+}
+
+// variants returns whether the instances are in a cluster, for each run.
+func (c *BenchmarkTakeover) variants() []bool {
+	switch c.Only {
+	case "shared":
+		return []bool{true}
+	case "alone":
+		return []bool{false}
+	}
+	return []bool{true, false}
+}
+
+// isUsable reports whether the sizes are within their limits.
+func (c *BenchmarkTakeover) isUsable() bool {
+	return c.Proxies >= 3 && c.Proxies <= maxRestartProxies &&
+		c.Rounds >= 1 && c.Rounds <= maxRounds &&
+		c.LeaseDuration >= minLeaseDuration && c.LeaseDuration <= maxLeaseDuration
+}
--- /dev/null
+++ b/internal/cli/cluster_drain.go
@@ -0,0 +1,25 @@
+package cli
+
+import (
+	"io"
+)
+
+// ClusterDrainMember is peppervale cluster drain-member.
+type ClusterDrainMember struct {
+	member
+	Name string `arg:"" help:"The member's name."`
+	Off  bool   `help:"Let it take shards again."`
+}
+
+// Run requests it and returns before it is done.
+func (c *ClusterDrainMember) Run(out io.Writer) error {
+	state, message := "on", "%s gives its parts away, one at a time; status shows when it has none\n"
+	if c.Off {
+		state, message = "off", "%s may take parts again\n"
+	}
+	if _, err := c.request("LEAVE", c.Name, state); err != nil {
+		return err
+	}
+	printf(out, message, c.Name)
+	return nil
+}
--- /dev/null
+++ b/internal/cli/cluster_remove.go
@@ -0,0 +1,20 @@
+package cli
+
+import (
+	"io"
+)
+
+// ClusterRemoveMember is peppervale cluster remove-member.
+type ClusterRemoveMember struct {
+	member
+	Name string `arg:"" help:"The member's name."`
+}
+
+// Run removes the member.
+func (c *ClusterRemoveMember) Run(out io.Writer) error {
+	if _, err := c.request("STRIKE", c.Name); err != nil {
+		return err
+	}
+	printf(out, "%s is struck off\n", c.Name)
+	return nil
+}
--- /dev/null
+++ b/internal/cli/console.go
@@ -0,0 +1,50 @@
+package cli
+
+import (
+	"context"
+	"io"
+	"net/url"
+	"strings"
+
+	"peppervale/internal/console/comparison"
+	"peppervale/internal/controller"
+)
+
+// maxConsoles is how many instances are shown side by side at most.
+const maxConsoles = 64
+
+// Console is peppervale console.
+type Console struct {
+	Instances []string `name:"governors" help:"Addresses of the instances' consoles, host:port or URL." required:""`
+	Listen    string   `help:"Where to serve." default:"127.0.0.1:7790"`
+}
+
+// Run serves the pages until the context is done.
+func (c *Console) Run(ctx context.Context, out io.Writer) error {
+	if len(c.Instances) > maxConsoles {
+		return inputErrorf("%d governors; %d are shown at most", len(c.Instances), maxConsoles)
+	}
+	for _, address := range c.Instances {
+		if !isConsoleAddress(address) {
+			return inputErrorf("--governors: %q is no host:port and no URL, as 127.0.0.1:7780 or http://127.0.0.1:7780",
+				address)
+		}
+	}
+	pages, err := comparison.Listen(c.Listen, c.Instances, controller.Clock())
+	if err != nil {
+		return err
+	}
+	defer pages.Close()
+	printf(out, "console of %d governors: http://%s\n", len(c.Instances), pages.Addr())
+	<-ctx.Done()
+	return nil
+}
+
+// isConsoleAddress reports whether a text looks like host:port or a URL with a host.
+func isConsoleAddress(text string) bool {
+	if !strings.Contains(text, "://") {
+		return strings.Contains(text, ":")
+	}
+	parsed, err := url.Parse(text)
+	return err == nil && parsed.Host != ""
+}
--- /dev/null
+++ b/internal/cli/errors_test.go
@@ -0,0 +1,29 @@
+package cli
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestInputError(t *testing.T) {
+	cause := errors.New("cause")
+	tests := []struct {
+		name string
+		err  *InputError
+		want string
+	}{
+		{"of one line", NewInputError(cause), "input: cause"},
+		{"with a text", inputErrorf("a.hcl: %w", cause), "input: a.hcl: cause"},
+		{"of a file", fileError(cause), "input:\ncause"},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			if got := tt.err.Error(); got != tt.want {
+				t.Errorf("got %q, want %q", got, tt.want)
+			}
+			if !errors.Is(tt.err, cause) {
+				t.Errorf("%v does not wrap its cause", tt.err)
+			}
+		})
+	}
+}
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"os"
 	"time"
@@ -13,42 +12,49 @@
 	"peppervale/internal/server"
 )
 
+// shutdownTimeout is how long the end may take, from whatever state: the platform kills no sooner than 0.7 s after
+// SIGTERM, and what is left undone then concerns nobody, as proxies have gone elsewhere on that signal.
+const shutdownTimeout = 300 * time.Millisecond
+
 // Platform is peppervale platform.
 type Platform struct {
 	Config string `help:"The platform's file, JSON." env:"LB_CONFIG" required:""`
-	Log    string `help:"Least level of the log." default:"info" enum:"debug,info,warn,error"`
+	Log    string `help:"Minimum level of the log." default:"info" enum:"debug,info,warn,error"`
 }
 
-// endingMost is how long the end may take, from whatever state: the platform kills no sooner than 0.7 s after SIGTERM, and what is left
-// undone then concerns nobody, as proxies have gone elsewhere on that signal.
-const endingMost = 300 * time.Millisecond
-
-// Run is the command. Once its context has ended it returns, or ends the process with status 0, within endingMost.
+// Run runs an instance on the operators' platform until the context is done. Then it returns, or ends the process with
+// status 0, within shutdownTimeout.
 func (c *Platform) Run(ctx context.Context, out io.Writer) error {
-	reload := reloads(ctx) // before anything else: one that comes early must not end the process
-	done := make(chan struct{})
-	defer close(done)
-	go func() {
-		select {
-		case <-done:
-			return
-		case <-ctx.Done():
-		}
-		select {
-		case <-done:
-		case <-time.After(endingMost):
-			os.Exit(0)
-		}
-	}()
-	p, err := config.LoadPlatform(c.Config)
+	reload := reloadRequests(ctx) // before anything else: a signal that comes early must not end the process
+	finished := make(chan struct{})
+	defer close(finished)
+	go exitAfterTimeout(ctx, finished)
+	settings, err := config.LoadPlatform(c.Config)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrInput, err)
+		return NewInputError(err)
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log, _, err := server.NewLogger(out, c.Log)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrInput, err)
+		return NewInputError(err)
+	}
+	return server.ServePlatform(ctx, settings, server.PlatformOutside{
+		Reload:     reload,
+		LoadConfig: func() (*config.Platform, error) { return config.LoadPlatform(c.Config) },
+	}, log)
+}
+
+// exitAfterTimeout ends the process with status 0, unless the command finishes within shutdownTimeout after its context
+// is done.
+func exitAfterTimeout(ctx context.Context, finished <-chan struct{}) {
+	select {
+	case <-finished:
+		return
+	case <-ctx.Done():
+	}
+	select {
+	case <-finished:
+	case <-time.After(shutdownTimeout):
+		os.Exit(0)
 	}
-	return server.ServePlatform(ctx, p, server.PlatformOutside{Reload: reload,
-		LoadConfig: func() (*config.Platform, error) { return config.LoadPlatform(c.Config) }}, log)
 }
--- /dev/null
+++ b/internal/cli/standin.go
@@ -0,0 +1,65 @@
+package cli
+
+import (
+	"context"
+	"time"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/config"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+)
+
+const (
+	// maxStandInDuration is the longest time that a stand-in's file may set.
+	maxStandInDuration = 3600 * model.Second
+
+	standInStatisticsInterval = 5 * time.Second
+)
+
+// StandIn is peppervale standin: one stand-in, to try an instance by hand.
+type StandIn struct {
+	Replica  StandInReplica  `cmd:"" help:"Serve requests as a replica would."`
+	Proxy    StandInProxy    `cmd:"" aliases:"forwarder" help:"Connect to an instance and send requests by its tables."`
+	Registry StandInRegistry `cmd:"" help:"Serve an endpoint list; the file is read again each second."`
+}
+
+// ignoreObservation discards what a stand-in observes, as no invariant is judged.
+func ignoreObservation(invariants.Seen) {}
+
+// openStandInFile reads a stand-in's file. The error is an InputError.
+func openStandInFile[T any](path string, read func(top *config.Block) T) (settings T, err error) {
+	reader, top := config.Open(path)
+	if top != nil {
+		settings = read(top)
+		top.Done()
+	}
+	if err := reader.Err(); err != nil {
+		return settings, fileError(err)
+	}
+	return settings, nil
+}
+
+// readReplicaID reads an address with a port as a replica's id.
+func readReplicaID(block *config.Block, name string) model.ReplicaID {
+	text := block.Address(name, false)
+	id, err := pubsubmsg.ParseAddress(text)
+	if err != nil && text != "" { // Address has said what is wrong with an empty one
+		block.Fault(name, "%s: %v", name, err)
+	}
+	return id
+}
+
+// repeat calls an action at an interval until the context is done.
+func repeat(ctx context.Context, interval time.Duration, action func()) {
+	tick := time.NewTicker(interval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+			action()
+		}
+	}
+}
--- /dev/null
+++ b/internal/cli/standin_proxy.go
@@ -0,0 +1,140 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+	"io"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/config"
+	"peppervale/internal/controller"
+	"peppervale/internal/invariants"
+	"peppervale/internal/model"
+	"peppervale/internal/standin"
+	"peppervale/internal/standin/proxy"
+)
+
+// StandInProxy is peppervale standin proxy.
+type StandInProxy struct {
+	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
+}
+
+// proxySettings is the file of a proxy and its load.
+type proxySettings struct {
+	proxy         proxy.Facts
+	standingTable []invariants.Line
+	operations    []config.Operation
+	meanWork      model.Microseconds // of a request
+	seed          uint64
+}
+
+func readProxy(top *config.Block) proxySettings {
+	var settings proxySettings
+	zones := top.Texts("zones", true)
+	settings.operations = config.Operations(top)
+	block := top.One("forwarder", 1, true)
+	settings.proxy = proxy.Facts{
+		Name:       block.Labels[0],
+		Zone:       block.Text("zone", "", zones...),
+		Rate:       block.Number("rate", 5, 0.01, 10_000),
+		Pick:       proxy.Pick(block.Text("pick", "pair", "lottery", "wheel", "pair")),
+		UsualWay:   model.RetryIfNotExecuted,
+		FirstWait:  0.8,
+		Redial:     block.Span("redial", 200*model.Millisecond, model.Millisecond, maxStandInDuration),
+		ConnectFor: 250 * model.Millisecond,
+		IdleFor:    15 * model.Second,
+	}
+	for i, address := range block.Texts("governors", true) {
+		instance := proxy.Governor{Name: fmt.Sprint("governor-", i+1), Address: address}
+		settings.proxy.Governors = append(settings.proxy.Governors, instance)
+	}
+	settings.standingTable = readStandingTable(block)
+	settings.meanWork = block.Span("work", 100*model.Millisecond, 1, maxStandInDuration)
+	settings.seed = uint64(block.Whole("seed", 1, 0, 1<<30))
+	block.Done()
+	for _, operation := range settings.operations {
+		settings.proxy.Operations = append(settings.proxy.Operations,
+			proxy.Operation{Objective: operation.Objective, Timeout: operation.Timeout})
+	}
+	return settings
+}
+
+// readStandingTable reads the table that a proxy uses until an instance sends it one.
+func readStandingTable(block *config.Block) []invariants.Line {
+	var table []invariants.Line
+	for _, address := range block.Texts("standing", true) {
+		id, err := pubsubmsg.ParseAddress(address)
+		if err != nil {
+			block.Fault("standing", "standing: %v", err)
+		}
+		table = append(table, invariants.Line{Replica: id, Weight: 1})
+	}
+	return table
+}
+
+// Run sends requests until the context is done.
+func (c *StandInProxy) Run(ctx context.Context, out io.Writer) error {
+	settings, err := openStandInFile(c.Config, readProxy)
+	if err != nil {
+		return err
+	}
+	engine, err := proxy.NewEngine()
+	if err != nil {
+		return err
+	}
+	defer engine.Stop()
+	loop := standin.NewLoop(controller.Clock())
+	defer loop.Stop()
+	load := &proxyLoad{settings: settings, loop: loop, random: standin.NewChance(settings.seed, "load")}
+	loop.Do(func() {
+		load.proxy = proxy.New(loop, engine, settings.proxy, settings.seed, ignoreObservation)
+		load.proxy.Start(settings.standingTable)
+		load.scheduleRequest()
+	})
+	defer loop.Do(load.proxy.Kill)
+	repeat(ctx, standInStatisticsInterval, func() {
+		loop.Do(func() { load.writeStatistics(out) })
+	})
+	return nil
+}
+
+// proxyLoad has a proxy send requests at random times. All of it runs on the loop.
+type proxyLoad struct {
+	settings proxySettings
+	loop     *standin.Loop
+	random   *standin.Chance
+	proxy    *proxy.Forwarder
+
+	requests, withinObjective uint64
+}
+
+// scheduleRequest sends a request after a random time, and then schedules the next one.
+func (l *proxyLoad) scheduleRequest() {
+	seconds := l.random.Wait(l.settings.proxy.Rate)
+	l.loop.After(model.Microseconds(seconds*float64(model.Second)), func() {
+		l.sendRequest()
+		l.scheduleRequest()
+	})
+}
+
+// sendRequest sends a request of a random operation and size.
+func (l *proxyLoad) sendRequest() {
+	l.requests++
+	operation := l.random.Below(len(l.settings.operations))
+	objective := l.settings.operations[operation].Objective
+	l.proxy.Invoke(&proxy.Invocation{
+		Number:    l.requests,
+		Operation: operation,
+		Work:      float64(l.settings.meanWork) * l.random.Spread(0.5),
+		Done: func(result proxy.Result, latency model.Microseconds) {
+			if result == proxy.Succeeded && latency <= objective {
+				l.withinObjective++
+			}
+		},
+	})
+}
+
+func (l *proxyLoad) writeStatistics(out io.Writer) {
+	printf(out, "joined to %q, bound %v, %d lines held; %d asked, %d within the objective; %d messages\n",
+		l.proxy.Joined(), l.proxy.Bound(), len(l.proxy.Holds()), l.requests, l.withinObjective, l.proxy.Messages)
+}
--- /dev/null
+++ b/internal/cli/version.go
@@ -0,0 +1,30 @@
+package cli
+
+import (
+	"fmt"
+	"io"
+	"runtime/debug"
+)
+
+// Version is peppervale version.
+type Version struct{}
+
+// Run prints the version and the revision that the program was built from.
+func (Version) Run(out io.Writer) error {
+	_, err := fmt.Fprintf(out, "peppervale 0.1.0-dev, revision %s\n", revision())
+	return err
+}
+
+// revision returns the commit that the program was built from, or "unknown".
+func revision() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value
+		}
+	}
+	return "unknown"
+}
