--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return NewInputError(err)
 	}
-	return server.ServePlatform(ctx, settings, server.PlatformOutside{
+	return server.ServePlatform(ctx, settings, server.PlatformEnvironment{
 		Reload:     reload,
 		LoadConfig: func() (*config.Platform, error) { return config.LoadPlatform(c.Config) },
 	}, log)
--- /dev/null
+++ b/internal/server/instance_test.go
@@ -0,0 +1,81 @@
+package server
+
+import (
+	"errors"
+	"slices"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/config"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+)
+
+// Parts are released in the reverse order of opening, also after one fails, and the errors are joined.
+func TestCloseReleasesInReverseOrder(t *testing.T) {
+	inst := newInstance(&config.Server{}, Outside{}, zerolog.Nop())
+	storeError, writerError := errors.New("store"), errors.New("writer")
+	var released []string
+	release := func(name string, err error) {
+		inst.closeAtEnd(func() error {
+			released = append(released, name)
+			return err
+		})
+	}
+	release("store", storeError)
+	release("writer", writerError)
+	release("proxies", nil)
+	err := inst.close()
+	if want := []string{"proxies", "writer", "store"}; !slices.Equal(released, want) {
+		t.Errorf("released %v, want %v", released, want)
+	}
+	if !errors.Is(err, storeError) || !errors.Is(err, writerError) {
+		t.Errorf("got %v, want both errors", err)
+	}
+}
+
+// newTestRunner returns the runner of a controller, and a channel with an element for each run.
+func newTestRunner() (runner *controllerRunner, runs chan struct{}) {
+	source := controller.New(model.Config{
+		Operations:   []model.Operation{{LatencyObjective: 1, PriorityWeight: 1}},
+		Zones:        1,
+		ReportPeriod: model.Second,
+		QueueLimit:   1,
+	}, 1, controller.Clock(), zerolog.Nop())
+	runs = make(chan struct{}, 2)
+	runner = &controllerRunner{controller: source, run: func() {
+		runs <- struct{}{}
+		source.Run(silentProxies{}, silentDiscovery{}, nil)
+	}}
+	return runner, runs
+}
+
+func TestControllerStartsOnce(t *testing.T) {
+	runner, runs := newTestRunner()
+	if !runner.isIdle() || !runner.start() {
+		t.Error("the controller is not started")
+	}
+	if runner.isIdle() || runner.start() {
+		t.Error("the controller is started twice")
+	}
+	runner.stop()
+	runner.stop()
+	if runner.isIdle() || runner.start() {
+		t.Error("the controller is started after it was stopped")
+	}
+	if len(runs) != 1 {
+		t.Errorf("the controller ran %d times, want once", len(runs))
+	}
+}
+
+func TestIdleControllerIsStopped(t *testing.T) {
+	runner, runs := newTestRunner()
+	runner.stop()
+	if runner.isIdle() || runner.start() {
+		t.Error("the controller is started after it was stopped")
+	}
+	if len(runs) != 0 {
+		t.Errorf("the controller ran %d times, want none", len(runs))
+	}
+}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -48,8 +48,8 @@
 	retransmissionTimeout = 3 * model.Second // a lost segment comes again after a second, and after two more (RFC 6298)
 )
 
-// PlatformOutside is what an instance on the platform is handed by the process that it runs in.
-type PlatformOutside struct {
+// PlatformEnvironment is what an instance on the platform is handed by the process that it runs in.
+type PlatformEnvironment struct {
 	Reload     <-chan struct{}                  // asks for the configuration to be read again
 	LoadConfig func() (*config.Platform, error) // reads it; needed with Reload
 }
@@ -57,7 +57,7 @@
 // platformInstance is one running instance on the operators' platform.
 type platformInstance struct {
 	settings   *config.Platform
-	outside    PlatformOutside
+	outside    PlatformEnvironment
 	log        zerolog.Logger
 	controller *controller.Controller
 	discovery  *discovery.Watcher
@@ -68,7 +68,7 @@
 // or cluster: there is no disk that outlives it, and no room for them in its limits. Errors are those of settings that
 // the balancer rejects, of the discovery client and of the address.
 func ServePlatform(
-	ctx context.Context, settings *config.Platform, outside PlatformOutside, log zerolog.Logger,
+	ctx context.Context, settings *config.Platform, outside PlatformEnvironment, log zerolog.Logger,
 ) error {
 	if err := controller.Check(settings.Balancer); err != nil {
 		return err
--- a/internal/server/platform_testbed_test.go
+++ b/internal/server/platform_testbed_test.go
@@ -234,7 +234,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	bed.cancel = cancel
-	outside := PlatformOutside{
+	outside := PlatformEnvironment{
 		Reload:     bed.reload,
 		LoadConfig: func() (*config.Platform, error) { return config.LoadPlatform(bed.file) },
 	}
