--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -109,10 +109,7 @@
 	inst.controller = controller.New(inst.balancer, settings.ReportLimit, inst.now, inst.log)
 	inst.runner = &controllerRunner{controller: inst.controller}
 	inst.recorder = newRecorder(inst.controller, store, inst.recovered.Incarnation, inst.log)
-	inst.closeAtEnd(func() error {
-		inst.recorder.writer.Close()
-		return nil
-	})
+	inst.releaseAtEnd(inst.recorder.writer.Close)
 }
 
 // listen opens the address for proxies. They may connect from here on.
@@ -137,10 +134,7 @@
 		return &ListenError{Address: settings.Listen, Err: err}
 	}
 	inst.proxies = proxies
-	inst.closeAtEnd(func() error {
-		proxies.Close()
-		return nil
-	})
+	inst.releaseAtEnd(proxies.Close)
 	return nil
 }
 
@@ -159,10 +153,7 @@
 		return err
 	}
 	inst.discovery = client
-	inst.closeAtEnd(func() error {
-		client.Close()
-		return nil
-	})
+	inst.releaseAtEnd(client.Close)
 	return nil
 }
 
@@ -183,10 +174,7 @@
 	if err != nil {
 		return err
 	}
-	inst.closeAtEnd(func() error {
-		inst.membership.close()
-		return nil
-	})
+	inst.releaseAtEnd(inst.membership.close)
 	return nil
 }
 
@@ -214,10 +202,7 @@
 	if err != nil {
 		return err
 	}
-	inst.closeAtEnd(func() error {
-		pages.Close()
-		return nil
-	})
+	inst.releaseAtEnd(pages.Close)
 	inst.log.Info().Str("url", "http://"+pages.Addr()).Msg("console is available")
 	return nil
 }
@@ -256,9 +241,17 @@
 	logStatistics(inst.log, inst.controller, inst.proxies)
 }
 
-// closeAtEnd notes how a part that was just opened is released.
-func (inst *instance) closeAtEnd(release func() error) {
-	inst.closers = append(inst.closers, release)
+// closeAtEnd notes how a part that was just opened is closed.
+func (inst *instance) closeAtEnd(closePart func() error) {
+	inst.closers = append(inst.closers, closePart)
+}
+
+// releaseAtEnd is closeAtEnd for a part whose closing cannot fail.
+func (inst *instance) releaseAtEnd(release func()) {
+	inst.closeAtEnd(func() error {
+		release()
+		return nil
+	})
 }
 
 // close stops the controller and releases all open parts, the newest first. It joins their errors.
@@ -267,8 +260,8 @@
 		inst.runner.stop()
 	}
 	var errs []error
-	for _, release := range slices.Backward(inst.closers) {
-		errs = append(errs, release())
+	for _, closePart := range slices.Backward(inst.closers) {
+		errs = append(errs, closePart())
 	}
 	return errors.Join(errs...)
 }
