--- /dev/null
+++ b/internal/cluster/cluster.go
@@ -0,0 +1,327 @@
+package cluster
+
+import (
+	"fmt"
+	"io"
+	stdlog "log"
+	"os"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+)
+
+// Timing of a member, in parts of a lease's duration.
+const (
+	ticksPerLease        = 100
+	ticksPerLoadReading  = 10
+	requestsPerLease     = 4 // a request to another member may take this part of a lease
+	gossipLeavesPerLease = 8 // leaving the gossip may take this part of a lease
+)
+
+// transferInterval is between two attempts of a leader with other settings than the cluster's to have another one
+// lead.
+const transferInterval = 10 * time.Second
+
+// proposalQueueLength bounds the proposals that wait for the leader; further ones are dropped.
+const proposalQueueLength = 16
+
+// Cluster is one running member. Make it with Open and end it with Close. Its methods may be called concurrently.
+type Cluster struct {
+	config    *Config
+	events    Events
+	server    *portServer
+	node      *raftNode
+	gossip    *gossip
+	wake      chan struct{} // an entry was applied
+	proposals chan Command
+	done      chan struct{}
+	wait      sync.WaitGroup
+
+	mu            sync.Mutex
+	member        *Member
+	storeError    error  // votes cannot be written
+	loggedFault   string // the fault that was logged last
+	shardLoads    map[int]float64
+	misrouted     []MisroutedProxies
+	transferredAt time.Time // when it last had another member lead, as its settings are not the cluster's
+}
+
+// Open starts a member. Errors are those of its addresses and its directory; that other members cannot be reached is
+// none.
+func Open(config Config, events Events) (*Cluster, error) {
+	if err := os.MkdirAll(config.Directory, 0o755); err != nil {
+		return nil, fmt.Errorf("cluster: %w", err)
+	}
+	cluster := &Cluster{
+		config:    &config,
+		events:    events,
+		wake:      make(chan struct{}, 1),
+		proposals: make(chan Command, proposalQueueLength),
+		done:      make(chan struct{}),
+	}
+	cluster.member = cluster.newMember()
+	started := make(chan struct{})
+	if err := cluster.openParts(started); err != nil {
+		return nil, err
+	}
+	close(started)
+	cluster.wait.Add(2)
+	go cluster.run()
+	go cluster.runProposals()
+	return cluster, nil
+}
+
+func (c *Cluster) newMember() *Member {
+	config := c.config
+	record := MemberRecord{
+		Zone:           config.Zone,
+		Channel:        config.Channel,
+		RequestAddress: config.addressOf(config.Name, config.Listen),
+		Capacity:       config.Capacity,
+	}
+	loadOf := func(shard int) float64 {
+		if load, known := c.shardLoads[shard]; known {
+			return load
+		}
+		return -1 // its proxies are on their way here
+	}
+	member := NewMember(config.Name, config.Incarnation, record, config.Settings, loadOf)
+	member.misroutedProxies = func() []MisroutedProxies { return c.misrouted }
+	if config.supportedVersion > 0 {
+		member.state.supportedVersion = config.supportedVersion
+	}
+	return member
+}
+
+// openParts opens the port, raft and gossip, in this order, or none of them. Requests are refused until started is
+// closed.
+func (c *Cluster) openParts(started <-chan struct{}) (err error) {
+	answer := func(words []string) ([]byte, error) {
+		select {
+		case <-started:
+			return c.answerRequest(words)
+		default:
+			return nil, errStarting
+		}
+	}
+	if c.server, err = openPortServer(c.config, answer); err != nil {
+		return err
+	}
+	logger := hclog.New(&hclog.LoggerOptions{
+		Name:        "raft",
+		Level:       hclog.Error,
+		Output:      &raftLog{log: c.config.Log},
+		DisableTime: true,
+	})
+	if c.node, err = openRaftNode(c.config, c.server.streams, c, logger); err != nil {
+		c.server.close()
+		return err
+	}
+	if c.gossip, err = openGossip(c.config, stdlog.New(io.Discard, "", 0)); err != nil {
+		c.node.close()
+		c.server.close()
+		return err
+	}
+	return nil
+}
+
+// Close ends this member. For the others it is as a crash, except that gossip is notified: its leases expire. To give
+// its shards away first, call TransferLeases.
+func (c *Cluster) Close() {
+	close(c.done)
+	c.wait.Wait()
+	c.gossip.close(c.leaseDuration() / gossipLeavesPerLease)
+	c.node.close()
+	c.server.close()
+}
+
+func (c *Cluster) leaseDuration() time.Duration { return c.config.Settings.Lease.Duration.Duration() }
+
+// requestTimeout is how long a request to another member may take.
+func (c *Cluster) requestTimeout() time.Duration { return c.leaseDuration() / requestsPerLease }
+
+// run ticks each time that an entry was applied, and regularly.
+func (c *Cluster) run() {
+	defer c.wait.Done()
+	interval := c.leaseDuration() / ticksPerLease
+	ticker := time.NewTicker(max(interval, time.Millisecond))
+	defer ticker.Stop()
+	readings := loadReadings{config: c.config, interval: ticksPerLoadReading * interval}
+	for {
+		select {
+		case <-c.done:
+			return
+		case <-ticker.C:
+		case <-c.wake:
+		}
+		c.tick(&readings)
+	}
+}
+
+// loadReadings is what the hooks of the configuration gave last. They are called outside of the cluster's lock:
+// whoever answers may wait for this member's answer about a lease.
+type loadReadings struct {
+	config     *Config
+	interval   time.Duration
+	at         time.Time
+	shardLoads map[int]float64
+	misrouted  []MisroutedProxies
+}
+
+func (r *loadReadings) refresh() {
+	now := time.Now()
+	if r.config.Loads == nil || now.Sub(r.at) <= r.interval {
+		return
+	}
+	r.at = now
+	r.shardLoads = r.config.Loads()
+	r.misrouted = sortedMisrouted(r.config.MisroutedProxies)
+}
+
+func sortedMisrouted(read func() map[int]int) (sorted []MisroutedProxies) {
+	if read == nil {
+		return nil
+	}
+	for shard, proxies := range read() {
+		sorted = append(sorted, MisroutedProxies{shard, proxies})
+	}
+	slices.SortFunc(sorted, func(a, b MisroutedProxies) int { return a.Shard - b.Shard })
+	return sorted
+}
+
+// tick has the member decide, tells of the leases that changed, and only then proposes what it decided.
+func (c *Cluster) tick(readings *loadReadings) {
+	var alive map[string]bool
+	leads := c.node.isLeader()
+	if leads {
+		alive = c.gossip.alive()
+	}
+	readings.refresh()
+	changes, proposals, transfer := c.decide(readings, leads, alive)
+	for _, change := range changes {
+		c.notify(change)
+	}
+	if transfer {
+		go c.node.transferLeadership()
+	}
+	for _, proposal := range proposals {
+		select {
+		case c.proposals <- proposal:
+		default: // renewals and placements are made again; a lost release costs a lease's duration
+		}
+	}
+}
+
+// decide is the part of a tick under the lock. transfer: another member is to lead.
+func (c *Cluster) decide(readings *loadReadings, leads bool, alive map[string]bool) (
+	changes []LeaseChange, proposals []Command, transfer bool,
+) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.shardLoads = readings.shardLoads
+	c.misrouted = readings.misrouted
+	seemsAlive := func(name string) bool { return alive[name] }
+	changes, proposals = c.member.Tick(c.config.Now(), leads, seemsAlive)
+	c.logFault()
+	transfer = leads && c.member.HasOtherSettings() && time.Since(c.transferredAt) > transferInterval
+	if transfer {
+		c.transferredAt = time.Now()
+	}
+	return changes, proposals, transfer
+}
+
+func (c *Cluster) notify(change LeaseChange) {
+	if change.Epoch == 0 {
+		c.config.Log.Info().Int("shard", change.Shard).Msg("lease lost or released")
+		c.events.LeaseLost(change.Shard)
+		return
+	}
+	c.config.Log.Info().Int("shard", change.Shard).Uint64("epoch", change.Epoch).Msg("lease gained")
+	c.events.LeaseGained(change.Shard, change.Epoch)
+}
+
+// IsLeaseHolder tells whether this member holds a shard's lease now, and in which epoch.
+func (c *Cluster) IsLeaseHolder(shard int) (epoch uint64, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.member.IsLeaseHolder(shard, c.config.Now())
+}
+
+// Holder gives the channel address of the member that a shard is placed on; "" if that is this one, or no member that
+// is alive.
+func (c *Cluster) Holder(shard int) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.member.TargetChannel(shard, c.config.Now())
+}
+
+// TransferLeases has this member's shards moved to others in planned moves, and waits until it holds none or the time
+// is over.
+func (c *Cluster) TransferLeases(within time.Duration) {
+	const (
+		requestsWithin = 20
+		checksWithin   = 100
+	)
+	end := time.Now().Add(within)
+	words := []string{requestLeave, c.config.Name, leaveStopping}
+	for time.Now().Before(end) {
+		if _, err := c.answerRequest(words); err == nil {
+			break
+		}
+		time.Sleep(within / requestsWithin)
+	}
+	for time.Now().Before(end) && c.holdsAnyLease() {
+		time.Sleep(within / checksWithin)
+	}
+}
+
+func (c *Cluster) holdsAnyLease() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for shard := range c.member.leases {
+		if _, ok := c.member.IsLeaseHolder(shard, c.config.Now()); ok {
+			return true
+		}
+	}
+	return false
+}
+
+// The methods of stateMachine, which the raft node drives.
+
+func (c *Cluster) applied(entry LogEntry, term uint64) {
+	c.mu.Lock()
+	c.member.Applied(entry, term, c.config.Now())
+	c.mu.Unlock()
+	select {
+	case c.wake <- struct{}{}:
+	default:
+	}
+}
+
+func (c *Cluster) announcement() Command {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.member.Announcement(c.config.Now())
+}
+
+func (c *Cluster) snapshot() ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.member.state.Bytes()
+}
+
+func (c *Cluster) restore(state *State) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.member.Restore(state)
+}
+
+func (c *Cluster) storeChanged(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.storeError = err
+}
+
+var _ stateMachine = (*Cluster)(nil)
--- /dev/null
+++ b/internal/cluster/config.go
@@ -0,0 +1,74 @@
+package cluster
+
+import (
+	"github.com/rs/zerolog"
+
+	"peppervale/internal/model"
+)
+
+// Peer is a member as a configuration file names it.
+type Peer struct {
+	Name    string
+	Address string // of its cluster port, as this member reaches it
+	Gossip  string // its gossip address, host:port
+}
+
+// Config describes one member and its cluster.
+type Config struct {
+	Name        string // unique in the cluster
+	Zone        string // one of Settings.Zones
+	Channel     string // address at which proxies connect to this member
+	Listen      string // address of the cluster port: raft and requests
+	Gossip      string // host:port, TCP and UDP
+	Directory   string // of raft's log and snapshots
+	Incarnation uint64 // grows with each start
+	Join        bool   // ask the peers to be added; otherwise, with an empty log, bootstrap the cluster with Peers
+	Peers       []Peer // this member among them
+	Settings    Settings
+	Capacity    float64 // requests a second that this member controls at most; 0: unlimited
+
+	// Loads gives the reported requests a second of the connected proxies, by shard; nil: not known.
+	Loads func() map[int]float64
+	// Now is this member's clock. It must go on while the process runs or is stopped.
+	Now func() model.Microseconds
+	// MisroutedProxies counts, by shard, the proxies that ask this member repeatedly for a shard it does not hold; nil:
+	// not known.
+	MisroutedProxies func() map[int]int
+	// Links lets tests and benchmarks cut links between members; nil: all are open.
+	Links Links
+	// Handover connects planned moves to the controller.
+	Handover HandoverHooks
+	Log      zerolog.Logger
+
+	diskFault        func() error // set by tests: the error of each write to the log store, nil while it is writable
+	supportedVersion uint8        // set by tests: newest supported schema version; 0: schemaVersion
+}
+
+// addressOf gives the address of a member by this member's own file, or the fallback if the file does not name it.
+func (c *Config) addressOf(name, fallback string) string {
+	for _, peer := range c.Peers {
+		if peer.Name == name {
+			return peer.Address
+		}
+	}
+	return fallback
+}
+
+// nameAt gives the peer with a cluster address; "" for none.
+func (c *Config) nameAt(address string) string {
+	for _, peer := range c.Peers {
+		if peer.Address == address {
+			return peer.Name
+		}
+	}
+	return ""
+}
+
+// Events is notified, from one goroutine, of the leases that this member gains and loses.
+type Events interface {
+	// LeaseGained says that this member holds a shard's lease from now on. A lease that was lost because its renewal
+	// came back late may be gained again in the same epoch: nobody else held it meanwhile.
+	LeaseGained(shard int, epoch uint64)
+	// LeaseLost returns once no message of this member for the shard is under way any more.
+	LeaseLost(shard int)
+}
--- /dev/null
+++ b/internal/cluster/fault.go
@@ -0,0 +1,44 @@
+package cluster
+
+import "fmt"
+
+// fault tells what keeps this member from holding leases, with what to do about it; "" for nothing. It needs the
+// lock.
+func (c *Cluster) fault() string {
+	member := c.member
+	state := member.state
+	registered := state.Member(member.Name)
+	switch {
+	case state.NewerSchemaVersion > 0:
+		return fmt.Sprintf("the others have agreed on a command of form %d, this program knows up to %d: update it",
+			state.NewerSchemaVersion, schemaVersion)
+	case member.HasOtherSettings():
+		return "span, drift, settle, pace, zones or parts differ from those that the group was begun with: " +
+			"make this member's file like the others'"
+	case member.IsSuperseded():
+		return "another process runs under this name, and began later: end one of them"
+	case c.storeError != nil:
+		return "votes cannot be written: " + c.storeError.Error()
+	case registered == nil || registered.Incarnation != member.Incarnation:
+		return "not on the register: nobody leads the group, or a majority is not there, or this member has not been taken in"
+	case registered.Removed:
+		return "this member was struck off the register"
+	case member.isUnconfirmed(c.config.Now()):
+		return "what it asks is not agreed on: nobody leads the group, or a majority is not there"
+	}
+	return ""
+}
+
+// logFault logs a fault each time that it changes. It needs the lock.
+func (c *Cluster) logFault() {
+	fault := c.fault()
+	if fault == c.loggedFault {
+		return
+	}
+	c.loggedFault = fault
+	if fault == "" {
+		c.config.Log.Info().Msg("cluster member can hold leases again")
+		return
+	}
+	c.config.Log.Warn().Str("fault", fault).Msg("cluster member cannot hold leases")
+}
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -12,86 +12,106 @@
 	"peppervale/internal/model"
 )
 
-// gossip is who seems alive, by memberlist.
+// Timing of gossip, in parts of a lease's duration, and the same in leases. It is fit to the lease: a member that
+// died is to seem dead when its lease expires, not much before (it would be given up for a pause) and not after (its
+// shards would wait). At the usual lease of 2 s: a probe each 250 ms, suspicion for about a second.
+const (
+	probesPerLease           = 8
+	probeTimeoutsPerLease    = 16
+	gossipsPerLease          = 20
+	gossipTimeoutsPerLease   = 4
+	leasesPerFullExchange    = 4
+	suspicionMultiplier      = 3
+	leasesUntilNameIsFree    = 1 // a member may come back under another address
+	leasesPerGossipRejoining = 1
+)
+
+// gossip detects by memberlist which members seem alive.
 type gossip struct {
 	list  *memberlist.Memberlist
-	peers []string
+	peers []string // gossip addresses of the other members
 	done  chan struct{}
-	over  chan struct{}
+	ended chan struct{}
 }
 
-// Probing is fit to the lease: a member that died is to seem dead when its lease ends, not much before (it would be given up for a
-// pause) and not after (its parts would wait). At the usual span of 2 s: a probe each 250 ms, suspicion for about a second.
-func probing(span model.Microseconds) *memberlist.Config {
-	conf := memberlist.DefaultLANConfig()
-	conf.ProbeInterval = span.Duration() / 8
-	conf.ProbeTimeout = span.Duration() / 16
-	conf.SuspicionMult = 3
-	conf.GossipInterval = span.Duration() / 20
-	conf.TCPTimeout = span.Duration() / 4
-	conf.PushPullInterval = 4 * span.Duration()
-	conf.DeadNodeReclaimTime = span.Duration() // a member may come back under another address
-	return conf
+func memberlistConfig(lease model.Microseconds) *memberlist.Config {
+	duration := lease.Duration()
+	config := memberlist.DefaultLANConfig()
+	config.ProbeInterval = duration / probesPerLease
+	config.ProbeTimeout = duration / probeTimeoutsPerLease
+	config.SuspicionMult = suspicionMultiplier
+	config.GossipInterval = duration / gossipsPerLease
+	config.TCPTimeout = duration / gossipTimeoutsPerLease
+	config.PushPullInterval = leasesPerFullExchange * duration
+	config.DeadNodeReclaimTime = leasesUntilNameIsFree * duration
+	return config
 }
 
-func openGossip(l *Config, quiet *log.Logger) (*gossip, error) {
-	host, port, err := net.SplitHostPort(l.Gossip)
+func openGossip(config *Config, logger *log.Logger) (*gossip, error) {
+	host, port, err := net.SplitHostPort(config.Gossip)
 	if err != nil {
-		return nil, fmt.Errorf("group: gossip: %w", err)
+		return nil, fmt.Errorf("cluster: gossip: %w", err)
 	}
-	conf := probing(l.Settings.Lease.Duration)
-	conf.Name, conf.BindAddr, conf.AdvertiseAddr = l.Name, host, host
-	conf.BindPort, _ = strconv.Atoi(port)
-	conf.AdvertisePort = conf.BindPort
-	conf.Logger = quiet
-	if l.Links != nil {
-		nt, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: conf.BindPort, Logger: quiet})
+	listConfig := memberlistConfig(config.Settings.Lease.Duration)
+	listConfig.Name = config.Name
+	listConfig.BindAddr = host
+	listConfig.AdvertiseAddr = host
+	listConfig.BindPort, _ = strconv.Atoi(port)
+	listConfig.AdvertisePort = listConfig.BindPort
+	listConfig.Logger = logger
+	if config.Links != nil {
+		transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+			BindAddrs: []string{host},
+			BindPort:  listConfig.BindPort,
+			Logger:    logger,
+		})
 		if err != nil {
-			return nil, fmt.Errorf("group: gossip: %w", err)
+			return nil, fmt.Errorf("cluster: gossip: %w", err)
 		}
-		conf.Transport = &gossipLinks{nt, l}
+		listConfig.Transport = &gossipLinks{transport, config}
 	}
-	list, err := memberlist.Create(conf)
+	list, err := memberlist.Create(listConfig)
 	if err != nil {
-		return nil, fmt.Errorf("group: gossip on %s: %w", l.Gossip, err)
+		return nil, fmt.Errorf("cluster: gossip on %s: %w", config.Gossip, err)
 	}
-	g := &gossip{list: list, done: make(chan struct{}), over: make(chan struct{})}
-	for _, p := range l.Peers {
-		if p.Name != l.Name && p.Gossip != "" {
-			g.peers = append(g.peers, p.Gossip)
+	g := &gossip{list: list, done: make(chan struct{}), ended: make(chan struct{})}
+	for _, peer := range config.Peers {
+		if peer.Name != config.Name && peer.Gossip != "" {
+			g.peers = append(g.peers, peer.Gossip)
 		}
 	}
-	go g.run(l.Settings.Lease.Duration.Duration())
+	go g.run(leasesPerGossipRejoining * config.Settings.Lease.Duration.Duration())
 	return g, nil
 }
 
-// run joins, and joins again as long as fewer are seen than are known: both sides of a cut forget each other after a while.
-func (g *gossip) run(every time.Duration) {
-	defer close(g.over)
+// run joins, and joins again as long as fewer members are seen than are configured: both sides of a partition forget
+// each other after a while.
+func (g *gossip) run(interval time.Duration) {
+	defer close(g.ended)
 	for {
 		if g.list.NumMembers() <= len(g.peers) && len(g.peers) > 0 {
 			_, _ = g.list.Join(g.peers)
 		}
 		select {
-		case <-time.After(every):
+		case <-time.After(interval):
 		case <-g.done:
 			return
 		}
 	}
 }
 
-// alive gives the names that seem alive.
+// alive gives the names of the members that seem alive.
 func (g *gossip) alive() map[string]bool {
-	all := map[string]bool{}
-	for _, n := range g.list.Members() {
-		all[n.Name] = true
+	names := map[string]bool{}
+	for _, node := range g.list.Members() {
+		names[node.Name] = true
 	}
-	return all
+	return names
 }
 
-func (g *gossip) close(within time.Duration) {
+func (g *gossip) close(timeout time.Duration) {
 	close(g.done)
-	<-g.over
-	_ = g.list.Leave(within)
+	<-g.ended
+	_ = g.list.Leave(timeout)
 	_ = g.list.Shutdown()
 }
--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -1,104 +1,89 @@
 package cluster
 
 import (
-	"errors"
 	"net"
 	"time"
 
 	"github.com/hashicorp/memberlist"
 )
 
-// Links says which member reaches which; tests and measurements cut them, one way or both. nil: all reach all.
+// Links says which member reaches which; tests and benchmarks cut them, one way or both. nil: all are open.
 type Links interface {
 	Open(from, to string) bool
 }
 
-var errCut = errors.New("the link is cut")
-
-// linked is a connection to a member over a link that may be cut. A stream needs both ways: a write over a cut one is an error, as
-// after a time-out, and what comes over one is not read.
-type linked struct {
+// linkedConn is a connection to a member over a link that may be cut. A stream needs both ways: a write over a cut
+// link is an error, as after a time-out, and what comes over one is not read.
+type linkedConn struct {
 	net.Conn
 	links    Links
 	from, to string
 }
 
-func (c *linked) Write(b []byte) (int, error) {
+// Write sends bytes, unless the link to the other member is cut.
+func (c *linkedConn) Write(data []byte) (int, error) {
 	if !c.links.Open(c.from, c.to) {
-		c.Close()
-		return 0, errCut
+		_ = c.Close()
+		return 0, errLinkCut
 	}
-	return c.Conn.Write(b)
+	return c.Conn.Write(data)
 }
 
-func (c *linked) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
+// Read receives bytes, unless the link from the other member is cut.
+func (c *linkedConn) Read(data []byte) (int, error) {
+	n, err := c.Conn.Read(data)
 	if err == nil && !c.links.Open(c.to, c.from) {
-		c.Close()
-		return 0, errCut
+		_ = c.Close()
+		return 0, errLinkCut
 	}
 	return n, err
 }
 
-func (l *Config) linked(conn net.Conn, to string) net.Conn {
-	if l.Links == nil {
+// linked puts a connection to a member on its link.
+func (c *Config) linked(conn net.Conn, to string) net.Conn {
+	if c.Links == nil {
 		return conn
 	}
-	return &linked{conn, l.Links, l.Name, to}
-}
-
-// dial connects to a member's port for requests and raft, and says by the first bytes what is wanted of it and who wants it.
-func (l *Config) dial(to, address string, what byte, within time.Duration) (net.Conn, error) {
-	if l.Links != nil && !l.Links.Open(l.Name, to) {
-		return nil, errCut
-	}
-	conn, err := net.DialTimeout("tcp", address, within)
-	if err != nil {
-		return nil, err
-	}
-	conn = l.linked(conn, to)
-	_ = conn.SetWriteDeadline(time.Now().Add(within))
-	if _, err := conn.Write(append([]byte{what, byte(len(l.Name))}, l.Name...)); err != nil {
-		conn.Close()
-		return nil, err
-	}
-	_ = conn.SetWriteDeadline(time.Time{})
-	return conn, nil
+	return &linkedConn{conn, c.Links, c.Name, to}
 }
 
 // gossipLinks is memberlist's transport over links that may be cut.
 type gossipLinks struct {
 	*memberlist.NetTransport
-	line *Config
+	config *Config
 }
 
-func (t *gossipLinks) open(address string) bool {
-	for _, p := range t.line.Peers {
-		if p.Gossip == address {
-			return t.line.Links.Open(t.line.Name, p.Name)
+func (t *gossipLinks) isOpen(address string) bool {
+	for _, peer := range t.config.Peers {
+		if peer.Gossip == address {
+			return t.config.Links.Open(t.config.Name, peer.Name)
 		}
 	}
 	return true
 }
 
-func (t *gossipLinks) WriteTo(b []byte, address string) (time.Time, error) {
-	return t.WriteToAddress(b, memberlist.Address{Addr: address})
+// WriteTo sends a datagram.
+func (t *gossipLinks) WriteTo(data []byte, address string) (time.Time, error) {
+	return t.WriteToAddress(data, memberlist.Address{Addr: address})
 }
 
-func (t *gossipLinks) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	if !t.open(a.Addr) {
-		return time.Now(), nil // lost, as datagrams are
+// WriteToAddress sends a datagram; over a cut link it is lost.
+func (t *gossipLinks) WriteToAddress(data []byte, address memberlist.Address) (time.Time, error) {
+	if !t.isOpen(address.Addr) {
+		return time.Now(), nil
 	}
-	return t.NetTransport.WriteToAddress(b, a)
+	return t.NetTransport.WriteToAddress(data, address)
 }
 
-func (t *gossipLinks) DialTimeout(address string, within time.Duration) (net.Conn, error) {
-	return t.DialAddressTimeout(memberlist.Address{Addr: address}, within)
+// DialTimeout connects to a member's gossip port.
+func (t *gossipLinks) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: address}, timeout)
 }
 
-func (t *gossipLinks) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	if !t.open(a.Addr) {
-		return nil, errCut
+// DialAddressTimeout connects to a member's gossip port.
+func (t *gossipLinks) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	if !t.isOpen(address.Addr) {
+		return nil, errLinkCut
 	}
-	return t.NetTransport.DialAddressTimeout(a, within)
+	return t.NetTransport.DialAddressTimeout(address, timeout)
 }
--- /dev/null
+++ b/internal/cluster/proposals.go
@@ -0,0 +1,82 @@
+package cluster
+
+import "time"
+
+// proposalSender carries commands of this member to the leader, one after the other.
+type proposalSender struct {
+	cluster *Cluster
+	timeout time.Duration
+	client  *client // of the leader at address
+	address string
+}
+
+// runProposals sends what the tick loop proposes. A proposal that fails is not repeated here: whoever made it makes
+// it again.
+func (c *Cluster) runProposals() {
+	defer c.wait.Done()
+	sender := &proposalSender{cluster: c, timeout: c.requestTimeout(), client: &client{}}
+	defer func() { sender.client.close() }()
+	for {
+		select {
+		case <-c.done:
+			return
+		case command := <-c.proposals:
+			if release, releases := command.(ReleaseLeases); releases {
+				c.sendHandovers(release, sender.timeout)
+			}
+			if err := sender.send(command); err != nil {
+				c.proposalFailed(command)
+			}
+		}
+	}
+}
+
+func (s *proposalSender) send(command Command) error {
+	config := s.cluster.config
+	node := s.cluster.node
+	if node.isLeader() {
+		return s.cluster.propose(command)
+	}
+	name, address := node.leader()
+	if address == "" && config.Join {
+		s.cluster.requestJoin(s.timeout)
+	}
+	_, placement := command.(SetPlacement)
+	if address == "" || placement || name == config.Name {
+		return ErrNotLeader
+	}
+	if address != s.address {
+		s.client.close()
+		s.address = address
+		s.client = config.clientOf(name, address)
+	}
+	entry := LogEntry{SchemaVersion: schemaVersion, Command: command}
+	data, err := entry.Encode()
+	if err != nil {
+		return err
+	}
+	_, err = s.client.request(s.timeout, requestPropose, string(data))
+	return err
+}
+
+func (c *Cluster) proposalFailed(command Command) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.member.ProposalFailed(command, c.config.Now())
+}
+
+// requestJoin asks the peers, until one agrees, to add this member to the cluster.
+func (c *Cluster) requestJoin(timeout time.Duration) {
+	ownAddress := c.config.addressOf(c.config.Name, c.config.Listen)
+	for _, peer := range c.config.Peers {
+		if peer.Name == c.config.Name {
+			continue
+		}
+		peerClient := c.config.clientOf(peer.Name, peer.Address)
+		_, err := peerClient.request(timeout, requestAdd, c.config.Name, ownAddress)
+		peerClient.close()
+		if err == nil {
+			return
+		}
+	}
+}
--- a/internal/cluster/race_test.go
+++ b/internal/cluster/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package group
+package cluster
 
 func init() { underRace = true }
--- /dev/null
+++ b/internal/cluster/renewal.go
@@ -0,0 +1,125 @@
+package cluster
+
+import (
+	"peppervale/internal/lease"
+	"peppervale/internal/model"
+)
+
+// When a member renews, in parts of a lease's duration.
+const (
+	renewalsPerLease       = 3
+	refusedRetriesPerLease = 10 // after a refusal: the shard may be free soon
+	failedRetriesPerLease  = 20 // after a renewal that could not be proposed
+)
+
+// heartbeat is when a member sends what to the leader. All times but followedAt are of the member's own clock.
+type heartbeat struct {
+	nextAt      model.Microseconds // of the next RenewLeases
+	sentAt      model.Microseconds // of the newest one
+	pending     bool               // its response is awaited
+	refused     bool               // a shard was refused since it was sent
+	registerAt  model.Microseconds // of the next RegisterMember
+	confirmedAt model.Microseconds // when the newest RenewLeases of this incarnation was applied; 0: never
+	followedAt  model.Microseconds // the leader's stamp of the entry that was applied last, in its term
+}
+
+// restart has the next RenewLeases sent at once, whether or not one is pending.
+func (h *heartbeat) restart(now model.Microseconds) {
+	h.nextAt = now
+	h.pending = false
+}
+
+// responded takes the response for one shard of this member's newest RenewLeases.
+func (h *heartbeat) responded(granted bool) {
+	h.pending = false
+	if !granted {
+		h.refused = true
+	}
+}
+
+// applied takes that a RenewLeases of this incarnation was applied.
+func (h *heartbeat) applied(requests int, now model.Microseconds) {
+	h.confirmedAt = now
+	if requests == 0 {
+		h.pending = false
+	}
+}
+
+// isDue tells whether the next RenewLeases is to be sent.
+func (h *heartbeat) isDue(now, duration model.Microseconds) bool {
+	if h.pending && now-h.sentAt < duration/2 { // another request would make the response to this one worthless
+		return false
+	}
+	if h.refused && !h.pending {
+		h.nextAt = min(h.nextAt, h.sentAt+duration/refusedRetriesPerLease)
+	}
+	return now >= h.nextAt
+}
+
+// sent notes that a RenewLeases leaves now.
+func (h *heartbeat) sent(now, duration model.Microseconds) {
+	h.sentAt = now
+	h.nextAt = now + duration/renewalsPerLease
+	h.pending = true
+	h.refused = false
+}
+
+// ProposalFailed takes that a command was not agreed on, as far as its sender knows. A RenewLeases that is committed
+// all the same brings a response that comes too late to count.
+func (m *Member) ProposalFailed(command Command, now model.Microseconds) {
+	if _, renews := command.(RenewLeases); renews && m.heartbeat.pending {
+		m.heartbeat.pending = false
+		m.heartbeat.nextAt = now + m.settings.Lease.Duration/failedRetriesPerLease
+	}
+}
+
+// register describes this member, if it is time to. Where a later incarnation is registered, another process runs
+// under this name: this one holds nothing any more once its leases expire.
+func (m *Member) register(now model.Microseconds) (command Command, due bool) {
+	if now < m.heartbeat.registerAt || m.IsSuperseded() {
+		return nil, false
+	}
+	m.heartbeat.registerAt = now + m.settings.Lease.Duration/renewalsPerLease
+	record := m.Record
+	return RegisterMember{
+		Member:      m.Name,
+		Incarnation: m.Incarnation,
+		Record:      &record,
+		FollowedAt:  m.heartbeat.followedAt,
+	}, true
+}
+
+// renew requests the leases of all shards that are placed here, if it is time to.
+func (m *Member) renew(now model.Microseconds) (command Command, due bool) {
+	duration := m.settings.Lease.Duration
+	if !m.heartbeat.isDue(now, duration) {
+		return nil, false
+	}
+	m.heartbeat.sent(now, duration)
+	renewal := RenewLeases{Member: m.Name, Incarnation: m.Incarnation, FollowedAt: m.heartbeat.followedAt}
+	if m.misroutedProxies != nil {
+		renewal.MisroutedProxies = m.misroutedProxies()
+	}
+	for number, shard := range m.state.Shards {
+		if shard.Target != m.Name || number >= len(m.leases) {
+			continue
+		}
+		renewal.Requests = append(renewal.Requests, m.shardRequest(number, now))
+	}
+	return renewal, true
+}
+
+func (m *Member) shardRequest(shard int, now model.Microseconds) ShardRequest {
+	load := -1.0
+	if _, held := m.IsLeaseHolder(shard, now); held {
+		load = m.loadOf(shard)
+	}
+	request := m.leases[shard].Request(lease.Holder{}, now)
+	return ShardRequest{Shard: shard, Sequence: request.Sequence, Load: load}
+}
+
+// isUnconfirmed tells that no heartbeat of this incarnation was applied for a lease's duration, though one was
+// before.
+func (m *Member) isUnconfirmed(now model.Microseconds) bool {
+	return m.heartbeat.confirmedAt > 0 && now-m.heartbeat.confirmedAt > m.settings.Lease.Duration
+}
--- /dev/null
+++ b/internal/cluster/requests.go
@@ -0,0 +1,192 @@
+package cluster
+
+import (
+	"encoding/json"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"peppervale/internal/placement"
+)
+
+// The requests, by their names on the wire.
+const (
+	requestStatus   = "STATUS"  // what this member knows, as JSON
+	requestHandover = "HAND"    // an encoded Handover of another member
+	requestPropose  = "PROPOSE" // an encoded LogEntry of another member
+	requestMove     = "MOVE"    // shard, member
+	requestLeave    = "LEAVE"   // member, and one of the words below
+	requestRemove   = "STRIKE"  // member
+	requestAdd      = "ADD"     // member, address
+
+	// requestForwarded begins a request that a member forwarded to the leader, so that two that each take the other for
+	// the leader do not forward it for ever.
+	requestForwarded = "HANDED"
+)
+
+// The last word of a requestLeave.
+const (
+	leaveOn       = "on"
+	leaveOff      = "off"
+	leaveStopping = "ending" // of a member whose process is about to stop
+)
+
+// forwardTimeout is how long the leader may take for a forwarded request.
+const forwardTimeout = 5 * time.Second
+
+// leaderRequest is a request that only the leader carries out.
+type leaderRequest struct {
+	words int // that follow its name
+	run   func(c *Cluster, words []string) error
+}
+
+var leaderRequests = map[string]leaderRequest{
+	requestPropose: {1, (*Cluster).proposeForMember},
+	requestMove:    {2, (*Cluster).moveShard},
+	requestLeave:   {2, (*Cluster).drainMember},
+	requestRemove:  {1, (*Cluster).removeMember},
+	requestAdd:     {2, (*Cluster).addMember},
+}
+
+// answerRequest answers a request of a member or an operator, which has at least one word.
+func (c *Cluster) answerRequest(words []string) ([]byte, error) {
+	forwarded := words[0] == requestForwarded && len(words) > 1
+	if forwarded {
+		words = words[1:]
+	}
+	name := strings.ToUpper(words[0])
+	switch {
+	case name == requestStatus:
+		return json.Marshal(c.Status())
+	case name == requestHandover && len(words) == 2:
+		return nil, c.acceptHandover(words[1])
+	}
+	request, known := leaderRequests[name]
+	if !known {
+		return nil, invalidRequest("unknown request %.40q; known are STATUS, MOVE, LEAVE, STRIKE, ADD", words[0])
+	}
+	if len(words)-1 != request.words {
+		return nil, invalidRequest("%s takes %d words", name, request.words)
+	}
+	if c.node.isLeader() {
+		return nil, request.run(c, words[1:])
+	}
+	if forwarded || name == requestPropose {
+		return nil, ErrNotLeader
+	}
+	return c.forwardToLeader(words)
+}
+
+func (c *Cluster) forwardToLeader(words []string) ([]byte, error) {
+	name, address := c.node.leader()
+	if address == "" {
+		return nil, ErrNoLeader
+	}
+	leader := c.config.clientOf(name, address)
+	defer leader.close()
+	text, err := leader.request(forwardTimeout, append([]string{requestForwarded}, words...)...)
+	return []byte(text), err
+}
+
+// propose has a command of this member committed.
+func (c *Cluster) propose(command Command) error {
+	return c.node.propose(LogEntry{SchemaVersion: schemaVersion, Command: command})
+}
+
+// proposeForMember has a command of another member committed, in the schema version that the member gave it.
+func (c *Cluster) proposeForMember(words []string) error {
+	entry, err := DecodeLogEntry([]byte(words[0]))
+	if err != nil {
+		return err
+	}
+	switch entry.Command.(type) {
+	case RegisterMember, RenewLeases, ReleaseLeases:
+		return c.node.propose(entry)
+	}
+	return invalidRequest("a command of kind %d is not proposed from afar", entry.Command.kind())
+}
+
+func (c *Cluster) moveShard(words []string) error {
+	count := c.config.Settings.shardCount()
+	shard, err := strconv.Atoi(words[0])
+	if err != nil || shard < 0 || shard >= count {
+		return invalidRequest("MOVE: %.40q is no part; there are 0 to %d", words[0], count-1)
+	}
+	target := words[1]
+	if err := c.checkMemberIsAlive(target); err != nil {
+		return err
+	}
+	migration := placement.Migration{Shard: shard, To: target, Reason: "moved by hand"}
+	return c.propose(SetPlacement{
+		Leader:     c.config.Name,
+		Migrations: []placement.Migration{migration},
+		ByOperator: true,
+	})
+}
+
+func (c *Cluster) drainMember(words []string) error {
+	name, mode := words[0], words[1]
+	if err := c.checkMemberIsKnown(name); err != nil {
+		return err
+	}
+	switch mode {
+	case leaveOn, leaveOff, leaveStopping:
+		return c.propose(DrainMember{Member: name, Drain: mode != leaveOff, ByOperator: mode != leaveStopping})
+	}
+	return invalidRequest("LEAVE: on or off, not %.40q", mode)
+}
+
+func (c *Cluster) removeMember(words []string) error {
+	name := words[0]
+	if err := c.checkMemberIsKnown(name); err != nil {
+		return err
+	}
+	if name == c.config.Name {
+		return invalidRequest("STRIKE: %s leads the group; stop it first", name)
+	}
+	if err := c.node.removeVoter(name); err != nil {
+		return err
+	}
+	return c.propose(RemoveMember{Member: name})
+}
+
+func (c *Cluster) addMember(words []string) error {
+	name, address := words[0], words[1]
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return invalidRequest("ADD: %v", err)
+	}
+	if known, votes := c.node.voters()[name]; votes && known == address {
+		return nil
+	}
+	return c.node.addVoter(name, address)
+}
+
+// checkMemberIsKnown fails with an UnknownMemberError for a name that is not registered.
+func (c *Cluster) checkMemberIsKnown(name string) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state := c.member.state
+	if state.Member(name) != nil {
+		return nil
+	}
+	unknown := &UnknownMemberError{Name: name}
+	for _, member := range state.Members {
+		unknown.Known = append(unknown.Known, member.Name)
+	}
+	return unknown
+}
+
+// checkMemberIsAlive fails with an UnknownMemberError or an AbsentMemberError.
+func (c *Cluster) checkMemberIsAlive(name string) error {
+	if err := c.checkMemberIsKnown(name); err != nil {
+		return err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	member := c.member.state.Member(name)
+	if !c.member.isAlive(member, c.config.Now(), nil) {
+		return &AbsentMemberError{name}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/cluster/state.go
@@ -0,0 +1,161 @@
+package cluster
+
+import (
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"peppervale/internal/lease"
+	"peppervale/internal/model"
+)
+
+// MemberState is a member in the replicated state.
+type MemberState struct {
+	Name             string             `cbor:"Name"`
+	Incarnation      uint64             `cbor:"Life"`
+	Record           MemberRecord       `cbor:"Record"`
+	RenewedAt        model.Microseconds `cbor:"Heard"`   // its newest heartbeat, by the leader's clock
+	Draining         bool               `cbor:"Leaving"` // an operator has it give all its shards away
+	Stopping         bool               `cbor:"Ending"`  // its process is about to stop; its next incarnation is not
+	MisroutedProxies []MisroutedProxies `cbor:"Strays"`
+	Removed          bool               `cbor:"Struck"` // its position, its number in leases, is never given again
+}
+
+// ShardState is a shard in the replicated state.
+type ShardState struct {
+	Number     int         `cbor:"Number"`
+	Zone       string      `cbor:"Zone"`
+	Lease      lease.Shard `cbor:"Lease"`
+	Target     string      `cbor:"Wanted"` // the member that it is placed on
+	Pinned     bool        `cbor:"ByHand"` // an operator placed it
+	Load       float64     `cbor:"Load"`   // requests a second
+	LastHolder string      `cbor:"Last"`   // the newest member that held its lease
+	NoProxies  bool        `cbor:"Empty"`  // it is held, and none of its proxies is connected to the holder
+}
+
+// Event is one takeover: a grant to another holder than before, or to another incarnation of it. Status gives it as
+// JSON; its tags are names that others read and must not change.
+type Event struct {
+	At      model.Microseconds `cbor:"At" json:"At"` // the leader's clock
+	Leader  string             `cbor:"Leader" json:"Leader"`
+	Shard   int                `cbor:"Part" json:"Part"`
+	Epoch   uint64             `cbor:"Epoch" json:"Epoch"`
+	From    string             `cbor:"From" json:"From"`
+	To      string             `cbor:"To" json:"To"`
+	Planned bool               `cbor:"Planned" json:"Planned"` // the previous holder had released it
+	Reason  string             `cbor:"Why" json:"Why"`
+}
+
+// maxEvents bounds the takeovers that are remembered: some ten kilobytes of a snapshot.
+const maxEvents = 200
+
+// State is what the members have agreed on. It is free of I/O: the same entries in the same order give the same
+// state.
+type State struct {
+	SchemaVersion uint8              `cbor:"Form"`
+	Digest        uint64             `cbor:"Digest"` // of the first leader's settings; a member with others holds no lease
+	LeaseDuration model.Microseconds `cbor:"Span"`
+	MaxClockDrift model.Microseconds `cbor:"Drift"`
+	Leader        string             `cbor:"Leader"`
+	Term          uint64             `cbor:"Term"` // the raft term in which the leader announced itself
+	Members       []*MemberState     `cbor:"Members"`
+	Shards        []*ShardState      `cbor:"Parts"`
+	Events        []Event            `cbor:"Events"`
+	// WaitReasons are the reasons of the newest placements that have not led to a grant yet, by shard.
+	WaitReasons map[int]string `cbor:"Whys"`
+	// NewerSchemaVersion is that of an entry which this program does not support; nothing after it is applied.
+	NewerSchemaVersion uint8 `cbor:"Newer"`
+
+	supportedVersion uint8 // the newest schema version that this program understands
+}
+
+// NewState is the state of a cluster that has agreed on nothing.
+func NewState(settings Settings) *State {
+	state := &State{
+		SchemaVersion:    schemaVersion,
+		LeaseDuration:    settings.Lease.Duration,
+		MaxClockDrift:    settings.Lease.MaxClockDrift,
+		WaitReasons:      map[int]string{},
+		supportedVersion: schemaVersion,
+	}
+	for _, zone := range settings.Zones {
+		for range settings.ShardsPerZone {
+			state.Shards = append(state.Shards, &ShardState{Number: len(state.Shards), Zone: zone})
+		}
+	}
+	return state
+}
+
+// ReadState reads a snapshot. It fails with a NewerSchemaError for one of a newer program.
+func ReadState(snapshot []byte) (*State, error) {
+	state := &State{supportedVersion: schemaVersion}
+	if err := cbor.Unmarshal(snapshot, state); err != nil {
+		return nil, fmt.Errorf("cluster: a snapshot that cannot be read: %w", err)
+	}
+	if state.SchemaVersion > schemaVersion {
+		return nil, &NewerSchemaError{Found: "a snapshot", Version: state.SchemaVersion, Supported: schemaVersion}
+	}
+	if state.WaitReasons == nil {
+		state.WaitReasons = map[int]string{}
+	}
+	return state, nil
+}
+
+// Bytes is the state as a snapshot has it. It fails with a NewerSchemaError after an entry that this program does not
+// support.
+func (s *State) Bytes() ([]byte, error) {
+	if s.NewerSchemaVersion > 0 {
+		return nil, &NewerSchemaError{
+			Found:     "the log has an entry",
+			Version:   s.NewerSchemaVersion,
+			Supported: s.supportedVersion,
+		}
+	}
+	snapshot, err := cbor.Marshal(s)
+	if err != nil {
+		return nil, fmt.Errorf("cluster: encoding a snapshot: %w", err)
+	}
+	return snapshot, nil
+}
+
+// Member gives a member by its name; nil for none.
+func (s *State) Member(name string) *MemberState {
+	for _, member := range s.Members {
+		if member.Name == name {
+			return member
+		}
+	}
+	return nil
+}
+
+// Holder is the member that a shard's lease names; "" for none. The lease may have expired.
+func (s *State) Holder(shard *ShardState) string {
+	number := int(shard.Lease.Holder.Member)
+	if number > 0 && number <= len(s.Members) {
+		return s.Members[number-1].Name
+	}
+	return ""
+}
+
+// shard gives a shard by its number; nil for none.
+func (s *State) shard(number int) *ShardState {
+	if number < 0 || number >= len(s.Shards) {
+		return nil
+	}
+	return s.Shards[number]
+}
+
+// activeMember gives a member and its identity in leases, if the incarnation is its newest and it is not removed; nil
+// otherwise.
+func (s *State) activeMember(name string, incarnation uint64) (*MemberState, lease.Holder) {
+	for i, member := range s.Members {
+		if member.Name == name && member.Incarnation == incarnation && !member.Removed {
+			return member, lease.Holder{Member: uint16(i + 1), Incarnation: incarnation}
+		}
+	}
+	return nil, lease.Holder{}
+}
+
+func (s *State) leaseConfig() lease.Config {
+	return lease.Config{Duration: s.LeaseDuration, MaxClockDrift: s.MaxClockDrift}
+}
--- a/internal/cluster/state_want_test.go
+++ b/internal/cluster/state_want_test.go
@@ -1,7 +1,8 @@
+//nolint:lll // the stored state is rendered with a line for each entry
 package cluster
 
-// The values that the folder of each member in testdata/folders holds, under their names in CBOR. They are literals: a value
-// that is read otherwise is lost to groups that run already.
+// The values that the folder of each member in testdata/folders holds, under their names in CBOR. They are literals:
+// a value that is read otherwise is lost to groups that run already.
 
 // wantVotes is what raft keeps beside its log.
 const wantVotes = `term 2, voted in 2 for 127.0.0.1:36307`
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -1,19 +1,23 @@
 package cluster
 
-import "peppervale/internal/model"
+import (
+	"cmp"
 
-// Status is what a member knows of its group, for commands and pages.
+	"peppervale/internal/model"
+)
+
+// Status is what a member knows of its cluster, for commands and pages. Its JSON keys are names that others read.
 type Status struct {
 	Member        string             `json:"member"`
 	Leader        string             `json:"leader"`
 	Term          uint64             `json:"term"`
-	AppliedIndex  uint64             `json:"agreed"`            // entries of the log that this member has carried out
-	Fault         string             `json:"trouble,omitempty"` // what keeps this member from holding anything
+	AppliedIndex  uint64             `json:"agreed"`            // of the newest log entry that this member has applied
+	Fault         string             `json:"trouble,omitempty"` // what keeps this member from holding leases
 	LeaseDuration model.Microseconds `json:"span_us"`
 	MaxClockDrift model.Microseconds `json:"drift_us"`
 	Members       []MemberStatus     `json:"members"`
 	Shards        []ShardStatus      `json:"parts"`
-	Takeovers     []Event            `json:"takeovers"` // newest last; At is of the clock of the leader of then
+	Takeovers     []Event            `json:"takeovers"` // newest last; At is of the clock of the leader at that time
 }
 
 // MemberStatus is one member.
@@ -21,58 +25,117 @@
 	Name        string  `json:"name"`
 	Zone        string  `json:"zone"`
 	Channel     string  `json:"channel"`
-	Capacity    float64 `json:"limit,omitempty"`
+	Capacity    float64 `json:"limit,omitempty"` // requests a second; 0: unlimited
 	Voter       bool    `json:"votes"`
 	SeemsAlive  bool    `json:"seems_alive"` // by gossip
 	Draining    bool    `json:"leaving,omitempty"`
 	Removed     bool    `json:"struck,omitempty"`
 	Incarnation uint64  `json:"life"`
-	Shards      int     `json:"parts"`
-	Load        float64 `json:"load"` // invocations a second of its parts, as forwarders told
+	Shards      int     `json:"parts"` // that it holds
+	Load        float64 `json:"load"`  // requests a second of these shards, as reported
 }
 
-// ShardStatus is one part.
+// ShardStatus is one shard.
 type ShardStatus struct {
 	Number         int                `json:"number"`
 	Zone           string             `json:"zone"`
-	Holder         string             `json:"holder"` // by the register; its lease may have run out
+	Holder         string             `json:"holder"` // by the replicated state; its lease may have expired
 	Target         string             `json:"wanted"`
 	Pinned         bool               `json:"by_hand,omitempty"`
 	Epoch          uint64             `json:"epoch"`
 	Load           float64            `json:"load"`
-	HeldHere       bool               `json:"held_here"` // this member may order for it now
+	HeldHere       bool               `json:"held_here"` // this member holds its lease now
 	LeaseRemaining model.Microseconds `json:"lease_left_us,omitempty"`
 	WaitReason     string             `json:"waits_for,omitempty"`
 }
 
 // Status gives what this member knows now; it asks nobody.
-func (g *Cluster) Status() Status {
-	voters, alive := g.engine.voters(), g.gossip.alive()
-	leader, _ := g.engine.leader()
-	now := g.line.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := g.member
-	s := Status{Member: m.Name, Leader: leader, Term: m.reg.Term, AppliedIndex: g.engine.raft.AppliedIndex(), Fault: g.why(), LeaseDuration: m.reg.LeaseDuration, MaxClockDrift: m.reg.MaxClockDrift,
-		Members: []MemberStatus{}, Shards: []ShardStatus{}, Takeovers: append([]Event{}, m.reg.Events...)}
-	at := map[string]int{}
-	for i, one := range m.reg.Members {
-		_, votes := voters[one.Name]
-		at[one.Name] = i
-		s.Members = append(s.Members, MemberStatus{Name: one.Name, Zone: one.Record.Zone, Channel: one.Record.Channel, Capacity: one.Record.Capacity,
-			Voter: votes, SeemsAlive: alive[one.Name], Draining: one.Draining, Removed: one.Removed, Incarnation: one.Incarnation})
+func (c *Cluster) Status() Status {
+	voters := c.node.voters()
+	alive := c.gossip.alive()
+	leader, _ := c.node.leader()
+	now := c.config.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state := c.member.state
+	status := Status{
+		Member:        c.member.Name,
+		Leader:        leader,
+		Term:          state.Term,
+		AppliedIndex:  c.node.raft.AppliedIndex(),
+		Fault:         c.fault(),
+		LeaseDuration: state.LeaseDuration,
+		MaxClockDrift: state.MaxClockDrift,
+		Members:       []MemberStatus{},
+		Shards:        []ShardStatus{},
+		Takeovers:     append([]Event{}, state.Events...),
 	}
-	for part, p := range m.reg.Shards {
-		one := ShardStatus{Number: p.Number, Zone: p.Zone, Holder: m.reg.Holder(p), Target: p.Target, Pinned: p.Pinned, Epoch: p.Lease.Epoch,
-			Load: p.Load, WaitReason: m.Missing(p)}
-		if _, one.HeldHere = m.IsLeaseHolder(part, now); one.HeldHere {
-			one.LeaseRemaining = m.claims[part].Remaining(now)
-		}
-		if i, known := at[one.Holder]; known {
-			s.Members[i].Shards++
-			s.Members[i].Load += p.Load
+	for _, member := range state.Members {
+		_, votes := voters[member.Name]
+		status.Members = append(status.Members, memberStatus(member, votes, alive[member.Name]))
+	}
+	for _, shard := range state.Shards {
+		one := c.member.shardStatus(shard, now)
+		status.Shards = append(status.Shards, one)
+		status.countShard(one)
+	}
+	return status
+}
+
+func memberStatus(member *MemberState, votes, alive bool) MemberStatus {
+	return MemberStatus{
+		Name:        member.Name,
+		Zone:        member.Record.Zone,
+		Channel:     member.Record.Channel,
+		Capacity:    member.Record.Capacity,
+		Voter:       votes,
+		SeemsAlive:  alive,
+		Draining:    member.Draining,
+		Removed:     member.Removed,
+		Incarnation: member.Incarnation,
+	}
+}
+
+func (m *Member) shardStatus(shard *ShardState, now model.Microseconds) ShardStatus {
+	status := ShardStatus{
+		Number:     shard.Number,
+		Zone:       shard.Zone,
+		Holder:     m.state.Holder(shard),
+		Target:     shard.Target,
+		Pinned:     shard.Pinned,
+		Epoch:      shard.Lease.Epoch,
+		Load:       shard.Load,
+		WaitReason: m.waitReason(shard),
+	}
+	_, status.HeldHere = m.IsLeaseHolder(shard.Number, now)
+	if status.HeldHere {
+		status.LeaseRemaining = m.leases[shard.Number].Remaining(now)
+	}
+	return status
+}
+
+// countShard adds a shard to what its holder holds.
+func (s *Status) countShard(shard ShardStatus) {
+	for i := range s.Members {
+		if holder := &s.Members[i]; holder.Name == shard.Holder {
+			holder.Shards++
+			holder.Load += shard.Load
+			return
 		}
-		s.Shards = append(s.Shards, one)
 	}
-	return s
+}
+
+// waitReason tells why a shard is not held by the member that it is placed on; "" if it is.
+func (m *Member) waitReason(shard *ShardState) string {
+	target := m.state.Member(shard.Target)
+	holder := m.state.Holder(shard)
+	switch {
+	case shard.Target == "":
+		return "no member has room for it, or none is here"
+	case target == nil || target.Removed:
+		return "its member was struck off"
+	case holder != shard.Target:
+		return cmp.Or(m.state.WaitReasons[shard.Number], "planned") + ": waits for " + cmp.Or(holder, "its member to ask")
+	}
+	return ""
 }
--- a/internal/cluster/status_golden_test.go
+++ b/internal/cluster/status_golden_test.go
@@ -14,16 +14,28 @@
 // TestStatusAsJSON compares the answer to STATUS with the bytes that programs read today: its keys must not change.
 func TestStatusAsJSON(t *testing.T) {
 	const file = "testdata/status.json"
-	status := Status{Member: "govan-1", Leader: "partick-1", Term: 4, AppliedIndex: 5, Fault: "no majority", LeaseDuration: 2_000_000, MaxClockDrift: 30_000,
+	status := Status{
+		Member: "govan-1", Leader: "partick-1", Term: 4, AppliedIndex: 5, Fault: "no majority",
+		LeaseDuration: 2_000_000, MaxClockDrift: 30_000,
 		Members: []MemberStatus{
-			{Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Capacity: 100.5, Voter: true, SeemsAlive: true, Draining: true, Removed: true, Incarnation: 6, Shards: 7, Load: 8.5},
+			{
+				Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Capacity: 100.5,
+				Voter: true, SeemsAlive: true, Draining: true, Removed: true, Incarnation: 6, Shards: 7, Load: 8.5,
+			},
 			{Name: "partick-1"},
 		},
 		Shards: []ShardStatus{
-			{Number: 9, Zone: "govan", Holder: "govan-1", Target: "partick-1", Pinned: true, Epoch: 10, Load: 11.5, HeldHere: true, LeaseRemaining: 1_200_000, WaitReason: "waits for partick-1"},
+			{
+				Number: 9, Zone: "govan", Holder: "govan-1", Target: "partick-1", Pinned: true, Epoch: 10, Load: 11.5,
+				HeldHere: true, LeaseRemaining: 1_200_000, WaitReason: "waits for partick-1",
+			},
 			{Number: 12},
 		},
-		Takeovers: []Event{{At: 13, Leader: "partick-1", Shard: 9, Epoch: 10, From: "partick-1", To: "govan-1", Planned: true, Reason: "its member leaves"}}}
+		Takeovers: []Event{{
+			At: 13, Leader: "partick-1", Shard: 9, Epoch: 10, From: "partick-1", To: "govan-1", Planned: true,
+			Reason: "its member leaves",
+		}},
+	}
 	got, err := json.Marshal(status)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/cluster/storedstate_test.go
@@ -0,0 +1,398 @@
+package cluster
+
+import (
+	"bytes"
+	"compress/gzip"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	boltraft "github.com/hashicorp/raft-boltdb/v2"
+)
+
+// describe renders a stored value with every exported field, zero or not, each under the name that its bytes have.
+func describe(v any) string { return describeValue(reflect.ValueOf(v)) }
+
+func describeValue(value reflect.Value) string {
+	switch value.Kind() {
+	case reflect.Pointer:
+		if value.IsNil() {
+			return "nil"
+		}
+		return describeValue(value.Elem())
+	case reflect.Struct:
+		var fields []string
+		for i := range value.NumField() {
+			field := value.Type().Field(i)
+			if !field.IsExported() {
+				continue
+			}
+			fields = append(fields, storedName(field)+":"+describeValue(value.Field(i)))
+		}
+		return "{" + strings.Join(fields, " ") + "}"
+	case reflect.Slice, reflect.Array:
+		var items []string
+		for i := range value.Len() {
+			items = append(items, describeValue(value.Index(i)))
+		}
+		return "[" + strings.Join(items, " ") + "]"
+	case reflect.Map:
+		var entries []string
+		for _, key := range value.MapKeys() {
+			entries = append(entries, fmt.Sprint(key)+":"+describeValue(value.MapIndex(key)))
+		}
+		slices.Sort(entries)
+		return "map[" + strings.Join(entries, " ") + "]"
+	case reflect.String:
+		return fmt.Sprintf("%q", value.String())
+	}
+	return fmt.Sprint(value.Interface())
+}
+
+// storedName is the name of a field in CBOR.
+func storedName(field reflect.StructField) string {
+	name, _, _ := strings.Cut(field.Tag.Get("cbor"), ",")
+	if name == "" {
+		return field.Name
+	}
+	return name
+}
+
+// describeState has a line for each member, shard and event.
+func describeState(r *State) string {
+	top := *r
+	top.Members, top.Shards, top.Events = nil, nil, nil
+	lines := []string{describe(top)}
+	for _, m := range r.Members {
+		lines = append(lines, "member "+describe(m))
+	}
+	for _, p := range r.Shards {
+		lines = append(lines, "part "+describe(p))
+	}
+	for _, e := range r.Events {
+		lines = append(lines, "event "+describe(e))
+	}
+	return strings.Join(lines, "\n")
+}
+
+// differs names the first line that is not as wanted; "" for none.
+func differs(got, want string) string {
+	if got == want {
+		return ""
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			return fmt.Sprintf("line %d\n got %s\nwant %s", i+1, gotLines[i], wantLines[i])
+		}
+	}
+	return fmt.Sprintf("%d lines, want %d\n got:\n%s", len(gotLines), len(wantLines), got)
+}
+
+func check(t *testing.T, what, got, want string) {
+	t.Helper()
+	if d := differs(got, want); d != "" {
+		t.Errorf("%s: %s", what, d)
+	}
+}
+
+// sameCBOR tells whether two encodings carry the same names and values; the order within maps is free.
+func sameCBOR(t *testing.T, a, b []byte) bool {
+	t.Helper()
+	var one, other any
+	if err := cbor.Unmarshal(a, &one); err != nil {
+		t.Fatal(err)
+	}
+	if err := cbor.Unmarshal(b, &other); err != nil {
+		t.Fatal(err)
+	}
+	return reflect.DeepEqual(one, other)
+}
+
+// writeDirectories runs a cluster and leaves its directories in testdata: leases of several epochs, a snapshot, and
+// entries after it.
+func writeDirectories(t *testing.T) {
+	cluster := newTestCluster(t, fixtureMembers)
+	cluster.awaitHeld(2, 2, 2)
+	move := func(shard int, to string) {
+		cluster.mustRequest(0, "MOVE", fmt.Sprint(shard), to)
+		cluster.await("the shard is moved", func() bool {
+			for k, g := range cluster.members {
+				if _, held := g.IsLeaseHolder(shard); held {
+					return cluster.configs[k].Name == to
+				}
+			}
+			return false
+		})
+	}
+	move(0, "m1")
+	move(0, "m2")
+	cluster.await("all have carried that out", func() bool {
+		for _, g := range cluster.members {
+			if g.Status().Shards[0].Epoch != 3 {
+				return false
+			}
+		}
+		return true
+	})
+	for _, g := range cluster.members {
+		if err := g.node.raft.Snapshot().Error(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	move(0, "m0")
+	move(3, "m2")
+	cluster.mustRequest(0, "LEAVE", "m1", "on")
+	for k := range cluster.members {
+		cluster.stop(k)
+		packDirectory(t, cluster.configs[k].Directory, filepath.Join("testdata", "folders", cluster.configs[k].Name))
+	}
+}
+
+// packDirectory copies a member's directory; its log is compressed, as bbolt allocates more than it fills.
+func packDirectory(t *testing.T, from, to string) {
+	if err := os.RemoveAll(to); err != nil {
+		t.Fatal(err)
+	}
+	copyTree(t, from, to, func(name string, content []byte) (string, []byte) {
+		if name != logFile {
+			return name, content
+		}
+		var packed bytes.Buffer
+		writer, err := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := writer.Write(content); err != nil {
+			t.Fatal(err)
+		}
+		if err := writer.Close(); err != nil {
+			t.Fatal(err)
+		}
+		return name + ".gz", packed.Bytes()
+	})
+}
+
+// unpackDirectory copies a member's directory out of testdata.
+func unpackDirectory(t *testing.T, name, to string) {
+	t.Helper()
+	copyTree(t, filepath.Join("testdata", "folders", name), to, func(name string, content []byte) (string, []byte) {
+		plain, packed := strings.CutSuffix(name, ".gz")
+		if !packed {
+			return name, content
+		}
+		reader, err := gzip.NewReader(bytes.NewReader(content))
+		if err != nil {
+			t.Fatal(err)
+		}
+		content, err = io.ReadAll(reader)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return plain, content
+	})
+}
+
+func copyTree(t *testing.T, source, target string, convert func(name string, content []byte) (string, []byte)) {
+	t.Helper()
+	err := filepath.WalkDir(source, func(path string, entry os.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		below, err := filepath.Rel(source, path)
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() {
+			return os.MkdirAll(filepath.Join(target, below), 0o755)
+		}
+		content, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		name, content := convert(entry.Name(), content)
+		return os.WriteFile(filepath.Join(target, filepath.Dir(below), name), content, 0o644)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// stored is what a member's directory holds.
+type stored struct {
+	votes    string
+	entries  []raft.Log
+	meta     *raft.SnapshotMeta
+	snapshot []byte
+}
+
+func readDirectory(t *testing.T, directory string) (read stored) {
+	t.Helper()
+	store, err := openLogStore(directory)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = store.Close() }()
+	read.votes = readVotes(t, store)
+	read.entries = readEntries(t, store)
+	read.meta, read.snapshot = readSnapshot(t, filepath.Join(directory, "snapshots"))
+	return read
+}
+
+func readVotes(t *testing.T, store *boltraft.BoltStore) string {
+	t.Helper()
+	term, err := store.GetUint64([]byte("CurrentTerm"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	voteTerm, err := store.GetUint64([]byte("LastVoteTerm"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	candidate, err := store.Get([]byte("LastVoteCand"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("term %d, voted in %d for %s", term, voteTerm, candidate)
+}
+
+func readEntries(t *testing.T, store *boltraft.BoltStore) (entries []raft.Log) {
+	t.Helper()
+	first, err := store.FirstIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	last, err := store.LastIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for index := first; index <= last; index++ {
+		var entry raft.Log
+		if err := store.GetLog(index, &entry); err != nil {
+			t.Fatal(err)
+		}
+		entries = append(entries, entry)
+	}
+	return entries
+}
+
+func readSnapshot(t *testing.T, directory string) (*raft.SnapshotMeta, []byte) {
+	t.Helper()
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(directory, retainedSnapshots, hclog.NewNullLogger())
+	if err != nil {
+		t.Fatal(err)
+	}
+	all, err := snapshots.List()
+	if err != nil || len(all) != 1 {
+		t.Fatalf("%d snapshots, %v", len(all), err)
+	}
+	meta, source, err := snapshots.Open(all[0].ID)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = source.Close() }()
+	if meta == nil {
+		t.Fatal("a snapshot without its description")
+	}
+	snapshot, err := io.ReadAll(source)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return meta, snapshot
+}
+
+func describeServers(c raft.Configuration) (text string) {
+	for _, s := range c.Servers {
+		text += fmt.Sprintf(" %s=%s(%s)", s.ID, s.Address, s.Suffrage)
+	}
+	return text
+}
+
+// describeLog has a line for each entry, with its command decoded.
+func describeLog(t *testing.T, entries []raft.Log) string {
+	t.Helper()
+	var lines []string
+	for _, entry := range entries {
+		line := fmt.Sprintf("%d term %d %s", entry.Index, entry.Term, entry.Type)
+		switch entry.Type {
+		case raft.LogConfiguration:
+			line += describeServers(raft.DecodeConfiguration(entry.Data))
+		case raft.LogCommand:
+			c := &commandRecord{}
+			if err := cbor.Unmarshal(entry.Data, c); err != nil {
+				t.Fatal(err)
+			}
+			again, err := cbor.Marshal(c)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !sameCBOR(t, again, entry.Data) {
+				t.Errorf("entry %d is not written as it was stored", entry.Index)
+			}
+			checkTypedEntry(t, entry)
+			line += " " + describe(c)
+		}
+		lines = append(lines, line)
+	}
+	return strings.Join(lines, "\n")
+}
+
+// checkTypedEntry decodes a stored entry into its command type and encodes it again.
+func checkTypedEntry(t *testing.T, entry raft.Log) {
+	t.Helper()
+	typed, err := DecodeLogEntry(entry.Data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := typed.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !sameCBOR(t, again, entry.Data) {
+		t.Errorf("entry %d loses something in its command type %T", entry.Index, typed.Command)
+	}
+}
+
+// replay gives the state after the entries behind a snapshot.
+func replay(t *testing.T, s stored) *State {
+	t.Helper()
+	state, err := ReadState(s.snapshot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range s.entries {
+		if entry.Index <= s.meta.Index || entry.Type != raft.LogCommand {
+			continue
+		}
+		c := &commandRecord{}
+		if err := cbor.Unmarshal(entry.Data, c); err != nil {
+			t.Fatal(err)
+		}
+		if c.Kind == kindLeaderElected {
+			state.Term = entry.Term // as Member.Applied has it
+		}
+		state.Apply(c.entry(), entry.Term)
+	}
+	return state
+}
+
+// logWant prints the literals for state_want_test.go.
+func logWant(t *testing.T, name string, s stored, meta string, r *State) {
+	for _, want := range [][2]string{
+		{"wantVotes", s.votes},
+		{"wantLog", describeLog(t, s.entries)},
+		{"wantMeta", meta},
+		{"wantSnapshot", describeState(r)},
+		{"wantReplayed", describeState(replay(t, s))},
+	} {
+		fmt.Printf("WANT %s %s\n%s\nEND\n", want[0], name, want[1])
+	}
+}
--- /dev/null
+++ b/internal/cluster/testcluster_test.go
@@ -0,0 +1,273 @@
+package cluster
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"path/filepath"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"peppervale/internal/lease"
+	"peppervale/internal/model"
+	"peppervale/internal/placement"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testSettings are settings for tests over sockets: a lease of a second.
+var testSettings = Settings{
+	Lease:         lease.Config{Duration: model.Second, MaxClockDrift: 50 * model.Millisecond},
+	Placement:     placement.Config{StabilizationPeriod: 2 * model.Second, MoveInterval: 200 * model.Millisecond},
+	Zones:         []string{"govan", "partick", "dalmarnock"},
+	ShardsPerZone: 2,
+}
+
+// leaseRecorder records the lease events of all members; it fails the test where two hold a shard at once, judged as
+// the events come.
+type leaseRecorder struct {
+	t       *testing.T
+	mu      sync.Mutex
+	holders map[int]string // by shard
+	epochs  map[int]uint64 // by shard: the newest
+}
+
+// memberEvents are the events of one member.
+type memberEvents struct {
+	*leaseRecorder
+	name string
+}
+
+func (e memberEvents) LeaseGained(shard int, epoch uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if epoch <= e.epochs[shard] && e.holders[shard] != e.name {
+		e.t.Errorf("%s has shard %d in epoch %d, after %d", e.name, shard, epoch, e.epochs[shard])
+	}
+	e.holders[shard] = e.name
+	e.epochs[shard] = max(epoch, e.epochs[shard])
+}
+
+func (e memberEvents) LeaseLost(shard int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.holders[shard] == e.name {
+		delete(e.holders, shard)
+	}
+}
+
+// forget takes that a member's process has ended: it holds nothing, without an event.
+func (r *leaseRecorder) forget(name string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for shard, holder := range r.holders {
+		if holder == name {
+			delete(r.holders, shard)
+		}
+	}
+}
+
+// testLinks are links that are cut by their ends.
+type testLinks struct {
+	mu  sync.Mutex
+	cut map[[2]string]bool
+}
+
+func (l *testLinks) Open(from, to string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return !l.cut[[2]string{from, to}]
+}
+
+func (l *testLinks) set(cut bool, from, to string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.cut[[2]string{from, to}] = cut
+}
+
+// testCluster is a cluster over sockets in one process.
+type testCluster struct {
+	t            *testing.T
+	links        *testLinks
+	leases       *leaseRecorder
+	now          func() model.Microseconds
+	configs      []Config
+	members      []*Cluster    // nil: stopped
+	diskFull     []atomic.Bool // by member
+	incarnations uint64
+}
+
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String()
+}
+
+func newTestCluster(t *testing.T, size int) *testCluster {
+	t.Helper()
+	cluster := prepareTestCluster(t, size)
+	for k := range size {
+		cluster.start(k)
+	}
+	return cluster
+}
+
+// prepareTestCluster makes a cluster of which no member is started yet.
+func prepareTestCluster(t *testing.T, size int) *testCluster {
+	t.Helper()
+	start := time.Now()
+	cluster := &testCluster{
+		t:      t,
+		links:  &testLinks{cut: map[[2]string]bool{}},
+		leases: &leaseRecorder{t: t, holders: map[int]string{}, epochs: map[int]uint64{}},
+		now: func() model.Microseconds {
+			return model.Second + model.Microseconds(time.Since(start)/time.Microsecond)
+		},
+		members:  make([]*Cluster, size),
+		diskFull: make([]atomic.Bool, size),
+	}
+	var peers []Peer
+	for k := range size {
+		peers = append(peers, Peer{Name: fmt.Sprint("m", k), Address: freeAddress(t), Gossip: freeAddress(t)})
+	}
+	directory := t.TempDir()
+	for k, peer := range peers {
+		config := cluster.config(k, peer, filepath.Join(directory, peer.Name))
+		config.Peers = peers
+		cluster.configs = append(cluster.configs, config)
+	}
+	t.Cleanup(cluster.stopAll)
+	return cluster
+}
+
+func (c *testCluster) config(k int, self Peer, directory string) Config {
+	return Config{
+		Name:      self.Name,
+		Zone:      testSettings.Zones[k%len(testSettings.Zones)],
+		Channel:   fmt.Sprint("127.0.0.1:", 7700+k),
+		Listen:    self.Address,
+		Gossip:    self.Gossip,
+		Directory: directory,
+		Settings:  testSettings,
+		Loads: func() map[int]float64 {
+			return map[int]float64{0: 10, 1: 10, 2: 10, 3: 10, 4: 10, 5: 10}
+		},
+		Now:   c.now,
+		Links: c.links,
+		Log:   zerolog.Nop(),
+		diskFault: func() error {
+			if c.diskFull[k].Load() {
+				return errors.New("no space left on device")
+			}
+			return nil
+		},
+	}
+}
+
+func (c *testCluster) start(k int) {
+	c.t.Helper()
+	c.incarnations++
+	c.configs[k].Incarnation = c.incarnations
+	member, err := Open(c.configs[k], memberEvents{c.leases, c.configs[k].Name})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.members[k] = member
+}
+
+func (c *testCluster) stop(k int) {
+	member := c.members[k]
+	if member == nil {
+		return
+	}
+	c.members[k] = nil
+	member.Close()
+	c.leases.forget(c.configs[k].Name)
+}
+
+func (c *testCluster) stopAll() {
+	var wait sync.WaitGroup
+	for k := range c.members {
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			c.stop(k)
+		}()
+	}
+	wait.Wait()
+}
+
+// isolate cuts, or restores, all links of a member.
+func (c *testCluster) isolate(cut bool, name string) {
+	for _, config := range c.configs {
+		c.links.set(cut, name, config.Name)
+		c.links.set(cut, config.Name, name)
+	}
+}
+
+// leaderOf gives the number of the leader that a member knows; false for none.
+func (c *testCluster) leaderOf(k int) (leader int, known bool) {
+	name, _ := c.members[k].node.leader()
+	_, err := fmt.Sscanf(name, "m%d", &leader)
+	return leader, err == nil
+}
+
+// request sends an operator's request to a member.
+func (c *testCluster) request(k int, words ...string) error {
+	_, err := Request(c.configs[k].Listen, 5*time.Second, words...)
+	return err
+}
+
+// mustRequest fails the test if an operator's request fails.
+func (c *testCluster) mustRequest(k int, words ...string) {
+	c.t.Helper()
+	if err := c.request(k, words...); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// await waits until a condition is true.
+func (c *testCluster) await(what string, condition func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			for _, member := range c.members {
+				if member != nil {
+					c.t.Logf("%+v", member.Status())
+				}
+			}
+			c.t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// held gives how many shards each member holds now, by its own clock and leases.
+func (c *testCluster) held() (counts []int) {
+	for _, member := range c.members {
+		count := 0
+		if member != nil {
+			for shard := range testSettings.shardCount() {
+				if _, ok := member.IsLeaseHolder(shard); ok {
+					count++
+				}
+			}
+		}
+		counts = append(counts, count)
+	}
+	return counts
+}
+
+func (c *testCluster) awaitHeld(counts ...int) {
+	c.t.Helper()
+	c.await(fmt.Sprint("held as ", counts), func() bool { return slices.Equal(c.held(), counts) })
+}
