--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -62,7 +62,7 @@
 	sim.run(5 * model.Second)
 	sim.members[0].up = false
 	for range 100 {
-		sim.step(20 * model.Millisecond)
+		sim.step()
 		if sim.held(1) < 2 || sim.held(2) < 2 {
 			t.Fatal("a member lost its shards with the leader")
 		}
@@ -184,8 +184,8 @@
 	}
 }
 
-// A member's renewals are agreed on, and it learns so only after its lease has expired: it loses the lease and gains it
-// again, in the same epoch, as nobody else was granted it.
+// A member's renewals are agreed on, and it learns so only after its lease has expired: it loses the lease and gains
+// it again, in the same epoch, as nobody else was granted it.
 func TestLateRenewalIsGainedAgainInTheSameEpoch(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
@@ -193,7 +193,7 @@
 	late.changes = nil
 	late.deaf = true
 	for len(late.changes) < 2 && sim.now < 1010*model.Second {
-		sim.step(20 * model.Millisecond)
+		sim.step()
 	}
 	late.deaf = false
 	sim.run(100 * model.Millisecond)
@@ -215,9 +215,9 @@
 	sim.commit(DrainMember{Member: "m1", Drain: true, ByOperator: true}, sim.now)
 	without := model.Microseconds(0)
 	for sim.held(1) > 0 || without == 0 {
-		sim.step(20 * model.Millisecond)
+		sim.step()
 		if sim.held(0)+sim.held(1)+sim.held(2) < 6 {
-			without += 20 * model.Millisecond
+			without += simulationTick
 		}
 		if sim.now > 1100*model.Second {
 			t.Fatal("it keeps some shards")
--- a/internal/cluster/simulation_test.go
+++ b/internal/cluster/simulation_test.go
@@ -16,6 +16,9 @@
 	ShardsPerZone: 2,
 }
 
+// simulationTick is the time that passes in a step.
+const simulationTick = 20 * model.Millisecond
+
 // simulation is a cluster on a log in memory: an entry is committed at once and carried to each member unless it is
 // cut off or down.
 type simulation struct {
@@ -98,8 +101,8 @@
 }
 
 // step lets time pass and every member do what it does; it checks who holds leases after each.
-func (s *simulation) step(duration model.Microseconds) {
-	s.now += duration
+func (s *simulation) step() {
+	s.now += simulationTick
 	s.electIfLeaderIsLost()
 	for k, m := range s.members {
 		if !m.up {
@@ -169,7 +172,7 @@
 
 func (s *simulation) run(duration model.Microseconds) {
 	for end := s.now + duration; s.now < end; {
-		s.step(20 * model.Millisecond)
+		s.step()
 	}
 }
 
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"os"
 	"path/filepath"
 	"slices"
 	"sync"
@@ -29,9 +30,9 @@
 	ShardsPerZone: 2,
 }
 
-// leaseRecorder records the lease events of all members. It fails the test where a shard's epoch goes back, or where an
-// epoch has two holders, judged as the events come. A member that lost a lease may gain it again in the same epoch, in
-// the same incarnation: its renewal was agreed on late, and nobody else was granted the lease meanwhile.
+// leaseRecorder records the lease events of all members. It fails the test where a shard's epoch goes back, or where
+// an epoch has two holders, judged as the events come. A member that lost a lease may gain it again in the same
+// epoch, in the same incarnation: its renewal was agreed on late, and nobody else was granted the lease meanwhile.
 type leaseRecorder struct {
 	t      *testing.T
 	mu     sync.Mutex
@@ -110,14 +111,28 @@
 	incarnations uint64
 }
 
+// firstTestPort is below the range from which the kernel picks the ports of connections.
+const firstTestPort = 10_000
+
+// lastTestPort is the newest port that freeAddress tried.
+var lastTestPort atomic.Int32
+
+// freeAddress gives an address that stays free while its member is stopped: a connection of any process on the machine
+// may take a port of 127.0.0.1 that the kernel picked, but none of this process's own loopback address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	pid := os.Getpid()
+	host := fmt.Sprintf("127.%d.%d.%d", 64|pid>>16&63, pid>>8&255, pid&255)
+	for range 1000 {
+		address := net.JoinHostPort(host, fmt.Sprint(firstTestPort+lastTestPort.Add(1)))
+		listener, err := net.Listen("tcp", address)
+		if err == nil {
+			_ = listener.Close()
+			return address
+		}
 	}
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().String()
+	t.Fatalf("no free port on %s", host)
+	return ""
 }
 
 func newTestCluster(t *testing.T, size int) *testCluster {
