--- a/internal/pubsub/stats.go
+++ b/internal/pubsub/stats.go
@@ -2,26 +2,26 @@
 
 // Stats are counts since the start, and gauges of now where a field says so.
 type Stats struct {
-	Forwarders  int    `json:"forwarders"`       // proxies admitted now
-	Observers   int    `json:"observers"`        // now
-	Connections int    `json:"connections"`      // open now
-	Version     uint64 `json:"version"`          // published now
-	Queue       int    `json:"queue_lines"`      // entries that wait for the channel's pace now
-	QueueMost   int    `json:"queue_most_lines"` // the most that waited
-	Messages    uint64 `json:"messages"`         // sent to proxies
-	Lines       uint64 `json:"lines"`            // entries sent to proxies, by cost
-	Bytes       uint64 `json:"bytes"`
-	Folds       uint64 `json:"snapshot_folds"` // slow readers whose changes were folded into a snapshot
-	Resyncs     uint64 `json:"resyncs"`        // snapshots that proxies asked for
-	Faults      uint64 `json:"faults"`         // connections ended for a protocol error
-	Replaced    uint64 `json:"replaced"`       // streams whose proxy has joined again
-	Deferred    uint64 `json:"joins_deferred"`
-	Shed        uint64 `json:"joins_shed"`
-	Storms      uint64 `json:"join_storms"`
-	Unsent      int64  `json:"unsent_bytes"` // wait for all peers now
-	PutOff      uint64 `json:"put_off"`      // peers that sent more commands than they may
-	Moved       uint64 `json:"moved"`        // peers redirected as another controller has their shard
-	Fenced      uint64 `json:"fenced"`       // messages that proxies did not obey, as their epoch was old
+	Proxies          int    `json:"forwarders"`       // proxies admitted now
+	Observers        int    `json:"observers"`        // now
+	Connections      int    `json:"connections"`      // open now
+	Version          uint64 `json:"version"`          // published now
+	QueuedEntries    int    `json:"queue_lines"`      // entries that wait for the channel's pace now
+	MaxQueuedEntries int    `json:"queue_most_lines"` // the most that waited
+	Messages         uint64 `json:"messages"`         // sent to proxies
+	Entries          uint64 `json:"lines"`            // entries sent to proxies, by cost
+	Bytes            uint64 `json:"bytes"`
+	SnapshotFolds    uint64 `json:"snapshot_folds"` // slow readers whose changes were folded into a snapshot
+	Resyncs          uint64 `json:"resyncs"`        // snapshots that proxies asked for
+	ProtocolErrors   uint64 `json:"faults"`         // connections ended for a protocol error
+	Replaced         uint64 `json:"replaced"`       // streams whose proxy has joined again
+	JoinsDeferred    uint64 `json:"joins_deferred"`
+	JoinsRejected    uint64 `json:"joins_shed"`
+	JoinStorms       uint64 `json:"join_storms"`
+	UnsentBytes      int64  `json:"unsent_bytes"` // wait for all peers now
+	RateLimited      uint64 `json:"put_off"`      // peers that sent more commands than they may
+	Redirected       uint64 `json:"moved"`        // peers redirected as another controller has their shard
+	Fenced           uint64 `json:"fenced"`       // messages that proxies did not obey, as their epoch was old
 }
 
 // Stats returns the figures of now.
@@ -29,22 +29,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stats := s.stats
-	stats.Forwarders = len(s.published.Subscribers)
+	stats.Proxies = len(s.published.Subscribers)
 	stats.Observers = s.observerCount
 	stats.Connections = s.connections.Count()
 	stats.Version = s.published.Version
-	stats.Queue = s.queue.waitingEntries
-	stats.QueueMost = s.queue.maxWaitingEntries
+	stats.QueuedEntries = s.queue.waitingEntries
+	stats.MaxQueuedEntries = s.queue.maxWaitingEntries
 	stats.Bytes = s.connections.BytesWritten()
-	stats.Deferred = s.joins.Stats.Deferred
-	stats.Shed = s.joins.Stats.Rejected
-	stats.Storms = s.joins.Stats.Storms
-	stats.Unsent = s.connections.UnsentBytes()
+	stats.JoinsDeferred = s.joins.Stats.Deferred
+	stats.JoinsRejected = s.joins.Stats.Rejected
+	stats.JoinStorms = s.joins.Stats.Storms
+	stats.UnsentBytes = s.connections.UnsentBytes()
 	return stats
 }
 
-// Loads returns the request rates that joined proxies expect, by shard.
-func (s *Server) Loads() map[int]float64 {
+// ExpectedRates returns the request rates that joined proxies expect, by shard.
+func (s *Server) ExpectedRates() map[int]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rates := map[int]float64{}
--- a/internal/scenario/faulty.go
+++ b/internal/scenario/faulty.go
@@ -60,14 +60,14 @@
 	}
 	var err error
 	controller.server, err = pubsub.Listen(pubsub.Config{
-		Listen:          run.network.instanceAddress(0, channelPort),
-		Incarnation:     1,
-		Zones:           run.script.Zones,
-		ReportPeriod:    run.script.Config.ReportPeriod,
-		MessageOverhead: run.script.Config.MessageOverhead,
-		Pace:            faultyMessageRate,
-		Now:             run.now,
-		Log:             zerolog.Nop(),
+		Listen:           run.network.instanceAddress(0, channelPort),
+		Incarnation:      1,
+		Zones:            run.script.Zones,
+		ReportPeriod:     run.script.Config.ReportPeriod,
+		MessageOverhead:  run.script.Config.MessageOverhead,
+		EntriesPerSecond: faultyMessageRate,
+		Now:              run.now,
+		Log:              zerolog.Nop(),
 	}, controller)
 	if err != nil {
 		return nil, err
--- a/internal/scenario/simulatorimport.go
+++ b/internal/scenario/simulatorimport.go
@@ -23,10 +23,10 @@
 	retryNames  = []string{"never", "when-unrun", "any-failure", "two-more"}
 )
 
-// FromBench converts a scenario of the operators' simulator into a scenario file with at most so many proxies: fleet,
-// load and queue shrink alike. notes says what could not be carried over. Bays, random draws and moments are not the
-// simulator's. Errors are of type *SimulatorScenarioError.
-func FromBench(text []byte, maxProxies int) (script []byte, notes []string, err error) {
+// ImportSimulatorScenario converts a scenario of the operators' simulator into a scenario file with at most so many
+// proxies: fleet, load and queue shrink alike. notes says what could not be carried over. Groups that drop repeats,
+// random draws and moments are not the simulator's. Errors are of type *SimulatorScenarioError.
+func ImportSimulatorScenario(text []byte, maxProxies int) (script []byte, notes []string, err error) {
 	source, err := parseSimulatorScenario(text)
 	if err != nil {
 		return nil, nil, err
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -23,7 +23,7 @@
 	if target.rate <= 0 {
 		return
 	}
-	delay := model.Microseconds(r.random.Wait(target.rate) * float64(model.Second))
+	delay := model.Microseconds(r.random.Interval(target.rate) * float64(model.Second))
 	r.loop.After(delay, func() {
 		if r.now()-r.started < r.script.Length {
 			r.sendRequest(target)
@@ -36,11 +36,11 @@
 func (r *runner) sendRequest(target *managedProxy) {
 	load := r.drawOperation()
 	r.lastRequest++
-	work := float64(load.Mean) * r.random.Spread(load.Spread)
+	work := float64(load.Mean) * r.random.Lognormal(load.Spread)
 	if r.heavyTail.fraction > 0 && r.random.Float() < r.heavyTail.fraction {
 		work *= r.heavyTail.factor
 	}
-	attempt := proxy.Invocation{Number: r.lastRequest, Operation: load.Operation, Work: work}
+	attempt := proxy.Request{Number: r.lastRequest, Operation: load.Operation, Work: work}
 	r.sendAttempt(clientRequest{proxy: target, started: r.now()}, attempt)
 }
 
@@ -58,7 +58,7 @@
 }
 
 // sendAttempt sends an attempt and, after a backoff, its retry as clients do.
-func (r *runner) sendAttempt(request clientRequest, attempt proxy.Invocation) {
+func (r *runner) sendAttempt(request clientRequest, attempt proxy.Request) {
 	attempt.Done = func(result proxy.Result, _ model.Microseconds) {
 		latency := r.now() - request.started
 		if !r.clientRetries(attempt, result, latency) {
@@ -67,17 +67,17 @@
 		}
 		r.loop.After(r.script.Proxies.ClientBackoff, func() {
 			next := attempt
-			next.Caller++
+			next.ClientAttempt++
 			r.sendAttempt(request, next)
 		})
 	}
-	request.proxy.Invoke(&attempt)
+	request.proxy.Handle(&attempt)
 }
 
 // clientRetries tells whether a client retries: idempotent work after any failure, the rest only after it was rejected.
-func (r *runner) clientRetries(attempt proxy.Invocation, result proxy.Result, latency model.Microseconds) bool {
+func (r *runner) clientRetries(attempt proxy.Request, result proxy.Result, latency model.Microseconds) bool {
 	operation := r.script.Operations[attempt.Operation]
-	attemptsLeft := attempt.Caller+1 < r.script.Proxies.ClientAttempts
+	attemptsLeft := attempt.ClientAttempt+1 < r.script.Proxies.ClientAttempts
 	timeLeft := latency+r.script.Proxies.ClientBackoff < operation.Timeout
 	if !attemptsLeft || !timeLeft {
 		return false
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -30,7 +30,7 @@
 type instance struct {
 	settings *activeSettings
 	balancer model.Config // with this incarnation's seed, once the store is open
-	outside  Outside
+	outside  Environment
 	log      zerolog.Logger
 	now      func() model.Microseconds
 
@@ -45,7 +45,7 @@
 	closers []func() error // of the parts that are open, in the order of opening
 }
 
-func newInstance(settings *config.Server, outside Outside, log zerolog.Logger) *instance {
+func newInstance(settings *config.Server, outside Environment, log zerolog.Logger) *instance {
 	return &instance{
 		settings: &activeSettings{current: settings},
 		balancer: settings.Balancer,
@@ -87,7 +87,7 @@
 
 // openStore opens the state store and counts an incarnation.
 func (inst *instance) openStore(settings *config.Server) (*statestore.Store, error) {
-	store, recovered, err := statestore.Open(settings.State, uint64(inst.now()/model.Second))
+	store, recovered, err := statestore.Open(settings.StateDir, uint64(inst.now()/model.Second))
 	if err != nil {
 		return nil, err
 	}
@@ -115,16 +115,16 @@
 // listen opens the address for proxies. They may connect from here on.
 func (inst *instance) listen(settings *config.Server) error {
 	serverConfig := pubsub.Config{
-		Listen:          settings.Listen,
-		Incarnation:     inst.recovered.Incarnation,
-		Zones:           settings.Zones,
-		ReportPeriod:    inst.balancer.ReportPeriod,
-		MessageOverhead: inst.balancer.MessageOverhead,
-		Pace:            settings.Pace,
-		Now:             inst.now,
-		Joins:           joinLimits(settings, inst.balancer.Seed),
-		Log:             inst.log,
-		Limits:          peerLimits(settings),
+		Listen:           settings.Listen,
+		Incarnation:      inst.recovered.Incarnation,
+		Zones:            settings.Zones,
+		ReportPeriod:     inst.balancer.ReportPeriod,
+		MessageOverhead:  inst.balancer.MessageOverhead,
+		EntriesPerSecond: settings.ChannelRate,
+		Now:              inst.now,
+		JoinLimits:       joinLimits(settings, inst.balancer.Seed),
+		Log:              inst.log,
+		Limits:           peerLimits(settings),
 	}
 	if inst.membership != nil {
 		serverConfig.Leases = inst.membership
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -88,15 +88,15 @@
 	memberConfig := cluster.Config{
 		Name:             options.settings.Name,
 		Zone:             clusterSettings.Zone,
-		Channel:          m.proxies.Addr(),
-		Listen:           clusterSettings.Listen,
-		Gossip:           clusterSettings.Gossip,
-		Directory:        filepath.Join(options.settings.State, "group"),
+		ChannelAddress:   m.proxies.Addr(),
+		ListenAddress:    clusterSettings.Listen,
+		GossipAddress:    clusterSettings.Gossip,
+		Directory:        filepath.Join(options.settings.StateDir, "group"),
 		Incarnation:      memberIncarnation(options.incarnation),
 		Join:             clusterSettings.Join,
 		Settings:         m.settings,
 		Capacity:         clusterSettings.Capacity,
-		Loads:            m.proxies.Loads,
+		ShardLoads:       m.proxies.ExpectedRates,
 		MisroutedProxies: misroutedProxies,
 		Handover:         cluster.HandoverHooks{Export: m.exportHandover, Import: m.importHandover},
 		Now:              options.now,
@@ -104,7 +104,7 @@
 		Log:              options.log,
 	}
 	for _, member := range clusterSettings.Members {
-		peer := cluster.Peer{Name: member.Name, Address: member.Address, Gossip: member.Gossip}
+		peer := cluster.Peer{Name: member.Name, Address: member.Address, GossipAddress: member.Gossip}
 		memberConfig.Peers = append(memberConfig.Peers, peer)
 	}
 	opened, err := cluster.Open(memberConfig, m)
@@ -192,7 +192,7 @@
 	if opened == nil {
 		return ""
 	}
-	return opened.Holder(shard)
+	return opened.TargetChannel(shard)
 }
 
 // transferLeases gives all leases to other members, within a time.
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return
 	}
-	r.writer.AddDecision(statestore.Record{Incarnation: r.incarnation, Number: decision.Number, Body: body})
+	r.writer.AddDecision(statestore.DecisionRecord{Incarnation: r.incarnation, Number: decision.Number, Body: body})
 }
 
 // EndpointsChanged passes an endpoint list on to the controller, and queues a full one for the store behind it: a
@@ -80,7 +80,7 @@
 	if len(found) >= limit {
 		return found
 	}
-	_, err := r.store.Decisions(r.incarnation, oldest, limit-len(found), func(record statestore.Record) bool {
+	_, err := r.store.Decisions(r.incarnation, oldest, limit-len(found), func(record statestore.DecisionRecord) bool {
 		var decision controller.Decision
 		if json.Unmarshal(record.Body, &decision) != nil {
 			return false
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 
 	"github.com/rs/zerolog"
@@ -12,8 +11,8 @@
 	"peppervale/internal/controller"
 )
 
-// Outside is what an instance is handed by the process that it runs in. Every field may be left out.
-type Outside struct {
+// Environment is what an instance is handed by the process that it runs in. Every field may be left out.
+type Environment struct {
 	Reload     <-chan struct{}                // asks for the configuration to be read again
 	LoadConfig func() (*config.Server, error) // reads it; needed with Reload
 	LogLevel   *LevelFilter                   // follows the configuration's log level
@@ -35,9 +34,9 @@
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // Serve runs one instance until the context is done. It then shuts down gracefully, within the configured grace period,
-// and releases everything that it opened. Errors are those of starting (settings that the balancer rejects, the state
-// store, a *ListenError, the cluster, the console) and of closing, joined.
-func Serve(ctx context.Context, settings *config.Server, outside Outside, log zerolog.Logger) error {
+// and releases everything that it opened. Errors are those of starting: settings that the balancer rejects, the state
+// store, a *ListenError, the cluster, the console. One of closing is logged and changes nothing.
+func Serve(ctx context.Context, settings *config.Server, outside Environment, log zerolog.Logger) error {
 	if err := controller.Check(settings.Balancer); err != nil {
 		return err
 	}
@@ -47,5 +46,8 @@
 		inst.operate(ctx)
 		inst.shutDown()
 	}
-	return errors.Join(err, inst.close())
+	if closeErr := inst.close(); closeErr != nil {
+		log.Error().Err(closeErr).Msg("closing failed")
+	}
+	return err
 }
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -27,7 +27,7 @@
 }
 
 // list returns the names and values in force, for the console.
-func (s *activeSettings) list() [][2]string { return s.get().InForce() }
+func (s *activeSettings) list() [][2]string { return s.get().Settings() }
 
 // reload reads the configuration again and applies it if a running instance can; a rejected one is logged and changes
 // nothing.
@@ -55,12 +55,12 @@
 func peerLimits(settings *config.Server) pubsub.Limits {
 	limits := settings.Limits
 	return pubsub.Limits{
-		Connections: limits.Connections,
-		Observers:   limits.Observers,
-		Unsent:      limits.Unsent,
-		UnsentAll:   limits.UnsentAll,
-		Greeting:    limits.Greeting,
-		Commands:    admission.Rate{PerSecond: limits.CommandRate, Burst: limits.CommandBurst},
+		Connections:      limits.Connections,
+		Observers:        limits.Observers,
+		UnsentBytes:      limits.UnsentBytes,
+		TotalUnsentBytes: limits.TotalUnsentBytes,
+		GreetingTimeout:  limits.GreetingTimeout,
+		CommandRate:      admission.Rate{PerSecond: limits.CommandRate, Burst: limits.CommandBurst},
 	}
 }
 
@@ -70,7 +70,7 @@
 	return admission.Limits{
 		Rate:       limits.JoinRate,
 		Burst:      limits.JoinBurst,
-		MaxProxies: limits.JoinMost,
+		MaxProxies: limits.MaxProxies,
 		Jitter:     1,
 		Seed:       seed,
 	}
--- a/internal/server/statistics.go
+++ b/internal/server/statistics.go
@@ -24,19 +24,19 @@
 		return
 	}
 	log.Info().
-		Int("proxies", stats.Forwarders).
+		Int("proxies", stats.Proxies).
 		Uint64("version", stats.Version).
 		Bool("safe_mode_ended", view.SafeModeEnded).
 		Int("ready_replicas", view.ReadyReplicas).
-		Int("max_queued_entries", stats.QueueMost).
+		Int("max_queued_entries", stats.MaxQueuedEntries).
 		Uint64("messages", stats.Messages).
-		Uint64("entries", stats.Lines).
-		Uint64("snapshot_fallbacks", stats.Folds).
+		Uint64("entries", stats.Entries).
+		Uint64("snapshot_fallbacks", stats.SnapshotFolds).
 		Uint64("resyncs", stats.Resyncs).
 		Uint64("merged_reports", view.MergedReports).
-		Uint64("protocol_errors", stats.Faults).
-		Uint64("rate_limited_peers", stats.PutOff).
-		Int64("unsent_bytes", stats.Unsent).
+		Uint64("protocol_errors", stats.ProtocolErrors).
+		Uint64("rate_limited_peers", stats.RateLimited).
+		Int64("unsent_bytes", stats.UnsentBytes).
 		Int64("longest_step_us", int64(view.LongestStep)).
 		Msg(statisticsMessage)
 }
--- a/internal/snapshot/delivery.go
+++ b/internal/snapshot/delivery.go
@@ -113,7 +113,7 @@
 		}
 	}
 	slices.SortFunc(ended, func(a, b pubsubmsg.Withdrawal) int {
-		return strings.Compare(pubsubmsg.Address(a.Replica), pubsubmsg.Address(b.Replica))
+		return strings.Compare(pubsubmsg.FormatAddress(a.Replica), pubsubmsg.FormatAddress(b.Replica))
 	})
 	return ended
 }
--- a/internal/standin/replica/deduplication.go
+++ b/internal/standin/replica/deduplication.go
@@ -2,19 +2,22 @@
 
 import "peppervale/internal/model"
 
-// Bay is a group of replicas that drop repeats of requests with an idempotency key among themselves for a while.
-type Bay struct {
+// DeduplicationGroup is a group of replicas that drop repeats of requests with an idempotency key among themselves for
+// a while.
+type DeduplicationGroup struct {
 	firstAt map[string]model.Microseconds // by idempotency key
 }
 
 // rememberedKeys is how many keys a group remembers before it forgets what is older than the window.
 const rememberedKeys = 10_000
 
-// NewBay makes an empty group.
-func NewBay() *Bay { return &Bay{firstAt: map[string]model.Microseconds{}} }
+// NewDeduplicationGroup makes an empty group.
+func NewDeduplicationGroup() *DeduplicationGroup {
+	return &DeduplicationGroup{firstAt: map[string]model.Microseconds{}}
+}
 
 // repeated notes a key and reports whether it was seen within the window before.
-func (b *Bay) repeated(key string, now, window model.Microseconds) bool {
+func (b *DeduplicationGroup) repeated(key string, now, window model.Microseconds) bool {
 	if len(b.firstAt) > rememberedKeys {
 		b.forget(now - window)
 	}
@@ -26,7 +29,7 @@
 	return false
 }
 
-func (b *Bay) forget(before model.Microseconds) {
+func (b *DeduplicationGroup) forget(before model.Microseconds) {
 	for key, at := range b.firstAt {
 		if at < before {
 			delete(b.firstAt, key)
--- a/internal/statestore/decisionlog.go
+++ b/internal/statestore/decisionlog.go
@@ -16,8 +16,8 @@
 // decisionFillPercent is how full bbolt fills the log's pages: high, as entries arrive in the order of their keys.
 const decisionFillPercent = 0.95
 
-// Record is an entry of the decision log.
-type Record struct {
+// DecisionRecord is an entry of the decision log.
+type DecisionRecord struct {
 	Incarnation uint64 // of the instance that decided
 	Number      uint64 // of the decision, within the incarnation
 	Body        []byte // the caller's own encoding
@@ -29,7 +29,7 @@
 	bytes   int // of the bodies
 }
 
-func (s *logSize) add(record Record) {
+func (s *logSize) add(record DecisionRecord) {
 	s.entries++
 	s.bytes += len(record.Body)
 }
@@ -39,7 +39,7 @@
 }
 
 // appendDecisions adds records to the log and counts them in size.
-func appendDecisions(bucket *bolt.Bucket, records []Record, size *logSize) error {
+func appendDecisions(bucket *bolt.Bucket, records []DecisionRecord, size *logSize) error {
 	bucket.FillPercent = decisionFillPercent
 	for _, record := range records {
 		size.add(record)
@@ -70,8 +70,10 @@
 // Decisions gives the log entries before (incarnation, number) that match, newest first, up to limit. The record passed
 // to match is valid during that call only. Damaged entries are left out. It neither waits for writes nor delays them.
 // The error is one of the database.
-func (s *Store) Decisions(incarnation, number uint64, limit int, match func(Record) bool) ([]Record, error) {
-	var found []Record
+func (s *Store) Decisions(
+	incarnation, number uint64, limit int, match func(DecisionRecord) bool,
+) ([]DecisionRecord, error) {
+	var found []DecisionRecord
 	err := s.db.View(func(tx *bolt.Tx) error {
 		cursor := tx.Bucket(decisionsBucket).Cursor()
 		key, stored := seekBefore(cursor, decisionKey(incarnation, number))
--- a/internal/statestore/records.go
+++ b/internal/statestore/records.go
@@ -47,10 +47,10 @@
 
 // parseDecision reads an entry of the decision log; its body shares the stored bytes. ok is false if the entry is
 // damaged.
-func parseDecision(key, stored []byte) (record Record, ok bool) {
+func parseDecision(key, stored []byte) (record DecisionRecord, ok bool) {
 	body, ok := verifyChecksum(stored)
 	if !ok || len(key) != decisionKeySize {
-		return Record{}, false
+		return DecisionRecord{}, false
 	}
 	record.Incarnation = binary.BigEndian.Uint64(key)
 	record.Number = binary.BigEndian.Uint64(key[8:])
--- a/internal/statestore/recovery.go
+++ b/internal/statestore/recovery.go
@@ -32,7 +32,7 @@
 // storedState is what a state directory holds, read completely.
 type storedState struct {
 	values    map[string][]byte // of the state bucket, by key; verified
-	decisions []Record          // in the order of their keys
+	decisions []DecisionRecord  // in the order of their keys
 	damage    []error
 }
 
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -89,7 +89,7 @@
 type Change struct {
 	Endpoints []model.Endpoint // nil: unchanged
 	Published []byte           // nil: unchanged
-	Decisions []Record         // appended to the decision log
+	Decisions []DecisionRecord // appended to the decision log
 }
 
 func (c *Change) isEmpty() bool {
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -70,7 +70,7 @@
 }
 
 // AddDecision stores an entry of the decision log. The writer owns its body from then on.
-func (w *Writer) AddDecision(record Record) {
+func (w *Writer) AddDecision(record DecisionRecord) {
 	w.add(func(pending *Change) { pending.Decisions = append(pending.Decisions, record) })
 }
 
@@ -110,7 +110,7 @@
 		return
 	}
 	w.dropped += uint64(excess)
-	w.pending.Decisions = append([]Record(nil), w.pending.Decisions[excess:]...)
+	w.pending.Decisions = append([]DecisionRecord(nil), w.pending.Decisions[excess:]...)
 }
 
 func (w *Writer) run() {
