--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -5,11 +5,12 @@
 )
 
 const (
-	// ticksPerReport: five, so that a round of binds takes about one report.
+	// ticksPerReport is how often the timer fires in a report period, and so the ticks that a round of binds takes.
 	ticksPerReport = 5
-	// shortestTick bounds the work where reports come often.
-	shortestTick = 50 * model.Millisecond
-	// resubscribeDelay after a failed poll of the endpoint list: at once would add to the cause.
+	// minTick bounds the work where the report period is short.
+	minTick = 50 * model.Millisecond
+	// resubscribeDelay is the wait after a failed poll of the endpoint list: an immediate one would add to the load of a
+	// failing server.
 	resubscribeDelay = model.Second
 )
 
@@ -33,12 +34,12 @@
 	binder    binder
 	window    sendWindow
 
-	ticked        bool // the timer fired since the last flush
-	changed       bool // a proxy connected or a replica changed since then
-	weightsSentAt model.Microseconds
+	ticked        bool               // the timer fired since the last flush
+	changed       bool               // a proxy connected or a replica changed since then
+	weightsSentAt model.Microseconds // when weight changes that are not urgent were last sent
 }
 
-// New makes a balancer, subscribes it to the endpoint list if that answers only those who ask, sets its timer, starts
+// New makes a balancer, subscribes it to the endpoint list if that is sent to subscribers only, sets its timer, starts
 // its start window and publishes the first quotas. The balancer keeps the publisher, and calls it only from within its
 // own methods.
 func New(config model.Config, publisher model.Publisher, now model.Microseconds) *Balancer {
@@ -57,7 +58,7 @@
 		window:       newSendWindow(config),
 	}
 	balancer.deadlines.add(deadline{at: now + startWindow(config.ReportPeriod), kind: startWindowDeadline})
-	publisher.SetTimer(balancer.tick())
+	publisher.SetTimer(balancer.tickPeriod())
 	if config.SubscriptionRequired {
 		publisher.Subscribe()
 	}
@@ -65,13 +66,13 @@
 	return balancer
 }
 
-// tick is the period of the one timer.
-func (b *Balancer) tick() model.Microseconds {
-	return max(b.config.ReportPeriod/ticksPerReport, shortestTick)
+// tickPeriod is the period of the one timer.
+func (b *Balancer) tickPeriod() model.Microseconds {
+	return max(b.config.ReportPeriod/ticksPerReport, minTick)
 }
 
-// EndpointsChanged takes news of the endpoint list. After a failed poll, which has no endpoints, what was known stays
-// and the balancer subscribes again.
+// EndpointsChanged handles an endpoint update. A failed poll has no endpoints: the known list stays, and the balancer
+// subscribes again after resubscribeDelay.
 func (b *Balancer) EndpointsChanged(now model.Microseconds, update model.EndpointUpdate, endpoints []model.Endpoint) {
 	b.now = now
 	if update == model.PollFailed {
@@ -89,8 +90,8 @@
 	}
 }
 
-// ProxyConnected takes a proxy whose stream is established, with the requests a second that it expects. It may have old
-// withdrawals, and lack ours.
+// ProxyConnected adds a proxy whose stream is established; expectedRate is in requests a second. The proxy may still
+// apply withdrawals of other balancers, and lack those of this one.
 func (b *Balancer) ProxyConnected(now model.Microseconds, id model.ProxyID, zone int, expectedRate float64) {
 	b.ProxyDisconnected(now, id)
 	p := &proxy{id: id, zone: zone % b.config.Zones, expectedRate: expectedRate, state: unbound}
@@ -100,8 +101,8 @@
 	b.changed = true
 }
 
-// ProxyDisconnected takes the end of a proxy's stream; what it had not acknowledged is lost. An unknown proxy changes
-// nothing.
+// ProxyDisconnected removes a proxy whose stream ended; what it had not acknowledged is lost. An unknown proxy is
+// ignored.
 func (b *Balancer) ProxyDisconnected(now model.Microseconds, id model.ProxyID) {
 	b.now = now
 	if p := b.proxiesByID[id]; p != nil {
@@ -109,8 +110,8 @@
 	}
 }
 
-// Acknowledged takes a proxy's acknowledgement of a message, by its sequence number; it covers every earlier message
-// too. An unknown proxy or number changes nothing.
+// Acknowledged handles a proxy's acknowledgement of a message, by its sequence number; it covers every earlier message
+// too. An unknown proxy or number is ignored.
 func (b *Balancer) Acknowledged(now model.Microseconds, id model.ProxyID, sequence uint32) {
 	b.now = now
 	if p := b.proxiesByID[id]; p != nil {
@@ -118,7 +119,7 @@
 	}
 }
 
-// LoadReported takes what a zone's proxies met at a replica. A report of an unknown replica, or one whose figures
+// LoadReported adds what a zone's proxies measured at a replica. A report on an unknown replica, or one whose figures
 // contradict themselves, is dropped.
 func (b *Balancer) LoadReported(now model.Microseconds, report model.LoadReport) {
 	b.now = now
@@ -130,24 +131,25 @@
 	b.load.arrived += float64(report.Attempts)
 }
 
-// TimerFired takes the one timer, and sets it again.
+// TimerFired sets the timer again, handles the deadlines that are due and, once a report period, digests load reports.
 func (b *Balancer) TimerFired(now model.Microseconds) {
 	b.now = now
 	b.ticked = true
-	b.publisher.SetTimer(b.tick())
+	b.publisher.SetTimer(b.tickPeriod())
 	for {
 		d, due := b.deadlines.next(now)
 		if !due {
 			break
 		}
-		b.meetDeadline(d)
+		b.handleDeadline(d)
 	}
 	if b.load.reportsDue(now, b.config.ReportPeriod) {
 		b.digestReports()
 	}
 }
 
-// Flush sends what this moment calls for. The caller calls it once every event of the moment is in.
+// Flush publishes the updates that follow from the events since the last call. To be called once all events of one
+// moment have been passed in.
 func (b *Balancer) Flush(now model.Microseconds) {
 	b.now = now
 	if b.ticked || b.changed {
--- a/internal/balancer/binding.go
+++ b/internal/balancer/binding.go
@@ -20,13 +20,13 @@
 type proxyEvent uint8
 
 const (
-	bindTurnCame      proxyEvent = 1 << iota
-	emptyTableThreats            // its standing table may be empty
+	bindDue             proxyEvent = 1 << iota // its turn in a round of binds has come
+	emptyTableSuspected                        // its standing table may be empty
 	streamEnded
 )
 
 var proxyTransitions = []transition[proxyState, proxyEvent, *proxy]{
-	{unbound, bindTurnCame | emptyTableThreats, bound, (*Balancer).bind},
+	{unbound, bindDue | emptyTableSuspected, bound, (*Balancer).bind},
 	{unbound | bound, streamEnded, disconnected, (*Balancer).forgetProxy},
 }
 
@@ -44,9 +44,9 @@
 }
 
 const (
-	// bindsPart: one in so many proxies is bound a tick, so that a round of binds takes about one report.
-	bindsPart = 5
-	// zoneTableReplicas: a zone with so many replicas has standing tables of its own replicas.
+	// bindRoundTicks is the ticks over which all proxies are bound, so a round of binds takes about one report period.
+	bindRoundTicks = ticksPerReport
+	// zoneTableReplicas is the fewest replicas with which a zone has standing tables of its own replicas only.
 	zoneTableReplicas = 3
 	// bindOverhead is what a bind costs beyond the entries of its table.
 	bindOverhead = 2
@@ -58,10 +58,10 @@
 	lastConnectedAt model.Microseconds
 	// bindsFirst: withdrawals that are due leave with binds, which list them.
 	bindsFirst bool
-	// withdrawalsBlocked: withdrawals wait for room in the send window, so binds and weights are put off.
+	// withdrawalsBlocked: withdrawals wait for capacity in the send window, so binds and weights are put off.
 	withdrawalsBlocked bool
 
-	// Known costs of a bind by zone, without and with bindsFirst; 0: not known.
+	// Cached costs of a bind by zone, in entries, without and with bindsFirst; 0: not known.
 	costs           []int
 	costsBindsFirst []int
 }
@@ -87,47 +87,47 @@
 	}
 }
 
-// bindProxies binds a part of the proxies a tick once safe mode is over; before that only those whose standing table
-// may be empty.
+// bindProxies binds a fraction of the proxies at each tick once safe mode is over; before that only those whose
+// standing table may be empty.
 func (b *Balancer) bindProxies() {
-	turns := 1 + len(b.proxies)/bindsPart
-	threatened := b.threatenedZones()
+	bindsLeft := 1 + len(b.proxies)/bindRoundTicks
+	urgent := b.urgentZones()
 	b.binder.unbound = 0
 	for _, p := range b.proxies {
 		if p.state != unbound {
 			continue
 		}
-		alone := []*proxy{p}
+		recipient := []*proxy{p}
 		cost := b.bindCost(p.zone, b.binder.bindsFirst)
 		switch {
-		case threatened[p.zone] && b.window.reserve(b.now, alone, cost, withdrawalBudget):
-			apply(b, proxyTransitions, &p.state, emptyTableThreats, p)
-		case b.maySpendTurn(turns) && b.window.reserve(b.now, alone, cost, routineBindBudget),
-			b.binder.bindsFirst && b.window.reserve(b.now, alone, cost, urgentBindBudget):
-			turns--
-			apply(b, proxyTransitions, &p.state, bindTurnCame, p)
+		case urgent[p.zone] && b.window.reserve(b.now, recipient, cost, withdrawalBudget):
+			apply(b, proxyTransitions, &p.state, emptyTableSuspected, p)
+		case b.mayBindRoutinely(bindsLeft) && b.window.reserve(b.now, recipient, cost, routineBindBudget),
+			b.binder.bindsFirst && b.window.reserve(b.now, recipient, cost, urgentBindBudget):
+			bindsLeft--
+			apply(b, proxyTransitions, &p.state, bindDue, p)
 		default:
 			b.binder.unbound++
 		}
 	}
 }
 
-// maySpendTurn reports whether a proxy may be bound in the ordinary course.
-func (b *Balancer) maySpendTurn(turns int) bool {
-	return !b.safeMode.active() && b.ticked && !b.binder.withdrawalsBlocked && turns > 0
+// mayBindRoutinely reports whether a proxy may be bound in a round of binds, of which bindsLeft are left for this tick.
+func (b *Balancer) mayBindRoutinely(bindsLeft int) bool {
+	return !b.safeMode.active() && b.ticked && !b.binder.withdrawalsBlocked && bindsLeft > 0
 }
 
-// threatenedZones are those whose proxies can't wait for the end of safe mode.
-func (b *Balancer) threatenedZones() []bool {
-	threatened := make([]bool, b.config.Zones)
-	for zone := range threatened {
-		threatened[zone] = b.safeMode.active() && b.mayHaveEmptyTable(zone)
+// urgentZones reports by zone whether its proxies can't wait for the end of safe mode.
+func (b *Balancer) urgentZones() []bool {
+	urgent := make([]bool, b.config.Zones)
+	for zone := range urgent {
+		urgent[zone] = b.safeMode.active() && b.mayHaveEmptyTable(zone)
 	}
-	return threatened
+	return urgent
 }
 
-// mayHaveEmptyTable reports whether withdrawals may have emptied a standing table, which has few entries, of its zone
-// if that has replicas enough.
+// mayHaveEmptyTable reports whether withdrawals may have emptied a zone's standing tables. These have few entries, all
+// of the zone if it has zoneTableReplicas.
 func (b *Balancer) mayHaveEmptyTable(zone int) bool {
 	candidate := func(r *replica) bool { return r.zone == zone }
 	if b.countReplicas(candidate) < zoneTableReplicas {
@@ -139,7 +139,7 @@
 		withdrawn >= min(b.config.StandingTableSize, b.countReplicas(candidate))
 }
 
-// bindCost is what a bind in a zone costs at most beyond its message.
+// bindCost is the most that a bind in a zone costs beyond its message, in entries.
 func (b *Balancer) bindCost(zone int, bindsFirst bool) int {
 	known := &b.binder.costs[zone]
 	if bindsFirst {
@@ -149,9 +149,9 @@
 		return *known
 	}
 	cost := 0
-	for list := zone; list < len(b.subsets.lists); list += b.config.Zones {
+	for pool := zone; pool < len(b.subsets.pools); pool += b.config.Zones {
 		highest := 0
-		for _, t := range b.subsets.lists[list] {
+		for _, t := range b.subsets.pools[pool] {
 			highest = max(highest, tableBindCost(t, bindsFirst))
 		}
 		if highest == 0 { // no table yet, or none was sent: as much as the longest table costs at most
@@ -163,8 +163,8 @@
 	return cost
 }
 
-// tableBindCost is one for each entry, and one more for each whose replica is withdrawn or readmitted: with bindsFirst
-// only for those that others may have withdrawn, as far as known here.
+// tableBindCost is one for each sent entry, and one more for each whose replica's withdrawal or readmission comes
+// along: with bindsFirst that is known by replica, else it is assumed of all.
 func tableBindCost(t *table, bindsFirst bool) (cost int) {
 	for _, e := range t.entries {
 		if e.weight <= 0 {
@@ -182,20 +182,21 @@
 func (b *Balancer) bind(p *proxy) {
 	if !b.subsets.separate() {
 		const everyOperation = 0
-		b.bindToList(p, p.zone, everyOperation)
+		b.bindToPool(p, p.zone, everyOperation)
 		return
 	}
 	crossZone := allOperations(b.config) &^ b.config.ZoneLocalOperations
-	b.bindToList(p, p.zone, crossZone)
-	b.bindToList(p, b.subsets.zoneLocalList(p.zone), b.config.ZoneLocalOperations)
+	b.bindToPool(p, p.zone, crossZone)
+	b.bindToPool(p, b.subsets.zoneLocalPool(p.zone), b.config.ZoneLocalOperations)
 }
 
-// bindToList binds a proxy to that of a list's tables that has the least traffic for its open entries.
-func (b *Balancer) bindToList(p *proxy, list int, operations uint16) {
-	if b.subsets.lists[list] == nil {
-		b.createTables(list)
+// bindToPool binds a proxy to the table of a pool that has the least traffic for its open entries; it creates the
+// pool's tables first if there are none.
+func (b *Balancer) bindToPool(p *proxy, pool int, operations uint16) {
+	if b.subsets.pools[pool] == nil {
+		b.createTables(pool)
 	}
-	t := slices.MinFunc(b.subsets.lists[list], func(x, y *table) int {
+	t := slices.MinFunc(b.subsets.pools[pool], func(x, y *table) int {
 		return cmp.Compare(x.loadWith(p), y.loadWith(p))
 	})
 	p.tables = append(p.tables, t)
@@ -204,7 +205,7 @@
 	b.publisher.BindProxy(p.id, t.id, operations, b.readmittedIn(t))
 }
 
-// readmittedIn are the replicas in a table that other balancers may have withdrawn and this one has not.
+// readmittedIn returns the replicas in a table that other balancers may have withdrawn and this one has not.
 func (b *Balancer) readmittedIn(t *table) (readmitted []model.ReplicaID) {
 	for _, e := range t.entries {
 		if e.weight > 0 && !e.replica.withdrawn && (e.replica.withdrawnElsewhere || !b.binder.bindsFirst) {
--- a/internal/balancer/binding_test.go
+++ b/internal/balancer/binding_test.go
@@ -55,11 +55,11 @@
 		}
 		require(t, fleet.binds[1] == len(bindsOfAProxy), "zone-local %b: %d binds", zoneLocal, fleet.binds[1])
 		// A proxy is notified of a drain once, whichever of its tables has the entry.
-		before := fleet.balancer.window.unacked
+		before := fleet.balancer.window.unackedEntries
 		fleet.acks = false
 		fleet.drain(1)
 		require(t, fleet.isWithdrawn(1), "zone-local %b: not withdrawn", zoneLocal)
-		charged := fleet.balancer.window.unacked - before
+		charged := fleet.balancer.window.unackedEntries - before
 		require(t, charged <= len(fleet.connected)*(6+1+2+1),
 			"zone-local %b: %d entries are charged for one drain", zoneLocal, charged)
 	}
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -1,17 +1,17 @@
 // Package balancer makes every decision of a balancer instance: which weights a table has, which proxy uses which
-// table, which replicas are withdrawn, which share of each operation is admitted, and when each of these is sent.
+// table, which replicas are withdrawn, which fraction of each operation is admitted, and when each of these is sent.
 //
 // A caller makes a Balancer with New, passes it what happens (EndpointsChanged, ProxyConnected, ProxyDisconnected,
 // Acknowledged, LoadReported, TimerFired) and calls Flush once every event of one moment is in. Updates leave through
 // model.Publisher. A Balancer takes no lock, starts no goroutine and reads no clock: the caller serialises its calls
 // and passes the time, which must not run backwards. The same events with the same seed give the same updates.
 //
-// The package has one concern a file:
+// Each file has one concern:
 //
 //   - balancer.go: the type, its constructor, the event methods and the flush
 //   - safemode.go: after a start no proxy is bound and no weight moves until every replica is reported
-//   - replica.go: the life cycle of a replica
-//   - slowstart.go: a started replica gets a rising part of its weight
+//   - replica.go: the lifecycle of a replica
+//   - slowstart.go: a started replica gets a rising fraction of its weight
 //   - loadstats.go: decayed statistics of load reports, and the fleet's saturation
 //   - outlier.go: a replica that fails while the others do not is ejected for some time
 //   - loadshed.go: admission quotas and the retry policy
--- a/internal/balancer/drain.go
+++ b/internal/balancer/drain.go
@@ -9,8 +9,8 @@
 	// surgeRiskLevel is the failure risk of a table's median entry above which proxies may turn to a replica that warms
 	// up, all at once.
 	surgeRiskLevel = 0.7
-	// warmUpAllowance lowers that level for a replica just started, as a smaller surge overloads it. With levels from
-	// 0.58 and 0.45 no more of the broken scenarios pass, and releases beside errors lose much more.
+	// warmUpAllowance lowers that level for a replica just started, as a smaller surge overloads it. Lower levels (0.58
+	// and 0.45 were tried) fixed no further scenario, and lost many more requests in releases amid errors.
 	warmUpAllowance = 0.06
 	// newReplicasLimit: where half of the fleet is new and warming up, its capacity is needed at once.
 	newReplicasLimit = 0.5
@@ -43,8 +43,8 @@
 	})
 }
 
-// dueWithdrawals are replicas to be withdrawn, in the order in which they may use the send window: what drains comes
-// before what may return soon.
+// dueWithdrawals are replicas to be withdrawn, in the order in which they may use the send window: replicas that
+// drain come before those that may return soon.
 type dueWithdrawals struct {
 	first     []*replica // draining or gone, and no proxy was notified
 	repeated  []*replica // the same, but proxies that connected later were not notified
@@ -52,9 +52,9 @@
 }
 
 // withdrawReplicas sends withdrawals, again for proxies that connected later. While a proxy is unbound each message
-// goes to all, and its overhead is most of it: one message a replica would keep the queue full of overhead (many
-// proxies come over from a lost balancer while replicas are lost too). So what waits leaves together, what no proxy was
-// notified of first, and binds and weights wait until it has left.
+// goes to all, and most of its cost is overhead: one message a replica would fill the queue with overhead when many
+// proxies connect from a lost balancer while replicas are lost too. So pending withdrawals are sent together, first
+// those that no proxy was notified of, and binds and weights wait until they have been sent.
 func (b *Balancer) withdrawReplicas() {
 	b.endEjectionsOfEmptyZones()
 	due := b.collectWithdrawals()
@@ -70,8 +70,8 @@
 	b.sendWithdrawals(due.temporary, promptBudget, false)
 }
 
-// endEjectionsOfEmptyZones tries ejected replicas again where none is left in use, in all or for operations that stay
-// in a zone.
+// endEjectionsOfEmptyZones ends ejections where no replica is left in use: in the fleet, or in a zone if operations
+// stay in it.
 func (b *Balancer) endEjectionsOfEmptyZones() {
 	noneLeft := make([]bool, b.config.Zones)
 	for zone := range noneLeft {
@@ -119,9 +119,9 @@
 	return b.binder.unbound > 0 && r.withdrawnAt <= b.binder.lastConnectedAt
 }
 
-// bindingIsCheaper reports whether withdrawals wait for binds: a bind lists all that is withdrawn too, for less where
-// few proxies are unbound or much is withdrawn. Meanwhile removeUnavailableEntries covers the bound ones. Not where an
-// unbound proxy can take no message.
+// bindingIsCheaper reports whether withdrawals wait for binds: a bind contains all withdrawals too, and costs less
+// where few proxies are unbound or many replicas are withdrawn. Meanwhile removeUnavailableEntries covers the bound
+// proxies. It reports false while an unbound proxy may not be sent a message.
 func (b *Balancer) bindingIsCheaper(due *dueWithdrawals) bool {
 	messageCost := b.window.messageCost
 	messages := (len(due.first) + messageCost - 1) / messageCost // of first withdrawals, each full
@@ -143,16 +143,16 @@
 	return bindCost < withdrawalCost
 }
 
-// sendWithdrawals sends as many withdrawals as there is room for. While a proxy is unbound, as many as a message costs
-// leave in one, so that its overhead is half of it at most. Once a blocking one finds no room nothing more is sent: a
-// smaller part would take the room that this one waits for, over and over.
+// sendWithdrawals sends as many withdrawals as the send window has capacity for. While a proxy is unbound, a message
+// contains as many as its overhead costs, so that the overhead is half of it at most. Once a blocking one does not fit,
+// nothing more is sent: smaller messages would take the capacity that this one waits for, over and over.
 func (b *Balancer) sendWithdrawals(replicas []*replica, limits budget, blocking bool) {
-	inOneMessage := 1
+	perMessage := 1
 	if b.binder.unbound > 0 {
-		inOneMessage = b.window.messageCost
+		perMessage = b.window.messageCost
 	}
-	for part := range slices.Chunk(replicas, inOneMessage) {
-		sent := b.setWithdrawn(part, true, limits)
+	for chunk := range slices.Chunk(replicas, perMessage) {
+		sent := b.setWithdrawn(chunk, true, limits)
 		if !sent && blocking && b.binder.unbound > 0 {
 			b.binder.withdrawalsBlocked = true
 		}
@@ -162,14 +162,15 @@
 	}
 }
 
-// setWithdrawn withdraws replicas, or readmits them, if that fits all proxies with an entry of one. What is
-// charged must be acknowledged, or the window fills up: while a proxy is unbound, all acknowledge.
+// setWithdrawn withdraws replicas, or readmits them, if that fits the send window of all proxies concerned, and reports
+// whether it does. What is charged must be acknowledged, or the window fills up: while a proxy is unbound, all proxies
+// are charged and acknowledge.
 func (b *Balancer) setWithdrawn(replicas []*replica, withdrawn bool, limits budget) bool {
-	holders := b.proxies
-	if b.binder.unbound == 0 {
-		holders = b.usersOf(replicas[0])
+	recipients := b.proxies
+	if b.binder.unbound == 0 { // then withdrawals are sent one by one
+		recipients = b.usersOf(replicas[0])
 	}
-	if !b.window.reserve(b.now, holders, len(replicas), limits) {
+	if !b.window.reserve(b.now, recipients, len(replicas), limits) {
 		return false
 	}
 	for _, r := range replicas {
@@ -183,7 +184,7 @@
 	return true
 }
 
-// usersOf are the proxies on tables with an entry of a replica, each once though it may have two tables.
+// usersOf returns the proxies on tables with a sent entry of a replica, each once though it may have two tables.
 func (b *Balancer) usersOf(r *replica) (users []*proxy) {
 	for _, e := range r.entries {
 		if e.weight > 0 {
@@ -197,8 +198,9 @@
 	return users
 }
 
-// removeUnavailableEntries takes entries that proxies must not pick out of the tables while binds list the withdrawals:
-// bound proxies learn it so, and a bind has less to list. Binds come first, as unbound proxies have waited longer.
+// removeUnavailableEntries takes entries that proxies must not pick out of the tables while binds contain the
+// withdrawals: so bound proxies are notified, and a bind has less to contain. Binds come first, as unbound proxies have
+// waited longer.
 func (b *Balancer) removeUnavailableEntries() {
 	if !b.binder.bindsFirst {
 		return
@@ -208,7 +210,7 @@
 	}
 }
 
-// readmitReplicas readmits what must not be withdrawn any more.
+// readmitReplicas readmits the replicas that need not be withdrawn any more.
 func (b *Balancer) readmitReplicas() {
 	for _, r := range b.replicas {
 		if r.withdrawn && !b.mustWithdraw(r) {
--- a/internal/balancer/drain_test.go
+++ b/internal/balancer/drain_test.go
@@ -37,11 +37,11 @@
 	fleet := startFleet(t, 8, nil)
 	fleet.remove(2)
 	delete(fleet.withdrawn, replicaID(2))
-	fleet.balancer.window.unacked += 5000
+	fleet.balancer.window.unackedEntries += 5000
 	fleet.connect(3)
 	fleet.run(1, nil)
 	fleet.requireNotWithdrawn(t, 2, "the queue is full")
-	fleet.balancer.window.unacked -= 5000
+	fleet.balancer.window.unackedEntries -= 5000
 	fleet.run(1, nil)
 	fleet.requireWithdrawn(t, 2, "the proxy that connected was never notified")
 }
@@ -60,7 +60,7 @@
 }
 
 // Proxies come over from a lost balancer while replicas are lost one after the other (hc2f0b0): the overhead of one
-// withdrawal a message kept the queue full for seconds, and binds took what room there was.
+// withdrawal a message kept the queue full for seconds, and binds took the capacity that there was.
 func TestWithdrawalsLeaveTogether(t *testing.T) {
 	fleet := startWarmFleet(t, 12, func(config *model.Config) { config.QueueLimit = 1000 })
 	fleet.connectMore(40)
@@ -70,25 +70,25 @@
 		fleet.drain(n)
 	}
 	require(t, fleet.isWithdrawn(1) && fleet.isWithdrawn(2) && !fleet.isWithdrawn(3),
-		"the queue has room for two alone: %v", fleet.withdrawn)
+		"the queue has capacity for two only: %v", fleet.withdrawn)
 	binds := len(fleet.binds)
 	fleet.acknowledge(fleet.balancer.window.sequence - 1)
 	fleet.run(1, nil)
 	require(t, !fleet.isWithdrawn(3) && len(fleet.binds) <= binds,
-		"with room for one alone something leaves: %v, %d binds", fleet.withdrawn, len(fleet.binds)-binds)
+		"with capacity for one only something is sent: %v, %d binds", fleet.withdrawn, len(fleet.binds)-binds)
 	before := len(fleet.messageTimes)
 	fleet.acknowledge(fleet.balancer.window.sequence)
 	fleet.run(1, nil)
 	for n := 3; n <= 7; n++ {
-		fleet.requireWithdrawn(t, n, "there is room for all")
+		fleet.requireWithdrawn(t, n, "there is capacity for all")
 	}
 	require(t, len(fleet.messageTimes) == before+1, "they leave in %d messages", len(fleet.messageTimes)-before)
 }
 
 // More replicas are withdrawn than go into one message, and many proxies come over (hf41973): the small rest took the
-// room that the first part of what they must be notified of waited for, over and over, for four seconds.
-func TestSmallPartOfWithdrawalsWaitsForTheLarge(t *testing.T) {
-	const lost = 13 // a message costs 8 and takes as many: parts of 8 and 5
+// capacity that the first chunk of what they must be notified of waited for, over and over, for four seconds.
+func TestSmallChunkOfWithdrawalsWaitsForTheLarge(t *testing.T) {
+	const lost = 13 // a message costs 8 and takes as many: chunks of 8 and 5
 	fleet := startWarmFleet(t, 30, func(config *model.Config) { config.QueueLimit = 772 })
 	for n := 1; n <= lost; n++ {
 		fleet.drain(n)
@@ -104,9 +104,9 @@
 	fleet.run(1, nil)
 	fleet.updates = nil
 	fleet.acknowledge(fleet.balancer.window.sequence)
-	fleet.run(1, nil) // room for the small part: messages to 43 and five entries each, not eight
+	fleet.run(1, nil) // capacity for the small chunk: messages to 43 and five entries each, not eight
 	for _, update := range fleet.updates {
-		require(t, !strings.HasSuffix(update, "true"), "while the large part waits %v leave", fleet.updates)
+		require(t, !strings.HasSuffix(update, "true"), "while the large chunk waits %v is sent", fleet.updates)
 	}
 }
 
--- a/internal/balancer/fakefleet_test.go
+++ b/internal/balancer/fakefleet_test.go
@@ -287,5 +287,6 @@
 // requireUnacked fails unless so many entries at most are unacknowledged.
 func (f *fakeFleet) requireUnacked(t *testing.T, most int, when string) {
 	t.Helper()
-	require(t, f.balancer.window.unacked <= most, "%d entries are unacknowledged %s", f.balancer.window.unacked, when)
+	unacked := f.balancer.window.unackedEntries
+	require(t, unacked <= most, "%d entries are unacknowledged %s", unacked, when)
 }
--- a/internal/balancer/fleetrules_test.go
+++ b/internal/balancer/fleetrules_test.go
@@ -9,8 +9,8 @@
 	"peppervale/internal/model"
 )
 
-// ruleOperations are the operations of the fleets that the rules are checked for.
-func ruleOperations() []model.Operation {
+// invariantOperations are the operations of the fleets that the invariants are checked for.
+func invariantOperations() []model.Operation {
 	return []model.Operation{
 		{LatencyObjective: 500_000, PriorityWeight: 1},
 		{LatencyObjective: 750_000, PriorityWeight: 3},
@@ -35,7 +35,7 @@
 	entriesPerSecond := float64(proxies*(9+replicas)) * rapid.Float64Range(1, 4).Draw(t, "speed")
 	fleet := newSimulatedFleet(t, model.Config{
 		Seed:                  rapid.Uint64().Draw(t, "seed"),
-		Operations:            ruleOperations(),
+		Operations:            invariantOperations(),
 		Zones:                 zones,
 		SubscriptionRequired:  true,
 		AdmissionControl:      rapid.Bool().Draw(t, "admission control"),
@@ -175,8 +175,8 @@
 }
 
 // Any fleet, any course of drains, losses, starts, streams that break and return, late and missing acknowledgements
-// and load reports: what proxies have keeps the rules, within limits that follow from the configuration.
-func TestRulesOfAnyFleet(t *testing.T) {
+// and load reports: what proxies have keeps the invariants, within limits that follow from the configuration.
+func TestInvariantsOfAnyFleet(t *testing.T) {
 	const ticks = 75
 	rapid.Check(t, func(t *rapid.T) {
 		course := drawCourse(t)
@@ -211,7 +211,8 @@
 		drainsAt      = 58 // tick
 	)
 	fleet := newSimulatedFleet(t, model.Config{
-		Seed: 7, Operations: ruleOperations(), Zones: 4, SubscriptionRequired: true, AdmissionControl: true, FullQuota: 1,
+		Seed: 7, Operations: invariantOperations(), Zones: 4, FullQuota: 1,
+		SubscriptionRequired: true, AdmissionControl: true,
 		StandingTableSize: 6, ReportPeriod: model.Second, MessageOverhead: 6, QueueLimit: 6300, CrossZoneCost: 0.08,
 		PublishCost: 0.02, UtilizationField: -1, WarmUpPeriod: 17 * model.Second, ProxyCount: 240,
 		MinReplicaConnections: 200,
--- a/internal/balancer/golden_events_test.go
+++ b/internal/balancer/golden_events_test.go
@@ -39,7 +39,7 @@
 
 func (tr *trace) happens(chance float64) bool { return tr.random.Float64() < chance }
 
-// churnReplicas has news of the endpoint list come, by chance.
+// churnReplicas publishes changes of the endpoint list, at random.
 func (tr *trace) churnReplicas() {
 	chances := tr.plan.churn
 	if tr.happens(chances.drain) {
@@ -66,7 +66,7 @@
 	tr.churnFaults()
 }
 
-// churnFaults has a replica fail or recover, by chance, unseen by the endpoint list.
+// churnFaults has a replica fail or recover, at random, unseen by the endpoint list.
 func (tr *trace) churnFaults() {
 	chances := tr.plan.churn
 	if r := tr.anyReplica(); tr.happens(chances.startFailing) {
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -17,9 +17,9 @@
 )
 
 // The golden traces pin what the balancer publishes, bit for bit: seeded event sequences are driven through its public
-// methods, and after every step the updates given are hashed and compared with testdata/trace-*.txt. The traces know
-// nothing of the balancer but its updates. Every float is hashed by its bits; the files were written on amd64, and an
-// architecture whose compiler fuses multiplications with additions may round differently.
+// methods, and after every step the published updates are hashed and compared with testdata/trace-*.txt. The traces
+// know nothing of the balancer but its updates. Every float is hashed by its bits; the files were written on amd64, and
+// an architecture whose compiler fuses multiplications with additions may round differently.
 
 var updateTraces = flag.Bool("update", false, "rewrite testdata/trace-*.txt from the code as it is")
 
@@ -46,9 +46,9 @@
 
 // pendingAck is an acknowledgement on its way to the balancer.
 type pendingAck struct {
-	at     model.Microseconds
-	proxy  model.ProxyID
-	number uint32
+	at       model.Microseconds
+	proxy    model.ProxyID
+	sequence uint32
 }
 
 // trace drives one scenario, records what is published, and compares it with the golden lines.
@@ -123,32 +123,32 @@
 	tr.record("assign %d %s %s", int(t), replicaText(r), bits(weight))
 }
 
-func (tr *trace) BindProxy(p model.ProxyID, t model.TableID, operations uint16, back []model.ReplicaID) {
+func (tr *trace) BindProxy(p model.ProxyID, t model.TableID, operations uint16, readmitted []model.ReplicaID) {
 	var names []string
-	for _, r := range back {
+	for _, r := range readmitted {
 		names = append(names, replicaText(r))
 	}
 	tr.record("bind %d %d %d [%s]", int(p), int(t), operations, strings.Join(names, ","))
 }
 
-func (tr *trace) SetWithdrawn(r model.ReplicaID, out bool) {
-	tr.record("withdraw %s %t", replicaText(r), out)
+func (tr *trace) SetWithdrawn(r model.ReplicaID, withdrawn bool) {
+	tr.record("withdraw %s %t", replicaText(r), withdrawn)
 }
 
-func (tr *trace) SetQuota(operations uint16, share float64, w model.RetryPolicy) {
-	tr.record("level %d %s %d", operations, bits(share), int(w))
+func (tr *trace) SetQuota(operations uint16, quota float64, policy model.RetryPolicy) {
+	tr.record("level %d %s %d", operations, bits(quota), int(policy))
 }
 
-// RequestAck has every joined proxy acknowledge later, or never: an answer to a message that a proxy did not get
-// changes nothing.
-func (tr *trace) RequestAck(number uint32, all bool) {
-	tr.record("receipt %d %t", number, all)
+// RequestAck has every connected proxy acknowledge later, or never. An acknowledgement of a message that a proxy did
+// not get must change nothing.
+func (tr *trace) RequestAck(sequence uint32, fromAll bool) {
+	tr.record("receipt %d %t", sequence, fromAll)
 	for _, p := range tr.proxies {
 		if !p.connected || tr.random.Float64() < tr.plan.ackLoss {
 			continue
 		}
 		delay := model.Microseconds(tr.random.Int64N(int64(tr.plan.ackDelay) + 1))
-		tr.acks = append(tr.acks, pendingAck{tr.now + delay, p.id, number})
+		tr.acks = append(tr.acks, pendingAck{tr.now + delay, p.id, sequence})
 	}
 }
 
@@ -313,8 +313,8 @@
 	}
 	tr.step(fmt.Sprintf("acks %d", len(due)), func() {
 		for _, a := range due {
-			tr.note("ack %d %d", int(a.proxy), a.number)
-			tr.balancer.Acknowledged(tr.now, a.proxy, a.number)
+			tr.note("ack %d %d", int(a.proxy), a.sequence)
+			tr.balancer.Acknowledged(tr.now, a.proxy, a.sequence)
 		}
 	})
 }
--- a/internal/balancer/loadshed.go
+++ b/internal/balancer/loadshed.go
@@ -16,25 +16,27 @@
 )
 
 const (
-	// quotaFloor of each operation stays admitted, so that its speed is seen.
+	// quotaFloor is admitted of each operation in any case, so that its latency is still measured.
 	quotaFloor = 0.1
-	// deepestCut and steepestRise bound the factor of one change.
-	deepestCut   = 0.6
-	steepestRise = 1.6
+	// minCutFactor and maxRiseFactor bound the factor by which one change multiplies a quota.
+	minCutFactor  = 0.6
+	maxRiseFactor = 1.6
 	// riseAddend lets a small quota rise too.
 	riseAddend = 0.03
-	// A change shows in load reports a second or two later: the next cut waits for that, the next rise half as long.
-	pauseAfterCut  = 2 * model.Second
-	pauseAfterRise = pauseAfterCut / 2
-	// smallestChange of a quota is published, unless it reaches all.
-	smallestChange = 0.03
-	// retriesWarmingLimit is the share of new replicas that warm up above which nothing is retried: they would get
-	// the retries.
+	// A change shows in load reports a second or two later: the next change after a cut waits for that, the next one after
+	// a rise half as long.
+	cutCooldown  = 2 * model.Second
+	riseCooldown = cutCooldown / 2
+	// minQuotaChange is the least change of a quota that is published; one that admits everything again always is.
+	minQuotaChange = 0.03
+	// retriesWarmingLimit is the share of new and warming replicas above which nothing is retried: they would get the
+	// retries.
 	retriesWarmingLimit = 0.25
 )
 
 // loadShedder admits less of the operation with the least value while the fleet is short of capacity, and more again
-// after that. It covers any shortage, whatever its cause; it does harm if replicas are slow by nature yet not full.
+// after that, whatever the cause of the shortage. Replicas that are slow without being overloaded look short of
+// capacity too: a latency objective below their normal latency sheds load for nothing.
 type loadShedder struct {
 	enabled          bool      // proxies honour quotas
 	quotas           []float64 // by operation
@@ -61,8 +63,8 @@
 	return shedder
 }
 
-// adjust cuts the quota of the operation with the least value that may be cut, or raises that of the operation with the
-// most value that was.
+// adjust cuts the quota of the operation with the least value that is above the floor, or raises that of the operation
+// with the most value that is below one.
 func (s *loadShedder) adjust(now model.Microseconds, saturation float64) {
 	if !s.enabled || now < s.nextChangeAt {
 		return
@@ -70,22 +72,22 @@
 	for k := range s.lowestValueFirst {
 		lowest := &s.quotas[s.lowestValueFirst[k]]
 		if saturation > sheddingSaturation && *lowest > quotaFloor {
-			*lowest = max(quotaFloor, *lowest*max(deepestCut, sheddingSaturation/saturation))
-			s.nextChangeAt = now + pauseAfterCut
+			*lowest = max(quotaFloor, *lowest*max(minCutFactor, sheddingSaturation/saturation))
+			s.nextChangeAt = now + cutCooldown
 			return
 		}
 		highest := &s.quotas[s.lowestValueFirst[len(s.lowestValueFirst)-1-k]]
 		if saturation < normalSaturation && *highest < 1 {
-			*highest = min(1, *highest*min(steepestRise, normalSaturation/saturation)+riseAddend)
-			s.nextChangeAt = now + pauseAfterRise
+			*highest = min(1, *highest*min(maxRiseFactor, normalSaturation/saturation)+riseAddend)
+			s.nextChangeAt = now + riseCooldown
 			return
 		}
 	}
 }
 
-// wantedRetryPolicy is one for all operations: one retry on proof that the first attempt never ran, which is safe for
-// every effect and table. None from the level that sheds load until the load is normal, nor while a
-// quarter of the replicas in use is new and warming up, as rejected attempts would come again and again.
+// wantedRetryPolicy returns the policy of all operations: one retry on proof that the first attempt was never executed,
+// which is safe for every operation and table. There is no retry from sheddingSaturation until the load is normal, nor
+// above retriesWarmingLimit, as rejected attempts would be repeated over and over.
 func (s *loadShedder) wantedRetryPolicy(load *fleetLoad) model.RetryPolicy {
 	shedding := load.saturation > sheddingSaturation
 	notYetNormal := load.saturation > normalSaturation && s.retryPolicy == model.RetryNever
@@ -99,14 +101,15 @@
 func (s *loadShedder) differs(policy model.RetryPolicy) bool {
 	for i, quota := range s.quotas {
 		admitsAllAgain := quota == 1 && s.published[i] < 1
-		if policy != s.retryPolicy || admitsAllAgain || math.Abs(quota-s.published[i]) >= smallestChange {
+		if policy != s.retryPolicy || admitsAllAgain || math.Abs(quota-s.published[i]) >= minQuotaChange {
 			return true
 		}
 	}
 	return false
 }
 
-// adjustQuotas adjusts quotas and the retry policy to the load, and publishes them if they differ and there is room.
+// adjustQuotas adjusts quotas and the retry policy to the load, and publishes them if they differ and fit the send
+// window.
 func (b *Balancer) adjustQuotas() {
 	b.shedder.adjust(b.now, b.load.saturation)
 	policy := b.shedder.wantedRetryPolicy(&b.load)
--- a/internal/balancer/loadshed_test.go
+++ b/internal/balancer/loadshed_test.go
@@ -73,7 +73,7 @@
 		require(t, fleet.quotas[lowValueOperation] >= 0.9, "quotas %v with two fifths idle", fleet.quotas)
 	})
 	t.Run("when a release takes capacity, before latency shows it", func(t *testing.T) {
-		// Found by the hunt for broken rules: four of nine drained, and the overload reached a replica that warmed up.
+		// Found by the search for broken invariants: four of nine drained, and the overload reached a replica that warmed up.
 		fleet := startWarmFleet(t, 6, reportsUtilization)
 		fleet.drain(4, 5, 6)
 		fleet.run(2, fleet.goodReports(3))
--- a/internal/balancer/loadstats.go
+++ b/internal/balancer/loadstats.go
@@ -15,16 +15,18 @@
 
 	// latencyCap bounds a normalized latency: beyond it a replica counts as no slower.
 	latencyCap = 1.5
-	// fewestErrors without a good attempt give a replica that latency; one may be chance.
-	fewestErrors = 2
+	// minErrorsToAssess without a good attempt give a replica that latency: a single error may be chance.
+	minErrorsToAssess = 2
 
-	// utilizationLifetime reaches over reports of a few periods, so that a replica that has just left still counts.
+	// utilizationLifetime is how long a utilization counts: over a few report periods, so that the load of a replica which
+	// has just left is included.
 	utilizationLifetime = 3 * model.Second
 	// idleUtilization is the use of cores below which few attempts wait: they may be slow for other reasons.
 	idleUtilization = 0.7
-	// fullUtilization is the use of cores that is short of capacity. Beyond it the utilization no longer shows how short.
+	// fullUtilization is the use of cores from which load is shed. Beyond it utilization no longer shows how much capacity
+	// is missing.
 	fullUtilization = 0.9
-	// nearOverloadSaturation is what all cores in use amount to.
+	// nearOverloadSaturation is the saturation with all cores in use.
 	nearOverloadSaturation = 0.95
 )
 
@@ -38,7 +40,7 @@
 
 func (s *attemptStats) add(more attemptStats) { s.decayAndAdd(more, 1) }
 
-// decayAndAdd keeps a part of what was there and adds more.
+// decayAndAdd multiplies the figures by keep, a fraction, and adds more.
 func (s *attemptStats) decayAndAdd(more attemptStats, keep float64) {
 	s.attempts = s.attempts*keep + more.attempts
 	s.good = s.good*keep + more.good
@@ -70,7 +72,7 @@
 	failureRisk       float64 // the same, or the error rate if that is more
 }
 
-// reset forgets the statistics: a replica that started anew has nothing of them.
+// reset clears the statistics: those from before a replica's start say nothing of it now.
 func (l *replicaLoad) reset(now model.Microseconds) {
 	l.reportedAt = now
 	l.pending = attemptStats{}
@@ -101,7 +103,8 @@
 	return field >= 0 && field < len(report.Readings) && report.Readings[field] >= 0
 }
 
-// digest folds in what reports brought. A report may cover several periods: rates go by the time since the last.
+// digest moves the pending statistics into the decayed ones. A report may cover several periods, so rates are taken
+// over the time since the last one.
 func (l *replicaLoad) digest(now, reportPeriod model.Microseconds) {
 	if l.pending.attempts <= 0 {
 		return
@@ -114,15 +117,15 @@
 	l.reportedAt = now
 }
 
-// assess works out the normalized latency and the failure risk. Errors count as far as the good attempts are slow:
-// quick ones come from replicas that fail, and admitting less helps none of them. Too few attempts show nothing, or a
-// fleet that admits little would stay so.
+// assess sets the normalized latency and the failure risk. Errors multiply the latency of the good
+// attempts: beside quick ones they come from replicas that fail, which admitting less does not help. Too few attempts
+// show nothing, or a fleet that admits little would keep doing so.
 func (l *replicaLoad) assess(objective float64) {
 	switch {
 	case l.brief.good >= 1:
 		errors := 1 + l.brief.errored/l.brief.attempts
 		l.normalizedLatency = min(latencyCap, l.brief.meanLatency()/objective*errors)
-	case l.brief.errored >= fewestErrors:
+	case l.brief.errored >= minErrorsToAssess:
 		l.normalizedLatency = latencyCap
 	default:
 		l.normalizedLatency = 0
@@ -162,7 +165,7 @@
 	return l.arrived > 0 && now-l.digestedAt >= reportPeriod
 }
 
-// digestReports folds in what load reports brought and takes the decisions that go by it.
+// digestReports updates the statistics from the pending load reports and takes the decisions that depend on them.
 func (b *Balancer) digestReports() {
 	for _, r := range b.replicas {
 		r.load.digest(b.now, b.config.ReportPeriod)
@@ -182,8 +185,9 @@
 	b.load.arrived = 0
 }
 
-// measureSaturation takes the normalized latency of the median replica; or, where utilization is reported, the
-// cores in use at the median replica, or of all replicas over the capacity of those that stay in use.
+// measureSaturation sets the saturation to the normalized latency of the median replica. Where utilization is reported,
+// idle cores lower it, and cores in use raise it: those at the median replica, or those of all replicas over the
+// capacity of the ones that are not withdrawn.
 func (b *Balancer) measureSaturation() {
 	var latencies, utilizations []float64
 	work := 0.0
@@ -212,8 +216,8 @@
 	b.load.saturation = saturation
 }
 
-// utilizationSaturation is the saturation that a utilization stands for. A full fleet sheds load; from there on it
-// rises faster, as a share of cores cannot pass one, up to nearly an overload.
+// utilizationSaturation is the saturation that a utilization stands for. At fullUtilization load is shed; from there on
+// saturation rises faster, as utilization cannot exceed one, up to nearOverloadSaturation.
 func utilizationSaturation(utilization float64) float64 {
 	const headroom = 1 - fullUtilization
 	upToFull := sheddingSaturation * utilization / fullUtilization
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -7,41 +7,40 @@
 )
 
 const (
-	// ejectionSpan outlasts most silences short of a restart. It doubles with each further ejection in a row.
-	ejectionSpan = 8 * model.Second
-	// mostEjectionDoublings: 8, 16, 32 s and no longer.
-	mostEjectionDoublings = 2
+	// ejectionPeriod outlasts most silences that are no restart. It doubles with each further ejection in a row.
+	ejectionPeriod = 8 * model.Second
+	// maxEjectionDoublings bounds an ejection to 8, 16, then 32 s.
+	maxEjectionDoublings = 2
 
-	// A replica fails with at least fewestOutlierErrors errors, which are outlierErrorRate of its attempts and
+	// A replica fails with at least minOutlierErrors errors, which are outlierErrorRate of its attempts and
 	// outlierErrorRatio times the share that errs elsewhere.
-	fewestOutlierErrors = 3
-	outlierErrorRate    = 0.9
-	outlierErrorRatio   = 3
+	minOutlierErrors  = 3
+	outlierErrorRate  = 0.9
+	outlierErrorRatio = 3
 
 	// A replica is silent if silenceRatio times the age of the last report that silenceQuantile of the replicas stay
-	// under has passed, though fewestMissedAttempts were due by then: so many are no chance.
-	silenceRatio         = 2
-	silenceQuantile      = 0.75
-	fewestMissedAttempts = 5
-
-	// ejectedPart: no more than one in so many of the replicas that are or lately were in use are out at once.
-	ejectedPart = 3
-
-	// smallestExpectation keeps a division from one by zero.
-	smallestExpectation = 1e-9
+	// under has passed, though minMissedAttempts were due by then: fewer may be missing by chance.
+	silenceRatio      = 2
+	silenceQuantile   = 0.75
+	minMissedAttempts = 5
+
+	// ejectedShareDivisor: at most 1/ejectedShareDivisor of the replicas that are or recently were in use are out of use
+	// at once.
+	ejectedShareDivisor = 3
 )
 
-// outlierDetector finds replicas that answer nothing: first they err, then no report names them. Late reports leave
-// all unreported and an overload errs alike, so each is judged beside the others. It stands for one judgement.
+// outlierDetector finds replicas that answer nothing: first their attempts err, then no report names them. Late reports
+// or an overload affect all replicas alike, so each is compared with the others. A detector serves one comparison of
+// the fleet.
 type outlierDetector struct {
 	fleet         attemptStats // brief statistics of all replicas in use
 	silenceLimit  float64      // in microseconds
 	reportedShare float64      // attempts reported over those expected, at most 1
-	unavailable   int          // replicas that were in use lately and are not
+	unavailable   int          // replicas that were in use recently and are not
 	candidates    int          // those and the ones in use
 }
 
-// newOutlierDetector gathers what a replica is judged beside.
+// newOutlierDetector gathers the figures that each replica is compared with.
 func (b *Balancer) newOutlierDetector() outlierDetector {
 	var detector outlierDetector
 	var silences []float64
@@ -53,8 +52,8 @@
 	}
 	detector.silenceLimit = silenceRatio * (quantile(silenceQuantile, silences) + float64(b.config.ReportPeriod))
 	expected := float64(b.now-b.load.digestedAt) * b.load.recentRate
-	detector.reportedShare = min(1, b.load.arrived/max(expected, smallestExpectation))
-	detector.unavailable = b.countReplicas(b.leftLately)
+	detector.reportedShare = min(1, b.load.arrived/max(expected, epsilon))
+	detector.unavailable = b.countReplicas(b.leftRecently)
 	detector.candidates = detector.unavailable + b.countReplicas((*replica).inUse)
 	return detector
 }
@@ -62,12 +61,14 @@
 // silence is the time since a replica's last report, in microseconds.
 func (b *Balancer) silence(r *replica) float64 { return float64(b.now - r.load.reportedAt) }
 
-func (b *Balancer) leftLately(r *replica) bool {
+func (b *Balancer) leftRecently(r *replica) bool {
 	return !r.inUse() && b.now-r.load.reportedAt < slowStartSpan
 }
 
-// mayEject reports whether one more replica may be out: with a third out the rest stay in use.
-func (d *outlierDetector) mayEject() bool { return (d.unavailable+1)*ejectedPart <= d.candidates }
+// mayEject reports whether one more replica may be ejected, by ejectedShareDivisor.
+func (d *outlierDetector) mayEject() bool {
+	return (d.unavailable+1)*ejectedShareDivisor <= d.candidates
+}
 
 // errorRateElsewhere is the error rate of the other replicas.
 func (d *outlierDetector) errorRateElsewhere(r *replica) float64 {
@@ -79,21 +80,21 @@
 	brief := &r.load.brief
 	byRate := outlierErrorRate * brief.attempts
 	byRatio := outlierErrorRatio * d.errorRateElsewhere(r) * brief.attempts
-	return brief.errored >= max(fewestOutlierErrors, byRate, byRatio)
+	return brief.errored >= max(minOutlierErrors, byRate, byRatio)
 }
 
-// missedAttempts are those that would have been reported of a replica while it was silent.
+// missedAttempts is how many attempts would have been reported of a replica while it was silent.
 func (d *outlierDetector) missedAttempts(r *replica, silence float64) float64 {
 	return r.load.recent.rate() * d.reportedShare * silence
 }
 
 // isSilent reports whether a replica with entries is unreported for longer than the others and than by chance.
 func (d *outlierDetector) isSilent(r *replica, silence float64) bool {
-	return r.expectedRate > 0 && d.missedAttempts(r, silence) >= fewestMissedAttempts && silence > d.silenceLimit
+	return r.expectedRate > 0 && d.missedAttempts(r, silence) >= minMissedAttempts && silence > d.silenceLimit
 }
 
 // isOverloaded reports whether a replica that errs is full rather than broken: its good attempts are late while the
-// load is not normal. With it ejected, the rest would be full next.
+// load is not normal. With it ejected, the others would be overloaded next.
 func (b *Balancer) isOverloaded(r *replica) bool {
 	late := r.load.brief.latency > r.load.brief.good*b.load.objective
 	return late && b.load.normalizedLatency >= normalSaturation
@@ -106,15 +107,16 @@
 		if !r.inUse() || b.load.saturation >= overloadSaturation || !detector.mayEject() {
 			continue
 		}
-		if cause := b.ejectionCause(&detector, r); cause != "" {
+		if evidence := b.outlierEvidence(&detector, r); evidence != "" {
 			detector.unavailable++
-			b.changeReplica(r, failureDetected, cause)
+			b.changeReplica(r, failureDetected, evidence)
 		}
 	}
 }
 
-// ejectionCause has the figure that passed its bound; it is empty for a replica that is no outlier.
-func (b *Balancer) ejectionCause(detector *outlierDetector, r *replica) string {
+// outlierEvidence returns the figure that passed its bound, as the end of a log message; "" for a replica that is no
+// outlier.
+func (b *Balancer) outlierEvidence(detector *outlierDetector, r *replica) string {
 	silence := b.silence(r)
 	switch {
 	case detector.fails(r) && !b.isOverloaded(r):
@@ -130,7 +132,7 @@
 // beginEjection withdraws a replica for some time, longer with each ejection in a row.
 func (b *Balancer) beginEjection(r *replica) {
 	r.generation++
-	span := ejectionSpan << min(r.ejections, mostEjectionDoublings)
+	span := ejectionPeriod << min(r.ejections, maxEjectionDoublings)
 	b.scheduleReplicaEvent(r, ejectionElapsed, b.now+span)
 	r.ejections++
 }
--- a/internal/balancer/ranking.go
+++ b/internal/balancer/ranking.go
@@ -7,7 +7,7 @@
 type rankedReplica struct {
 	replica *replica
 	score   int
-	place   int
+	place   int // in Balancer.replicas
 }
 
 // before is the order of replicas in a ranking.
@@ -15,7 +15,7 @@
 	return x.score < other.score || x.score == other.score && x.place < other.place
 }
 
-// ranking is a heap, so that the next best of thousands is not looked for among all.
+// ranking is a heap, so that finding the next best of thousands of replicas does not scan them all.
 type ranking struct{ heap rankingHeap }
 
 // rank scores the replicas in use.
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -13,7 +13,7 @@
 const (
 	absent   replicaState = 1 << iota // not in the endpoint list
 	draining                          // listed as draining
-	warming                           // in use at a rising part of its weight
+	warming                           // in use at a rising fraction of its weight
 	serving                           // in use at its full weight
 	ejected                           // listed as ready, withdrawn by outlier detection
 )
@@ -23,12 +23,12 @@
 
 const (
 	listedAsReady    replicaEvent = 1 << iota
-	startReported                 // listed as ready, and started lately
+	startReported                 // listed as ready, and started recently
 	drainReported                 // listed as draining
 	removedFromList               // not in the endpoint list any more
 	failureDetected               // by outlier detection
 	slowStartElapsed              // it may have its full weight
-	ejectionElapsed               // it is to be tried again
+	ejectionElapsed               // it is to be used again
 )
 
 var replicaTransitions = []transition[replicaState, replicaEvent, *replica]{
@@ -41,8 +41,8 @@
 	{ejected, ejectionElapsed, warming, (*Balancer).beginSlowStart},
 }
 
-// replicaEventLogs are the words that the log has for events.
-var replicaEventLogs = map[replicaEvent]string{
+// replicaEventMessages are the log messages of events. They are stored in the decision log.
+var replicaEventMessages = map[replicaEvent]string{
 	listedAsReady:    "listed",
 	startReported:    "started",
 	drainReported:    "draining",
@@ -52,7 +52,7 @@
 	ejectionElapsed:  "ejection ended",
 }
 
-// replica is what is known of one replica.
+// replica is the state of one replica.
 type replica struct {
 	id      model.ReplicaID
 	zone    int
@@ -66,7 +66,7 @@
 	ejections   int                // in a row
 
 	load             replicaLoad
-	expectedRate     float64 // requests a second that its entries are due of the tables' traffic
+	expectedRate     float64 // requests a second: the share of its entries in the tables' traffic
 	capacityEstimate float64 // what it can take, relative to the average replica
 
 	withdrawn          bool // its withdrawal was sent, last at withdrawnAt
@@ -74,23 +74,23 @@
 	withdrawnElsewhere bool // other balancers may have withdrawn it
 }
 
-// listedReady reports whether the list has a replica as ready, whether proxies may pick it or not.
+// listedReady reports whether the endpoint list has a replica as ready; it may be withdrawn all the same.
 func (r *replica) listedReady() bool { return r.state&(warming|serving|ejected) != 0 }
 
-// inUse reports whether proxies may pick a replica, as far as its state goes.
+// inUse reports whether a replica's state lets proxies pick it. It may be withdrawn while warming up all the same.
 func (r *replica) inUse() bool { return r.state&(warming|serving) != 0 }
 
-// countReplicas counts the replicas that have a property.
-func (b *Balancer) countReplicas(has func(*replica) bool) (n int) {
+// countReplicas counts the replicas that match.
+func (b *Balancer) countReplicas(matches func(*replica) bool) (n int) {
 	for _, r := range b.replicas {
-		if has(r) {
+		if matches(r) {
 			n++
 		}
 	}
 	return n
 }
 
-// findOrAddReplica returns the replica of a list entry. A new one gets a random place in the order of replicas, so
+// findOrAddReplica returns the replica of an endpoint. A new one gets a random place in the order of replicas, so
 // that balancers fill their tables differently.
 func (b *Balancer) findOrAddReplica(id model.ReplicaID) *replica {
 	if known := b.replicasByID[id]; known != nil {
@@ -118,19 +118,19 @@
 		return drainReported
 	case endpoint.Status != model.EndpointReady:
 		return removedFromList
-	case b.startedLately(r, endpoint.StartedAt):
+	case b.isRecentStart(r, endpoint.StartedAt):
 		return startReported
 	default:
 		return listedAsReady
 	}
 }
 
-// startedLately reports whether a start time is news of a replica, and within the span of a slow start.
-func (b *Balancer) startedLately(r *replica, startedAt model.Microseconds) bool {
+// isRecentStart reports whether a start time is not yet known of a replica, and within the span of a slow start.
+func (b *Balancer) isRecentStart(r *replica, startedAt model.Microseconds) bool {
 	return startedAt > 0 && startedAt != r.startedAt && b.now-startedAt < slowStartSpan
 }
 
-// removeUnlisted takes every replica that a complete endpoint list does not name as gone.
+// removeUnlisted handles the removal of every replica that a complete endpoint list does not name.
 func (b *Balancer) removeUnlisted(named map[*replica]bool) {
 	for _, r := range b.replicas {
 		if !named[r] {
@@ -139,19 +139,19 @@
 	}
 }
 
-// changeReplica takes an event to a replica's state machine and logs a change of state with its cause, if one is
-// given. A first listing is not logged: hundreds of them would flood the log at the start.
-func (b *Balancer) changeReplica(r *replica, event replicaEvent, cause string) {
+// changeReplica applies an event to a replica's state machine and logs a change of state; evidence, which may be empty,
+// ends the log message. A first listing is not logged: hundreds of them would flood the log at the start.
+func (b *Balancer) changeReplica(r *replica, event replicaEvent, evidence string) {
 	before := r.state
 	apply(b, replicaTransitions, &r.state, event, r)
 	b.changed = true
 	noteworthy := before != r.state && event != listedAsReady
 	r.withdrawnElsewhere = r.withdrawnElsewhere || r.startedAt > 0 || noteworthy
 	if noteworthy {
-		b.logReplica(r, replicaEventLogs[event]+cause)
+		b.logReplica(r, replicaEventMessages[event]+evidence)
 	}
 }
 
-func (b *Balancer) logReplica(r *replica, what string) {
-	b.publisher.Log(fmt.Sprintf("replica %v:%d zone %d %s", r.id.Addr, r.id.Port, r.zone, what))
+func (b *Balancer) logReplica(r *replica, message string) {
+	b.publisher.Log(fmt.Sprintf("replica %v:%d zone %d %s", r.id.Addr, r.id.Port, r.zone, message))
 }
--- a/internal/balancer/safemode.go
+++ b/internal/balancer/safemode.go
@@ -18,22 +18,23 @@
 	startWindowElapsed
 )
 
-// safeModeEndedLog is logged when safe mode ends. The controller takes this text as the sign of it.
-const safeModeEndedLog = "gate open"
+// SafeModeEndedMessage is logged when safe mode ends, by which the controller learns of it. Stored decision logs
+// contain the text, so it must not change.
+const SafeModeEndedMessage = "gate open"
 
 var safeModeTransitions = []transition[safeModeState, safeModeEvent, struct{}]{
 	{safeModeActive, allReplicasReported | startWindowElapsed, safeModeEnded, (*Balancer).logSafeModeEnd},
 }
 
-// safeMode keeps a balancer from steering on half the picture after a start: it lasts until every replica listed as
-// ready is named in a load report, or until the start window ends.
+// safeMode keeps a balancer from deciding on incomplete load reports after a start: it lasts until every replica listed
+// as ready is named in a load report, or until the start window ends.
 type safeMode struct{ state safeModeState }
 
 func (m *safeMode) active() bool { return m.state == safeModeActive }
 
 const (
-	// startWindowPeriods: a report is gathered in one period and comes in a second; a third serves replicas whose first
-	// entry waits its turn. A replica unreported by then stands in no standing table and will not be named.
+	// startWindowPeriods: a report is gathered in one period and arrives in a second; a third serves replicas whose first
+	// entry has to wait. A replica unreported by then is in no standing table, so waiting longer is of no use.
 	startWindowPeriods = 3
 	// startWindowLimit is the start window of the design.
 	startWindowLimit = 10 * model.Second
@@ -44,7 +45,7 @@
 	return min(startWindowPeriods*reportPeriod, startWindowLimit)
 }
 
-func (b *Balancer) logSafeModeEnd(struct{}) { b.publisher.Log(safeModeEndedLog) }
+func (b *Balancer) logSafeModeEnd(struct{}) { b.publisher.Log(SafeModeEndedMessage) }
 
 // everyReplicaReported reports whether each replica listed as ready was named in a load report. Draining and absent
 // ones are not waited for.
--- a/internal/balancer/sendwindow.go
+++ b/internal/balancer/sendwindow.go
@@ -8,20 +8,20 @@
 
 // Shares of the queue limit that unacknowledged entries may fill.
 const (
-	urgentShare  = 0.9 // by what can't be put off
-	promptShare  = 0.7 // by what should leave soon
-	routineShare = 0.5 // by the rest
+	urgentShare  = 0.9 // by updates that can't be put off
+	promptShare  = 0.7 // by updates that should be sent soon
+	routineShare = 0.5 // by the others
 )
 
 // budget is what an update may use: a share of the queue limit, and all but some of a proxy's messages. Spare messages
-// are kept for what is more urgent.
+// are left for more urgent updates.
 type budget struct {
 	queueShare    float64
 	spareMessages int
 }
 
 var (
-	withdrawalBudget  = budget{urgentShare, 1} // of replicas that drain or are gone, and of what stands in for them
+	withdrawalBudget  = budget{urgentShare, 1} // of replicas that drain or are gone, and of updates in place of them
 	promptBudget      = budget{promptShare, 1} // of temporary withdrawals and cut weights
 	urgentBindBudget  = budget{urgentShare, 2}
 	routineBindBudget = budget{routineShare, 2}
@@ -41,18 +41,18 @@
 	at       model.Microseconds
 }
 
-// sendWindow bounds what waits in the channel by what is not acknowledged, as the channel may be slower than
-// configured. Costs are in entries.
+// sendWindow bounds the entries that wait to be sent by counting those not acknowledged, as the network may be slower
+// than configured. Costs are in entries.
 type sendWindow struct {
-	messageCost  int // of a message beyond its own entries
-	queueLimit   int
-	messageLimit int // to one proxy within messageSpan; 0: no limit
-	messageSpan  model.Microseconds
-	unacked      int      // entries not acknowledged or reserved
-	aged         int      // entries counted again for their age
-	sequence     int      // of the last message
-	reached      []*proxy // by the message being written
-	ackFromAll   bool     // every proxy is to acknowledge it, reached or not
+	messageCost    int // of a message beyond its own entries
+	queueLimit     int
+	messageLimit   int // to one proxy within messageSpan; 0: no limit
+	messageSpan    model.Microseconds
+	unackedEntries int      // entries not acknowledged or reserved
+	agedEntries    int      // entries counted again for their age
+	sequence       int      // of the last message
+	reached        []*proxy // by the message being written
+	ackFromAll     bool     // every proxy is to acknowledge it, reached or not
 }
 
 func newSendWindow(config model.Config) sendWindow {
@@ -64,21 +64,21 @@
 	}
 }
 
-// measureAge counts entries again for each second beyond the first that they wait for their acknowledgement: a channel
-// that turned slow keeps what was written then, and withdrawals must not wait behind weights.
+// measureAge counts entries again for each second beyond the first that they wait for their acknowledgement: a network
+// that has become slow still holds what was sent before, and withdrawals must not wait behind weights.
 func (w *sendWindow) measureAge(now model.Microseconds, proxies []*proxy) {
-	w.aged = 0
+	w.agedEntries = 0
 	for _, p := range proxies {
 		for _, message := range p.unacked {
 			late := int(max(0, now-message.at-model.Second))
-			w.aged += late * message.entries / int(model.Second)
+			w.agedEntries += late * message.entries / int(model.Second)
 		}
 	}
 }
 
-// reserve charges entries to each of some proxies if they may be sent now.
+// reserve charges entries to each of some proxies if they may be sent now, and reports whether they may.
 func (w *sendWindow) reserve(now model.Microseconds, proxies []*proxy, entries int, limits budget) bool {
-	total := w.unacked
+	total := w.unackedEntries
 	for _, p := range proxies {
 		total += entries
 		if p.reserved > 0 {
@@ -100,7 +100,7 @@
 		}
 		p.reserved += entries
 	}
-	w.unacked = total
+	w.unackedEntries = total
 	return true
 }
 
@@ -109,11 +109,11 @@
 	return w.messageLimit > 0 && len(p.messageTimes)+spare >= w.messageLimit
 }
 
-// exceedsQueue reports whether entries pass a share of the queue limit. The age of what waits counts unless the share
-// is for what can't be put off.
+// exceedsQueue reports whether entries pass a share of the queue limit. Aged entries count too, except for urgent
+// updates.
 func (w *sendWindow) exceedsQueue(entries int, share float64) bool {
 	if share < urgentShare {
-		entries += w.aged
+		entries += w.agedEntries
 	}
 	return float64(entries) > share*float64(w.queueLimit)
 }
@@ -131,8 +131,8 @@
 	return uint32(w.sequence)
 }
 
-// close books the message that was written with every proxy that it reaches.
-func (w *sendWindow) close(now model.Microseconds) {
+// recordSent records the message that was written as unacknowledged by every proxy that it reaches.
+func (w *sendWindow) recordSent(now model.Microseconds) {
 	for _, p := range w.reached {
 		p.unacked = append(p.unacked, sentMessage{w.sequence, p.reserved, now})
 		p.messageTimes = append(p.messageTimes, now)
@@ -150,7 +150,7 @@
 // release frees the entries of a proxy's first messages.
 func (w *sendWindow) release(p *proxy, messages int) {
 	for _, message := range p.unacked[:messages] {
-		w.unacked -= message.entries
+		w.unackedEntries -= message.entries
 	}
 	p.unacked = p.unacked[messages:]
 }
@@ -161,5 +161,5 @@
 		b.publisher.RequestAck(b.window.nextSequence(), b.window.ackFromAll)
 		b.window.ackFromAll = false
 	}
-	b.window.close(b.now)
+	b.window.recordSent(b.now)
 }
--- a/internal/balancer/sendwindow_test.go
+++ b/internal/balancer/sendwindow_test.go
@@ -61,13 +61,13 @@
 }
 
 func TestSlowChannel(t *testing.T) {
-	t.Run("what waits long leaves no room for weights, but for drains", func(t *testing.T) {
-		// Found by the hunt for broken rules: entries written while the channel was slow delayed drains by 15 s.
+	t.Run("long-unacknowledged entries leave capacity for drains and none for weights", func(t *testing.T) {
+		// Found by the search for broken invariants: entries written while the channel was slow delayed drains by 15 s.
 		fleet := startWarmFleet(t, 8, nil)
 		fleet.acks = false
 		fleet.remove(1)
 		fleet.balancer.proxies[0].unacked[0].entries += 1000
-		fleet.balancer.window.unacked += 1000
+		fleet.balancer.window.unackedEntries += 1000
 		fleet.run(4, nil)
 		before := len(fleet.updates)
 		fleet.run(2, func() { fleet.report(2, 10, 0, 900*model.Millisecond) })
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -20,7 +20,7 @@
 	balancer *Balancer
 	now      model.Microseconds
 
-	drainLimit model.Microseconds // from news of a drain to the last proxy that may pick the replica
+	drainLimit model.Microseconds // from the update with a drain to the last proxy that may pick the replica
 	emptyLimit model.Microseconds // for a proxy without an entry that it may pick
 
 	entriesPerSecond float64            // of the channel
@@ -374,7 +374,7 @@
 	return weights
 }
 
-// disconnect ends a proxy's stream: what waits or flies for it is lost.
+// disconnect ends a proxy's stream: messages queued or in flight to it are lost.
 func (f *simulatedFleet) disconnect(id model.ProxyID) {
 	p := f.proxies[id]
 	if p == nil || !p.connected {
@@ -390,7 +390,7 @@
 	f.balancer.ProxyDisconnected(f.now, id)
 }
 
-// restartBalancer loses all that a balancer's process has. It starts with its cached list.
+// restartBalancer replaces the balancer by a new one, which starts with the cached endpoint list only.
 func (f *simulatedFleet) restartBalancer(numbers []int) {
 	for id := range f.proxies {
 		f.proxies[id].connected = false
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -5,13 +5,13 @@
 const (
 	// slowStartSpan is the design's default: a started replica reaches its full weight after it.
 	slowStartSpan = 30 * model.Second
-	// slowStartFloor is the design's: the part of its full weight that a replica starts with.
+	// slowStartFloor is the design's: the fraction of its full weight that a replica starts with.
 	slowStartFloor = 0.25
 )
 
-// beginSlowStart starts a replica at a quarter of its weight, with no statistics. It may stand in our tables at full
-// weight, so that is cut at once. The span runs from the replica's start if that is why: otherwise a balancer that
-// starts amid a release would take all for equally new.
+// beginSlowStart starts a replica at a quarter of its weight, with no statistics. It may have its full weight in
+// tables as sent, so that is cut at once. The span runs from the replica's start, unless an ejection has ended:
+// a balancer that starts amid a release would otherwise take all replicas for equally new.
 func (b *Balancer) beginSlowStart(r *replica) {
 	r.generation++
 	r.restarted = r.load.recent.window > 0
@@ -32,7 +32,7 @@
 	r.ejections = 0
 }
 
-// slowStartFactor is the part of its full weight that a replica may have now.
+// slowStartFactor is the fraction of its full weight that a replica may have now.
 func (b *Balancer) slowStartFactor(r *replica) float64 {
 	if r.state != warming {
 		return 1
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Found by the hunt for broken rules (h27f5e4, h463155): what a replica of some seconds can do is exceeded by a surge
-// that a nearly warm one stands, so the newer it is the earlier it is withdrawn.
+// Found by the search for broken invariants (h27f5e4, h463155): what a replica of some seconds can do is exceeded by a
+// surge that a nearly warm one stands, so the newer it is the earlier it is withdrawn.
 func TestNewerReplicaIsWithdrawnEarlier(t *testing.T) {
 	for age, withdrawn := range map[model.Microseconds]bool{model.Second: true, 11 * model.Second: false} {
 		fleet := startWarmFleet(t, 8, nil)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Found by the hunt for broken rules: most replicas refused connections, and all proxies turned to the one just
+// Found by the search for broken invariants: most replicas refused connections, and all proxies turned to the one just
 // started.
 func TestStartedReplicaIsWithdrawnFromAnErringTable(t *testing.T) {
 	fleet := startWarmFleet(t, 8, nil)
@@ -73,14 +73,14 @@
 }
 
 func TestStartedReplicaIsWithdrawnFromATableWithOneProxy(t *testing.T) {
-	// Found by the hunt for broken rules: a table's one heavy proxy turned to its new replicas within a second.
+	// Found by the search for broken invariants: a table's one heavy proxy turned to its new replicas within a second.
 	fleet := startFleet(t, 8, nil)
 	fleet.disconnect(2)
 	fleet.run(5, fleet.goodReports(8))
 	fleet.start(1, 1)
 	fleet.flush()
 	fleet.requireWithdrawn(t, 1, "a replica that warms up stands in the table of one proxy")
-	// Found by that hunt too: an entry made while its replica was withdrawn never heard of the withdrawal.
+	// Found by that search too: proxies were not notified of a withdrawal sent before its replica got the entry.
 	fleet.start(1, 9)
 	fleet.run(2, fleet.goodReports(8))
 	require(t, fleet.weight(9) == 0, "a new entry with weight %v for what is withdrawn", fleet.weight(9))
--- a/internal/balancer/statemachine.go
+++ b/internal/balancer/statemachine.go
@@ -9,7 +9,8 @@
 	action func(*Balancer, Subject)
 }
 
-// apply takes one event to a state machine. An event that no row names for the present state changes nothing.
+// apply applies one event to a state machine and runs the action of the transition. An event that no row names for the
+// present state changes nothing.
 func apply[State, Event ~uint8, Subject any](
 	b *Balancer, rows []transition[State, Event, Subject], state *State, event Event, subject Subject,
 ) {
--- a/internal/balancer/step_bench_test.go
+++ b/internal/balancer/step_bench_test.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 )
 
-// benchPublisher carries nothing out; it keeps the newest sequence number that is to be acknowledged.
+// benchPublisher discards updates; it keeps the newest sequence number that is to be acknowledged.
 type benchPublisher struct {
 	sequence uint32
 	ackDue   bool
@@ -164,12 +164,12 @@
 func reportTimes(b *testing.B, times []time.Duration) {
 	b.Helper()
 	slices.Sort(times)
-	sum := time.Duration(0)
+	total := time.Duration(0)
 	for _, span := range times {
-		sum += span
+		total += span
 	}
 	count := len(times)
-	b.ReportMetric(float64((sum / time.Duration(count)).Microseconds()), "us/step")
+	b.ReportMetric(float64((total / time.Duration(count)).Microseconds()), "us/step")
 	b.ReportMetric(float64(times[count*99/100].Microseconds()), "us/p99")
 	b.ReportMetric(float64(times[count-1].Microseconds()), "us/worst")
 }
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -6,25 +6,24 @@
 	"peppervale/internal/model"
 )
 
-// A table has as many entries as are worth their cost: an entry costs connections, handshakes and updates.
+// Bounds on the entries of a table. Each further entry costs connections, handshakes and updates.
 const (
-	// entryWorth: an entry is wanted for a request each so many seconds.
-	entryWorth = 2.5
-	// entryWorthPerCost over the cost of publishing is the same where updates are expensive, in seconds.
-	entryWorthPerCost = 0.05
-	smallestCost      = 1e-9
-	// connectionsPart: all proxies take up to one in so many connections of the smallest replica.
-	connectionsPart = 4
-	// fewestEntries, to lose a few.
-	fewestEntries = 8
-	// fewestFeeders: so many proxies feed each replica, to even them out.
-	fewestFeeders = 18
-	// Tables are so many that sameZoneNumerator/sameZoneDenominator of their entries are in the zone.
+	// entryRequestInterval is how often an entry has to get a request to be worth its cost, in seconds.
+	entryRequestInterval = 2.5
+	// entryRequestIntervalAtUnitCost, divided by the cost of publishing, is the same where updates are expensive.
+	entryRequestIntervalAtUnitCost = 0.05
+	// connectionDivisor: all proxies together take up to 1/connectionDivisor of the smallest replica's connections.
+	connectionDivisor = 4
+	// minTableEntries leaves a table entries when it loses a few.
+	minTableEntries = 8
+	// minProxiesPerReplica: with fewer proxies on each replica their different rates would not even out.
+	minProxiesPerReplica = 18
+	// A pool has as many tables as leave sameZoneNumerator/sameZoneDenominator of their entries in the zone.
 	sameZoneNumerator   = 2
 	sameZoneDenominator = 3
 )
 
-// Scores of a replica that may get a further entry: the one with the fewest entries in the list of tables comes first,
+// Scores of a replica that may get a further entry: the one with the fewest entries in the pool of tables comes first,
 // those of the zone before others, then the one with the fewest entries in all.
 const (
 	scoreEntryInAll   = 1
@@ -33,13 +32,13 @@
 	scoreAfterAnEntry = scoreEntryHere + scoreEntryInAll
 )
 
-// table is a shared table for a part of a zone's proxies: a subset of the replicas, with weights.
+// table is a shared table for some of a zone's proxies: a subset of the replicas, with weights.
 type table struct {
 	id        model.TableID
 	zone      int
-	list      int  // its place in subsetTables.lists
+	pool      int  // its place in subsetTables.pools
 	zoneLocal bool // for operations that stay in the zone: all its entries are of the zone
-	width     int  // entries that it needs
+	width     int  // open entries that it needs
 	entries   []*entry
 	users     []*proxy
 
@@ -98,23 +97,23 @@
 	return (t.expectedRate + p.expectedRate) / (float64(t.openEntries()) + almostNoEntry)
 }
 
-// subsetTables are all tables. Those of a zone are a list; where some operations stay in the zone, the tables for them
-// are a second list of the zone, after the lists of all zones.
+// subsetTables are all tables. Those of a zone form a pool, at the zone's index in pools; where some operations stay in
+// the zone, the tables for them form a second pool of the zone, after the first pools of all zones.
 type subsetTables struct {
 	zones   int
 	tables  []*table
-	lists   [][]*table
+	pools   [][]*table
 	width   int // entries wanted in a table
 	longest int // most entries of a table
 	turn    int // place of the table whose weights are sent first the next time
 }
 
 func newSubsetTables(config model.Config) subsetTables {
-	lists := config.Zones
+	poolCount := config.Zones
 	if someOperationsStayInZone(config) {
-		lists *= 2
+		poolCount *= 2
 	}
-	return subsetTables{zones: config.Zones, lists: make([][]*table, lists)}
+	return subsetTables{zones: config.Zones, pools: make([][]*table, poolCount)}
 }
 
 func someOperationsStayInZone(config model.Config) bool {
@@ -125,20 +124,20 @@
 func allOperations(config model.Config) uint16 { return 1<<len(config.Operations) - 1 }
 
 // separate reports whether operations that stay in the zone have tables of their own.
-func (s *subsetTables) separate() bool { return len(s.lists) > s.zones }
+func (s *subsetTables) separate() bool { return len(s.pools) > s.zones }
 
-func (s *subsetTables) zoneOf(list int) int { return list % s.zones }
+func (s *subsetTables) zoneOf(pool int) int { return pool % s.zones }
 
-// zoneLocalList is the list of a zone for operations that stay in it, if it is a separate one.
-func (s *subsetTables) zoneLocalList(zone int) int { return zone + s.zones }
+// zoneLocalPool is the pool of a zone for operations that stay in it. It exists only if separate reports true.
+func (s *subsetTables) zoneLocalPool(zone int) int { return zone + s.zones }
 
-// add makes an empty table at the end of a list.
-func (s *subsetTables) add(list int, zoneLocal bool) {
+// add makes an empty table at the end of a pool.
+func (s *subsetTables) add(pool int, zoneLocal bool) {
 	added := &table{
-		id: model.TableID(len(s.tables)), zone: s.zoneOf(list), list: list, zoneLocal: zoneLocal, width: s.width,
+		id: model.TableID(len(s.tables)), zone: s.zoneOf(pool), pool: pool, zoneLocal: zoneLocal, width: s.width,
 	}
 	s.tables = append(s.tables, added)
-	s.lists[list] = append(s.lists[list], added)
+	s.pools[pool] = append(s.pools[pool], added)
 }
 
 // addEntry gives a replica a place in a table.
@@ -149,21 +148,21 @@
 	s.longest = max(s.longest, len(t.entries))
 }
 
-// createTables makes the tables of a list, fills them and sends their first weights.
-func (b *Balancer) createTables(list int) {
+// createTables makes the tables of a pool, fills them and sends their first weights.
+func (b *Balancer) createTables(pool int) {
 	b.subsets.width = b.wantedWidth()
-	zone := b.subsets.zoneOf(list)
+	zone := b.subsets.zoneOf(pool)
 	width := b.subsets.width
 	candidates := b.countReplicas(func(r *replica) bool { return r.zone == zone && r.listedReady() })
 	count := (sameZoneDenominator*candidates + width - 1) / (sameZoneNumerator * width)
-	zoneLocal := b.config.ZoneLocalOperations != 0 && list >= len(b.subsets.lists)-b.subsets.zones
+	zoneLocal := b.config.ZoneLocalOperations != 0 && pool >= len(b.subsets.pools)-b.subsets.zones
 	for range max(1, count) {
-		b.subsets.add(list, zoneLocal)
+		b.subsets.add(pool, zoneLocal)
 	}
 	b.binder.forgetCosts()
-	b.fillTables(list)
+	b.fillTables(pool)
 	b.estimateCapacities()
-	for _, t := range b.subsets.lists[list] {
+	for _, t := range b.subsets.pools[pool] {
 		b.sendWeights(t, firstWeightsBudget, func(*entry) bool { return true })
 	}
 }
@@ -176,32 +175,32 @@
 	}
 	replicas := float64(len(b.replicas))
 	proxies := float64(max(b.config.ProxyCount, 1))
-	byTraffic := meanRate * min(entryWorth, entryWorthPerCost/max(b.config.PublishCost, smallestCost))
-	byConnections := replicas / connectionsPart * float64(b.config.MinReplicaConnections) / proxies
-	byFeeders := fewestFeeders * replicas / proxies
+	byTraffic := meanRate * min(entryRequestInterval, entryRequestIntervalAtUnitCost/max(b.config.PublishCost, epsilon))
+	byConnections := replicas / connectionDivisor * float64(b.config.MinReplicaConnections) / proxies
+	byProxiesPerReplica := minProxiesPerReplica * replicas / proxies
 	all := max(len(b.replicas), 1)
 	if byTraffic > 0 && byConnections > 0 {
-		return int(min(max(fewestEntries, byFeeders, min(byTraffic, byConnections)), float64(all)))
+		return int(min(max(minTableEntries, byProxiesPerReplica, min(byTraffic, byConnections)), float64(all)))
 	}
 	return all
 }
 
-// fillTables gives a list's shortest table one more entry, until all have enough and each replica of the zone is in
-// one.
-func (b *Balancer) fillTables(list int) {
-	if !b.needsEntries(list) {
+// fillTables gives the pool's table that lacks most entries one more, until all have enough and each replica of the
+// zone is in one.
+func (b *Balancer) fillTables(pool int) {
+	if !b.needsEntries(pool) {
 		return
 	}
-	zone := b.subsets.zoneOf(list)
-	ranks := b.rank(func(r *replica) int { return entryScore(r, list, zone) })
+	zone := b.subsets.zoneOf(pool)
+	ranks := b.rank(func(r *replica) int { return entryScore(r, pool, zone) })
 	for {
-		t := slices.MinFunc(b.subsets.lists[list], func(x, y *table) int { return y.missing() - x.missing() })
-		open := t.openEntries()
-		best := ranks.takeBest(func(r *replica) bool { return b.mayAddEntry(t, r, open) })
+		t := slices.MinFunc(b.subsets.pools[pool], func(x, y *table) int { return y.missing() - x.missing() })
+		openEntries := t.openEntries()
+		best := ranks.takeBest(func(r *replica) bool { return b.mayAddEntry(t, r, openEntries) })
 		if best == nil {
 			return
 		}
-		wideEnough := open >= t.width
+		wideEnough := openEntries >= t.width
 		everySameZoneReplicaPlaced := best.score >= scoreCrossZone
 		if wideEnough && everySameZoneReplicaPlaced {
 			return
@@ -211,25 +210,25 @@
 	}
 }
 
-// needsEntries reports whether a table of a list is short of open entries, or a replica of its zone is in none of them.
-func (b *Balancer) needsEntries(list int) bool {
-	tables := b.subsets.lists[list]
+// needsEntries reports whether a table of a pool is short of open entries, or a replica of its zone is in none of them.
+func (b *Balancer) needsEntries(pool int) bool {
+	tables := b.subsets.pools[pool]
 	if len(tables) == 0 {
 		return false
 	}
 	short := func(t *table) bool { return t.openEntries() < t.width }
-	here := func(e *entry) bool { return e.table.list == list }
-	zone := b.subsets.zoneOf(list)
+	here := func(e *entry) bool { return e.table.pool == pool }
+	zone := b.subsets.zoneOf(pool)
 	unplaced := func(r *replica) bool {
 		return r.zone == zone && r.inUse() && !slices.ContainsFunc(r.entries, here)
 	}
 	return slices.ContainsFunc(tables, short) || slices.ContainsFunc(b.replicas, unplaced)
 }
 
-func entryScore(r *replica, list, zone int) int {
+func entryScore(r *replica, pool, zone int) int {
 	score := len(r.entries) * scoreEntryInAll
 	for _, e := range r.entries {
-		if e.table.list == list {
+		if e.table.pool == pool {
 			score += scoreEntryHere
 		}
 	}
@@ -239,14 +238,14 @@
 	return score
 }
 
-// mayAddEntry reports whether a replica may get an entry of a table with so many open ones. Tables for operations that
-// stay in the zone have replicas of the zone only. Beyond the width a replica of another zone that warms up is not
-// wanted: proxies of a zone that is short of capacity would turn to it all at once.
-func (b *Balancer) mayAddEntry(t *table, r *replica, open int) bool {
+// mayAddEntry reports whether a replica may get an entry of a table that has openEntries open ones. Tables for
+// operations that stay in the zone have replicas of the zone only. Beyond the width a replica of another zone that
+// warms up is not wanted: proxies of a zone that is short of capacity would turn to it all at once.
+func (b *Balancer) mayAddEntry(t *table, r *replica, openEntries int) bool {
 	if !r.inUse() || t.has(r) {
 		return false
 	}
 	sameZone := r.zone == t.zone
-	crossZoneWanted := !t.zoneLocal && (open < b.subsets.width || !b.isWarmingUp(r))
+	crossZoneWanted := !t.zoneLocal && (openEntries < b.subsets.width || !b.isWarmingUp(r))
 	return sameZone || crossZoneWanted
 }
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// Found by the hunt for broken rules: the preference for the own zone sent two thirds of a zone's traffic to its
+// Found by the search for broken invariants: the preference for the own zone sent two thirds of a zone's traffic to its
 // replicas that warmed up.
 func TestZoneThatReturnsWarmingUpLeavesItsProxiesToOtherZones(t *testing.T) {
 	fleet := startFleet(t, 24, func(config *model.Config) { config.ProxiesAvoidFailing = false })
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -16,12 +16,12 @@
 	replicaDeadline                         // an event comes to a replica
 )
 
-// deadline is something due at a set time.
+// deadline is an action that is due at a set time.
 type deadline struct {
 	at   model.Microseconds
 	kind deadlineKind
 
-	// Of a replicaDeadline only. It lapses once the replica's generation is another.
+	// Of a replicaDeadline only. It lapses once the replica's generation differs.
 	replica    *replica
 	event      replicaEvent
 	generation int
@@ -45,13 +45,13 @@
 	return first, true
 }
 
-// scheduleReplicaEvent has an event come to a replica at a set time, unless its generation changes before.
+// scheduleReplicaEvent applies an event to a replica at a set time, unless its generation changes before.
 func (b *Balancer) scheduleReplicaEvent(r *replica, event replicaEvent, at model.Microseconds) {
 	b.deadlines.add(deadline{at: at, kind: replicaDeadline, replica: r, event: event, generation: r.generation})
 }
 
-// meetDeadline does what a deadline is for.
-func (b *Balancer) meetDeadline(d deadline) {
+// handleDeadline takes the action of a deadline that is due.
+func (b *Balancer) handleDeadline(d deadline) {
 	switch d.kind {
 	case resubscribeDeadline:
 		b.publisher.Subscribe()
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/model"
 )
 
-// View is what a balancer believes, copied: nothing in it is written again, so any goroutine may read it.
+// View is a copy of a balancer's state. Nothing in it is written again, so any goroutine may read it.
 type View struct {
 	SafeModeEnded      bool
 	UnreportedReplicas []model.ReplicaID // listed as ready, and not named in a load report yet
@@ -21,7 +21,7 @@
 	Proxies            []ProxyView // in the order connected
 }
 
-// ReplicaView is what is believed of a replica. A time of 0 stands for never.
+// ReplicaView is the state of a replica. A time of 0 stands for never.
 type ReplicaView struct {
 	ID                model.ReplicaID
 	Zone              int
@@ -70,7 +70,7 @@
 	OldestUnackedAt model.Microseconds // when the first of them was sent; 0 if there is none
 }
 
-// servedStates are the words of ReplicaView.State. The console serves them as JSON, so its readers rely on them.
+// servedStates are the values of ReplicaView.State. The console serves them as JSON, so its readers rely on them.
 var servedStates = map[replicaState]string{
 	absent:   "away",
 	draining: "draining",
@@ -79,14 +79,14 @@
 	ejected:  "resting",
 }
 
-// View copies what is believed now; it takes time linear in the fleet.
+// View copies the present state; it takes time linear in the fleet.
 func (b *Balancer) View() *View {
 	view := &View{
 		SafeModeEnded:     !b.safeMode.active(),
 		Saturation:        b.load.saturation,
 		NormalizedLatency: b.load.normalizedLatency,
 		WarmingFraction:   b.load.warmingFraction,
-		UnackedEntries:    b.window.unacked,
+		UnackedEntries:    b.window.unackedEntries,
 		Quotas:            slices.Clone(b.shedder.quotas),
 		RetryPolicy:       b.shedder.retryPolicy,
 		Replicas:          make([]ReplicaView, 0, len(b.replicas)),
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// A weight moves by a tenth at most, and a change under smallestStep of it is not sent: the design's step.
-	smallestFactor = 0.9
-	largestFactor  = 1.1
-	smallestStep   = 0.05
-
-	// averagingAttempts weigh as much as the average does: below that a mean latency says little.
-	averagingAttempts = 10
-	// warmingCapacityLimit: what a warming replica serves follows from its part, so only latency shows its speed.
+	// A weight moves by a tenth at most, and a change under minWeightChange of it is not sent: the design's step.
+	minStepFactor   = 0.9
+	maxStepFactor   = 1.1
+	minWeightChange = 0.05
+
+	// priorAttempts is the weight of the prior estimate, an average replica's: fewer attempts say little of a latency.
+	priorAttempts = 10
+	// warmingCapacityLimit bounds the estimate of a warming replica. Its served rate follows from its reduced weight, so
+	// only its latency shows its speed.
 	warmingCapacityLimit = 2
 
 	// crossZonePenalty over the cost of a crossing lies between what suits a low load and what suits an overload.
 	crossZonePenalty = 60
-	// partNotInFull: once one in so many of the replicas of the zone, or of all, is not at full weight, those of
-	// other zones count as much.
-	partNotInFull = 3
-	// noCapacity keeps a division from one by zero.
-	noCapacity = 1e-9
-
-	// fewestOpenEntries: with fewer a table gets others at once.
-	fewestOpenEntries = 3
+	// belowFullWeightDivisor: once 1/belowFullWeightDivisor of the replicas of the zone, or of all, is below its full
+	// weight, those of other zones count as much.
+	belowFullWeightDivisor = 3
+	// epsilon is added to a divisor, or is its least value, to avoid a division by zero.
+	epsilon = 1e-9
+
+	// minOpenEntries: a table with fewer gets new ones at once.
+	minOpenEntries = 3
 	// A table whose median entry is overloadedRatio times as slow as the fleet's, and takes overloadedLatency of the
 	// objective or more, has more traffic than its entries can take: its width grows by wideningStep.
 	overloadedRatio   = 1.25
 	overloadedLatency = 0.25
 	wideningStep      = 2
 
-	// messagesForWeights: weights take one in so many of the messages that a proxy may get.
-	messagesForWeights = 2
+	// weightMessageDivisor: weights take 1/weightMessageDivisor of the messages that a proxy may get.
+	weightMessageDivisor = 2
 )
 
 // prior is an entry's weight before anything is learnt of the replica's speed.
@@ -49,10 +50,10 @@
 	}
 }
 
-// estimateCapacities works out what replicas can take by the design: served rate times the fleet's mean latency over
-// the replica's own, the unreported as average.
+// estimateCapacities estimates what replicas can take, as the design has it: served rate times the fleet's mean latency
+// over the replica's own. Unreported replicas count as average.
 func (b *Balancer) estimateCapacities() {
-	fleet := b.sumRecentStats()
+	fleet := b.totalRecentStats()
 	preference := b.newZonePreference()
 	expectedRate := 0.0
 	for _, t := range b.subsets.tables {
@@ -66,8 +67,9 @@
 	}
 }
 
-// sumRecentStats sums the recent statistics and sets the fleet's recent rate. It clears the replicas' expected rates.
-func (b *Balancer) sumRecentStats() (fleet attemptStats) {
+// totalRecentStats adds up the recent statistics of listed replicas, sets the fleet's recent rate from them and resets
+// the replicas' expected rates.
+func (b *Balancer) totalRecentStats() (fleet attemptStats) {
 	b.load.recentRate = 0
 	for _, r := range b.replicas {
 		r.expectedRate = 0
@@ -80,8 +82,8 @@
 }
 
 // zonePreference is how much replicas of the proxy's own zone are preferred now, as crossing zones has a price. The
-// preference gives way as load is about to be shed, where other zones are quicker, and as a part of the replicas of the
-// zone or of all is not at full weight.
+// preference gives way as load is about to be shed, where other zones are quicker, and as replicas of the zone or of
+// all are below their full weight.
 type zonePreference struct {
 	crossZoneFactor float64 // what a replica of another zone counts for at full strength
 	strength        float64 // 1: in full, 0: not at all
@@ -101,7 +103,7 @@
 
 // factor is what a replica of another zone counts for in a table, by the statistics of both kinds.
 func (z *zonePreference) factor(sameZoneFullness float64, sameZone, others *attemptStats) float64 {
-	fullness := max(0, partNotInFull*min(z.fleetFullness, sameZoneFullness)-(partNotInFull-1))
+	fullness := max(0, belowFullWeightDivisor*min(z.fleetFullness, sameZoneFullness)-(belowFullWeightDivisor-1))
 	factor := math.Pow(z.crossZoneFactor, z.strength*fullness)
 	if sameZone.good >= 1 && others.good >= 1 {
 		factor *= sameZone.meanLatency() / max(others.meanLatency(), 1)
@@ -113,7 +115,7 @@
 func (b *Balancer) crossZoneFactor(t *table, preference zonePreference) float64 {
 	var sameZone, others attemptStats
 	sameZoneCapacity := 0.0
-	sameZoneCount := noCapacity
+	sameZoneCount := epsilon
 	for _, e := range t.entries {
 		switch r := e.replica; {
 		case !r.listedReady():
@@ -130,12 +132,12 @@
 
 // spreadExpectedRate adds a table's expected rate to its replicas, by the priors of their entries.
 func (b *Balancer) spreadExpectedRate(t *table) {
-	sum := noCapacity
+	totalPrior := epsilon
 	for _, e := range t.entries {
-		sum += b.prior(e)
+		totalPrior += b.prior(e)
 	}
 	for _, e := range t.entries {
-		e.replica.expectedRate += t.expectedRate * b.prior(e) / sum
+		e.replica.expectedRate += t.expectedRate * b.prior(e) / totalPrior
 	}
 }
 
@@ -152,18 +154,18 @@
 	} else if r.expectedRate > 0 && b.load.recentRate > 0 && recent.window > 0 {
 		estimate *= math.Sqrt(recent.good / recent.window / b.load.recentRate * expectedRate / r.expectedRate)
 	}
-	return (estimate*recent.attempts + averagingAttempts) / (recent.attempts + averagingAttempts)
+	return (estimate*recent.attempts + priorAttempts) / (recent.attempts + priorAttempts)
 }
 
-// updateWeights moves the weights once a report. Tables take turns: the one that finds no room is the first next time.
-// Cut weights leave at once, as do entries where few are open.
+// updateWeights moves the weights once a report period. The table that does not fit the send window is the first next
+// time. Cut weights are sent at once, as are new entries of a table with few open ones.
 func (b *Balancer) updateWeights() {
 	due := b.weightsDue()
 	if due {
 		b.readmitReplicas()
 	}
-	for list := range b.subsets.lists {
-		b.fillTables(list)
+	for pool := range b.subsets.pools {
+		b.fillTables(pool)
 	}
 	b.estimateCapacities()
 	first := b.subsets.turn
@@ -175,33 +177,34 @@
 		}
 		b.weightsSentAt = b.now
 		b.widenIfOverloaded(t)
-		due = b.sendWeights(t, weightBudget, takeStep)
+		due = b.sendWeights(t, weightBudget, limitStep)
 		if !due {
 			b.subsets.turn = first + k
 		}
 	}
 }
 
-// weightsDue reports whether weights may move: once a report, within a part of the messages that a proxy may get.
+// weightsDue reports whether weights may move: once a report period, or less often if that would take more than
+// 1/weightMessageDivisor of the messages that a proxy may get.
 func (b *Balancer) weightsDue() bool {
 	period := b.config.ReportPeriod
 	if b.config.MessageLimit > 0 {
-		period = max(period, messagesForWeights*b.config.MessageWindow/model.Microseconds(b.config.MessageLimit))
+		period = max(period, weightMessageDivisor*b.config.MessageWindow/model.Microseconds(b.config.MessageLimit))
 	}
 	return !b.safeMode.active() && b.ticked && !b.binder.withdrawalsBlocked && b.now-b.weightsSentAt >= period
 }
 
 // sendUrgentWeights sends cut weights, and where few entries are open new ones too.
 func (b *Balancer) sendUrgentWeights(t *table) {
-	if t.openEntries() < fewestOpenEntries {
+	if t.openEntries() < minOpenEntries {
 		b.sendWeights(t, withdrawalBudget, func(e *entry) bool { return e.cut || e.isNew() })
 		return
 	}
 	b.sendWeights(t, promptBudget, func(e *entry) bool { return e.cut })
 }
 
-// widenIfOverloaded gives a table more entries if most of its own are slower than the fleet: proxies grew, or the
-// subset shrank. Where all are short, more entries help nobody.
+// widenIfOverloaded gives a table more entries if most of its own are slower than the fleet: its proxies' traffic
+// grew, or the subset shrank. Where the whole fleet is short of capacity, more entries don't help.
 func (b *Balancer) widenIfOverloaded(t *table) {
 	limit := max(overloadedLatency, overloadedRatio*b.load.normalizedLatency)
 	if t.normalizedLatency > limit && b.load.saturation < sheddingSaturation {
@@ -209,17 +212,17 @@
 	}
 }
 
-// takeStep bounds the change of a sent weight and reports whether it is worth sending.
-func takeStep(e *entry) bool {
+// limitStep bounds the change of an entry's next weight and reports whether the change is worth sending.
+func limitStep(e *entry) bool {
 	if e.isNew() || e.nextWeight == 0 {
 		return true
 	}
-	e.nextWeight = min(max(e.nextWeight, e.weight*smallestFactor), e.weight*largestFactor)
-	return math.Abs(e.nextWeight-e.weight) >= smallestStep*e.weight
+	e.nextWeight = min(max(e.nextWeight, e.weight*minStepFactor), e.weight*maxStepFactor)
+	return math.Abs(e.nextWeight-e.weight) >= minWeightChange*e.weight
 }
 
-// sendWeights sends the wanted weights of a table that change, if they fit. None is sent anew for what is withdrawn:
-// the withdrawal missed the table.
+// sendWeights sends the wanted weights of a table that change, and reports whether they fit the send window. No
+// new entry is sent for a withdrawn replica: the table's proxies were not notified of the withdrawal.
 func (b *Balancer) sendWeights(t *table, limits budget, wanted func(*entry) bool) bool {
 	changed, cost := b.changedWeights(t, wanted)
 	if len(changed) > 0 && !b.window.reserve(b.now, t.users, cost, limits) {
@@ -233,7 +236,7 @@
 	return true
 }
 
-// changedWeights works out the next weights of a table and returns the wanted entries whose weight changes, with what
+// changedWeights sets the next weights of a table and returns the wanted entries whose weight changes, with what
 // it costs to send them.
 func (b *Balancer) changedWeights(t *table, wanted func(*entry) bool) (changed []*entry, cost int) {
 	for _, e := range t.entries {
--- a/internal/controller/publisher.go
+++ b/internal/controller/publisher.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"peppervale/internal/balancer"
 	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
@@ -9,9 +10,6 @@
 // The controller is its balancer's publisher: it gathers the updates and publishes them after the flush.
 var _ model.Publisher = (*Controller)(nil)
 
-// safeModeEndedMessage is what the balancer logs as it leaves safe mode.
-const safeModeEndedMessage = "gate open"
-
 func (c *Controller) addUpdate(update snapshot.Update) {
 	c.pending.Updates = append(c.pending.Updates, update)
 }
@@ -57,7 +55,7 @@
 
 // Log implements model.Publisher; only the balancer calls it.
 func (c *Controller) Log(message string) {
-	if message == safeModeEndedMessage {
+	if message == balancer.SafeModeEndedMessage {
 		c.safeModeEnded = true
 	}
 	c.decisions.addReason(message)
