--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -21,7 +21,7 @@
 
 func newInstance(number uint16) *instance { return &instance{number: number} }
 
-// answer takes a batch and returns the reply to it. An error means that the batch is malformed.
+// answer handles a batch and returns the reply to it. An error means that the batch is malformed.
 func (s instanceSet) answer(batch *simulator.Batch) (*simulator.Reply, error) {
 	involved, err := s.handleEvents(batch)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return reply, nil
 }
 
-// handleEvents returns the instances that had an event, in the order of their first one.
+// handleEvents handles a batch's events and returns the instances that had one, in the order of their first one.
 func (s instanceSet) handleEvents(batch *simulator.Batch) ([]*instance, error) {
 	var involved []*instance
 	var current *instance
@@ -58,7 +58,7 @@
 	return involved, nil
 }
 
-// target returns the instance of a number, which it makes if need be.
+// target returns the instance with a number; it adds one if there is none.
 func (s instanceSet) target(number uint16) *instance {
 	inst := s[number]
 	if inst == nil {
@@ -68,14 +68,14 @@
 	return inst
 }
 
-// handle hands an event to the balancer. An error means that the event is malformed.
+// handle passes an event to the balancer. An error means that the event is malformed.
 func (i *instance) handle(event simulator.Event, now model.Microseconds) error {
 	var err error
 	i.guard(func() { err = i.dispatch(event, now) })
 	return err
 }
 
-// flush has the balancer decide.
+// flush flushes the balancer, if one is running.
 func (i *instance) flush(now model.Microseconds) {
 	i.guard(func() {
 		if i.balancer != nil {
@@ -87,16 +87,17 @@
 // guard calls a function; a panic in it becomes an Exception, and ends the balancer.
 func (i *instance) guard(call func()) {
 	defer func() {
-		if cause := recover(); cause != nil {
-			i.fail(fmt.Sprint("panic: ", cause))
+		if panicked := recover(); panicked != nil {
+			i.fail(fmt.Sprint("panic: ", panicked))
 		}
 	}()
 	call()
 }
 
-func (i *instance) fail(cause string) {
+// fail ends the balancer and reports why in an Exception.
+func (i *instance) fail(message string) {
 	i.balancer = nil
-	i.reply.Exception(cause)
+	i.reply.Exception(message)
 }
 
 // moveActions moves the instance's actions to the end of a reply.
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// start begins anew with the settings of a Hello.
+// start replaces the balancer by a new one with the settings of a Hello. Wrong settings become an Exception.
 func (i *instance) start(event simulator.Event, now model.Microseconds) error {
 	seed, settings, err := event.Hello()
 	if err != nil {
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// dispatchToBalancer ignores events of unknown codes.
+// dispatchToBalancer passes an event to the running balancer. Events of unknown codes are ignored.
 func (i *instance) dispatchToBalancer(event simulator.Event, now model.Microseconds) {
 	switch event.Code() {
 	case simulator.CodeKill:
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter runs balancers on the operators' simulator: frames of events come in on standard input, replies
-// with actions go out on standard output. It hands events to the balancers and writes their updates down; it takes no
-// decision itself. It exits with status 0 as the input ends between two frames, else with 1.
+// with actions go out on standard output. It passes events to the balancers and writes their updates; it takes no
+// decision itself. It exits with status 0 when the input ends between two frames, else with 1.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	}
 }
 
-// run answers frames until the input ends.
+// run answers frames until the input ends. It returns the error of a malformed frame, or of reading or writing.
 func run(input io.Reader, output io.Writer) error {
 	reader := bufio.NewReaderSize(input, bufferSize)
 	writer := bufio.NewWriterSize(output, bufferSize)
--- a/internal/admission/budget_test.go
+++ b/internal/admission/budget_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// However many peers read, and whoever does not: what waits stays within twice the budget and one message for each.
+// Whichever peers read: what waits stays within twice the budget and one message for each.
 // It does not stay within the budget itself: one peer may wait for all of it while others come up to their shares.
 func TestBudgetBoundsWaitingBytes(t *testing.T) {
 	const messageSize = 40
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -2,7 +2,7 @@
 
 import "peppervale/internal/model"
 
-// Limits are how many connections a controller takes. A Rate of 0 or less admits all up to MaxProxies.
+// Limits are how many connections a controller admits. A Rate of 0 or less admits all up to MaxProxies.
 type Limits struct {
 	Rate       float64 // connections a second
 	Burst      int     // connections at once; at least 1 is allowed
@@ -17,7 +17,7 @@
 // The decisions.
 const (
 	Admit  Decision = iota
-	Defer           // retry after the time given; there is a reservation then
+	Defer           // retry after the time given, for which a token is reserved
 	Reject          // no capacity for one more proxy: retry much later, or at another controller
 )
 
@@ -67,7 +67,7 @@
 	c.refill(now)
 	c.limits = limits
 	c.tokens = min(c.tokens, c.burst())
-	if limits.Rate <= 0 { // nobody is deferred any more, so no reservation is needed
+	if limits.Rate <= 0 { // all proxies are admitted, so no reservation is needed
 		c.inStorm = false
 		clear(c.reservations)
 	}
@@ -109,8 +109,8 @@
 	return Reject, rejectRetryAfter + c.jitter.draw(spread)
 }
 
-// useReservation admits a proxy whose time has come: its token was set aside when the reservation was made. One that
-// comes early keeps its reservation.
+// useReservation admits a proxy whose reserved time has come: its token was taken when the reservation was made. One
+// that comes early keeps its reservation.
 func (c *Controller) useReservation(
 	now model.Microseconds, name string, reservedTime model.Microseconds,
 ) (Decision, model.Microseconds) {
@@ -140,8 +140,8 @@
 	return Defer, c.lastReservedTime - now + c.jitter.draw(spread)
 }
 
-// refill adds the tokens of the time that has passed. In a storm these are the reservations; the storm ends once the
-// last one is past and none is outstanding.
+// refill adds the tokens of the time that has passed. In a storm these tokens are the reservations; the storm ends once
+// the last one is past and none is outstanding.
 func (c *Controller) refill(now model.Microseconds) {
 	elapsed := now - c.refilledAt
 	c.refilledAt = now
@@ -152,19 +152,19 @@
 	if now < c.lastReservedTime {
 		return
 	}
-	c.dropVoidReservations(now)
+	c.dropExpiredReservations(now)
 	if len(c.reservations) == 0 {
 		c.inStorm = false
 		c.tokens = c.tokensOf(now - c.lastReservedTime)
 	}
 }
 
-// dropVoidReservations forgets reservations that were not used for as long again as the storm took: their proxies have
-// gone elsewhere. It also forgets those from before the storm.
-func (c *Controller) dropVoidReservations(now model.Microseconds) {
-	voidFrom := 2*c.lastReservedTime - c.stormStartedAt
+// dropExpiredReservations forgets reservations that were not used for as long again as the storm took: their proxies
+// have probably connected to another controller. It also forgets those from before the storm.
+func (c *Controller) dropExpiredReservations(now model.Microseconds) {
+	expiredFrom := 2*c.lastReservedTime - c.stormStartedAt
 	for name, reservedTime := range c.reservations {
-		if now > voidFrom || reservedTime <= c.stormStartedAt {
+		if now > expiredFrom || reservedTime <= c.stormStartedAt {
 			delete(c.reservations, name)
 		}
 	}
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Whoever connects when: no span admits more than its burst and rate, a proxy that retries in time is admitted, and the
-// memory is bounded by the number of proxies.
+// In any sequence of connections no span admits more than its burst and rate, a proxy that retries in time is admitted,
+// and the memory is bounded by the number of proxies.
 func TestAnySequenceOfConnections(t *testing.T) {
 	const proxies = 41
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/admission/tokenbucket.go
+++ b/internal/admission/tokenbucket.go
@@ -15,8 +15,8 @@
 	refilledAt model.Microseconds
 }
 
-// Take takes the token of a command. If there is none, retryAfter is the time until half of the burst is free again:
-// a shorter wait would soon be followed by the next one.
+// Take takes the token of a command and reports whether there was one. If not, retryAfter is the time until half of the
+// burst is available again: after a shorter wait the next command would soon have to wait again.
 func (b *TokenBucket) Take(now model.Microseconds, rate Rate) (ok bool, retryAfter model.Microseconds) {
 	if rate.PerSecond <= 0 {
 		return true, 0
--- a/internal/codec/simulator/event.go
+++ b/internal/codec/simulator/event.go
@@ -34,7 +34,8 @@
 // fields returns a reader of the fields after the code.
 func (e Event) fields() fieldReader { return fieldReader{e.record[1:]} }
 
-// tailSection returns the part of the tail to which a field points; its length counts units of some bytes.
+// tailSection returns the section of the tail to which the next two fields point, an offset and a length; the length
+// counts units of unit bytes.
 func (e Event) tailSection(fields *fieldReader, unit int) ([]byte, error) {
 	offset := uint64(fields.uint32())
 	size := uint64(fields.uint32()) * uint64(unit)
@@ -82,9 +83,9 @@
 func readEndpoint(entry []byte) model.Endpoint {
 	fields := fieldReader{entry}
 	endpoint := model.Endpoint{ID: fields.replica(), Zone: int(fields.uint16())}
-	fields.skip(3) // kind of machine, cell
-	endpoint.Status = model.EndpointStatus(fields.uint8())
-	fields.skip(4) // size
+	fields.skip(3)                                         // kind of machine, cell
+	endpoint.Status = model.EndpointStatus(fields.uint8()) // the numbers are the same
+	fields.skip(4)                                         // size
 	endpoint.StartedAt = fields.milliseconds()
 	return endpoint
 }
@@ -95,8 +96,8 @@
 	return model.ProxyID(fields.uint16()), fields.uint32()
 }
 
-// ProxyConnected returns the proxy of a DialledIn, the index of its zone, and the requests a second that it usually
-// gets; 0 stands for a rate that is no usable number.
+// ProxyConnected returns the proxy of a DialledIn, the index of its zone, and its expected requests a second; 0 stands
+// for a rate that is no number from 0 up to maxExpectedRate.
 func (e Event) ProxyConnected() (proxy model.ProxyID, zone int, expectedRate float64) {
 	fields := e.fields()
 	zone = int(fields.uint16())
--- a/internal/codec/simulator/fields.go
+++ b/internal/codec/simulator/fields.go
@@ -26,9 +26,9 @@
 // maxTime bounds the times that are read, in microseconds: some thirty years.
 const maxTime = 1e15
 
-// milliseconds reads a time in fractional milliseconds. What is no finite number, or beyond maxTime, reads as 0.
+// milliseconds reads a time in fractional milliseconds. A value that is not finite, or not within maxTime, reads as 0.
 func (f *fieldReader) milliseconds() model.Microseconds {
-	microseconds := math.Float64frombits(f.uint64()) * 1000
+	microseconds := math.Float64frombits(f.uint64()) * float64(model.Millisecond)
 	isUsable := math.Abs(microseconds) < maxTime
 	if !isUsable {
 		return 0
@@ -66,7 +66,7 @@
 }
 
 func (f *fieldWriter) milliseconds(duration model.Microseconds) {
-	binary.LittleEndian.PutUint64(f.bytes(8), math.Float64bits(float64(duration)/1000))
+	binary.LittleEndian.PutUint64(f.bytes(8), math.Float64bits(float64(duration)/float64(model.Millisecond)))
 }
 
 func (f *fieldWriter) replica(id model.ReplicaID) {
--- a/internal/codec/simulator/golden_test.go
+++ b/internal/codec/simulator/golden_test.go
@@ -51,8 +51,8 @@
 // hexText shows bytes as lines of hexadecimal digits, a record of 24 bytes each.
 func hexText(b []byte) []byte {
 	var text strings.Builder
-	for part := range slices.Chunk(b, actionSize) {
-		fmt.Fprintf(&text, "%x\n", part)
+	for record := range slices.Chunk(b, actionSize) {
+		fmt.Fprintf(&text, "%x\n", record)
 	}
 	return []byte(text.String())
 }
--- a/internal/codec/simulator/reply.go
+++ b/internal/codec/simulator/reply.go
@@ -48,14 +48,14 @@
 // Empty reports whether there are no actions.
 func (r *Reply) Empty() bool { return len(r.records) == 0 }
 
-// OnBehalf has the following actions be those of an instance.
+// OnBehalf attributes the actions that follow to an instance.
 func (r *Reply) OnBehalf(instance uint16) {
 	fields := r.action(actionOnBehalf)
 	fields.uint16(instance)
 }
 
 // Exception reports that an instance has failed; the simulation ends with this text.
-func (r *Reply) Exception(cause string) { r.textAction(actionException, cause) }
+func (r *Reply) Exception(message string) { r.textAction(actionException, message) }
 
 // Log implements model.Publisher.
 func (r *Reply) Log(message string) { r.textAction(actionSayLog, message) }
@@ -112,7 +112,8 @@
 	fields.milliseconds(delay)
 }
 
-// Append adds another reply's actions after these. Their texts move behind those here.
+// Append adds another reply's actions, which stays as it is. Their text offsets are moved behind the texts of this
+// reply.
 func (r *Reply) Append(other *Reply) {
 	start := len(r.records)
 	r.records = append(r.records, other.records...)
--- a/internal/codec/simulator/settings.go
+++ b/internal/codec/simulator/settings.go
@@ -10,8 +10,8 @@
 	"peppervale/internal/model"
 )
 
-// options are the settings as the simulator sends them; times are in milliseconds. The text of a decoding error names
-// this type, and the nested ones by having no name, so they stay as they are.
+// options are the settings as the simulator sends them; times are in milliseconds. The text of a decoding error
+// contains the name of this type and shows that the nested ones have none, so neither may change.
 type options struct {
 	Zones      []string `json:"zones"`
 	Membership string   `json:"membership_mode"`
@@ -61,8 +61,7 @@
 
 func isInRange(figure float64) bool { return figure >= 0 && figure <= maxFigure }
 
-// ParseSettings decodes an instance's settings. Unknown keys are skipped. The error names the key with which something
-// is wrong.
+// ParseSettings decodes an instance's settings. Unknown keys are skipped. The error says which setting is wrong.
 func ParseSettings(seed uint64, text []byte) (model.Config, error) {
 	var decoded options
 	err := json.Unmarshal(text, &decoded)
@@ -86,6 +85,7 @@
 	return o.checkClasses()
 }
 
+// checkRequired returns an error if a required setting is missing, or if settings contradict each other.
 func (o *options) checkRequired() error {
 	extra := &o.Extra
 	switch {
@@ -107,6 +107,7 @@
 	return nil
 }
 
+// checkRanges returns an error if a number is not within 0 and maxFigure.
 func (o *options) checkRanges() error {
 	for _, setting := range []struct {
 		key    string
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// config returns what settings mean that were checked.
+// config converts settings that check has passed.
 func (o *options) config(seed uint64) model.Config {
 	config := model.Config{
 		Seed:                  seed,
@@ -196,5 +197,5 @@
 }
 
 func fromMilliseconds(milliseconds float64) model.Microseconds {
-	return model.Microseconds(math.Round(milliseconds * 1000))
+	return model.Microseconds(math.Round(milliseconds * float64(model.Millisecond)))
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,7 +88,7 @@
 // goroutine and must neither block nor change the entry. To be called before Run.
 func (c *Controller) PersistDecisions(persist func(*Decision)) { c.decisions.persist = persist }
 
-// DisableDecisionLog turns the decision log off, where memory is short. To be called before Run.
+// DisableDecisionLog turns the decision log off, to save memory. To be called before Run.
 func (c *Controller) DisableDecisionLog() { c.decisions.disabled = true }
 
 // Decisions returns the newest decision log entries in memory that match, newest first, at most limit of them. A nil
@@ -117,8 +117,7 @@
 	c.mailbox.acknowledged(p, stream, sequence)
 }
 
-// LoadReported adds what the proxies of a zone measured. The reports are taken with the next step: they don't start
-// one.
+// LoadReported adds what the proxies of a zone measured. The reports wait for the next step and don't start one.
 func (c *Controller) LoadReported(zone int, reports []model.LoadReport) {
 	c.mailbox.loadReported(zone, reports)
 }
@@ -132,7 +131,8 @@
 // Run starts the balancer on the endpoint list as last known (nil: unknown) and processes events until Stop.
 func (c *Controller) Run(proxyServer ProxyServer, discovery Discovery, cached []model.Endpoint) {
 	defer close(c.stopped)
-	c.proxyServer, c.discovery = proxyServer, discovery
+	c.proxyServer = proxyServer
+	c.discovery = discovery
 	c.reportBudget.start(c.now())
 	c.pending = newBatch()
 	c.balancer = balancer.New(c.config, c, c.now())
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -155,14 +155,14 @@
 	}
 }
 
-// A detail is copied only while somebody asks for it.
+// A detail is copied only while DetailedView is called.
 func TestDetailIsCopiedOnDemand(t *testing.T) {
 	controller, env := startController(t, readyEndpoints(1, 2), testConfig())
 	controller.ProxyConnected(7, 70, pubsubmsg.Join{Name: "till", ExpectedRate: 5}, 0)
 	env.expectEvent(t, "admit 7 70")
 	env.expectUpdate(t, isBinding, "a binding")
 	if view := controller.View(); view.Detail != nil {
-		t.Fatal("a detail is copied though nobody asked")
+		t.Fatal("a detail is copied without a call of DetailedView")
 	}
 	deadline := time.Now().Add(10 * time.Second)
 	for ; controller.DetailedView().Detail == nil; time.Sleep(10 * time.Millisecond) {
--- a/internal/controller/decisionlog.go
+++ b/internal/controller/decisionlog.go
@@ -11,22 +11,22 @@
 	"peppervale/internal/snapshot"
 )
 
-// Decision is a decision log entry: one step that published something or changed what is believed. It records what came
-// in, the balancer's reasons, and what was published; together they answer why a proxy has no entry for a replica. It
-// is stored as JSON; its tags are names in stored data and must not change.
+// Decision is a decision log entry: one step that published something or changed the state of the balancer or the
+// fleet. It records what came in, the balancer's reasons, and what was published; together they answer why a proxy has
+// no entry for a replica. It is stored as JSON; its tags are names in stored data and must not change.
 type Decision struct {
 	At             model.Microseconds `json:"At"`             // when the step was taken
 	Number         uint64             `json:"Number"`         // of the entries of one incarnation, from 1
 	Incarnation    uint64             `json:"Life,omitempty"` // that took the step, if an earlier one; 0: this one
-	Inputs         []string           `json:"Came"`           // events, in words; reports and acknowledgements counted
+	Inputs         []string           `json:"Came"`           // events, as text; reports and acknowledgements only counted
 	Reasons        []string           `json:"Said"`           // what the balancer logged
-	Updates        []string           `json:"Orders"`         // what was published, in words
+	Updates        []string           `json:"Orders"`         // what was published, as text
 	OmittedUpdates int                `json:"Cut"`            // updates beyond those in Updates
 }
 
-// Mentions reports whether a text stands in any input, reason or update.
+// Mentions reports whether any input, reason or update contains a text.
 func (d *Decision) Mentions(text string) bool {
-	containsText := func(line string) bool { return strings.Contains(line, text) }
+	containsText := func(entry string) bool { return strings.Contains(entry, text) }
 	return slices.ContainsFunc(d.Inputs, containsText) ||
 		slices.ContainsFunc(d.Reasons, containsText) ||
 		slices.ContainsFunc(d.Updates, containsText)
@@ -68,16 +68,16 @@
 // decisionLog keeps the newest decisions in memory. The event loop's goroutine writes, any goroutine reads.
 type decisionLog struct {
 	disabled bool            // nothing is kept
-	persist  func(*Decision) // gets each entry and must not block; nil: none does
+	persist  func(*Decision) // gets each entry and must not block; nil: entries are not persisted
 	current  stepRecord
 
 	mu     sync.Mutex
 	ring   []*Decision // entries are never written again
-	next   int         // place in a full ring of the oldest entry
+	start  int         // index of the oldest entry
 	number uint64      // of the newest entry
 }
 
-// stepRecord gathers what happens in the step under way.
+// stepRecord gathers what happens in the current step.
 type stepRecord struct {
 	inputs           []string // the first maxInputs
 	inputCount       int
@@ -87,7 +87,7 @@
 	timer            bool
 }
 
-// describeInputs returns the inputs in words, with those that are only counted.
+// describeInputs returns the inputs as text, with those that are only counted.
 func (s *stepRecord) describeInputs() []string {
 	inputs := s.inputs
 	if s.inputCount > maxInputs {
@@ -105,7 +105,7 @@
 	return inputs
 }
 
-// addInput notes an event of the step under way.
+// addInput records an event of the current step.
 func (l *decisionLog) addInput(format string, args ...any) {
 	if l.disabled {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// addReason notes what the balancer said in the step under way.
+// addReason records what the balancer logged in the current step.
 func (l *decisionLog) addReason(text string) {
 	if l.disabled {
 		return
@@ -128,8 +128,8 @@
 func (l *decisionLog) addAcknowledgement()  { l.current.acknowledgements++ }
 func (l *decisionLog) addTimer()            { l.current.timer = true }
 
-// closeStep ends the step under way. A step that only got load reports, acknowledgements or the timer, and in which
-// nothing followed from them, is not kept.
+// closeStep ends the current step and appends its entry. A step with no input but load reports, acknowledgements or the
+// timer, and with neither reason nor update, is not kept.
 func (l *decisionLog) closeStep(now model.Microseconds, updates []snapshot.Update) {
 	step := l.current
 	l.current = stepRecord{}
@@ -145,7 +145,7 @@
 	l.append(entry)
 }
 
-// append numbers an entry, persists it and puts it in the place of the oldest.
+// append numbers an entry, persists it and, once the ring is full, replaces the oldest by it.
 func (l *decisionLog) append(entry *Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,8 +158,8 @@
 		l.ring = append(l.ring, entry)
 		return
 	}
-	l.ring[l.next] = entry
-	l.next = (l.next + 1) % maxDecisions
+	l.ring[l.start] = entry
+	l.start = (l.start + 1) % maxDecisions
 }
 
 func describeUpdate(update snapshot.Update) string {
@@ -199,7 +199,7 @@
 func (l *decisionLog) entries() []*Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Concat(l.ring[l.next:], l.ring[:l.next])
+	return slices.Concat(l.ring[l.start:], l.ring[:l.start])
 }
 
 // oldest returns the number of the oldest entry in memory; the next one's if there is none.
--- a/internal/controller/eventloop.go
+++ b/internal/controller/eventloop.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// step hands everything that has arrived to the balancer and publishes what it decides.
+// step delivers everything that has arrived to the balancer and publishes its decisions.
 func (c *Controller) step() {
 	now := c.now()
 	events := c.mailbox.drain(c.reportBudget.refill(now))
@@ -62,7 +62,7 @@
 	c.storeView(now)
 }
 
-// deliverEndpoints hands endpoint discovery's newest event on; nil: there was none.
+// deliverEndpoints delivers endpoint discovery's newest event; nil: there was none.
 func (c *Controller) deliverEndpoints(now model.Microseconds, event *endpointEvent) {
 	if event == nil {
 		return
@@ -137,7 +137,7 @@
 	c.balancer.TimerFired(now)
 }
 
-// publish sends what has been gathered, if it concerns any proxy.
+// publish sends the pending batch, if it concerns any proxy.
 func (c *Controller) publish(now model.Microseconds) {
 	if c.pending.Empty() && c.pending.AckSequence == snapshot.NoAckSequence {
 		return
--- a/internal/controller/latestreports.go
+++ b/internal/controller/latestreports.go
@@ -9,9 +9,9 @@
 	"peppervale/internal/model"
 )
 
-// reportFreshPeriods is how old a load report may be that is handed over, in report periods: one period may be under
+// maxReportAgePeriods is how old a load report may be that is handed over, in report periods: one period may be under
 // way and one report may have been lost.
-const reportFreshPeriods = 3
+const maxReportAgePeriods = 3
 
 // latestReports keeps the last load report of each replica and zone, for a controller that takes shards over in a
 // planned migration. The balancer here never reads it.
@@ -44,17 +44,23 @@
 	}
 }
 
+// receivedSince returns the reports received at or after a time, in no order.
+func (l *latestReports) receivedSince(oldest model.Microseconds) []model.LoadReport {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var reports []model.LoadReport
+	for _, received := range l.byKey {
+		if received.receivedAt >= oldest {
+			reports = append(reports, received.report)
+		}
+	}
+	return reports
+}
+
 // LatestReports returns the last load report of each replica and zone that is no older than three report periods, in
 // the order of zone and address.
 func (c *Controller) LatestReports() []model.LoadReport {
-	c.latestReports.mu.Lock()
-	defer c.latestReports.mu.Unlock()
-	var fresh []model.LoadReport
-	for _, received := range c.latestReports.byKey {
-		if c.now()-received.receivedAt <= reportFreshPeriods*c.config.ReportPeriod {
-			fresh = append(fresh, received.report)
-		}
-	}
+	fresh := c.latestReports.receivedSince(c.now() - maxReportAgePeriods*c.config.ReportPeriod)
 	slices.SortFunc(fresh, compareReports)
 	return fresh
 }
@@ -66,8 +72,8 @@
 	return strings.Compare(pubsubmsg.FormatAddress(a.Replica), pubsubmsg.FormatAddress(b.Replica))
 }
 
-// AddHandedOverReports gives the balancer, in its next step, the latest load reports of the controller that held its
-// shards before.
+// AddHandedOverReports adds the latest load reports of the controller that held the shards before, and starts a step to
+// deliver them.
 func (c *Controller) AddHandedOverReports(reports []model.LoadReport) {
 	for _, report := range reports {
 		c.LoadReported(report.Zone, []model.LoadReport{report})
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -54,7 +54,7 @@
 	entries []model.Endpoint
 }
 
-// receivedEvents is what one step hands to the balancer.
+// receivedEvents are the events that one step delivers to the balancer.
 type receivedEvents struct {
 	endpoints *endpointEvent // nil: none came
 	proxies   []proxyEvents
@@ -77,7 +77,7 @@
 	}
 }
 
-// waitingSlot returns a proxy's slot and enters it among those with waiting events. The caller holds m.mu.
+// waitingSlot returns a proxy's slot, which it adds to those with waiting events. The caller holds m.mu.
 func (m *mailbox) waitingSlot(proxy model.ProxyID) *proxySlot {
 	slot := m.proxies[proxy]
 	if slot == nil {
@@ -166,7 +166,8 @@
 	return events
 }
 
-// drainProxies forgets a proxy whose stream has ended. The caller holds m.mu.
+// drainProxies takes the waiting events of all proxies and forgets the proxies without an open stream. The caller holds
+// m.mu.
 func (m *mailbox) drainProxies() []proxyEvents {
 	var events []proxyEvents
 	for _, slot := range m.waiting {
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -10,8 +10,8 @@
 
 func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
-// Whatever came in which order, a proxy's newest state is one slot, and the balancer is notified once of each
-// stream's end.
+// In any order of events a proxy's newest state takes one slot, and the balancer is notified once of each stream's
+// end.
 func TestMailboxKeepsNewestStateOfAProxy(t *testing.T) {
 	box := newMailbox()
 	box.proxyConnected(1, 10, pubsubmsg.Join{Name: "a", ExpectedRate: 1}, 0)
@@ -39,7 +39,7 @@
 	}
 }
 
-// A hundred thousand connections, endpoint lists and load reports of one fleet wait in no more room than the fleet
+// A hundred thousand connections, endpoint lists and load reports of one fleet wait in no more memory than the fleet
 // takes.
 func TestMailboxIsBoundedByTheFleet(t *testing.T) {
 	box := newMailbox()
--- a/internal/controller/pendingreports.go
+++ b/internal/controller/pendingreports.go
@@ -12,14 +12,14 @@
 type pendingReports struct {
 	byKey  map[reportKey]*mergedReport
 	order  []reportKey // in the order of their first report
-	merged uint64      // reports merged into one that a step had already left waiting
+	merged uint64      // reports merged into one that a step had left waiting
 }
 
-// mergedReport is a load report with what its mean is made from.
+// mergedReport is a load report with the sum that its mean latency is computed from.
 type mergedReport struct {
 	report       model.LoadReport
 	totalLatency float64 // of the successful attempts together, microseconds
-	leftWaiting  bool    // a step had no room for it
+	leftWaiting  bool    // a step reached its report limit before it
 }
 
 // add merges a report into the one of its replica and zone. A report without attempts is ignored.
--- a/internal/controller/publisher.go
+++ b/internal/controller/publisher.go
@@ -48,7 +48,7 @@
 }
 
 // SetTimer implements model.Publisher; only the balancer calls it.
-func (c *Controller) SetTimer(after model.Microseconds) { c.wakeAt = c.now() + after }
+func (c *Controller) SetTimer(delay model.Microseconds) { c.wakeAt = c.now() + delay }
 
 // Subscribe implements model.Publisher; only the balancer calls it.
 func (c *Controller) Subscribe() { c.discovery.Subscribe() }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -23,7 +23,7 @@
 	Detail           *Detail            // nil or out of date unless DetailedView was called in the last seconds
 }
 
-// Detail is a copy of all that a controller and its balancer know, taken only while somebody asks for it. It is never
+// Detail is a copy of the state of a controller and its balancer, made only while DetailedView is called. It is never
 // written again.
 type Detail struct {
 	At        model.Microseconds // when it was copied
@@ -32,23 +32,24 @@
 	Endpoints map[model.ReplicaID]model.Endpoint
 }
 
-// Proxy is what a connected proxy said of itself.
+// Proxy is what a connected proxy reported of itself as it connected.
 type Proxy struct {
 	Name            string
 	Zone            int                // index of its zone in the configuration
-	ExpectedRate    float64            // requests a second that it usually gets
+	ExpectedRate    float64            // requests a second that it expects
 	OnStandingTable bool               // it still uses the table that it started with
 	ConnectedAt     model.Microseconds // when the balancer was notified of it
 }
 
 // A Detail costs a copy of the fleet. It is renewed at most once each detailInterval, and only within
-// detailDemandPeriod after a call of DetailedView: two hundred viewers cost no more than one.
+// detailDemandPeriod after a call of DetailedView: the number of viewers adds no cost.
 const (
 	detailInterval     = 200 * model.Millisecond
 	detailDemandPeriod = 5 * model.Second
 )
 
-// viewStore holds the newest view and what the next one is made from. Its plain fields belong to the event loop.
+// viewStore holds the newest view and the state that the next one is made from. Its plain fields belong to the event
+// loop.
 type viewStore struct {
 	current           atomic.Pointer[View]
 	detailRequestedAt atomic.Int64 // by the controller's clock, microseconds
@@ -59,13 +60,13 @@
 	longestStep model.Microseconds
 }
 
-// detailIsDue reports whether somebody is looking and the last copy is old enough.
+// detailIsDue reports whether a detail is in demand and the last copy is old enough.
 func (s *viewStore) detailIsDue(now model.Microseconds) bool {
 	requestedAt := model.Microseconds(s.detailRequestedAt.Load())
 	return now-requestedAt < detailDemandPeriod && now-s.detailAt >= detailInterval
 }
 
-// View returns the newest view; nil before the first step has ended. It costs nothing.
+// View returns the newest view; nil before the first step has ended. It neither blocks nor copies.
 func (c *Controller) View() *View { return c.views.current.Load() }
 
 // DetailedView returns the newest view and asks that views carry a Detail for the next seconds, from the next step on.
--- a/internal/model/config.go
+++ b/internal/model/config.go
@@ -11,7 +11,7 @@
 	MinReplicaConnections int         // connections that the smallest replica accepts
 
 	// Endpoint discovery and load reports.
-	SubscriptionRequired bool         // the endpoint list is sent only to those who subscribe
+	SubscriptionRequired bool         // the endpoint list is sent to subscribers only
 	WarmUpPeriod         Microseconds // after its start within which a replica reaches its full capacity
 	ReportPeriod         Microseconds // at which load reports are gathered
 	UtilizationField     int          // index of the CPU utilization (0 to 1) in LoadReport.Readings; -1: not reported
@@ -28,7 +28,7 @@
 	MessageLimit    int          // messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow   Microseconds // that MessageLimit counts over
 
-	// Costs, as fractions of what is earned.
+	// Costs, as fractions of the total value of the requests served.
 	CrossZoneCost float64 // of sending every request to another zone
 	PublishCost   float64 // of using the send window to the full all the time
 }
--- a/internal/model/operation.go
+++ b/internal/model/operation.go
@@ -6,8 +6,8 @@
 
 // Operation is one kind of request.
 type Operation struct {
-	LatencyObjective Microseconds // within which a response has its full worth
-	PriorityWeight   float64      // worth of one request, relative to the other operations
+	LatencyObjective Microseconds // within which a response has its full value
+	PriorityWeight   float64      // value of one request, relative to the other operations
 }
 
 // RetryPolicy says when a proxy sends a request to another replica. Its numbers stand on the wire.
--- a/internal/model/report.go
+++ b/internal/model/report.go
@@ -9,5 +9,5 @@
 	Errors      int          `cbor:"Errored"` // attempts without a successful response: errors, time-outs, failed connects
 	MeanLatency Microseconds `cbor:"Latency"` // of the successful attempts; 0 if there were none
 	Window      Microseconds `cbor:"Span"`    // that the attempts were counted over
-	Readings    []float64    `cbor:"Report"`  // the replica's newest load report, in the configured order
+	Readings    []float64    `cbor:"Report"`  // the newest that the replica gave of itself, in the configured order
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -7,8 +7,9 @@
 	"peppervale/internal/model"
 )
 
-// returnDelay is how long a shard does not migrate back without need to a member that its proxies did not reach. A link
-// that stays cut costs them a lease's duration without updates at each return; a minute makes that some hundredths.
+// returnDelay is how long a shard does not migrate back without need to a member that its proxies did not reach. While
+// the link stays down, each return leaves them without updates for a lease's duration: a minute between returns keeps
+// that to a few percent of the time.
 const returnDelay = 60 * model.Second
 
 // Planner remembers its recent migrations. The zero Planner has planned none; a new leader starts with one. It belongs
@@ -25,7 +26,7 @@
 }
 
 // Plan returns the migrations that are due. It also enters them in shards: each migrated shard gets its new Target
-// and is neither pinned nor asked for elsewhere any more.
+// and is no longer pinned or Asked for at another member.
 func (p *Planner) Plan(config Config, now model.Microseconds, members []Member, shards []Shard) []Migration {
 	if p.lastMoveAt == nil {
 		p.lastMoveAt = map[string]model.Microseconds{}
@@ -34,7 +35,7 @@
 	round := newRound(p, config, now, members, shards)
 	heaviestFirst := sortedByLoad(shards)
 	var migrations []Migration
-	for i := range rules { // what is forced goes first, over all shards, and takes the capacity that there is
+	for i := range rules { // forced migrations of all shards come first, and may use up the capacity
 		for _, shard := range heaviestFirst {
 			if firstRule(shard, round.target(shard)) != &rules[i] {
 				continue
@@ -47,7 +48,7 @@
 	return migrations
 }
 
-// sortedByLoad puts the heaviest shards first, so that those left at the end are small enough to even the loads out.
+// sortedByLoad puts the heaviest shards first, so that those left at the end are small enough to balance the loads.
 func sortedByLoad(shards []Shard) []*Shard {
 	sorted := make([]*Shard, len(shards))
 	for i := range shards {
@@ -91,9 +92,9 @@
 	return 1
 }
 
-// evensLoad reports whether a migration brings the loads of two members closer together. Shards without load count by
-// their number.
-func evensLoad(from, to *memberLoad, shard *Shard) bool {
+// balancesLoad reports whether a migration brings the loads of two members closer together. Shards without load count
+// by their number.
+func balancesLoad(from, to *memberLoad, shard *Shard) bool {
 	if shard.Load > 0 {
 		return to.load+shard.Load < from.load
 	}
@@ -134,7 +135,7 @@
 // those the one with the least load. It returns nil if the shard stays.
 func (r *round) bestMember(rule *rule, shard *Shard) *memberLoad {
 	target := r.target(shard)
-	if rule.staysPut || rule.rateLimited && !r.mayMove(target) {
+	if rule.staysOnTarget || rule.rateLimited && !r.mayMove(target) {
 		return nil
 	}
 	var best *memberLoad
@@ -158,11 +159,11 @@
 		return false
 	case rule.sameZone && member.Zone != shard.Zone:
 		return false
-	case rule.toAsked && member.Name != shard.Asked:
+	case rule.toReachable && member.Name != shard.Asked:
 		return false
-	case rule.mustEvenLoad:
+	case rule.mustBalanceLoad:
 		target := r.target(shard)
-		return member.distance(shard) <= target.distance(shard) && evensLoad(target, member, shard)
+		return member.distance(shard) <= target.distance(shard) && balancesLoad(target, member, shard)
 	}
 	return true
 }
@@ -183,7 +184,7 @@
 	) < 0
 }
 
-// wasUnreachable reports whether a shard migrated away from a member of late because its proxies did not reach it.
+// wasUnreachable reports whether a shard migrated away from a member recently because its proxies did not reach it.
 func (r *round) wasUnreachable(shard *Shard, member *memberLoad) bool {
 	at, found := r.planner.unreachableAt[shardOnMember{shard.Number, member.Name}]
 	return found && r.now-at < returnDelay
@@ -203,7 +204,7 @@
 		if rule.rateLimited {
 			r.planner.lastMoveAt[from.Name] = r.now
 		}
-		if rule.toAsked {
+		if rule.toReachable {
 			r.planner.unreachableAt[shardOnMember{shard.Number, from.Name}] = r.now
 		}
 	}
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -18,25 +18,25 @@
 	reason  string
 	applies func(shard *Shard, target *memberLoad) bool // target is nil if the shard has none
 
-	staysPut     bool // the shard does not migrate
-	rateLimited  bool // one each move interval
-	needsStable  bool // only to a member that has been alive for the stabilization period
-	sameZone     bool // only to the shard's own zone
-	toAsked      bool // only to the member that the shard's proxies connect to
-	mustEvenLoad bool // only if the two members' loads are closer together afterwards
+	staysOnTarget   bool // the shard does not migrate
+	rateLimited     bool // one each move interval
+	needsStable     bool // only to a member that has been alive for the stabilization period
+	sameZone        bool // only to the shard's own zone
+	toReachable     bool // only to the member that the shard's proxies connect to
+	mustBalanceLoad bool // only if the two members' loads are closer together afterwards
 }
 
 // rules are in the order of precedence.
 var rules = []rule{
 	{reason: reasonUnplaced, applies: isUnplaced},
 	{reason: reasonNotAlive, applies: isTargetLost},
-	{reason: reasonUnreachable, applies: isTargetUnreachable, toAsked: true},
+	{reason: reasonUnreachable, applies: isTargetUnreachable, toReachable: true},
 	{reason: reasonStopping, applies: isTargetStopping},
 	{reason: reasonDraining, applies: isTargetDraining, rateLimited: true},
-	{reason: reasonPinned, applies: isPinned, staysPut: true},
+	{reason: reasonPinned, applies: isPinned, staysOnTarget: true},
 	{reason: reasonOverCapacity, applies: isTargetOverCapacity, rateLimited: true},
 	{reason: reasonForeignZone, applies: isInForeignZone, rateLimited: true, needsStable: true, sameZone: true},
-	{reason: reasonUneven, applies: always, rateLimited: true, needsStable: true, mustEvenLoad: true},
+	{reason: reasonUneven, applies: always, rateLimited: true, needsStable: true, mustBalanceLoad: true},
 }
 
 func isUnplaced(_ *Shard, target *memberLoad) bool       { return target == nil }
--- a/internal/snapshot/delivery.go
+++ b/internal/snapshot/delivery.go
@@ -8,6 +8,12 @@
 	"peppervale/internal/model"
 )
 
+// Costs beyond the entries of a message, in entries of the send window.
+const (
+	ackRequestCost = 1
+	bindingCost    = 1 // of each table in a snapshot; one without table is charged for one
+)
+
 // Delivery is a message made for one subscriber. It belongs to the caller of Apply.
 type Delivery struct {
 	To      *Subscriber
@@ -21,8 +27,8 @@
 
 // OperationTable is what changes in the table for some operations.
 type OperationTable struct {
-	Operations uint16 // a bit 1 << index each
-	Full       bool   // Entries is the whole table, not a change to it
+	Operations uint16 // a mask with 1 << index for each
+	Full       bool   // Entries is the complete table, not a change to it
 	Entries    []pubsubmsg.Entry
 }
 
@@ -34,7 +40,7 @@
 	message.AckSequence = batch.AckSequence
 	if message.AckSequence != NoAckSequence {
 		subscriber.ackSequence = message.AckSequence
-		message.Cost++
+		message.Cost += ackRequestCost
 	}
 	return Delivery{
 		To:              subscriber,
@@ -75,7 +81,8 @@
 	return message
 }
 
-// Snapshot makes a message with all that a subscriber should know by now; it replaces every message made for it before.
+// Snapshot makes a message with the complete state that a subscriber should have now. It replaces every message made
+// for the subscriber before.
 func (s *State) Snapshot(subscriber *Subscriber) *pubsubmsg.Message {
 	message := &pubsubmsg.Message{
 		Full:            true,
@@ -95,11 +102,11 @@
 		message.Table = subscriber.Table.ID
 		message.Entries = slices.Clone(subscriber.Table.Entries)
 	}
-	message.Cost = s.cost(message) + 1
+	message.Cost = s.cost(message) + bindingCost
 	return message
 }
 
-// endedWithdrawals returns the withdrawals that a snapshot has to take back. A bound proxy forgets every withdrawal
+// endedWithdrawals returns the withdrawals that a snapshot has to end. A bound proxy forgets every withdrawal
 // that the snapshot does not name; one on its standing table keeps those of other controllers, and is notified of the
 // end of ours. They are sorted by address, so that the same updates give the same bytes.
 func (s *State) endedWithdrawals(subscriber *Subscriber) []pubsubmsg.Withdrawal {
@@ -129,7 +136,7 @@
 	return current
 }
 
-// cost returns what a delta takes of the send window, in entries.
+// cost returns what a message takes of the send window without binding and acknowledgement request, in entries.
 func (s *State) cost(message *pubsubmsg.Message) int {
 	return s.messageOverhead + len(message.Entries) + len(message.Withdrawals) + len(message.Quotas)
 }
@@ -151,7 +158,7 @@
 	zoneLocal := s.zoneLocalChanges(changed)
 	message.Cost += len(zoneLocal.Entries)
 	if zoneLocal.Full {
-		message.Cost++
+		message.Cost += bindingCost
 	}
 	if zoneLocal.Full || len(zoneLocal.Entries) > 0 {
 		tables = append(tables, zoneLocal)
--- a/internal/snapshot/state.go
+++ b/internal/snapshot/state.go
@@ -62,7 +62,7 @@
 }
 
 // Apply brings the state up to date and makes one message for each subscriber concerned. An empty batch changes
-// nothing, also not the version.
+// nothing, not even the version.
 func (s *State) Apply(batch *Batch) []Delivery {
 	if batch.Empty() {
 		return nil
@@ -114,7 +114,7 @@
 		} else {
 			pending.entries = append(pending.entries, replica)
 		}
-		// A withdrawal, or its end, was not sent to those who had no entry for the replica: it comes with the entry.
+		// Subscribers without entry for the replica were not sent its withdrawal or readmission: it comes with the entry.
 		if isNew && s.isWithdrawn[replica] != user.IsWithdrawn(replica) {
 			pending.withdrawals = append(pending.withdrawals, replica)
 		}
@@ -156,9 +156,9 @@
 }
 
 func (s *State) setQuota(quota pubsubmsg.Quota) {
-	place := slices.IndexFunc(s.Quotas, func(q pubsubmsg.Quota) bool { return q.Operations == quota.Operations })
-	if place >= 0 {
-		s.Quotas[place] = quota
+	index := slices.IndexFunc(s.Quotas, func(q pubsubmsg.Quota) bool { return q.Operations == quota.Operations })
+	if index >= 0 {
+		s.Quotas[index] = quota
 	} else {
 		s.Quotas = append(s.Quotas, quota)
 	}
--- a/internal/snapshot/subscriber.go
+++ b/internal/snapshot/subscriber.go
@@ -8,7 +8,7 @@
 	Name  string
 
 	Table               *Table // that it is bound to; nil: it uses its standing table, which is not known here
-	Operations          uint16 // that Table is for, a bit 1 << index each; 0: all
+	Operations          uint16 // that Table is for: a mask with 1 << index for each; 0: all
 	ZoneLocalTable      *Table // for the operations that stay in the proxy's zone, where they have a table of their own
 	ZoneLocalOperations uint16 // that ZoneLocalTable is for
 
@@ -18,10 +18,11 @@
 	pending     *changes                 // for its next message; nil: nothing changed
 }
 
-// changes is what a subscriber's next message has to contain. Replicas stand in the order of their first change.
+// changes is what a subscriber's next message has to contain. Replicas are in the order of their changes and may be
+// repeated.
 type changes struct {
 	bound       bool              // it was bound anew: the message is a snapshot
-	readmitted  []model.ReplicaID // of its tables, replicas that other controllers may have withdrawn
+	readmitted  []model.ReplicaID // replicas of its tables that other controllers may have withdrawn
 	entries     []model.ReplicaID // changed in its table
 	zoneLocal   []model.ReplicaID // changed in its zone-local table
 	withdrawals []model.ReplicaID // withdrawn or readmitted
@@ -67,7 +68,7 @@
 }
 
 // bind has the subscriber use a table for some operations (0: all). A table for operations that the first one leaves
-// out is used beside it; any other table takes the place of those before.
+// out is used beside it; any other table replaces those before.
 func (s *Subscriber) bind(table *Table, operations uint16) {
 	if s.needsZoneLocalTable(operations) {
 		s.ZoneLocalTable = table
--- a/internal/snapshot/table.go
+++ b/internal/snapshot/table.go
@@ -22,11 +22,11 @@
 
 // setWeight adds or changes an entry; a weight of 0 or less removes it.
 func (t *Table) setWeight(replica model.ReplicaID, weight float64) {
-	place, found := t.index[replica]
+	place, isListed := t.index[replica]
 	switch {
-	case found && weight > 0:
+	case isListed && weight > 0:
 		t.Entries[place].Weight = weight
-	case found:
+	case isListed:
 		t.remove(place)
 	case weight > 0:
 		t.index[replica] = len(t.Entries)
--- a/internal/snapshot/update.go
+++ b/internal/snapshot/update.go
@@ -15,8 +15,8 @@
 	Withdrawn bool            // SetWithdrawn: false readmits the replica
 	Quota     pubsubmsg.Quota // SetQuota
 
-	// Of BindProxy: the operations that the table is for, a bit 1 << index each (0: all), and the replicas of the table
-	// that other controllers may have withdrawn.
+	// Of BindProxy: the operations that the table is for, a mask with 1 << index for each (0: all), and the replicas of
+	// the table that other controllers may have withdrawn.
 	Operations uint16
 	Readmitted []model.ReplicaID
 }
