--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -27,7 +27,7 @@
 
 func TestWeightsStayNumbersOnContradictoryEvents(t *testing.T) {
 	for name, disturb := range map[string]func(fleet *fakeFleet){
-		"no listed replica": func(fleet *fakeFleet) { fleet.list(model.FullList) },
+		"no listed replica": func(fleet *fakeFleet) { fleet.updateEndpoints(model.FullList) },
 		"all draining": func(fleet *fakeFleet) {
 			for k := range 6 {
 				fleet.drain(k + 1)
@@ -36,7 +36,7 @@
 		"an empty zone and a zone beyond the configured ones": func(fleet *fakeFleet) {
 			fleet.balancer.ProxyConnected(fleet.now, 8, 1, 10)
 			fleet.balancer.ProxyConnected(fleet.now, 9, 77, 10)
-			fleet.list(model.ChangedEntries, readyEndpoint(9, 55))
+			fleet.updateEndpoints(model.ChangedEntries, readyEndpoint(9, 55))
 		},
 		"load reports that contradict themselves": func(fleet *fakeFleet) {
 			for _, report := range contradictoryReports() {
@@ -67,7 +67,7 @@
 	for range 5 {
 		fleet := startFleet(t, 12, nil)
 		fleet.run(15, fleet.goodReports(12))
-		fleet.list(model.FullList, readyEndpoint(3, 0), readyEndpoint(5, 0), readyEndpoint(20, 1))
+		fleet.updateEndpoints(model.FullList, readyEndpoint(3, 0), readyEndpoint(5, 0), readyEndpoint(20, 1))
 		fleet.run(5, fleet.goodReports(5))
 		if first == nil {
 			first = fleet.updates
--- a/internal/balancer/binding_test.go
+++ b/internal/balancer/binding_test.go
@@ -12,7 +12,7 @@
 	for k := 1; k <= 3; k++ {
 		drains = append(drains, model.Endpoint{ID: replicaID(k), Status: model.EndpointDraining})
 	}
-	fleet.list(model.ChangedEntries, drains...)
+	fleet.updateEndpoints(model.ChangedEntries, drains...)
 	fleet.flush()
 	fleet.requireBound(t, 0, "with three withdrawn of standing tables of four")
 	fleet.drain(4)
@@ -45,7 +45,7 @@
 			config.ProxyCount = 2
 		})
 		for n := 5; n <= 8; n++ {
-			fleet.list(model.ChangedEntries, readyEndpoint(n, 1))
+			fleet.updateEndpoints(model.ChangedEntries, readyEndpoint(n, 1))
 		}
 		fleet.run(12, fleet.goodReports(8))
 		for _, p := range fleet.connected {
--- a/internal/balancer/drain_test.go
+++ b/internal/balancer/drain_test.go
@@ -14,13 +14,13 @@
 		fleet.requireWithdrawn(t, 2, "it is gone")
 	})
 	t.Run("withdrawn when a full list lacks it", func(t *testing.T) {
-		fleet.list(model.FullList, readyEndpoint(1, 0), readyEndpoint(4, 0))
+		fleet.updateEndpoints(model.FullList, readyEndpoint(1, 0), readyEndpoint(4, 0))
 		fleet.flush()
 		require(t, fleet.isWithdrawn(3) && !fleet.isWithdrawn(4), "withdrawn %v", fleet.withdrawn)
 	})
 	t.Run("kept when the poll fails, and the list subscribed to again", func(t *testing.T) {
 		before := fleet.subscribed
-		fleet.list(model.PollFailed)
+		fleet.updateEndpoints(model.PollFailed)
 		fleet.run(1, nil)
 		require(t, fleet.subscribed == before+1 && !fleet.isWithdrawn(4),
 			"subscribed %d times, withdrawn %v", fleet.subscribed-before, fleet.withdrawn)
@@ -140,7 +140,7 @@
 		config.ProxyCount = 2
 	})
 	for n := 3; n <= 12; n++ {
-		fleet.list(model.ChangedEntries, readyEndpoint(n, 1))
+		fleet.updateEndpoints(model.ChangedEntries, readyEndpoint(n, 1))
 	}
 	fleet.run(12, fleet.goodReports(12))
 	fleet.run(10, func() {
--- a/internal/balancer/fakefleet_test.go
+++ b/internal/balancer/fakefleet_test.go
@@ -135,7 +135,7 @@
 	for k := range n {
 		endpoints = append(endpoints, readyEndpoint(k+1, 0))
 	}
-	fleet.list(model.CachedList, endpoints...)
+	fleet.updateEndpoints(model.CachedList, endpoints...)
 	fleet.connect(1)
 	fleet.connect(2)
 	fleet.flush()
@@ -221,7 +221,7 @@
 	}
 }
 
-func (f *fakeFleet) list(update model.EndpointUpdate, endpoints ...model.Endpoint) {
+func (f *fakeFleet) updateEndpoints(update model.EndpointUpdate, endpoints ...model.Endpoint) {
 	f.balancer.EndpointsChanged(f.now, update, endpoints)
 }
 
@@ -231,7 +231,7 @@
 	for _, n := range numbers {
 		endpoints = append(endpoints, model.Endpoint{ID: replicaID(n), Status: status, StartedAt: startedAt})
 	}
-	f.list(model.ChangedEntries, endpoints...)
+	f.updateEndpoints(model.ChangedEntries, endpoints...)
 }
 
 // start lists replicas of zone 0 as started so long ago.
--- a/internal/balancer/fleetrules_test.go
+++ b/internal/balancer/fleetrules_test.go
@@ -100,7 +100,7 @@
 			r.startedAt = c.fleet.now
 		}
 	}
-	c.fleet.list(model.ChangedEntries, numbers...)
+	c.fleet.updateEndpoints(model.ChangedEntries, numbers...)
 }
 
 func (c *fleetCourse) disconnectSome() {
@@ -186,7 +186,7 @@
 			if k == 1 && rapid.IntRange(0, 3).Draw(t, "early loss") == 0 { // in safe mode
 				course.fleet.setStatus(model.EndpointDraining, course.replicasOfZone(0)...)
 			}
-			course.fleet.pass(began + model.Microseconds(k+1)*course.tick())
+			course.fleet.advanceTo(began + model.Microseconds(k+1)*course.tick())
 			course.drawEvent()
 			if k%ticksPerReport == 0 {
 				course.drawReports()
@@ -231,7 +231,7 @@
 	fleet.startBalancer(all)
 	began, connected := fleet.now, 0
 	for tick := 1; tick <= ticks; tick++ {
-		fleet.pass(began + model.Microseconds(tick)*tickSpan)
+		fleet.advanceTo(began + model.Microseconds(tick)*tickSpan)
 		for connected < min(ownProxies+max(0, (tick-movesFrom)*proxiesMoving/6), allProxies) {
 			fleet.connectWithEntries(connected, 12)
 			connected++
--- a/internal/balancer/golden_events_test.go
+++ b/internal/balancer/golden_events_test.go
@@ -6,8 +6,8 @@
 	"peppervale/internal/model"
 )
 
-// list gives replicas as an endpoint list; a complete one lacks those that are gone.
-func (tr *trace) list(name string, update model.EndpointUpdate, replicas []*tracedReplica) {
+// updateEndpoints delivers replicas as an endpoint update; a complete list lacks those that are gone.
+func (tr *trace) updateEndpoints(name string, update model.EndpointUpdate, replicas []*tracedReplica) {
 	var endpoints []model.Endpoint
 	for _, r := range replicas {
 		if update == model.ChangedEntries || r.status != model.EndpointGone {
@@ -32,7 +32,7 @@
 			r.isSilent = false
 		}
 	}
-	tr.list(name, model.ChangedEntries, replicas)
+	tr.updateEndpoints(name, model.ChangedEntries, replicas)
 }
 
 func (tr *trace) anyReplica() *tracedReplica { return tr.replicas[tr.random.IntN(len(tr.replicas))] }
@@ -55,13 +55,13 @@
 		tr.change("ready", model.EndpointReady, false, tr.anyReplica())
 	}
 	if tr.happens(chances.fullList) {
-		tr.list("complete", model.FullList, tr.replicas)
+		tr.updateEndpoints("complete", model.FullList, tr.replicas)
 	}
 	if tr.happens(chances.cachedList) {
-		tr.list("cached", model.CachedList, tr.replicas[:len(tr.replicas)-1])
+		tr.updateEndpoints("cached", model.CachedList, tr.replicas[:len(tr.replicas)-1])
 	}
 	if tr.happens(chances.failedPoll) {
-		tr.list("failed", model.PollFailed, nil)
+		tr.updateEndpoints("failed", model.PollFailed, nil)
 	}
 	tr.churnFaults()
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -252,7 +252,7 @@
 		tr.proxies = append(tr.proxies, &tracedProxy{id: model.ProxyID(n + 1), zone: n % tr.plan.config.Zones})
 	}
 	tr.step("new", func() { tr.balancer = balancer.New(tr.plan.config, tr, tr.now) })
-	tr.list("cached", model.CachedList, tr.replicas)
+	tr.updateEndpoints("cached", model.CachedList, tr.replicas)
 	count := len(tr.proxies)
 	if !tr.plan.allAtOnce {
 		count /= 2
@@ -293,7 +293,7 @@
 func (tr *trace) answerSubscription() {
 	if tr.subscribed && tr.random.Float64() < 0.5 {
 		tr.subscribed = false
-		tr.list("complete", model.FullList, tr.replicas)
+		tr.updateEndpoints("complete", model.FullList, tr.replicas)
 	}
 }
 
--- a/internal/balancer/loadshed.go
+++ b/internal/balancer/loadshed.go
@@ -63,22 +63,37 @@
 	return shedder
 }
 
-// adjust cuts the quota of the operation with the least value that is above the floor, or raises that of the operation
-// with the most value that is below one.
+// adjust cuts or raises one quota if the saturation calls for it, unless the cooldown of the last change goes on.
 func (s *loadShedder) adjust(now model.Microseconds, saturation float64) {
 	if !s.enabled || now < s.nextChangeAt {
 		return
 	}
-	for k := range s.lowestValueFirst {
-		lowest := &s.quotas[s.lowestValueFirst[k]]
-		if saturation > sheddingSaturation && *lowest > quotaFloor {
-			*lowest = max(quotaFloor, *lowest*max(minCutFactor, sheddingSaturation/saturation))
+	switch {
+	case saturation > sheddingSaturation:
+		s.cutLowestValue(now, saturation)
+	case saturation < normalSaturation:
+		s.raiseHighestValue(now, saturation)
+	}
+}
+
+// cutLowestValue cuts the quota of the operation with the least value that is above the floor.
+func (s *loadShedder) cutLowestValue(now model.Microseconds, saturation float64) {
+	for _, operation := range s.lowestValueFirst {
+		quota := &s.quotas[operation]
+		if *quota > quotaFloor {
+			*quota = max(quotaFloor, *quota*max(minCutFactor, sheddingSaturation/saturation))
 			s.nextChangeAt = now + cutCooldown
 			return
 		}
-		highest := &s.quotas[s.lowestValueFirst[len(s.lowestValueFirst)-1-k]]
-		if saturation < normalSaturation && *highest < 1 {
-			*highest = min(1, *highest*min(maxRiseFactor, normalSaturation/saturation)+riseAddend)
+	}
+}
+
+// raiseHighestValue raises the quota of the operation with the most value that is below one.
+func (s *loadShedder) raiseHighestValue(now model.Microseconds, saturation float64) {
+	for _, operation := range slices.Backward(s.lowestValueFirst) {
+		quota := &s.quotas[operation]
+		if *quota < 1 {
+			*quota = min(1, *quota*min(maxRiseFactor, normalSaturation/saturation)+riseAddend)
 			s.nextChangeAt = now + riseCooldown
 			return
 		}
--- a/internal/balancer/sendwindow_test.go
+++ b/internal/balancer/sendwindow_test.go
@@ -13,7 +13,7 @@
 		fleet.run(12, fleet.goodReports(8))
 		for k := range 8 {
 			draining := model.Endpoint{ID: replicaID(k + 1), Status: model.EndpointDraining}
-			fleet.list(model.ChangedEntries, draining, readyEndpoint(20+k, 0))
+			fleet.updateEndpoints(model.ChangedEntries, draining, readyEndpoint(20+k, 0))
 			fleet.run(1, fleet.goodReports(8))
 		}
 		fleet.requireUnacked(t, 300, "after eight drains")
@@ -78,7 +78,7 @@
 	t.Run("only proxies with an entry are charged for its withdrawal", func(t *testing.T) {
 		// Found with it: entries charged to proxies that no message reached were never acknowledged.
 		fleet := startWarmFleet(t, 8, nil)
-		fleet.list(model.ChangedEntries, readyEndpoint(20, 0))
+		fleet.updateEndpoints(model.ChangedEntries, readyEndpoint(20, 0))
 		fleet.remove(20)
 		fleet.requireUnacked(t, 0, "though nobody is to acknowledge any")
 	})
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -97,7 +97,7 @@
 // startBalancer starts a balancer with a cached list of replicas.
 func (f *simulatedFleet) startBalancer(numbers []int) {
 	f.balancer = New(f.config, f, f.now)
-	f.list(model.CachedList, numbers...)
+	f.updateEndpoints(model.CachedList, numbers...)
 }
 
 // draft is the message being written to a proxy.
@@ -242,8 +242,8 @@
 	f.check()
 }
 
-// pass lets time pass up to a moment: messages leave, arrive, are applied and acknowledged.
-func (f *simulatedFleet) pass(end model.Microseconds) {
+// advanceTo lets time pass up to a moment: messages leave, arrive, are applied and acknowledged.
+func (f *simulatedFleet) advanceTo(end model.Microseconds) {
 	for {
 		leaves := len(f.queue) > 0 && f.queue[0].leavesAt <= end
 		arrives := len(f.inFlight) > 0 && f.inFlight[0].arrivesAt <= end
@@ -252,9 +252,9 @@
 		}
 		switch {
 		case arrives:
-			f.arrive()
+			f.deliverFirst()
 		case leaves:
-			f.leave()
+			f.sendFirst()
 		default:
 			f.now = end
 			return
@@ -262,8 +262,8 @@
 	}
 }
 
-// leave takes the first message out of the queue.
-func (f *simulatedFleet) leave() {
+// sendFirst takes the first message out of the queue.
+func (f *simulatedFleet) sendFirst() {
 	message := f.queue[0]
 	f.queue = f.queue[1:]
 	f.now = message.leavesAt
@@ -271,8 +271,8 @@
 	f.inFlight = append(f.inFlight, message)
 }
 
-// arrive has a proxy apply and acknowledge the first message in flight, unless its stream has ended.
-func (f *simulatedFleet) arrive() {
+// deliverFirst has a proxy apply and acknowledge the first message in flight, unless its stream has ended.
+func (f *simulatedFleet) deliverFirst() {
 	message := f.inFlight[0]
 	f.inFlight = f.inFlight[1:]
 	f.now = message.arrivesAt
@@ -412,10 +412,10 @@
 	for _, n := range numbers {
 		f.replicas[replicaID(n)].status = status
 	}
-	f.list(model.ChangedEntries, numbers...)
+	f.updateEndpoints(model.ChangedEntries, numbers...)
 }
 
-func (f *simulatedFleet) list(update model.EndpointUpdate, numbers ...int) {
+func (f *simulatedFleet) updateEndpoints(update model.EndpointUpdate, numbers ...int) {
 	var endpoints []model.Endpoint
 	for _, n := range numbers {
 		r := f.replicas[replicaID(n)]
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -131,6 +131,10 @@
 // zoneLocalPool is the pool of a zone for operations that stay in it. It exists only if separate reports true.
 func (s *subsetTables) zoneLocalPool(zone int) int { return zone + s.zones }
 
+// isLastOfZone reports whether a pool is the second of its zone, or the only one. If operations stay in the zone, its
+// tables are for those.
+func (s *subsetTables) isLastOfZone(pool int) bool { return pool >= len(s.pools)-s.zones }
+
 // add makes an empty table at the end of a pool.
 func (s *subsetTables) add(pool int, zoneLocal bool) {
 	added := &table{
@@ -155,7 +159,7 @@
 	width := b.subsets.width
 	candidates := b.countReplicas(func(r *replica) bool { return r.zone == zone && r.listedReady() })
 	count := (sameZoneDenominator*candidates + width - 1) / (sameZoneNumerator * width)
-	zoneLocal := b.config.ZoneLocalOperations != 0 && pool >= len(b.subsets.pools)-b.subsets.zones
+	zoneLocal := b.config.ZoneLocalOperations != 0 && b.subsets.isLastOfZone(pool)
 	for range max(1, count) {
 		b.subsets.add(pool, zoneLocal)
 	}
@@ -178,11 +182,11 @@
 	byTraffic := meanRate * min(entryRequestInterval, entryRequestIntervalAtUnitCost/max(b.config.PublishCost, epsilon))
 	byConnections := replicas / connectionDivisor * float64(b.config.MinReplicaConnections) / proxies
 	byProxiesPerReplica := minProxiesPerReplica * replicas / proxies
-	all := max(len(b.replicas), 1)
+	everyReplica := max(len(b.replicas), 1)
 	if byTraffic > 0 && byConnections > 0 {
-		return int(min(max(minTableEntries, byProxiesPerReplica, min(byTraffic, byConnections)), float64(all)))
+		return int(min(max(minTableEntries, byProxiesPerReplica, min(byTraffic, byConnections)), float64(everyReplica)))
 	}
-	return all
+	return everyReplica
 }
 
 // fillTables gives the pool's table that lacks most entries one more, until all have enough and each replica of the
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -63,10 +63,10 @@
 			ID: replicaID(wideFleetReplicas + 1 + k), Status: model.EndpointReady, StartedAt: fleet.now - model.Second,
 		})
 	}
-	fleet.list(model.ChangedEntries, added...)
+	fleet.updateEndpoints(model.ChangedEntries, added...)
 	fleet.run(6, fleet.goodReports(192))
 	require(t, fleet.weight(150)+fleet.weight(151)+fleet.weight(152) != 0, "new replicas have no entries")
-	fleet.list(model.FullList, added[:3]...)
+	fleet.updateEndpoints(model.FullList, added[:3]...)
 	fleet.run(2, fleet.goodReports(52))
 	for _, table := range fleet.balancer.subsets.tables {
 		require(t, table.openEntries() >= 3, "%d open entries", table.openEntries())
@@ -85,7 +85,7 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	fleet.list(model.FullList, endpoints...)
+	fleet.updateEndpoints(model.FullList, endpoints...)
 	fleet.run(5, fleet.goodReports(24))
 	require(t, fleet.weight(9) >= 2.5*fleet.weight(2), "other zone %v, warming up %v", fleet.weight(9), fleet.weight(2))
 }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -237,11 +237,15 @@
 }
 
 // changedWeights sets the next weights of a table and returns the wanted entries whose weight changes, with what
-// it costs to send them.
+// it costs to send them. wanted is called once the next weight is set, and may limit it as limitStep does.
 func (b *Balancer) changedWeights(t *table, wanted func(*entry) bool) (changed []*entry, cost int) {
 	for _, e := range t.entries {
 		e.nextWeight = b.prior(e) * e.replica.capacityEstimate
-		if !wanted(e) || e.nextWeight == e.weight || e.isNew() && b.mustWithdraw(e.replica) {
+		if !wanted(e) || e.nextWeight == e.weight {
+			continue
+		}
+		missedWithdrawal := e.isNew() && b.mustWithdraw(e.replica)
+		if missedWithdrawal {
 			continue
 		}
 		changed = append(changed, e)
--- a/internal/balancer/weights_test.go
+++ b/internal/balancer/weights_test.go
@@ -41,7 +41,7 @@
 		for n := 1; n <= 6; n++ {
 			endpoints = append(endpoints, readyEndpoint(n, (n-1)/3))
 		}
-		fleet.list(model.FullList, endpoints...)
+		fleet.updateEndpoints(model.FullList, endpoints...)
 		fleet.run(12, fleet.goodReports(6))
 		first := fleet.weight(4)
 		fleet.run(30, func() {
--- a/internal/codec/simulator/frame_test.go
+++ b/internal/codec/simulator/frame_test.go
@@ -46,12 +46,12 @@
 }
 
 func TestReadRejectsWrongFrames(t *testing.T) {
-	whole := testFrame(nil, []byte{CodeBell})
+	complete := testFrame(nil, []byte{CodeBell})
 	for name, frame := range map[string][]byte{
-		"header cut":        whole[:7],
-		"body cut":          whole[:len(whole)-1],
-		"too many records":  append([]byte{9, 0, 0, 0}, whole[4:]...),
-		"length under head": append([]byte{0, 0, 0, 0, 3, 0, 0, 0}, whole[8:]...),
+		"header cut":        complete[:7],
+		"body cut":          complete[:len(complete)-1],
+		"too many records":  append([]byte{9, 0, 0, 0}, complete[4:]...),
+		"length under head": append([]byte{0, 0, 0, 0, 3, 0, 0, 0}, complete[8:]...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := read(frame); err == nil || errors.Is(err, io.EOF) {
