--- a/internal/balancer/sendwindow_test.go
+++ b/internal/balancer/sendwindow_test.go
@@ -13,7 +13,7 @@
 		fleet.run(12, fleet.goodReports(8))
 		for k := range 8 {
 			draining := model.Endpoint{ID: replicaID(k + 1), Status: model.EndpointDraining}
-			fleet.list(model.ChangedEntries, draining, readyEndpoint(20+k, 0))
+			fleet.updateEndpoints(model.ChangedEntries, draining, readyEndpoint(20+k, 0))
 			fleet.run(1, fleet.goodReports(8))
 		}
 		fleet.requireUnacked(t, 300, "after eight drains")
@@ -61,13 +61,13 @@
 }
 
 func TestSlowChannel(t *testing.T) {
-	t.Run("what waits long leaves no room for weights, but for drains", func(t *testing.T) {
-		// Found by the hunt for broken rules: entries written while the channel was slow delayed drains by 15 s.
+	t.Run("long-unacknowledged entries leave capacity for drains and none for weights", func(t *testing.T) {
+		// Found by the search for broken invariants: entries written while the channel was slow delayed drains by 15 s.
 		fleet := startWarmFleet(t, 8, nil)
 		fleet.acks = false
 		fleet.remove(1)
 		fleet.balancer.proxies[0].unacked[0].entries += 1000
-		fleet.balancer.window.unacked += 1000
+		fleet.balancer.window.unackedEntries += 1000
 		fleet.run(4, nil)
 		before := len(fleet.updates)
 		fleet.run(2, func() { fleet.report(2, 10, 0, 900*model.Millisecond) })
@@ -78,7 +78,7 @@
 	t.Run("only proxies with an entry are charged for its withdrawal", func(t *testing.T) {
 		// Found with it: entries charged to proxies that no message reached were never acknowledged.
 		fleet := startWarmFleet(t, 8, nil)
-		fleet.list(model.ChangedEntries, readyEndpoint(20, 0))
+		fleet.updateEndpoints(model.ChangedEntries, readyEndpoint(20, 0))
 		fleet.remove(20)
 		fleet.requireUnacked(t, 0, "though nobody is to acknowledge any")
 	})
--- a/internal/controller/publisher.go
+++ b/internal/controller/publisher.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"peppervale/internal/balancer"
 	"peppervale/internal/codec/pubsubmsg"
 	"peppervale/internal/model"
 	"peppervale/internal/snapshot"
@@ -9,9 +10,6 @@
 // The controller is its balancer's publisher: it gathers the updates and publishes them after the flush.
 var _ model.Publisher = (*Controller)(nil)
 
-// safeModeEndedMessage is what the balancer logs as it leaves safe mode.
-const safeModeEndedMessage = "gate open"
-
 func (c *Controller) addUpdate(update snapshot.Update) {
 	c.pending.Updates = append(c.pending.Updates, update)
 }
@@ -50,14 +48,14 @@
 }
 
 // SetTimer implements model.Publisher; only the balancer calls it.
-func (c *Controller) SetTimer(after model.Microseconds) { c.wakeAt = c.now() + after }
+func (c *Controller) SetTimer(delay model.Microseconds) { c.wakeAt = c.now() + delay }
 
 // Subscribe implements model.Publisher; only the balancer calls it.
 func (c *Controller) Subscribe() { c.discovery.Subscribe() }
 
 // Log implements model.Publisher; only the balancer calls it.
 func (c *Controller) Log(message string) {
-	if message == safeModeEndedMessage {
+	if message == balancer.SafeModeEndedMessage {
 		c.safeModeEnded = true
 	}
 	c.decisions.addReason(message)
