--- a/internal/cluster/planning.go
+++ b/internal/cluster/planning.go
@@ -103,7 +103,7 @@
 			Load:   shard.Load,
 			Target: shard.Target,
 			Pinned: shard.Pinned,
-			Asked:  m.reachableInstead(shard, now),
+			ReachableMember:  m.reachableInstead(shard, now),
 		})
 	}
 	return shards
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -28,7 +28,7 @@
 	Load   float64 // requests a second that its proxies expect
 	Target string  // the member that should hold it; "": none
 	Pinned bool    // an operator placed it on Target
-	Asked  string  // the member that its proxies connect to while none reaches Target; "": none
+	ReachableMember  string  // the member that its proxies connect to while none reaches Target; "": none
 }
 
 // Migration says which member should hold a shard from now on. It is sent and stored as CBOR; its tags are names in
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -26,7 +26,7 @@
 }
 
 // Plan returns the migrations that are due. It also enters them in shards: each migrated shard gets its new Target
-// and is no longer pinned or Asked for at another member.
+// and is no longer pinned or ReachableMember for at another member.
 func (p *Planner) Plan(config Config, now model.Microseconds, members []Member, shards []Shard) []Migration {
 	if p.lastMoveAt == nil {
 		p.lastMoveAt = map[string]model.Microseconds{}
@@ -159,7 +159,7 @@
 		return false
 	case rule.sameZone && member.Zone != shard.Zone:
 		return false
-	case rule.toReachable && member.Name != shard.Asked:
+	case rule.toReachable && member.Name != shard.ReachableMember:
 		return false
 	case rule.mustBalanceLoad:
 		target := r.target(shard)
@@ -214,6 +214,6 @@
 	destination.add(shard)
 	shard.Target = destination.Name
 	shard.Pinned = false
-	shard.Asked = ""
+	shard.ReachableMember = ""
 	return migration
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -156,7 +156,7 @@
 func TestUnreachableMember(t *testing.T) {
 	cluster := newTestCluster(2, 2, 10)
 	cluster.planAfter(0)
-	cluster.shards[0].Asked = "member-zone1"
+	cluster.shards[0].ReachableMember = "member-zone1"
 	migrations := cluster.planAfter(model.Second)
 	if len(migrations) != 1 || migrations[0].Shard != 0 || migrations[0].To != "member-zone1" {
 		t.Fatalf("%v", migrations)
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -47,7 +47,7 @@
 func always(*Shard, *memberLoad) bool                    { return true }
 
 func isTargetUnreachable(shard *Shard, target *memberLoad) bool {
-	return shard.Asked != "" && shard.Asked != target.Name
+	return shard.ReachableMember != "" && shard.ReachableMember != target.Name
 }
 
 func isTargetOverCapacity(_ *Shard, target *memberLoad) bool {
