--- a/cmd/peppervale/main.go
+++ b/cmd/peppervale/main.go
@@ -1,5 +1,5 @@
 // Command peppervale runs an instance of the control plane, checks files, and runs scripted scenarios. It parses its
-// command line and calls package cli; docs/running.md is its page.
+// command line and calls package cli; docs/running.md describes its use.
 package main
 
 import (
@@ -24,14 +24,10 @@
 )
 
 func main() {
-	os.Exit(runProcess())
-}
-
-// runProcess runs the process's command line until it ends or a signal comes, and returns the exit status.
-func runProcess() int {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
-	return run(ctx, os.Args[1:], os.Stdout, os.Stderr)
+	// The signals stay caught to the end of the process: with their default action restored, a second one that comes
+	// after a graceful shutdown would replace the exit status.
+	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
 // run runs a command line and returns the exit status.
@@ -76,7 +72,7 @@
 	return statusFailed
 }
 
-// printError writes an error. The exit status tells it too if nobody reads that.
+// printError writes an error. A failed write is ignored: the exit status reports the error too.
 func printError(errOut io.Writer, err error) {
 	_, _ = fmt.Fprintln(errOut, "peppervale:", err)
 }
--- a/cmd/peppervale/platform_test.go
+++ b/cmd/peppervale/platform_test.go
@@ -20,6 +20,7 @@
 	t.Run("while discovery does not answer", testSigtermWhileDiscoveryIsSilent)
 	t.Run("with a stream that reads nothing", testSigtermWithUnreadStream)
 	t.Run("with SIGHUP, and twice", testSigtermWithOtherSignals)
+	t.Run("again and again, to the end of the process", testSigtermUntilEnd)
 	t.Run("in a reload", testSigtermInReload)
 }
 
@@ -84,6 +85,20 @@
 	}
 }
 
+// testSigtermUntilEnd sends SIGTERM as fast as it can until the process has ended: none of them may replace the exit
+// status, not even between the shutdown and the exit.
+func testSigtermUntilEnd(t *testing.T) {
+	for range 20 {
+		process := startAnywhere(t)
+		process.waitUntilReady()
+		signalled := time.Now()
+		for process.command.Process.Signal(syscall.SIGTERM) == nil {
+			continue
+		}
+		process.expectEnd(signalled)
+	}
+}
+
 func testSigtermInReload(t *testing.T) {
 	process := startAnywhere(t)
 	process.waitUntilReady()
