--- a/internal/cli/benchmark_channel.go
+++ b/internal/cli/benchmark_channel.go
@@ -10,14 +10,14 @@
 type BenchmarkChannel struct {
 	Proxies []int `name:"forwarders" help:"Numbers of proxies." default:"40,400,2000"`
 	Entries int   `name:"lines" help:"Entries changed in a round." default:"20"`
-	Rounds  int   `help:"Rounds." default:"50"`
+	Rounds  int   `help:"Number of rounds." default:"50"`
 }
 
 // Run runs the benchmark for each number of proxies.
 func (c *BenchmarkChannel) Run(out io.Writer) error {
 	var results []*benchmark.ChannelResult
 	for _, proxies := range c.Proxies {
-		if !c.areUsable(proxies) {
+		if !c.isUsable(proxies) {
 			return inputErrorf("1 to 10000 forwarders and lines, and a round, are wanted")
 		}
 		result, err := benchmark.Channel(proxies, c.Entries, c.Rounds)
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// areUsable reports whether the sizes are within their limits.
-func (c *BenchmarkChannel) areUsable(proxies int) bool {
+// isUsable reports whether the sizes are within their limits, for one number of proxies.
+func (c *BenchmarkChannel) isUsable(proxies int) bool {
 	return proxies >= 1 && proxies <= maxBenchmarkProxies &&
-		c.Entries >= 1 && c.Entries <= maxBenchmarkProxies &&
+		c.Entries >= 1 && c.Entries <= maxBenchmarkEntries &&
 		c.Rounds >= 1
 }
--- a/internal/cli/benchmark_quiet.go
+++ b/internal/cli/benchmark_quiet.go
@@ -11,8 +11,8 @@
 // BenchmarkQuiet is peppervale benchmark quiet.
 type BenchmarkQuiet struct {
 	Members       int           `help:"Number of members." default:"3"`
-	Shards        int           `name:"parts" help:"Of each member's zone." default:"4"`
-	LeaseDuration time.Duration `name:"span" help:"Of a lease." default:"2s"`
+	Shards        int           `name:"parts" help:"Shards in each member's zone." default:"4"`
+	LeaseDuration time.Duration `name:"span" help:"Duration of a lease." default:"2s"`
 	Duration      time.Duration `name:"while" help:"How long to count." default:"20s"`
 }
 
@@ -34,5 +34,5 @@
 	return c.Members >= 1 && c.Members <= maxClusterMembers &&
 		c.Shards >= 1 && c.Shards <= maxShardsPerZone &&
 		c.LeaseDuration >= minLeaseDuration &&
-		c.Duration >= time.Second && c.Duration <= time.Hour
+		c.Duration >= minIdleDuration && c.Duration <= maxIdleDuration
 }
--- a/internal/cli/benchmark_restart.go
+++ b/internal/cli/benchmark_restart.go
@@ -10,10 +10,10 @@
 // BenchmarkRestart is peppervale benchmark restart.
 type BenchmarkRestart struct {
 	Proxies int `name:"forwarders" help:"Number of proxies." default:"400"`
-	Rounds  int `help:"Restarts of each way." default:"5"`
+	Rounds  int `help:"Restarts in each mode." default:"5"`
 }
 
-// Run runs the benchmark for each way of restarting.
+// Run runs the benchmark for each mode of restarting.
 func (c *BenchmarkRestart) Run(ctx context.Context, out io.Writer) error {
 	if !c.isUsable() {
 		return inputErrorf("1 to 5000 forwarders and 1 to 1000 restarts are wanted")
@@ -23,8 +23,8 @@
 		return err
 	}
 	var results []*benchmark.RestartResult
-	for _, way := range benchmark.RestartModes {
-		result, err := benchmark.Restart(ctx, program, way, c.Proxies, c.Rounds)
+	for _, mode := range benchmark.RestartModes {
+		result, err := benchmark.Restart(ctx, program, mode, c.Proxies, c.Rounds)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/benchmark_takeover.go
+++ b/internal/cli/benchmark_takeover.go
@@ -13,9 +13,9 @@
 // BenchmarkTakeover is peppervale benchmark takeover.
 type BenchmarkTakeover struct {
 	Proxies       int           `name:"forwarders" help:"Number of proxies." default:"400"`
-	Rounds        int           `help:"Kills." default:"20"`
-	LeaseDuration time.Duration `name:"span" help:"Of a lease." default:"2s"`
-	Seed          uint64        `help:"Of the moments and of who is killed." default:"1"`
+	Rounds        int           `help:"Number of kills." default:"20"`
+	LeaseDuration time.Duration `name:"span" help:"Duration of a lease." default:"2s"`
+	Seed          uint64        `help:"Of the random choice of instances to kill, and when." default:"1"`
 	Only          string        `help:"In a cluster, without one, or both." enum:"shared,alone,both" default:"both"`
 }
 
@@ -54,7 +54,7 @@
 
 // isUsable reports whether the sizes are within their limits.
 func (c *BenchmarkTakeover) isUsable() bool {
-	return c.Proxies >= 3 && c.Proxies <= maxRestartProxies &&
+	return c.Proxies >= minTakeoverProxies && c.Proxies <= maxRestartProxies &&
 		c.Rounds >= 1 && c.Rounds <= maxRounds &&
 		c.LeaseDuration >= minLeaseDuration && c.LeaseDuration <= maxLeaseDuration
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -14,7 +14,7 @@
 	Serve     Serve     `cmd:"" aliases:"governor" help:"Run an instance until a signal ends it."`
 	Platform  Platform  `cmd:"" help:"Run an instance on the operators' platform, by its file (LB_CONFIG)."`
 	Check     Check     `cmd:"" help:"Read an instance's or a scenario's file, list its errors, start nothing."`
-	Cluster   Cluster   `cmd:"" aliases:"group" help:"Show and control instances that share the fleet out."`
+	Cluster   Cluster   `cmd:"" aliases:"group" help:"Show and control the instances of a cluster."`
 	Console   Console   `cmd:"" help:"Show several instances side by side, from their own consoles."`
 	Scenario  Scenario  `cmd:"" aliases:"day" help:"Run scripted scenarios on loopback sockets."`
 	StandIn   StandIn   `cmd:"" name:"standin" aliases:"stand" help:"Run one stand-in, to try an instance by hand."`
@@ -22,7 +22,8 @@
 	Version   Version   `cmd:"" help:"Print the version."`
 }
 
-// printf writes to a command's output. It is no failure of the command if nobody reads that any more.
+// printf writes to a command's output. A failed write is no failure of the command: the reader may have
+// closed it.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -14,7 +14,8 @@
 	RemoveMember ClusterRemoveMember `cmd:"" name:"remove-member" aliases:"strike" help:"Remove a member for good."`
 }
 
-// member is the member that a command asks. It passes on to the leader what only that one can do.
+// member is the cluster member that a command sends its request to. It forwards to the leader what only the leader can
+// do.
 type member struct {
 	At   string        `help:"Cluster address of any member, host:port." required:""`
 	Wait time.Duration `help:"How long to wait for an answer." default:"5s"`
--- a/internal/cli/cluster_drain.go
+++ b/internal/cli/cluster_drain_member.go
@@ -1,8 +1,6 @@
 package cli
 
-import (
-	"io"
-)
+import "io"
 
 // ClusterDrainMember is peppervale cluster drain-member.
 type ClusterDrainMember struct {
@@ -11,7 +9,7 @@
 	Off  bool   `help:"Let it take shards again."`
 }
 
-// Run requests it and returns before it is done.
+// Run requests that the member drains, or ends that, and returns before its shards have moved.
 func (c *ClusterDrainMember) Run(out io.Writer) error {
 	state, message := "on", "%s gives its parts away, one at a time; status shows when it has none\n"
 	if c.Off {
--- a/internal/cli/cluster_remove.go
+++ b/internal/cli/cluster_remove_member.go
@@ -1,8 +1,6 @@
 package cli
 
-import (
-	"io"
-)
+import "io"
 
 // ClusterRemoveMember is peppervale cluster remove-member.
 type ClusterRemoveMember struct {
@@ -10,7 +8,7 @@
 	Name string `arg:"" help:"The member's name."`
 }
 
-// Run removes the member.
+// Run removes the member and its vote from the cluster.
 func (c *ClusterRemoveMember) Run(out io.Writer) error {
 	if _, err := c.request("STRIKE", c.Name); err != nil {
 		return err
--- a/internal/cli/cluster_status.go
+++ b/internal/cli/cluster_status.go
@@ -101,7 +101,7 @@
 	return state
 }
 
-// shardTarget describes who should hold a shard, and why that is not so yet.
+// shardTarget describes which member should hold a shard, and what the move to it waits for.
 func shardTarget(shard *cluster.ShardStatus) string {
 	target := shard.Target
 	if shard.Pinned {
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -13,7 +13,7 @@
 )
 
 // shutdownTimeout is how long the end may take, from whatever state: the platform kills no sooner than 0.7 s after
-// SIGTERM, and what is left undone then concerns nobody, as proxies have gone elsewhere on that signal.
+// SIGTERM, and what is left undone then has no effect, as proxies have connected elsewhere on that signal.
 const shutdownTimeout = 300 * time.Millisecond
 
 // Platform is peppervale platform.
--- a/internal/cli/scenario_frombench.go
+++ b/internal/cli/scenario_from_bench.go
@@ -9,7 +9,7 @@
 
 // ScenarioFromBench is peppervale scenario from-bench.
 type ScenarioFromBench struct {
-	File    string `arg:"" help:"The bench's day, JSON." type:"existingfile"`
+	File    string `arg:"" help:"The bench's scenario, JSON." type:"existingfile"`
 	Out     string `short:"o" required:"" help:"The script to write." type:"path"`
 	Proxies int    `name:"forwarders" help:"Proxies at most; the rest shrinks in proportion." default:"60"`
 }
--- a/internal/cli/scenario_list.go
+++ b/internal/cli/scenario_list.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// listScenario writes the line of one script.
+// listScenario writes a line about one script. One that cannot be read does not end the list.
 func listScenario(out io.Writer, file string) {
 	script, err := scenario.Open(file)
 	if err != nil {
--- a/internal/cli/scenario_run.go
+++ b/internal/cli/scenario_run.go
@@ -27,11 +27,11 @@
 	if err != nil {
 		return err
 	}
-	setting := scenario.Options{Program: program, Directory: c.Directory}
+	options := scenario.Options{Program: program, Directory: c.Directory}
 	if !c.Quiet {
-		setting.Progress = os.Stderr
+		options.Progress = os.Stderr
 	}
-	report, err := scenario.Run(ctx, script, setting)
+	report, err := scenario.Run(ctx, script, options)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -44,7 +44,7 @@
 func readReplicaID(block *config.Block, name string) model.ReplicaID {
 	text := block.Address(name, false)
 	id, err := pubsubmsg.ParseAddress(text)
-	if err != nil && text != "" { // Address has said what is wrong with an empty one
+	if err != nil && text != "" { // of an empty one Address has reported the error
 		block.AddError(name, "%s: %v", name, err)
 	}
 	return id
--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -14,6 +14,15 @@
 	"peppervale/internal/standin/proxy"
 )
 
+// What a stand-in proxy's file does not set.
+const (
+	firstAttemptShare = 0.8 // of the latency objective, for an attempt that may be retried
+	proxyDialTimeout  = 250 * model.Millisecond
+	proxyIdleTimeout  = 15 * model.Second
+
+	workSpread = 0.5 // coefficient of variation of the requests' work
+)
+
 // StandInProxy is peppervale standin proxy.
 type StandInProxy struct {
 	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
@@ -39,10 +48,10 @@
 		ExpectedRate:       block.Float("rate", 5, 0.01, 10_000),
 		Pick:               proxy.Pick(block.String("pick", "pair", "lottery", "wheel", "pair")),
 		DefaultRetryPolicy: model.RetryIfNotExecuted,
-		FirstAttemptShare:  0.8,
+		FirstAttemptShare:  firstAttemptShare,
 		RedialInterval:     block.Duration("redial", 200*model.Millisecond, model.Millisecond, maxStandInDuration),
-		DialTimeout:        250 * model.Millisecond,
-		IdleTimeout:        15 * model.Second,
+		DialTimeout:        proxyDialTimeout,
+		IdleTimeout:        proxyIdleTimeout,
 	}
 	for i, address := range block.Strings("governors", true) {
 		instance := proxy.Instance{Name: fmt.Sprint("governor-", i+1), Address: address}
@@ -125,7 +134,7 @@
 	l.proxy.Handle(&proxy.Request{
 		Number:    l.requests,
 		Operation: operation,
-		Work:      float64(l.settings.meanWork) * l.random.Lognormal(0.5),
+		Work:      float64(l.settings.meanWork) * l.random.Lognormal(workSpread),
 		Done: func(result proxy.Result, latency model.Microseconds) {
 			if result == proxy.Succeeded && latency <= objective {
 				l.withinObjective++
--- a/internal/cli/standin_registry.go
+++ b/internal/cli/standin_registry.go
@@ -86,7 +86,7 @@
 	lastError := ""
 	repeat(ctx, registryReloadInterval, func() {
 		next, err := openStandInFile(c.Config, readRegistry)
-		if err != nil { // half an edit
+		if err != nil { // the file may be half edited
 			if err.Error() != lastError {
 				lastError = err.Error()
 				printf(os.Stderr, "%s\n", lastError)
