--- a/internal/console/comparison/controllers.go
+++ b/internal/console/comparison/controllers.go
@@ -2,27 +2,42 @@
 
 import "fmt"
 
-// compareControllers returns the disagreements about controllers themselves: one whose incarnation has decreased, and
-// several of one name.
+// compareControllers returns the disagreements about controllers themselves: those whose incarnation has decreased, and
+// those of one name.
 func (t *tracker) compareControllers(controllers []polledController) []disagreement {
+	return append(t.decreasedIncarnations(controllers), duplicateNames(controllers)...)
+}
+
+// decreasedIncarnations returns the controllers that report an earlier incarnation than before, and remembers the
+// highest one of each.
+func (t *tracker) decreasedIncarnations(controllers []polledController) []disagreement {
 	var found []disagreement
-	byName := map[string][]side{}
 	for _, controller := range controllers {
 		view := controller.view
-		report := fmt.Sprintf("life %d at %s", view.incarnation, controller.address)
-		byName[view.name] = append(byName[view.name], side{Controller: view.name, Report: report})
 		highest := t.incarnations[controller.address]
 		if view.incarnation >= highest {
 			t.incarnations[controller.address] = view.incarnation
 			continue
 		}
-		report = fmt.Sprintf("life %d, after %d", view.incarnation, highest)
+		report := fmt.Sprintf("life %d, after %d", view.incarnation, highest)
 		found = append(found, disagreement{
 			Kind:    incarnationDecreased,
 			Subject: view.name,
 			Sides:   []side{{Controller: view.name, Report: report}},
 		})
 	}
+	return found
+}
+
+// duplicateNames returns the names that several controllers have.
+func duplicateNames(controllers []polledController) []disagreement {
+	byName := map[string][]side{}
+	for _, controller := range controllers {
+		view := controller.view
+		report := fmt.Sprintf("life %d at %s", view.incarnation, controller.address)
+		byName[view.name] = append(byName[view.name], side{Controller: view.name, Report: report})
+	}
+	var found []disagreement
 	for name, sides := range byName {
 		if len(sides) > 1 {
 			found = append(found, disagreement{Kind: duplicateName, Subject: name, Sides: sides})
--- a/internal/console/comparison/json_golden_test.go
+++ b/internal/console/comparison/json_golden_test.go
@@ -42,7 +42,7 @@
 // TestConsolePagesAreParsed asserts every value that is taken from a controller's console.
 func TestConsolePagesAreParsed(t *testing.T) {
 	want := &reportedView{
-		name: "govan-1", incarnation: 26, version: 4, at: 99_500_000, gate: "shut", unreportedReplicas: 1,
+		name: "govan-1", incarnation: 26, version: 4, at: 99_500_000, safeMode: "shut", unreportedReplicas: 1,
 		connectedProxies: 1, boundProxies: 1, readyReplicas: 82, endpointListAge: "13s ago", saturation: 0.31,
 		queuedEntries: 5, queueLimit: 100,
 		replicas: map[string]reportedReplica{
--- a/internal/console/comparison/overview.go
+++ b/internal/console/comparison/overview.go
@@ -33,7 +33,7 @@
 	Error              string  `json:"error,omitempty"`
 	Incarnation        uint64  `json:"life"`
 	Version            uint64  `json:"version"`
-	Gate               string  `json:"gate"`
+	SafeMode           string  `json:"gate"`
 	UnreportedReplicas int     `json:"gate_waits_for"`
 	ConnectedProxies   int     `json:"forwarders_joined"`
 	BoundProxies       int     `json:"forwarders_bound"`
@@ -44,21 +44,27 @@
 	QueueLimit         int     `json:"queue_limit"`
 }
 
-// SafeMode returns whether the controller awaits load reports before weights follow them, for readers.
-func (r controllerRow) SafeMode() string {
-	switch r.Gate {
-	case "":
+// safeModeEnded is the value of a console's JSON after safe mode.
+const safeModeEnded = "open"
+
+// SafeModeEnded reports whether weights follow load reports.
+func (r controllerRow) SafeModeEnded() bool {
+	return r.SafeMode == safeModeEnded
+}
+
+// SafeModeLabel returns for readers whether the controller awaits load reports before weights follow them; it is empty
+// if the controller never answered.
+func (r controllerRow) SafeModeLabel() string {
+	switch {
+	case r.SafeMode == "":
 		return ""
-	case gateOpen:
+	case r.SafeModeEnded():
 		return "ended"
 	default:
 		return "on"
 	}
 }
 
-// gateOpen is the value of a console's JSON after safe mode.
-const gateOpen = "open"
-
 // disagreementRow is a disagreement and how long it has lasted.
 type disagreementRow struct {
 	disagreement
@@ -104,7 +110,7 @@
 	row.ViewAge = console.FormatAge(now, controller.receivedAt)
 	row.Incarnation = view.incarnation
 	row.Version = view.version
-	row.Gate = view.gate
+	row.SafeMode = view.safeMode
 	row.UnreportedReplicas = view.unreportedReplicas
 	row.ConnectedProxies = view.connectedProxies
 	row.BoundProxies = view.boundProxies
--- a/internal/console/comparison/poller.go
+++ b/internal/console/comparison/poller.go
@@ -131,18 +131,19 @@
 }
 
 func (p *poller) fetchView(ctx context.Context, address string) (*reportedView, error) {
-	var pages consolePages
-	var err error
-	if pages.overview, err = p.fetchPage(ctx, address+"/?as=json"); err != nil {
+	overview, err := p.fetchPage(ctx, address+"/?as=json")
+	if err != nil {
 		return nil, err
 	}
-	if pages.replicas, err = p.fetchPage(ctx, address+"/replicas?as=json"); err != nil {
+	replicas, err := p.fetchPage(ctx, address+"/replicas?as=json")
+	if err != nil {
 		return nil, err
 	}
-	if pages.proxies, err = p.fetchPage(ctx, address+"/forwarders?as=json"); err != nil {
+	proxies, err := p.fetchPage(ctx, address+"/forwarders?as=json")
+	if err != nil {
 		return nil, err
 	}
-	return parseView(pages)
+	return parseView(consolePages{overview: overview, replicas: replicas, proxies: proxies})
 }
 
 func (p *poller) fetchPage(ctx context.Context, url string) ([]byte, error) {
@@ -154,7 +155,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // the page was read, or is given up
+	defer func() { _ = response.Body.Close() }() // the page was read, or its error is returned
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes+1))
 	switch {
 	case err != nil:
--- a/internal/console/comparison/tracker_test.go
+++ b/internal/console/comparison/tracker_test.go
@@ -36,7 +36,7 @@
 		reported := &reportedView{
 			name:        view.name,
 			incarnation: view.incarnation,
-			gate:        gateOpen,
+			safeMode:    safeModeEnded,
 			replicas:    map[string]reportedReplica{},
 			proxies:     map[string]reportedProxy{},
 		}
--- a/internal/console/comparison/view.go
+++ b/internal/console/comparison/view.go
@@ -11,7 +11,7 @@
 // maxRows bounds the rows that are taken from one page of a console; a console sends no more.
 const maxRows = 5000
 
-// errNoConsole reports pages that are JSON but not of a console.
+// errNoConsole is returned for pages that are JSON but not those of a console.
 var errNoConsole = errors.New("its overview names no governor or no gate; is it a peppervale console?")
 
 // reportedView is what one controller's console reported at a time. It is immutable.
@@ -20,7 +20,7 @@
 	incarnation        uint64
 	version            uint64
 	at                 model.Microseconds // by the controller's clock
-	gate               string             // open, or shut in safe mode
+	safeMode           string             // "open" after safe mode, "shut" in it
 	unreportedReplicas int                // replicas whose load reports safe mode awaits
 	connectedProxies   int
 	boundProxies       int
@@ -61,7 +61,7 @@
 		QueuedEntries int    `json:"queue_lines"`
 	} `json:"channel"`
 	Body struct {
-		Gate               string   `json:"gate"`
+		SafeMode           string   `json:"gate"`
 		UnreportedReplicas []string `json:"gate_waits_for"`
 		ConnectedProxies   int      `json:"forwarders_joined"`
 		BoundProxies       int      `json:"forwarders_bound"`
@@ -101,7 +101,7 @@
 	if err := parsePage("forwarders", pages.proxies, &proxies); err != nil {
 		return nil, err
 	}
-	if overview.Name == "" || overview.Body.Gate == "" {
+	if overview.Name == "" || overview.Body.SafeMode == "" {
 		return nil, errNoConsole
 	}
 	if len(replicas.Body) > maxRows || len(proxies.Body) > maxRows {
@@ -126,7 +126,7 @@
 		incarnation:        overview.Incarnation,
 		version:            overview.Channel.Version,
 		at:                 overview.At,
-		gate:               overview.Body.Gate,
+		safeMode:           overview.Body.SafeMode,
 		unreportedReplicas: len(overview.Body.UnreportedReplicas),
 		connectedProxies:   overview.Body.ConnectedProxies,
 		boundProxies:       overview.Body.BoundProxies,
--- a/internal/console/httpserver/server.go
+++ b/internal/console/httpserver/server.go
@@ -2,7 +2,7 @@
 // at the same time, the length of paths, and the time that a viewer may take to read. Each page is HTML, or JSON
 // under the same path.
 //
-// There is no login. A server that listens beyond loopback shows its pages to everybody who can reach it.
+// There is no login. A server that listens beyond loopback shows its pages to all who can reach it.
 package httpserver
 
 import (
@@ -18,7 +18,7 @@
 const WriteTimeout = 5 * time.Second
 
 const (
-	// maxConcurrentPages bounds the pages that are made at the same time; further viewers are told to retry.
+	// maxConcurrentPages bounds the pages that are made at the same time; further viewers get a Retry-After.
 	maxConcurrentPages = 64
 
 	maxPathLength  = 1024
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), WriteTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
-		_ = s.http.Close() // the connections are given up either way
+		_ = s.http.Close() // the connections are closed either way
 	}
 	s.serving.Wait()
 }
@@ -93,7 +93,7 @@
 		header := w.Header()
 		header.Set("Content-Security-Policy", contentSecurityPolicy)
 		header.Set("X-Content-Type-Options", "nosniff")
-		// A connection without deadlines is served all the same.
+		// A connection that supports no deadlines is served without one.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(WriteTimeout))
 		switch {
 		case r.Method != http.MethodGet && r.Method != http.MethodHead:
--- a/internal/console/live.go
+++ b/internal/console/live.go
@@ -31,7 +31,7 @@
 	ticker := time.NewTicker(streamInterval)
 	defer ticker.Stop()
 	for {
-		// A connection without deadlines is served all the same.
+		// A connection that supports no deadlines is served without one.
 		_ = control.SetWriteDeadline(time.Now().Add(httpserver.WriteTimeout))
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", s.liveLine()); err != nil {
 			return
@@ -76,5 +76,5 @@
 		return line
 	}
 	return line + fmt.Sprintf(", gate %s, %d of %d replicas ready, last step %s",
-		gateName(view.SafeModeEnded), view.ReadyReplicas, view.ListedReplicas, FormatAge(now, view.At))
+		safeModeValue(view.SafeModeEnded), view.ReadyReplicas, view.ListedReplicas, FormatAge(now, view.At))
 }
--- a/internal/console/overview.go
+++ b/internal/console/overview.go
@@ -16,10 +16,10 @@
 	maxOverviewDecisions = 12
 )
 
-// Values of the JSON for safe mode: while it lasts, the start gate is shut.
+// Values of the JSON for safe mode.
 const (
-	gateOpen = "open"
-	gateShut = "shut"
+	safeModeEnded = "open"
+	safeModeOn    = "shut"
 )
 
 // Replica states that the overview tells apart, as the balancer names them.
@@ -30,7 +30,7 @@
 
 // overviewBody shows whether all is well, and if not, where to look.
 type overviewBody struct {
-	Gate               string         `json:"gate"`
+	SafeMode           string         `json:"gate"`
 	UnreportedReplicas []string       `json:"gate_waits_for"`
 	ReplicasByState    map[string]int `json:"replicas_by_state"`
 	ReadyReplicas      int            `json:"listed_ready"`
@@ -51,7 +51,7 @@
 
 // InSafeMode reports whether load reports are awaited before weights follow them.
 func (o overviewBody) InSafeMode() bool {
-	return o.Gate != gateOpen
+	return o.SafeMode != safeModeEnded
 }
 
 // quotaRow is the share of an operation's requests that proxies admit.
@@ -60,18 +60,19 @@
 	Share     float64 `json:"share"`
 }
 
-func gateName(safeModeEnded bool) string {
-	if safeModeEnded {
-		return gateOpen
+// safeModeValue returns the JSON's value for safe mode.
+func safeModeValue(ended bool) string {
+	if ended {
+		return safeModeEnded
 	}
-	return gateShut
+	return safeModeOn
 }
 
 func (s *Server) overviewPage(page *pageModel, _ url.Values) any {
 	view := page.View.Detail.Balancer
 	hasReasons := func(decision *controller.Decision) bool { return len(decision.Reasons) > 0 }
 	body := overviewBody{
-		Gate:               gateName(view.SafeModeEnded),
+		SafeMode:           safeModeValue(view.SafeModeEnded),
 		UnreportedReplicas: unreportedAddresses(view),
 		ReplicasByState:    map[string]int{},
 		ReadyReplicas:      page.View.ReadyReplicas,
--- a/internal/console/page.go
+++ b/internal/console/page.go
@@ -41,7 +41,7 @@
 	"seconds": toSeconds,
 }).ParseFS(templateFiles, "templates/*.html"))
 
-// errNotFound is the cause of pages about something that does not exist.
+// errNotFound is wrapped by the errors of pages about something that does not exist.
 var errNotFound = errors.New("not found")
 
 // pageModel is what the template "page" is given, and what is shown as JSON.
@@ -126,18 +126,9 @@
 			"/ /zones /replicas /forwarders /tables /orders /settings /before /group")
 		return
 	}
-	view := s.source.DetailedView()
-	if section == clusterSection {
-		// A controller on standby has not begun to step.
-		if !hasDetail(view) {
-			view = &controller.View{Detail: &controller.Detail{}}
-		}
-	} else {
-		var err error
-		view, err = s.awaitDetail(r.Context(), view)
-		if err != nil {
-			return // the viewer is gone
-		}
+	view, err := s.viewOf(r.Context(), section)
+	if err != nil {
+		return // the viewer is gone
 	}
 	if !hasDetail(view) {
 		w.Header().Set("Retry-After", "1")
@@ -154,6 +145,20 @@
 	httpserver.WritePage(w, r, templates, page)
 }
 
+// viewOf returns the view that the page of a section is made from: one with recent details or, if none comes in time,
+// the newest one, which may be nil. The page of the cluster needs none, as a controller on standby has not begun to
+// step. The error is the context's.
+func (s *Server) viewOf(ctx context.Context, section string) (*controller.View, error) {
+	view := s.source.DetailedView()
+	if section != clusterSection {
+		return s.awaitDetail(ctx, view)
+	}
+	if !hasDetail(view) {
+		return &controller.View{Detail: &controller.Detail{}}, nil
+	}
+	return view, nil
+}
+
 func hasDetail(view *controller.View) bool {
 	return view != nil && view.Detail != nil
 }
--- a/internal/console/pages_test.go
+++ b/internal/console/pages_test.go
@@ -26,12 +26,12 @@
 		}
 		status, text, _ = f.get(asJSON(path))
 		var page struct {
-			Governor string
-			Life     int
-			Body     any
+			Name        string `json:"governor"`
+			Incarnation int    `json:"life"`
+			Body        any
 		}
 		err := json.Unmarshal([]byte(text), &page)
-		if status != 200 || err != nil || page.Governor != "govan-1" || page.Life != 3 || page.Body == nil {
+		if status != 200 || err != nil || page.Name != "govan-1" || page.Incarnation != 3 || page.Body == nil {
 			t.Errorf("%s as JSON: %d, %v\n%s", path, status, err, text)
 		}
 	}
