--- a/cmd/peppervale/golden_test.go
+++ b/cmd/peppervale/golden_test.go
@@ -223,7 +223,7 @@
 		}
 		for _, word := range words {
 			if name, isFlag := strings.CutPrefix(word, "--"); isFlag {
-				fmt.Fprintf(&text, "%s --%s: %s\n", published(words), name, flagFacts(t, parsed, name))
+				fmt.Fprintf(&text, "%s --%s: %s\n", published(words), name, flagProperties(t, parsed, name))
 			}
 		}
 	}
@@ -236,8 +236,8 @@
 	return strings.Join(words[:end], " ")
 }
 
-// flagFacts returns a flag's default value and what else it takes.
-func flagFacts(t *testing.T, parsed *kong.Context, name string) string {
+// flagProperties returns a flag's default value and what else it takes.
+func flagProperties(t *testing.T, parsed *kong.Context, name string) string {
 	t.Helper()
 	for _, flag := range parsed.Flags() {
 		if flag.Name != name && !slices.Contains(flag.Aliases, name) {
--- a/internal/server/cluster_testbed_test.go
+++ b/internal/server/cluster_testbed_test.go
@@ -179,10 +179,10 @@
 // loop.
 func (bed *clusterTestbed) startProxy(k int, engine *netpoll.Engine) {
 	home := k % len(clusterZones)
-	var governors []proxy.Instance
+	var instances []proxy.Instance
 	for n := range bed.members {
 		member := bed.members[(home+n)%len(bed.members)]
-		governors = append(governors, proxy.Instance{Name: member.name, Address: member.channel})
+		instances = append(instances, proxy.Instance{Name: member.name, Address: member.channel})
 	}
 	p := proxy.New(bed.loop, engine, proxy.Config{
 		Name:           fmt.Sprint("till-", k),
@@ -192,7 +192,7 @@
 		RedialInterval: 50 * model.Millisecond,
 		DialTimeout:    model.Second,
 		StreamsOnly:    true,
-		Instances:      governors,
+		Instances:      instances,
 	}, uint64(k), func(seen invariants.Event) { bed.observations = append(bed.observations, seen) })
 	p.Start([]invariants.TableEntry{{Replica: replicaID(1), Weight: 1}})
 	bed.proxies = append(bed.proxies, p)
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -1,10 +1,11 @@
 // Package server puts one running instance together from its configuration: state store, controller, publish-subscribe
-// server, endpoint discovery, cluster membership and console. It takes the instance apart again in order.
+// server, endpoint discovery, cluster membership and console. Shutdown releases the parts in reverse
+// order.
 //
 // Serve runs an instance of its own protocol, ServePlatform one on the operators' platform. The parts:
 //
 //   - instance.go: start, operation and graceful shutdown; platform.go the same on the platform;
-//   - recorder.go: what goes to the state store, behind the decisions, and the search of stored decisions;
+//   - recorder.go: what goes to the state store, asynchronously, and the search of stored decisions;
 //   - membership.go: the instance as a member of a cluster; runner.go: the controller's start and stop;
 //   - settings.go: the settings in force and their reload; loglevel.go: a log level that can change in operation;
 //   - statistics.go: the periodic statistics in the log.
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -198,7 +198,7 @@
 // transferLeases gives all leases to other members, within a time.
 func (m *membership) transferLeases(within time.Duration) { m.cluster.Load().TransferLeases(within) }
 
-// close leaves the cluster and ends what runs in the background.
+// close leaves the cluster, then ends the delivery of handed-over load reports and waits for it.
 func (m *membership) close() {
 	m.cluster.Load().Close()
 	close(m.done)
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -30,7 +30,7 @@
 	bed.setIsolated(isolated.name, false)
 	bed.waitForPlacement("each proxy at home again", bed.isHome)
 	bed.loop.Do(func() {
-		figures := invariants.Limits{
+		limits := invariants.Limits{
 			Zones:          clusterZones,
 			MaxEmptyTime:   2 * model.Second,
 			DrainGrace:     2 * model.Second,
@@ -39,7 +39,7 @@
 			OverloadWindow: model.Second,
 			QueueLimit:     6000,
 		}
-		for _, verdict := range invariants.Check(bed.observations, figures, bed.loop.Now()) {
+		for _, verdict := range invariants.Check(bed.observations, limits, bed.loop.Now()) {
 			if len(verdict.Violations) > 0 {
 				t.Errorf("%s: %v", verdict.Invariant, verdict.Violations)
 			}
@@ -47,8 +47,8 @@
 	})
 }
 
-// The proxies of one zone cannot reach their instance, which everybody else reaches: they request others over and over,
-// so their shards move to one that they reach, and are not moved back while it is so.
+// The proxies of one zone cannot reach their instance, which all others reach: they connect to other instances
+// over and over, so their shards move to one that they reach, and are not moved back while that lasts.
 func TestProxiesCannotReachTheirLeaseHolder(t *testing.T) {
 	bed := newClusterTestbed(t, "1s")
 	const unreachable = 1 // number of the zone and of its member
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -39,13 +39,16 @@
 	platformStatisticsInterval = 5 * time.Second
 
 	// An address that an earlier process still holds is tried again for listenTimeout: the platform restarts instances
-	// under their addresses, and gives them 30 s to be ready.
+	// under the same addresses, and gives them 30 s to be ready.
 	listenRetryInterval = 20 * time.Millisecond
 	listenTimeout       = 20 * time.Second
 
 	maxPlatformProcs      = 4 // two pollers, an acceptor, the controller: more only adds idle stacks
 	platformGCPercent     = 50
 	retransmissionTimeout = 3 * model.Second // a lost segment comes again after a second, and after two more (RFC 6298)
+
+	silentReportPeriods = 3 // without a message, after which a proxy is taken as silent
+	lostAckFactor       = 3 // an acknowledgement that is late by that many silence timeouts is taken as lost
 )
 
 // PlatformEnvironment is what an instance on the platform is handed by the process that it runs in.
@@ -84,9 +87,9 @@
 		return err
 	}
 	defer inst.discovery.Close()
-	err := inst.listen(ctx, names, now)
-	if err != nil {
-		if errors.Is(err, ctx.Err()) { // ended while the address was waited for
+	if err := inst.listen(ctx, names, now); err != nil {
+		endedWhileWaiting := errors.Is(err, ctx.Err())
+		if endedWhileWaiting {
 			return nil
 		}
 		return err
@@ -147,14 +150,17 @@
 	}
 }
 
-// serverConfig returns the configuration of the server for proxies and collectors. Proxies speak in each report period;
-// three without a message, and the delay of one, are silence, but never less than a lost segment may take. An answer
-// that is three times as late is lost, not slow; one more message in each window is what the balancer leaves free.
+// serverConfig returns the configuration of the server for proxies and collectors.
+//
+// A proxy sends a message in each report period. It is silent after silentReportPeriods without one, or after the time
+// that a lost segment may take if that is longer, plus the longest delivery delay. An acknowledgement is asked for
+// again once it counts as lost rather than late, and at most once a message window: the balancer leaves room for one
+// more message in each.
 func (inst *platformInstance) serverConfig(
 	names *platformmsg.ReplicaNames, now func() model.Microseconds,
 ) platform.Config {
 	settings := inst.settings
-	quietPeriod := max(3*settings.Balancer.ReportPeriod, retransmissionTimeout)
+	quietPeriod := max(silentReportPeriods*settings.Balancer.ReportPeriod, retransmissionTimeout)
 	silence := (quietPeriod + settings.MaxDeliveryDelay).Duration()
 	return platform.Config{
 		Listen:          settings.Listen,
@@ -171,7 +177,7 @@
 			GreetingTimeout:  joinTimeout,
 			UnsentBytes:      maxUnsentBytes,
 			SilenceTimeout:   silence,
-			AckRetryInterval: max(3*silence, settings.Balancer.MessageWindow.Duration()),
+			AckRetryInterval: max(lostAckFactor*silence, settings.Balancer.MessageWindow.Duration()),
 		},
 	}
 }
@@ -212,11 +218,11 @@
 
 // reload reads the configuration again and follows its discovery address; nothing else of it changes in operation.
 func (inst *platformInstance) reload() {
-	fresh, err := inst.outside.LoadConfig()
+	next, err := inst.outside.LoadConfig()
 	if err != nil {
 		inst.log.Error().Err(err).Msg("reload rejected: the file cannot be read; the settings in force stay")
 		return
 	}
-	inst.log.Info().Str("discovery", fresh.Discovery).Msg("reloaded")
-	inst.discovery.SetAddress(fresh.Discovery)
+	inst.log.Info().Str("discovery", next.Discovery).Msg("reloaded")
+	inst.discovery.SetAddress(next.Discovery)
 }
--- a/internal/server/platform_testbed_test.go
+++ b/internal/server/platform_testbed_test.go
@@ -369,7 +369,7 @@
 		bed.close(p.conn)
 	}
 	bed.background.Wait()
-	figures := invariants.Limits{
+	limits := invariants.Limits{
 		Zones: platformZones,
 		Operations: []invariants.Operation{
 			{Name: "read", Effect: invariants.Idempotent},
@@ -382,7 +382,7 @@
 		OverloadWindow: 3 * model.Second,
 		QueueLimit:     2000,
 	}
-	for _, verdict := range invariants.Check(bed.observations, figures, bed.now()) {
+	for _, verdict := range invariants.Check(bed.observations, limits, bed.now()) {
 		if len(verdict.Violations) > 0 {
 			bed.t.Errorf("%s: %q", verdict.Invariant, verdict.Violations)
 		}
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -11,8 +11,8 @@
 	"peppervale/internal/statestore"
 )
 
-// recorder writes an instance's state to the store, behind the decisions, and searches decisions in memory and in the
-// store.
+// recorder writes an instance's state to the store asynchronously, so that no decision waits for the disk. It searches
+// decisions in memory and in the store.
 type recorder struct {
 	controller  *controller.Controller
 	store       *statestore.Store
@@ -51,7 +51,7 @@
 	r.writer.AddDecision(statestore.DecisionRecord{Incarnation: r.incarnation, Number: decision.Number, Body: body})
 }
 
-// EndpointsChanged passes an endpoint list on to the controller, and queues a full one for the store behind it: a
+// EndpointsChanged passes an endpoint list on to the controller, and then queues a full one for the store: a
 // withdrawal does not wait for the disk.
 func (r *recorder) EndpointsChanged(update model.EndpointUpdate, endpoints []model.Endpoint) {
 	r.controller.EndpointsChanged(update, endpoints)
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -16,11 +16,11 @@
 
 // decisionsPage is the JSON of the console's page of decisions.
 type decisionsPage struct {
-	Causes []struct {
-		Life   uint64
-		Orders []string
-		Said   []string
-	}
+	Decisions []struct {
+		Incarnation uint64   `json:"life"`
+		Updates     []string `json:"orders"`
+		Reasons     []string `json:"said"`
+	} `json:"causes"`
 }
 
 // An instance is ended and started again: the next incarnation knows what the one before published, and still answers
@@ -35,25 +35,28 @@
 	})
 	var decisions decisionsPage
 	const decisionsPath = "/orders?about=on+table&as=json"
-	bed.waitForPage(decisionsPath, &decisions, func() bool { return len(decisions.Causes) > 0 })
+	bed.waitForPage(decisionsPath, &decisions, func() bool { return len(decisions.Decisions) > 0 })
 	bed.end()
 
 	bed.start()
 	bed.waitForLog(`"incarnation":2,"endpoints":2`)
 	var previous struct {
-		Known      bool
-		Life       uint64
-		Forwarders map[string]int `json:"forwarders_by_table"`
-		Tables     []struct{ Lines []any }
+		Known          bool
+		Incarnation    uint64         `json:"life"`
+		ProxiesByTable map[string]int `json:"forwarders_by_table"`
+		Tables         []struct {
+			Entries []any `json:"lines"`
+		}
 	}
 	bed.waitForPage("/before?as=json", &previous, func() bool { return previous.Known })
-	oneTable := len(previous.Tables) == 1 && len(previous.Tables[0].Lines) == 2
-	if previous.Life != 1 || previous.Forwarders["0"] != 2 || !oneTable {
+	oneTable := len(previous.Tables) == 1 && len(previous.Tables[0].Entries) == 2
+	if previous.Incarnation != 1 || previous.ProxiesByTable["0"] != 2 || !oneTable {
 		t.Errorf("published by the previous incarnation: %+v", previous)
 	}
 	var found decisionsPage
 	bed.waitForPage(decisionsPath, &found, func() bool {
-		return len(found.Causes) > 0 && found.Causes[len(found.Causes)-1].Life == 1
+		count := len(found.Decisions)
+		return count > 0 && found.Decisions[count-1].Incarnation == 1
 	})
 }
 
--- a/internal/server/testbed_test.go
+++ b/internal/server/testbed_test.go
@@ -135,7 +135,7 @@
 			bed.registry.Set(registry.Entry{ID: replicaID(n + 1), Zone: "govan"})
 		}
 		for k := range proxyCount {
-			facts := proxy.Config{
+			proxyConfig := proxy.Config{
 				Name:           fmt.Sprint("till-", k),
 				Zone:           "govan",
 				ExpectedRate:   2,
@@ -144,7 +144,7 @@
 				StreamsOnly:    true,
 				Instances:      []proxy.Instance{{Name: "g", Address: bed.listen}},
 			}
-			p := proxy.New(bed.loop, engine, facts, uint64(k), ignoreObservation)
+			p := proxy.New(bed.loop, engine, proxyConfig, uint64(k), ignoreObservation)
 			p.Start(nil)
 			bed.proxies = append(bed.proxies, p)
 		}
