--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -1,7 +1,6 @@
 package cluster
 
 import (
-	"fmt"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -105,7 +104,7 @@
 	founder := cluster.configs[0].Peers[0]
 	for k := 1; k < 3; k++ {
 		config := cluster.configs[0]
-		self := Peer{Name: fmt.Sprint("m", k), Address: freeAddress(t), GossipAddress: freeAddress(t)}
+		self := newTestPeer(t, k)
 		config.Name = self.Name
 		config.Zone = testSettings.Zones[k]
 		config.ListenAddress = self.Address
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -3,8 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"net"
-	"os"
 	"path/filepath"
 	"slices"
 	"sync"
@@ -18,6 +16,7 @@
 	"peppervale/internal/lease"
 	"peppervale/internal/model"
 	"peppervale/internal/placement"
+	"peppervale/internal/testaddr"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -111,28 +110,10 @@
 	incarnations uint64
 }
 
-// firstTestPort is below the range from which the kernel picks the ports of connections.
-const firstTestPort = 10_000
-
-// lastTestPort is the newest port that freeAddress tried.
-var lastTestPort atomic.Int32
-
-// freeAddress gives an address that stays free while its member is stopped: a connection of any process on the machine
-// may take a port of 127.0.0.1 that the kernel picked, but none of this process's own loopback address.
-func freeAddress(t *testing.T) string {
+// newTestPeer names a member and gives it addresses that stay free while it is stopped.
+func newTestPeer(t *testing.T, k int) Peer {
 	t.Helper()
-	pid := os.Getpid()
-	host := fmt.Sprintf("127.%d.%d.%d", 64|pid>>16&63, pid>>8&255, pid&255)
-	for range 1000 {
-		address := net.JoinHostPort(host, fmt.Sprint(firstTestPort+lastTestPort.Add(1)))
-		listener, err := net.Listen("tcp", address)
-		if err == nil {
-			_ = listener.Close()
-			return address
-		}
-	}
-	t.Fatalf("no free port on %s", host)
-	return ""
+	return Peer{Name: fmt.Sprint("m", k), Address: testaddr.Address(t), GossipAddress: testaddr.Address(t)}
 }
 
 func newTestCluster(t *testing.T, size int) *testCluster {
@@ -160,7 +141,7 @@
 	}
 	var peers []Peer
 	for k := range size {
-		peers = append(peers, Peer{Name: fmt.Sprint("m", k), Address: freeAddress(t), GossipAddress: freeAddress(t)})
+		peers = append(peers, newTestPeer(t, k))
 	}
 	directory := t.TempDir()
 	for k, peer := range peers {
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"net"
 	"strings"
 	"sync"
 	"testing"
@@ -15,6 +14,7 @@
 	"peppervale/internal/model"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/registry"
+	"peppervale/internal/testaddr"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -153,16 +153,9 @@
 			fixture.expect(initialList)
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("no listener", func(t *testing.T) {
 		fixture := newConsulFixture(t)
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := listener.Close(); err != nil {
-			t.Fatal(err)
-		}
-		fixture.client.config.Address = listener.Addr().String()
+		fixture.client.config.Address = testaddr.Address(t)
 		fixture.client.Subscribe()
 		fixture.expect("poll failed")
 	})
