--- a/internal/cluster/apply.go
+++ b/internal/cluster/apply.go
@@ -5,6 +5,10 @@
 	"peppervale/internal/model"
 )
 
+// reasonNewIncarnation is the reason of an Event that has no other. The replicated state holds its text, so it must
+// stay the same in every version.
+const reasonNewIncarnation = "a new life of the same member"
+
 // ShardResponse is the response to one shard of a RenewLeases.
 type ShardResponse struct {
 	Shard int
@@ -117,7 +121,7 @@
 		Reason:  s.WaitReasons[shard.Number],
 	}
 	if event.From == event.To {
-		event.Reason = "a new life of the same member"
+		event.Reason = reasonNewIncarnation
 	}
 	shard.LastHolder = holder
 	delete(s.WaitReasons, shard.Number)
@@ -174,8 +178,8 @@
 
 func (unknownCommand) apply(*State, model.Microseconds) []ShardResponse { return nil }
 
-// lags tells that a member sends requests but does not follow the log: its disk is full, or a link is open one way
-// only. It would not learn that a shard was granted to it, and keep others from it.
+// lags reports whether a member sends requests but does not follow the log: its disk is full, or a link is open one
+// way only. It would not learn that a shard was granted to it, and would keep others from holding that shard.
 func (s *State) lags(stamp, followedAt model.Microseconds) bool {
 	return stamp-followedAt > s.LeaseDuration
 }
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -19,8 +19,8 @@
 	reader *resp.Reader
 }
 
-// clientOf makes a client of a member's port.
-func (c *Config) clientOf(name, address string) *client {
+// newClient makes a client of a member's cluster port; the connection is dialled at the first request.
+func (c *Config) newClient(name, address string) *client {
 	return &client{dial: func(timeout time.Duration) (net.Conn, error) {
 		return c.dial(name, address, connectionForRequests, timeout)
 	}}
@@ -86,7 +86,7 @@
 // on|off; STRIKE member; ADD member address. Any member takes it and forwards it to the leader if need be. An error
 // of the member is a RemoteError.
 func Request(address string, timeout time.Duration, words ...string) (string, error) {
-	operator := (&Config{}).clientOf("", address)
+	operator := (&Config{}).newClient("", address)
 	defer operator.close()
 	text, err := operator.request(timeout, words...)
 	if err != nil {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -20,9 +20,9 @@
 	gossipLeavesPerLease = 8 // leaving the gossip may take this part of a lease
 )
 
-// transferInterval is between two attempts of a leader with other settings than the cluster's to have another one
-// lead.
-const transferInterval = 10 * time.Second
+// leadershipTransferInterval is between two attempts of a leader with other settings than the cluster's to have
+// another member lead.
+const leadershipTransferInterval = 10 * time.Second
 
 // proposalQueueLength bounds the proposals that wait for the leader; further ones are dropped.
 const proposalQueueLength = 16
@@ -39,13 +39,15 @@
 	done      chan struct{}
 	wait      sync.WaitGroup
 
-	mu            sync.Mutex
-	member        *Member
-	storeError    error  // votes cannot be written
-	loggedFault   string // the fault that was logged last
-	shardLoads    map[int]float64
-	misrouted     []MisroutedProxies
-	transferredAt time.Time // when it last had another member lead, as its settings are not the cluster's
+	mu          sync.Mutex
+	member      *Member
+	storeError  error  // votes cannot be written
+	loggedFault string // the fault that was logged last
+	shardLoads  map[int]float64
+	misrouted   []MisroutedProxies
+
+	// leadershipTransferredAt is when it last had another member lead, as its settings are not the cluster's.
+	leadershipTransferredAt time.Time
 }
 
 // Open starts a member. Errors are those of its addresses and its directory; that other members cannot be reached is
@@ -85,7 +87,7 @@
 		if load, known := c.shardLoads[shard]; known {
 			return load
 		}
-		return -1 // its proxies are on their way here
+		return -1 // not known: its proxies have not connected yet
 	}
 	member := NewMember(config.Name, config.Incarnation, record, config.Settings, loadOf)
 	member.misroutedProxies = func() []MisroutedProxies { return c.misrouted }
@@ -160,8 +162,8 @@
 	}
 }
 
-// loadReadings is what the hooks of the configuration gave last. They are called outside of the cluster's lock:
-// whoever answers may wait for this member's answer about a lease.
+// loadReadings is what the hooks of the configuration gave last. They are called outside of the cluster's lock,
+// as a hook may itself wait for IsLeaseHolder.
 type loadReadings struct {
 	config     *Config
 	interval   time.Duration
@@ -191,7 +193,7 @@
 	return sorted
 }
 
-// tick has the member decide, tells of the leases that changed, and only then proposes what it decided.
+// tick has the member decide, notifies Events of the leases that changed, and only then proposes what it decided.
 func (c *Cluster) tick(readings *loadReadings) {
 	var alive map[string]bool
 	leads := c.node.isLeader()
@@ -225,9 +227,10 @@
 	seemsAlive := func(name string) bool { return alive[name] }
 	changes, proposals = c.member.Tick(c.config.Now(), leads, seemsAlive)
 	c.logFault()
-	transfer = leads && c.member.HasOtherSettings() && time.Since(c.transferredAt) > transferInterval
+	mayTransfer := time.Since(c.leadershipTransferredAt) > leadershipTransferInterval
+	transfer = leads && c.member.HasOtherSettings() && mayTransfer
 	if transfer {
-		c.transferredAt = time.Now()
+		c.leadershipTransferredAt = time.Now()
 	}
 	return changes, proposals, transfer
 }
@@ -261,8 +264,8 @@
 // is over.
 func (c *Cluster) TransferLeases(within time.Duration) {
 	const (
-		requestsWithin = 20
-		checksWithin   = 100
+		maxRequests = 20  // attempts to have the request committed, spread over the time
+		maxChecks   = 100 // of the leases, spread over the time
 	)
 	end := time.Now().Add(within)
 	words := []string{requestLeave, c.config.Name, leaveStopping}
@@ -270,10 +273,10 @@
 		if _, err := c.answerRequest(words); err == nil {
 			break
 		}
-		time.Sleep(within / requestsWithin)
+		time.Sleep(within / maxRequests)
 	}
 	for time.Now().Before(end) && c.holdsAnyLease() {
-		time.Sleep(within / checksWithin)
+		time.Sleep(within / maxChecks)
 	}
 }
 
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -91,7 +91,7 @@
 	Load     float64 `cbor:"Load"` // RenewLeases: requests a second of its connected proxies; below 0: none is connected
 }
 
-// MisroutedProxies counts the proxies of a shard that go on asking a member which does not hold it.
+// MisroutedProxies counts the proxies of a shard that keep connecting to a member which does not hold it.
 type MisroutedProxies struct {
 	Shard   int `cbor:"Part"`
 	Proxies int `cbor:"Forwarders"`
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -67,7 +67,7 @@
 // Events is notified, from one goroutine, of the leases that this member gains and loses.
 type Events interface {
 	// LeaseGained says that this member holds a shard's lease from now on. A lease that was lost because its renewal
-	// came back late may be gained again in the same epoch: nobody else held it meanwhile.
+	// came back late may be gained again in the same epoch: no other member held it meanwhile.
 	LeaseGained(shard int, epoch uint64)
 	// LeaseLost returns once no message of this member for the shard is under way any more.
 	LeaseLost(shard int)
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -1,8 +1,8 @@
 // Package cluster distributes the shards of a fleet over controllers that take over from each other. Its members
-// agree, over hashicorp/raft, on a small replicated state: who is a member, which member each shard is placed on, and
-// who holds the lease of a shard in which epoch. hashicorp/memberlist tells which members seem alive. No request of a
-// proxy and no weight update waits for either: a lease holder acts while its own clock says that its lease is valid
-// (package lease).
+// agree, over hashicorp/raft, on a small replicated state: the members, which member each shard is placed on, and
+// which member holds the lease of a shard in which epoch. hashicorp/memberlist detects which members seem alive. No
+// request of a proxy and no weight update waits for either: a lease holder acts while its own clock says that its lease
+// is valid (package lease).
 //
 // Guarantees:
 //   - those of package lease: no two members hold the lease of a shard at once, epochs only grow, and a member that
@@ -23,7 +23,7 @@
 //
 // The files, by concern:
 //
-//	cluster.go    a running member: its life cycle, tick loop, and what others ask of it
+//	cluster.go    a running member: its lifecycle, tick loop and public methods
 //	config.go     configuration of a member
 //	settings.go   the settings that all members must share
 //	commands.go   the commands that the members agree on
@@ -42,8 +42,8 @@
 //	links.go      links between members that tests can cut
 //	requests.go   requests of members and operators
 //	client.go     the sender of requests
-//	handover.go   what a lease holder tells the next one
+//	handover.go   what a lease holder passes on to the next one
 //	status.go     what a member knows, for readers
-//	fault.go      what keeps a member from holding leases
+//	fault.go      the fault that keeps a member from holding leases
 //	errors.go     error types
 package cluster
--- a/internal/cluster/fault.go
+++ b/internal/cluster/fault.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// fault tells what keeps this member from holding leases, with what to do about it; "" for nothing. It needs the
-// lock.
+// fault describes what keeps this member from holding leases, and what to do about it; "" for nothing. The caller
+// holds c.mu.
 func (c *Cluster) fault() string {
 	member := c.member
 	state := member.state
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// logFault logs a fault each time that it changes. It needs the lock.
+// logFault logs a fault each time that it changes. The caller holds c.mu.
 func (c *Cluster) logFault() {
 	fault := c.fault()
 	if fault == c.loggedFault {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -14,7 +14,7 @@
 
 // Timing of gossip, in parts of a lease's duration, and the same in leases. It is fit to the lease: a member that
 // died is to seem dead when its lease expires, not much before (it would be given up for a pause) and not after (its
-// shards would wait). At the usual lease of 2 s: a probe each 250 ms, suspicion for about a second.
+// shards would wait). At the default lease of 2 s: a probe each 250 ms, suspicion for about a second.
 const (
 	probesPerLease           = 8
 	probeTimeoutsPerLease    = 16
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -9,8 +9,8 @@
 	"peppervale/internal/model"
 )
 
-// Handover is what a lease holder tells the next one of shards that it gives away: what it has measured, not what is
-// to be done. After an unplanned takeover there is none. Its CBOR names are pinned, as members of other versions have
+// Handover is what a lease holder passes on to the next one with the shards that it gives away: what it has measured,
+// not what is to be done. After an unplanned takeover there is none. Its CBOR names are pinned, as members of other versions have
 // them.
 type Handover struct {
 	From           string             `cbor:"From"` // the member that gives the shards away
@@ -39,8 +39,8 @@
 	shards  []int
 }
 
-// sendHandovers tells each member that is to hold released shards what this one knows of them. The release does not
-// depend on it.
+// sendHandovers sends each member that is to hold released shards what this one knows of them. The release does not
+// depend on it: an error is only logged.
 func (c *Cluster) sendHandovers(release ReleaseLeases, timeout time.Duration) {
 	if c.config.Handover.Export == nil {
 		return
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	receiver := c.config.clientOf(target.name, target.address)
+	receiver := c.config.newClient(target.name, target.address)
 	defer receiver.close()
 	_, err = receiver.request(timeout, requestHandover, string(data))
 	return err
@@ -99,11 +99,11 @@
 		return fmt.Errorf("HAND: %w", err)
 	}
 	if len(handover.LoadReports) > maxHandoverReports {
-		return invalidRequest("HAND: %d sums, %d are taken", len(handover.LoadReports), maxHandoverReports)
+		return invalidRequest("HAND: %d load reports; at most %d are accepted", len(handover.LoadReports), maxHandoverReports)
 	}
 	for _, report := range handover.LoadReports {
 		if !c.isPlausible(report) {
-			return invalidRequest("HAND: a sum that makes no sense: %+v", report)
+			return invalidRequest("HAND: implausible load report: %+v", report)
 		}
 	}
 	if err := c.checkMemberIsKnown(handover.From); err != nil {
--- a/internal/cluster/logstore.go
+++ b/internal/cluster/logstore.go
@@ -100,7 +100,7 @@
 }
 
 // retryingStore keeps votes and terms. raft ends the process if they cannot be written; this store retries until they
-// can, so that the controller goes on until its leases expire, its console tells the fault, and it recovers with the
+// can, so that the controller goes on until its leases expire, its console shows the fault, and it recovers with the
 // disk.
 type retryingStore struct {
 	raft.StableStore
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -19,7 +19,7 @@
 //	held       renewal of a member that lags    held       not counted: the lease expires
 //	held       placed on another member         released   lost, then a ReleaseLeases
 //	held       the lease expires                not held   lost
-//	not held   a renewal of it is granted late  held       gained again, in the same epoch: nobody else held it since
+//	not held   a renewal of it is granted late  held       gained again, in the same epoch: no other member held it since
 //	held       newer schema, or other settings  not held   lost, no ReleaseLeases: its effect is not known
 type Member struct {
 	Name        string
@@ -29,7 +29,7 @@
 	settings Settings
 	state    *State
 	leases   []lease.Lease // by shard
-	notified []uint64      // by shard: the epoch of which Tick told last; 0: not held
+	notified []uint64      // by shard: the epoch that Tick reported last; 0: not held
 
 	loadOf           func(shard int) float64   // of a shard that is held; below 0: not known
 	misroutedProxies func() []MisroutedProxies // nil: not known
@@ -41,8 +41,8 @@
 	memberSeenAt   map[string]model.Microseconds // by member, by this clock: when its newest heartbeat was applied
 }
 
-// NewMember makes a member that knows of no agreement yet. loadOf tells the requests a second of a shard that it
-// holds, below 0 where they are not known.
+// NewMember makes a member that has applied no entry yet. loadOf gives the requests a second of a shard that it holds,
+// below 0 where they are not known.
 func NewMember(name string, incarnation uint64, record MemberRecord, settings Settings,
 	loadOf func(shard int) float64,
 ) *Member {
@@ -129,7 +129,7 @@
 	}
 }
 
-// IsLeaseHolder tells whether this member holds a shard's lease now, and in which epoch. It needs the caller's lock
+// IsLeaseHolder reports whether this member holds a shard's lease now, and in which epoch. It needs the caller's lock
 // and may be called often.
 func (m *Member) IsLeaseHolder(shard int, now model.Microseconds) (epoch uint64, ok bool) {
 	if shard < 0 || shard >= len(m.leases) || m.isExcluded() || !m.leases[shard].IsHeld(now) {
@@ -138,21 +138,21 @@
 	return m.leases[shard].Epoch, true
 }
 
-// isExcluded tells that this member may hold nothing: it does not understand the log, or would count other shards.
+// isExcluded reports whether this member may hold nothing: it does not understand the log, or would count other shards.
 func (m *Member) isExcluded() bool { return m.state.NewerSchemaVersion > 0 || m.HasOtherSettings() }
 
-// HasOtherSettings tells that the cluster was started with settings that differ from this member's.
+// HasOtherSettings reports whether the cluster was started with settings that differ from this member's.
 func (m *Member) HasOtherSettings() bool {
 	return m.state.Digest != 0 && m.state.Digest != m.Record.Digest
 }
 
-// IsSuperseded tells that a later incarnation of this member is registered.
+// IsSuperseded reports whether a later incarnation of this member is registered.
 func (m *Member) IsSuperseded() bool {
 	registered := m.state.Member(m.Name)
 	return registered != nil && registered.Incarnation > m.Incarnation
 }
 
-// isRegistered tells that this incarnation is registered as it describes itself.
+// isRegistered reports whether this incarnation is registered as it describes itself.
 func (m *Member) isRegistered() bool {
 	registered := m.state.Member(m.Name)
 	if registered == nil || registered.Removed {
@@ -188,8 +188,8 @@
 }
 
 // Tick gives the leases that changed since the last one, and the commands to propose once the changes are carried
-// out: a ReleaseLeases may leave only when no message for the shard is under way any more. alive tells what gossip
-// believes of a member; nil: all are.
+// out: a ReleaseLeases may leave only when no message for the shard is under way any more. alive reports
+// whether a member seems alive by gossip; nil: all do.
 func (m *Member) Tick(now model.Microseconds, leads bool, alive func(name string) bool) ([]LeaseChange, []Command) {
 	changes, releases := m.updateLeases(now)
 	if m.isExcluded() {
@@ -215,7 +215,7 @@
 	return changes, proposals
 }
 
-// updateLeases releases the shards that are placed elsewhere, and compares what is held with what was told last.
+// updateLeases releases the shards that are placed elsewhere, and compares what is held with what Tick reported last.
 func (m *Member) updateLeases(now model.Microseconds) (changes []LeaseChange, releases []ShardRequest) {
 	for shard := range m.leases {
 		if _, held := m.IsLeaseHolder(shard, now); held && m.state.Shards[shard].Target != m.Name {
@@ -231,9 +231,9 @@
 	return changes, releases
 }
 
-// TargetChannel gives the channel address of the member that a shard is placed on. It is "" if that is this one, or
-// nobody, or a member that has not renewed for half a lease: a proxy sent there would most likely find nobody, and
-// lose the time.
+// TargetChannel gives the channel address of the member that a shard is placed on. It is "" if that is this one,
+// none, or a member without a recent heartbeat: a proxy redirected there would most likely find no listener, and lose
+// the time.
 func (m *Member) TargetChannel(number int, now model.Microseconds) string {
 	shard := m.state.shard(number)
 	if shard == nil || shard.Target == m.Name {
@@ -241,7 +241,7 @@
 	}
 	target := m.state.Member(shard.Target)
 	seenAt, seen := m.memberSeenAt[shard.Target]
-	if target == nil || !seen || now-seenAt >= m.settings.Lease.Duration/2 {
+	if target == nil || !seen || now-seenAt >= m.settings.Lease.Duration/recentHeartbeatsPerLease {
 		return ""
 	}
 	return target.Record.Channel
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -26,12 +26,12 @@
 	for _, n := range []int{1, 3, 5} {
 		sim := newSimulation(t, n)
 		sim.run(2 * model.Second)
-		sum := 0
+		held := 0
 		for k := range n {
-			sum += sim.held(k)
+			held += sim.held(k)
 		}
-		if sum != 6 {
-			t.Errorf("%d members hold %d shards of 6", n, sum)
+		if held != 6 {
+			t.Errorf("%d members hold %d shards of 6", n, held)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
 	lagging := sim.members[1]
-	lagging.cut = true // two hear each other, and agree
+	lagging.cut = true // the other two reach each other, a quorum
 	sim.run(simulationSettings.Lease.Duration / 2)
 	lagging.cut = false
 	sim.elect(1)              // before it has taken what came meanwhile
@@ -112,8 +112,8 @@
 	}
 }
 
-// A member is partitioned from the others: it goes on until its leases expire, before anybody else is granted them.
-// The two sides disagree about who holds what all the while.
+// A member is partitioned from the others: it goes on until its leases expire, before any other member is granted them.
+// The two sides disagree about the lease holders all the while.
 func TestPartitionedMemberStopsAtLeaseEnd(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
@@ -128,7 +128,7 @@
 }
 
 // A member's requests reach the leader, and no entry reaches it (a full disk, a link that is open one way only): its
-// renewals do not count, and others take over. They once counted, and nobody held its shards.
+// renewals do not count, and others take over. They once counted, and its shards had no holder.
 func TestMemberThatCannotFollowTheLogRenewsNothing(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
@@ -185,7 +185,7 @@
 }
 
 // A member's renewals are agreed on, and it learns so only after its lease has expired: it loses the lease and gains
-// it again, in the same epoch, as nobody else was granted it.
+// it again, in the same epoch, as no other member was granted it.
 func TestLateRenewalIsGainedAgainInTheSameEpoch(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
@@ -226,7 +226,7 @@
 	sim.run(model.Second)
 	sim.wantHeld(3, 0, 3)
 	if without > 400*model.Millisecond {
-		t.Errorf("%d us with a shard that nobody holds, for two moves", without)
+		t.Errorf("%d us with a shard without a holder, for two moves", without)
 	}
 	for _, e := range sim.members[0].state.Events[6:] {
 		if !e.Planned {
--- a/internal/cluster/planning.go
+++ b/internal/cluster/planning.go
@@ -10,21 +10,27 @@
 // placementTimeout is how long a leader waits for its own SetPlacement to be applied before it plans again.
 const placementTimeout = model.Second
 
+// Timing of a leader, in parts of a lease's duration.
+const (
+	registrationTimesPerLease = 2 // a new cluster's members have this long to register
+	recentHeartbeatsPerLease  = 2 // a member whose heartbeat is younger is alive, whatever gossip believes
+)
+
 // planning is what a leader remembers while it plans the placement; each term begins it anew, as a new leader has
-// seen nobody yet.
+// not seen any member yet.
 type planning struct {
 	planner          placement.Planner
 	term             uint64
-	since            model.Microseconds            // when this term's planning began
+	startedAt        model.Microseconds            // when this term's planning began
 	proposedAt       model.Microseconds            // when the SetPlacement that is awaited left; 0: none is
 	aliveSince       map[string]model.Microseconds // by member
-	unreachableSince map[int]model.Microseconds    // shards whose proxies ask another member than the holder
+	unreachableSince map[int]model.Microseconds    // by shard whose proxies connect to another member than the holder
 }
 
 func newPlanning(term uint64, now model.Microseconds) planning {
 	return planning{
 		term:             term,
-		since:            now,
+		startedAt:        now,
 		aliveSince:       map[string]model.Microseconds{},
 		unreachableSince: map[int]model.Microseconds{},
 	}
@@ -51,12 +57,12 @@
 	return SetPlacement{Leader: m.Name, Migrations: migrations}, true
 }
 
-// waitsForFirstMembers tells that a new cluster's leader gives members some time to register. Members that start
+// waitsForFirstMembers reports whether a new cluster's leader still gives members time to register. Members that start
 // together register within some round trips; a placement made at once gave all shards to the first of them, to be
 // moved one by one after.
 func (m *Member) waitsForFirstMembers(now model.Microseconds) bool {
 	neverHeld := func(shard *ShardState) bool { return shard.Lease.Epoch == 0 }
-	return now-m.planning.since < m.settings.Lease.Duration/2 && slices.ContainsFunc(m.state.Shards, neverHeld)
+	return now-m.planning.startedAt < m.settings.Lease.Duration/registrationTimesPerLease && slices.ContainsFunc(m.state.Shards, neverHeld)
 }
 
 func (m *Member) waitsForPlacement(now model.Microseconds) bool {
@@ -109,11 +115,11 @@
 	return shards
 }
 
-// reachableInstead gives the member that most of a shard's proxies go on asking while none of them is connected to
+// reachableInstead gives the member that most of a shard's proxies keep connecting to while none of them is connected to
 // the holder, for a lease's duration already: their link to the holder is cut, though the cluster's is not. "" for
 // none.
 func (m *Member) reachableInstead(shard *ShardState, now model.Microseconds) string {
-	name := m.mostAsked(shard)
+	name := m.mostMisrouted(shard)
 	if !shard.NoProxies || name == "" || m.state.Holder(shard) != shard.Target {
 		delete(m.planning.unreachableSince, shard.Number)
 		return ""
@@ -129,8 +135,9 @@
 	return name
 }
 
-// mostAsked gives the member, other than a shard's target, that most of its proxies ask in vain; "" for none.
-func (m *Member) mostAsked(shard *ShardState) (name string) {
+// mostMisrouted gives the member, other than a shard's target, that most of its proxies connect to in vain; "" for
+// none.
+func (m *Member) mostMisrouted(shard *ShardState) (name string) {
 	most := 0
 	for _, member := range m.state.Members {
 		if member.Name == shard.Target {
@@ -146,7 +153,7 @@
 	return name
 }
 
-// isAlive tells whether the leader counts on a member. Heartbeats are the proof; gossip only shortens the wait: it
+// isAlive reports whether the leader counts on a member. Heartbeats are the proof; gossip only shortens the wait: it
 // may say that a member is gone whose heartbeat is due anyway, and never that one is alive that does not renew.
 func (m *Member) isAlive(member *MemberState, now model.Microseconds, alive func(string) bool) bool {
 	silence := now - member.RenewedAt
@@ -155,5 +162,5 @@
 	if member.Removed || member.Record.Digest != m.state.Digest || expired {
 		return false
 	}
-	return alive == nil || silence < duration/2 || alive(member.Name)
+	return alive == nil || silence < duration/recentHeartbeatsPerLease || alive(member.Name)
 }
--- a/internal/cluster/proposals.go
+++ b/internal/cluster/proposals.go
@@ -10,8 +10,8 @@
 	address string
 }
 
-// runProposals sends what the tick loop proposes. A proposal that fails is not repeated here: whoever made it makes
-// it again.
+// runProposals sends what the tick loop proposes. A proposal that fails is not repeated here: the
+// member proposes it again at a later tick.
 func (c *Cluster) runProposals() {
 	defer c.wait.Done()
 	sender := &proposalSender{cluster: c, timeout: c.requestTimeout(), client: &client{}}
@@ -41,14 +41,14 @@
 	if address == "" && config.Join {
 		s.cluster.requestJoin(s.timeout)
 	}
-	_, placement := command.(SetPlacement)
-	if address == "" || placement || name == config.Name {
+	_, leaderOnly := command.(SetPlacement)
+	if address == "" || leaderOnly || name == config.Name {
 		return ErrNotLeader
 	}
 	if address != s.address {
 		s.client.close()
 		s.address = address
-		s.client = config.clientOf(name, address)
+		s.client = config.newClient(name, address)
 	}
 	entry := LogEntry{SchemaVersion: schemaVersion, Command: command}
 	data, err := entry.Encode()
@@ -72,7 +72,7 @@
 		if peer.Name == c.config.Name {
 			continue
 		}
-		peerClient := c.config.clientOf(peer.Name, peer.Address)
+		peerClient := c.config.newClient(peer.Name, peer.Address)
 		_, err := peerClient.request(timeout, requestAdd, c.config.Name, ownAddress)
 		peerClient.close()
 		if err == nil {
--- a/internal/cluster/raftnode.go
+++ b/internal/cluster/raftnode.go
@@ -21,7 +21,7 @@
 )
 
 // Timing of raft, in parts of a lease's duration. A leader that is gone is to be replaced while the others' leases
-// are valid, with time for two elections: a third of a second each at the usual lease of 2 s.
+// are valid, with time for two elections: a third of a second each at the default lease of 2 s.
 const (
 	heartbeatsPerLease    = 6
 	leaderLeasesPerLease  = 8
@@ -222,11 +222,11 @@
 
 // leader gives the member that leads, as far as this one knows; "" for none.
 func (n *raftNode) leader() (name, address string) {
-	known, id := n.raft.LeaderWithID()
+	knownAddress, id := n.raft.LeaderWithID()
 	if id == "" {
 		return "", ""
 	}
-	return string(id), n.config.addressOf(string(id), string(known))
+	return string(id), n.config.addressOf(string(id), string(knownAddress))
 }
 
 // voters gives the members that vote, by name, with their addresses; nil if they are not known.
--- a/internal/cluster/renewal.go
+++ b/internal/cluster/renewal.go
@@ -7,9 +7,10 @@
 
 // When a member renews, in parts of a lease's duration.
 const (
-	renewalsPerLease       = 3
-	refusedRetriesPerLease = 10 // after a refusal: the shard may be free soon
-	failedRetriesPerLease  = 20 // after a renewal that could not be proposed
+	responseTimeoutsPerLease = 2 // a request without a response for this long is sent again
+	renewalsPerLease         = 3
+	refusedRetriesPerLease   = 10 // after a refusal: the shard may be free soon
+	failedRetriesPerLease    = 20 // after a renewal that could not be proposed
 )
 
 // heartbeat is when a member sends what to the leader. All times but followedAt are of the member's own clock.
@@ -45,9 +46,9 @@
 	}
 }
 
-// isDue tells whether the next RenewLeases is to be sent.
+// isDue reports whether the next RenewLeases is to be sent.
 func (h *heartbeat) isDue(now, duration model.Microseconds) bool {
-	if h.pending && now-h.sentAt < duration/2 { // another request would make the response to this one worthless
+	if h.pending && now-h.sentAt < duration/responseTimeoutsPerLease { // another request would make the response to this one worthless
 		return false
 	}
 	if h.refused && !h.pending {
@@ -118,7 +119,7 @@
 	return ShardRequest{Shard: shard, Sequence: request.Sequence, Load: load}
 }
 
-// isUnconfirmed tells that no heartbeat of this incarnation was applied for a lease's duration, though one was
+// isUnconfirmed reports whether no heartbeat of this incarnation was applied for a lease's duration, though one was
 // before.
 func (m *Member) isUnconfirmed(now model.Microseconds) bool {
 	return m.heartbeat.confirmedAt > 0 && now-m.heartbeat.confirmedAt > m.settings.Lease.Duration
--- a/internal/cluster/requests.go
+++ b/internal/cluster/requests.go
@@ -20,8 +20,8 @@
 	requestRemove   = "STRIKE"  // member
 	requestAdd      = "ADD"     // member, address
 
-	// requestForwarded begins a request that a member forwarded to the leader, so that two that each take the other for
-	// the leader do not forward it for ever.
+	// requestForwarded begins a request that a member forwarded to the leader, so that two members that
+	// each consider the other one the leader do not forward it for ever.
 	requestForwarded = "HANDED"
 )
 
@@ -32,6 +32,9 @@
 	leaveStopping = "ending" // of a member whose process is about to stop
 )
 
+// reasonMovedByOperator is the reason of a MOVE request. The replicated state holds its text.
+const reasonMovedByOperator = "moved by hand"
+
 // forwardTimeout is how long the leader may take for a forwarded request.
 const forwardTimeout = 5 * time.Second
 
@@ -83,7 +86,7 @@
 	if address == "" {
 		return nil, ErrNoLeader
 	}
-	leader := c.config.clientOf(name, address)
+	leader := c.config.newClient(name, address)
 	defer leader.close()
 	text, err := leader.request(forwardTimeout, append([]string{requestForwarded}, words...)...)
 	return []byte(text), err
@@ -104,7 +107,7 @@
 	case RegisterMember, RenewLeases, ReleaseLeases:
 		return c.node.propose(entry)
 	}
-	return invalidRequest("a command of kind %d is not proposed from afar", entry.Command.kind())
+	return invalidRequest("a command of kind %d cannot be proposed by another member", entry.Command.kind())
 }
 
 func (c *Cluster) moveShard(words []string) error {
@@ -117,7 +120,7 @@
 	if err := c.checkMemberIsAlive(target); err != nil {
 		return err
 	}
-	migration := placement.Migration{Shard: shard, To: target, Reason: "moved by hand"}
+	migration := placement.Migration{Shard: shard, To: target, Reason: reasonMovedByOperator}
 	return c.propose(SetPlacement{
 		Leader:     c.config.Name,
 		Migrations: []placement.Migration{migration},
--- a/internal/cluster/simulation_test.go
+++ b/internal/cluster/simulation_test.go
@@ -43,7 +43,7 @@
 	applied      int  // entries that it has applied
 	clockLoss    model.Microseconds
 	incarnations uint64
-	changes      []LeaseChange // that its ticks told
+	changes      []LeaseChange // that its ticks reported
 }
 
 func (m *simulatedMember) clock(s *simulation) model.Microseconds { return s.now - m.clockLoss }
@@ -88,7 +88,7 @@
 	s.commit(elected.Announcement(elected.clock(s)), elected.clock(s))
 }
 
-// hasQuorum tells whether anything can be committed.
+// hasQuorum reports whether anything can be committed.
 func (s *simulation) hasQuorum() bool {
 	connected := 0
 	for _, m := range s.members {
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -49,7 +49,7 @@
 	WaitReason     string             `json:"waits_for,omitempty"`
 }
 
-// Status gives what this member knows now; it asks nobody.
+// Status gives what this member knows now, without a request to any other member.
 func (c *Cluster) Status() Status {
 	voters := c.node.voters()
 	alive := c.gossip.alive()
@@ -75,9 +75,9 @@
 		status.Members = append(status.Members, memberStatus(member, votes, alive[member.Name]))
 	}
 	for _, shard := range state.Shards {
-		one := c.member.shardStatus(shard, now)
-		status.Shards = append(status.Shards, one)
-		status.countShard(one)
+		shardStatus := c.member.shardStatus(shard, now)
+		status.Shards = append(status.Shards, shardStatus)
+		status.countShard(shardStatus)
 	}
 	return status
 }
@@ -125,7 +125,7 @@
 	}
 }
 
-// waitReason tells why a shard is not held by the member that it is placed on; "" if it is.
+// waitReason says why a shard is not held by the member that it is placed on; "" if it is.
 func (m *Member) waitReason(shard *ShardState) string {
 	target := m.state.Member(shard.Target)
 	holder := m.state.Holder(shard)
--- a/internal/cluster/storedstate_test.go
+++ b/internal/cluster/storedstate_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// sameCBOR tells whether two encodings carry the same names and values; the order within maps is free.
+// sameCBOR reports whether two encodings carry the same names and values; the order within maps is free.
 func sameCBOR(t *testing.T, a, b []byte) bool {
 	t.Helper()
 	var one, other any
--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// countedConn is a connection that occupies its slot until whoever has it closes it: raft does not return those that
-// it was handed.
+// countedConn is a connection that occupies its slot until its owner closes it: raft does not return those that it was
+// handed.
 type countedConn struct {
 	net.Conn
 	once   sync.Once
@@ -170,7 +170,7 @@
 	return head[0], string(nameBytes), nil
 }
 
-// dial connects to a member's port and says what the connection is for and who dials.
+// dial connects to a member's port and sends what the connection is for and the name of this member.
 func (c *Config) dial(to, address string, purpose byte, timeout time.Duration) (net.Conn, error) {
 	if c.Links != nil && !c.Links.Open(c.Name, to) {
 		return nil, errLinkCut
@@ -234,7 +234,7 @@
 	s.mu.Lock()
 	s.closed = true
 	for conn := range s.open {
-		_ = conn.Close() // whoever reads it then closes it too, and frees its slot
+		_ = conn.Close() // its reader then closes it too, and frees its slot
 	}
 	s.mu.Unlock()
 	_ = s.streams.Close()
@@ -242,7 +242,7 @@
 	s.wait.Wait()
 }
 
-// raftStreams is raft's share of the port: the connections whose first byte asked for it.
+// raftStreams is raft's side of the port: the connections whose first byte is connectionForRaft.
 type raftStreams struct {
 	config   *Config
 	address  net.Addr
