--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,5 +1,5 @@
-// Package lease decides who holds the lease of a shard of the fleet. It is free of I/O and has both sides of the
-// protocol: the record of a shard that the members of a cluster agree on (Shard), and the holder that requests a
+// Package lease decides which member holds the lease of a shard of the fleet. It is free of I/O and has both sides of
+// the protocol: the record of a shard that the members of a cluster agree on (Shard), and the holder that requests a
 // lease and stops in time (Lease). Proxies have a Fence.
 //
 // Guarantees, as long as no holder's clock loses more than MaxClockDrift against the leader's within a lease: no two
@@ -30,9 +30,9 @@
 //	requested  refused, of this request          idle
 //	held       request                           held       a renewal; what was held goes on
 //	held       granted, of this request          held       until the newer time noted + Duration
-//	held       the lease expires                 idle       before anybody else is granted it
+//	held       the lease expires                 idle       before any other holder is granted it
 //	any        response to any other request                nothing: it is late or a duplicate
 //
 // A lease that expired while its renewal was under way is held again, in the same epoch, once the renewal is granted:
-// the record was renewed before anybody else could be granted it.
+// the record was renewed before any other holder could be granted it.
 package lease
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -11,7 +11,7 @@
 	sequence    uint32             // of the newest request or release
 }
 
-// Request notes the time and gives the request, which may leave only after that.
+// Request notes the time and returns the request, which may leave only after that.
 func (l *Lease) Request(from Holder, now model.Microseconds) Request {
 	l.sequence++
 	l.requestedAt = now
@@ -33,10 +33,10 @@
 	l.expiresAt = l.requestedAt + config.Duration
 }
 
-// IsHeld tells whether the holder may act now.
+// IsHeld reports whether the holder may act now.
 func (l *Lease) IsHeld(now model.Microseconds) bool { return l.held && now < l.expiresAt }
 
-// Remaining is for how long the holder may still act without another renewal.
+// Remaining is for how long the holder may still act without another renewal; 0 if it holds nothing.
 func (l *Lease) Remaining(now model.Microseconds) model.Microseconds {
 	if !l.IsHeld(now) {
 		return 0
@@ -44,7 +44,7 @@
 	return l.expiresAt - now
 }
 
-// Release gives up what is held and gives the release, which may leave once no message of the holder is under way any
+// Release gives up what is held and returns the release, which may leave once no message of the holder is under way any
 // more. Responses to earlier requests mean nothing from then on: without that, the model found a duplicate that gave
 // back what had been released.
 func (l *Lease) Release(from Holder) Request {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -9,7 +9,7 @@
 }
 
 // Holder identifies one incarnation of a member. An incarnation that crashed cannot go on with the lease of the one
-// before, as nobody knows what that one had sent.
+// before, as it is not known what that one had sent.
 type Holder struct {
 	Member      uint16 `cbor:"Member"` // from 1 on
 	Incarnation uint64 `cbor:"Life"`   // grows with each
@@ -18,7 +18,7 @@
 // Request is a holder's message: it requests a shard's lease, renews it, or releases it.
 type Request struct {
 	From     Holder
-	Sequence uint32 // tells the requests of one holder for one shard apart
+	Sequence uint32 // distinguishes the requests of one holder for one shard
 }
 
 // Response is the response to a request for a lease.
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -20,8 +20,8 @@
 	memberCount = 3
 	shardCount  = 2
 	maxInFlight = 6
-	// An old request that comes again after a release is granted anew, to nobody's use and nobody's harm, as often as
-	// it comes.
+	// An old request that comes again after a release is granted anew, without any effect on a guarantee, as often
+	// as it comes.
 	maxEpoch = 3
 )
 
@@ -210,7 +210,7 @@
 		request.message.Sequence, request.message.From.Member, request.shard, response.Granted, response.Epoch), next)
 }
 
-// responseSteps has a response under way arrive; one to an incarnation that crashed finds nobody.
+// responseSteps has a response under way arrive; one to an incarnation that crashed is lost.
 func (w world) responseSteps(config Config, i int, visit visitor) {
 	response := w.responses[i]
 	if response == (inFlight[Response]{}) {
@@ -226,7 +226,7 @@
 		member+1, response.message.Sequence, response.shard, response.message.Granted), next)
 }
 
-// violation tells which guarantee a state breaks; "" for none.
+// violation describes the guarantee that a state breaks; "" for none.
 func (w *world) violation() string {
 	for shard := range shardCount {
 		for member := range memberCount {
@@ -235,7 +235,7 @@
 			}
 			epoch := w.leases[member][shard].Epoch
 			if epoch > w.shards[shard].Epoch {
-				return fmt.Sprintf("%d holds shard %d in epoch %d, which nobody agreed on", member+1, shard, epoch)
+				return fmt.Sprintf("%d holds shard %d in epoch %d, which was never agreed on", member+1, shard, epoch)
 			}
 			for other := range member {
 				if w.leases[other][shard].IsHeld(w.clock(other)) {
@@ -270,9 +270,9 @@
 	number int32
 }
 
-// explore visits maxStates states at most, and gives the shortest story to one that breaks a guarantee. complete: all
+// explore visits maxStates states at most, and gives the shortest trace to one that breaks a guarantee. complete: all
 // states were visited, and none does.
-func explore(config Config, bounds limits, maxStates int) (story []string, visited int, complete bool) {
+func explore(config Config, bounds limits, maxStates int) (trace []string, visited int, complete bool) {
 	search := &exploration{config: config, bounds: bounds, seed: maphash.MakeSeed(), visits: []visit{{from: -1}}}
 	var first world
 	search.seen = map[uint64]struct{}{maphash.Comparable(search.seed, first): {}}
@@ -281,7 +281,7 @@
 		var next []numberedWorld
 		for _, current := range frontier {
 			if violation := current.violation(); violation != "" {
-				return append(search.story(current.number), violation), len(search.visits), false
+				return append(search.trace(current.number), violation), len(search.visits), false
 			}
 			if len(search.visits) > maxStates {
 				return nil, len(search.visits), false
@@ -314,8 +314,8 @@
 	return frontier
 }
 
-// story tells the steps from the first state to one that was visited.
-func (e *exploration) story(number int32) (events []string) {
+// trace returns the steps from the first state to one that was visited.
+func (e *exploration) trace(number int32) (events []string) {
 	var path []int32
 	for ; e.visits[number].from >= 0; number = e.visits[number].from {
 		path = append(path, e.visits[number].step)
@@ -369,9 +369,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			story, visited, complete := explore(modelConfig, bounds, maxStates)
-			if story != nil {
-				t.Fatalf("after:\n  %s", strings.Join(story, "\n  "))
+			trace, visited, complete := explore(modelConfig, bounds, maxStates)
+			if trace != nil {
+				t.Fatalf("after:\n  %s", strings.Join(trace, "\n  "))
 			}
 			if !complete {
 				t.Fatalf("%d states, and more are left", visited)
@@ -381,13 +381,13 @@
 	}
 }
 
-// With clocks that lose more than the configured drift the model finds two holders at once, and tells how: so it
-// would have found them above.
+// With clocks that lose more than the configured drift the model finds two holders at once, with the trace to them:
+// so it would have found them above.
 func TestExceededDriftIsFound(t *testing.T) {
 	bounds := limits{requests: twoMembers, lostTicks: uint8(modelConfig.MaxClockDrift) + 1, ticks: 6}
-	story, visited, _ := explore(modelConfig, bounds, maxStates)
-	if story == nil {
+	trace, visited, _ := explore(modelConfig, bounds, maxStates)
+	if trace == nil {
 		t.Fatalf("nothing is found in %d states", visited)
 	}
-	t.Logf("%d states:\n  %s", visited, strings.Join(story, "\n  "))
+	t.Logf("%d states:\n  %s", visited, strings.Join(trace, "\n  "))
 }
--- a/internal/lease/shard.go
+++ b/internal/lease/shard.go
@@ -26,7 +26,7 @@
 	return Response{To: request.From, Sequence: request.Sequence, Granted: true, Epoch: s.Epoch}
 }
 
-// isHeld tells that the holder may still act, by a clock that loses up to the drift.
+// isHeld reports whether the holder may still act, by a clock that loses up to the drift.
 func (s *Shard) isHeld(config Config, now model.Microseconds) bool {
 	return s.Holder != (Holder{}) && now-s.RenewedAt < config.Duration+config.MaxClockDrift
 }
@@ -47,8 +47,8 @@
 	s.RenewedAt = now - seen.Age
 }
 
-// Release takes a holder's message that it has stopped: nobody need wait for the lease to expire. It means nothing
-// from anybody else, nor if the holder has requested the lease anew since it was sent.
+// Release takes a holder's message that it has stopped: no member need wait for the lease to expire. It has no
+// effect from any other holder, nor if the holder has requested the lease anew since it was sent.
 func (s *Shard) Release(release Request) {
 	if s.Holder == release.From && s.Sequence < release.Sequence {
 		s.Holder = Holder{}
--- a/internal/statestore/decisionlog.go
+++ b/internal/statestore/decisionlog.go
@@ -6,8 +6,9 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Limits of the decision log: some 400 bytes an entry, at one recorded step a second five hours. A start copies all
-// of it, and proxies wait for that: 24 MiB took 0.47 s, 8 MiB 0.15 s (BenchmarkStart, an ordinary disk).
+// Limits of the decision log: at some 400 bytes an entry and one entry a second it reaches back more than five hours.
+// A start copies all of it, and proxies wait for that: 24 MiB took 0.47 s, 8 MiB 0.15 s (BenchmarkStart, an ordinary
+// disk).
 const (
 	maxDecisions     = 20_000
 	maxDecisionBytes = 8 << 20
@@ -67,9 +68,9 @@
 	return nil
 }
 
-// Decisions gives the log entries before (incarnation, number) that match, newest first, up to limit. The record passed
-// to match is valid during that call only. Damaged entries are left out. It neither waits for writes nor delays them.
-// The error is one of the database.
+// Decisions returns the log entries before (incarnation, number) that match, newest first, up to limit. The record
+// passed to match is valid during that call only. Damaged entries are left out. It neither waits for writes nor delays
+// them. The error is one of the database.
 func (s *Store) Decisions(
 	incarnation, number uint64, limit int, match func(DecisionRecord) bool,
 ) ([]DecisionRecord, error) {
--- a/internal/statestore/doc.go
+++ b/internal/statestore/doc.go
@@ -4,8 +4,8 @@
 // Guarantees: the incarnation number only grows, whichever part of the stored state is lost, as long as the clock
 // does not go back. A crash at any byte of a write leaves either the previous state or the new one. Each value
 // carries its own checksum and is not used if the checksum does not match. Damaged state, state of an earlier schema
-// version and state of a later one are told apart: the usable part of damaged state is recovered and the file is kept
-// beside the new one, an earlier schema version is migrated completely, and a later one is refused and left
+// version and state of a later one are distinguished: the usable part of damaged state is recovered and the file is
+// kept beside the new one, an earlier schema version is migrated completely, and a later one is refused and left
 // untouched. One process uses a directory at a time.
 //
 // Implementation: one bbolt file. It is read once at each start, without trusting its inner structure beyond what the
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%s: %s: %s", e.Part, ErrDamaged, e.Cause)
 }
 
-// Unwrap gives ErrDamaged and the cause.
+// Unwrap returns ErrDamaged and the cause.
 func (e *DamageError) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{ErrDamaged}
@@ -42,7 +42,7 @@
 	return []error{ErrDamaged, e.Cause}
 }
 
-// LockedError tells that another process uses the state directory. It matches ErrLocked.
+// LockedError says that another process uses the state directory. It matches ErrLocked.
 type LockedError struct {
 	Dir string
 }
@@ -52,10 +52,10 @@
 	return fmt.Sprintf("state directory %s: %s; end that one, or name another directory", e.Dir, ErrLocked)
 }
 
-// Unwrap gives ErrLocked.
+// Unwrap returns ErrLocked.
 func (e *LockedError) Unwrap() error { return ErrLocked }
 
-// NewerSchemaError tells that the state file was written by a later version of the program. It matches ErrNewer.
+// NewerSchemaError says that the state file was written by a later version of the program. It matches ErrNewer.
 type NewerSchemaError struct {
 	Stored    uint64 // schema version of the file
 	Supported uint64 // latest schema version that this program reads
@@ -67,5 +67,5 @@
 		"start the later version, or name another directory", stateFile, ErrNewer, e.Stored, e.Supported)
 }
 
-// Unwrap gives ErrNewer.
+// Unwrap returns ErrNewer.
 func (e *NewerSchemaError) Unwrap() error { return ErrNewer }
--- a/internal/statestore/migrate.go
+++ b/internal/statestore/migrate.go
@@ -31,7 +31,7 @@
 	Entries     json.RawMessage `json:"entries"`
 }
 
-// readFirstVersion gives what a directory of the first schema version holds, nil if it is none.
+// readFirstVersion returns what a directory of the first schema version holds, nil if it is none.
 func readFirstVersion(dir string) *storedState {
 	var incarnation firstIncarnation
 	var list firstEndpoints
@@ -68,8 +68,8 @@
 	}
 	header, rest, _ := bytes.Cut(text, []byte("\n"))
 	body, complete := bytes.CutSuffix(rest, []byte("\n"))
-	wanted := fmt.Sprintf("%s %08x", firstVersionHeader, crc32.ChecksumIEEE(body))
-	if !complete || string(header) != wanted {
+	wantHeader := fmt.Sprintf("%s %08x", firstVersionHeader, crc32.ChecksumIEEE(body))
+	if !complete || string(header) != wantHeader {
 		return &DamageError{Part: part, Cause: errChecksum}
 	}
 	if err := json.Unmarshal(body, into); err != nil {
--- a/internal/statestore/records.go
+++ b/internal/statestore/records.go
@@ -5,21 +5,23 @@
 	"hash/crc32"
 )
 
+// Sizes of stored data, in bytes. All numbers are big-endian.
 const (
-	checksumSize    = 4  // bytes before each value
-	decisionKeySize = 16 // bytes: incarnation and number, both big-endian
+	checksumSize    = 4 // before each value
+	numberSize      = 8
+	decisionKeySize = 2 * numberSize // incarnation and number
 )
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// withChecksum gives a value as it is stored: its checksum, then its bytes.
+// withChecksum returns a value as it is stored: its checksum, then its bytes.
 func withChecksum(value []byte) []byte {
 	stored := make([]byte, 0, checksumSize+len(value))
 	stored = binary.BigEndian.AppendUint32(stored, crc32.Checksum(value, castagnoliTable))
 	return append(stored, value...)
 }
 
-// verifyChecksum gives the value within stored bytes, which it shares, and whether its checksum matches.
+// verifyChecksum returns the value within stored bytes, which it shares, and whether its checksum matches.
 func verifyChecksum(stored []byte) (value []byte, ok bool) {
 	if len(stored) < checksumSize {
 		return nil, false
@@ -34,7 +36,7 @@
 
 // decodeUint64 reads a stored number; 0 if it is missing or of another length.
 func decodeUint64(value []byte) uint64 {
-	if len(value) != 8 {
+	if len(value) != numberSize {
 		return 0
 	}
 	return binary.BigEndian.Uint64(value)
@@ -53,7 +55,7 @@
 		return DecisionRecord{}, false
 	}
 	record.Incarnation = binary.BigEndian.Uint64(key)
-	record.Number = binary.BigEndian.Uint64(key[8:])
+	record.Number = binary.BigEndian.Uint64(key[numberSize:])
 	record.Body = body
 	return record, true
 }
--- a/internal/statestore/recovery.go
+++ b/internal/statestore/recovery.go
@@ -106,7 +106,7 @@
 	return stored, nil
 }
 
-// readStateFile gives what is usable of a state file. A page that is missing or makes no sense ends in a panic or a
+// readStateFile returns what is usable of a state file. A page that is missing or makes no sense ends in a panic or a
 // memory fault in bbolt; both are taken here as damage, in the goroutine that reads.
 func readStateFile(path string) (stored *storedState, err error) {
 	if _, err := os.Stat(path); err != nil {
--- a/internal/statestore/recovery_test.go
+++ b/internal/statestore/recovery_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// changedBytes gives the offsets at which two images differ, in the order in which bbolt writes them: the data pages,
+// changedBytes returns the offsets at which two images differ, in the order in which bbolt writes them: the data pages,
 // then one of the two meta pages at the start.
 func changedBytes(before, after []byte) []int {
 	metaEnd := 2 * os.Getpagesize()
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -46,8 +46,8 @@
 }
 
 // Open makes the directory if it is missing, locks it, recovers what it holds and counts an incarnation. If the
-// number of the last incarnation is not known, the next one is at least floor (say the clock's seconds), as nobody
-// can tell how far the lost number had come. Errors: ErrLocked, ErrNewer, and those of the disk. Damage is no error,
+// number of the last incarnation is not known, the next one is at least floor (say the clock's seconds), as it is
+// not known how far the lost number had come. Errors: ErrLocked, ErrNewer, and those of the disk. Damage is no error,
 // see Recovered.Damage.
 func Open(dir string, floor uint64) (*Store, *Recovered, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -95,7 +95,7 @@
 	w.signal()
 }
 
-// signal has the goroutine look at what is pending.
+// signal wakes the goroutine to write what is pending; it does not wait.
 func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -123,7 +123,7 @@
 			delay = retryDelay
 		}
 		if !w.waitForWork(delay) {
-			_ = w.flush() // nobody is left to report to
+			_ = w.flush() // the writer ends: a failure is not reported any more
 			return
 		}
 		err := w.flush()
@@ -141,8 +141,8 @@
 	}
 }
 
-// waitForWork waits until something is pending and the delay after that is over. It gives false if the writer is closed
-// meanwhile.
+// waitForWork waits until something is pending and the delay after that is over. It returns false if the writer is
+// closed meanwhile.
 func (w *Writer) waitForWork(delay time.Duration) bool {
 	select {
 	case <-w.wake:
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -62,7 +62,7 @@
 	return checkAfterFullDisk(dir)
 }
 
-// forbidFileGrowth sets the limit on a file's size so low that no file grows, and gives the way back.
+// forbidFileGrowth sets the limit on a file's size so low that no file grows, and gives a function that restores it.
 func forbidFileGrowth() (restore func() error, err error) {
 	var original syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &original); err != nil {
