--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -26,7 +26,7 @@
 	}
 	skipped := list.Skipped
 	for _, endpoint := range list.Endpoints {
-		if !c.usable(endpoint) {
+		if !c.registerIfUsable(endpoint) {
 			skipped++
 			continue
 		}
@@ -42,8 +42,9 @@
 	}
 }
 
-// usable tells whether an entry has a known zone and a name that can be listed, and lists it.
-func (c *endpointCache) usable(endpoint platformmsg.Endpoint) bool {
+// registerIfUsable registers the replica of an entry, and reports whether the entry can be used: it has a known zone
+// and a name that can be registered.
+func (c *endpointCache) registerIfUsable(endpoint platformmsg.Endpoint) bool {
 	if !slices.Contains(c.zones, endpoint.Zone) {
 		return false
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -12,6 +12,9 @@
 	"peppervale/internal/netpoll"
 )
 
+// statusOK is the only HTTP status whose answer is used.
+const statusOK = 200
+
 // errAnswerComplete stops the parser after the answer to a call.
 var errAnswerComplete = errors.New("the answer is complete")
 
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -34,8 +34,8 @@
 	// second at most.
 	minPollInterval = 50 * time.Millisecond
 
-	// waitJitterFraction is the part of the wait that the agent adds at most, at random.
-	waitJitterFraction = 16
+	// waitJitterDivisor: the agent adds a random delay of up to this part of the wait (a sixteenth).
+	waitJitterDivisor = 16
 
 	consulIndexHeader = "x-consul-index"
 )
@@ -48,7 +48,7 @@
 	poller   *poller
 
 	// Of the subscription, used by the poller's goroutine only.
-	index uint64     // to wait for a change of; 0: ask for the list as it is
+	index uint64     // to wait for a change of; 0: request the list as it is
 	body  []byte     // of the last answer
 	conn  *nbio.Conn // kept open for the next poll; nil if there is none
 }
@@ -128,7 +128,7 @@
 	}
 }
 
-// target is the path of the next query: a blocking one unless the list as it is now is asked for.
+// target is the path of the next query: a blocking one unless the list as it is now is requested.
 func (c *ConsulClient) target() string {
 	path := "/v1/health/service/" + url.PathEscape(c.config.Service)
 	if c.index == 0 {
@@ -145,12 +145,12 @@
 	if c.index == 0 {
 		return c.config.Timeout
 	}
-	return c.config.Timeout + c.config.Wait + c.config.Wait/waitJitterFraction
+	return c.config.Timeout + c.config.Wait + c.config.Wait/waitJitterDivisor
 }
 
-// handle parses an answer and hands its list over if it is news.
+// handle parses an answer and hands its list over if it may have changed.
 func (c *ConsulClient) handle(message *http1.Message) error {
-	if message.Status != 200 {
+	if message.Status != statusOK {
 		return fmt.Errorf("status %d: %.80q", message.Status, message.Body)
 	}
 	index, err := strconv.ParseUint(message.Header[consulIndexHeader], 10, 64)
@@ -165,7 +165,8 @@
 		c.config.Log.Warn().Int("entries", skipped).
 			Msg("endpoint list entries skipped: no IPv4 address, unknown zone, or duplicate")
 	}
-	// Where an index is wrong (set back, or stuck) the list may change under it: its text tells.
+	// Where an index is wrong (set back, or stuck) the list may change under it, which only a comparison of the
+	// body shows.
 	if index != c.index || c.index == 0 || !bytes.Equal(message.Body, c.body) {
 		c.receiver.EndpointsChanged(model.FullList, endpoints)
 	}
--- a/internal/discovery/fakeplatform_test.go
+++ b/internal/discovery/fakeplatform_test.go
@@ -49,7 +49,7 @@
 	_ = p.listener.(*net.TCPListener).SetDeadline(time.Now().Add(timeout))
 }
 
-// expectRequest waits for a watch that asks for changes since a version, and writes an answer.
+// expectRequest waits for a watch that requests the changes since a version, and writes an answer.
 func (p *fakePlatform) expectRequest(since int, answer string) {
 	p.t.Helper()
 	p.setAcceptDeadline(20 * time.Second)
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -15,18 +15,18 @@
 	errMoved  = errors.New("the address changed")
 )
 
-// noAnswerError tells that a call had no answer in time.
+// noAnswerError is a call without an answer in time.
 type noAnswerError struct {
 	timeout time.Duration
 }
 
-// Error tells the timeout.
+// Error names the timeout.
 func (e *noAnswerError) Error() string { return fmt.Sprintf("no answer within %s", e.timeout) }
 
 // Timeout marks the error as one of time, as those of dials are marked.
 func (e *noAnswerError) Timeout() bool { return true }
 
-// isTimeout tells whether a call ended for want of any answer, or of a connection.
+// isTimeout reports whether a call ended because no answer, or no connection, came in time.
 func isTimeout(err error) bool {
 	var timeout interface {
 		error
@@ -39,19 +39,19 @@
 type pollSource interface {
 	// begin starts a subscription.
 	begin()
-	// poll makes one call, waits for its end and hands over what it brought. It gives the delay before the next call,
-	// or why the subscription ends: errClosed, or the failure.
+	// poll makes one call, waits for its end and hands over what it brought. It returns the delay before the next
+	// call, or why the subscription ends: errClosed, or the failure.
 	poll() (delay time.Duration, err error)
 	// pollFailed reports the failure that ended a subscription.
 	pollFailed(err error)
 }
 
-// callMonitor tells a poller how long to wait for a call.
+// callMonitor decides how long a poller waits for a call.
 type callMonitor interface {
 	// remaining is how long the call may still take, and the error that it ends with after that. What arrives
 	// meanwhile may extend it.
 	remaining() (time.Duration, error)
-	// superseded tells whether the call went to an address that is no longer the source's.
+	// superseded reports whether the call went to an address that is no longer the source's.
 	superseded() bool
 }
 
@@ -59,7 +59,7 @@
 // request. It has one goroutine, and so one call in flight.
 type poller struct {
 	source    pollSource
-	requested chan struct{} // a subscription was asked for
+	requested chan struct{} // a subscription was requested
 	moved     chan struct{} // the source's address changed
 	done      chan struct{}
 	stopped   chan struct{}
@@ -75,13 +75,13 @@
 	}
 }
 
-// subscribe asks for a subscription.
+// subscribe requests a subscription; it does not wait.
 func (p *poller) subscribe() { signal(p.requested) }
 
 // addressChanged ends a delay, a call that was superseded, or the wait for the next request after a failure.
 func (p *poller) addressChanged() { signal(p.moved) }
 
-// discardRequest forgets a subscription that was asked for before now.
+// discardRequest drops a request for a subscription that is still pending.
 func (p *poller) discardRequest() {
 	select {
 	case <-p.requested:
@@ -105,7 +105,7 @@
 	}
 }
 
-// awaitRequest waits until a subscription is due; a new address makes one due if there was one before. It gives false
+// awaitRequest waits until a subscription is due; a new address makes one due if there was one before. It returns false
 // once the poller is closed.
 func (p *poller) awaitRequest(subscribedBefore bool) bool {
 	for {
@@ -140,7 +140,7 @@
 	}
 }
 
-// sleep waits for a delay, or until the address changes. It gives false once the poller is closed.
+// sleep waits for a delay, or until the address changes. It returns false once the poller is closed.
 func (p *poller) sleep(delay time.Duration) bool {
 	if delay <= 0 {
 		return true
@@ -182,7 +182,7 @@
 	}
 }
 
-// signal leaves a token in a channel of one place.
+// signal leaves a token in a channel that holds one, unless one is there already.
 func signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,23 +19,23 @@
 	Address string // host:port
 	Zones   []string
 	Names   *platformmsg.ReplicaNames // learns each replica that is listed
-	Known   *platformmsg.EndpointList // the list when this instance last had it; nil: never
+	Known   *platformmsg.EndpointList // the list that this instance had last; nil: none
 	Seed    uint64                    // of the random retry delays
 	Log     zerolog.Logger
 }
 
-// What discovery has to tell counts as notified 6 s after it was due, whether it arrived or not, and the platform
-// writes an empty line to a watch every 2 s. The platform ends a call that waits there for longer than a second. So a
-// watch is dead after 3 s without a complete line: a second more than its sign of life, for the way. With the retry
-// delay (0.25 s at most) and a call (a second, and the way) the list is there 4.3 to 4.8 s after the last sign; with
-// a call that vanishes between (1.5 s, 0.25 s) at about 6 s.
+// By the platform's protocol a watch event counts as delivered 6 s after it was due, whether it arrived or not. The
+// platform writes an empty line to a watch every 2 s, and ends a call that waits there for longer than a second. So a
+// watch is dead after 3 s without a complete line: a second more than the interval of its signs of life, for the
+// network. With the retry delay (0.25 s at most) and a call (a second, and the network delay) the list is there 4.3 to
+// 4.8 s after the last sign; with a lost call in between (1.5 s, 0.25 s) at about 6 s.
 const (
 	watchSilenceTimeout = 3 * time.Second
 	watchAnswerTimeout  = 1500 * time.Millisecond // connecting included
 	maxWatchRetryDelay  = 250 * time.Millisecond
 
-	// maxWatchRetries is how many calls at most follow a live watch that ended, while nobody answers; then the poll has
-	// failed.
+	// maxWatchRetries is how many calls at most follow a live watch that ended, while none is answered; then the poll
+	// has failed.
 	maxWatchRetries = 2
 
 	// minLiveWatch is how long a watch must have lasted, by its last sign of life, to have been live.
@@ -120,7 +120,7 @@
 
 func (w *Watcher) begin() { w.retriesLeft = 0 }
 
-// pollFailed reports the failure; a subscription that was asked for before it does not count after it.
+// pollFailed reports the failure; a subscription that was requested before it does not count after it.
 func (w *Watcher) pollFailed(error) {
 	w.poller.discardRequest()
 	w.receiver.EndpointsChanged(model.PollFailed, nil)
--- a/internal/discovery/watch_address_test.go
+++ b/internal/discovery/watch_address_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestAddressChangeThereAndBack shows that a change there and back is none, and that a change before the first
-// subscription calls nobody.
+// subscription makes no call.
 func TestAddressChangeThereAndBack(t *testing.T) {
 	t.Parallel()
 	platform, other := startPlatform(t), startPlatform(t)
--- a/internal/discovery/watch_liveness_test.go
+++ b/internal/discovery/watch_liveness_test.go
@@ -8,11 +8,11 @@
 	"peppervale/internal/codec/platformmsg"
 )
 
-// notifiedAfter is when a watch event counts as notified whether it arrived or not, by the platform's protocol.
-const notifiedAfter = 6 * time.Second
+// deliveryDeadline is when a watch event counts as delivered, whether it arrived or not, by the platform's protocol.
+const deliveryDeadline = 6 * time.Second
 
 // TestSilentCallIsRepeated shows that a call that falls silent before its watch was live, wherever in its answer,
-// fails, and that the next call comes in time for what discovery has to tell.
+// fails, and that the next call comes before the delivery deadline of an event.
 func TestSilentCallIsRepeated(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
@@ -107,7 +107,7 @@
 
 func checkRepeatedInTime(t *testing.T, silentSince time.Time) {
 	t.Helper()
-	if took := time.Since(silentSince); took > notifiedAfter || took < time.Second {
+	if took := time.Since(silentSince); took > deliveryDeadline || took < time.Second {
 		t.Errorf("called again after %s", took)
 	}
 }
@@ -176,7 +176,7 @@
 	}
 }
 
-// TestOneCallInFlight shows that there is one call at a time, however often a subscription is asked for, and none
+// TestOneCallInFlight shows that there is one call at a time, however often a subscription is requested, and none
 // while a watch is open.
 func TestOneCallInFlight(t *testing.T) {
 	t.Parallel()
@@ -197,7 +197,7 @@
 	platform.expectNoRequest(200 * time.Millisecond)
 	platform.disconnect()
 	updates.expect(t, "poll failed")
-	platform.expectNoRequest(200 * time.Millisecond) // what was asked before it failed does not count after it
+	platform.expectNoRequest(200 * time.Millisecond) // what was requested before it failed does not count after it
 	watcher.Subscribe()
 	platform.expectRequest(8, watchHead)
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestVersionGoesBack shows that the complete list is asked for after a version that went back, as what lies between is
+// TestVersionGoesBack shows that the complete list is requested after a version that went back, as what lies between is
 // not known.
 func TestVersionGoesBack(t *testing.T) {
 	platform := startPlatform(t)
@@ -113,7 +113,7 @@
 	updates.expect(t, "list 1/1/1/1 3/1/1/3")
 }
 
-// TestCloseInEachState shows that closing the client ends a call in each of its states, and that nobody is notified.
+// TestCloseInEachState shows that closing the client ends a call in each of its states, and that no update follows.
 func TestCloseInEachState(t *testing.T) {
 	t.Parallel()
 	for _, state := range []string{"idle", "dialing", "waiting for an answer", "watching"} {
--- a/internal/discovery/watchstream.go
+++ b/internal/discovery/watchstream.go
@@ -17,12 +17,12 @@
 	progressSize = 16 << 10
 )
 
-// silenceError tells that a watch showed no sign of life for too long.
+// silenceError is a watch without a sign of life for too long.
 type silenceError struct {
 	timeout time.Duration
 }
 
-// Error tells the timeout.
+// Error names the timeout.
 func (e *silenceError) Error() string { return fmt.Sprintf("nothing came for %s", e.timeout) }
 
 // watchStream is one call for a watch and the answer that it leads to. What it receives is guarded by the call's lock.
@@ -31,12 +31,12 @@
 	address string
 	call    *call
 
-	line     []byte    // incomplete so far
-	progress int       // of the incomplete line, in units of progressSize
-	lastLine time.Time // when a line was completed or grew by progressSize; zero before
+	line       []byte    // incomplete so far
+	progress   int       // of the incomplete line, in units of progressSize
+	progressAt time.Time // when a line was completed or grew by progressSize; zero before
 }
 
-// superseded tells whether the watcher's address changed since the call; one that changed there and back did not.
+// superseded reports whether the watcher's address changed since the call; one that changed there and back did not.
 func (s *watchStream) superseded() bool {
 	return s.watcher.currentAddress() != s.address
 }
@@ -53,7 +53,7 @@
 	return time.Until(deadline), &silenceError{timeout: watchSilenceTimeout}
 }
 
-// wasLive tells whether the watch went on for a while, by its signs of life.
+// wasLive reports whether the watch went on for a while, by its signs of life.
 func (s *watchStream) wasLive() bool {
 	s.call.mu.Lock()
 	defer s.call.mu.Unlock()
@@ -62,16 +62,16 @@
 
 // lastSign is the last sign of life of an answer that has begun; the caller holds the call's lock.
 func (s *watchStream) lastSign() time.Time {
-	if s.lastLine.IsZero() {
+	if s.progressAt.IsZero() {
 		return s.call.firstByte
 	}
-	return s.lastLine
+	return s.progressAt
 }
 
 // receive takes a part of the answer's content and applies the events that it completes. It is called with the call's
 // lock held.
 func (s *watchStream) receive(message *http1.Message, part []byte) error {
-	if message.Status != 200 {
+	if message.Status != statusOK {
 		return fmt.Errorf("status %d", message.Status)
 	}
 	for len(part) > 0 {
@@ -97,14 +97,14 @@
 	progress := len(s.line) / progressSize
 	if progress > s.progress {
 		s.progress = progress
-		s.lastLine = time.Now()
+		s.progressAt = time.Now()
 	}
 }
 
 // completeLine applies the event of a complete line; an empty line is a sign of life only.
 func (s *watchStream) completeLine() error {
 	s.progress = 0
-	s.lastLine = time.Now()
+	s.progressAt = time.Now()
 	event := bytes.TrimSpace(s.line)
 	s.line = s.line[:0]
 	if len(event) == 0 {
