--- a/internal/config/block.go
+++ b/internal/config/block.go
@@ -9,8 +9,8 @@
 )
 
 // Block is a block of a file, or its top level. Its methods read what the block may hold and note each name that they
-// are asked for; Done reports every other name that stands in it. A method that reports an error gives a usable value
-// anyway, so that one pass finds all errors.
+// read; RejectUnknown reports every other name in it. A method that reports an error returns a usable value anyway, so
+// that one pass finds all errors.
 type Block struct {
 	Labels []string // the quoted names after its kind
 
@@ -18,7 +18,7 @@
 	reader     *Reader
 	body       *hclsyntax.Body
 	at         hcl.Range
-	missing    bool     // it does not stand in the file
+	missing    bool     // it is not in the file
 	attributes []string // names of the settings that were read
 	blocks     []string // kinds of the blocks that were read
 }
@@ -36,10 +36,10 @@
 	b.reader.addError(at, field, format, args...)
 }
 
-// Present tells a block that stands in the file from the empty one that One gives for a missing one.
+// Present reports whether the block is in the file; SingleBlock returns an empty block for one that is not.
 func (b *Block) Present() bool { return !b.missing }
 
-// HasSetting tells whether a setting is given.
+// HasSetting reports whether a setting is given.
 func (b *Block) HasSetting(setting string) bool { return b.body.Attributes[setting] != nil }
 
 // Inherit takes over from another file what this one does not have: settings by name, blocks by kind, except for some
@@ -67,7 +67,8 @@
 	}
 }
 
-// Blocks gives the blocks of a kind, with that many labels each; it reports those whose labels another one has.
+// Blocks returns the blocks of a kind, with that many labels each. It reports a block with the labels of an earlier one
+// as an error.
 func (b *Block) Blocks(kind string, labels int) []*Block {
 	all := b.RepeatedBlocks(kind, labels)
 	if labels == 0 {
@@ -105,8 +106,8 @@
 	return all
 }
 
-// SingleBlock gives the block of a kind that stands once. For a missing one it gives an empty block, whose errors are
-// dropped, and reports it if it is required.
+// SingleBlock returns the block of a kind that may appear once. For a missing one it returns an empty block, whose
+// errors are dropped, and reports an error if the block is required.
 func (b *Block) SingleBlock(kind string, labels int, required bool) *Block {
 	all := b.Blocks(kind, labels)
 	if len(all) > 1 {
@@ -149,7 +150,7 @@
 	return append(text, '\n')
 }
 
-// RejectUnknown reports settings and blocks that nobody read: this kind of block does not have them.
+// RejectUnknown reports settings and blocks that were not read: this kind of block does not have them.
 func (b *Block) RejectUnknown() {
 	for name, attribute := range b.body.Attributes {
 		if !slices.Contains(b.attributes, name) {
--- a/internal/config/channel.go
+++ b/internal/config/channel.go
@@ -6,7 +6,11 @@
 	"peppervale/internal/model"
 )
 
-// PeerLimits is what peers of the publish-subscribe channel may cost; zeros leave it to the channel.
+// defaultQueueSeconds is how much of the channel's rate its queue holds by default.
+const defaultQueueSeconds = 2
+
+// PeerLimits are the limits on peers of the publish-subscribe channel. Zero stands for the channel's own default,
+// unless a field says otherwise.
 type PeerLimits struct {
 	Connections      int           // open at once
 	Observers        int           // open at once
@@ -25,10 +29,10 @@
 	return PeerLimits{
 		Connections:      b.Int("connections", 0, 0, maxCount),
 		Observers:        b.Int("observers", 0, 0, maxCount),
-		TotalUnsentBytes: b.Int("unsent_all_bytes", 0, 0, 1<<40),
+		TotalUnsentBytes: b.Int("unsent_all_bytes", 0, 0, maxTotalUnsentBytes),
 		CommandRate:      b.Float("commands", 0, 0, maxCount),
 		CommandBurst:     b.Int("commands_burst", 2000, 2, maxCount),
-		UnsentBytes:      b.Int("unsent_bytes", 0, 0, 1<<30),
+		UnsentBytes:      b.Int("unsent_bytes", 0, 0, maxUnsentBytes),
 		GreetingTimeout:  b.Duration("greeting", 0, 0, maxDuration).Duration(),
 		JoinRate:         b.Float("joins", 0, 0, maxCount),
 		JoinBurst:        b.Int("joins_burst", 50, 1, maxCount),
@@ -36,11 +40,11 @@
 	}
 }
 
-// ReadChannelConfig reads the figures of the block channel { } that instances and checkers share. It gives the
-// channel's rate in entries a second and the load reports a second that the balancer takes.
+// ReadChannelConfig reads the settings of the block channel { } that instances and checkers share, into balancer and
+// guarantees. It returns the channel's rate in entries a second and the load reports a second that the balancer takes.
 func ReadChannelConfig(block *Block, balancer *model.Config, guarantees *Guarantees) (rate float64, reportLimit int) {
-	rate = block.Float("pace", 3000, 1, 1e9)
-	defaultQueue := int(max(1, min(2*rate, maxCount)))
+	rate = block.Float("pace", 3000, 1, maxRate)
+	defaultQueue := int(max(1, min(defaultQueueSeconds*rate, maxCount)))
 	balancer.QueueLimit = block.Int("queue", defaultQueue, 1, maxCount)
 	balancer.MessageOverhead = block.Int("overhead", 6, 0, 10_000)
 	balancer.ReportPeriod = block.Duration("period", model.Second, 10*model.Millisecond, maxDuration)
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -8,6 +8,7 @@
 
 const (
 	maxClusterMembers = 9
+	maxShardsPerZone  = 256
 	maxShards         = 4096
 )
 
@@ -15,14 +16,14 @@
 // 300 ms a busy machine loses leases without cause. The default clock drift of 5% of a lease is a thousand times what
 // quartz clocks drift, and leaves room for a machine that was paused for a moment.
 const (
-	defaultLease         = 2 * model.Second
-	minLease             = 300 * model.Millisecond
-	maxLease             = 600 * model.Second
-	defaultDriftFraction = 20
+	defaultLease        = 2 * model.Second
+	minLease            = 300 * model.Millisecond
+	maxLease            = 600 * model.Second
+	defaultDriftDivisor = 20 // the default drift is this part of a lease
 )
 
-// Cluster is the block group { }: instances that divide the fleet among them and take over from each other.
-// ShardsPerZone and the durations must be alike at all members.
+// Cluster is the block group { }: the cluster of instances that divide the fleet among them and take over from each
+// other. ShardsPerZone and the durations must be alike at all members.
 type Cluster struct {
 	Listen              string // address for raft and commands
 	Gossip              string // address for gossip
@@ -31,7 +32,7 @@
 	ShardsPerZone       int                // of the fleet
 	LeaseDuration       model.Microseconds // of a shard's lease
 	MaxClockDrift       model.Microseconds // that a clock may lose against another's within a lease
-	StabilizationPeriod model.Microseconds // that a member was back before shards return to it
+	StabilizationPeriod model.Microseconds // that a returned member must have been alive before shards move back to it
 	MoveInterval        model.Microseconds // between two migrations that nothing forces
 	Capacity            float64            // requests a second that this member handles at most; 0: any
 	Members             []ClusterMember
@@ -51,14 +52,14 @@
 		Gossip:        block.Address("gossip", false),
 		Zone:          block.String("zone", "", server.Zones...),
 		Join:          block.Bool("join", false),
-		ShardsPerZone: block.Int("parts", 4, 1, 256),
+		ShardsPerZone: block.Int("parts", 4, 1, maxShardsPerZone),
 		LeaseDuration: block.Duration("span", defaultLease, minLease, maxLease),
 	}
-	defaultDrift := cluster.LeaseDuration / defaultDriftFraction
+	defaultDrift := cluster.LeaseDuration / defaultDriftDivisor
 	cluster.MaxClockDrift = block.Duration("drift", defaultDrift, model.Millisecond, maxLease)
 	cluster.StabilizationPeriod = block.Duration("settle", 10*model.Second, 0, maxDuration)
 	cluster.MoveInterval = block.Duration("pace", 2*model.Second, 0, maxDuration)
-	cluster.Capacity = block.Float("limit", 0, 0, 1e9)
+	cluster.Capacity = block.Float("limit", 0, 0, maxRate)
 	if cluster.MaxClockDrift >= cluster.LeaseDuration {
 		block.AddError("drift", "drift: must be shorter than span")
 	}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -16,7 +16,7 @@
 	Cause        error  // the error of the file system or the decoder; nil if there is none
 }
 
-// Error gives the place and the text.
+// Error returns the place and the text.
 func (e Error) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("%s: %s", e.File, e.Text)
@@ -24,13 +24,13 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Text)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e Error) Unwrap() error { return e.Cause }
 
 // Errors is all that is wrong with a file, in its order; never empty.
 type Errors []Error
 
-// Error gives a line for each error.
+// Error returns a line for each error.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -39,7 +39,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap gives each error.
+// Unwrap returns each error.
 func (es Errors) Unwrap() []error {
 	all := make([]error, len(es))
 	for i, e := range es {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"math"
 	"slices"
 
 	"peppervale/internal/model"
@@ -14,12 +15,12 @@
 	ColdCapacity          float64            // fraction of its capacity that it has at least when it starts
 	OverloadFactor        float64            // a replica fails under this multiple of its capacity...
 	OverloadDuration      model.Microseconds // ...that lasts for so long
-	MaxPollInterval       model.Microseconds // without a subscription, a change that old counts as notified
+	MaxPollInterval       model.Microseconds // without a subscription, a change is taken as known after this time
 	QueueLimit            int                // entries that may wait in the channel
-	MessageLimit          int                // messages to one proxy within WriteSpan; 0: no limit
+	MessageLimit          int                // messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow         model.Microseconds
 	FirstAttemptFraction  float64           // fraction of the latency objective that a first attempt waits before a retry
-	DefaultRetryPolicy    model.RetryPolicy // of proxies without an order
+	DefaultRetryPolicy    model.RetryPolicy // of proxies that were sent no quota
 }
 
 // RetryPolicyNames are the names of the retry policies in files, in the order of model.RetryPolicy.
@@ -57,7 +58,7 @@
 }
 
 func readFleet(block *Block, balancer *model.Config, guarantees *Guarantees) {
-	balancer.ProxyCount = block.Int("forwarders", 0, 1, 65535)
+	balancer.ProxyCount = block.Int("forwarders", 0, 1, math.MaxUint16) // a model.ProxyID has 16 bits
 	balancer.StandingTableSize = block.Int("standing", 6, 1, maxCount)
 	balancer.MinReplicaConnections = block.Int("connections_least", 100, 1, maxCount)
 	balancer.ProxiesAvoidFailing = block.Bool("avoids", false)
--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -20,9 +20,9 @@
 // Operation is one kind of request.
 type Operation struct {
 	Name              string
-	LatencyObjective  model.Microseconds // latency objective
+	LatencyObjective  model.Microseconds // within which a request is to be answered
 	Timeout           model.Microseconds // of the caller
-	PriorityWeight    float64            // priority weight
+	PriorityWeight    float64            // value of a request relative to those of other operations
 	Effect            Effect
 	IdempotencyWindow model.Microseconds // how long an idempotency key is remembered; 0 for other effects
 }
@@ -46,7 +46,7 @@
 	if operation.Timeout < operation.LatencyObjective {
 		block.AddError("timeout", "timeout: the integration timeout ends before the latency objective")
 	}
-	operation.PriorityWeight = block.Float("billed_value", 1, 0, 1e9)
+	operation.PriorityWeight = block.Float("billed_value", 1, 0, maxPriorityWeight)
 	effects := []string{string(Idempotent), string(IdempotentWithKey), string(SideEffecting)}
 	operation.Effect = Effect(block.String("effect", "", effects...))
 	if operation.Effect == IdempotentWithKey {
--- a/internal/config/platform_property_test.go
+++ b/internal/config/platform_property_test.go
@@ -30,7 +30,7 @@
 	total, started := 0, 0
 	defer func() {
 		if started*4 < total {
-			t.Errorf("%d of %d started: the others were refused", started, total)
+			t.Errorf("%d of %d started: the others were rejected", started, total)
 		}
 	}()
 	rapid.Check(t, func(t *rapid.T) {
@@ -49,14 +49,14 @@
 	})
 }
 
-// drawFigure draws a usual figure or, sometimes, an odd value; nil leaves it out.
-func drawFigure(t *rapid.T, name string, usual float64) any {
+// drawFigure draws a typical figure or, sometimes, an odd value; nil leaves it out.
+func drawFigure(t *rapid.T, name string, typical float64) any {
 	odd := []any{0.0, 1.0, 0.001, 1e9, nil, -1.0, 1e300, "x"}
 	place := rapid.IntRange(0, 99).Draw(t, name) - 50 // draws lean to the ends
 	if place >= 0 && place < len(odd) {
 		return odd[place]
 	}
-	return usual
+	return typical
 }
 
 func drawPlatformFile(t *rapid.T) []byte {
@@ -110,8 +110,8 @@
 		"class_own_zone": rapid.SampledFrom(ownZone).Draw(t, "own zone"),
 	}
 	for _, figure := range []struct {
-		name  string
-		usual float64
+		name    string
+		typical float64
 	}{
 		{"default_size", 6},
 		{"fails_to_eject", 0},
@@ -126,7 +126,7 @@
 		{"smallest_conn_table", 150},
 		{"push_delay_max", 500},
 	} {
-		if value := drawFigure(t, figure.name, figure.usual); value != nil {
+		if value := drawFigure(t, figure.name, figure.typical); value != nil {
 			extra[figure.name] = value
 		}
 	}
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -69,7 +69,7 @@
 	})
 }
 
-// Err gives all errors as Errors, in the file's order, or nil.
+// Err returns all errors as Errors, in the file's order, or nil.
 func (r *Reader) Err() error {
 	if len(r.errors) == 0 {
 		return nil
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// reloadRule says of a part of a file whether a running instance can adopt a change of it.
+// reloadRule says whether a running instance can adopt a change of one part of a file.
 type reloadRule struct {
 	name          string
 	value         func(*Server) any
@@ -55,24 +55,24 @@
 	return balancer
 }
 
-// Reload compares the file in force with a new reading of it. The file is adopted as a whole: if anything in it cannot
-// change while the instance runs, the error names each such part with its reason, and the old file stays in force.
-// Otherwise changed describes each part that differs.
+// Reload compares the file in force with a new reading of it. The file is adopted completely or not at all: if
+// anything in it cannot change while the instance runs, the error names each such part with its reason, and the old
+// file stays in force. Otherwise changed describes each part that differs.
 func Reload(old, next *Server) (changed []string, err error) {
-	var refused []string
+	var needRestart []string
 	for _, rule := range reloadRules {
 		before, after := rule.value(old), rule.value(next)
 		switch {
 		case reflect.DeepEqual(before, after):
 		case rule.restartReason != "":
-			refused = append(refused, fmt.Sprintf("%s: %s", rule.name, rule.restartReason))
+			needRestart = append(needRestart, fmt.Sprintf("%s: %s", rule.name, rule.restartReason))
 		default:
 			changed = append(changed, fmt.Sprintf("%s: %+v, was %+v", rule.name, after, before))
 		}
 	}
-	if len(refused) > 0 {
+	if len(needRestart) > 0 {
 		return nil, fmt.Errorf("the old settings stay in force, all of them; these need a restart:\n  %s",
-			strings.Join(refused, "\n  "))
+			strings.Join(needRestart, "\n  "))
 	}
 	return changed, nil
 }
--- a/internal/config/server.go
+++ b/internal/config/server.go
@@ -8,10 +8,14 @@
 	"peppervale/internal/model"
 )
 
-// Limits of the file's figures; generous, they catch a slip of units or digits.
+// Limits of the file's numbers; generous, they catch a wrong unit or digit.
 const (
-	maxDuration = 3600 * model.Second
-	maxCount    = 1_000_000
+	maxDuration         = 3600 * model.Second
+	maxCount            = 1_000_000
+	maxRate             = 1e9 // a second
+	maxPriorityWeight   = 1e9
+	maxUnsentBytes      = 1 << 30
+	maxTotalUnsentBytes = 1 << 40
 )
 
 // Server is the configuration file of an instance.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,7 +16,8 @@
 	l.add(name, fmt.Sprintf(format, args...))
 }
 
-// Settings gives the settings as they were read, defaults included, for display: name and value, in the file's order.
+// Settings returns the settings as they were read, defaults included, for display: name and value, in the file's order.
+// The console shows the texts, which is why they keep the words of the file format.
 func (s *Server) Settings() [][2]string {
 	var list settingList
 	list.add("governor", s.Name)
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -59,46 +59,46 @@
 	return b.String(name, "")
 }
 
-// Strings reads a list of strings, each of which may stand once.
+// Strings reads a list of strings, each of which may appear once.
 func (b *Block) Strings(name string, required bool) []string {
-	return b.texts(name, required, true)
+	return b.stringList(name, required, true)
 }
 
-// InstanceZones reads the setting governors: a zone for each instance, which may stand more than once.
+// InstanceZones reads the setting governors: a zone for each instance, which may appear more than once.
 func (b *Block) InstanceZones() []string {
 	const name = "governors"
-	zones := b.texts(name, true, false)
+	zones := b.stringList(name, true, false)
 	if b.HasSetting(name) && len(zones) == 0 {
 		b.AddError(name, "governors: a list of zones is wanted, one for each governor")
 	}
 	return zones
 }
 
-func (b *Block) texts(name string, required, unique bool) []string {
-	value, place, ok := b.value(name, required)
+func (b *Block) stringList(name string, required, unique bool) []string {
+	value, position, ok := b.value(name, required)
 	if !ok {
 		return nil
 	}
 	if !value.Type().IsTupleType() {
-		b.addNoListError(place, name)
+		b.addNotAListError(position, name)
 		return nil
 	}
 	var texts []string
 	for _, element := range value.AsValueSlice() {
 		if element.Type() != cty.String {
-			b.addNoListError(place, name)
+			b.addNotAListError(position, name)
 			return nil
 		}
 		text := element.AsString()
 		if unique && slices.Contains(texts, text) {
-			b.reader.addError(place, name, "%s: %q stands there twice; leave one out", name, text)
+			b.reader.addError(position, name, "%s: %q stands there twice; leave one out", name, text)
 		}
 		texts = append(texts, text)
 	}
 	return texts
 }
 
-func (b *Block) addNoListError(at hcl.Range, name string) {
+func (b *Block) addNotAListError(at hcl.Range, name string) {
 	b.reader.addError(at, name, "%s: a list of texts is wanted, [\"a\", \"b\"]", name)
 }
 
@@ -151,23 +151,23 @@
 // Duration reads a duration with its unit ("500ms", "2s") from shortest to longest; a fallback below 0 makes it
 // required.
 func (b *Block) Duration(name string, fallback, shortest, longest model.Microseconds) model.Microseconds {
-	value, place, ok := b.value(name, fallback < 0)
+	value, position, ok := b.value(name, fallback < 0)
 	if !ok {
 		return max(fallback, shortest)
 	}
 	if value.Type() == cty.Number {
 		number, _ := value.AsBigFloat().Float64()
-		b.reader.addError(place, name, "%s: a time without a unit; write \"%gms\" or \"%gs\"", name, number, number)
+		b.reader.addError(position, name, "%s: a time without a unit; write \"%gms\" or \"%gs\"", name, number, number)
 		return shortest
 	}
 	duration, ok := parseDuration(value)
 	if !ok {
-		b.reader.addError(place, name, "%s: a time with its unit is wanted, as \"500ms\" or \"2s\"", name)
+		b.reader.addError(position, name, "%s: a time with its unit is wanted, as \"500ms\" or \"2s\"", name)
 		return shortest
 	}
 	microseconds := model.Microseconds(duration / time.Microsecond)
 	if microseconds < shortest || microseconds > longest {
-		b.reader.addError(place, name, "%s: %s lies outside %s to %s",
+		b.reader.addError(position, name, "%s: %s lies outside %s to %s",
 			name, duration, shortest.Duration(), longest.Duration())
 	}
 	return microseconds
