--- a/internal/cluster/apply.go
+++ b/internal/cluster/apply.go
@@ -15,7 +15,7 @@
 	lease.Response
 }
 
-// Apply carries out an entry that was committed in a raft term, and gives the responses to a RenewLeases. An entry of
+// Apply carries out an entry that was committed in a raft term, and returns the responses to a RenewLeases. An entry of
 // a term whose leader has not announced itself has no effect: its stamp is of a clock that leases are not counted by.
 func (s *State) Apply(entry LogEntry, term uint64) []ShardResponse {
 	if s.NewerSchemaVersion == 0 && entry.SchemaVersion > s.supportedVersion {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -252,7 +252,7 @@
 	return c.member.IsLeaseHolder(shard, c.config.Now())
 }
 
-// TargetChannel gives the channel address of the member that a shard is placed on; "" if that is this one, or no
+// TargetChannel returns the channel address of the member that a shard is placed on; "" if that is this one, or no
 // member that is alive.
 func (c *Cluster) TargetChannel(shard int) string {
 	c.mu.Lock()
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -44,7 +44,7 @@
 	supportedVersion uint8        // set by tests: newest supported schema version; 0: schemaVersion
 }
 
-// addressOf gives the address of a member by this member's own file, or the fallback if the file does not name it.
+// addressOf returns the address of a member by this member's own file, or the fallback if the file does not name it.
 func (c *Config) addressOf(name, fallback string) string {
 	for _, peer := range c.Peers {
 		if peer.Name == name {
@@ -54,7 +54,7 @@
 	return fallback
 }
 
-// nameAt gives the peer with a cluster address; "" for none.
+// nameAt returns the peer with a cluster address; "" for none.
 func (c *Config) nameAt(address string) string {
 	for _, peer := range c.Peers {
 		if peer.Address == address {
--- a/internal/cluster/errors.go
+++ b/internal/cluster/errors.go
@@ -75,7 +75,7 @@
 		e.Path, e.Cause, e.Directory)
 }
 
-// Unwrap gives what is wrong with the file.
+// Unwrap returns what is wrong with the file.
 func (e *DamagedLogError) Unwrap() error { return e.Cause }
 
 // noAddressError is a raft peer that this member's file does not name.
--- a/internal/cluster/fsm.go
+++ b/internal/cluster/fsm.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// Snapshot gives the state as it is now.
+// Snapshot returns the state as it is now.
 func (f fsm) Snapshot() (raft.FSMSnapshot, error) {
 	snapshot, err := f.machine.snapshot()
 	return encodedSnapshot(snapshot), err
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// alive gives the names of the members that seem alive.
+// alive returns the names of the members that seem alive.
 func (g *gossip) alive() map[string]bool {
 	names := map[string]bool{}
 	for _, node := range g.list.Members() {
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -10,8 +10,8 @@
 )
 
 // Handover is what a lease holder passes on to the next one with the shards that it gives away: what it has measured,
-// not what is to be done. After an unplanned takeover there is none. Its CBOR names are pinned, as members of other versions have
-// them.
+// not what is to be done. After an unplanned takeover there is none. Its CBOR names are pinned, as members of other
+// versions have them.
 type Handover struct {
 	From           string             `cbor:"From"` // the member that gives the shards away
 	Shards         []int              `cbor:"Parts"`
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -19,7 +19,7 @@
 //	held       renewal of a member that lags    held       not counted: the lease expires
 //	held       placed on another member         released   lost, then a ReleaseLeases
 //	held       the lease expires                not held   lost
-//	not held   a renewal of it is granted late  held       gained again, in the same epoch: no other member held it since
+//	not held   a renewal of it is granted late  held       gained again, in the same epoch: it had no other holder
 //	held       newer schema, or other settings  not held   lost, no ReleaseLeases: its effect is not known
 type Member struct {
 	Name        string
@@ -161,7 +161,7 @@
 	return registered.Incarnation == m.Incarnation && registered.Record == m.Record
 }
 
-// Announcement gives the command with which this member begins to lead.
+// Announcement returns the command with which this member begins to lead.
 func (m *Member) Announcement(now model.Microseconds) Command {
 	command := LeaderElected{
 		Leader:         m.Name,
@@ -187,7 +187,7 @@
 	Epoch uint64
 }
 
-// Tick gives the leases that changed since the last one, and the commands to propose once the changes are carried
+// Tick returns the leases that changed since the last one, and the commands to propose once the changes are carried
 // out: a ReleaseLeases may leave only when no message for the shard is under way any more. alive reports
 // whether a member seems alive by gossip; nil: all do.
 func (m *Member) Tick(now model.Microseconds, leads bool, alive func(name string) bool) ([]LeaseChange, []Command) {
@@ -231,7 +231,7 @@
 	return changes, releases
 }
 
-// TargetChannel gives the channel address of the member that a shard is placed on. It is "" if that is this one,
+// TargetChannel returns the channel address of the member that a shard is placed on. It is "" if that is this one,
 // none, or a member without a recent heartbeat: a proxy redirected there would most likely find no listener, and lose
 // the time.
 func (m *Member) TargetChannel(number int, now model.Microseconds) string {
--- a/internal/cluster/planning.go
+++ b/internal/cluster/planning.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// plan gives the leader's migrations, if there are any now.
+// plan returns the leader's migrations, if there are any now.
 func (m *Member) plan(now model.Microseconds, leads bool, alive func(string) bool) (command Command, due bool) {
 	if !leads || m.state.Leader != m.Name {
 		return nil, false
@@ -62,7 +62,8 @@
 // moved one by one after.
 func (m *Member) waitsForFirstMembers(now model.Microseconds) bool {
 	neverHeld := func(shard *ShardState) bool { return shard.Lease.Epoch == 0 }
-	return now-m.planning.startedAt < m.settings.Lease.Duration/registrationTimesPerLease && slices.ContainsFunc(m.state.Shards, neverHeld)
+	registrationTime := m.settings.Lease.Duration / registrationTimesPerLease
+	return now-m.planning.startedAt < registrationTime && slices.ContainsFunc(m.state.Shards, neverHeld)
 }
 
 func (m *Member) waitsForPlacement(now model.Microseconds) bool {
@@ -115,9 +116,9 @@
 	return shards
 }
 
-// reachableInstead gives the member that most of a shard's proxies keep connecting to while none of them is connected to
-// the holder, for a lease's duration already: their link to the holder is cut, though the cluster's is not. "" for
-// none.
+// reachableInstead returns the member that most of a shard's proxies keep connecting to while none of them is
+// connected to the holder, for a lease's duration already: their link to the holder is cut, though the cluster's is
+// not. "" for none.
 func (m *Member) reachableInstead(shard *ShardState, now model.Microseconds) string {
 	name := m.mostMisrouted(shard)
 	if !shard.NoProxies || name == "" || m.state.Holder(shard) != shard.Target {
@@ -135,7 +136,7 @@
 	return name
 }
 
-// mostMisrouted gives the member, other than a shard's target, that most of its proxies connect to in vain; "" for
+// mostMisrouted returns the member, other than a shard's target, that most of its proxies connect to in vain; "" for
 // none.
 func (m *Member) mostMisrouted(shard *ShardState) (name string) {
 	most := 0
--- a/internal/cluster/raftnode.go
+++ b/internal/cluster/raftnode.go
@@ -37,7 +37,7 @@
 type stateMachine interface {
 	// applied takes a committed entry.
 	applied(entry LogEntry, term uint64)
-	// announcement gives the command to begin a leadership with.
+	// announcement returns the command to begin a leadership with.
 	announcement() Command
 	snapshot() ([]byte, error)
 	restore(state *State)
@@ -220,7 +220,7 @@
 	return n.announced
 }
 
-// leader gives the member that leads, as far as this one knows; "" for none.
+// leader returns the member that leads, as far as this one knows; "" for none.
 func (n *raftNode) leader() (name, address string) {
 	knownAddress, id := n.raft.LeaderWithID()
 	if id == "" {
@@ -229,7 +229,7 @@
 	return string(id), n.config.addressOf(string(id), string(knownAddress))
 }
 
-// voters gives the members that vote, by name, with their addresses; nil if they are not known.
+// voters returns the members that vote, by name, with their addresses; nil if they are not known.
 func (n *raftNode) voters() map[string]string {
 	future := n.raft.GetConfiguration()
 	if future.Error() != nil {
@@ -273,7 +273,7 @@
 // peerAddresses lets each member's own file say how it reaches the others.
 type peerAddresses struct{ config *Config }
 
-// ServerAddr gives the address of a member by its name.
+// ServerAddr returns the address of a member by its name.
 func (p peerAddresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	if address := p.config.addressOf(string(id), ""); address != "" {
 		return raft.ServerAddress(address), nil
--- a/internal/cluster/record.go
+++ b/internal/cluster/record.go
@@ -44,7 +44,7 @@
 	On               bool                          `cbor:"On"`
 }
 
-// Encode gives the stored form of an entry.
+// Encode returns the stored form of an entry.
 func (e LogEntry) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(e.record())
 	if err != nil {
--- a/internal/cluster/renewal.go
+++ b/internal/cluster/renewal.go
@@ -48,7 +48,8 @@
 
 // isDue reports whether the next RenewLeases is to be sent.
 func (h *heartbeat) isDue(now, duration model.Microseconds) bool {
-	if h.pending && now-h.sentAt < duration/responseTimeoutsPerLease { // another request would make the response to this one worthless
+	responseMayCome := h.pending && now-h.sentAt < duration/responseTimeoutsPerLease
+	if responseMayCome { // another request would make this response worthless
 		return false
 	}
 	if h.refused && !h.pending {
--- a/internal/cluster/settings.go
+++ b/internal/cluster/settings.go
@@ -23,7 +23,7 @@
 	return hash.Sum64()
 }
 
-// ShardOf gives the shard of a proxy: one of its zone's shards, by a hash of its name.
+// ShardOf returns the shard of a proxy: one of its zone's shards, by a hash of its name.
 func (s Settings) ShardOf(zone int, name string) int {
 	const multiplier = 0x45d9f3b // of a common 32-bit integer hash; another one would move proxies to other shards
 	hash := fnv.New32a()
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -118,7 +118,7 @@
 	return snapshot, nil
 }
 
-// Member gives a member by its name; nil for none.
+// Member returns a member by its name; nil for none.
 func (s *State) Member(name string) *MemberState {
 	for _, member := range s.Members {
 		if member.Name == name {
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// shard gives a shard by its number; nil for none.
+// shard returns a shard by its number; nil for none.
 func (s *State) shard(number int) *ShardState {
 	if number < 0 || number >= len(s.Shards) {
 		return nil
@@ -145,7 +145,7 @@
 	return s.Shards[number]
 }
 
-// activeMember gives a member and its identity in leases, if the incarnation is its newest and it is not removed; nil
+// activeMember returns a member and its identity in leases, if the incarnation is its newest and it is not removed; nil
 // otherwise.
 func (s *State) activeMember(name string, incarnation uint64) (*MemberState, lease.Holder) {
 	for i, member := range s.Members {
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -268,7 +268,8 @@
 	return newest
 }
 
-// hasTakenOver reports whether a member knows all members by new incarnations, and all shards by newer epochs than stored.
+// hasTakenOver reports whether a member knows all members by new incarnations, and all shards by newer epochs than
+// stored.
 func hasTakenOver(status Status, stored *State) bool {
 	isOld := func(member MemberStatus) bool { return member.Incarnation <= fixtureIncarnations }
 	if len(status.Members) != fixtureMembers || slices.ContainsFunc(status.Members, isOld) {
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -49,7 +49,7 @@
 	WaitReason     string             `json:"waits_for,omitempty"`
 }
 
-// Status gives what this member knows now, without a request to any other member.
+// Status returns what this member knows now, without a request to any other member.
 func (c *Cluster) Status() Status {
 	voters := c.node.voters()
 	alive := c.gossip.alive()
--- a/internal/cluster/storedstate_test.go
+++ b/internal/cluster/storedstate_test.go
@@ -361,7 +361,7 @@
 	}
 }
 
-// replay gives the state after the entries behind a snapshot.
+// replay returns the state after the entries behind a snapshot.
 func replay(t *testing.T, s stored) *State {
 	t.Helper()
 	state, err := ReadState(s.snapshot)
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// leaderOf gives the number of the leader that a member knows; false for none.
+// leaderOf returns the number of the leader that a member knows; false for none.
 func (c *testCluster) leaderOf(k int) (leader int, known bool) {
 	name, _ := c.members[k].node.leader()
 	_, err := fmt.Sscanf(name, "m%d", &leader)
@@ -258,7 +258,7 @@
 	}
 }
 
-// held gives how many shards each member holds now, by its own clock and leases.
+// held returns how many shards each member holds now, by its own clock and leases.
 func (c *testCluster) held() (counts []int) {
 	for _, member := range c.members {
 		count := 0
--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -253,7 +253,7 @@
 
 var _ raft.StreamLayer = (*raftStreams)(nil)
 
-// hand gives a connection to raft; false: raft takes no more.
+// hand passes a connection to raft; false: raft takes no more.
 func (s *raftStreams) hand(conn net.Conn) bool {
 	select {
 	case s.accepted <- conn:
