--- a/internal/cluster/apply.go
+++ b/internal/cluster/apply.go
@@ -40,7 +40,7 @@
 			shard.Lease.NewLeader(stamp)
 			continue
 		}
-		shard.Lease.NewLeaderThatSaw(lease.Observation(c.Observations[i]), stamp)
+		shard.Lease.NewLeaderWithObservation(lease.Observation(c.Observations[i]), stamp)
 	}
 	for _, member := range state.Members {
 		member.RenewedAt = stamp - max(0, c.RenewalAges[member.Name])
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -65,7 +65,7 @@
 	}
 	cluster.member = cluster.newMember()
 	started := make(chan struct{})
-	if err := cluster.openParts(started); err != nil {
+	if err := cluster.openComponents(started); err != nil {
 		return nil, err
 	}
 	close(started)
@@ -97,9 +97,9 @@
 	return member
 }
 
-// openParts opens the port, raft and gossip, in this order, or none of them. Requests are refused until started is
+// openComponents opens the port, raft and gossip, in this order, or none of them. Requests are refused until started is
 // closed.
-func (c *Cluster) openParts(started <-chan struct{}) (err error) {
+func (c *Cluster) openComponents(started <-chan struct{}) (err error) {
 	answer := func(words []string) ([]byte, error) {
 		select {
 		case <-started:
@@ -312,7 +312,7 @@
 func (c *Cluster) snapshot() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.member.state.Bytes()
+	return c.member.state.Encode()
 }
 
 func (c *Cluster) restore(state *State) {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -161,7 +161,7 @@
 		cluster.start(k)
 		cluster.awaitHeld(2, 2, 2)
 	}
-	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{of: 99}}
+	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
 	cluster.await("one of the newer members leads and proposes", func() bool {
 		k, known := cluster.leaderOf(2)
 		if !known {
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -81,7 +81,7 @@
 
 // unknownCommand is a command of a kind that this program does not know.
 type unknownCommand struct {
-	of commandKind
+	storedKind commandKind
 }
 
 // ShardRequest is one shard of a RenewLeases or ReleaseLeases.
--- a/internal/cluster/commands_test.go
+++ b/internal/cluster/commands_test.go
@@ -35,7 +35,7 @@
 		},
 		kindDrainMember:  DrainMember{Member: "m1", Drain: true, ByOperator: true},
 		kindRemoveMember: RemoveMember{Member: "m1"},
-		99:               unknownCommand{of: 99},
+		99:               unknownCommand{storedKind: 99},
 	}
 	for kind, command := range commands {
 		if value := reflect.ValueOf(command); kind != 99 {
@@ -78,7 +78,7 @@
 	sim.members[1].Applied(undecodable, sim.term, sim.now)
 	sim.wantHeld(2, 0, 2)
 	var newer *NewerSchemaError
-	if _, err := sim.members[1].State().Bytes(); !errors.As(err, &newer) || newer.Version != undecodableVersion {
+	if _, err := sim.members[1].State().Encode(); !errors.As(err, &newer) || newer.Version != undecodableVersion {
 		t.Errorf("a snapshot after it: %v", err)
 	}
 }
--- a/internal/cluster/fsm.go
+++ b/internal/cluster/fsm.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	state, err := ReadState(snapshot)
+	state, err := DecodeState(snapshot)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -257,9 +257,10 @@
 func TestNewerSchemaVersionExcludesMember(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
-	sim.members[1].Applied(LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{of: 99}}, sim.term, sim.now)
+	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
+	sim.members[1].Applied(newer, sim.term, sim.now)
 	sim.wantHeld(2, 0, 2)
-	if _, err := sim.members[1].State().Bytes(); err == nil {
+	if _, err := sim.members[1].State().Encode(); err == nil {
 		t.Error("a snapshot of what is not supported")
 	}
 	sim.run(10 * model.Second)
@@ -279,21 +280,21 @@
 func TestSnapshotRoundTrip(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
-	snapshot, err := sim.members[0].state.Bytes()
+	snapshot, err := sim.members[0].state.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := ReadState(snapshot)
+	restored, err := DecodeState(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := r.Bytes()
-	if string(again) != string(snapshot) || *r.Shards[3] != *sim.members[0].state.Shards[3] {
+	again, _ := restored.Encode()
+	if string(again) != string(snapshot) || *restored.Shards[3] != *sim.members[0].state.Shards[3] {
 		t.Error("the state from a snapshot differs")
 	}
-	for n := range len(snapshot) { // cut anywhere it is refused, and nothing falls over
-		if _, err := ReadState(snapshot[:n]); err == nil {
-			t.Fatalf("%d bytes of %d are taken", n, len(snapshot))
+	for size := range len(snapshot) { // truncated anywhere it is rejected, without a panic
+		if _, err := DecodeState(snapshot[:size]); err == nil {
+			t.Fatalf("%d bytes of %d are accepted", size, len(snapshot))
 		}
 	}
 }
@@ -304,13 +305,13 @@
 	sim.run(5 * model.Second)
 	sim.elect(1)
 	sim.run(100 * model.Millisecond)
-	m := sim.members[0]
-	before := *m.state.Shards[0]
+	member := sim.members[0]
+	before := *member.state.Shards[0]
 	renewal := RenewLeases{Member: "m1", Incarnation: 1, Requests: []ShardRequest{{Shard: 0, Sequence: 9}}}
 	late := LogEntry{SchemaVersion: schemaVersion, At: sim.now + 3600*model.Second, Command: renewal}
-	m.Applied(late, sim.term-1, sim.now)
-	if *m.state.Shards[0] != before {
-		t.Error("a stamp of a replaced leader'sim clock was taken")
+	member.Applied(late, sim.term-1, sim.now)
+	if *member.state.Shards[0] != before {
+		t.Error("a stamp of a replaced leader's clock was taken")
 	}
 }
 
@@ -351,12 +352,12 @@
 			}
 		}
 		sim.run(20 * model.Second)
-		sum := 0
+		held := 0
 		for k := range sim.members {
-			sum += sim.held(k)
+			held += sim.held(k)
 		}
-		if sum != 6 {
-			draws.Fatalf("%d shards of 6 are held", sum)
+		if held != 6 {
+			draws.Fatalf("%d shards of 6 are held", held)
 		}
 	})
 }
--- a/internal/cluster/record.go
+++ b/internal/cluster/record.go
@@ -96,7 +96,7 @@
 	case kindRemoveMember:
 		return RemoveMember{Member: r.Member}
 	}
-	return unknownCommand{of: r.Kind}
+	return unknownCommand{storedKind: r.Kind}
 }
 
 func (LeaderElected) kind() commandKind    { return kindLeaderElected }
@@ -106,7 +106,7 @@
 func (SetPlacement) kind() commandKind     { return kindSetPlacement }
 func (DrainMember) kind() commandKind      { return kindDrainMember }
 func (RemoveMember) kind() commandKind     { return kindRemoveMember }
-func (c unknownCommand) kind() commandKind { return c.of }
+func (c unknownCommand) kind() commandKind { return c.storedKind }
 
 func (c LeaderElected) store(record *commandRecord) {
 	record.Member = c.Leader
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -86,8 +86,8 @@
 	return state
 }
 
-// ReadState reads a snapshot. It fails with a NewerSchemaError for one of a newer program.
-func ReadState(snapshot []byte) (*State, error) {
+// DecodeState reads a snapshot. It fails with a NewerSchemaError for one of a newer program.
+func DecodeState(snapshot []byte) (*State, error) {
 	state := &State{supportedVersion: schemaVersion}
 	if err := cbor.Unmarshal(snapshot, state); err != nil {
 		return nil, fmt.Errorf("cluster: a snapshot that cannot be read: %w", err)
@@ -101,9 +101,9 @@
 	return state, nil
 }
 
-// Bytes is the state as a snapshot has it. It fails with a NewerSchemaError after an entry that this program does not
-// support.
-func (s *State) Bytes() ([]byte, error) {
+// Encode returns the state as a snapshot has it. It fails with a NewerSchemaError after an entry that this program does
+// not support.
+func (s *State) Encode() ([]byte, error) {
 	if s.NewerSchemaVersion > 0 {
 		return nil, &NewerSchemaError{
 			Found:     "the log has an entry",
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -189,11 +189,11 @@
 		directory := filepath.Join(t.TempDir(), name)
 		unpackDirectory(t, name, directory)
 		read := readDirectory(t, directory)
-		state, err := ReadState(read.snapshot)
+		state, err := DecodeState(read.snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := state.Bytes()
+		again, err := state.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -207,7 +207,7 @@
 		}
 		check(t, name+" votes", read.votes, wantVotes)
 		check(t, name+" log", describeLog(t, read.entries), wantLog)
-		check(t, name+" snapshot'read place", meta, wantMeta)
+		check(t, name+" place of the snapshot", meta, wantMeta)
 		check(t, name+" snapshot", describeState(state), wantSnapshot)
 		check(t, name+" snapshot and log", describeState(replay(t, read)), wantReplayed)
 	}
@@ -220,10 +220,10 @@
 		cluster.incarnations = fixtureIncarnations
 		unpackDirectory(t, cluster.configs[k].Name, cluster.configs[k].Directory)
 		cluster.start(k)
-		g := cluster.members[k]
-		g.mu.Lock()
-		got := describeState(g.member.state)
-		g.mu.Unlock()
+		member := cluster.members[k]
+		member.mu.Lock()
+		got := describeState(member.member.state)
+		member.mu.Unlock()
 		check(t, cluster.configs[k].Name, got, wantSnapshot)
 		cluster.stop(k)
 	}
--- a/internal/cluster/storedstate_test.go
+++ b/internal/cluster/storedstate_test.go
@@ -67,18 +67,18 @@
 }
 
 // describeState has a line for each member, shard and event.
-func describeState(r *State) string {
-	top := *r
+func describeState(state *State) string {
+	top := *state
 	top.Members, top.Shards, top.Events = nil, nil, nil
 	lines := []string{describe(top)}
-	for _, m := range r.Members {
-		lines = append(lines, "member "+describe(m))
+	for _, member := range state.Members {
+		lines = append(lines, "member "+describe(member))
 	}
-	for _, p := range r.Shards {
-		lines = append(lines, "part "+describe(p))
+	for _, shard := range state.Shards {
+		lines = append(lines, "part "+describe(shard))
 	}
-	for _, e := range r.Events {
-		lines = append(lines, "event "+describe(e))
+	for _, event := range state.Events {
+		lines = append(lines, "event "+describe(event))
 	}
 	return strings.Join(lines, "\n")
 }
@@ -125,8 +125,8 @@
 	move := func(shard int, to string) {
 		cluster.mustRequest(0, "MOVE", fmt.Sprint(shard), to)
 		cluster.await("the shard is moved", func() bool {
-			for k, g := range cluster.members {
-				if _, held := g.IsLeaseHolder(shard); held {
+			for k, member := range cluster.members {
+				if _, held := member.IsLeaseHolder(shard); held {
 					return cluster.configs[k].Name == to
 				}
 			}
@@ -136,15 +136,15 @@
 	move(0, "m1")
 	move(0, "m2")
 	cluster.await("all have carried that out", func() bool {
-		for _, g := range cluster.members {
-			if g.Status().Shards[0].Epoch != 3 {
+		for _, member := range cluster.members {
+			if member.Status().Shards[0].Epoch != 3 {
 				return false
 			}
 		}
 		return true
 	})
-	for _, g := range cluster.members {
-		if err := g.node.raft.Snapshot().Error(); err != nil {
+	for _, member := range cluster.members {
+		if err := member.node.raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -309,9 +309,9 @@
 	return meta, snapshot
 }
 
-func describeServers(c raft.Configuration) (text string) {
-	for _, s := range c.Servers {
-		text += fmt.Sprintf(" %s=%s(%s)", s.ID, s.Address, s.Suffrage)
+func describeServers(configuration raft.Configuration) (text string) {
+	for _, server := range configuration.Servers {
+		text += fmt.Sprintf(" %s=%s(%s)", server.ID, server.Address, server.Suffrage)
 	}
 	return text
 }
@@ -326,11 +326,11 @@
 		case raft.LogConfiguration:
 			line += describeServers(raft.DecodeConfiguration(entry.Data))
 		case raft.LogCommand:
-			c := &commandRecord{}
-			if err := cbor.Unmarshal(entry.Data, c); err != nil {
+			record := &commandRecord{}
+			if err := cbor.Unmarshal(entry.Data, record); err != nil {
 				t.Fatal(err)
 			}
-			again, err := cbor.Marshal(c)
+			again, err := cbor.Marshal(record)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -338,7 +338,7 @@
 				t.Errorf("entry %d is not written as it was stored", entry.Index)
 			}
 			checkTypedEntry(t, entry)
-			line += " " + describe(c)
+			line += " " + describe(record)
 		}
 		lines = append(lines, line)
 	}
@@ -362,36 +362,36 @@
 }
 
 // replay returns the state after the entries behind a snapshot.
-func replay(t *testing.T, s stored) *State {
+func replay(t *testing.T, directory stored) *State {
 	t.Helper()
-	state, err := ReadState(s.snapshot)
+	state, err := DecodeState(directory.snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, entry := range s.entries {
-		if entry.Index <= s.meta.Index || entry.Type != raft.LogCommand {
+	for _, entry := range directory.entries {
+		if entry.Index <= directory.meta.Index || entry.Type != raft.LogCommand {
 			continue
 		}
-		c := &commandRecord{}
-		if err := cbor.Unmarshal(entry.Data, c); err != nil {
+		record := &commandRecord{}
+		if err := cbor.Unmarshal(entry.Data, record); err != nil {
 			t.Fatal(err)
 		}
-		if c.Kind == kindLeaderElected {
+		if record.Kind == kindLeaderElected {
 			state.Term = entry.Term // as Member.Applied has it
 		}
-		state.Apply(c.entry(), entry.Term)
+		state.Apply(record.entry(), entry.Term)
 	}
 	return state
 }
 
 // logWant prints the literals for state_want_test.go.
-func logWant(t *testing.T, name string, s stored, meta string, r *State) {
+func logWant(t *testing.T, name string, directory stored, meta string, snapshot *State) {
 	for _, want := range [][2]string{
-		{"wantVotes", s.votes},
-		{"wantLog", describeLog(t, s.entries)},
+		{"wantVotes", directory.votes},
+		{"wantLog", describeLog(t, directory.entries)},
 		{"wantMeta", meta},
-		{"wantSnapshot", describeState(r)},
-		{"wantReplayed", describeState(replay(t, s))},
+		{"wantSnapshot", describeState(snapshot)},
+		{"wantReplayed", describeState(replay(t, directory))},
 	} {
 		fmt.Printf("WANT %s %s\n%s\nEND\n", want[0], name, want[1])
 	}
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -188,7 +188,7 @@
 	next.leaderChanges++
 	seen := next.observation
 	observation := Observation{Epoch: seen.epoch, Sequence: seen.sequence, Age: next.now - seen.at}
-	next.shards[0].NewLeaderThatSaw(observation, next.now)
+	next.shards[0].NewLeaderWithObservation(observation, next.now)
 	next.shards[1].NewLeader(next.now)
 	visit(fmt.Sprintf("another leader, which saw epoch %d and request %d at tick %d", seen.epoch, seen.sequence, seen.at),
 		next)
--- a/internal/lease/shard.go
+++ b/internal/lease/shard.go
@@ -35,16 +35,16 @@
 // lease from now.
 func (s *Shard) NewLeader(now model.Microseconds) { s.RenewedAt = now }
 
-// NewLeaderThatSaw begins the term of a leader that saw a renewal of the lease. If the shard was renewed since, or
-// the leader saw no renewal, it is as NewLeader. A renewal that came twice or late does not change the sequence, and
+// NewLeaderWithObservation begins the term of a leader that saw a renewal of the lease. If the shard was renewed since,
+// or the leader saw no renewal, it is as NewLeader. A renewal that came twice or late does not change the sequence, and
 // need not: it gave its holder no time.
-func (s *Shard) NewLeaderThatSaw(seen Observation, now model.Microseconds) {
-	isNewest := s.Epoch == seen.Epoch && s.Sequence == seen.Sequence
-	if !isNewest || seen.Age < 0 {
+func (s *Shard) NewLeaderWithObservation(observation Observation, now model.Microseconds) {
+	isNewest := s.Epoch == observation.Epoch && s.Sequence == observation.Sequence
+	if !isNewest || observation.Age < 0 {
 		s.NewLeader(now)
 		return
 	}
-	s.RenewedAt = now - seen.Age
+	s.RenewedAt = now - observation.Age
 }
 
 // Release takes a holder's message that it has stopped: no member need wait for the lease to expire. It has no
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -20,18 +20,18 @@
 	errMissingBucket = errors.New("a bucket is missing")
 )
 
-// DamageError names a part of the stored state that cannot be used. It matches ErrDamaged and its Cause.
+// DamageError names what cannot be used of the stored state. It matches ErrDamaged and its Cause.
 type DamageError struct {
-	Part  string // file, or file and key
-	Cause error  // why it cannot be used; nil if there is no more to say than that it is damaged
+	Location string // file, or file and key
+	Cause    error  // why it cannot be used; nil if there is no more to say than that it is damaged
 }
 
-// Error names the part and the cause.
+// Error names the location and the cause.
 func (e *DamageError) Error() string {
 	if e.Cause == nil {
-		return fmt.Sprintf("%s: %s", e.Part, ErrDamaged)
+		return fmt.Sprintf("%s: %s", e.Location, ErrDamaged)
 	}
-	return fmt.Sprintf("%s: %s: %s", e.Part, ErrDamaged, e.Cause)
+	return fmt.Sprintf("%s: %s: %s", e.Location, ErrDamaged, e.Cause)
 }
 
 // Unwrap returns ErrDamaged and the cause.
--- a/internal/statestore/migrate.go
+++ b/internal/statestore/migrate.go
@@ -61,19 +61,19 @@
 
 // readFirstVersionFile decodes one file. Errors: those of the disk, and ErrDamaged.
 func readFirstVersionFile(dir, name string, into any) error {
-	part := "state " + name
+	location := "state " + name
 	text, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
-		return fmt.Errorf("%s: %w", part, err)
+		return fmt.Errorf("%s: %w", location, err)
 	}
 	header, rest, _ := bytes.Cut(text, []byte("\n"))
 	body, complete := bytes.CutSuffix(rest, []byte("\n"))
 	wantHeader := fmt.Sprintf("%s %08x", firstVersionHeader, crc32.ChecksumIEEE(body))
 	if !complete || string(header) != wantHeader {
-		return &DamageError{Part: part, Cause: errChecksum}
+		return &DamageError{Location: location, Cause: errChecksum}
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return &DamageError{Part: part, Cause: err}
+		return &DamageError{Location: location, Cause: err}
 	}
 	return nil
 }
--- a/internal/statestore/recovery.go
+++ b/internal/statestore/recovery.go
@@ -40,8 +40,8 @@
 	return &storedState{values: map[string][]byte{}}
 }
 
-func (st *storedState) addDamage(part string, cause error) {
-	st.damage = append(st.damage, &DamageError{Part: part, Cause: cause})
+func (st *storedState) addDamage(location string, cause error) {
+	st.damage = append(st.damage, &DamageError{Location: location, Cause: cause})
 }
 
 // incarnation is the stored incarnation, 0 if there is none.
@@ -80,7 +80,7 @@
 	if list, ok := stored.values[string(endpointsKey)]; ok {
 		if err := json.Unmarshal(list, &recovered.Endpoints); err != nil {
 			recovered.Endpoints = nil
-			recovered.Damage = append(recovered.Damage, &DamageError{Part: "endpoint list", Cause: err})
+			recovered.Damage = append(recovered.Damage, &DamageError{Location: "endpoint list", Cause: err})
 		}
 	}
 	recovered.Published = stored.values[string(publishedKey)]
