--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -31,8 +31,8 @@
 	ShardLoads func() map[int]float64
 	// Now is this member's clock. It must go on while the process runs or is stopped.
 	Now func() model.Microseconds
-	// MisroutedProxies counts, by shard, the proxies that ask this member repeatedly for a shard it does not hold; nil:
-	// not known.
+	// MisroutedProxies counts, by shard, the proxies that connect repeatedly to this member for a shard it does not
+	// hold; nil: not known.
 	MisroutedProxies func() map[int]int
 	// Links lets tests and benchmarks cut links between members; nil: all are open.
 	Links Links
@@ -69,6 +69,6 @@
 	// LeaseGained says that this member holds a shard's lease from now on. A lease that was lost because its renewal
 	// came back late may be gained again in the same epoch: no other member held it meanwhile.
 	LeaseGained(shard int, epoch uint64)
-	// LeaseLost returns once no message of this member for the shard is under way any more.
+	// LeaseLost returns once no message of this member for the shard is in flight any more.
 	LeaseLost(shard int)
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -64,10 +64,10 @@
 }
 
 // Restore takes the state from a snapshot. Leases that are held go on: they were granted to this incarnation,
-// whatever was agreed on since.
+// whatever was committed since.
 func (m *Member) Restore(state *State) { m.state = state }
 
-// State is what the member knows to be agreed on; it is to be read under the caller's lock.
+// State is what the member knows to be committed; it is to be read under the caller's lock.
 func (m *Member) State() *State { return m.state }
 
 // Applied takes a committed entry of the log.
@@ -188,7 +188,7 @@
 }
 
 // Tick returns the leases that changed since the last one, and the commands to propose once the changes are carried
-// out: a ReleaseLeases may leave only when no message for the shard is under way any more. alive reports
+// out: a ReleaseLeases may leave only when no message for the shard is in flight any more. alive reports
 // whether a member seems alive by gossip; nil: all do.
 func (m *Member) Tick(now model.Microseconds, leads bool, alive func(name string) bool) ([]LeaseChange, []Command) {
 	changes, releases := m.updateLeases(now)
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -90,8 +90,8 @@
 	lagging.cut = true // the other two reach each other, a quorum
 	sim.run(simulationSettings.Lease.Duration / 2)
 	lagging.cut = false
-	sim.elect(1)              // before it has taken what came meanwhile
-	sim.members[2].cut = true // which holds on what was agreed on then
+	sim.elect(1)              // before it has applied the entries committed meanwhile
+	sim.members[2].cut = true // which goes on with the leases committed until then
 	sim.run(3 * simulationSettings.Lease.Duration)
 	if sim.held(0)+sim.held(1) != 6 || sim.held(2) > 0 {
 		t.Fatalf("%d, %d and %d shards are held", sim.held(0), sim.held(1), sim.held(2))
@@ -184,7 +184,7 @@
 	}
 }
 
-// A member's renewals are agreed on, and it learns so only after its lease has expired: it loses the lease and gains
+// A member's renewals are committed, and it learns so only after its lease has expired: it loses the lease and gains
 // it again, in the same epoch, as no other member was granted it.
 func TestLateRenewalIsGainedAgainInTheSameEpoch(t *testing.T) {
 	sim := newSimulation(t, 3)
--- a/internal/cluster/renewal.go
+++ b/internal/cluster/renewal.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// applied takes that a RenewLeases of this incarnation was applied.
+// applied notes that a RenewLeases of this incarnation was applied.
 func (h *heartbeat) applied(requests int, now model.Microseconds) {
 	h.confirmedAt = now
 	if requests == 0 {
@@ -66,7 +66,7 @@
 	h.refused = false
 }
 
-// ProposalFailed takes that a command was not agreed on, as far as its sender knows. A RenewLeases that is committed
+// ProposalFailed notes that a command was not committed, as far as its sender knows. A RenewLeases that is committed
 // all the same brings a response that comes too late to count.
 func (m *Member) ProposalFailed(command Command, now model.Microseconds) {
 	if _, renews := command.(RenewLeases); renews && m.heartbeat.pending {
--- a/internal/cluster/requests_test.go
+++ b/internal/cluster/requests_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Operators move a shard, drain a member and remove it, asking any member; an invalid request is refused.
+// Operators move a shard, drain a member and remove it, by requests to any member; an invalid request is rejected.
 func TestOperatorRequests(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -69,7 +69,7 @@
 	supportedVersion uint8 // the newest schema version that this program understands
 }
 
-// NewState is the state of a cluster that has agreed on nothing.
+// NewState is the state of a cluster that has committed nothing.
 func NewState(settings Settings) *State {
 	state := &State{
 		SchemaVersion:    schemaVersion,
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -229,7 +229,7 @@
 	}
 }
 
-// A cluster that starts from stored directories goes on from all that was agreed on: takeovers, the drained member,
+// A cluster that starts from stored directories goes on from all that was committed: takeovers, the drained member,
 // and epochs.
 func TestClusterStartsFromStoredDirectories(t *testing.T) {
 	cluster := prepareTestCluster(t, fixtureMembers)
--- a/internal/cluster/state_want_test.go
+++ b/internal/cluster/state_want_test.go
@@ -1,7 +1,7 @@
 //nolint:lll // the stored state is rendered with a line for each entry
 package cluster
 
-// The values that the folder of each member in testdata/folders holds, under their names in CBOR. They are literals:
+// The values in the directory of each member in testdata/folders, under their names in CBOR. They are literals:
 // a value that is read otherwise is lost to groups that run already.
 
 // wantVotes is what raft keeps beside its log.
@@ -47,7 +47,7 @@
 // wantMeta is where the snapshot lies in the log, and who voted then.
 const wantMeta = `index 24 term 2 m0=127.0.0.1:39375(Voter) m1=127.0.0.1:44967(Voter) m2=127.0.0.1:36307(Voter)`
 
-// wantSnapshot is the register in the snapshot.
+// wantSnapshot is the state in the snapshot.
 const wantSnapshot = `{Form:1 Digest:5410384689389861377 Span:1000000 Drift:50000 Leader:"m2" Term:2 Members:[] Parts:[] Events:[] Whys:map[] Newer:0}
 member {Name:"m0" Life:1 Record:{Zone:"govan" Channel:"127.0.0.1:7700" Request:"127.0.0.1:39375" Limit:0 Digest:5410384689389861377} Heard:1871066 Leaving:false Ending:false Strays:[] Struck:false}
 member {Name:"m1" Life:2 Record:{Zone:"partick" Channel:"127.0.0.1:7701" Request:"127.0.0.1:44967" Limit:0 Digest:5410384689389861377} Heard:1913623 Leaving:false Ending:false Strays:[] Struck:false}
@@ -67,7 +67,7 @@
 event {At:1899906 Leader:"m2" Part:0 Epoch:2 From:"m0" To:"m1" Planned:true Why:"moved by hand"}
 event {At:1920071 Leader:"m2" Part:0 Epoch:3 From:"m1" To:"m2" Planned:true Why:"moved by hand"}`
 
-// wantReplayed is the register after the log behind the snapshot.
+// wantReplayed is the state after the log behind the snapshot.
 const wantReplayed = `{Form:1 Digest:5410384689389861377 Span:1000000 Drift:50000 Leader:"m2" Term:2 Members:[] Parts:[] Events:[] Whys:map[2:"its member is leaving"] Newer:0}
 member {Name:"m0" Life:1 Record:{Zone:"govan" Channel:"127.0.0.1:7700" Request:"127.0.0.1:39375" Limit:0 Digest:5410384689389861377} Heard:1954952 Leaving:false Ending:false Strays:[] Struck:false}
 member {Name:"m1" Life:2 Record:{Zone:"partick" Channel:"127.0.0.1:7701" Request:"127.0.0.1:44967" Limit:0 Digest:5410384689389861377} Heard:1913623 Leaving:true Ending:false Strays:[] Struck:false}
@@ -89,7 +89,7 @@
 event {At:1954070 Leader:"m2" Part:0 Epoch:4 From:"m2" To:"m0" Planned:true Why:"moved by hand"}
 event {At:1973382 Leader:"m2" Part:3 Epoch:2 From:"m1" To:"m2" Planned:true Why:"moved by hand"}`
 
-// wantEvents and wantEpochs are of the newest register in the folders: its takeovers, and the epoch of each part.
+// wantEvents and wantEpochs are of the newest state in the directories: its takeovers, and the epoch of each shard.
 const wantEvents = 10
 
 var wantEpochs = [6]uint64{4, 1, 1, 2, 1, 1}
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -31,7 +31,7 @@
 
 // leaseRecorder records the lease events of all members. It fails the test where a shard's epoch goes back, or where
 // an epoch has two holders, judged as the events come. A member that lost a lease may gain it again in the same
-// epoch, in the same incarnation: its renewal was agreed on late, and no other member was granted the lease meanwhile.
+// epoch, in the same incarnation: its renewal was committed late, and no other member was granted the lease meanwhile.
 type leaseRecorder struct {
 	t      *testing.T
 	mu     sync.Mutex
--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -20,7 +20,7 @@
 // Operation is one kind of request.
 type Operation struct {
 	Name              string
-	LatencyObjective  model.Microseconds // within which a request is to be answered
+	LatencyObjective  model.Microseconds // within which a response has its full value
 	Timeout           model.Microseconds // of the caller
 	PriorityWeight    float64            // value of a request relative to those of other operations
 	Effect            Effect
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -33,6 +33,6 @@
 //	held       the lease expires                 idle       before any other holder is granted it
 //	any        response to any other request                nothing: it is late or a duplicate
 //
-// A lease that expired while its renewal was under way is held again, in the same epoch, once the renewal is granted:
+// A lease that expired while its renewal was in flight is held again, in the same epoch, once the renewal is granted:
 // the record was renewed before any other holder could be granted it.
 package lease
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -44,7 +44,7 @@
 	return l.expiresAt - now
 }
 
-// Release gives up what is held and returns the release, which may leave once no message of the holder is under way any
+// Release gives up what is held and returns the release, which may leave once no message of the holder is in flight any
 // more. Responses to earlier requests mean nothing from then on: without that, the model found a duplicate that gave
 // back what had been released.
 func (l *Lease) Release(from Holder) Request {
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -14,8 +14,8 @@
 // messages are lost, duplicated and late, the leader changes, and clocks run apart. The production code takes each
 // step; a tick stands for half a lease.
 //
-// A message stays under way for good: one that is never taken is lost, one that is taken twice is a duplicate, one
-// that is taken after younger ones is late. Fences are not in it: a fence has two lines, and a test of its own.
+// A message stays in flight for good: one that is never taken is lost, one that is taken twice is a duplicate, one
+// that is taken after younger ones is late. Fences are not in it: a fence is a comparison, with a test of its own.
 const (
 	memberCount = 3
 	shardCount  = 2
@@ -75,7 +75,7 @@
 	return Holder{Member: uint16(member + 1), Incarnation: w.incarnations[member]}
 }
 
-// send puts a message under way; false: no more can be. One that is under way already is as one that is duplicated.
+// send puts a message in flight; false: no more can be. One that is in flight already is as one that is duplicated.
 func send[T comparable](slots *[maxInFlight]T, message T) bool {
 	var none T
 	for i := range slots {
@@ -127,7 +127,7 @@
 	}
 }
 
-// shardSteps has a member request or release a shard's lease, and has its newest release agreed on.
+// shardSteps has a member request or release a shard's lease, and has its newest release committed.
 func (w world) shardSteps(bounds limits, member, shard int, visit visitor) {
 	self := w.holder(member)
 	if w.leases[member][shard].sequence < bounds.requests[shard][member] {
@@ -145,7 +145,7 @@
 	if w.releases[member][shard] != (Request{}) {
 		next := w
 		next.shards[shard].Release(w.releases[member][shard])
-		visit(fmt.Sprintf("the release of shard %d by %d is agreed on and may come again", shard, member+1), next)
+		visit(fmt.Sprintf("the release of shard %d by %d is committed and may come again", shard, member+1), next)
 	}
 }
 
@@ -194,7 +194,7 @@
 		next)
 }
 
-// requestSteps has a request under way agreed on.
+// requestSteps has a request in flight committed.
 func (w world) requestSteps(config Config, i int, visit visitor) {
 	request := w.requests[i]
 	if request == (inFlight[Request]{}) {
@@ -206,11 +206,11 @@
 		return
 	}
 	send(&next.responses, inFlight[Response]{request.shard, response})
-	visit(fmt.Sprintf("request %d of %d for shard %d is agreed on (granted: %v, epoch %d) and may come again",
+	visit(fmt.Sprintf("request %d of %d for shard %d is committed (granted: %v, epoch %d) and may come again",
 		request.message.Sequence, request.message.From.Member, request.shard, response.Granted, response.Epoch), next)
 }
 
-// responseSteps has a response under way arrive; one to an incarnation that crashed is lost.
+// responseSteps has a response in flight arrive; one to an incarnation that crashed is lost.
 func (w world) responseSteps(config Config, i int, visit visitor) {
 	response := w.responses[i]
 	if response == (inFlight[Response]{}) {
@@ -235,7 +235,7 @@
 			}
 			epoch := w.leases[member][shard].Epoch
 			if epoch > w.shards[shard].Epoch {
-				return fmt.Sprintf("%d holds shard %d in epoch %d, which was never agreed on", member+1, shard, epoch)
+				return fmt.Sprintf("%d holds shard %d in epoch %d, which was never committed", member+1, shard, epoch)
 			}
 			for other := range member {
 				if w.leases[other][shard].IsHeld(w.clock(other)) {
--- a/internal/lease/shard.go
+++ b/internal/lease/shard.go
@@ -2,7 +2,7 @@
 
 import "peppervale/internal/model"
 
-// Shard is what is agreed on about the lease of one shard of the fleet. The zero Shard is free and was never held.
+// Shard is the committed record of the lease of one shard of the fleet. The zero Shard is free and was never held.
 type Shard struct {
 	Epoch     uint64             `cbor:"Epoch"`   // of the newest grant; it only grows
 	Holder    Holder             `cbor:"Holder"`  // of the lease; the zero Holder: it is free
@@ -10,7 +10,7 @@
 	RenewedAt model.Microseconds `cbor:"Renewed"` // by the leader's clock
 }
 
-// HandleRequest takes a request that was agreed on, at a time of the leader's clock.
+// HandleRequest takes a request that was committed, at a time of the leader's clock.
 func (s *Shard) HandleRequest(config Config, request Request, now model.Microseconds) Response {
 	isHolder := s.Holder == request.From
 	if !isHolder && s.isHeld(config, now) {
