--- a/internal/cluster/proposals.go
+++ b/internal/cluster/proposals.go
@@ -10,8 +10,8 @@
 	address string
 }
 
-// runProposals sends what the tick loop proposes. A proposal that fails is not repeated here: the
-// member proposes it again at a later tick.
+// runProposals sends what the tick loop proposes. A proposal that fails is not repeated here: a
+// later tick proposes registrations, renewals and placements again; a lost release costs a lease's duration.
 func (c *Cluster) runProposals() {
 	defer c.wait.Done()
 	sender := &proposalSender{cluster: c, timeout: c.requestTimeout(), client: &client{}}
