--- a/internal/cluster/apply.go
+++ b/internal/cluster/apply.go
@@ -5,13 +5,17 @@
 	"peppervale/internal/model"
 )
 
+// reasonNewIncarnation is the reason of an Event that has no other. The replicated state holds its text, so it must
+// stay the same in every version.
+const reasonNewIncarnation = "a new life of the same member"
+
 // ShardResponse is the response to one shard of a RenewLeases.
 type ShardResponse struct {
 	Shard int
 	lease.Response
 }
 
-// Apply carries out an entry that was committed in a raft term, and gives the responses to a RenewLeases. An entry of
+// Apply carries out an entry that was committed in a raft term, and returns the responses to a RenewLeases. An entry of
 // a term whose leader has not announced itself has no effect: its stamp is of a clock that leases are not counted by.
 func (s *State) Apply(entry LogEntry, term uint64) []ShardResponse {
 	if s.NewerSchemaVersion == 0 && entry.SchemaVersion > s.supportedVersion {
@@ -36,7 +40,7 @@
 			shard.Lease.NewLeader(stamp)
 			continue
 		}
-		shard.Lease.NewLeaderThatSaw(lease.Observation(c.Observations[i]), stamp)
+		shard.Lease.NewLeaderWithObservation(lease.Observation(c.Observations[i]), stamp)
 	}
 	for _, member := range state.Members {
 		member.RenewedAt = stamp - max(0, c.RenewalAges[member.Name])
@@ -117,7 +121,7 @@
 		Reason:  s.WaitReasons[shard.Number],
 	}
 	if event.From == event.To {
-		event.Reason = "a new life of the same member"
+		event.Reason = reasonNewIncarnation
 	}
 	shard.LastHolder = holder
 	delete(s.WaitReasons, shard.Number)
@@ -174,8 +178,8 @@
 
 func (unknownCommand) apply(*State, model.Microseconds) []ShardResponse { return nil }
 
-// lags tells that a member sends requests but does not follow the log: its disk is full, or a link is open one way
-// only. It would not learn that a shard was granted to it, and keep others from it.
+// lags reports whether a member sends requests but does not follow the log: its disk is full, or a link is open one
+// way only. It would not learn that a shard was granted to it, and would keep others from holding that shard.
 func (s *State) lags(stamp, followedAt model.Microseconds) bool {
 	return stamp-followedAt > s.LeaseDuration
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -1,7 +1,6 @@
 package cluster
 
 import (
-	"fmt"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -105,7 +104,7 @@
 	founder := cluster.configs[0].Peers[0]
 	for k := 1; k < 3; k++ {
 		config := cluster.configs[0]
-		self := Peer{Name: fmt.Sprint("m", k), Address: freeAddress(t), GossipAddress: freeAddress(t)}
+		self := newTestPeer(t, k)
 		config.Name = self.Name
 		config.Zone = testSettings.Zones[k]
 		config.ListenAddress = self.Address
@@ -162,7 +161,7 @@
 		cluster.start(k)
 		cluster.awaitHeld(2, 2, 2)
 	}
-	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{of: 99}}
+	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
 	cluster.await("one of the newer members leads and proposes", func() bool {
 		k, known := cluster.leaderOf(2)
 		if !known {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -31,8 +31,8 @@
 	ShardLoads func() map[int]float64
 	// Now is this member's clock. It must go on while the process runs or is stopped.
 	Now func() model.Microseconds
-	// MisroutedProxies counts, by shard, the proxies that ask this member repeatedly for a shard it does not hold; nil:
-	// not known.
+	// MisroutedProxies counts, by shard, the proxies that connect repeatedly to this member for a shard it does not
+	// hold; nil: not known.
 	MisroutedProxies func() map[int]int
 	// Links lets tests and benchmarks cut links between members; nil: all are open.
 	Links Links
@@ -44,7 +44,7 @@
 	supportedVersion uint8        // set by tests: newest supported schema version; 0: schemaVersion
 }
 
-// addressOf gives the address of a member by this member's own file, or the fallback if the file does not name it.
+// addressOf returns the address of a member by this member's own file, or the fallback if the file does not name it.
 func (c *Config) addressOf(name, fallback string) string {
 	for _, peer := range c.Peers {
 		if peer.Name == name {
@@ -54,7 +54,7 @@
 	return fallback
 }
 
-// nameAt gives the peer with a cluster address; "" for none.
+// nameAt returns the peer with a cluster address; "" for none.
 func (c *Config) nameAt(address string) string {
 	for _, peer := range c.Peers {
 		if peer.Address == address {
@@ -67,8 +67,8 @@
 // Events is notified, from one goroutine, of the leases that this member gains and loses.
 type Events interface {
 	// LeaseGained says that this member holds a shard's lease from now on. A lease that was lost because its renewal
-	// came back late may be gained again in the same epoch: nobody else held it meanwhile.
+	// came back late may be gained again in the same epoch: no other member held it meanwhile.
 	LeaseGained(shard int, epoch uint64)
-	// LeaseLost returns once no message of this member for the shard is under way any more.
+	// LeaseLost returns once no message of this member for the shard is in flight any more.
 	LeaseLost(shard int)
 }
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -26,12 +26,12 @@
 	for _, n := range []int{1, 3, 5} {
 		sim := newSimulation(t, n)
 		sim.run(2 * model.Second)
-		sum := 0
+		held := 0
 		for k := range n {
-			sum += sim.held(k)
+			held += sim.held(k)
 		}
-		if sum != 6 {
-			t.Errorf("%d members hold %d shards of 6", n, sum)
+		if held != 6 {
+			t.Errorf("%d members hold %d shards of 6", n, held)
 		}
 	}
 }
@@ -87,11 +87,11 @@
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
 	lagging := sim.members[1]
-	lagging.cut = true // two hear each other, and agree
+	lagging.cut = true // the other two reach each other, a quorum
 	sim.run(simulationSettings.Lease.Duration / 2)
 	lagging.cut = false
-	sim.elect(1)              // before it has taken what came meanwhile
-	sim.members[2].cut = true // which holds on what was agreed on then
+	sim.elect(1)              // before it has applied the entries committed meanwhile
+	sim.members[2].cut = true // which goes on with the leases committed until then
 	sim.run(3 * simulationSettings.Lease.Duration)
 	if sim.held(0)+sim.held(1) != 6 || sim.held(2) > 0 {
 		t.Fatalf("%d, %d and %d shards are held", sim.held(0), sim.held(1), sim.held(2))
@@ -112,8 +112,8 @@
 	}
 }
 
-// A member is partitioned from the others: it goes on until its leases expire, before anybody else is granted them.
-// The two sides disagree about who holds what all the while.
+// A member is partitioned from the others: it goes on until its leases expire, before any other member is granted them.
+// The two sides disagree about the lease holders all the while.
 func TestPartitionedMemberStopsAtLeaseEnd(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
@@ -128,7 +128,7 @@
 }
 
 // A member's requests reach the leader, and no entry reaches it (a full disk, a link that is open one way only): its
-// renewals do not count, and others take over. They once counted, and nobody held its shards.
+// renewals do not count, and others take over. They once counted, and its shards had no holder.
 func TestMemberThatCannotFollowTheLogRenewsNothing(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
@@ -184,8 +184,8 @@
 	}
 }
 
-// A member's renewals are agreed on, and it learns so only after its lease has expired: it loses the lease and gains
-// it again, in the same epoch, as nobody else was granted it.
+// A member's renewals are committed, and it learns so only after its lease has expired: it loses the lease and gains
+// it again, in the same epoch, as no other member was granted it.
 func TestLateRenewalIsGainedAgainInTheSameEpoch(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
@@ -226,7 +226,7 @@
 	sim.run(model.Second)
 	sim.wantHeld(3, 0, 3)
 	if without > 400*model.Millisecond {
-		t.Errorf("%d us with a shard that nobody holds, for two moves", without)
+		t.Errorf("%d us with a shard without a holder, for two moves", without)
 	}
 	for _, e := range sim.members[0].state.Events[6:] {
 		if !e.Planned {
@@ -257,9 +257,10 @@
 func TestNewerSchemaVersionExcludesMember(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
-	sim.members[1].Applied(LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{of: 99}}, sim.term, sim.now)
+	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
+	sim.members[1].Applied(newer, sim.term, sim.now)
 	sim.wantHeld(2, 0, 2)
-	if _, err := sim.members[1].State().Bytes(); err == nil {
+	if _, err := sim.members[1].State().Encode(); err == nil {
 		t.Error("a snapshot of what is not supported")
 	}
 	sim.run(10 * model.Second)
@@ -279,21 +280,21 @@
 func TestSnapshotRoundTrip(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
-	snapshot, err := sim.members[0].state.Bytes()
+	snapshot, err := sim.members[0].state.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := ReadState(snapshot)
+	restored, err := DecodeState(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := r.Bytes()
-	if string(again) != string(snapshot) || *r.Shards[3] != *sim.members[0].state.Shards[3] {
+	again, _ := restored.Encode()
+	if string(again) != string(snapshot) || *restored.Shards[3] != *sim.members[0].state.Shards[3] {
 		t.Error("the state from a snapshot differs")
 	}
-	for n := range len(snapshot) { // cut anywhere it is refused, and nothing falls over
-		if _, err := ReadState(snapshot[:n]); err == nil {
-			t.Fatalf("%d bytes of %d are taken", n, len(snapshot))
+	for size := range len(snapshot) { // truncated anywhere it is rejected, without a panic
+		if _, err := DecodeState(snapshot[:size]); err == nil {
+			t.Fatalf("%d bytes of %d are accepted", size, len(snapshot))
 		}
 	}
 }
@@ -304,13 +305,13 @@
 	sim.run(5 * model.Second)
 	sim.elect(1)
 	sim.run(100 * model.Millisecond)
-	m := sim.members[0]
-	before := *m.state.Shards[0]
+	member := sim.members[0]
+	before := *member.state.Shards[0]
 	renewal := RenewLeases{Member: "m1", Incarnation: 1, Requests: []ShardRequest{{Shard: 0, Sequence: 9}}}
 	late := LogEntry{SchemaVersion: schemaVersion, At: sim.now + 3600*model.Second, Command: renewal}
-	m.Applied(late, sim.term-1, sim.now)
-	if *m.state.Shards[0] != before {
-		t.Error("a stamp of a replaced leader'sim clock was taken")
+	member.Applied(late, sim.term-1, sim.now)
+	if *member.state.Shards[0] != before {
+		t.Error("a stamp of a replaced leader's clock was taken")
 	}
 }
 
@@ -351,12 +352,12 @@
 			}
 		}
 		sim.run(20 * model.Second)
-		sum := 0
+		held := 0
 		for k := range sim.members {
-			sum += sim.held(k)
+			held += sim.held(k)
 		}
-		if sum != 6 {
-			draws.Fatalf("%d shards of 6 are held", sum)
+		if held != 6 {
+			draws.Fatalf("%d shards of 6 are held", held)
 		}
 	})
 }
--- a/internal/cluster/raftnode.go
+++ b/internal/cluster/raftnode.go
@@ -21,7 +21,7 @@
 )
 
 // Timing of raft, in parts of a lease's duration. A leader that is gone is to be replaced while the others' leases
-// are valid, with time for two elections: a third of a second each at the usual lease of 2 s.
+// are valid, with time for two elections: a third of a second each at the default lease of 2 s.
 const (
 	heartbeatsPerLease    = 6
 	leaderLeasesPerLease  = 8
@@ -37,7 +37,7 @@
 type stateMachine interface {
 	// applied takes a committed entry.
 	applied(entry LogEntry, term uint64)
-	// announcement gives the command to begin a leadership with.
+	// announcement returns the command to begin a leadership with.
 	announcement() Command
 	snapshot() ([]byte, error)
 	restore(state *State)
@@ -220,16 +220,16 @@
 	return n.announced
 }
 
-// leader gives the member that leads, as far as this one knows; "" for none.
+// leader returns the member that leads, as far as this one knows; "" for none.
 func (n *raftNode) leader() (name, address string) {
-	known, id := n.raft.LeaderWithID()
+	knownAddress, id := n.raft.LeaderWithID()
 	if id == "" {
 		return "", ""
 	}
-	return string(id), n.config.addressOf(string(id), string(known))
+	return string(id), n.config.addressOf(string(id), string(knownAddress))
 }
 
-// voters gives the members that vote, by name, with their addresses; nil if they are not known.
+// voters returns the members that vote, by name, with their addresses; nil if they are not known.
 func (n *raftNode) voters() map[string]string {
 	future := n.raft.GetConfiguration()
 	if future.Error() != nil {
@@ -273,7 +273,7 @@
 // peerAddresses lets each member's own file say how it reaches the others.
 type peerAddresses struct{ config *Config }
 
-// ServerAddr gives the address of a member by its name.
+// ServerAddr returns the address of a member by its name.
 func (p peerAddresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	if address := p.config.addressOf(string(id), ""); address != "" {
 		return raft.ServerAddress(address), nil
--- a/internal/cluster/renewal.go
+++ b/internal/cluster/renewal.go
@@ -7,9 +7,10 @@
 
 // When a member renews, in parts of a lease's duration.
 const (
-	renewalsPerLease       = 3
-	refusedRetriesPerLease = 10 // after a refusal: the shard may be free soon
-	failedRetriesPerLease  = 20 // after a renewal that could not be proposed
+	responseTimeoutsPerLease = 2 // a request without a response for this long is sent again
+	renewalsPerLease         = 3
+	refusedRetriesPerLease   = 10 // after a refusal: the shard may be free soon
+	failedRetriesPerLease    = 20 // after a renewal that could not be proposed
 )
 
 // heartbeat is when a member sends what to the leader. All times but followedAt are of the member's own clock.
@@ -37,7 +38,7 @@
 	}
 }
 
-// applied takes that a RenewLeases of this incarnation was applied.
+// applied notes that a RenewLeases of this incarnation was applied.
 func (h *heartbeat) applied(requests int, now model.Microseconds) {
 	h.confirmedAt = now
 	if requests == 0 {
@@ -45,9 +46,10 @@
 	}
 }
 
-// isDue tells whether the next RenewLeases is to be sent.
+// isDue reports whether the next RenewLeases is to be sent.
 func (h *heartbeat) isDue(now, duration model.Microseconds) bool {
-	if h.pending && now-h.sentAt < duration/2 { // another request would make the response to this one worthless
+	responseMayCome := h.pending && now-h.sentAt < duration/responseTimeoutsPerLease
+	if responseMayCome { // another request would make this response worthless
 		return false
 	}
 	if h.refused && !h.pending {
@@ -64,7 +66,7 @@
 	h.refused = false
 }
 
-// ProposalFailed takes that a command was not agreed on, as far as its sender knows. A RenewLeases that is committed
+// ProposalFailed notes that a command was not committed, as far as its sender knows. A RenewLeases that is committed
 // all the same brings a response that comes too late to count.
 func (m *Member) ProposalFailed(command Command, now model.Microseconds) {
 	if _, renews := command.(RenewLeases); renews && m.heartbeat.pending {
@@ -118,7 +120,7 @@
 	return ShardRequest{Shard: shard, Sequence: request.Sequence, Load: load}
 }
 
-// isUnconfirmed tells that no heartbeat of this incarnation was applied for a lease's duration, though one was
+// isUnconfirmed reports whether no heartbeat of this incarnation was applied for a lease's duration, though one was
 // before.
 func (m *Member) isUnconfirmed(now model.Microseconds) bool {
 	return m.heartbeat.confirmedAt > 0 && now-m.heartbeat.confirmedAt > m.settings.Lease.Duration
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -69,7 +69,7 @@
 	supportedVersion uint8 // the newest schema version that this program understands
 }
 
-// NewState is the state of a cluster that has agreed on nothing.
+// NewState is the state of a cluster that has committed nothing.
 func NewState(settings Settings) *State {
 	state := &State{
 		SchemaVersion:    schemaVersion,
@@ -86,8 +86,8 @@
 	return state
 }
 
-// ReadState reads a snapshot. It fails with a NewerSchemaError for one of a newer program.
-func ReadState(snapshot []byte) (*State, error) {
+// DecodeState reads a snapshot. It fails with a NewerSchemaError for one of a newer program.
+func DecodeState(snapshot []byte) (*State, error) {
 	state := &State{supportedVersion: schemaVersion}
 	if err := cbor.Unmarshal(snapshot, state); err != nil {
 		return nil, fmt.Errorf("cluster: a snapshot that cannot be read: %w", err)
@@ -101,9 +101,9 @@
 	return state, nil
 }
 
-// Bytes is the state as a snapshot has it. It fails with a NewerSchemaError after an entry that this program does not
-// support.
-func (s *State) Bytes() ([]byte, error) {
+// Encode returns the state as a snapshot has it. It fails with a NewerSchemaError after an entry that this program does
+// not support.
+func (s *State) Encode() ([]byte, error) {
 	if s.NewerSchemaVersion > 0 {
 		return nil, &NewerSchemaError{
 			Found:     "the log has an entry",
@@ -118,7 +118,7 @@
 	return snapshot, nil
 }
 
-// Member gives a member by its name; nil for none.
+// Member returns a member by its name; nil for none.
 func (s *State) Member(name string) *MemberState {
 	for _, member := range s.Members {
 		if member.Name == name {
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// shard gives a shard by its number; nil for none.
+// shard returns a shard by its number; nil for none.
 func (s *State) shard(number int) *ShardState {
 	if number < 0 || number >= len(s.Shards) {
 		return nil
@@ -145,7 +145,7 @@
 	return s.Shards[number]
 }
 
-// activeMember gives a member and its identity in leases, if the incarnation is its newest and it is not removed; nil
+// activeMember returns a member and its identity in leases, if the incarnation is its newest and it is not removed; nil
 // otherwise.
 func (s *State) activeMember(name string, incarnation uint64) (*MemberState, lease.Holder) {
 	for i, member := range s.Members {
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -3,8 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"net"
-	"os"
 	"path/filepath"
 	"slices"
 	"sync"
@@ -18,6 +16,7 @@
 	"peppervale/internal/lease"
 	"peppervale/internal/model"
 	"peppervale/internal/placement"
+	"peppervale/internal/testaddr"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -32,7 +31,7 @@
 
 // leaseRecorder records the lease events of all members. It fails the test where a shard's epoch goes back, or where
 // an epoch has two holders, judged as the events come. A member that lost a lease may gain it again in the same
-// epoch, in the same incarnation: its renewal was agreed on late, and nobody else was granted the lease meanwhile.
+// epoch, in the same incarnation: its renewal was committed late, and no other member was granted the lease meanwhile.
 type leaseRecorder struct {
 	t      *testing.T
 	mu     sync.Mutex
@@ -111,28 +110,10 @@
 	incarnations uint64
 }
 
-// firstTestPort is below the range from which the kernel picks the ports of connections.
-const firstTestPort = 10_000
-
-// lastTestPort is the newest port that freeAddress tried.
-var lastTestPort atomic.Int32
-
-// freeAddress gives an address that stays free while its member is stopped: a connection of any process on the machine
-// may take a port of 127.0.0.1 that the kernel picked, but none of this process's own loopback address.
-func freeAddress(t *testing.T) string {
+// newTestPeer names a member and gives it addresses that stay free while it is stopped.
+func newTestPeer(t *testing.T, k int) Peer {
 	t.Helper()
-	pid := os.Getpid()
-	host := fmt.Sprintf("127.%d.%d.%d", 64|pid>>16&63, pid>>8&255, pid&255)
-	for range 1000 {
-		address := net.JoinHostPort(host, fmt.Sprint(firstTestPort+lastTestPort.Add(1)))
-		listener, err := net.Listen("tcp", address)
-		if err == nil {
-			_ = listener.Close()
-			return address
-		}
-	}
-	t.Fatalf("no free port on %s", host)
-	return ""
+	return Peer{Name: fmt.Sprint("m", k), Address: testaddr.Address(t), GossipAddress: testaddr.Address(t)}
 }
 
 func newTestCluster(t *testing.T, size int) *testCluster {
@@ -160,7 +141,7 @@
 	}
 	var peers []Peer
 	for k := range size {
-		peers = append(peers, Peer{Name: fmt.Sprint("m", k), Address: freeAddress(t), GossipAddress: freeAddress(t)})
+		peers = append(peers, newTestPeer(t, k))
 	}
 	directory := t.TempDir()
 	for k, peer := range peers {
@@ -216,7 +197,7 @@
 	member.Close()
 }
 
-// events records what the next incarnation of a member is told.
+// events records the lease events of the next incarnation of a member.
 func (c *testCluster) events(k int) memberEvents {
 	return memberEvents{recorder: c.leases, name: c.configs[k].Name, incarnation: c.configs[k].Incarnation}
 }
@@ -241,7 +222,7 @@
 	}
 }
 
-// leaderOf gives the number of the leader that a member knows; false for none.
+// leaderOf returns the number of the leader that a member knows; false for none.
 func (c *testCluster) leaderOf(k int) (leader int, known bool) {
 	name, _ := c.members[k].node.leader()
 	_, err := fmt.Sscanf(name, "m%d", &leader)
@@ -277,7 +258,7 @@
 	}
 }
 
-// held gives how many shards each member holds now, by its own clock and leases.
+// held returns how many shards each member holds now, by its own clock and leases.
 func (c *testCluster) held() (counts []int) {
 	for _, member := range c.members {
 		count := 0
--- a/internal/lease/shard.go
+++ b/internal/lease/shard.go
@@ -2,7 +2,7 @@
 
 import "peppervale/internal/model"
 
-// Shard is what is agreed on about the lease of one shard of the fleet. The zero Shard is free and was never held.
+// Shard is the committed record of the lease of one shard of the fleet. The zero Shard is free and was never held.
 type Shard struct {
 	Epoch     uint64             `cbor:"Epoch"`   // of the newest grant; it only grows
 	Holder    Holder             `cbor:"Holder"`  // of the lease; the zero Holder: it is free
@@ -10,7 +10,7 @@
 	RenewedAt model.Microseconds `cbor:"Renewed"` // by the leader's clock
 }
 
-// HandleRequest takes a request that was agreed on, at a time of the leader's clock.
+// HandleRequest takes a request that was committed, at a time of the leader's clock.
 func (s *Shard) HandleRequest(config Config, request Request, now model.Microseconds) Response {
 	isHolder := s.Holder == request.From
 	if !isHolder && s.isHeld(config, now) {
@@ -26,7 +26,7 @@
 	return Response{To: request.From, Sequence: request.Sequence, Granted: true, Epoch: s.Epoch}
 }
 
-// isHeld tells that the holder may still act, by a clock that loses up to the drift.
+// isHeld reports whether the holder may still act, by a clock that loses up to the drift.
 func (s *Shard) isHeld(config Config, now model.Microseconds) bool {
 	return s.Holder != (Holder{}) && now-s.RenewedAt < config.Duration+config.MaxClockDrift
 }
@@ -35,20 +35,20 @@
 // lease from now.
 func (s *Shard) NewLeader(now model.Microseconds) { s.RenewedAt = now }
 
-// NewLeaderThatSaw begins the term of a leader that saw a renewal of the lease. If the shard was renewed since, or
-// the leader saw no renewal, it is as NewLeader. A renewal that came twice or late does not change the sequence, and
+// NewLeaderWithObservation begins the term of a leader that saw a renewal of the lease. If the shard was renewed since,
+// or the leader saw no renewal, it is as NewLeader. A renewal that came twice or late does not change the sequence, and
 // need not: it gave its holder no time.
-func (s *Shard) NewLeaderThatSaw(seen Observation, now model.Microseconds) {
-	isNewest := s.Epoch == seen.Epoch && s.Sequence == seen.Sequence
-	if !isNewest || seen.Age < 0 {
+func (s *Shard) NewLeaderWithObservation(observation Observation, now model.Microseconds) {
+	isNewest := s.Epoch == observation.Epoch && s.Sequence == observation.Sequence
+	if !isNewest || observation.Age < 0 {
 		s.NewLeader(now)
 		return
 	}
-	s.RenewedAt = now - seen.Age
+	s.RenewedAt = now - observation.Age
 }
 
-// Release takes a holder's message that it has stopped: nobody need wait for the lease to expire. It means nothing
-// from anybody else, nor if the holder has requested the lease anew since it was sent.
+// Release takes a holder's message that it has stopped: no member need wait for the lease to expire. It has no
+// effect from any other holder, nor if the holder has requested the lease anew since it was sent.
 func (s *Shard) Release(release Request) {
 	if s.Holder == release.From && s.Sequence < release.Sequence {
 		s.Holder = Holder{}
