--- a/internal/cluster/planning.go
+++ b/internal/cluster/planning.go
@@ -105,12 +105,12 @@
 func (m *Member) placementShards(now model.Microseconds) (shards []placement.Shard) {
 	for _, shard := range m.state.Shards {
 		shards = append(shards, placement.Shard{
-			Number: shard.Number,
-			Zone:   shard.Zone,
-			Load:   shard.Load,
-			Target: shard.Target,
-			Pinned: shard.Pinned,
-			ReachableMember:  m.reachableInstead(shard, now),
+			Number:          shard.Number,
+			Zone:            shard.Zone,
+			Load:            shard.Load,
+			Target:          shard.Target,
+			Pinned:          shard.Pinned,
+			ReachableMember: m.reachableInstead(shard, now),
 		})
 	}
 	return shards
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -25,8 +25,8 @@
 // Cluster is the block group { }: the cluster of instances that divide the fleet among them and take over from each
 // other. ShardsPerZone and the durations must be alike at all members.
 type Cluster struct {
-	Listen              string // address for raft and commands
-	Gossip              string // address for gossip
+	ListenAddress       string // address for raft and commands
+	GossipAddress       string // address for gossip
 	Zone                string
 	Join                bool               // join a running cluster rather than form one
 	ShardsPerZone       int                // of the fleet
@@ -40,16 +40,16 @@
 
 // ClusterMember is a member as this one reaches it.
 type ClusterMember struct {
-	Name    string
-	Address string // for raft and commands
-	Gossip  string // address for gossip
+	Name          string
+	Address       string // for raft and commands
+	GossipAddress string // address for gossip
 }
 
 // readCluster reads the block of an instance whose name and zones have been read.
 func readCluster(block *Block, server *Server) *Cluster {
 	cluster := &Cluster{
-		Listen:        block.Address("listen", false),
-		Gossip:        block.Address("gossip", false),
+		ListenAddress: block.Address("listen", false),
+		GossipAddress: block.Address("gossip", false),
 		Zone:          block.String("zone", "", server.Zones...),
 		Join:          block.Bool("join", false),
 		ShardsPerZone: block.Int("parts", 4, 1, maxShardsPerZone),
@@ -76,9 +76,9 @@
 func (c *Cluster) readMembers(block *Block, ownName string) {
 	for _, memberBlock := range block.Blocks("member", 1) {
 		member := ClusterMember{
-			Name:    memberBlock.Labels[0],
-			Address: memberBlock.Address("address", false),
-			Gossip:  memberBlock.Address("gossip", false),
+			Name:          memberBlock.Labels[0],
+			Address:       memberBlock.Address("address", false),
+			GossipAddress: memberBlock.Address("gossip", false),
 		}
 		if slices.ContainsFunc(c.Members, member.conflictsWith) {
 			memberBlock.AddError("", "member %q: its name or address is that of another", member.Name)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -31,12 +31,12 @@
 	Discovery        string   // address of the platform's discovery
 	Zones            []string // names, in the order of Balancer
 	Operations       []string // names, in the order of Balancer
-	LoadFields       []string // names of a load report's readings, in their order
+	LoadReportFields []string // names of a load report's readings, in their order
 	Balancer         model.Config
-	Memory           int64                     // bytes that all its processes may use
-	Sockets          int                       // descriptors that a process may hold
+	MemoryLimit      int64                     // bytes that all its processes may use
+	SocketLimit      int                       // descriptors that a process may hold
 	MaxDeliveryDelay model.Microseconds        // the longest that a message takes to a proxy
-	Known            *platformmsg.EndpointList // the endpoint list at the start; nil if there is none
+	InitialEndpoints *platformmsg.EndpointList // the endpoint list at the start; nil if there is none
 }
 
 // platformFile is the JSON of the platform's file. Keys are matched without regard to case; the tags in upper case are
@@ -170,8 +170,8 @@
 		return fieldError("limits", "%g MB and %d sockets; %d MB and %d sockets at least are wanted",
 			limits.Memory, limits.Sockets, minMemoryMegabytes, minSockets)
 	}
-	p.Memory = int64(limits.Memory * bytesPerMegabyte)
-	p.Sockets = limits.Sockets
+	p.MemoryLimit = int64(limits.Memory * bytesPerMegabyte)
+	p.SocketLimit = limits.Sockets
 	return nil
 }
 
@@ -192,7 +192,7 @@
 		}
 		p.Operations = append(p.Operations, class.Name)
 	}
-	p.LoadFields = settings.Stats.Fields
+	p.LoadReportFields = settings.Stats.Fields
 	return nil
 }
 
@@ -204,6 +204,6 @@
 	if err != nil {
 		return wrapError("known", "known: ", err)
 	}
-	p.Known = known
+	p.InitialEndpoints = known
 	return nil
 }
--- a/internal/config/platform_golden_test.go
+++ b/internal/config/platform_golden_test.go
@@ -15,9 +15,9 @@
 	Discovery:        "10.2.0.1:8500",
 	Zones:            []string{"govan", "partick"},
 	Operations:       []string{"recipe-read", "batch-log"},
-	LoadFields:       []string{"busy_reqs", "cpu_share"},
-	Memory:           48 << 20,
-	Sockets:          256,
+	LoadReportFields: []string{"busy_reqs", "cpu_share"},
+	MemoryLimit:      48 << 20,
+	SocketLimit:      256,
 	MaxDeliveryDelay: 555 * model.Millisecond,
 	Balancer: model.Config{
 		Seed:                 0xfe429af2f6dae94c,
@@ -44,7 +44,7 @@
 		MinReplicaConnections: 160,
 		ZoneLocalOperations:   2,
 	},
-	Known: &platformmsg.EndpointList{
+	InitialEndpoints: &platformmsg.EndpointList{
 		Version: 41,
 		Full:    true,
 		Endpoints: []platformmsg.Endpoint{
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -48,7 +48,7 @@
 func checkInstanceSettings(t *testing.T, platform *Platform) {
 	t.Helper()
 	if platform.Name != "n3" || platform.Listen != "10.0.0.4:3000" || platform.Discovery != "10.2.0.1:8500" ||
-		platform.Memory != 48<<20 || platform.Sockets != 256 || platform.MaxDeliveryDelay != 555*model.Millisecond {
+		platform.MemoryLimit != 48<<20 || platform.SocketLimit != 256 || platform.MaxDeliveryDelay != 555*model.Millisecond {
 		t.Fatalf("%+v", platform)
 	}
 	known := &platformmsg.EndpointList{
@@ -57,7 +57,8 @@
 		Endpoints: []platformmsg.Endpoint{{Name: "s-1", Zone: "govan", Status: model.EndpointReady}},
 	}
 	if !reflect.DeepEqual(platform.Operations, []string{"recipe-read", "batch-log"}) ||
-		!reflect.DeepEqual(platform.LoadFields, []string{"cpu_share"}) || !reflect.DeepEqual(platform.Known, known) {
+		!reflect.DeepEqual(platform.LoadReportFields, []string{"cpu_share"}) ||
+		!reflect.DeepEqual(platform.InitialEndpoints, known) {
 		t.Fatalf("%+v", platform)
 	}
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -23,7 +23,7 @@
 // reloadRules covers every part of a file; Reload compares no other.
 var reloadRules = []reloadRule{
 	{"governor: the name", func(s *Server) any { return s.Name }, "logs, pages and the endpoint list's log carry it"},
-	{"governor: listen", func(s *Server) any { return s.Listen }, reasonSocket},
+	{"governor: listen", func(s *Server) any { return s.ListenAddress }, reasonSocket},
 	{"governor: state", func(s *Server) any { return s.StateDir }, "the directory is locked and open"},
 	{"governor: seed", func(s *Server) any { return s.Balancer.Seed }, "random numbers are drawn from it since the start"},
 	{"governor: log", func(s *Server) any { return s.LogLevel }, ""},
@@ -34,13 +34,13 @@
 	{"channel: intake", func(s *Server) any { return s.ReportLimit }, ""},
 	{
 		"channel: connections, observers, unsent_bytes, unsent_all_bytes, greeting, commands, joins, joined_most",
-		func(s *Server) any { return s.Limits }, "",
+		func(s *Server) any { return s.PeerLimits }, "",
 	},
 	{
 		"group", func(s *Server) any { return s.Cluster },
 		"what the cluster has agreed on depends on it; restart one member after the other",
 	},
-	{"console: listen", func(s *Server) any { return s.Console }, reasonSocket},
+	{"console: listen", func(s *Server) any { return s.ConsoleAddress }, reasonSocket},
 	{"machine_list", func(s *Server) any { return s.Discovery }, "a poll is in flight"},
 	{"fleet, rules, channel: queue, overhead, period, messages_most", remainingBalancerConfig, reasonBalancer},
 	{"fleet, rules: what only checkers read", func(s *Server) any { return s.Guarantees }, reasonBalancer},
--- a/internal/config/server.go
+++ b/internal/config/server.go
@@ -21,7 +21,7 @@
 // Server is the configuration file of an instance.
 type Server struct {
 	Name                string
-	Listen              string // address of the channel
+	ListenAddress       string // address of the channel
 	StateDir            string // directory of the durable state
 	Zones               []string
 	Operations          []Operation
@@ -30,10 +30,10 @@
 	ReportLimit         int     // load reports a second that the balancer takes
 	ChannelRate         float64 // entries a second that the channel writes
 	Discovery           Discovery
-	Limits              PeerLimits
+	PeerLimits          PeerLimits
 	ShutdownGracePeriod time.Duration
 	LogLevel            string
-	Console             string   // address of the web console; "" for none
+	ConsoleAddress      string   // address of the web console; "" for none
 	Cluster             *Cluster // nil: the instance is alone
 }
 
@@ -67,11 +67,11 @@
 
 	channel := top.SingleBlock("channel", 0, true)
 	server.ChannelRate, server.ReportLimit = ReadChannelConfig(channel, &server.Balancer, &server.Guarantees)
-	server.Limits = channel.PeerLimits()
+	server.PeerLimits = channel.PeerLimits()
 	channel.RejectUnknown()
 
 	if console := top.SingleBlock("console", 0, false); console.Present() {
-		server.Console = console.Address("listen", true)
+		server.ConsoleAddress = console.Address("listen", true)
 		console.RejectUnknown()
 	}
 	if cluster := top.SingleBlock("group", 0, false); cluster.Present() {
@@ -85,7 +85,7 @@
 // readInstance reads the block governor "NAME" { }.
 func (s *Server) readInstance(block *Block, dir string) {
 	s.Name = block.Labels[0]
-	s.Listen = block.Address("listen", true)
+	s.ListenAddress = block.Address("listen", true)
 	s.StateDir = block.String("state", "")
 	if s.StateDir != "" && !filepath.IsAbs(s.StateDir) {
 		s.StateDir = filepath.Join(dir, s.StateDir)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,9 +21,9 @@
 func (s *Server) Settings() [][2]string {
 	var list settingList
 	list.add("governor", s.Name)
-	list.add("listen", s.Listen)
+	list.add("listen", s.ListenAddress)
 	list.add("state", s.StateDir)
-	list.add("console", s.Console)
+	list.add("console", s.ConsoleAddress)
 	list.add("zones", strings.Join(s.Zones, ", "))
 	for _, operation := range s.Operations {
 		list.add("operation "+operation.Name, operation.summary())
@@ -73,10 +73,10 @@
 func (c *Cluster) addSettings(list *settingList) {
 	list.addf("group", "listen %s, gossip %s, zone %s, %d parts a zone, "+
 		"span %s, drift %s, settle %s, pace %s, limit %g",
-		c.Listen, c.Gossip, c.Zone, c.ShardsPerZone,
+		c.ListenAddress, c.GossipAddress, c.Zone, c.ShardsPerZone,
 		c.LeaseDuration.Duration(), c.MaxClockDrift.Duration(),
 		c.StabilizationPeriod.Duration(), c.MoveInterval.Duration(), c.Capacity)
 	for _, member := range c.Members {
-		list.addf("member "+member.Name, "%s, gossip %s", member.Address, member.Gossip)
+		list.addf("member "+member.Name, "%s, gossip %s", member.Address, member.GossipAddress)
 	}
 }
--- a/internal/discovery/fakeplatform_test.go
+++ b/internal/discovery/fakeplatform_test.go
@@ -159,10 +159,10 @@
 
 func watchConfig(platform *fakePlatform, known *platformmsg.EndpointList) WatchConfig {
 	return WatchConfig{
-		Address: platform.address(),
-		Zones:   zones,
-		Names:   platformmsg.NewReplicaNames(),
-		Known:   known,
-		Log:     zerolog.Nop(),
+		Address:          platform.address(),
+		Zones:            zones,
+		Names:            platformmsg.NewReplicaNames(),
+		InitialEndpoints: known,
+		Log:              zerolog.Nop(),
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,12 +16,12 @@
 
 // WatchConfig says which endpoint list of the operators' platform is watched.
 type WatchConfig struct {
-	Address string // host:port
-	Zones   []string
-	Names   *platformmsg.ReplicaNames // learns each replica that is listed
-	Known   *platformmsg.EndpointList // the list that this instance had last; nil: none
-	Seed    uint64                    // of the random retry delays
-	Log     zerolog.Logger
+	Address          string // host:port
+	Zones            []string
+	Names            *platformmsg.ReplicaNames // learns each replica that is listed
+	InitialEndpoints *platformmsg.EndpointList // the list that this instance had last; nil: none
+	Seed             uint64                    // of the random retry delays
+	Log              zerolog.Logger
 }
 
 // By the platform's protocol a watch event counts as delivered 6 s after it was due, whether it arrived or not. The
@@ -77,8 +77,8 @@
 			entries: map[string]platformmsg.Endpoint{},
 		},
 	}
-	if config.Known != nil {
-		watcher.cache.apply(config.Known)
+	if config.InitialEndpoints != nil {
+		watcher.cache.apply(config.InitialEndpoints)
 	}
 	watcher.poller = newPoller(watcher)
 	go watcher.poller.run()
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -23,12 +23,12 @@
 
 // Shard is one part of the fleet's proxies.
 type Shard struct {
-	Number int
-	Zone   string
-	Load   float64 // requests a second that its proxies expect
-	Target string  // the member that should hold it; "": none
-	Pinned bool    // an operator placed it on Target
-	ReachableMember  string  // the member that its proxies connect to while none reaches Target; "": none
+	Number          int
+	Zone            string
+	Load            float64 // requests a second that its proxies expect
+	Target          string  // the member that should hold it; "": none
+	Pinned          bool    // an operator placed it on Target
+	ReachableMember string  // the member that its proxies connect to while none reaches Target; "": none
 }
 
 // Migration says which member should hold a shard from now on. It is sent and stored as CBOR; its tags are names in
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -115,7 +115,7 @@
 // listen opens the address for proxies. They may connect from here on.
 func (inst *instance) listen(settings *config.Server) error {
 	serverConfig := pubsub.Config{
-		Listen:           settings.Listen,
+		Listen:           settings.ListenAddress,
 		Incarnation:      inst.recovered.Incarnation,
 		Zones:            settings.Zones,
 		ReportPeriod:     inst.balancer.ReportPeriod,
@@ -131,7 +131,7 @@
 	}
 	proxies, err := pubsub.Listen(serverConfig, inst.controller)
 	if err != nil {
-		return &ListenError{Address: settings.Listen, Err: err}
+		return &ListenError{Address: settings.ListenAddress, Err: err}
 	}
 	inst.proxies = proxies
 	inst.releaseAtEnd(proxies.Close)
@@ -180,7 +180,7 @@
 
 // openConsole opens the console, if one is configured.
 func (inst *instance) openConsole(settings *config.Server) error {
-	if settings.Console == "" {
+	if settings.ConsoleAddress == "" {
 		return nil
 	}
 	about := console.Instance{
@@ -198,7 +198,8 @@
 	if inst.membership != nil {
 		about.Cluster = inst.membership.cluster.Load().Status
 	}
-	pages, err := console.Listen(settings.Console, about, consoleSource{inst.controller, inst.proxies, inst.recorder})
+	source := consoleSource{inst.controller, inst.proxies, inst.recorder}
+	pages, err := console.Listen(settings.ConsoleAddress, about, source)
 	if err != nil {
 		return err
 	}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -89,8 +89,8 @@
 		Name:             options.settings.Name,
 		Zone:             clusterSettings.Zone,
 		ChannelAddress:   m.proxies.Addr(),
-		ListenAddress:    clusterSettings.Listen,
-		GossipAddress:    clusterSettings.Gossip,
+		ListenAddress:    clusterSettings.ListenAddress,
+		GossipAddress:    clusterSettings.GossipAddress,
 		Directory:        filepath.Join(options.settings.StateDir, "group"),
 		Incarnation:      memberIncarnation(options.incarnation),
 		Join:             clusterSettings.Join,
@@ -104,7 +104,7 @@
 		Log:              options.log,
 	}
 	for _, member := range clusterSettings.Members {
-		peer := cluster.Peer{Name: member.Name, Address: member.Address, GossipAddress: member.Gossip}
+		peer := cluster.Peer{Name: member.Name, Address: member.Address, GossipAddress: member.GossipAddress}
 		memberConfig.Peers = append(memberConfig.Peers, peer)
 	}
 	opened, err := cluster.Open(memberConfig, m)
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -104,7 +104,7 @@
 // limitProcess has the Go runtime keep to the instance's limits. The memory limit counts the whole process; a third is
 // left for what the runtime's own limit does not count: the kernel's stacks, the program's text.
 func limitProcess(settings *config.Platform) {
-	debug.SetMemoryLimit(settings.Memory / 3 * 2)
+	debug.SetMemoryLimit(settings.MemoryLimit / 3 * 2)
 	debug.SetGCPercent(platformGCPercent)
 	runtime.GOMAXPROCS(min(runtime.NumCPU(), maxPlatformProcs))
 }
@@ -112,12 +112,12 @@
 // openDiscovery makes the watch of the endpoint list; it begins once it is subscribed.
 func (inst *platformInstance) openDiscovery(names *platformmsg.ReplicaNames) error {
 	watcher, err := discovery.NewWatcher(discovery.WatchConfig{
-		Address: inst.settings.Discovery,
-		Zones:   inst.settings.Zones,
-		Names:   names,
-		Known:   inst.settings.Known,
-		Seed:    inst.settings.Balancer.Seed,
-		Log:     inst.log,
+		Address:          inst.settings.Discovery,
+		Zones:            inst.settings.Zones,
+		Names:            names,
+		InitialEndpoints: inst.settings.InitialEndpoints,
+		Seed:             inst.settings.Balancer.Seed,
+		Log:              inst.log,
 	}, inst.controller)
 	if err != nil {
 		return err
@@ -166,14 +166,14 @@
 		Listen:          settings.Listen,
 		Zones:           settings.Zones,
 		Operations:      settings.Operations,
-		LoadFields:      settings.LoadFields,
+		LoadFields:      settings.LoadReportFields,
 		ProxyCount:      settings.Balancer.ProxyCount,
 		MessageOverhead: settings.Balancer.MessageOverhead,
 		ReplicaNames:    names,
 		Now:             now,
 		Log:             inst.log,
 		Limits: platform.Limits{
-			Connections:      settings.Sockets - reservedDescriptors,
+			Connections:      settings.SocketLimit - reservedDescriptors,
 			GreetingTimeout:  joinTimeout,
 			UnsentBytes:      maxUnsentBytes,
 			SilenceTimeout:   silence,
@@ -189,8 +189,8 @@
 		Str("instance", inst.settings.Name).
 		Str("listen", inst.proxies.Addr()).
 		Int("endpoints", len(known)).
-		Int64("memory_mb", inst.settings.Memory/mebibyte).
-		Int("sockets", inst.settings.Sockets).
+		Int64("memory_mb", inst.settings.MemoryLimit/mebibyte).
+		Int("sockets", inst.settings.SocketLimit).
 		Msg("serving")
 	go inst.controller.Run(inst.proxies, inst.discovery, known)
 	if !inst.settings.Balancer.SubscriptionRequired {
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -53,7 +53,7 @@
 
 // peerLimits returns what a connection to the address for proxies may use.
 func peerLimits(settings *config.Server) pubsub.Limits {
-	limits := settings.Limits
+	limits := settings.PeerLimits
 	return pubsub.Limits{
 		Connections:      limits.Connections,
 		Observers:        limits.Observers,
@@ -66,7 +66,7 @@
 
 // joinLimits returns how many proxies may join. The seed is that of the jitter in their Retry-After.
 func joinLimits(settings *config.Server, seed uint64) admission.Limits {
-	limits := settings.Limits
+	limits := settings.PeerLimits
 	return admission.Limits{
 		Rate:       limits.JoinRate,
 		Burst:      limits.JoinBurst,
