--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -25,7 +25,7 @@
 // errEnded stops the reader of a connection that has been ended; it is not reported.
 var errEnded = errors.New("ended")
 
-// connection is one connection of a proxy, a collector or anybody else.
+// connection is one connection of a proxy, a collector or an unknown client.
 type connection struct {
 	connserver.Conn
 	server         *Server
@@ -63,13 +63,16 @@
 	if err == nil || errors.Is(err, errEnded) {
 		return
 	}
-	if s.isUnauthenticated(conn) {
+	s.mu.Lock()
+	hasJoined := conn.queued == nil
+	if hasJoined {
+		s.stats.ProtocolErrors++
+	}
+	s.mu.Unlock()
+	if !hasJoined {
 		s.reject(conn, err.Error())
 		return
 	}
-	s.mu.Lock()
-	s.stats.ProtocolErrors++
-	s.mu.Unlock()
 	event := s.config.Log.Warn().Err(err)
 	if conn.stream != nil {
 		event.Int("proxy", int(conn.stream.proxy))
@@ -80,7 +83,7 @@
 	s.end(conn)
 }
 
-// closed takes a connection out that has closed of itself.
+// closed takes out a connection whose socket was closed, unless it was removed before.
 func (s *Server) closed(conn *connection) {
 	s.mu.Lock()
 	s.remove(conn)
