--- a/internal/codec/platformmsg/errors.go
+++ b/internal/codec/platformmsg/errors.go
@@ -4,7 +4,7 @@
 
 // ParseError reports a message that cannot be used. Its text is sent to a client that has not joined.
 type ParseError struct {
-	// Kind and Field say what is malformed. Both are empty where it is the message as a whole.
+	// Kind and Field say what is malformed. Both are empty where it is the message itself.
 	Kind   Kind
 	Field  string
 	Reason string
--- a/internal/codec/platformmsg/fields.go
+++ b/internal/codec/platformmsg/fields.go
@@ -69,7 +69,7 @@
 	return number
 }
 
-// integer returns a whole number from 0 to a bound.
+// integer returns an integer from 0 to a bound.
 func (p *fieldParser) integer(name string, bound int) int {
 	text := p.text(name)
 	number, err := strconv.Atoi(text)
--- a/internal/codec/platformmsg/replica_names.go
+++ b/internal/codec/platformmsg/replica_names.go
@@ -24,7 +24,7 @@
 	return &ReplicaNames{ids: map[string]model.ReplicaID{}}
 }
 
-// ID returns the id of a name that was registered by Listed; ok is false for any other name.
+// ID returns the id of a name that was registered by Register; ok is false for any other name.
 func (n *ReplicaNames) ID(name string) (id model.ReplicaID, ok bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -47,7 +47,7 @@
 	return id, true
 }
 
-// Name returns the name of an id that Listed assigned, and an empty string for any other id.
+// Name returns the name of an id that Register assigned, and an empty string for any other id.
 func (n *ReplicaNames) Name(id model.ReplicaID) string {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/codec/platformmsg/update.go
+++ b/internal/codec/platformmsg/update.go
@@ -4,7 +4,7 @@
 
 // Update is one message to a proxy. It counts as one in the send window, whatever its number of parts.
 type Update struct {
-	Full            bool // Entries are the whole table, and earlier quotas no longer apply
+	Full            bool // Entries are the complete table, and earlier quotas no longer apply
 	Entries         []Entry
 	OperationTables []OperationTable
 	Quotas          []Quota
--- a/internal/codec/pubsubmsg/errors.go
+++ b/internal/codec/pubsubmsg/errors.go
@@ -6,7 +6,7 @@
 type ParseError struct {
 	// Field names what is malformed, e.g. "epoch". It is empty where the number of values is wrong.
 	Field string
-	// Reason is the whole text of the error. It is sent to the proxy that sent the command.
+	// Reason is the complete text of the error. It is sent to the proxy that sent the command.
 	Reason string
 }
 
--- a/internal/codec/pubsubmsg/parse_command.go
+++ b/internal/codec/pubsubmsg/parse_command.go
@@ -133,7 +133,7 @@
 	err *ParseError
 }
 
-// number returns a whole number. A malformed one replaces the kept error.
+// number returns an integer. A malformed one replaces the kept error.
 func (p *loadReportParser) number(field string, value resp.Value) int64 {
 	if value.Kind == resp.Number {
 		return value.Int
--- a/internal/codec/resp/append.go
+++ b/internal/codec/resp/append.go
@@ -25,7 +25,8 @@
 	return append(dst, lineEnd...)
 }
 
-// AppendLine appends a Simple, a Failure or a BigNumber. Carriage returns and line feeds in the text become spaces.
+// AppendLine appends a SimpleString, a SimpleError or a BigNumber. Carriage returns and line feeds in the text become
+// spaces.
 func AppendLine(dst []byte, kind Kind, text string) []byte {
 	dst = append(dst, byte(kind))
 	for i := range len(text) {
--- a/internal/netpoll/accept_test.go
+++ b/internal/netpoll/accept_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestAcceptWithoutFreeDescriptor: An address that finds no free descriptor waits without using a core, and accepts
-// whoever waited once there is one.
+// the connections that waited once there is one.
 func TestAcceptWithoutFreeDescriptor(t *testing.T) {
 	opened := make(chan struct{}, 10)
 	engine := startEngine(t, Handlers{Open: func(*nbio.Conn) { opened <- struct{}{} }}, "127.0.0.1:0")
--- a/internal/netpoll/connserver/server.go
+++ b/internal/netpoll/connserver/server.go
@@ -1,5 +1,5 @@
-// Package connserver holds what the servers that proxies connect to have in common: the life of a listening address,
-// the register of its open connections, and the count of the bytes that wait for each of them.
+// Package connserver holds what the servers that proxies connect to have in common: the lifetime of a listening
+// address, the register of its open connections, and the count of the bytes that wait for each of them.
 //
 // A protocol server (internal/platform, internal/pubsub) keeps its own state of each connection in a type that embeds
 // Conn, and guards that state and the register with one lock of its own, which it hands to New. Methods that need the
@@ -33,7 +33,7 @@
 	Opened func(socket *nbio.Conn)
 	// Received takes bytes of a connection that has not ended. They are valid during the call only.
 	Received func(session S, data []byte)
-	// Closed is called once the socket is closed, whoever closed it.
+	// Closed is called once the socket is closed, by the peer or by this process.
 	Closed func(session S)
 }
 
@@ -191,7 +191,7 @@
 	if !ok || count <= 0 {
 		return
 	}
-	// No more than still counts: what waited for an unregistered connection was taken off as a whole.
+	// Take off no more than still counts: Unregister has taken off all that waited for the connection.
 	unsent := &session.connection().unsentBytes
 	for {
 		waiting := unsent.Load()
--- a/internal/netpoll/descriptorreuse_test.go
+++ b/internal/netpoll/descriptorreuse_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestDescriptorReusedAfterCloseInOpen: A connection that is closed in Open frees its descriptor's number, and
-// somebody takes it at once: the poller does not watch what is behind that number now. It once did, found a
+// something takes it at once: the poller does not watch what is behind that number now. It once did, found a
 // connection there that was closed, and kept a core busy without reading.
 func TestDescriptorReusedAfterCloseInOpen(t *testing.T) {
 	var engine *Engine
--- a/internal/netpoll/doc.go
+++ b/internal/netpoll/doc.go
@@ -8,5 +8,6 @@
 //   - An address that finds no free descriptor waits and goes on.
 //
 // Handlers.Open, Handlers.Data and a dial's callback run on the connection's poller, Handlers.Close after them on
-// another goroutine. A connection should be closed by Engine.End: the poller may be adding it, or reading from it.
+// another goroutine. A connection should be closed by Engine.CloseOnPoller: the poller may be adding it, or reading
+// from it.
 package netpoll
--- a/internal/netpoll/helpers_test.go
+++ b/internal/netpoll/helpers_test.go
@@ -29,7 +29,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// runEchoServer serves until whoever started the process closes its input.
+// runEchoServer serves until its parent closes its input.
 func runEchoServer(address string) (exitStatus int) {
 	echo := Handlers{Data: func(conn *nbio.Conn, data []byte) { _, _ = conn.Write(data) }}
 	engine, err := Start(1, echo, address)
@@ -97,7 +97,7 @@
 	}
 }
 
-// waitForRefusal waits until nobody listens at an address any more.
+// waitForRefusal waits until no socket listens at an address any more.
 func waitForRefusal(t *testing.T, address string) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); ; {
--- a/internal/netpoll/inherited.go
+++ b/internal/netpoll/inherited.go
@@ -16,9 +16,9 @@
 	maxInheritedDescriptors  = 64
 )
 
-// inheritedSockets are the listening sockets that the process was handed, by address. Whoever starts controllers holds
-// the listening socket over their lives, so that a dial that falls between two of them waits in the kernel and is not
-// refused. Both variables are removed from the environment: they are not meant for a child.
+// inheritedSockets are the listening sockets that the process was handed, by address. The process that starts
+// controllers holds the listening socket while they come and go, so that a dial that falls between two of them waits
+// in the kernel and is not refused. Both variables are removed from the environment: they are not meant for a child.
 var inheritedSockets = sync.OnceValue(func() map[string]*os.File {
 	sockets := map[string]*os.File{}
 	count := inheritedCount()
--- a/internal/netpoll/inherited_test.go
+++ b/internal/netpoll/inherited_test.go
@@ -12,7 +12,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestSocketOutlivesItsProcess: A dial that falls between two processes waits in the socket that whoever starts them
+// TestSocketOutlivesItsProcess: A dial that falls between two processes waits in the socket that their parent
 // holds, and the next process serves it. The address is taken all the while, so a process that was not handed the
 // socket cannot listen there.
 func TestSocketOutlivesItsProcess(t *testing.T) {
@@ -32,7 +32,7 @@
 		t.Fatalf("without the socket: %v\n%s", err, output)
 	}
 	for range 3 {
-		conn := connect(t, address) // nobody is there
+		conn := connect(t, address) // no process serves the address
 		_ = conn.SetDeadline(time.Now().Add(patience))
 		send(t, conn, "hello")
 		expectEchoFromNewProcess(t, conn, address, held)
--- a/internal/platform/acknowledge.go
+++ b/internal/platform/acknowledge.go
@@ -37,13 +37,13 @@
 	number   uint64 // of the message, see deliveryProgress
 }
 
-// expect adds an acknowledgement to what the stream owes; s.mu is held.
+// expectAck adds an acknowledgement to what the stream owes; s.mu is held.
 func (s *Server) expectAck(queue *ackQueue, sentAt model.Microseconds) {
 	s.progress.sent++
 	queue.pending = append(queue.pending, pendingAck{queue.newest, sentAt, s.progress.sent})
 }
 
-// index is the place of a sequence among the pending ones; -1: it is not pending.
+// index is the index of a sequence in pending; -1: it is not pending.
 func (q *ackQueue) index(sequence uint32) int {
 	return slices.IndexFunc(q.pending, func(ack pendingAck) bool { return ack.sequence == sequence })
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -21,7 +21,7 @@
 	// acknowledged a later message; then it is taken as disconnected.
 	SilenceTimeout time.Duration
 	// AckRetryInterval is how long a stream may owe an acknowledgement, or send nothing, before the acknowledgement is
-	// asked for again; no shorter than Silence.
+	// asked for again; no shorter than SilenceTimeout.
 	AckRetryInterval time.Duration
 }
 
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -27,7 +27,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testHarness stands in for the controller: it keeps the events, and admits whoever joins on a goroutine of its
+// testHarness stands in for the controller: it keeps the events, and admits each proxy that joins on a goroutine of its
 // own, as the controller does.
 type testHarness struct {
 	t      *testing.T
--- a/internal/platform/liveness.go
+++ b/internal/platform/liveness.go
@@ -5,12 +5,12 @@
 	"peppervale/internal/model"
 )
 
-// idleChannelFactor is how many times Limits.Silence a stream may send nothing while no stream acknowledges anything:
-// the slowest that the platform's channel was met is five times its pace.
+// idleChannelFactor is how many times Limits.SilenceTimeout a stream may send nothing while no stream acknowledges
+// anything: the platform's channel was measured to be up to five times slower than its stated pace.
 const idleChannelFactor = 5
 
-// checkLiveness ends connections that did not join in time and streams whose machine has vanished. TCP does not
-// report the latter, but neither do the acknowledgements come that they owe, nor anything else.
+// checkLiveness ends connections that did not join in time and streams whose proxy's host has vanished. TCP
+// does not report the latter, but the acknowledgements that they owe do not come, nor does anything else.
 //
 // The platform's channel carries messages one after another at a pace of its own, so an acknowledgement is overdue
 // only once another stream has acknowledged a message that was sent later. Before that, a stream would be ended for
@@ -76,7 +76,7 @@
 	return now - model.Microseconds(c.lastReceivedAt.Load())
 }
 
-// isSilent reports whether a stream's machine is taken as vanished; s.mu is held.
+// isSilent reports whether a stream's proxy is taken as vanished; s.mu is held.
 func (s *Server) isSilent(stream *stream, now model.Microseconds) bool {
 	limit := microseconds(s.config.Limits.SilenceTimeout)
 	silent := stream.conn.silentFor(now)
--- a/internal/platform/liveness_test.go
+++ b/internal/platform/liveness_test.go
@@ -47,7 +47,7 @@
 	harness.waitForEvent("acknowledged 7 4")
 }
 
-// TestSilentStreamWithoutPendingAcksIsAsked: A machine that vanishes while it owes nothing is found too: it is asked
+// TestSilentStreamWithoutPendingAcksIsAsked: A proxy that vanishes while it owes nothing is found too: it is asked
 // for an acknowledgement, and does not answer.
 func TestSilentStreamWithoutPendingAcksIsAsked(t *testing.T) {
 	clock := &testClock{now: 1}
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestVanishedProxyIsDisconnected: The stream of a proxy whose machine has vanished ends once another proxy has
+// TestVanishedProxyIsDisconnected: The stream of a proxy whose host has vanished ends once another proxy has
 // acknowledged what was sent after it, and what it owes counts no more. A stream that owes an acknowledgement and
 // still sends messages stays, and so does one whose turn in the channel has not come: on a calm day 701 of 2,400
-// streams were once ended for the queue that their messages waited in. Where nobody acknowledges anything, a stream
+// streams were once ended for the queue that their messages waited in. Where no stream acknowledges anything, a stream
 // ends for its silence, five times as late.
 func TestVanishedProxyIsDisconnected(t *testing.T) {
 	clock := &testClock{now: 1}
@@ -94,7 +94,7 @@
 	talks := harness.join(t, 2)
 	harness.publish(1, harness.withdraw(1, true)) // to both; the first is sent before the second
 	talks.expect("update out s-1 ticket 1")
-	clock.advance(60 * time.Millisecond) // nobody has acknowledged: the channel may be slow
+	clock.advance(60 * time.Millisecond) // no stream has acknowledged: the channel may be slow
 	harness.server.checkLiveness()
 	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.Silent != 0 {
 		t.Fatalf("%+v", stats)
@@ -115,7 +115,7 @@
 		t.Fatalf("%+v", stats)
 	}
 	waits.expect("update out s-2 ticket 2")
-	clock.advance(250 * time.Millisecond) // nothing at all, from anybody
+	clock.advance(250 * time.Millisecond) // nothing at all, from any stream
 	harness.server.checkLiveness()
 	harness.waitForEvent("disconnected 3")
 	harness.waitForEvent("disconnected 2")
--- a/internal/platform/protocolerror_test.go
+++ b/internal/platform/protocolerror_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestUnauthenticatedConnectionsAreRejected: Whoever sends what a connection that has not joined may not send is told
-// so, or closed, at once; a proxy beside them notices nothing.
+// TestUnauthenticatedConnectionsAreRejected: A client that sends what a connection that has not joined may not send
+// gets an error, or is closed, at once; a proxy beside them notices nothing.
 func TestUnauthenticatedConnectionsAreRejected(t *testing.T) {
 	harness := startServer(t, nil)
 	good := harness.join(t, 7)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -66,7 +66,7 @@
 func (s *Server) Close() { s.connections.Close() }
 
 // scheduleLivenessChecks has liveness checks run until the server closes. They run on the poller's goroutine, once it
-// has read what was there to be read: a process that got no processor time takes nobody for silent whose messages
+// has read what was there to be read: a process that got no processor time takes no proxy for silent whose messages
 // wait in its own sockets.
 func (s *Server) scheduleLivenessChecks() {
 	ticker := time.NewTicker(s.config.Limits.GreetingTimeout / checksPerGreeting)
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -16,7 +16,7 @@
 	Collectors      int    `json:"Collectors"`  // registered now
 	Connections     int    `json:"Connections"` // open now
 	Unauthenticated uint64 `json:"Strangers"`   // ended without having joined
-	Rejected        uint64 `json:"Refused"`     // of them, those told why
+	Rejected        uint64 `json:"Refused"`     // of them, those that were sent a reason
 	Evicted         uint64 `json:"Evicted"`     // of them, those that made room
 }
 
@@ -26,7 +26,7 @@
 	ProtocolErrors    uint64 `json:"Faults"` // joined connections closed as their bytes could not be read
 }
 
-// StreamStats describe how streams ended and what they were asked again.
+// StreamStats describe how streams ended, and the acknowledgements that they were asked for again.
 type StreamStats struct {
 	Silent     uint64 `json:"Silent"`     // closed because nothing came any more
 	Slow       uint64 `json:"Slow"`       // closed because too much waited for the peer
--- a/internal/pubsub/command.go
+++ b/internal/pubsub/command.go
@@ -54,8 +54,8 @@
 	return command(c, value.Items[1:])
 }
 
-// mayCommand counts a command. A peer that sends more than it may is ended with a time to come back; what it holds
-// stays in force meanwhile.
+// mayCommand counts a command. A peer that sends more than it may is ended with a Retry-After; what it holds stays in
+// force meanwhile.
 func (c *connection) mayCommand() bool {
 	server := c.server
 	server.mu.Lock()
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// client takes what libraries tell of themselves; the other subcommands of CLIENT are not here.
+// client accepts what libraries state about themselves; the other subcommands of CLIENT are not implemented.
 func (c *connection) client(args []resp.Value) error {
 	if len(args) > 0 {
 		subcommand := strings.ToUpper(args[0].ArgumentText())
--- a/internal/pubsub/config.go
+++ b/internal/pubsub/config.go
@@ -16,7 +16,7 @@
 	UnsentBytes      int            // bytes that wait for one peer before its changes are folded into a snapshot
 	TotalUnsentBytes int            // bytes that wait for all peers before the changes of the slowest are folded
 	GreetingTimeout  time.Duration  // within which a peer joins or subscribes
-	CommandRate      admission.Rate // that one peer may send; beyond it the peer is sent away with a time to wait
+	CommandRate      admission.Rate // that one peer may send; beyond it the peer is ended with a Retry-After
 }
 
 // DefaultLimits suit some thousand proxies: 64 KiB hold a table of 2,000 entries. All together may leave a quarter of
@@ -67,7 +67,7 @@
 	EntriesPerSecond float64            // entries a second
 	Limits           Limits
 	JoinLimits       admission.Limits // how many may join; zero: all
-	Leases           Leases           // nil: this controller may send updates to whoever joins
+	Leases           Leases           // nil: this controller may send updates to every proxy that joins
 	Now              func() model.Microseconds
 	Log              zerolog.Logger
 }
--- a/internal/pubsub/connection.go
+++ b/internal/pubsub/connection.go
@@ -16,7 +16,7 @@
 	"peppervale/internal/snapshot"
 )
 
-// connection is one connection of a proxy, an observer or anybody else.
+// connection is one connection of a proxy, an observer or an unknown client.
 type connection struct {
 	connserver.Conn
 	server      *Server
@@ -28,8 +28,8 @@
 	stream      stream
 }
 
-// stream is what a connection is as a proxy's. The join and the shard are set once a JOIN was read, all else once it
-// was taken.
+// stream is the state of a connection on which a proxy joins. The join and the shard are set once a JOIN was read, all
+// else once it was accepted.
 type stream struct {
 	id         uint64 // 0: not joined
 	join       pubsubmsg.Join
@@ -43,7 +43,7 @@
 
 // Errors that end a connection for no fault of its peer begin with one of these words; the others begin with ERR.
 const (
-	errorLater  = "LATER"  // come back after the given time
+	errorLater  = "LATER"  // retry after the given time
 	errorEnding = "ENDING" // this controller shuts down
 	errorMoved  = "MOVED"  // another controller holds the proxy's shard
 )
@@ -82,7 +82,8 @@
 	s.mu.Unlock()
 }
 
-// endWithError tells a peer why its connection ends, and closes it; s.mu is held. An ended connection is left alone.
+// endWithError sends a peer the reason for which its connection ends, and closes it; s.mu is held. An ended connection
+// is left alone.
 func (s *Server) endWithError(conn *connection, reason string) {
 	if !conn.MarkEnded() {
 		return
--- a/internal/pubsub/doc.go
+++ b/internal/pubsub/doc.go
@@ -7,8 +7,8 @@
 //   - All updates of one Publish leave as one message for each proxy that they concern. Messages reach a proxy in
 //     order, and each names the version before it, so that a missing one shows.
 //   - A proxy joins with a snapshot. After a gap (RESYNC), or after it has read too slowly, it gets another one,
-//     never a guess. At most Limits.Unsent bytes and one snapshot wait for a slow reader.
-//   - Messages leave at the stated pace, in entries a second; what waits is counted in entries (Stats.Queue).
+//     never a guess. At most Limits.UnsentBytes bytes and one snapshot wait for a slow reader.
+//   - Messages leave at the stated pace, in entries a second; what waits is counted in entries (Stats.QueuedEntries).
 //   - Bytes that are no RESP, commands that make no sense and peers that send nothing end that connection with one
 //     clear error, and touch no other.
 //
--- a/internal/pubsub/harness_test.go
+++ b/internal/pubsub/harness_test.go
@@ -24,7 +24,7 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// testHarness stands in for the controller: it admits who joins and keeps the events.
+// testHarness stands in for the controller: it admits each proxy that joins and keeps the events.
 type testHarness struct {
 	t       *testing.T
 	server  *Server
@@ -105,7 +105,7 @@
 	if change != nil {
 		change(&config)
 	}
-	harness.mu.Lock() // nobody joins before the server is known
+	harness.mu.Lock() // no proxy joins before the server is known
 	var err error
 	if harness.server, err = Listen(config, harness); err != nil {
 		t.Fatal(err)
--- a/internal/pubsub/join.go
+++ b/internal/pubsub/join.go
@@ -14,7 +14,7 @@
 // maxProxyNames bounds the names that may join in one incarnation: model.ProxyID has 16 bits.
 const maxProxyNames = 65535
 
-// joinProxy takes a proxy in.
+// joinProxy makes the connection a proxy's stream and reports it, outside the lock.
 func (c *connection) joinProxy(args []resp.Value) error {
 	if !c.saidHello {
 		return errHelloFirst
@@ -37,7 +37,7 @@
 }
 
 // registerStream makes a connection a proxy's stream and answers its JOIN. A stream of the same name that is still here
-// is replaced: its connection is the older one. The proxy is not joined if it was told to come back or to go elsewhere.
+// is replaced: its connection is the older one. The proxy is not joined if it was deferred or redirected.
 func (s *Server) registerStream(conn *connection, join pubsubmsg.Join, zone int) (joined bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +89,8 @@
 	return epoch, isHolder && epoch >= join.Epoch
 }
 
-// admitJoin reports whether a proxy may join now; s.mu is held. One that may not is told when to come back, and ended
-// so that it holds no place among the connections.
+// admitJoin reports whether a proxy may join now; s.mu is held. One that may not is sent a Retry-After, and ended so
+// that it holds no place among the connections.
 func (s *Server) admitJoin(conn *connection) bool {
 	decision, after := s.joins.Decide(s.config.Now(), conn.stream.join.Name, len(s.streams))
 	if decision == admission.Admit {
@@ -114,6 +114,7 @@
 	return proxy, nil
 }
 
+// answerJoin sends a proxy what it needs to know of this controller; s.mu is held.
 func (s *Server) answerJoin(conn *connection, epoch uint64) {
 	encoded := resp.AppendHeader(nil, resp.Map, 4)
 	encoded = appendNumber(encoded, "life", int64(s.published.Incarnation))
--- a/internal/pubsub/lease_test.go
+++ b/internal/pubsub/lease_test.go
@@ -50,8 +50,8 @@
 	return client
 }
 
-// TestJoinIsRedirectedToLeaseHolder: A proxy whose shard another controller holds is told where to join, or to ask
-// again where nobody holds it, and its connection is closed.
+// TestJoinIsRedirectedToLeaseHolder: A proxy whose shard another controller holds is sent its address, or a
+// Retry-After where no controller holds it, and its connection is closed.
 func TestJoinIsRedirectedToLeaseHolder(t *testing.T) {
 	leases := &testLeases{held: map[int]uint64{}, holders: map[int]string{0: "127.0.0.1:7001"}}
 	harness := startServer(t, func(config *Config) { config.Leases = leases })
--- a/internal/pubsub/limits_test.go
+++ b/internal/pubsub/limits_test.go
@@ -40,7 +40,7 @@
 	proxy.expectAckSequence(1)
 }
 
-// TestTooManyConnections: A connection beyond the limit is told so.
+// TestTooManyConnections: A connection beyond the limit gets an error that says so.
 func TestTooManyConnections(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 2 })
 	harness.join(t, "a")
@@ -48,7 +48,7 @@
 	harness.dial(t).expectError("too many connections")
 }
 
-// TestTooManyCommands: A peer that sends more commands than it may is told when to come back, and nobody else notices;
+// TestTooManyCommands: A peer that sends more commands than it may gets a Retry-After, and no other peer notices;
 // with the limit raised in service the same flood passes.
 func TestTooManyCommands(t *testing.T) {
 	const burst, flood = 20, 100
@@ -78,7 +78,7 @@
 	}
 }
 
-// expectDeferralAfter checks that so many answers are followed by an error that tells when to come back.
+// expectDeferralAfter checks that so many answers are followed by an error with a Retry-After.
 func (c *testClient) expectDeferralAfter(answers int) {
 	c.t.Helper()
 	for n := 0; ; n++ {
--- a/internal/pubsub/misrouted.go
+++ b/internal/pubsub/misrouted.go
@@ -7,7 +7,8 @@
 	"peppervale/internal/model"
 )
 
-// unheldRetry is when a proxy whose shard nobody holds may ask again: a lease changes hands in some multiples of it.
+// unheldRetry is when a proxy whose shard has no lease holder may ask again: a lease changes hands in some multiples of
+// it.
 const unheldRetry = 100 * time.Millisecond
 
 // maxMisroutedProxies bounds those that are remembered; the others are not counted.
@@ -51,8 +52,8 @@
 	return counts
 }
 
-// MisroutedProxies counts the proxies that went on asking here for at least so long, though they were told where to
-// join, by shard.
+// MisroutedProxies counts the proxies that went on asking here for at least so long, though they were redirected, by
+// shard.
 func (s *Server) MisroutedProxies(atLeast model.Microseconds) map[int]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/pubsub/observer.go
+++ b/internal/pubsub/observer.go
@@ -11,7 +11,7 @@
 // topic is what observers subscribe to.
 const topic = "tables"
 
-// subscribe makes a connection an observer's. It is sent the whole state, and each version from now on.
+// subscribe makes a connection an observer's. It is sent the complete state, and each version from now on.
 func (c *connection) subscribe(args []resp.Value) error {
 	if !c.saidHello {
 		return errHelloFirst
@@ -84,7 +84,7 @@
 	}
 }
 
-// sendObserverSnapshot sends an observer the whole state; s.mu is held.
+// sendObserverSnapshot sends an observer the complete state; s.mu is held.
 func (s *Server) sendObserverSnapshot(conn *connection) {
 	if text, err := json.Marshal(s.snapshot()); err == nil {
 		s.connections.Write(conn, encodeTopicMessage(text))
--- a/internal/pubsub/observer_test.go
+++ b/internal/pubsub/observer_test.go
@@ -8,8 +8,8 @@
 	"github.com/redis/go-redis/v9"
 )
 
-// TestRedisClientObserves: An observer with a client that nobody here wrote gets the whole state once, then each
-// version once and in order.
+// TestRedisClientObserves: An observer with a third-party client gets the complete state once, then each version once
+// and in order.
 func TestRedisClientObserves(t *testing.T) {
 	harness := startServer(t, nil)
 	harness.join(t, "till")
--- a/internal/pubsub/observermessage.go
+++ b/internal/pubsub/observermessage.go
@@ -13,7 +13,7 @@
 	kindChange   = "change"
 )
 
-// Snapshot is the whole published state, as observers get it.
+// Snapshot is the complete published state, as observers get it.
 type Snapshot struct {
 	Kind        string                  `json:"kind"` // snapshot
 	Incarnation uint64                  `json:"life"`
@@ -55,14 +55,14 @@
 	Quota   *Quota  `json:"level,omitempty"`
 }
 
-// Snapshot is what stands published.
+// Snapshot returns the published state.
 func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshot()
 }
 
-// snapshot is what stands published; s.mu is held.
+// snapshot returns the published state; s.mu is held.
 func (s *Server) snapshot() Snapshot {
 	published := s.published
 	message := Snapshot{
@@ -85,7 +85,7 @@
 		message.Withdrawn = append(message.Withdrawn, pubsubmsg.FormatAddress(replica))
 	}
 	for _, quota := range published.Quotas {
-		message.Quotas = append(message.Quotas, levelOut(quota))
+		message.Quotas = append(message.Quotas, quotaMessage(quota))
 	}
 	for _, subscriber := range published.Subscribers {
 		table := ""
@@ -97,7 +97,7 @@
 	return message
 }
 
-// change is a batch that has just been published; s.mu is held.
+// change returns the message for a batch that has just been published; s.mu is held.
 func (s *Server) change(batch *snapshot.Batch) Change {
 	message := Change{
 		Kind:        kindChange,
@@ -111,6 +111,7 @@
 	return message
 }
 
+// changeUpdate converts one update; s.mu is held.
 func (s *Server) changeUpdate(update snapshot.Update) ChangeUpdate {
 	switch update.Kind {
 	case snapshot.SetWeight:
@@ -133,13 +134,13 @@
 		}
 		return ChangeUpdate{Action: action, Replica: pubsubmsg.FormatAddress(update.Replica)}
 	case snapshot.SetQuota:
-		level := levelOut(update.Quota)
-		return ChangeUpdate{Action: "level", Quota: &level}
+		quota := quotaMessage(update.Quota)
+		return ChangeUpdate{Action: "level", Quota: &quota}
 	default:
 		return ChangeUpdate{}
 	}
 }
 
-func levelOut(quota pubsubmsg.Quota) Quota {
+func quotaMessage(quota pubsubmsg.Quota) Quota {
 	return Quota{Operations: quota.Operations, Share: quota.Share, RetryPolicy: uint8(quota.RetryPolicy)}
 }
--- a/internal/pubsub/observermessage_test.go
+++ b/internal/pubsub/observermessage_test.go
@@ -16,8 +16,8 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden messages in testdata anew")
 
-// TestObserverMessages compares what observers are sent, and what is stored of it, with the bytes that programs read
-// today: its keys must not change.
+// TestObserverMessagesKeepTheirKeys compares what observers are sent, and what is stored of it, with the bytes that
+// programs read today: its keys must not change.
 func TestObserverMessagesKeepTheirKeys(t *testing.T) {
 	published := snapshot.New(3, 6)
 	published.Subscribe(7, "till-1")
--- a/internal/pubsub/shutdown.go
+++ b/internal/pubsub/shutdown.go
@@ -6,16 +6,16 @@
 	"peppervale/internal/codec/resp"
 )
 
-// shutdownSteps is in how many steps a graceful shutdown tells proxies to go elsewhere.
+// shutdownSteps is in how many steps a graceful shutdown asks proxies to join another controller.
 const shutdownSteps = 10
 
 // restartTime is when a controller that has shut down may be expected at its address again: a process is back in 20 ms
-// (measure restart), a start with a full journal takes 0.15 s.
+// (peppervale benchmark restart), a start with a full journal takes 0.15 s.
 const restartTime = 200 * time.Millisecond
 
-// Shutdown shuts the channel down gracefully: it tells proxies to go elsewhere, a part of them at a time, and waits
-// until the span has passed or all have gone. From its beginning nobody joins any more; a proxy that tries is
-// answered when this address may answer again. A proxy that has no other controller may stay to the end. It leaves
+// Shutdown shuts the channel down gracefully: it asks proxies to join another controller, a tenth of them at a time,
+// and waits until the span has passed or all have gone. From its beginning nobody joins any more; a proxy that tries
+// is answered when this address may answer again. A proxy that has no other controller may stay to the end. It leaves
 // the sockets open.
 func (s *Server) Shutdown(span time.Duration) {
 	s.mu.Lock()
@@ -33,7 +33,7 @@
 	}
 }
 
-// sendElsewhere tells the proxies of one step to go elsewhere, and returns how many are still here.
+// sendElsewhere asks the proxies of one step to join another controller, and returns how many proxies are subscribed.
 func (s *Server) sendElsewhere(step int) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/pubsub/shutdown_test.go
+++ b/internal/pubsub/shutdown_test.go
@@ -8,8 +8,8 @@
 	"peppervale/internal/codec/resp"
 )
 
-// TestGracefulShutdown: A proxy is told to go elsewhere. One that comes meanwhile is not taken in only to be sent away
-// again: it is told when to come.
+// TestGracefulShutdown: A proxy is asked to join another controller. One that joins meanwhile is not admitted only to
+// be sent away again: it gets a Retry-After.
 func TestGracefulShutdown(t *testing.T) {
 	harness := startServer(t, nil)
 	client, _ := harness.join(t, "till")
--- a/internal/pubsub/slowreader_test.go
+++ b/internal/pubsub/slowreader_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestSlowReaderGetsSnapshot: One slow reader delays nobody, and gets what it missed as one snapshot.
+// TestSlowReaderGetsSnapshot: One slow reader delays no other proxy, and gets what it missed as one snapshot.
 func TestSlowReaderGetsSnapshot(t *testing.T) {
 	harness := startServer(t, func(config *Config) {
 		config.Limits.UnsentBytes = 4096
