--- a/internal/codec/consulcatalog/golden_test.go
+++ b/internal/codec/consulcatalog/golden_test.go
@@ -1,53 +1,15 @@
 package consulcatalog
 
 import (
-	"bytes"
 	"encoding/json"
-	"fmt"
-	"maps"
-	"os"
-	"path/filepath"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 
+	"peppervale/internal/codec/goldentest"
 	"peppervale/internal/model"
 )
 
-// readGolden returns the bytes of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
-// checkGolden reports bytes that differ from the golden file.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
-	}
-}
-
-// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
-// The Go types that errors of encoding/json name are internal, so that part of a text is left out.
-func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
-	t.Helper()
-	var text strings.Builder
-	for _, key := range slices.Sorted(maps.Keys(errs)) {
-		if errs[key] == nil {
-			t.Errorf("%s: accepted, want an error", key)
-		}
-		message, _, _ := strings.Cut(fmt.Sprint(errs[key]), " into Go ")
-		fmt.Fprintf(&text, "%s: %s\n", key, message)
-	}
-	checkGolden(t, name, []byte(text.String()))
-}
-
 const zonePartick = "partick"
 
 var goldenEntry = ServiceEntry{
@@ -64,9 +26,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "entry.json", append(text, '\n'))
+	goldentest.Check(t, "entry.json", append(text, '\n'))
 	var got ServiceEntry
-	if err := json.Unmarshal(readGolden(t, "entry.json"), &got); err != nil || !reflect.DeepEqual(got, goldenEntry) {
+	if err := json.Unmarshal(goldentest.Read(t, "entry.json"), &got); err != nil || !reflect.DeepEqual(got, goldenEntry) {
 		t.Errorf("parsed as %+v, %v", got, err)
 	}
 }
@@ -82,7 +44,7 @@
 		{ID: id(3), Zone: 1, Status: model.EndpointDraining, StartedAt: 1000},
 		{ID: id(4), Zone: 0, Status: model.EndpointGone},
 	}
-	got, skipped, err := Parse(readGolden(t, "list.json"), []string{"govan", zonePartick})
+	got, skipped, err := Parse(goldentest.Read(t, "list.json"), []string{"govan", zonePartick})
 	if err != nil || skipped != 3 || !reflect.DeepEqual(got, want) {
 		t.Errorf("parsed as %+v, %d skipped, %v", got, skipped, err)
 	}
@@ -93,7 +55,7 @@
 		_, _, err := Parse([]byte(text), []string{"govan"})
 		return err
 	}
-	checkGoldenErrors(t, "errors.txt", map[string]error{
+	goldentest.CheckJSONErrors(t, "errors.txt", map[string]error{
 		"nothing":        parse(""),
 		"no list":        parse("{}"),
 		"a text as port": parse(`[{"Service":{"Port":"x"}}]`),
--- a/internal/codec/http1/golden_test.go
+++ b/internal/codec/http1/golden_test.go
@@ -1,48 +1,14 @@
 package http1
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
-	"maps"
-	"os"
-	"path/filepath"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
-)
-
-// readGolden returns the bytes of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
 
-// checkGolden reports bytes that differ from the golden file.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
-	}
-}
-
-// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
-func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
-	t.Helper()
-	var text strings.Builder
-	for _, key := range slices.Sorted(maps.Keys(errs)) {
-		if errs[key] == nil {
-			t.Errorf("%s: accepted, want an error", key)
-		}
-		fmt.Fprintf(&text, "%s: %v\n", key, errs[key])
-	}
-	checkGolden(t, name, []byte(text.String()))
-}
+	"peppervale/internal/codec/goldentest"
+)
 
 // goldenMessage is a message in bytes and as it is parsed.
 type goldenMessage struct {
@@ -99,9 +65,9 @@
 func TestGoldenMessages(t *testing.T) {
 	for file, message := range goldenMessages {
 		if message.encoded != nil {
-			checkGolden(t, file, message.encoded)
+			goldentest.Check(t, file, message.encoded)
 		}
-		got, err := parse(string(readGolden(t, file)), message.response, 1)
+		got, err := parse(string(goldentest.Read(t, file)), message.response, 1)
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(*got[0], message.parsed) {
 			t.Errorf("%s: parsed as %+v, %v", file, got, err)
 		}
@@ -114,7 +80,7 @@
 	for _, status := range []int{200, 400, 404, 413, 429, 431, 500, 501, 503, 505, 418} {
 		all = AppendResponse(all, status, nil)
 	}
-	checkGolden(t, "reasons.http", all)
+	goldentest.Check(t, "reasons.http", all)
 }
 
 // malformedStreams holds a stream for each reason of a ProtocolError; "answer" in a name marks responses.
@@ -148,5 +114,5 @@
 		}
 		errs[name] = fmt.Errorf("%w (%d)", err, protocolError.Status)
 	}
-	checkGoldenErrors(t, "faults.txt", errs)
+	goldentest.CheckErrors(t, "faults.txt", errs)
 }
--- a/internal/codec/platformmsg/golden_test.go
+++ b/internal/codec/platformmsg/golden_test.go
@@ -1,54 +1,16 @@
 package platformmsg
 
 import (
-	"bytes"
-	"fmt"
-	"maps"
 	"math"
-	"os"
-	"path/filepath"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 
+	"peppervale/internal/codec/goldentest"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 )
 
-// readGolden returns the bytes of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
-// checkGolden reports bytes that differ from the golden file.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
-	}
-}
-
-// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
-// The Go types that errors of encoding/json name are internal, so that part of a text is left out.
-func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
-	t.Helper()
-	var text strings.Builder
-	for _, key := range slices.Sorted(maps.Keys(errs)) {
-		if errs[key] == nil {
-			t.Errorf("%s: accepted, want an error", key)
-		}
-		message, _, _ := strings.Cut(fmt.Sprint(errs[key]), " into Go ")
-		fmt.Fprintf(&text, "%s: %s\n", key, message)
-	}
-	checkGolden(t, name, []byte(text.String()))
-}
-
 // goldenMessages holds a message of each kind that a controller receives, by its golden file.
 var goldenMessages = map[string]Message{
 	"ping.resp":      {Kind: KindPing},
@@ -66,7 +28,7 @@
 
 func TestGoldenMessages(t *testing.T) {
 	for file, want := range goldenMessages {
-		values, err := decode(t, readGolden(t, file), MessageLimits)
+		values, err := decode(t, goldentest.Read(t, file), MessageLimits)
 		if err != nil || len(values) != 1 {
 			t.Fatalf("%s: %d values, %v", file, len(values), err)
 		}
@@ -77,8 +39,8 @@
 }
 
 func TestGoldenAnswers(t *testing.T) {
-	checkGolden(t, "pong.resp", AppendPong(nil))
-	checkGolden(t, "refused.resp", AppendRejection(nil, "a reason longer than the forty bytes that are told"))
+	goldentest.Check(t, "pong.resp", AppendPong(nil))
+	goldentest.Check(t, "refused.resp", AppendRejection(nil, "a reason longer than the forty bytes that are told"))
 }
 
 // goldenUpdate has every field set.
@@ -104,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkGolden(t, file, got)
+		goldentest.Check(t, file, got)
 	}
 }
 
@@ -114,7 +76,7 @@
 		{Name: "s-2", Zone: "partick", Status: model.EndpointReady, StartedAt: 1000},
 		{Name: "s-3", Zone: "govan", Status: model.EndpointGone},
 	}}
-	if got, err := ParseEndpointList(readGolden(t, "list.json")); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := ParseEndpointList(goldentest.Read(t, "list.json")); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("parsed as %+v, %v", got, err)
 	}
 }
@@ -144,7 +106,7 @@
 	_, errs["(no array)"] = Parse(resp.Value{Kind: resp.Number})
 	_, errs["(no bulk string)"] = Parse(resp.Value{Kind: resp.Array, Items: []resp.Value{{Kind: resp.Number}}})
 	_, errs["(an update too large)"] = (&Update{Entries: make([]Entry, maxEntries+1)}).Append(nil)
-	checkGoldenErrors(t, "message-errors.txt", errs)
+	goldentest.CheckJSONErrors(t, "message-errors.txt", errs)
 }
 
 func TestGoldenErrorsOfLists(t *testing.T) {
@@ -164,5 +126,5 @@
 		_, errs[text] = ParseEndpointList([]byte(text))
 	}
 	_, errs["(too many)"] = ParseEndpointList([]byte(listTooLong))
-	checkGoldenErrors(t, "list-errors.txt", errs)
+	goldentest.CheckJSONErrors(t, "list-errors.txt", errs)
 }
--- a/internal/codec/pubsubmsg/golden_test.go
+++ b/internal/codec/pubsubmsg/golden_test.go
@@ -1,52 +1,15 @@
 package pubsubmsg
 
 import (
-	"bytes"
-	"fmt"
-	"maps"
 	"math"
-	"os"
-	"path/filepath"
 	"reflect"
-	"slices"
-	"strings"
 	"testing"
 
+	"peppervale/internal/codec/goldentest"
 	"peppervale/internal/codec/resp"
 	"peppervale/internal/model"
 )
 
-// readGolden returns the bytes of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
-// checkGolden reports bytes that differ from the golden file.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
-	}
-}
-
-// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
-func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
-	t.Helper()
-	var text strings.Builder
-	for _, key := range slices.Sorted(maps.Keys(errs)) {
-		if errs[key] == nil {
-			t.Errorf("%s: accepted, want an error", key)
-		}
-		fmt.Fprintf(&text, "%s: %v\n", key, errs[key])
-	}
-	checkGolden(t, name, []byte(text.String()))
-}
-
 var goldenSnapshot = Message{
 	Full: true, Incarnation: 3, PreviousVersion: 7, Version: math.MaxInt64, UpdatedAt: 1_790_000_000_000_001, Cost: 14,
 	AckSequence: 65535, Bound: true, Table: 65534, Epoch: 1 << 40,
@@ -89,8 +52,8 @@
 
 func TestGoldenMessages(t *testing.T) {
 	for file, message := range map[string]Message{"snapshot.resp": goldenSnapshot, "change.resp": goldenChange} {
-		checkGolden(t, file, Append(nil, &message))
-		got, err := Parse(decodeOne(t, readGolden(t, file)))
+		goldentest.Check(t, file, Append(nil, &message))
+		got, err := Parse(decodeOne(t, goldentest.Read(t, file)))
 		if err != nil || !reflect.DeepEqual(*got, message) {
 			t.Errorf("%s: parsed as %+v, %v", file, got, err)
 		}
@@ -98,8 +61,8 @@
 }
 
 func TestGoldenJoin(t *testing.T) {
-	checkGolden(t, "join.resp", AppendJoin(nil, goldenJoin))
-	words := decodeOne(t, readGolden(t, "join.resp")).Items[1:]
+	goldentest.Check(t, "join.resp", AppendJoin(nil, goldenJoin))
+	words := decodeOne(t, goldentest.Read(t, "join.resp")).Items[1:]
 	if got, err := ParseJoin(words); err != nil || got != goldenJoin {
 		t.Errorf("parsed as %+v, %v", got, err)
 	}
@@ -111,15 +74,15 @@
 }
 
 func TestGoldenAck(t *testing.T) {
-	checkGolden(t, "ack.resp", AppendAck(nil, goldenAck))
-	if got, err := ParseAck(decodeOne(t, readGolden(t, "ack.resp")).Items[1:]); err != nil || got != goldenAck {
+	goldentest.Check(t, "ack.resp", AppendAck(nil, goldenAck))
+	if got, err := ParseAck(decodeOne(t, goldentest.Read(t, "ack.resp")).Items[1:]); err != nil || got != goldenAck {
 		t.Errorf("parsed as %+v, %v", got, err)
 	}
 }
 
 func TestGoldenLoadReports(t *testing.T) {
-	checkGolden(t, "sums.resp", AppendLoadReports(nil, goldenLoadReports))
-	got, err := ParseLoadReports(decodeOne(t, readGolden(t, "sums.resp")).Items[1:])
+	goldentest.Check(t, "sums.resp", AppendLoadReports(nil, goldenLoadReports))
+	got, err := ParseLoadReports(decodeOne(t, goldentest.Read(t, "sums.resp")).Items[1:])
 	if err != nil || !reflect.DeepEqual(got, goldenLoadReports) {
 		t.Errorf("parsed as %+v, %v", got, err)
 	}
@@ -135,7 +98,7 @@
 
 func TestGoldenErrorsOfMessages(t *testing.T) {
 	short := resp.Value{Kind: resp.Push, Items: arguments("change", "1")}
-	checkGoldenErrors(t, "table-errors.txt", map[string]error{
+	goldentest.CheckErrors(t, "table-errors.txt", map[string]error{
 		"cut short":          errorOf(Parse(short)),
 		"no number":          parseEdited(t, func(items []resp.Value) { items[3].Kind = resp.BulkString }),
 		"uneven lists":       parseEdited(t, func(items []resp.Value) { items[9].Items = items[9].Items[:1] }),
@@ -152,7 +115,7 @@
 		values := append(arguments(texts...), resp.Value{Items: make([]resp.Value, readings)})
 		return errorOf(ParseLoadReports(values))
 	}
-	checkGoldenErrors(t, "command-errors.txt", map[string]error{
+	goldentest.CheckErrors(t, "command-errors.txt", map[string]error{
 		"join, cut short":     errorOf(ParseJoin(arguments("a", "govan"))),
 		"join, name":          errorOf(ParseJoin(arguments("", "govan", "1", "1", "0", "0"))),
 		"join, rate":          errorOf(ParseJoin(arguments("a", "govan", "NaN", "1", "0", "0"))),
--- a/internal/codec/resp/golden_test.go
+++ b/internal/codec/resp/golden_test.go
@@ -1,49 +1,14 @@
 package resp
 
 import (
-	"bytes"
 	"errors"
-	"fmt"
-	"maps"
 	"math"
-	"os"
-	"path/filepath"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
-)
-
-// readGolden returns the bytes of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
 
-// checkGolden reports bytes that differ from the golden file.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
-	}
-}
-
-// checkGoldenErrors compares the texts of errors, one line each in the order of their names, with the golden file.
-func checkGoldenErrors(t *testing.T, name string, errs map[string]error) {
-	t.Helper()
-	var text strings.Builder
-	for _, key := range slices.Sorted(maps.Keys(errs)) {
-		if errs[key] == nil {
-			t.Errorf("%s: accepted, want an error", key)
-		}
-		fmt.Fprintf(&text, "%s: %v\n", key, errs[key])
-	}
-	checkGolden(t, name, []byte(text.String()))
-}
+	"peppervale/internal/codec/goldentest"
+)
 
 // goldenValues holds one value of each kind that is both encoded and decoded.
 var goldenValues = map[string]Value{
@@ -72,8 +37,8 @@
 func TestGoldenValues(t *testing.T) {
 	for name, value := range goldenValues {
 		file := name + ".resp"
-		checkGolden(t, file, Append(nil, value))
-		got, err := decode(string(readGolden(t, file)), 1, Limits{})
+		goldentest.Check(t, file, Append(nil, value))
+		got, err := decode(string(goldentest.Read(t, file)), 1, Limits{})
 		if err != nil || !reflect.DeepEqual(got, []Value{value}) {
 			t.Errorf("%s: decoded as %+v, %v", name, got, err)
 		}
@@ -82,16 +47,16 @@
 
 // TestGoldenNaN stands apart because NaN does not equal itself.
 func TestGoldenNaN(t *testing.T) {
-	checkGolden(t, "nan.resp", AppendDouble(nil, math.NaN()))
-	got, err := decode(string(readGolden(t, "nan.resp")), 1, Limits{})
+	goldentest.Check(t, "nan.resp", AppendDouble(nil, math.NaN()))
+	got, err := decode(string(goldentest.Read(t, "nan.resp")), 1, Limits{})
 	if err != nil || len(got) != 1 || got[0].Kind != Double || !math.IsNaN(got[0].Float) {
 		t.Errorf("decoded as %+v, %v", got, err)
 	}
 }
 
 func TestGoldenCommand(t *testing.T) {
-	checkGolden(t, "command.resp", AppendCommand(nil, "JOIN", "till 7", ""))
-	got, err := decode(string(readGolden(t, "command.resp")), 1, Limits{})
+	goldentest.Check(t, "command.resp", AppendCommand(nil, "JOIN", "till 7", ""))
+	got, err := decode(string(goldentest.Read(t, "command.resp")), 1, Limits{})
 	want := []Value{{Kind: Array, Items: []Value{
 		{Kind: BulkString, Text: "JOIN"},
 		{Kind: BulkString, Text: "till 7"},
@@ -103,7 +68,7 @@
 }
 
 func TestGoldenLineEndsBecomeSpaces(t *testing.T) {
-	checkGolden(t, "line-ends.resp", AppendLine(nil, SimpleError, "ERR one\r\ntwo"))
+	goldentest.Check(t, "line-ends.resp", AppendLine(nil, SimpleError, "ERR one\r\ntwo"))
 }
 
 // TestDecodeOnlyForms decodes forms that peers may send and this package never encodes.
@@ -149,5 +114,5 @@
 		}
 		errs[name] = err
 	}
-	checkGoldenErrors(t, "faults.txt", errs)
+	goldentest.CheckErrors(t, "faults.txt", errs)
 }
