--- a/internal/platform/race_test.go
+++ b/internal/platform/race_test.go
@@ -98,7 +98,7 @@
 }
 
 // TestOldStreamCrossesNewStream: An acknowledgement on a stream, the stream's end, a new stream of the proxy and an
-// update cross: the acknowledgement counts for its own stream or not at all, and the update reaches nobody or the
+// update cross: the acknowledgement counts for its own stream or not at all, and the update reaches no stream or the
 // newest stream.
 func TestOldStreamCrossesNewStream(t *testing.T) {
 	harness := startServer(t, nil)
--- a/internal/platform/readmission.go
+++ b/internal/platform/readmission.go
@@ -42,8 +42,8 @@
 	for _, replica := range delivery.Readmitted {
 		readmit(replica)
 	}
-	whole := snapshot.OperationTable{Entries: delivery.Message.Entries}
-	for _, table := range append([]snapshot.OperationTable{whole}, delivery.OperationTables...) {
+	commonTable := snapshot.OperationTable{Entries: delivery.Message.Entries}
+	for _, table := range append([]snapshot.OperationTable{commonTable}, delivery.OperationTables...) {
 		for _, entry := range table.Entries {
 			switch {
 			case delivery.Message.Full && !r.settled[entry.Replica]:
--- a/internal/pubsub/command.go
+++ b/internal/pubsub/command.go
@@ -111,7 +111,7 @@
 	if len(args) > 0 {
 		c.reply(resp.AppendBulk(nil, args[0].ArgumentText()))
 	} else {
-		c.reply([]byte("+PONG\r\n"))
+		c.reply(resp.AppendLine(nil, resp.SimpleString, "PONG"))
 	}
 	return nil
 }
--- a/internal/pubsub/connection.go
+++ b/internal/pubsub/connection.go
@@ -140,7 +140,7 @@
 	c.reply(resp.AppendLine(nil, resp.SimpleError, fmt.Sprintf(format, args...)))
 }
 
-func (c *connection) replyOK() { c.reply([]byte("+OK\r\n")) }
+func (c *connection) replyOK() { c.reply(resp.AppendLine(nil, resp.SimpleString, "OK")) }
 
 // stayOpen lifts the deadline by which a peer has to join or subscribe.
 func (c *connection) stayOpen() { _ = c.Socket().SetReadDeadline(time.Time{}) }
--- a/internal/pubsub/doc.go
+++ b/internal/pubsub/doc.go
@@ -11,6 +11,8 @@
 //   - Messages leave at the stated pace, in entries a second; what waits is counted in entries (Stats.QueuedEntries).
 //   - Bytes that are no RESP, commands that make no sense and peers that send nothing end that connection with one
 //     clear error, and touch no other.
+//   - Events are reported without Server.mu, so that their receiver may call the server. A stream that is replaced by
+//     a newer one of the same proxy is not reported as disconnected: the newer one's ProxyConnected stands for it.
 //
 // Caveats: a snapshot that answers a JOIN or a RESYNC is not paced, as it is a reply. RESYNC is answered once a
 // second. Updates for a proxy that is between two streams are dropped: its next stream starts from a snapshot. The
--- a/internal/pubsub/proxy_test.go
+++ b/internal/pubsub/proxy_test.go
@@ -100,8 +100,8 @@
 	bound := client.message()
 	client.Send(resp.AppendCommand(nil, "RESYNC"))
 	resynced := client.message()
-	isWhole := resynced.Full && resynced.Bound && len(resynced.Entries) == 1
-	if !isWhole || resynced.Version != bound.Version || resynced.AckSequence != 1 {
+	isComplete := resynced.Full && resynced.Bound && len(resynced.Entries) == 1
+	if !isComplete || resynced.Version != bound.Version || resynced.AckSequence != 1 {
 		t.Fatalf("after a gap %+v", resynced)
 	}
 	client.Send(resp.AppendCommand(nil, "RESYNC"))
--- a/internal/pubsub/shutdown.go
+++ b/internal/pubsub/shutdown.go
@@ -14,9 +14,9 @@
 const restartTime = 200 * time.Millisecond
 
 // Shutdown shuts the channel down gracefully: it asks proxies to join another controller, a tenth of them at a time,
-// and waits until the span has passed or all have gone. From its beginning nobody joins any more; a proxy that tries
-// is answered when this address may answer again. A proxy that has no other controller may stay to the end. It leaves
-// the sockets open.
+// and waits until the span has passed or all have gone. From its beginning no proxy is admitted any more; one that
+// tries is answered when this address may answer again. A proxy that has no other controller may stay to the end. It
+// leaves the sockets open.
 func (s *Server) Shutdown(span time.Duration) {
 	s.mu.Lock()
 	s.shutdownEnds = time.Now().Add(span)
--- a/internal/pubsub/slowreader_test.go
+++ b/internal/pubsub/slowreader_test.go
@@ -37,7 +37,7 @@
 		quick.receiveUntil(n) // it is served all the while
 		last = n
 		if n > 5000 {
-			t.Fatal("nothing is folded though nobody reads")
+			t.Fatal("nothing is folded though no proxy reads")
 		}
 	}
 	for !isSnapshotOf(slow.message(), last) {
