--- a/internal/codec/simulator/golden_test.go
+++ b/internal/codec/simulator/golden_test.go
@@ -5,49 +5,16 @@
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
-	"maps"
 	"math"
-	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
 
+	"peppervale/internal/codec/goldentest"
 	"peppervale/internal/model"
 )
 
-// readGolden returns the bytes of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
-// compareGolden fails unless the bytes are those of the golden file.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%q\nwant\n%q", name, got, want)
-	}
-}
-
-// compareGoldenErrors compares error texts, a line each in the order of their names, with the golden file.
-func compareGoldenErrors(t *testing.T, name string, errs map[string]error) {
-	t.Helper()
-	var text strings.Builder
-	for _, key := range slices.Sorted(maps.Keys(errs)) {
-		if errs[key] == nil {
-			t.Errorf("%s: no error", key)
-		}
-		fmt.Fprintf(&text, "%s: %v\n", key, errs[key])
-	}
-	compareGolden(t, name, []byte(text.String()))
-}
-
 // hexText shows bytes as lines of hexadecimal digits, a record of 24 bytes each.
 func hexText(b []byte) []byte {
 	var text strings.Builder
@@ -60,7 +27,7 @@
 // readGoldenHex returns the bytes that a golden file shows as hexadecimal digits.
 func readGoldenHex(t *testing.T, name string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.ReplaceAll(string(readGolden(t, name)), "\n", ""))
+	b, err := hex.DecodeString(strings.ReplaceAll(string(goldentest.Read(t, name)), "\n", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +124,7 @@
 	head, _ := binary.Append(nil, binary.LittleEndian, []uint32{9, uint32(12 + len(records) + len(tail))})
 	head = binary.LittleEndian.AppendUint64(head, math.Float64bits(1234.567))
 	head = binary.LittleEndian.AppendUint32(head, 0xfedcba98)
-	compareGolden(t, "batch.hex", hexText(slices.Concat(head, records, tail)))
+	goldentest.Check(t, "batch.hex", hexText(slices.Concat(head, records, tail)))
 }
 
 // TestGoldenReply writes each action once, some of them appended from another reply.
@@ -176,7 +143,7 @@
 	second.OnBehalf(772)
 	second.Exception("a cause")
 	first.Append(second)
-	compareGolden(t, "reply.hex", hexText(first.Frame(0xfedcba98)))
+	goldentest.Check(t, "reply.hex", hexText(first.Frame(0xfedcba98)))
 }
 
 func TestGoldenErrorsOfFrames(t *testing.T) {
@@ -193,7 +160,7 @@
 		_, _, err = batch.Events()[0].EndpointsChanged()
 		return err
 	}
-	compareGoldenErrors(t, "frame-errors.txt", map[string]error{
+	goldentest.CheckErrors(t, "frame-errors.txt", map[string]error{
 		"end":              readError(nil),
 		"header cut":       readError(whole[:7]),
 		"body cut":         readError(whole[:len(whole)-1]),
@@ -217,7 +184,7 @@
 }
 
 func TestGoldenSettings(t *testing.T) {
-	got, err := ParseSettings(0xfe429af2f6dae94c, readGolden(t, "settings.json"))
+	got, err := ParseSettings(0xfe429af2f6dae94c, goldentest.Read(t, "settings.json"))
 	if err != nil || !reflect.DeepEqual(got, goldenConfig) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
@@ -250,7 +217,7 @@
 }
 
 func TestGoldenErrorsOfSettings(t *testing.T) {
-	settings, errs := string(readGolden(t, "settings.json")), map[string]error{}
+	settings, errs := string(goldentest.Read(t, "settings.json")), map[string]error{}
 	for name, edit := range goldenMistakes {
 		text := strings.Replace(settings, edit[0], edit[1], 1)
 		if text == settings {
@@ -258,5 +225,5 @@
 		}
 		_, errs[name] = ParseSettings(1, []byte(text))
 	}
-	compareGoldenErrors(t, "terms-errors.txt", errs)
+	goldentest.CheckErrors(t, "terms-errors.txt", errs)
 }
