--- a/cmd/peppervale/golden_test.go
+++ b/cmd/peppervale/golden_test.go
@@ -86,7 +86,7 @@
 // TestGoldenCheck checks every file that the repository offers.
 func TestGoldenCheck(t *testing.T) {
 	var text strings.Builder
-	offered := files(t, "../../scenarios/*.hcl", "../../scenarios/broken/*.hcl", "../../scenarios/lib/*.hcl",
+	offered := files(t, "../../scenarios/*.hcl", "../../scenarios/faulty/*.hcl", "../../scenarios/lib/*.hcl",
 		"../../examples/*.hcl")
 	for _, file := range offered {
 		text.WriteString(transcript(t, "check", file))
--- a/cmd/peppervale/main_test.go
+++ b/cmd/peppervale/main_test.go
@@ -67,9 +67,9 @@
 	}{
 		{"version", []string{"version"}, 0, "peppervale 0."},
 		{"sound instance", []string{"check", "../../examples/governor.hcl"}, 0, "a governor's file, no fault"},
-		{"sound scenario", []string{"check", scenarios + "/hall-lost.hcl"}, 0, "a day, no fault"},
-		{"list of scenarios", []string{"scenario", "list", scenarios}, 0, "hall-lost.hcl"},
-		{"list of scenarios, former name", []string{"day", "list", scenarios}, 0, "hall-lost.hcl"},
+		{"sound scenario", []string{"check", scenarios + "/zone-lost.hcl"}, 0, "a day, no fault"},
+		{"list of scenarios", []string{"scenario", "list", scenarios}, 0, "zone-lost.hcl"},
+		{"list of scenarios, former name", []string{"day", "list", scenarios}, 0, "zone-lost.hcl"},
 		{"faulty file", []string{"check", faulty}, 2, wrongType},
 		{"faulty file to serve", []string{"serve", "--config", faulty}, 2, "bad.hcl:2:12"},
 		{"faulty file to serve, former name", []string{"governor", "--config", faulty}, 2, "bad.hcl:2:12"},
--- a/cmd/peppervale/testdata/faulty/day-values.hcl
+++ b/cmd/peppervale/testdata/faulty/day-values.hcl
@@ -1,4 +1,4 @@
-like = "../../../../scenarios/lib/town.hcl"
+like = "../../../../scenarios/lib/base.hcl"
 day "a" {
   length    = "20s"
   governors = ["nowhere"]
--- a/examples/registry.hcl
+++ b/examples/registry.hcl
@@ -1,4 +1,4 @@
-# The machine list; edit it while it runs (draining = true, an entry more).
+# The endpoint registry. It rereads the file while it runs: set draining = true, or add an entry.
 registry {
   listen  = "127.0.0.1:7500"
   service = "recipe"
--- a/internal/scenario/faulty_test.go
+++ b/internal/scenario/faulty_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			report := runScript(t, openScript(t, filepath.Join("broken", kind+".hcl")))
+			report := runScript(t, openScript(t, filepath.Join("faulty", kind+".hcl")))
 			for _, verdict := range report.Invariants {
 				checkVerdict(t, verdict, invariant)
 			}
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -18,7 +18,7 @@
 
 const (
 	instanceCommand = "governor"
-	zoneLossFile    = "hall-lost.hcl"
+	zoneLossFile    = "zone-lost.hcl"
 	shardedFile     = "takeover.hcl"
 )
 
--- a/internal/scenario/parse_test.go
+++ b/internal/scenario/parse_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestScenariosOfTheRepositoryParse(t *testing.T) {
-	for _, pattern := range []string{"*.hcl", "broken/*.hcl"} {
+	for _, pattern := range []string{"*.hcl", "faulty/*.hcl"} {
 		files, err := filepath.Glob(scenarioPath(pattern))
 		if err != nil || len(files) == 0 {
 			t.Fatal("no scenarios: ", err)
@@ -37,7 +37,7 @@
 		{"unknown zone", `zone  = "` + lostZone + `"`, `zone  = "leith"`, `"leith" is none of the zones`},
 		{"step after the end", `"12s"`, `"50s"`, "the day has ended by then"},
 		{"instance in an unknown zone", `["govan", "` + lostZone + `"]`, `["leith"]`, `"leith" is none of the zones`},
-		{"missing base file", "lib/town.hcl", "lib/city.hcl", "no such file"},
+		{"missing base file", "lib/base.hcl", "lib/city.hcl", "no such file"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			text := strings.Replace(string(valid), tt.from, tt.to, 1)
--- a/scenarios/hour.hcl
+++ b/scenarios/hour.hcl
@@ -1,9 +1,9 @@
-# An hour of an ordinary bad day, for what grows slowly: memory, the journal on disk, streams that are not given up. Not
-# part of the tests; peppervale day run scenarios/hour.hcl takes an hour.
-like = "lib/town.hcl"
+# An hour of frequent faults, to find what grows slowly: memory, the decision log on disk, streams that are not
+# released. Not part of the tests: peppervale scenario run scenarios/hour.hcl takes an hour.
+like = "lib/base.hcl"
 
 day "hour" {
-  about     = "an hour of releases, restarts and lost halls, for what grows slowly"
+  about     = "an hour of releases, restarts and lost zones, for what grows slowly"
   length    = "3600s"
   seed      = 11
   governors = ["govan", "partick"]
--- a/scenarios/kills.hcl
+++ b/scenarios/kills.hcl
@@ -1,9 +1,9 @@
-# Governors that share the fleet out are killed over and over, at moments drawn by chance: no rule may break, and no effect come twice.
-# For measurements: eleven minutes.
-like = "lib/town.hcl"
+# One of three instances that share the fleet is killed a hundred times, at random moments: every invariant must hold.
+# For measurements: it takes eleven minutes.
+like = "lib/base.hcl"
 
 day "kills" {
-  about     = "one of three governors that share the fleet is killed a hundred times, at any moment"
+  about     = "one of three instances that share the fleet is killed a hundred times, at random moments"
   length    = "640s"
   seed      = 5
   governors = ["govan", "partick", "dalmarnock"]
--- a/scenarios/lib/town.hcl
+++ b/scenarios/lib/base.hcl
@@ -1,5 +1,5 @@
-# The town that the days here share: four halls, forty forwarders, twenty recipe servers. Its figures are the stand-ins'
-# and the rules'; a day says  like = "lib/town.hcl"  and what differs.
+# The base of all scenarios: four zones, forty proxies, twenty replicas, the settings of the stand-ins and the limits of
+# the invariants. A scenario inherits it with  like = "lib/base.hcl"  and overrides what differs.
 zones = ["govan", "partick", "dalmarnock", "springburn"]
 
 operation "recipe-read" {
--- a/scenarios/one-warm.hcl
+++ b/scenarios/one-warm.hcl
@@ -1,8 +1,8 @@
-# Every recipe server drains but one, warm and in another hall than most forwarders.
-like = "lib/town.hcl"
+# Every replica drains but one, which is warm and in another zone than most proxies.
+like = "lib/base.hcl"
 
 day "one-warm" {
-  about     = "all replicas drain but a warm one in another hall"
+  about     = "all replicas drain but a warm one in another zone"
   length    = "25s"
   seed      = 17
   governors = ["govan", "partick"]
--- a/scenarios/reconnects.hcl
+++ b/scenarios/reconnects.hcl
@@ -1,8 +1,8 @@
-# Streams break again and again, at last all forty at once; some forwarders stand still, some acknowledge nothing.
-like = "lib/town.hcl"
+# Streams break repeatedly, in the end all forty at once; some proxies stall, some acknowledge nothing.
+like = "lib/base.hcl"
 
 day "reconnects" {
-  about     = "all streams break at once, again and again; forwarders stand still or never acknowledge"
+  about     = "all streams break at once, repeatedly; proxies stall or never acknowledge"
   length    = "30s"
   seed      = 13
   governors = ["govan", "dalmarnock"]
--- a/scenarios/list-troubles.hcl
+++ b/scenarios/registry-faults.hcl
@@ -1,8 +1,9 @@
-# The machine list is down, silent, late, cut and set back while recipe servers drain and die; sums come late too.
-like = "lib/town.hcl"
+# The registry fails, is silent, answers late, truncates its answers and sets its index back while replicas drain and
+# vanish. Load reports are late too.
+like = "lib/base.hcl"
 
-day "list-troubles" {
-  about     = "the machine list is down, silent, late, cut and set back; sums come two seconds late"
+day "registry-faults" {
+  about     = "the registry fails, is silent, late, truncated and set back; load reports are two seconds late"
   length    = "45s"
   seed      = 19
   governors = ["govan", "springburn"]
--- a/scenarios/release.hcl
+++ b/scenarios/release.hcl
@@ -1,8 +1,8 @@
-# A release replaces four fifths of the recipe servers, three at a time, under load, while governors restart in turn.
-like = "lib/town.hcl"
+# A release replaces four fifths of the replicas, three at a time, under load, while the instances restart in turn.
+like = "lib/base.hcl"
 
 day "release" {
-  about     = "a release replaces most replicas in turn while the governors restart"
+  about     = "a release replaces most replicas in turn while the instances restart"
   length    = "45s"
   seed      = 23
   governors = ["govan", "partick"]
--- a/scenarios/rough.hcl
+++ b/scenarios/rough.hcl
@@ -1,8 +1,9 @@
-# A rough day: slow and lying replicas, noisy neighbours, costly work, one operation failing, ageing, growth.
-like = "lib/town.hcl"
+# Many faults at once: slow replicas, false load reports, noisy neighbors, costly requests, a failing operation, ageing
+# replicas, growth and stalled instances.
+like = "lib/base.hcl"
 
 day "rough" {
-  about     = "slow, lying, noisy, failing and ageing replicas, costly work, growth, governors that stand still"
+  about     = "slow, misreporting, noisy, failing and ageing replicas, costly requests, growth, stalled instances"
   length    = "50s"
   seed      = 29
   governors = ["govan", "partick"]
--- a/scenarios/takeover.hcl
+++ b/scenarios/takeover.hcl
@@ -1,8 +1,8 @@
-# A spring Saturday: three governors share the fleet out. One is killed and comes back; its parts are taken over and go home.
-like = "lib/town.hcl"
+# Three instances share the fleet. One is killed and restarts: the others take its shards over and hand them back.
+like = "lib/base.hcl"
 
 day "takeover" {
-  about     = "one of three governors that share the fleet is killed and is back ten seconds later"
+  about     = "one of three instances that share the fleet is killed and restarts ten seconds later"
   length    = "40s"
   seed      = 11
   governors = ["govan", "partick", "dalmarnock"]
