--- a/internal/benchmark/channel.go
+++ b/internal/benchmark/channel.go
@@ -89,26 +89,26 @@
 }
 
 // measureRounds changes the weight of all entries in each round.
-func (f *ChannelResult) measureRounds(
+func (r *ChannelResult) measureRounds(
 	source *publisher, updates []snapshot.Update, now func() model.Microseconds,
 ) error {
 	cpuBefore := cpuTime()
 	bytesBefore := source.server.Stats().Bytes
 	var durations []time.Duration
-	for round := range f.Rounds {
+	for round := range r.Rounds {
 		for i := range updates {
 			updates[i].Weight = 1 + float64(round%7)/10
 		}
-		duration, err := source.publishRound(updates, round+1, f.Proxies, now)
+		duration, err := source.publishRound(updates, round+1, r.Proxies, now)
 		if err != nil {
 			return err
 		}
 		durations = append(durations, duration)
 	}
-	f.CPUPerMessage = (cpuTime() - cpuBefore) / time.Duration(f.Proxies*f.Rounds)
-	f.BytesPerRound = int(source.server.Stats().Bytes-bytesBefore) / f.Rounds
-	f.Median, f.P99 = medianAndP99(durations)
-	f.EntriesPerSecond = float64(f.Proxies*f.Entries) / f.Median.Seconds()
+	r.CPUPerMessage = (cpuTime() - cpuBefore) / time.Duration(r.Proxies*r.Rounds)
+	r.BytesPerRound = int(source.server.Stats().Bytes-bytesBefore) / r.Rounds
+	r.Median, r.P99 = medianAndP99(durations)
+	r.EntriesPerSecond = float64(r.Proxies*r.Entries) / r.Median.Seconds()
 	return nil
 }
 
--- a/internal/benchmark/idle.go
+++ b/internal/benchmark/idle.go
@@ -25,7 +25,7 @@
 	unusedAddress     = "127.0.0.1:1"
 )
 
-// IdleClusterResult is the result of Quiet.
+// IdleClusterResult is the result of IdleCluster.
 type IdleClusterResult struct {
 	Members           int
 	Shards            int
@@ -35,7 +35,8 @@
 	LogBytes          int64   // size of one member's raft log at the end
 }
 
-// IdleCluster runs the members of a cluster in this process and counts for a while what they send when nothing happens.
+// IdleCluster runs the members of a cluster in this process and counts what they send within a duration while nothing
+// happens.
 func IdleCluster(
 	ctx context.Context, members, shardsPerZone int, leaseDuration, duration time.Duration,
 ) (*IdleClusterResult, error) {
@@ -198,7 +199,7 @@
 func (ignoreLeases) LeaseGained(int, uint64) {}
 func (ignoreLeases) LeaseLost(int)           {}
 
-// PrintIdleCluster writes a line with the result of Quiet.
+// PrintIdleCluster writes a line with the result of IdleCluster.
 func PrintIdleCluster(out io.Writer, result *IdleClusterResult) {
 	printf(out, "%d members, %d parts, lease %s: %.0f messages a second of all members together, "+
 		"%.1f entries a second agreed on, store of one %d KiB\n",
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -30,7 +30,7 @@
 
 // start starts the process and returns once its log says that it serves.
 func (p *instanceProcess) start(ctx context.Context) error {
-	arguments := append(slices.Clone(p.program), controllerProgram, "--config", p.configPath)
+	arguments := append(slices.Clone(p.program), instanceCommand, "--config", p.configPath)
 	if p.socket != nil {
 		arguments = append([]string{"/bin/sh", "-c", listenFDCommand}, arguments...)
 	}
--- a/internal/benchmark/publisher.go
+++ b/internal/benchmark/publisher.go
@@ -22,7 +22,7 @@
 // publisher is a publish-subscribe server that admits every proxy and waits for acknowledgements.
 type publisher struct {
 	server       *pubsub.Server
-	connected    func() // told of each proxy before it is admitted; nil: not told
+	connected    func() // called for each proxy before it is admitted; nil: none
 	admitted     chan model.ProxyID
 	acknowledged chan uint32
 }
--- a/internal/benchmark/reconnect.go
+++ b/internal/benchmark/reconnect.go
@@ -16,7 +16,7 @@
 	stormJoinTimeout = 60 * time.Second
 )
 
-// ConnectionStormResult is the result of Storm: all proxies connect within a tenth of a second.
+// ConnectionStormResult is the result of ConnectionStorm: all proxies connect within a tenth of a second.
 type ConnectionStormResult struct {
 	Proxies       int
 	AdmissionRate float64       // joins a second that are admitted; 0: all
@@ -79,7 +79,7 @@
 	return most
 }
 
-// peakPerSecond counts how often the most frequent second stands in the channel by now.
+// peakPerSecond returns how often the most frequent second occurs among those that the channel holds.
 func peakPerSecond(joinSeconds chan model.Microseconds) int {
 	counts := map[model.Microseconds]int{}
 	peak := 0
@@ -91,7 +91,7 @@
 	return peak
 }
 
-// PrintConnectionStorms writes a table of the results of Storm.
+// PrintConnectionStorms writes a table of the results of ConnectionStorm.
 func PrintConnectionStorms(out io.Writer, results []*ConnectionStormResult) {
 	printf(out, "| forwarders | joins a second let in | all in after | put off, in all | of one at most | "+
 		"most joins in a second | storms | CPU, both ends |\n"+
--- a/internal/benchmark/restart.go
+++ b/internal/benchmark/restart.go
@@ -23,7 +23,7 @@
 	keepSocket bool // its listening socket outlives the process
 }
 
-// RestartModes are all ways of restarting an instance.
+// RestartModes are all modes of restarting an instance.
 var RestartModes = []RestartMode{
 	{Name: "killed", signal: syscall.SIGKILL},
 	{Name: "killed, socket held", signal: syscall.SIGKILL, keepSocket: true},
@@ -31,7 +31,7 @@
 	{Name: "ended, socket held", signal: syscall.SIGTERM, keepSocket: true},
 }
 
-// RestartResult is the result of Restart for one way: for how long each proxy had no stream.
+// RestartResult is the result of Restart for one mode: for how long each proxy had no stream.
 type RestartResult struct {
 	Mode      string
 	Proxies   int
@@ -46,7 +46,7 @@
 // Restart restarts an instance so many times while proxies are connected that know no other. program is the command
 // that runs an instance.
 func Restart(
-	ctx context.Context, program []string, way RestartMode, proxies, rounds int,
+	ctx context.Context, program []string, mode RestartMode, proxies, rounds int,
 ) (*RestartResult, error) {
 	directory, removeDirectory, err := makeDirectory("restart")
 	if err != nil {
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	restarted := &instanceProcess{program: program, configPath: filepath.Join(directory, "governor.hcl")}
-	address, closeSocket, err := restarted.configure(way, bed.registry.Addr())
+	address, closeSocket, err := restarted.configure(mode, bed.registry.Addr())
 	if err != nil {
 		return nil, err
 	}
@@ -74,13 +74,13 @@
 	streams := newStreamWatch()
 	bed.addListeners(proxies, address, redialInterval, streams.observe)
 	defer bed.stopProxies()
-	experiment := &restartExperiment{instance: restarted, way: way, proxies: proxies, streams: streams}
+	experiment := &restartExperiment{instance: restarted, mode: mode, proxies: proxies, streams: streams}
 	return experiment.run(ctx, rounds)
 }
 
-// configure writes the configuration file for an address with a free port. If the way wants it, the listening socket
-// is kept until closeSocket is called.
-func (p *instanceProcess) configure(way RestartMode, registry string) (address string, closeSocket func(), err error) {
+// configure writes the configuration file for an address with a free port. If the mode asks for it, the listening
+// socket stays open until closeSocket is called.
+func (p *instanceProcess) configure(mode RestartMode, registry string) (address string, closeSocket func(), err error) {
 	listener, err := net.Listen("tcp4", loopbackAnyPort)
 	if err != nil {
 		return "", nil, err
@@ -88,7 +88,7 @@
 	defer func() { _ = listener.Close() }()
 	address = listener.Addr().String()
 	closeSocket = func() {}
-	if way.keepSocket {
+	if mode.keepSocket {
 		socket, err := listener.(*net.TCPListener).File()
 		if err != nil {
 			return "", nil, err
@@ -132,7 +132,7 @@
 // restartExperiment restarts an instance whose proxies are connected.
 type restartExperiment struct {
 	instance *instanceProcess
-	way      RestartMode
+	mode     RestartMode
 	proxies  int
 	streams  *streamWatch
 }
@@ -145,7 +145,7 @@
 	var downtimes []time.Duration
 	for range rounds {
 		started := time.Now()
-		e.instance.end(e.way.signal)
+		e.instance.end(e.mode.signal)
 		if err := e.instance.start(ctx); err != nil {
 			return nil, err
 		}
@@ -158,7 +158,7 @@
 	slices.Sort(downtimes)
 	gaps := e.streams.sortedGaps()
 	return &RestartResult{
-		Mode:      e.way.Name,
+		Mode:      e.mode.Name,
 		Proxies:   e.proxies,
 		Rounds:    rounds,
 		Down:      downtimes[len(downtimes)/2],
--- a/internal/benchmark/takeoverresult.go
+++ b/internal/benchmark/takeoverresult.go
@@ -19,7 +19,7 @@
 	BoundMedian   time.Duration
 	BoundWorst    time.Duration
 	BrokenOthers  int     // streams to other instances than the killed one that broke, in all rounds
-	ShardsMoved   float64 // leases granted a kill, until all shards were held again
+	ShardsMoved   float64 // leases granted for each kill, until all shards were held again
 	FewestMoves   float64 // shards of the killed instance
 	ShardsBack    float64 // leases granted until a killed instance was back
 	Violations    []string
@@ -39,16 +39,16 @@
 	}
 }
 
-func (f *TakeoverResult) kind() string {
-	if f.Shared {
+func (r *TakeoverResult) kind() string {
+	if r.Shared {
 		return "share the fleet"
 	}
 	return "share nothing"
 }
 
-func (f *TakeoverResult) verdict() string {
-	if len(f.Violations) == 0 {
+func (r *TakeoverResult) verdict() string {
+	if len(r.Violations) == 0 {
 		return "kept"
 	}
-	return fmt.Sprintf("%d breaks: %s", len(f.Violations), f.Violations[0])
+	return fmt.Sprintf("%d breaks: %s", len(r.Violations), r.Violations[0])
 }
--- a/internal/benchmark/takeoverwatch.go
+++ b/internal/benchmark/takeoverwatch.go
@@ -123,7 +123,7 @@
 }
 
 func takeoverInvariants() invariants.Limits {
-	settings := invariants.Limits{
+	limits := invariants.Limits{
 		MaxEmptyTime:   2600 * model.Millisecond,
 		DrainGrace:     2500 * model.Millisecond,
 		WarmUpPeriod:   10 * model.Second,
@@ -132,7 +132,7 @@
 		QueueLimit:     1 << 30,
 	}
 	for k := range takeoverMembers {
-		settings.Zones = append(settings.Zones, zoneName(k))
+		limits.Zones = append(limits.Zones, zoneName(k))
 	}
-	return settings
+	return limits
 }
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -24,7 +24,7 @@
 	loopbackAnyPort   = "127.0.0.1:0"
 	redialInterval    = 150 * model.Millisecond
 	gracefulShutdown  = "500ms"
-	controllerProgram = "governor" // the subcommand that runs an instance
+	instanceCommand   = "governor" // the subcommand that runs an instance
 )
 
 // testbed holds what the experiments with stand-ins have in common. close ends all of it.
@@ -136,8 +136,8 @@
 
 func (e *TimeoutError) Error() string { return "benchmark: timed out: " + e.Condition }
 
-// reserveAddresses gives so many loopback addresses with ports that are free. All are held until the last is found, so
-// that no two are the same.
+// reserveAddresses returns distinct loopback addresses whose ports were free a moment ago. All are held until the last
+// one is found, so that no two are the same; another process may take one before it is used.
 func reserveAddresses(count int) ([]string, error) {
 	var addresses []string
 	for range count {
--- a/internal/invariants/attempts.go
+++ b/internal/invariants/attempts.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// requestExecuted checks that a request with effects is executed once.
+// requestExecuted checks that a request that is not idempotent is executed once.
 func (c *checker) requestExecuted(e RequestExecuted) {
 	key := requestKey{e.Request, e.ClientAttempt}
 	c.executions[key]++
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -7,11 +7,12 @@
 	"peppervale/internal/model"
 )
 
-// Check checks what was observed, in its order, up to the end of the run. It gives one result an invariant.
+// Check checks the observations of a run, in their order, up to its end. It returns one result for each invariant, in
+// the order of the constants.
 func Check(observed []Event, limits Limits, end model.Microseconds) []Result {
-	checker := newChecker(limits, end)
+	checker := newChecker(limits)
 	if len(observed) > 0 {
-		checker.began = startOf(observed[0])
+		checker.startedAt = startTime(observed[0])
 	}
 	for _, event := range observed {
 		checker.observe(event)
@@ -28,12 +29,12 @@
 	return results
 }
 
-// checker is the state of one check: what each party was seen to know, and the results so far.
+// checker is the state of a check: what proxies, instances and replicas were sent, and the results so far.
 type checker struct {
 	limits     Limits
-	began      model.Microseconds
+	startedAt  model.Microseconds
 	proxies    map[string]*proxyState
-	proxyOrder []string // names in the order in which they started first
+	proxyOrder []string // names in the order of their first start
 	instances  map[string]*instanceState
 	replicas   map[model.ReplicaID]*replicaState
 	attempts   map[requestKey][]*attempt
@@ -42,10 +43,10 @@
 	results    map[string]*Result
 }
 
-// proxyState is what a proxy holds, by what it was sent.
+// proxyState is what a proxy holds, as follows from what it was sent.
 type proxyState struct {
 	name        string
-	epoch       uint64            // the newest that it was sent a message of
+	epoch       uint64            // the newest one of the messages that it was sent
 	epochHolder map[uint64]string // the instance that published in each epoch
 	running     bool
 	instance    *instanceState // nil: not joined
@@ -54,8 +55,8 @@
 	weights     map[model.ReplicaID]float64
 	withdrawn   map[model.ReplicaID]bool
 	emptySince  model.Microseconds   // notEmpty: it has a usable entry, or is not joined
-	updatedAt   model.Microseconds   // the clock of its newest message
-	messages    []model.Microseconds // the clocks of its messages on this stream
+	updatedAt   model.Microseconds   // the newest time by a publisher's clock in a message to it
+	messages    []model.Microseconds // the publisher's times of the messages on this stream
 }
 
 // instanceState is what a control-plane instance was notified of, and what it sent.
@@ -75,7 +76,7 @@
 }
 
 type replicaState struct {
-	group  string // the replicas that drop repeats among themselves
+	group  string // its deduplication group
 	starts []ReplicaStarted
 }
 
@@ -90,7 +91,7 @@
 	outcome Outcome
 }
 
-// arrival is work at a replica; informed: its proxy was sent updates that knew of the replica's start.
+// arrival is work that a replica received; informed: see checker.informed.
 type arrival struct {
 	WorkArrived
 	informed bool
@@ -101,10 +102,9 @@
 	notEmpty = model.Microseconds(-1)
 )
 
-func newChecker(limits Limits, began model.Microseconds) *checker {
+func newChecker(limits Limits) *checker {
 	checker := &checker{
 		limits:     limits,
-		began:      began,
 		proxies:    map[string]*proxyState{},
 		instances:  map[string]*instanceState{},
 		replicas:   map[model.ReplicaID]*replicaState{},
@@ -118,8 +118,8 @@
 	return checker
 }
 
-// startOf is the time of a run's first observation, which is a start or an endpoint list.
-func startOf(event Event) model.Microseconds {
+// startTime is the time of a run's first observation, which is a start or an endpoint list.
+func startTime(event Event) model.Microseconds {
 	switch e := event.(type) {
 	case ProxyStarted:
 		return e.At
@@ -131,8 +131,8 @@
 	return 0
 }
 
-// sinceStart writes a time as the run counts it.
-func (c *checker) sinceStart(t model.Microseconds) string { return seconds(t - c.began) }
+// sinceStart formats a time relative to the start of the run.
+func (c *checker) sinceStart(t model.Microseconds) string { return seconds(t - c.startedAt) }
 
 func (c *checker) instance(name string) *instanceState {
 	i := c.instances[name]
@@ -159,7 +159,7 @@
 	return r
 }
 
-// observe takes in one event.
+// observe handles one event.
 func (c *checker) observe(observed Event) {
 	switch event := observed.(type) {
 	case ProxyStarted:
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -16,7 +16,7 @@
 
 func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
-var figures = Limits{
+var testLimits = Limits{
 	Zones:          []string{"govan"},
 	Operations:     []Operation{{"read", Idempotent, 0}, {"log", IdempotencyKeyed, second}, {"pay", SideEffecting, 0}},
 	MaxEmptyTime:   2 * second,
@@ -76,7 +76,7 @@
 	return AttemptEnded{At: at, Request: requestNumber, Attempt: 1, Outcome: o}
 }
 
-// steadyLoad is work that reaches a replica evenly.
+// steadyLoad is work that a replica receives at a constant rate.
 func steadyLoad(replica byte, from, to model.Microseconds, work float64) (all timeline) {
 	for at := from; at < to; at += second / 10 {
 		all = append(all, WorkArrived{At: at, Replica: id(replica), Proxy: "till", Work: work})
@@ -107,7 +107,7 @@
 		withdrawn(5 * second),
 		pushed(6*second, pubsubmsg.Message{Entries: []pubsubmsg.Entry{{Replica: id(2), Weight: 1}}}),
 	}},
-	{"no usable entry while joined to nobody", false, timeline{
+	{"no usable entry while not joined", false, timeline{
 		withdrawn(5 * second),
 		StreamChanged{At: 6 * second, Proxy: "till", Instance: "g"},
 	}},
@@ -200,7 +200,7 @@
 			steadyLoad(3, 6*second, 9*second, 3e4)...),
 	},
 	{
-		"the same load from those who could not know", false,
+		"the same load from proxies that could not know of the start", false,
 		append(timeline{started},
 			steadyLoad(3, 4*second, 7*second, 4e5)...),
 	},
@@ -243,7 +243,7 @@
 // checkViolations has exactly one invariant broken by a timeline, or none.
 func checkViolations(t *testing.T, events timeline, invariant string, wantBroken bool) {
 	t.Helper()
-	for _, v := range Check(events, figures, 15*second) {
+	for _, v := range Check(events, testLimits, 15*second) {
 		if broken := len(v.Violations) > 0; broken != (wantBroken && v.Invariant == invariant) {
 			t.Errorf("%s: broken %v, %.2f of the limit: %v", v.Invariant, broken, v.Nearest, v.Violations)
 		}
@@ -251,7 +251,8 @@
 }
 
 func TestViolationNamesPartiesAndTimes(t *testing.T) {
-	for _, v := range Check(append(newTimeline(), listed(4*second, 2), attempted(7*second, 0, 1, 1)), figures, 15*second) {
+	events := append(newTimeline(), listed(4*second, 2), attempted(7*second, 0, 1, 1))
+	for _, v := range Check(events, testLimits, 15*second) {
 		if v.Invariant == LateDrain && (len(v.Violations) != 1 || v.Violations[0] !=
 			"7.000 s: till sent to 127.0.0.1:80 3.000 s after g was notified that it drains or is gone, 2.000 s are allowed") {
 			t.Fatal(v.Violations)
@@ -265,19 +266,19 @@
 		at := 8*second + model.Microseconds(n)
 		all = append(all, AttemptStarted{At: at, Proxy: "till", Replica: id(1), Request: uint64(n), Attempt: 1})
 	}
-	if v := Check(all, figures, 15*second)[2]; len(v.Violations) != maxViolations+1 {
+	if v := Check(all, testLimits, 15*second)[2]; len(v.Violations) != maxViolations+1 {
 		t.Fatalf("%d lines", len(v.Violations))
 	}
 }
 
-// Two instances that publish in one epoch are found; messages of an older epoch than was seen are fenced off, and so
-// not checked.
+// Two instances that publish in one epoch are detected; messages of an older epoch than was seen are fenced off, and
+// so not checked.
 func TestEpochHasOneHolder(t *testing.T) {
-	up := func(at model.Microseconds, governor string) StreamChanged {
-		return StreamChanged{At: at, Proxy: "till", Instance: governor, Up: true}
+	up := func(at model.Microseconds, instance string) StreamChanged {
+		return StreamChanged{At: at, Proxy: "till", Instance: instance, Up: true}
 	}
-	in := func(at model.Microseconds, epoch uint64, lines ...pubsubmsg.Entry) BytesReceived {
-		return pushed(at, pubsubmsg.Message{Full: true, Bound: true, Entries: lines, Epoch: epoch})
+	in := func(at model.Microseconds, epoch uint64, entries ...pubsubmsg.Entry) BytesReceived {
+		return pushed(at, pubsubmsg.Message{Full: true, Bound: true, Entries: entries, Epoch: epoch})
 	}
 	full, bare := pubsubmsg.Entry{Replica: id(1), Weight: 1}, []pubsubmsg.Entry(nil)
 	for name, tt := range map[string]struct {
--- a/internal/invariants/coldstart.go
+++ b/internal/invariants/coldstart.go
@@ -9,7 +9,8 @@
 	"peppervale/internal/model"
 )
 
-// informed reports whether work counts as sent in the knowledge that the replica had just started.
+// informed reports whether the proxy could know, when it sent the work, that the replica had just started: its instance
+// has sent it an update since it learned of the start, or has known of the start for longer than the drain grace.
 func (c *checker) informed(e WorkArrived) bool {
 	p := c.proxies[e.Proxy]
 	if p == nil || p.instance == nil {
@@ -37,12 +38,12 @@
 	}
 }
 
-// workWindow is the work that arrived within the last TipSpan of a start.
+// workWindow is the work that arrived within the last OverloadWindow.
 type workWindow struct {
 	arrivals []arrival
 	total    float64
 	informed float64
-	largest  float64 // piece of work since the window was last empty
+	largest  float64 // work of one arrival since the start
 }
 
 func (w *workWindow) add(a arrival) {
@@ -54,7 +55,7 @@
 	w.largest = max(w.largest, a.Work)
 }
 
-// dropUntil removes what arrived at a time or before it.
+// dropUntil removes the work that arrived at a time or before it.
 func (w *workWindow) dropUntil(at model.Microseconds) {
 	for len(w.arrivals) > 0 && w.arrivals[0].At <= at {
 		a := w.arrivals[0]
@@ -66,12 +67,12 @@
 	}
 }
 
-// mostlyInformed reports whether two thirds of the work came from informed proxies: with less, those who could not know
-// yet pushed the replica over, and an overload does not count.
+// mostlyInformed reports whether at least two thirds of the work came from informed proxies. With less, an overload is
+// due to proxies that could not know of the start yet, and is no violation.
 func (w *workWindow) mostlyInformed() bool { return w.informed >= w.total*2/3 }
 
-// checkColdStart checks the windows of one start that end with an arrival. One piece of work is slack, as a window may
-// cut it.
+// checkColdStart checks the windows after one start that end with an arrival. The largest request is not counted, as it
+// may belong to the window in part only.
 func (c *checker) checkColdStart(id model.ReplicaID, start ReplicaStarted, arrivals []arrival) {
 	window := &workWindow{}
 	for _, last := range arrivals {
@@ -93,8 +94,8 @@
 	}
 }
 
-// capacity is what a warming replica can do in the window that ends at a time: capacity rises evenly, so its mean is
-// that of the window's middle.
+// capacity is the work that a warming replica can do in the window that ends at a time. As capacity rises linearly, its
+// mean is its value in the middle of the window.
 func (c *checker) capacity(start ReplicaStarted, end model.Microseconds) float64 {
 	from := max(start.At, end-c.limits.OverloadWindow)
 	middle := float64((from+end)/2-start.At) / float64(start.WarmUpPeriod)
--- a/internal/invariants/endpoints.go
+++ b/internal/invariants/endpoints.go
@@ -5,14 +5,15 @@
 	"peppervale/internal/model"
 )
 
-// endpointsSent takes in an endpoint list that an instance was sent. A list that cannot be read tells it nothing.
+// endpointsSent records an endpoint list that an instance was sent. One that cannot be parsed is ignored, as the
+// instance ignores it.
 func (c *checker) endpointsSent(list EndpointsSent) {
 	endpoints, _, err := consulcatalog.Parse(list.Body, c.limits.Zones)
 	if err != nil {
 		return
 	}
 	instance := c.instance(list.Instance)
-	// What counts as warm is about to change: spells are counted up to now by what was listed so far.
+	// The list may change from when a warm replica counts as listed: check the spells up to now first.
 	for _, name := range c.proxyOrder {
 		if p := c.proxies[name]; p.instance == instance {
 			c.checkEmptySpell(p, list.At)
@@ -29,8 +30,8 @@
 	}
 }
 
-// readyEndpoints notes which replicas are listed as ready and when they started. It gives them, and the time from which
-// one of them is warm.
+// readyEndpoints records the listed replicas and when they started. It returns those that are ready, and the time from
+// which one of them is warm.
 func (i *instanceState) readyEndpoints(
 	endpoints []model.Endpoint, now, warmUp model.Microseconds,
 ) (ready map[model.ReplicaID]bool, warmFrom model.Microseconds) {
--- a/internal/invariants/events.go
+++ b/internal/invariants/events.go
@@ -11,12 +11,12 @@
 // Outcome is how an attempt ended for the proxy that made it.
 type Outcome uint8
 
-// The outcomes of an attempt. Refused and ConnectFailed prove that it was never executed.
+// The outcomes of an attempt. Rejected and ConnectFailed prove that it was never executed.
 const (
 	Pending        Outcome = iota // not ended yet
-	Succeeded                     // a good answer
-	Rejected                      // rejected unseen by a full, draining or warming replica
-	ConnectFailed                 // no connection came about
+	Succeeded                     // an answer without an error
+	Rejected                      // rejected, without executing it, by a full or draining replica
+	ConnectFailed                 // no connection could be established
 	ErrorAnswer                   // an answer that reports an error
 	TimedOut                      // no answer in time
 	ConnectionLost                // the connection ended first
@@ -25,10 +25,10 @@
 // NotExecuted reports whether the attempt is proven never to have been executed.
 func (o Outcome) NotExecuted() bool { return o == Rejected || o == ConnectFailed }
 
-// Event is one thing that a stand-in observed. The types below are all there are. At is the time of the observation.
+// Event is an observation of a stand-in. The types below are the only ones. At is the time of the observation.
 type Event interface{ event() }
 
-// ProxyStarted is a proxy that starts, holding only its standing table.
+// ProxyStarted says that a proxy started, with its standing table only.
 type ProxyStarted struct {
 	At       model.Microseconds
 	Proxy    string
@@ -36,34 +36,34 @@
 	Standing []TableEntry
 }
 
-// ProxyStopped is a proxy that is gone.
+// ProxyStopped says that a proxy ended.
 type ProxyStopped struct {
 	At    model.Microseconds
 	Proxy string
 }
 
-// StreamChanged is a change of a proxy's stream to an instance: Up when its join is answered.
+// StreamChanged says that a proxy's stream to an instance is established (Up: its join was answered) or ended.
 type StreamChanged struct {
 	At              model.Microseconds
 	Proxy, Instance string
 	Up              bool
 }
 
-// BytesReceived is bytes that a proxy read from its stream, in order; a Stream that goes up starts afresh.
+// BytesReceived holds the bytes that a proxy read from its stream, in order since the last StreamChanged with Up.
 type BytesReceived struct {
 	At    model.Microseconds
 	Proxy string
 	Data  []byte
 }
 
-// EndpointsSent is an endpoint list sent to an instance, whole, as Consul's health endpoint answers it.
+// EndpointsSent holds a complete endpoint list that was sent to an instance, in the JSON of Consul's health endpoint.
 type EndpointsSent struct {
 	At       model.Microseconds
 	Instance string
 	Body     []byte
 }
 
-// AttemptStarted is an attempt that a proxy sent. ClientAttempt counts the client's own retries of a request,
+// AttemptStarted says that a proxy sent an attempt. ClientAttempt counts the client's own retries of a request,
 // from 0, and Attempt the proxy's attempts for one of them, from 1.
 type AttemptStarted struct {
 	At                     model.Microseconds
@@ -74,7 +74,7 @@
 	ClientAttempt, Attempt int
 }
 
-// AttemptEnded is the end of an attempt as the proxy saw it.
+// AttemptEnded says how an attempt ended for the proxy.
 type AttemptEnded struct {
 	At                     model.Microseconds
 	Request                uint64
@@ -82,7 +82,7 @@
 	Outcome                Outcome
 }
 
-// WorkArrived is work that reached a replica, in microseconds of a core of speed 1.
+// WorkArrived says that a replica received work, in microseconds of a core of speed 1.
 type WorkArrived struct {
 	At      model.Microseconds
 	Replica model.ReplicaID
@@ -90,7 +90,7 @@
 	Work    float64
 }
 
-// RequestExecuted is a request that was executed at a replica.
+// RequestExecuted says that a replica executed a request.
 type RequestExecuted struct {
 	At            model.Microseconds
 	Replica       model.ReplicaID
@@ -99,14 +99,15 @@
 	ClientAttempt int
 }
 
-// ReplicaStarted is a replica that starts. Its capacity rises evenly over Span from Share of Full to Full.
+// ReplicaStarted says that a replica started. Its capacity rises linearly within WarmUpPeriod from InitialShare of
+// Capacity to Capacity.
 type ReplicaStarted struct {
 	At                 model.Microseconds
 	Replica            model.ReplicaID
 	DeduplicationGroup string             // the replicas that drop repeats of a request among themselves
-	Capacity           float64            // its capacity when warm, in core microseconds a microsecond
-	InitialShare       float64            // of Full that it starts with; 1: it starts warm
-	WarmUpPeriod       model.Microseconds // that it takes to warm up
+	Capacity           float64            // when warm, in microseconds of work per microsecond
+	InitialShare       float64            // of Capacity, at the start; 1: it starts warm
+	WarmUpPeriod       model.Microseconds // 0: it starts warm
 }
 
 func (ProxyStarted) event()    {}
--- a/internal/invariants/limits.go
+++ b/internal/invariants/limits.go
@@ -8,15 +8,15 @@
 // The effects of operations.
 const (
 	Idempotent       Effect = iota // may be repeated anywhere
-	IdempotencyKeyed               // carries an idempotency key: a repeat is dropped within its window and group
+	IdempotencyKeyed               // carries an idempotency key: its deduplication group drops a repeat within the window
 	SideEffecting                  // must never be executed twice
 )
 
-// Operation is what the invariants need of one.
+// Operation is what the checks need to know of an operation.
 type Operation struct {
 	Name                string
 	Effect              Effect
-	DeduplicationWindow model.Microseconds // Fingerprinted: how long its replicas remember a request
+	DeduplicationWindow model.Microseconds // IdempotencyKeyed: how long a deduplication group remembers a request
 }
 
 // Limits are those of the invariants, the same that instances are configured with.
@@ -33,12 +33,12 @@
 	MessageWindow  model.Microseconds // of MessageLimit
 }
 
-// effect is that of an operation by its index; of one that is not configured the strictest.
-func (f *Limits) effect(operation int) Effect { return f.operation(operation).Effect }
+// effect is that of the operation with an index; an operation that is not configured counts as SideEffecting.
+func (l *Limits) effect(operation int) Effect { return l.operation(operation).Effect }
 
-func (f *Limits) operation(index int) Operation {
-	if index < 0 || index >= len(f.Operations) {
+func (l *Limits) operation(index int) Operation {
+	if index < 0 || index >= len(l.Operations) {
 		return Operation{Effect: SideEffecting}
 	}
-	return f.Operations[index]
+	return l.Operations[index]
 }
--- a/internal/invariants/proxies.go
+++ b/internal/invariants/proxies.go
@@ -57,15 +57,15 @@
 	if p == nil || p.instance == nil {
 		return
 	}
-	// A stream that cannot be read ends for the proxy, which tells it by a Stream of its own.
+	// A proxy closes a stream that it cannot parse, which is a StreamChanged event of its own.
 	_ = p.reader.Feed(e.Data, func(v resp.Value) error {
 		c.valueReceived(p, v, e.At)
 		return nil
 	})
 }
 
-// valueReceived applies a message to what the proxy holds, as docs/channel.md has it. One of an epoch that is older
-// than the newest seen is fenced off: nothing of it is obeyed.
+// valueReceived applies a message to what the proxy holds, as docs/channel.md specifies. A message of an older epoch
+// than the newest seen is fenced off and ignored.
 func (c *checker) valueReceived(p *proxyState, v resp.Value, now model.Microseconds) {
 	if !pubsubmsg.IsMessage(v) {
 		return
@@ -80,7 +80,8 @@
 	c.updateEmptySpell(p, now)
 }
 
-// checkEpoch checks that one instance alone publishes to the proxy in an epoch.
+// checkEpoch checks that only one instance publishes to the proxy in an epoch. Epoch 0 is that of instances without
+// leases.
 func (c *checker) checkEpoch(p *proxyState, epoch uint64, now model.Microseconds) {
 	if epoch == 0 {
 		return
@@ -137,7 +138,8 @@
 	}
 }
 
-// checkEmptySpell checks a spell up to now, as far as the proxy's instance was listed a warm replica.
+// checkEmptySpell checks the length of a spell up to now. It counts from when a warm replica was listed to the proxy's
+// instance.
 func (c *checker) checkEmptySpell(p *proxyState, now model.Microseconds) {
 	if p.emptySince == notEmpty || p.instance == nil || p.instance.warmFrom >= now {
 		return
--- a/internal/invariants/queue.go
+++ b/internal/invariants/queue.go
@@ -9,7 +9,8 @@
 	"peppervale/internal/model"
 )
 
-// countMessage notes a message of the queue and checks how many a proxy is sent within a span.
+// countMessage records a message for the check of the queues, and checks how many messages the proxy was sent within
+// the message window.
 func (c *checker) countMessage(proxy *proxyState, message *pubsubmsg.Message, now model.Microseconds) {
 	instance := proxy.instance
 	instance.sent = append(instance.sent, sentMessage{message.UpdatedAt, now, message.Cost})
@@ -29,13 +30,13 @@
 		c.sinceStart(now), instance.name, recent, proxy.name, seconds(c.limits.MessageWindow), c.limits.MessageLimit)
 }
 
-// queueChange is entries that join an instance's queue, or leave it if there are fewer than none.
+// queueChange is a change of the number of entries in an instance's queue.
 type queueChange struct {
 	at      model.Microseconds
-	entries int
+	entries int // added; below 0: removed
 }
 
-// checkQueues checks each instance's queue: what was sent and had not arrived yet, in entries.
+// checkQueues checks the queue of each instance: the entries that were sent and not received yet.
 func (c *checker) checkQueues() {
 	for _, name := range slices.Sorted(maps.Keys(c.instances)) {
 		entries := 0
@@ -48,7 +49,7 @@
 	}
 }
 
-// queueChanges are those of all messages by time; at one time arrivals come first.
+// queueChanges returns the changes by all messages, by time. Of changes at the same time, removals come first.
 func (i *instanceState) queueChanges() []queueChange {
 	changes := make([]queueChange, 0, 2*len(i.sent))
 	for _, m := range i.sent {
--- a/internal/invariants/result.go
+++ b/internal/invariants/result.go
@@ -13,13 +13,14 @@
 	LateDrain      = "drains within the grace"
 	ColdOverload   = "no cold replica pushed over"
 	LongQueue      = "short queue"
-	SharedEpoch    = "one holder an epoch" // not of the five: where instances share the fleet
+	SharedEpoch    = "one holder an epoch" // not one of the operators' five: it concerns instances that share the fleet
 )
 
 // invariantNames are all invariants in the order of their results.
 var invariantNames = []string{EmptyTable, RepeatedEffect, LateDrain, ColdOverload, LongQueue, SharedEpoch}
 
-// Result is an invariant's result: how near the run came to its limit, as a share, where, and each violation.
+// Result is the result of one invariant. Nearest is how near the run came to the limit, as a share of it, and Where
+// describes that observation.
 type Result struct {
 	Invariant  string   `json:"rule"`
 	Nearest    float64  `json:"nearest"`
@@ -27,33 +28,33 @@
 	Violations []string `json:"breaks,omitempty"`
 }
 
-// maxViolations bounds the violations that one result lists; a last line says that there were more.
+// maxViolations bounds the violations that a result lists; one more string says that there were more.
 const maxViolations = 20
 
-// broken is the share of a limit that stands for a violation which knows no degrees.
+// broken is the share of the limit that is recorded for a violation that has no degrees.
 const broken = 2
 
-// record notes how near the limit an observation came, and a violation if it is above 1.
-func (v *Result) record(share float64, format string, args ...any) {
-	if share > v.Nearest {
-		v.Nearest = share
-		v.Where = fmt.Sprintf(format, args...)
+// record records how near the limit an observation came, and a violation if share is above 1.
+func (r *Result) record(share float64, format string, args ...any) {
+	if share > r.Nearest {
+		r.Nearest = share
+		r.Where = fmt.Sprintf(format, args...)
 	}
 	if share <= 1 {
 		return
 	}
 	switch {
-	case len(v.Violations) < maxViolations:
-		v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
-	case len(v.Violations) == maxViolations:
-		v.Violations = append(v.Violations, "and more")
+	case len(r.Violations) < maxViolations:
+		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
+	case len(r.Violations) == maxViolations:
+		r.Violations = append(r.Violations, "and more")
 	}
 }
 
-// seconds writes a time span for a reader.
+// seconds formats a time span.
 func seconds(t model.Microseconds) string {
 	return fmt.Sprintf("%.3f s", float64(t)/float64(model.Second))
 }
 
-// shareOf is a time span as a share of its limit.
+// shareOf returns a time span as a share of its limit.
 func shareOf(t, limit model.Microseconds) float64 { return float64(t) / float64(max(limit, 1)) }
--- a/internal/scenario/console_test.go
+++ b/internal/scenario/console_test.go
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// awaitConsoles reads the progress until each instance has told its console's address, and gives them by instance.
+// awaitConsoles reads the progress until it names the console of each instance, and returns the consoles' addresses by
+// instance.
 func awaitConsoles(progress chan string) map[string]string {
 	consoles := map[string]string{}
 	for line := range progress {
--- a/internal/scenario/faulty.go
+++ b/internal/scenario/faulty.go
@@ -13,7 +13,7 @@
 
 // The kinds of faulty controllers, as scenario files spell them.
 const (
-	emptiesTable       = "empty-table"      // takes every entry back
+	emptiesTable       = "empty-table"      // removes every table entry
 	retriesAnything    = "repeats-anything" // orders retries after any failure, for every operation
 	hidesDrains        = "hides-drains"     // never withdraws draining replicas
 	fullLoadToCold     = "full-to-cold"     // gives a started replica nearly all traffic at once
@@ -104,7 +104,7 @@
 	})
 }
 
-// ProxyDisconnected forgets the proxy.
+// ProxyDisconnected removes the proxy.
 func (c *faultyController) ProxyDisconnected(proxy model.ProxyID, _ uint64) {
 	c.loop.Post(func() { delete(c.proxies, proxy) })
 }
@@ -115,7 +115,7 @@
 // LoadReported is ignored.
 func (c *faultyController) LoadReported(int, []model.LoadReport) {}
 
-// EndpointsChanged follows the endpoint list; all kinds but hidesDrains withdraw replicas as they should.
+// EndpointsChanged publishes the endpoint list; all kinds but hidesDrains withdraw replicas as they should.
 func (c *faultyController) EndpointsChanged(scope model.EndpointUpdate, endpoints []model.Endpoint) {
 	c.loop.Post(func() {
 		if scope == model.PollFailed {
@@ -128,7 +128,7 @@
 	})
 }
 
-// addReady takes the ready endpoints in and gives the updates for those that are new or restarted.
+// addReady records the ready endpoints and returns the updates for those that are new or restarted.
 func (c *faultyController) addReady(endpoints []model.Endpoint) []snapshot.Update {
 	var updates []snapshot.Update
 	for _, endpoint := range endpoints {
@@ -153,7 +153,7 @@
 	return 1
 }
 
-// withdrawMissing forgets the replicas that are no longer ready and gives the updates that withdraw them.
+// withdrawMissing removes the replicas that are no longer ready and returns the updates that withdraw them.
 func (c *faultyController) withdrawMissing(endpoints []model.Endpoint) []snapshot.Update {
 	stillReady := map[model.ReplicaID]bool{}
 	for _, endpoint := range endpoints {
@@ -180,7 +180,7 @@
 	c.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: c.ackSequence, At: c.now()})
 }
 
-// tick does at intervals what the kind does wrong, once the scenario has run for a while.
+// tick publishes the wrong updates of the kind once every faultyTickInterval, from faultyStartDelay on.
 func (c *faultyController) tick() {
 	c.loop.After(faultyTickInterval, c.tick)
 	if c.now()-c.started < faultyStartDelay {
--- a/internal/scenario/faulty_test.go
+++ b/internal/scenario/faulty_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/invariants"
 )
 
-// Each faulty controller violates its own invariant and no other, and the violation names who, where and when.
+// Each faulty controller violates its own invariant and no other, and the violation names its time and limit.
 func TestEachFaultyControllerViolatesItsOwnInvariantOnly(t *testing.T) {
 	for kind, invariant := range map[string]string{
 		emptiesTable:       invariants.EmptyTable,
--- a/internal/scenario/instance.go
+++ b/internal/scenario/instance.go
@@ -128,7 +128,7 @@
 		console:    r.network.instanceAddress(index, consolePort),
 		configPath: filepath.Join(r.directory, name+".hcl"),
 		logPath:    filepath.Join(r.directory, name+".log"),
-		program:    r.setting.Program,
+		program:    r.options.Program,
 	}
 }
 
--- a/internal/scenario/judgement.go
+++ b/internal/scenario/judgement.go
@@ -6,9 +6,9 @@
 	"peppervale/internal/model"
 )
 
-// invariantSettings gives the limits that the check of the invariants uses.
-func (s *Script) invariantSettings() invariants.Limits {
-	settings := invariants.Limits{
+// invariantLimits gives the limits that the check of the invariants uses.
+func (s *Script) invariantLimits() invariants.Limits {
+	limits := invariants.Limits{
 		Zones:          s.Zones,
 		MaxEmptyTime:   s.Guarantees.MaxTimeWithoutReplica,
 		DrainGrace:     s.Guarantees.DrainGracePeriod,
@@ -25,13 +25,13 @@
 		config.SideEffecting:     invariants.SideEffecting,
 	}
 	for _, operation := range s.Operations {
-		settings.Operations = append(settings.Operations, invariants.Operation{
+		limits.Operations = append(limits.Operations, invariants.Operation{
 			Name:                operation.Name,
 			Effect:              effects[operation.Effect],
 			DeduplicationWindow: operation.IdempotencyWindow,
 		})
 	}
-	return settings
+	return limits
 }
 
 // report puts the results of the scenario together.
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -94,17 +94,17 @@
 
 func readReplicas(block *config.Block) Replicas {
 	replicas := Replicas{
-		PerZone:        block.Int("each_zone", 0, 1, 250),
-		Cores:          block.Int("cores", 2, 1, 1000),
-		QueueLimit:     block.Int("waiting", 20, 0, 1_000_000),
-		Connections:    block.Int("connections", 200, 1, 1_000_000),
-		BaySize:        block.Int("bay_size", 3, 1, 1000),
-		SpeedFrom:      block.Float("speed_from", 0.85, 0.01, 100),
-		SpeedTo:        block.Float("speed_to", 1.1, 0.01, 100),
-		ColdShare:      block.Float("cold_share", 0.25, 0.01, 1),
-		ColdSpan:       block.Duration("cold_span", 8*model.Second, 0, hour),
-		ReportInterval: block.Duration("report_every", 500*model.Millisecond, 0, hour),
-		Handshake:      block.Duration("handshake", 5*model.Millisecond, 0, hour),
+		PerZone:                block.Int("each_zone", 0, 1, 250),
+		Cores:                  block.Int("cores", 2, 1, 1000),
+		QueueLimit:             block.Int("waiting", 20, 0, 1_000_000),
+		MaxConnections:         block.Int("connections", 200, 1, 1_000_000),
+		DeduplicationGroupSize: block.Int("bay_size", 3, 1, 1000),
+		SpeedFrom:              block.Float("speed_from", 0.85, 0.01, 100),
+		SpeedTo:                block.Float("speed_to", 1.1, 0.01, 100),
+		InitialShare:           block.Float("cold_share", 0.25, 0.01, 1),
+		WarmUpPeriod:           block.Duration("cold_span", 8*model.Second, 0, hour),
+		ReportInterval:         block.Duration("report_every", 500*model.Millisecond, 0, hour),
+		HandshakeWork:          block.Duration("handshake", 5*model.Millisecond, 0, hour),
 	}
 	block.RejectUnknown()
 	return replicas
--- a/internal/scenario/proxysteps.go
+++ b/internal/scenario/proxysteps.go
@@ -18,7 +18,7 @@
 	r.loop.After(down, func() { target.Start(r.standingTable(target)) })
 }
 
-// stallProxies has the targets stand still for as long as they run between two stalls.
+// stallProxies stalls the targets repeatedly; between two stalls they run for as long as a stall lasts.
 func (r *runner) stallProxies(step Step) {
 	duration := seconds(step.Size)
 	for _, target := range r.targetProxies(step) {
--- a/internal/scenario/replicasteps.go
+++ b/internal/scenario/replicasteps.go
@@ -11,6 +11,10 @@
 
 // disturbReplicas starts a fault on the targets of a step. When the step is over it ends the fault on those that no
 // later fault affects.
+//
+// Caveat: end does not stop what begin scheduled. The faults that repeat (alternate and age) go on after their step
+// until a later fault affects the replica, so the effect of end is soon undone. The results of scenarios with such
+// steps were measured with this behavior, and change if it does.
 func (r *runner) disturbReplicas(step Step, begin, end func(target *managedReplica)) {
 	for _, target := range r.targetReplicas(step) {
 		begin(target)
@@ -28,7 +32,7 @@
 	})
 }
 
-// slowdown gives what makes a replica take so many times as long.
+// slowdown returns a fault by which all work of a replica takes so many times as long.
 func slowdown(factor float64) func(*managedReplica) {
 	return func(target *managedReplica) { target.Slowdown = factor }
 }
@@ -50,7 +54,8 @@
 	r.disturbReplicas(step, begin, answer)
 }
 
-// alternate switches a fault on and off each second until a later fault affects the replica.
+// alternate switches a fault on and off each alternationPeriod until a later fault affects the replica, also after the
+// end of its step.
 func (r *runner) alternate(target *managedReplica, active bool, begin, end func(*managedReplica)) {
 	if active {
 		begin(target)
@@ -73,7 +78,8 @@
 	r.disturbReplicas(step, begin, end)
 }
 
-// age slows a replica evenly up to the size of the step, until a later fault affects it.
+// age slows a replica linearly up to the size of the step. It goes on until a later fault affects the replica, also
+// after the end of its step: the replica has restarted then, and becomes as slow as the step's size again.
 func (r *runner) age(target *managedReplica, step Step, started model.Microseconds) {
 	progress := float64(r.now()-started) / float64(max(step.Duration, 1))
 	target.Slowdown = 1 + (step.Size-1)*min(1, progress)
@@ -90,15 +96,15 @@
 func (r *runner) limitConnections(step Step) {
 	step.Fraction = 1
 	begin := func(target *managedReplica) { target.MaxConnections = step.Number }
-	end := func(target *managedReplica) { target.MaxConnections = r.script.Replicas.Connections }
+	end := func(target *managedReplica) { target.MaxConnections = r.script.Replicas.MaxConnections }
 	r.disturbReplicas(step, begin, end)
 }
 
 func (r *runner) slowHandshakes(step Step) {
 	step.Fraction = 1
-	usual := float64(r.script.Replicas.Handshake)
-	begin := func(target *managedReplica) { target.HandshakeWork = usual * step.Size }
-	end := func(target *managedReplica) { target.HandshakeWork = usual }
+	normalWork := float64(r.script.Replicas.HandshakeWork)
+	begin := func(target *managedReplica) { target.HandshakeWork = normalWork * step.Size }
+	end := func(target *managedReplica) { target.HandshakeWork = normalWork }
 	r.disturbReplicas(step, begin, end)
 }
 
@@ -108,7 +114,7 @@
 	r.disturbReplicas(step, begin, end)
 }
 
-// silence keeps the replica's process but has it answer nothing; the registry learns of it late.
+// silence has a replica accept connections but answer nothing. The registry removes it after its SilentDelay.
 func (r *runner) silence(target *managedReplica) {
 	target.Silent = true
 	r.deregister(target, r.script.Registry.SilentDelay)
@@ -120,7 +126,7 @@
 	r.startCold(target, restartMaxAttempts)
 }
 
-// startCold makes an attempt and up to so many retries, as the port of the old process may still be in use.
+// startCold starts a replica, with up to so many retries as the port of the former run may still be in use.
 func (r *runner) startCold(target *managedReplica, retries int) {
 	r.loop.After(restartDelay, func() {
 		err := target.Start(true)
@@ -135,14 +141,14 @@
 	})
 }
 
-// deploy replaces the targets in groups: drained and registered as draining, then restarted cold.
+// deploy replaces the targets in batches: each is drained and registered as draining, then restarted cold.
 func (r *runner) deploy(step Step) {
 	targets := r.targetReplicas(step)
-	groupSize := max(step.Number, 1)
-	groups := (len(targets) + groupSize - 1) / groupSize
-	for group := range groups {
-		start := step.Duration * model.Microseconds(group) / model.Microseconds(groups)
-		for _, target := range targets[group*groupSize : min(len(targets), (group+1)*groupSize)] {
+	batchSize := max(step.Number, 1)
+	batches := (len(targets) + batchSize - 1) / batchSize
+	for batch := range batches {
+		start := step.Duration * model.Microseconds(batch) / model.Microseconds(batches)
+		for _, target := range targets[batch*batchSize : min(len(targets), (batch+1)*batchSize)] {
 			r.loop.After(start, func() { r.replace(target, seconds(step.Size)) })
 		}
 	}
@@ -157,7 +163,8 @@
 	r.loop.After(drainFor, func() { r.restartCold(target) })
 }
 
-// drain has a replica finish the work that it has. The registry says so a little later; until then it gets new work.
+// drain has a replica reject new work and finish what it has. The registry lists it as draining after its AddDelay;
+// until then it is sent new work.
 func (r *runner) drain(target *managedReplica) {
 	target.Draining = true
 	r.register(target, r.script.Registry.AddDelay)
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -22,17 +22,17 @@
 // Options says how and where a scenario is run.
 type Options struct {
 	Program       []string  // the command that runs an instance; --config FILE is appended to it
-	Directory     string    // for configuration files and logs; "": a temporary one, removed at the end unless Keep
-	KeepDirectory bool      // leave a temporary folder
+	Directory     string    // for configuration files and logs; "": a temporary one, removed at the end
+	KeepDirectory bool      // a temporary directory is not removed
 	Progress      io.Writer // a line for each event; nil: none are written
 }
 
 // Run runs a scenario until its end or until ctx is done. An error means that the scenario could not be run; violated
 // invariants are in the report.
-func Run(ctx context.Context, script *Script, setting Options) (*Report, error) {
+func Run(ctx context.Context, script *Script, options Options) (*Report, error) {
 	run := &runner{
 		script:  script,
-		setting: setting,
+		options: options,
 		now:     controller.Clock(),
 		random:  standin.NewRandom(script.Seed, "day"),
 	}
@@ -43,10 +43,10 @@
 	return run.run(ctx)
 }
 
-// runner is a scenario that is being run. The fields from started on belong to the goroutine of loop.
+// runner runs a scenario. The fields from started on belong to the goroutine of loop.
 type runner struct {
 	script          *Script
-	setting         Options
+	options         Options
 	now             func() model.Microseconds
 	random          *standin.Random
 	directory       string
@@ -57,17 +57,17 @@
 	instances       []*instance
 	faulty          *faultyController // nil: none
 
-	started      model.Microseconds
-	observations []invariants.Event
-	endpoints    *registry.Registry
-	replicas     []*managedReplica
-	proxies      []*managedProxy
-	bays         map[string]*replica.DeduplicationGroup
-	totalShare   float64 // of all operations' loads
-	lastRequest  uint64
-	heavyTail    heavyTail
-	statistics   *statistics
-	failures     []error // of steps
+	started             model.Microseconds
+	observations        []invariants.Event
+	endpoints           *registry.Registry
+	replicas            []*managedReplica
+	proxies             []*managedProxy
+	deduplicationGroups map[string]*replica.DeduplicationGroup
+	totalShare          float64 // of all operations' loads
+	lastRequest         uint64
+	heavyTail           heavyTail
+	statistics          *statistics
+	failures            []error // of steps
 }
 
 // observe records what a stand-in observed, for the check of the invariants.
@@ -77,11 +77,11 @@
 
 // progress writes a line that says when something happened.
 func (r *runner) progress(format string, args ...any) {
-	if r.setting.Progress == nil {
+	if r.options.Progress == nil {
 		return
 	}
 	elapsed := float64(r.now()-r.started) / float64(model.Second)
-	_, _ = fmt.Fprintf(r.setting.Progress, "%7.3f s  %s\n", elapsed, fmt.Sprintf(format, args...))
+	_, _ = fmt.Fprintf(r.options.Progress, "%7.3f s  %s\n", elapsed, fmt.Sprintf(format, args...))
 }
 
 // open sets up the directory, the stand-ins and the configuration of the instances.
@@ -98,15 +98,15 @@
 	}
 	r.loop = standin.NewLoop(r.now)
 	r.started = r.now()
-	r.bays = map[string]*replica.DeduplicationGroup{}
+	r.deduplicationGroups = map[string]*replica.DeduplicationGroup{}
 	r.statistics = newStatistics(r.script)
 	r.loop.Do(func() { err = r.setUp() })
 	return err
 }
 
 func (r *runner) openDirectory() error {
-	if r.setting.Directory != "" {
-		r.directory = r.setting.Directory
+	if r.options.Directory != "" {
+		r.directory = r.options.Directory
 		return os.MkdirAll(r.directory, 0o755)
 	}
 	directory, err := os.MkdirTemp("", "peppervale-day-")
@@ -114,7 +114,7 @@
 		return err
 	}
 	r.directory = directory
-	r.removeDirectory = !r.setting.KeepDirectory
+	r.removeDirectory = !r.options.KeepDirectory
 	return nil
 }
 
@@ -154,7 +154,7 @@
 	var report *Report
 	r.loop.Do(func() {
 		end := r.now()
-		report = r.report(invariants.Check(r.observations, r.script.invariantSettings(), end))
+		report = r.report(invariants.Check(r.observations, r.script.invariantLimits(), end))
 	})
 	for _, instance := range r.instances {
 		instance.signal(syscall.SIGCONT)
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -36,17 +36,17 @@
 
 // Replicas describes the replicas of each zone.
 type Replicas struct {
-	PerZone        int
-	Cores          int
-	QueueLimit     int // requests that may wait
-	Connections    int // accepted at once
-	BaySize        int // replicas that share a store of idempotency keys
-	SpeedFrom      float64
-	SpeedTo        float64
-	ColdShare      float64 // of its capacity that a cold replica has
-	ColdSpan       model.Microseconds
-	ReportInterval model.Microseconds
-	Handshake      model.Microseconds // work of accepting a connection
+	PerZone                int
+	Cores                  int
+	QueueLimit             int // requests that may wait
+	MaxConnections         int // accepted at once
+	DeduplicationGroupSize int // replicas that share a store of idempotency keys
+	SpeedFrom              float64
+	SpeedTo                float64
+	InitialShare           float64 // of its capacity that a cold replica has
+	WarmUpPeriod           model.Microseconds
+	ReportInterval         model.Microseconds
+	HandshakeWork          model.Microseconds // work of accepting a connection
 }
 
 // Proxies describes the proxies of each zone and the clients behind them.
@@ -57,7 +57,7 @@
 	Pick           string
 	RedialInterval model.Microseconds
 	EjectFor       model.Microseconds
-	StallPerEntry  model.Microseconds // a proxy stands still for so long for each entry that it receives
+	StallPerEntry  model.Microseconds // a proxy stalls for this long for each entry that it receives
 	ClientBackoff  model.Microseconds
 	RateSpread     float64 // coefficient of variation of the proxies' request rates
 }
--- a/internal/scenario/simulatorfaults.go
+++ b/internal/scenario/simulatorfaults.go
@@ -13,8 +13,8 @@
 	processPrefix   = "balancer_"
 )
 
-// simulatorSteps gives the step for a kind of fault. Kinds that neither stand here nor begin with processPrefix cannot
-// be played on sockets.
+// simulatorSteps gives the step for a kind of fault. Kinds that are neither listed here nor begin with
+// processPrefix cannot be run on sockets.
 var simulatorSteps = map[string]StepKind{
 	"vanish":         ReplicaVanish,
 	"slow":           ReplicaSlow,
--- a/internal/scenario/simulatorformat.go
+++ b/internal/scenario/simulatorformat.go
@@ -103,7 +103,7 @@
 	Which  int     `json:"which"` // index of a zone or an operation, by kind
 }
 
-// simulatorControl is the part about controllers, the channel and the proxies.
+// simulatorControl holds the settings of controllers, the channel and the proxies.
 type simulatorControl struct {
 	ControllerZones []int   `json:"controllers"`
 	Backlog         float64 `json:"backlog"`
--- a/internal/scenario/simulatorimport.go
+++ b/internal/scenario/simulatorimport.go
@@ -24,8 +24,8 @@
 )
 
 // ImportSimulatorScenario converts a scenario of the operators' simulator into a scenario file with at most so many
-// proxies: fleet, load and queue shrink alike. notes says what could not be carried over. Groups that drop repeats,
-// random draws and moments are not the simulator's. Errors are of type *SimulatorScenarioError.
+// proxies: fleet, load and queue shrink alike. notes says what could not be carried over. Deduplication
+// groups, random draws and exact times are not the simulator's. Errors are of type *SimulatorScenarioError.
 func ImportSimulatorScenario(text []byte, maxProxies int) (script []byte, notes []string, err error) {
 	source, err := parseSimulatorScenario(text)
 	if err != nil {
@@ -56,8 +56,8 @@
 // runningReplicas adds up the replicas that run at the start.
 type runningReplicas struct {
 	count   int
-	speed   float64 // sum
-	cores   float64 // sum
+	speed   float64 // total
+	cores   float64 // total
 	slowest float64
 	fastest float64
 }
--- a/internal/scenario/standins.go
+++ b/internal/scenario/standins.go
@@ -51,15 +51,15 @@
 // addReplica starts a replica. A cold one is registered a little later, a warm one at once.
 func (r *runner) addReplica(zone, index int, cold bool) error {
 	settings := r.replicaSettings(zone, index)
-	if r.bays[settings.DeduplicationGroup] == nil {
-		r.bays[settings.DeduplicationGroup] = replica.NewDeduplicationGroup()
+	if r.deduplicationGroups[settings.DeduplicationGroup] == nil {
+		r.deduplicationGroups[settings.DeduplicationGroup] = replica.NewDeduplicationGroup()
 	}
 	windows := make([]model.Microseconds, len(r.script.Operations))
 	for i, operation := range r.script.Operations {
 		windows[i] = operation.IdempotencyWindow
 	}
 	added := &managedReplica{
-		Replica: replica.New(r.loop, settings, r.bays[settings.DeduplicationGroup], windows, r.observe),
+		Replica: replica.New(r.loop, settings, r.deduplicationGroups[settings.DeduplicationGroup], windows, r.observe),
 		entry: registry.Entry{
 			ID:                 settings.ID,
 			Zone:               settings.Zone,
@@ -86,15 +86,15 @@
 	return replica.Config{
 		ID:                 r.network.replicaID(zone, index),
 		Zone:               r.script.Zones[zone],
-		DeduplicationGroup: fmt.Sprintf("%s-%d", r.script.Zones[zone], index/common.BaySize),
+		DeduplicationGroup: fmt.Sprintf("%s-%d", r.script.Zones[zone], index/common.DeduplicationGroupSize),
 		Cores:              common.Cores,
 		Speed:              r.random.Between(common.SpeedFrom, common.SpeedTo),
 		QueueLimit:         common.QueueLimit,
-		MaxConnections:     common.Connections,
-		InitialShare:       common.ColdShare,
-		WarmUpPeriod:       common.ColdSpan,
+		MaxConnections:     common.MaxConnections,
+		InitialShare:       common.InitialShare,
+		WarmUpPeriod:       common.WarmUpPeriod,
 		ReportInterval:     common.ReportInterval,
-		HandshakeWork:      float64(common.Handshake),
+		HandshakeWork:      float64(common.HandshakeWork),
 		OverloadFactor:     r.script.Guarantees.OverloadFactor,
 		OverloadWindow:     r.script.Guarantees.OverloadDuration,
 	}
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -28,7 +28,7 @@
 const (
 	// ProxyCrash: a fraction of the proxies ends and starts again.
 	ProxyCrash StepKind = "forwarder_crash"
-	// ProxyStall: a fraction of the proxies stands still for Size seconds, Number times.
+	// ProxyStall: a fraction of the proxies stalls for Size seconds, Number times.
 	ProxyStall StepKind = "forwarder_stall"
 	// ProxyReconnect: a fraction of the proxies loses its stream.
 	ProxyReconnect StepKind = "reconnect"
@@ -65,13 +65,16 @@
 	ReplicaVanish StepKind = "vanish"
 	// ReplicaSlow: a fraction of the replicas takes Size times as long.
 	ReplicaSlow StepKind = "slow"
-	// NoisyNeighbor: a fraction of the replicas takes Size times as long, on and off each second.
+	// NoisyNeighbor: a fraction of the replicas takes Size times as long, on and off each second, also after the step
+	// (see disturbReplicas).
 	NoisyNeighbor StepKind = "neighbour"
 	// AllReplicasSlow: all replicas take Size times as long.
 	AllReplicasSlow StepKind = "shared_slow"
-	// ReplicaAging: a fraction of the replicas becomes slower up to Size times, then restarts cold.
+	// ReplicaAging: a fraction of the replicas becomes slower up to Size times, then restarts cold and, a moment later,
+	// is as slow again (see disturbReplicas).
 	ReplicaAging StepKind = "ageing"
-	// ReplicaFlapping: a fraction of the replicas answers nothing every other second.
+	// ReplicaFlapping: a fraction of the replicas answers nothing every other second, also after the step (see
+	// disturbReplicas).
 	ReplicaFlapping StepKind = "flapping"
 	// Deploy: a fraction of the replicas is replaced, Number at a time: drained for Size seconds, then restarted cold.
 	Deploy StepKind = "deploy"
@@ -89,7 +92,7 @@
 	FalseReports StepKind = "false_reports"
 )
 
-// The groups that narrow some kinds of steps down.
+// The values of Step.Group for kinds that have variants.
 const (
 	groupAllButOne          = "but-one" // Drain: the last replica is spared
 	groupIgnoresWithdrawals = "shuts"   // ProxyMisbehaviour
@@ -133,7 +136,7 @@
 // StepKinds gives the names of all kinds of steps, sorted.
 func StepKinds() []StepKind { return slices.Sorted(maps.Keys(stepActions)) }
 
-// misbehaviourOf says what the proxies do wrong that a group of ProxyMisbehaviour names.
+// misbehaviourOf returns the misbehaviour that the Group of a ProxyMisbehaviour step names.
 func misbehaviourOf(group string) proxy.Misbehaviour {
 	return proxy.Misbehaviour{
 		IgnoresWithdrawals: group == groupIgnoresWithdrawals,
--- a/internal/standin/loop.go
+++ b/internal/standin/loop.go
@@ -10,18 +10,18 @@
 
 // Loop runs posted functions and due timers on one goroutine. Make it with NewLoop, end it with Stop.
 type Loop struct {
-	now    func() model.Microseconds
-	wake   chan struct{}
-	stop   chan struct{}
-	ended  chan struct{}
-	timers timerQueue // of the loop's goroutine
-	made   uint64     // timers, which orders those of one time
+	now        func() model.Microseconds
+	wake       chan struct{}
+	stop       chan struct{}
+	ended      chan struct{}
+	timers     timerQueue // of the loop's goroutine
+	timerCount uint64     // timers made so far; it orders timers that are due at the same time
 
 	mu     sync.Mutex
 	posted []func()
 }
 
-// NewLoop starts a loop that goes by a clock.
+// NewLoop starts a loop whose timers follow the clock now.
 func NewLoop(now func() model.Microseconds) *Loop {
 	l := &Loop{
 		now:   now,
@@ -36,10 +36,10 @@
 // Now is the loop's clock.
 func (l *Loop) Now() model.Microseconds { return l.now() }
 
-// Post has the loop run f. It may be called from any goroutine.
-func (l *Loop) Post(f func()) {
+// Post has the loop run an action. It may be called from any goroutine.
+func (l *Loop) Post(action func()) {
 	l.mu.Lock()
-	l.posted = append(l.posted, f)
+	l.posted = append(l.posted, action)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -47,11 +47,12 @@
 	}
 }
 
-// Do has the loop run f and waits for it. It must not be called on the loop. It returns early if the loop was stopped.
-func (l *Loop) Do(f func()) {
+// Do has the loop run an action and waits for it. It must not be called on the loop. It returns early if the loop was
+// stopped.
+func (l *Loop) Do(action func()) {
 	ready := make(chan struct{})
 	l.Post(func() {
-		f()
+		action()
 		close(ready)
 	})
 	select {
@@ -60,29 +61,31 @@
 	}
 }
 
-// Timer is a function that is due at a time; Cancel keeps it from running.
+// Timer is an action that is due at a time; Cancel keeps it from running.
 type Timer struct {
-	at     model.Microseconds
-	number uint64
-	do     func()
+	at       model.Microseconds
+	sequence uint64
+	action   func()
 }
 
 // Cancel must be called on the loop; nil is allowed.
 func (t *Timer) Cancel() {
 	if t != nil {
-		t.do = nil
+		t.action = nil
 	}
 }
 
-// After runs f after a span. It must be called on the loop.
-func (l *Loop) After(span model.Microseconds, f func()) *Timer { return l.At(l.now()+span, f) }
+// After runs an action after a delay. It must be called on the loop.
+func (l *Loop) After(delay model.Microseconds, action func()) *Timer {
+	return l.At(l.now()+delay, action)
+}
 
-// At runs f at a time. It must be called on the loop.
-func (l *Loop) At(at model.Microseconds, f func()) *Timer {
-	l.made++
-	t := &Timer{at: at, number: l.made, do: f}
-	heap.Push(&l.timers, t)
-	return t
+// At runs an action at a time. It must be called on the loop.
+func (l *Loop) At(at model.Microseconds, action func()) *Timer {
+	l.timerCount++
+	timer := &Timer{at: at, sequence: l.timerCount, action: action}
+	heap.Push(&l.timers, timer)
+	return timer
 }
 
 // Stop ends the loop and waits for it; what is due or posted later does not run.
@@ -113,8 +116,8 @@
 	posted := l.posted
 	l.posted = nil
 	l.mu.Unlock()
-	for _, f := range posted {
-		f()
+	for _, action := range posted {
+		action()
 	}
 }
 
@@ -122,8 +125,8 @@
 func (l *Loop) runDue() {
 	now := l.now()
 	for len(l.timers) > 0 && l.timers[0].at <= now {
-		if t := heap.Pop(&l.timers).(*Timer); t.do != nil {
-			t.do()
+		if t := heap.Pop(&l.timers).(*Timer); t.action != nil {
+			t.action()
 		}
 	}
 }
@@ -136,7 +139,7 @@
 	return max(0, time.Duration(l.timers[0].at-l.now())*time.Microsecond)
 }
 
-// timerQueue is a heap of timers by time, those of one time in the order in which they were made.
+// timerQueue is a heap of timers by time, those of the same time in the order in which they were made.
 type timerQueue []*Timer
 
 func (q timerQueue) Len() int { return len(q) }
@@ -145,7 +148,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].number < q[j].number
+	return q[i].sequence < q[j].sequence
 }
 
 func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
--- a/internal/standin/proxy/connection.go
+++ b/internal/standin/proxy/connection.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/netpoll"
 )
 
-// connection is a connection to a replica; one attempt at a time is on it.
+// connection is a connection to a replica; it carries one attempt at a time.
 type connection struct {
 	proxy     *Proxy
 	run       int // of the proxy
@@ -25,10 +25,10 @@
 	idleSince model.Microseconds
 }
 
-// connect sends an attempt on an idle connection, or dials a new one.
+// connect sends an attempt over an idle connection, or dials a new one.
 func (p *Proxy) connect(a *attempt) {
 	if c := p.takeIdle(a.replica); c != nil {
-		a.sendOn(c)
+		a.sendOver(c)
 		return
 	}
 	c := &connection{proxy: p, replica: a.replica, run: p.run, parser: http1.NewParser(true, http1.Limits{})}
@@ -38,7 +38,7 @@
 	})
 }
 
-// takeIdle gives the connection to a replica that was used last, and drops those that were idle for too long.
+// takeIdle returns the connection to a replica that was used last, or nil, and drops those that were idle for too long.
 func (p *Proxy) takeIdle(r *replicaState) *connection {
 	for len(r.idle) > 0 {
 		last := len(r.idle) - 1
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// dialled takes the end of a dial for an attempt.
+// dialled handles the result of a dial for an attempt.
 func (c *connection) dialled(a *attempt, conn *nbio.Conn, err error) {
 	if err != nil {
 		a.end(invariants.ConnectFailed, nil)
@@ -63,15 +63,15 @@
 	switch {
 	case c.run != c.proxy.run:
 		c.drop()
-	case a.ended: // given up while it dialled; the connection serves the next
-		c.rest()
+	case a.ended: // it timed out while dialling: a later attempt uses the connection
+		c.keepIdle()
 	default:
-		a.sendOn(c)
+		a.sendOver(c)
 	}
 }
 
-// rest keeps the connection for the next attempt.
-func (c *connection) rest() {
+// keepIdle keeps the connection for a later attempt.
+func (c *connection) keepIdle() {
 	if c.isClosed {
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-// dropIdle ends the idle connections to a replica.
+// dropIdle closes the idle connections to a replica.
 func (r *replicaState) dropIdle() {
 	for _, c := range r.idle {
 		c.drop()
@@ -137,7 +137,7 @@
 	if response.Close {
 		c.drop()
 	} else {
-		c.rest()
+		c.keepIdle()
 	}
 }
 
--- a/internal/standin/proxy/messages.go
+++ b/internal/standin/proxy/messages.go
@@ -8,10 +8,11 @@
 	"peppervale/internal/model"
 )
 
-// resyncInterval is how long a proxy waits for a snapshot before it asks again: instances answer once a second.
+// resyncInterval is how long a proxy waits for a snapshot before it requests one again: instances answer at most one
+// such request a second.
 const resyncInterval = model.Second + 50*model.Millisecond
 
-// messageOrder is how a message follows on what the proxy holds.
+// messageOrder is the relation of a message to the newest one that was applied.
 type messageOrder uint8
 
 const (
@@ -35,11 +36,11 @@
 	return inOrder
 }
 
-// handle takes a table message: in order it is applied, an old one only acknowledged, and after a gap a snapshot is
-// asked for. Nothing is guessed. One of a former lease holder is fenced off.
-func (s *stream) handle(m *pubsubmsg.Message) {
+// handleMessage applies a table message that is in order, only acknowledges an outdated one, and requests a snapshot
+// after a gap. A message of a former lease holder is not applied, and reported as fenced.
+func (s *stream) handleMessage(m *pubsubmsg.Message) {
 	if !s.proxy.acceptEpoch(m.Epoch) {
-		s.fence(m)
+		s.reportFenced(m)
 		return
 	}
 	switch s.order(m) {
@@ -48,11 +49,11 @@
 	case afterGap:
 		s.resync()
 	case inOrder:
-		s.obey(m)
+		s.applyMessage(m)
 	}
 }
 
-func (s *stream) obey(m *pubsubmsg.Message) {
+func (s *stream) applyMessage(m *pubsubmsg.Message) {
 	p := s.proxy
 	p.Messages++
 	p.EntriesReceived += m.Cost
@@ -67,14 +68,14 @@
 	p.whenRunning(func() { s.acknowledge(m) })
 }
 
-// fence tells an instance that its message was not obeyed, as it is of an epoch that is over.
-func (s *stream) fence(m *pubsubmsg.Message) {
+// reportFenced notifies an instance that its message was not applied, as a newer epoch was seen.
+func (s *stream) reportFenced(m *pubsubmsg.Message) {
 	s.proxy.Fenced++
 	number := func(n uint64) string { return strconv.FormatUint(n, 10) }
 	_, _ = s.conn.Write(resp.AppendCommand(nil, "FENCED", number(m.Epoch), number(m.Incarnation), number(m.Version)))
 }
 
-// resync asks for a snapshot, unless it was asked for a moment ago.
+// resync requests a snapshot, unless one was requested within the last resyncInterval.
 func (s *stream) resync() {
 	now := s.proxy.loop.Now()
 	if s.resyncedAt != 0 && now-s.resyncedAt <= resyncInterval {
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -14,58 +14,59 @@
 // Pick says how a proxy picks an entry of its table.
 type Pick string
 
-// The three ways of picking.
+// The policies for picking an entry.
 const (
-	Lottery Pick = "lottery" // by chance, by weight
-	Wheel   Pick = "wheel"   // evenly by weight: smooth weighted round robin
-	Pair    Pick = "pair"    // of two drawn by weight the one with less of its own requests in flight
+	PickWeightedRandom Pick = "lottery" // at random, by weight
+	PickRoundRobin     Pick = "wheel"   // smooth weighted round robin
+	PickTwoChoices     Pick = "pair"    // of two drawn by weight, the one with fewer of its own requests in flight
 )
 
-// Operation is what a proxy knows of one.
+// Operation is what a proxy knows of an operation.
 type Operation struct {
 	LatencyObjective, Timeout model.Microseconds
 }
 
-// Config is what a proxy is.
+// Config holds the properties of a proxy.
 type Config struct {
 	Name, Zone         string
 	ZoneIndex          int
 	Instances          []Instance // its own zone's first
-	ExpectedRate       float64    // requests a second that it tells when it joins
+	ExpectedRate       float64    // requests a second that it reports when it joins
 	Pick               Pick
 	Operations         []Operation
-	DefaultRetryPolicy model.RetryPolicy // until a quota orders one
-	FirstAttemptShare  float64           // share of the latency objective that an attempt with a retry behind it may take
-	EjectAfter         int               // own failures in a row after which it avoids a replica; 0: never
+	DefaultRetryPolicy model.RetryPolicy // in force until a quota sets one
+	FirstAttemptShare  float64           // of the latency objective: timeout of an attempt that may be retried
+	EjectAfter         int               // consecutive failures after which it avoids a replica by itself; 0: never
 	EjectFor           model.Microseconds
-	RedialInterval     model.Microseconds // at least, and up to three times that
+	RedialInterval     model.Microseconds // the wait before a dial is drawn from one to three times this
 	DialTimeout        model.Microseconds
 	IdleTimeout        model.Microseconds
-	StallPerEntry      model.Microseconds // it pauses for so long for each entry that it is sent
-	// OnMessage is told each message that the proxy carries out; nil: nobody is.
-	OnMessage   func(f *Proxy, governor string, m *pubsubmsg.Message)
-	StreamsOnly bool // it carries no requests: a listener for measuring the channel
+	StallPerEntry      model.Microseconds // it stalls for this long for each entry that it receives
+	// OnMessage is called with each message that the proxy applied and the name of its instance; nil: none.
+	OnMessage   func(receiver *Proxy, instance string, message *pubsubmsg.Message)
+	StreamsOnly bool // for measuring the channel: it sends no load reports
 }
 
-// Instance is a control-plane instance that it may join.
+// Instance is an instance of the control plane that a proxy may join.
 type Instance struct{ Name, Address string }
 
-// Misbehaviour is what a scenario makes it do wrong.
+// Misbehaviour is what a scenario has a proxy do wrong.
 type Misbehaviour struct {
 	NeverAcks          bool
-	IgnoresWithdrawals bool // goes on sending to what is withdrawn or taken off its table
-	RetriesAnything    bool // retries after any failure, whatever is ordered
+	IgnoresWithdrawals bool // goes on sending to replicas that are withdrawn or removed from its table
+	RetriesAnything    bool // retries after any failure, whatever its retry policy
 }
 
-// Proxy is a proxy. It runs on a loop; all methods must be called there.
+// Proxy is a proxy that can be started and killed. Its fields and methods belong to its loop.
 type Proxy struct {
 	Config
 	Misbehaviour Misbehaviour
-	// ReportDelay holds its load reports back for so long.
+	// ReportDelay is how much later than due its load reports are sent.
 	ReportDelay model.Microseconds
-	// Unreachable keeps it from reaching an instance, by its name: a link that is down.
+	// Unreachable holds the names of the instances that it cannot dial, as if the link were down.
 	Unreachable map[string]bool
-	// Figures since it was made.
+	// Counters over all runs. Deferred and Redirected count joins that were answered with a later time or with another
+	// instance's address; Fenced counts messages of a lost lease that were not applied.
 	Messages, Bytes, EntriesReceived, Resyncs, Joins, Deferred, Redirected, Fenced int
 
 	loop    *standin.Loop
@@ -73,24 +74,25 @@
 	random  *standin.Random
 	observe func(invariants.Event)
 	running bool
-	run     int // grows with each start and end: what is left of an earlier run does nothing
-	pause   pause
+	run     int // grows with each start and end, so that events of an earlier run can be told apart and ignored
+	stall   stall
 
 	table    table
 	replicas map[model.ReplicaID]*replicaState
 
 	stream       *stream
 	nextInstance int                    // to dial
-	versions     map[string]heldVersion // what it holds of each instance
+	versions     map[string]heldVersion // the newest message applied, by the instance's name
 	fence        lease.Fence
-	// cautious: the holder of its shard changed, and the new one has sent no updates yet.
-	cautious bool
+	// awaitsNewHolder: the lease holder of its shard changed, and the new one has sent no updates yet.
+	awaitsNewHolder bool
 }
 
 // heldVersion is the newest message of an instance that was applied.
 type heldVersion struct{ incarnation, version uint64 }
 
-// New makes a proxy on an engine of NewEngine. seed is that of its random numbers.
+// New makes a proxy that is not running, on an engine of NewEngine. seed and its name determine its random draws.
+// observe is called on the loop.
 func New(
 	loop *standin.Loop, engine *netpoll.Engine, config Config, seed uint64, observe func(invariants.Event),
 ) *Proxy {
@@ -129,25 +131,25 @@
 	})
 }
 
-// Start begins with a standing table; what an earlier run held is gone.
+// Start starts the proxy with a standing table; the state of an earlier run is lost. It does nothing if the proxy runs.
 func (p *Proxy) Start(standing []invariants.TableEntry) {
 	if p.running {
 		return
 	}
 	p.run++
 	p.running = true
-	p.pause = pause{}
+	p.stall = stall{}
 	p.table = newTable(standing)
 	p.replicas = map[model.ReplicaID]*replicaState{}
 	p.versions = map[string]heldVersion{}
 	p.nextInstance = 0
 	p.fence = lease.Fence{}
-	p.cautious = false
+	p.awaitsNewHolder = false
 	p.observe(invariants.ProxyStarted{At: p.loop.Now(), Proxy: p.Name, Zone: p.ZoneIndex, Standing: standing})
 	p.dialAfter(0)
 }
 
-// Kill ends the process: its stream, its connections, its work.
+// Kill closes the proxy's stream and idle connections and abandons its requests, as the end of a process does.
 func (p *Proxy) Kill() {
 	if !p.running {
 		return
@@ -163,50 +165,51 @@
 	}
 }
 
-// BreakStream ends its stream as a network does; the proxy notices at once and dials again.
+// BreakStream closes the proxy's connection to its instance. The proxy notices at once and dials again.
 func (p *Proxy) BreakStream() {
 	if p.stream != nil {
 		_ = p.stream.conn.Close()
 	}
 }
 
-// pause is a time in which the proxy stands still, as a process that is not scheduled.
-type pause struct {
+// stall is a time in which the proxy does nothing, like a process that is not scheduled.
+type stall struct {
 	until   model.Microseconds
-	pending []func() // what came meanwhile
+	pending []func() // actions that were due meanwhile
 }
 
-// Stall makes it stand still: what comes waits, what it should do waits.
+// Stall has the proxy do nothing for a while, after any stall that is in progress. What it receives and what is due
+// meanwhile is handled in order afterwards. Timers of requests in flight run on.
 func (p *Proxy) Stall(span model.Microseconds) {
-	until := max(p.pause.until, p.loop.Now()) + span
-	p.pause.until = until
+	until := max(p.stall.until, p.loop.Now()) + span
+	p.stall.until = until
 	p.loop.At(until, func() {
-		if p.pause.until > p.loop.Now() {
+		if p.stall.until > p.loop.Now() {
 			return
 		}
-		pending := p.pause.pending
-		p.pause.pending = nil
+		pending := p.stall.pending
+		p.stall.pending = nil
 		for _, do := range pending {
 			do()
 		}
 	})
 }
 
-// whenRunning does something now, or once the proxy no longer stands still.
+// whenRunning runs an action now or, if the proxy is stalled, after the stall unless the proxy was killed by then.
 func (p *Proxy) whenRunning(do func()) {
-	if p.pause.until <= p.loop.Now() {
+	if p.stall.until <= p.loop.Now() {
 		do()
 		return
 	}
 	run := p.run
-	p.pause.pending = append(p.pause.pending, func() {
+	p.stall.pending = append(p.stall.pending, func() {
 		if p.run == run {
 			do()
 		}
 	})
 }
 
-// Joined is the instance that it is joined to; "" for none.
+// Joined is the name of the instance that the proxy is joined to; "" for none.
 func (p *Proxy) Joined() string {
 	if p.stream != nil && p.stream.joined {
 		return p.stream.instance.Name
@@ -214,14 +217,14 @@
 	return ""
 }
 
-// acceptEpoch takes the epoch of a holder's message, and reports whether the message may be obeyed. After a change of
-// holder what may have been executed is not retried until the new one has sent updates: the retry policies that stand
-// were another's, and were meant for what that one knew.
+// acceptEpoch reports whether a message of this epoch may be applied: no newer epoch was seen. After a change of the
+// lease holder, a request that may have been executed is not retried until the new holder has sent updates, as the
+// retry policies in force were set by the former holder.
 func (p *Proxy) acceptEpoch(epoch uint64) bool {
 	before := p.fence.Epoch
-	obey, changed := p.fence.Accept(epoch)
+	accepted, changed := p.fence.Accept(epoch)
 	if changed && before > 0 {
-		p.cautious = true
+		p.awaitsNewHolder = true
 	}
-	return obey
+	return accepted
 }
--- a/internal/standin/proxy/report.go
+++ b/internal/standin/proxy/report.go
@@ -10,14 +10,14 @@
 	"peppervale/internal/model"
 )
 
-// replicaReport is what a proxy met at a replica since its last load report.
+// replicaReport counts a proxy's attempts at a replica since its last load report.
 type replicaReport struct {
 	attempts, errors int
-	latency          float64 // sum of the good attempts', in microseconds
+	latency          float64 // total of the attempts that succeeded, in microseconds
 	readings         []float64
 }
 
-// minReportPeriod bounds how often a proxy reports.
+// minReportPeriod is the least time between two reports, whatever period an instance announces.
 const minReportPeriod = 10 * model.Millisecond
 
 // report sends the load reports of a period and schedules the next.
@@ -48,18 +48,18 @@
 	_, _ = s.conn.Write(b)
 }
 
-// takeReports gives what the proxy met since the last call, by the replicas' addresses.
+// takeReports returns the load reports since the last call, sorted by the replicas' addresses.
 func (p *Proxy) takeReports() []model.LoadReport {
 	var reports []model.LoadReport
 	for _, r := range p.replicas {
-		met := r.report
-		if met.attempts == 0 {
+		counts := r.report
+		if counts.attempts == 0 {
 			continue
 		}
 		r.report = replicaReport{}
-		report := model.LoadReport{Replica: r.id, Attempts: met.attempts, Errors: met.errors, Readings: met.readings}
-		if good := met.attempts - met.errors; good > 0 {
-			report.MeanLatency = model.Microseconds(met.latency / float64(good))
+		report := model.LoadReport{Replica: r.id, Attempts: counts.attempts, Errors: counts.errors, Readings: counts.readings}
+		if good := counts.attempts - counts.errors; good > 0 {
+			report.MeanLatency = model.Microseconds(counts.latency / float64(good))
 		}
 		reports = append(reports, report)
 	}
@@ -69,8 +69,9 @@
 	return reports
 }
 
-// count puts an attempt's end into the report of its replica, and avoids the replica after too many failures in a row.
-func (a *attempt) count(outcome invariants.Outcome, response *http1.Message, now model.Microseconds) {
+// recordOutcome enters an attempt's end into the report of its replica, and has the proxy avoid the replica after too
+// many consecutive failures.
+func (a *attempt) recordOutcome(outcome invariants.Outcome, response *http1.Message, now model.Microseconds) {
 	p, replica := a.request.proxy, a.replica
 	replica.report.attempts++
 	if outcome == invariants.Succeeded {
@@ -81,7 +82,7 @@
 		replica.failures++
 		if p.EjectAfter > 0 && replica.failures >= p.EjectAfter {
 			replica.failures = 0
-			replica.avoid = now + p.EjectFor
+			replica.avoidUntil = now + p.EjectFor
 		}
 	}
 	if response == nil {
--- a/internal/standin/proxy/request.go
+++ b/internal/standin/proxy/request.go
@@ -29,7 +29,7 @@
 	Done          func(r Result, took model.Microseconds)
 }
 
-// request is a client's request in work.
+// request is a client's request while the proxy works on it.
 type request struct {
 	*Request
 	proxy        *Proxy
@@ -37,10 +37,10 @@
 	startedAt    model.Microseconds
 	timeout      *standin.Timer
 	attempts     int
-	pending      int // attempts without an end
-	retries      int // that may follow
+	pending      int // attempts in progress
+	retries      int // that may still follow
 	policy       model.RetryPolicy
-	epoch        uint64 // in which it started
+	epoch        uint64 // of the lease holder when it started
 	ended        bool
 	requirements Operation
 }
@@ -56,33 +56,33 @@
 	connection *connection
 }
 
-// Handle takes a request; its Done is called once.
-func (p *Proxy) Handle(inv *Request) { p.whenRunning(func() { p.start(inv) }) }
+// Handle handles a request. Its Done is called once, on the loop.
+func (p *Proxy) Handle(submitted *Request) { p.whenRunning(func() { p.start(submitted) }) }
 
-func (p *Proxy) start(inv *Request) {
+func (p *Proxy) start(submitted *Request) {
 	if !p.running {
-		inv.Done(Failed, 0)
+		submitted.Done(Failed, 0)
 		return
 	}
-	share, policy := p.quota(inv.Operation)
+	share, policy := p.quota(submitted.Operation)
 	if share < 1 && p.random.Float() >= share {
-		inv.Done(RateLimited, 0)
+		submitted.Done(RateLimited, 0)
 		return
 	}
 	replica := p.pick(model.ReplicaID{})
 	if replica == nil {
-		inv.Done(RateLimited, 0)
+		submitted.Done(RateLimited, 0)
 		return
 	}
 	r := &request{
-		Request:      inv,
+		Request:      submitted,
 		proxy:        p,
 		run:          p.run,
 		startedAt:    p.loop.Now(),
 		retries:      maxRetries(policy),
 		policy:       policy,
 		epoch:        p.fence.Epoch,
-		requirements: p.Operations[inv.Operation],
+		requirements: p.Operations[submitted.Operation],
 	}
 	r.timeout = p.loop.After(r.requirements.Timeout, func() { r.finish(Failed) })
 	r.send(replica)
@@ -115,7 +115,7 @@
 	return r.requirements.Timeout - (now - r.startedAt)
 }
 
-// send starts an attempt at a replica.
+// send starts an attempt at a replica. One that may be retried after a timeout has a shorter timeout than the request.
 func (r *request) send(replica *replicaState) {
 	p := r.proxy
 	r.attempts++
@@ -130,8 +130,8 @@
 	p.connect(a)
 }
 
-// sendOn writes the attempt's bytes on a connection.
-func (a *attempt) sendOn(conn *connection) {
+// sendOver writes the attempt's request to a connection.
+func (a *attempt) sendOver(conn *connection) {
 	proxy, req := a.request.proxy, a.request
 	a.connection = conn
 	conn.attempt = a
@@ -152,7 +152,7 @@
 		"Work-Us", strconv.FormatFloat(req.Work, 'f', 0, 64)))
 }
 
-// end takes an attempt's end and decides by the request's retry policy what follows.
+// end ends an attempt, then ends the request or starts a retry as its retry policy allows.
 func (a *attempt) end(outcome invariants.Outcome, response *http1.Message) {
 	if a.ended {
 		return
@@ -168,7 +168,7 @@
 		return
 	}
 	a.releaseConnection(outcome, now)
-	a.count(outcome, response, now)
+	a.recordOutcome(outcome, response, now)
 	if outcome == invariants.Succeeded {
 		req.finish(Succeeded)
 		return
@@ -185,7 +185,7 @@
 	}
 }
 
-// releaseConnection frees the attempt's connection, if it came to have one.
+// releaseConnection detaches the attempt from its connection, if it got one.
 func (a *attempt) releaseConnection(outcome invariants.Outcome, now model.Microseconds) {
 	if a.connection == nil {
 		return
@@ -200,17 +200,20 @@
 	})
 	a.connection.attempt = nil
 	if outcome == invariants.TimedOut {
-		a.connection.drop() // HTTP/1.1 has no other way to give an answer up
+		a.connection.drop() // HTTP/1.1 has no other way to cancel a request
 	}
 }
 
-// retry starts another attempt elsewhere, if the policy, the time left and the table allow it.
+// minRetryTimeDivisor: a retry needs at least this fraction of the latency objective as time left.
+const minRetryTimeDivisor = 10
+
+// retry starts another attempt at another replica, if the policy, the time left and the table allow it.
 func (r *request) retry(failed *attempt, outcome invariants.Outcome, now model.Microseconds) bool {
-	if r.epoch != r.proxy.fence.Epoch { // its policy was ordered by a former lease holder
+	if r.epoch != r.proxy.fence.Epoch { // a former lease holder set its policy
 		r.policy = min(r.policy, model.RetryIfNotExecuted)
 	}
 	allowed := outcome.NotExecuted() || r.policy >= model.RetryOnAnyFailure
-	enoughTime := r.timeLeft(now) > r.requirements.LatencyObjective/10
+	enoughTime := r.timeLeft(now) > r.requirements.LatencyObjective/minRetryTimeDivisor
 	if r.retries <= 0 || r.ended || !allowed || !enoughTime {
 		return false
 	}
--- a/internal/standin/proxy/stream.go
+++ b/internal/standin/proxy/stream.go
@@ -15,35 +15,35 @@
 
 // stream is a connection to an instance.
 type stream struct {
-	proxy    *Proxy
-	run      int // of the proxy
-	instance Instance
-	conn     *nbio.Conn
-	reader   *resp.Reader
-	answers  int // to its commands, that came
-	joined   bool
-	ended    bool
-	early    []byte // read before the join was answered
+	proxy      *Proxy
+	run        int // of the proxy
+	instance   Instance
+	conn       *nbio.Conn
+	reader     *resp.Reader
+	replies    int // received, to its commands
+	joined     bool
+	ended      bool
+	beforeJoin []byte // bytes read before the join was answered
 
 	period     model.Microseconds // of its load reports
 	reports    uint64
-	resyncedAt model.Microseconds // when a snapshot was asked for last; 0: never
+	resyncedAt model.Microseconds // when a snapshot was last requested; 0: never
 }
 
 const (
 	minDialTimeout = 100 * model.Millisecond
 	minRedial      = model.Millisecond
-	// maxTold bounds, in milliseconds, what an instance may ask a proxy to wait.
-	maxTold = 600_000
+	// maxWaitMilliseconds bounds how long an instance may ask a proxy to wait.
+	maxWaitMilliseconds = 600_000
 )
 
-// dialTimeout is how long a connection may take to come about.
+// dialTimeout is how long it may take to establish a connection.
 func (p *Proxy) dialTimeout() model.Microseconds { return max(p.DialTimeout, minDialTimeout) }
 
-// dialAfter dials the next instance after a span, unless it has a stream by then.
-func (p *Proxy) dialAfter(span model.Microseconds) {
+// dialAfter dials the next instance after a delay, unless the proxy has a stream by then.
+func (p *Proxy) dialAfter(delay model.Microseconds) {
 	run := p.run
-	p.loop.After(span, func() {
+	p.loop.After(delay, func() {
 		if p.run != run || p.stream != nil && !p.stream.ended {
 			return
 		}
@@ -51,15 +51,15 @@
 	})
 }
 
-// redial dials after the usual wait.
+// redial dials after one to three redial intervals.
 func (p *Proxy) redial() { p.dialAfter(p.redialWait(1, 3)) }
 
-// redialWait draws a multiple of the usual wait.
+// redialWait draws a multiple of the redial interval.
 func (p *Proxy) redialWait(least, most float64) model.Microseconds {
 	return model.Microseconds(p.random.Between(least, most) * float64(max(p.RedialInterval, minRedial)))
 }
 
-// redialNext goes on with the next instance after the usual wait.
+// redialNext dials the next instance after one to three redial intervals.
 func (p *Proxy) redialNext() {
 	p.nextInstance++
 	p.redial()
@@ -79,7 +79,7 @@
 	})
 }
 
-// dialled takes the end of a dial.
+// dialled handles the result of a dial.
 func (s *stream) dialled(conn *nbio.Conn, err error) {
 	current := s.run == s.proxy.run && !s.ended
 	switch {
@@ -95,7 +95,7 @@
 	}
 }
 
-// join says who the proxy is and what it holds.
+// join identifies the proxy to the instance, with the version of what it holds.
 func (s *stream) join() {
 	p := s.proxy
 	held := p.versions[s.instance.Name]
@@ -112,7 +112,7 @@
 	_, _ = s.conn.Write(b)
 }
 
-// end forgets the stream; what comes of it later does nothing.
+// end closes the stream; its later events are ignored.
 func (s *stream) end() {
 	if s.ended {
 		return
@@ -128,7 +128,7 @@
 	}
 }
 
-// received is called on the poller. What is read is observed when the proxy reads it; standing still is part of that.
+// received is called on the poller. Bytes count as observed when the proxy reads them, which is later if it is stalled.
 func (s *stream) received(data []byte) {
 	s.proxy.loop.Post(func() {
 		if s.ended || s.run != s.proxy.run {
@@ -157,16 +157,17 @@
 	if s.joined {
 		proxy.observe(invariants.BytesReceived{At: proxy.loop.Now(), Proxy: proxy.Name, Data: data})
 	} else {
-		s.early = append(s.early, data...)
+		s.beforeJoin = append(s.beforeJoin, data...)
 	}
 	err := s.reader.Feed(data, func(v resp.Value) error {
-		s.take(v)
+		s.handleValue(v)
 		return nil
 	})
-	if s.joined && s.early != nil {
-		// The answer to the join may bring the first messages with it: a checker reads the stream from its start.
-		proxy.observe(invariants.BytesReceived{At: proxy.loop.Now(), Proxy: proxy.Name, Data: s.early})
-		s.early = nil
+	if s.joined && s.beforeJoin != nil {
+		// The reply to the join and the first messages may arrive together, and the check of the invariants needs all
+		// bytes of the stream from its start.
+		proxy.observe(invariants.BytesReceived{At: proxy.loop.Now(), Proxy: proxy.Name, Data: s.beforeJoin})
+		s.beforeJoin = nil
 	}
 	if err != nil {
 		s.end()
@@ -174,22 +175,22 @@
 	}
 }
 
-func (s *stream) take(value resp.Value) {
+func (s *stream) handleValue(value resp.Value) {
 	switch {
 	case value.Kind == resp.SimpleError:
 		s.end()
-		s.proxy.turnedAway(value.Text)
+		s.proxy.joinRejected(value.Text)
 	case value.Kind == resp.Map:
-		s.answers++
-		if s.answers == 2 { // the first answers HELLO
-			s.joinAnswered(value.Items)
+		s.replies++
+		if s.replies == 2 { // the first reply is HELLO's
+			s.joinAccepted(value.Items)
 		}
 	case pubsubmsg.IsMessage(value):
 		if m, err := pubsubmsg.Parse(value); err == nil {
-			s.handle(m)
+			s.handleMessage(m)
 		}
 	case value.Kind == resp.Push && len(value.Items) == 2 && value.Items[0].Text == "elsewhere":
-		// Who has no other instance stays until the connection ends: it then misses nothing meanwhile.
+		// A proxy without another instance stays until the connection ends, so that it misses no update meanwhile.
 		if len(s.proxy.Instances) > 1 {
 			s.end()
 			s.proxy.redialNext()
@@ -197,12 +198,12 @@
 	}
 }
 
-// joinAnswered takes the answer to the join, which is a map of names and values.
-func (s *stream) joinAnswered(items []resp.Value) {
+// joinAccepted handles the reply to an accepted join, a map of names and values.
+func (s *stream) joinAccepted(items []resp.Value) {
 	proxy := s.proxy
 	epoch, found := field(items, "epoch")
 	if found && epoch >= 0 && !proxy.acceptEpoch(uint64(epoch)) {
-		s.end() // the instance took the join in a lease that is over
+		s.end() // the instance accepted the join under a lease that it has lost
 		proxy.redialNext()
 		return
 	}
@@ -215,7 +216,7 @@
 	proxy.loop.After(model.Microseconds(proxy.random.Float()*float64(s.period)), s.report)
 }
 
-// field is a number in a map's items by its name.
+// field finds a number by its name in the items of a map.
 func field(items []resp.Value, name string) (value int64, found bool) {
 	for i := 0; i+1 < len(items); i += 2 {
 		if items[i].Text == name {
@@ -225,16 +226,16 @@
 	return 0, false
 }
 
-// turnedAway carries out what an instance says that does not take the join.
-func (p *Proxy) turnedAway(text string) {
+// joinRejected follows the error of an instance that rejects the join: come back later, or join another instance.
+func (p *Proxy) joinRejected(text string) {
 	var wait int
-	if n, _ := fmt.Sscanf(text, "LATER %d ", &wait); n == 1 && isWait(wait) {
+	if n, _ := fmt.Sscanf(text, "LATER %d ", &wait); n == 1 && isAllowedWait(wait) {
 		p.Deferred++
 		p.dialAfter(model.Microseconds(wait) * model.Millisecond)
 		return
 	}
 	if n, _ := fmt.Sscanf(text, "ENDING this governor ends: join another, or here again in %d ", &wait); n == 1 {
-		p.instanceEnds(wait)
+		p.instanceShutsDown(wait)
 		return
 	}
 	var shard int
@@ -246,9 +247,11 @@
 	p.redialNext()
 }
 
-func isWait(milliseconds int) bool { return milliseconds >= 0 && milliseconds < maxTold }
+func isAllowedWait(milliseconds int) bool {
+	return milliseconds >= 0 && milliseconds < maxWaitMilliseconds
+}
 
-// shardMoved goes to the instance that has this proxy's shard, after its own wait; if it does not know it, to the next.
+// shardMoved dials the lease holder of this proxy's shard or, if its address is unknown, the next instance.
 func (p *Proxy) shardMoved(address string) {
 	p.Redirected++
 	p.nextInstance++
@@ -260,11 +263,11 @@
 	p.redial()
 }
 
-// instanceEnds goes to the next instance. If there is no other it comes back after the time that it was told, spread by
-// chance over twice its usual wait.
-func (p *Proxy) instanceEnds(milliseconds int) {
+// instanceShutsDown dials the next instance. If there is no other, it dials the same one after the time that the
+// instance gave, plus up to two redial intervals at random so that not all proxies come back at once.
+func (p *Proxy) instanceShutsDown(milliseconds int) {
 	p.nextInstance++
-	if len(p.Instances) > 1 || !isWait(milliseconds) {
+	if len(p.Instances) > 1 || !isAllowedWait(milliseconds) {
 		p.redial()
 		return
 	}
--- a/internal/standin/proxy/table.go
+++ b/internal/standin/proxy/table.go
@@ -8,29 +8,29 @@
 	"peppervale/internal/model"
 )
 
-// table is what a proxy holds: its entries, what is withdrawn, and its quotas.
+// table is what a proxy holds: its entries, the replicas that are withdrawn, and its quotas.
 type table struct {
 	entries   []*entry
 	withdrawn map[model.ReplicaID]bool
-	quotas    []pubsubmsg.Quota // in the order in which they came, a mask of operations each
-	bound     bool              // it is an instance's, not the standing table
+	quotas    []pubsubmsg.Quota // in the order of arrival, each for a mask of operations
+	bound     bool              // an instance published it; else it is the standing table
 }
 
 // entry is a replica that the proxy holds.
 type entry struct {
 	id     model.ReplicaID
 	weight float64
-	credit float64 // of the wheel
+	credit float64 // of smooth weighted round robin
 }
 
 // replicaState is what the proxy knows of a replica: its own requests in flight, failures, connections and load report.
 type replicaState struct {
-	id       model.ReplicaID
-	inFlight int
-	failures int                // in a row
-	avoid    model.Microseconds // until
-	idle     []*connection
-	report   replicaReport
+	id         model.ReplicaID
+	inFlight   int
+	failures   int                // consecutive
+	avoidUntil model.Microseconds // no requests go to it until then, if others are left
+	idle       []*connection
+	report     replicaReport
 }
 
 func newTable(standing []invariants.TableEntry) table {
@@ -41,17 +41,17 @@
 	return held
 }
 
-// Bound reports whether it is on an instance's table.
+// Bound reports whether the proxy uses a table of an instance, not its standing table.
 func (p *Proxy) Bound() bool { return p.table.bound }
 
-// HeldEntry is an entry that it holds.
+// HeldEntry is an entry of a proxy's table.
 type HeldEntry struct {
 	Replica   model.ReplicaID
 	Weight    float64
-	Withdrawn bool // withdrawn
+	Withdrawn bool
 }
 
-// HeldEntries gives its entries.
+// HeldEntries returns the entries of the proxy's table, also those of withdrawn replicas.
 func (p *Proxy) HeldEntries() (all []HeldEntry) {
 	for _, e := range p.table.entries {
 		all = append(all, HeldEntry{e.id, e.weight, p.table.withdrawn[e.id]})
@@ -68,7 +68,8 @@
 	return r
 }
 
-// quota gives the share of an operation's requests that is admitted and how they are retried; the newest for it counts.
+// quota returns the share of an operation's requests that is admitted and their retry policy, from the newest quota
+// that covers the operation.
 func (p *Proxy) quota(operation int) (share float64, policy model.RetryPolicy) {
 	share, policy = 1, p.DefaultRetryPolicy
 	for _, q := range p.table.quotas {
@@ -76,7 +77,7 @@
 			share, policy = q.Share, q.RetryPolicy
 		}
 	}
-	if p.cautious {
+	if p.awaitsNewHolder {
 		policy = min(policy, model.RetryIfNotExecuted)
 	}
 	if p.Misbehaviour.RetriesAnything {
@@ -85,12 +86,12 @@
 	return share, policy
 }
 
-// usable are the entries that it may pick, without one replica. With every entry avoided avoidance is off: it would
-// reject everything for a few failures.
+// usable returns the entries that may be picked, except those of one replica, and their total weight. If the proxy
+// avoids all of them it uses them all the same: it would reject every request because of a few failures otherwise.
 func (p *Proxy) usable(except model.ReplicaID) (entries []*entry, weight float64) {
 	now := p.loop.Now()
 	for _, e := range p.table.entries {
-		if r := p.replicas[e.id]; p.mayUse(e, except) && (r == nil || r.avoid <= now) {
+		if r := p.replicas[e.id]; p.mayUse(e, except) && (r == nil || r.avoidUntil <= now) {
 			entries = append(entries, e)
 			weight += e.weight
 		}
@@ -114,7 +115,7 @@
 	return !p.table.withdrawn[e.id] || p.Misbehaviour.IgnoresWithdrawals
 }
 
-// pick takes an entry as the way of picking has it; nil if there is none.
+// pick picks an entry by the proxy's policy, except one of a replica that was tried before; nil if there is none.
 func (p *Proxy) pick(except model.ReplicaID) *replicaState {
 	entries, weight := p.usable(except)
 	if len(entries) == 0 {
@@ -122,9 +123,9 @@
 	}
 	var picked *entry
 	switch p.Pick {
-	case Wheel:
-		picked = turnWheel(entries, weight)
-	case Pair:
+	case PickRoundRobin:
+		picked = nextRoundRobin(entries, weight)
+	case PickTwoChoices:
 		picked = p.draw(entries, weight)
 		other := p.draw(entries, weight)
 		if p.replica(other.id).inFlight < p.replica(picked.id).inFlight {
@@ -136,7 +137,7 @@
 	return p.replica(picked.id)
 }
 
-// draw takes an entry by chance, by weight.
+// draw draws an entry at random, by weight.
 func (p *Proxy) draw(entries []*entry, weight float64) *entry {
 	x := p.random.Float() * weight
 	for _, e := range entries {
@@ -148,8 +149,9 @@
 	return entries[len(entries)-1]
 }
 
-// turnWheel takes the entry with the most credit; each turn credits all by weight and charges the one taken for all.
-func turnWheel(entries []*entry, weight float64) *entry {
+// nextRoundRobin picks the entry with the most credit. Each pick credits every entry with its weight and charges the
+// picked one with the total weight.
+func nextRoundRobin(entries []*entry, weight float64) *entry {
 	var best *entry
 	for _, e := range entries {
 		e.credit += e.weight
@@ -161,10 +163,10 @@
 	return best
 }
 
-// apply changes what the proxy holds by a message that is due in order.
+// apply applies a message that is in order to the table.
 func (p *Proxy) apply(message *pubsubmsg.Message) {
 	if message.Bound || len(message.Quotas) > 0 {
-		p.cautious = false
+		p.awaitsNewHolder = false
 	}
 	if message.Full && message.Bound {
 		p.table.entries = nil
@@ -221,7 +223,7 @@
 	return !t.withdrawn[id] && slices.ContainsFunc(t.entries, func(e *entry) bool { return e.id == id })
 }
 
-// closeUnused ends idle connections to replicas that left its table or are withdrawn.
+// closeUnused closes idle connections to replicas that are no longer in the table or are withdrawn.
 func (p *Proxy) closeUnused() {
 	for id, r := range p.replicas {
 		if len(r.idle) > 0 && !p.table.holds(id) {
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"sync"
 	"testing"
 	"time"
@@ -17,24 +16,24 @@
 	"peppervale/internal/snapshot"
 	"peppervale/internal/standin"
 	"peppervale/internal/standin/replica"
+	"peppervale/internal/testaddr"
 )
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// waitLimit is how long a test waits for something that must come.
+// waitLimit is how long a test waits for something that must happen.
 const waitLimit = 10 * time.Second
 
-// instance is a channel server that holds the lease of the only shard, or not, as the test says; it publishes what the
-// test says.
+// instance is a channel server that holds the lease of the only shard, or not, and publishes, as the test says.
 type instance struct {
 	*pubsub.Server
 	other  *instance
 	joined chan model.ProxyID
 
 	mu    sync.Mutex
-	epoch uint64 // 0: it holds nothing
+	epoch uint64 // 0: it does not hold the lease
 }
 
 // Shard is part of pubsub.Leases: there is one shard.
@@ -71,7 +70,7 @@
 // LoadReported is part of pubsub.Events.
 func (i *instance) LoadReported(int, []model.LoadReport) {}
 
-// publish binds a proxy to a table of the replicas, and says how batch-log is retried.
+// publish binds a proxy to a table of the replicas, and sets the retry policy of batch-log.
 func (i *instance) publish(p model.ProxyID, policy model.RetryPolicy, replicas ...model.ReplicaID) {
 	batch := &snapshot.Batch{AckSequence: -1, At: 1}
 	for _, id := range replicas {
@@ -116,11 +115,10 @@
 	fixture.first, fixture.second = fixture.newInstance(), fixture.newInstance()
 	fixture.first.other, fixture.second.other = fixture.second, fixture.first
 	fixture.first.setEpoch(1)
-	fixture.loop.Do(func() {
-		for range 2 {
-			fixture.startReplica()
-		}
-	})
+	for range 2 {
+		id := newReplicaID(t)
+		fixture.loop.Do(func() { fixture.startReplica(id) })
+	}
 	fixture.startProxy()
 	t.Cleanup(func() {
 		fixture.loop.Do(func() {
@@ -155,20 +153,20 @@
 	}
 }
 
-// startReplica starts one more replica; it is called on the loop.
-func (fx *fixture) startReplica() {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+// newReplicaID returns the id of a replica with an address that nothing listens on.
+func newReplicaID(t *testing.T) model.ReplicaID {
+	t.Helper()
+	id, err := pubsubmsg.ParseAddress(testaddr.Address(t))
 	if err != nil {
-		fx.t.Error(err)
-		return
-	}
-	if err := free.Close(); err != nil {
-		fx.t.Error(err)
+		t.Fatal(err)
 	}
-	port := free.Addr().(*net.TCPAddr).Port
+	return id
+}
+
+// startReplica starts one more replica; it is called on the loop.
+func (fx *fixture) startReplica(id model.ReplicaID) {
 	r := replica.New(fx.loop, replica.Config{
-		ID:   model.ReplicaID{Addr: [4]byte{127, 0, 0, 1}, Port: uint16(port)},
-		Zone: "govan", DeduplicationGroup: fmt.Sprint(len(fx.replicas)),
+		ID: id, Zone: "govan", DeduplicationGroup: fmt.Sprint(len(fx.replicas)),
 		Cores: 1, Speed: 1, QueueLimit: 10, MaxConnections: 100,
 		InitialShare: 1, OverloadFactor: 1000, OverloadWindow: model.Second,
 	}, replica.NewDeduplicationGroup(), []model.Microseconds{model.Second}, fx.observe)
@@ -189,7 +187,7 @@
 	fx.t.Cleanup(engine.Stop)
 	fx.loop.Do(func() {
 		fx.proxy = New(fx.loop, engine, Config{
-			Name: "till", Zone: "govan", ExpectedRate: 1, Pick: Wheel,
+			Name: "till", Zone: "govan", ExpectedRate: 1, Pick: PickRoundRobin,
 			Operations:         []Operation{{100 * model.Millisecond, 1600 * model.Millisecond}},
 			DefaultRetryPolicy: model.RetryTwiceOnAnyFailure, FirstAttemptShare: 5,
 			RedialInterval: 10 * model.Millisecond, DialTimeout: model.Second, IdleTimeout: model.Second,
@@ -240,13 +238,14 @@
 }
 
 // The lease holder changes in the middle of the retries of a batch-log: what may have been executed is not sent again,
-// though the former holder ordered it so; nor is any other until the new holder has published a retry policy.
+// though the former holder's retry policy allowed it. Nor is any other until the new holder has published a retry
+// policy.
 func TestTakeoverDuringRetriesStopsThem(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.first.publish(<-fixture.first.joined, model.RetryTwiceOnAnyFailure, fixture.ids...)
 	fixture.until("bound", func() bool { return fixture.proxy.Bound() && len(fixture.proxy.table.quotas) == 1 })
 	if n := fixture.attemptsAt(fixture.send()); n != 3 {
-		t.Fatalf("under one holder it is sent %d times, 3 were ordered", n)
+		t.Fatalf("under one holder it is sent %d times, want 3", n)
 	}
 	number := fixture.send()
 	fixture.until("sent once", func() bool { return fixture.attempts[number] == 1 })
@@ -261,14 +260,14 @@
 		t.Errorf("before the new holder has published it is sent %d times", n)
 	}
 	fixture.second.publish(moved, model.RetryOnAnyFailure, fixture.ids...)
-	fixture.until("published", func() bool { return !fixture.proxy.cautious && fixture.proxy.Joined() == "b" })
+	fixture.until("published", func() bool { return !fixture.proxy.awaitsNewHolder && fixture.proxy.Joined() == "b" })
 	if n := fixture.attemptsAt(fixture.send()); n != 2 {
-		t.Errorf("once the new holder has ordered one retry it is sent %d times", n)
+		t.Errorf("once the new holder's policy allows one retry it is sent %d times", n)
 	}
 }
 
-// A holder that stood still goes on publishing after its lease, on a stream that it has not given up: the proxy has
-// seen a newer epoch, obeys nothing, and says so.
+// A holder that was stalled goes on publishing after its lease expired, on a stream that it has not closed. The proxy,
+// which has seen a newer epoch, applies nothing and notifies the holder.
 func TestFormerHolderIsFencedOff(t *testing.T) {
 	fixture := newFixture(t)
 	id := <-fixture.first.joined
@@ -276,14 +275,14 @@
 	fixture.until("bound", func() bool { return fixture.proxy.Bound() })
 	fixture.loop.Do(func() { fixture.proxy.acceptEpoch(7) }) // as another holder's message would
 	fixture.first.publish(id, model.RetryNever, fixture.ids[1])
-	fixture.until("not obeyed", func() bool { return fixture.proxy.Fenced == 1 })
+	fixture.until("not applied", func() bool { return fixture.proxy.Fenced == 1 })
 	fixture.loop.Do(func() {
 		if held := fixture.proxy.HeldEntries(); len(held) != 1 || held[0].Replica != fixture.ids[0] {
 			t.Errorf("it holds %v", held)
 		}
 	})
-	eventually(t, "the former holder is told", func() bool { return fixture.first.Stats().Fenced == 1 })
-	// Joining anew it is not taken by one whose epoch is older than what it has seen, and goes where it is sent.
+	eventually(t, "the former holder is notified", func() bool { return fixture.first.Stats().Fenced == 1 })
+	// When it joins again, it does not stay with an instance whose epoch is older than the newest it has seen.
 	fixture.second.setEpoch(8)
 	fixture.loop.Do(fixture.proxy.BreakStream)
 	fixture.until("with the new holder", func() bool { return fixture.proxy.Joined() == "b" })
--- a/internal/standin/random.go
+++ b/internal/standin/random.go
@@ -5,31 +5,32 @@
 	"math"
 )
 
-// Random draws random numbers from a seed, a name and a counter, so that one stand-in's draws do not move another's.
+// Random draws random numbers from a seed, a name and a counter, so that the draws of one stand-in do not change those
+// of another.
 type Random struct {
 	base  uint64
 	count uint64
 }
 
-// NewRandom is a stream of random numbers of its own for the name.
+// NewRandom returns the stream of random numbers of a seed and a name. Equal arguments give equal streams.
 func NewRandom(seed uint64, name string) *Random {
 	const golden = 0x9e3779b97f4a7c15 // 2^64 over the golden ratio spreads small seeds over all bits
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	return &Random{base: h.Sum64() ^ seed*golden}
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	return &Random{base: hash.Sum64() ^ seed*golden}
 }
 
-// Float draws evenly from 0 up to but without 1.
-func (c *Random) Float() float64 {
-	c.count++
-	var b [16]byte
+// Float draws uniformly from [0, 1).
+func (r *Random) Float() float64 {
+	r.count++
+	var input [16]byte
 	for i := range 8 {
-		b[i] = byte(c.base >> (8 * i))
-		b[8+i] = byte(c.count >> (8 * i))
+		input[i] = byte(r.base >> (8 * i))
+		input[8+i] = byte(r.count >> (8 * i))
 	}
-	h := fnv.New64a()
-	h.Write(b[:])
-	return float64(mix(h.Sum64())>>11) / (1 << 53)
+	hash := fnv.New64a()
+	hash.Write(input[:])
+	return float64(mix(hash.Sum64())>>11) / (1 << 53)
 }
 
 // mix spreads the low bits of an FNV hash, which reach the high ones badly (MurmurHash3's finalizer).
@@ -40,18 +41,18 @@
 	return x
 }
 
-// Below draws a whole number from 0 up to but without n.
-func (c *Random) Below(n int) int { return int(c.Float() * float64(n)) }
+// Below draws an integer uniformly from [0, n).
+func (r *Random) Below(n int) int { return int(r.Float() * float64(n)) }
 
-// Between draws evenly from a to b.
-func (c *Random) Between(a, b float64) float64 { return a + (b-a)*c.Float() }
+// Between draws uniformly from [a, b).
+func (r *Random) Between(a, b float64) float64 { return a + (b-a)*r.Float() }
 
-// Interval draws the seconds to the next of events that come at a rate a second, exponentially distributed.
-func (c *Random) Interval(rate float64) float64 { return -math.Log(1-c.Float()) / rate }
+// Interval draws the time in seconds until the next event of a Poisson process with a rate per second.
+func (r *Random) Interval(rate float64) float64 { return -math.Log(1-r.Float()) / rate }
 
-// Lognormal draws a lognormal factor of mean 1 with this coefficient of variation.
-func (c *Random) Lognormal(cv float64) float64 {
+// Lognormal draws a log-normally distributed factor with mean 1 and the coefficient of variation cv.
+func (r *Random) Lognormal(cv float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
-	normal := math.Sqrt(-2*math.Log(1-c.Float())) * math.Cos(2*math.Pi*c.Float())
+	normal := math.Sqrt(-2*math.Log(1-r.Float())) * math.Cos(2*math.Pi*r.Float())
 	return math.Exp(sigma*normal - sigma*sigma/2)
 }
--- a/internal/standin/registry/body.go
+++ b/internal/standin/registry/body.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 )
 
-// Body is the list as Consul's JSON.
+// Body is the endpoint list as the JSON of Consul's health endpoint.
 func (r *Registry) Body() []byte {
 	all := []consulcatalog.ServiceEntry{}
 	for _, entry := range r.entries {
--- a/internal/standin/registry/query.go
+++ b/internal/standin/registry/query.go
@@ -23,15 +23,15 @@
 
 const (
 	healthPath   = "/v1/health/service/"
-	noLeader     = "No cluster leader" // the body of a failing agent's answer
-	earlierIndex = 7                   // an index far below the last one
-	agentName    = "peppervale/"       // before an instance's name in its User-Agent
+	noLeaderBody = "No cluster leader" // the body of an agent's error response
+	earlierIndex = 7                   // the index given while IndexGoesBack holds, far below firstIndex
+	agentName    = "peppervale/"       // precedes an instance's name in its User-Agent
 	indexHeader  = "X-Consul-Index"    // of an answer
 	contentType  = "Content-Type"      // of an answer
 	jsonContent  = "application/json"  // of an answer's body
 )
 
-// query is a call for the list that waits for a change.
+// query is a request for the endpoint list. A blocking one waits for a change.
 type query struct {
 	conn     *nbio.Conn
 	instance string
@@ -53,16 +53,17 @@
 		_, _ = conn.Write(http1.AppendResponse(nil, 200, []byte("[]"), indexHeader, "1", contentType, jsonContent))
 	case r.Faults.Silent:
 	case r.Faults.Fails:
-		fail(conn)
+		respondNoLeader(conn)
 	default:
 		q := &query{conn: conn}
 		q.instance, _ = strings.CutPrefix(message.Header["user-agent"], agentName)
-		r.take(q, target.Query())
+		r.answerWhenChanged(q, target.Query())
 	}
 }
 
-// take answers a query at once if its index is not the list's, else once that has changed or the wait is over.
-func (r *Registry) take(q *query, parameters url.Values) {
+// answerWhenChanged answers a query at once if it does not block or if its index is not the list's, else as soon as the
+// list changes or the query's wait is over.
+func (r *Registry) answerWhenChanged(q *query, parameters url.Values) {
 	q.index, _ = strconv.ParseUint(parameters.Get("index"), 10, 64) // without one it does not block
 	if q.index != r.index || q.index == 0 {
 		r.answer(q)
@@ -84,7 +85,7 @@
 	return min(wait, maxWait)
 }
 
-// answer writes the list as it is once the answer leaves.
+// answer writes the response, late if the registry is. It carries the list as it is when it is written.
 func (r *Registry) answer(q *query) {
 	if r.Faults.Delay > 0 {
 		r.loop.After(r.Faults.Delay, func() { r.write(q) })
@@ -98,7 +99,7 @@
 		return
 	}
 	if r.Faults.Fails {
-		fail(waiting.conn)
+		respondNoLeader(waiting.conn)
 		return
 	}
 	index := r.index
@@ -113,11 +114,10 @@
 		_ = waiting.conn.Close()
 		return
 	}
-	r.Calls++
 	r.observe(invariants.EndpointsSent{At: r.loop.Now(), Instance: waiting.instance, Body: body})
 	_, _ = waiting.conn.Write(answer)
 }
 
-func fail(conn *nbio.Conn) {
-	_, _ = conn.Write(http1.AppendResponse(nil, 500, []byte(noLeader)))
+func respondNoLeader(conn *nbio.Conn) {
+	_, _ = conn.Write(http1.AppendResponse(nil, 500, []byte(noLeaderBody)))
 }
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -1,5 +1,5 @@
 // Package registry is a stand-in for an endpoint registry: it serves Consul's health endpoint with blocking queries as
-// published, late and failing on demand. Consul's own API client reads it in the tests.
+// Consul documents them, and it fails or delays its answers on demand.
 package registry
 
 import (
@@ -18,28 +18,27 @@
 // Entry is a replica as the registry lists it.
 type Entry struct {
 	ID                       model.ReplicaID
-	Zone, DeduplicationGroup string // Bay: the replicas that drop repeats among themselves
+	Zone, DeduplicationGroup string // the group: replicas that drop repeats of a request among themselves
 	Kind                     string
 	StartedAt                model.Microseconds // 0: long ago
 	Draining                 bool
 }
 
-// Faults is what the registry does wrong; several faults hold at once. The zero value is none.
+// Faults is what the registry does wrong; several faults may hold at once. The zero value is none.
 type Faults struct {
-	Fails         bool               // answers 500 at once
-	Silent        bool               // takes calls and never answers
-	CutsBody      bool               // ends the connection in the middle of a body
+	Fails         bool               // answers 500
+	Silent        bool               // accepts requests and never answers
+	CutsBody      bool               // closes the connection in the middle of a body
 	IndexGoesBack bool               // gives an index far below the last one
-	Delay         model.Microseconds // answers so much later
+	Delay         model.Microseconds // added to each answer
 }
 
 // firstIndex is the index of the empty list.
 const firstIndex = 100
 
-// Registry runs on a loop; all its methods must be called there, but for Addr and Close.
+// Registry is a running registry. All its methods but Addr and Close must be called on its loop.
 type Registry struct {
 	Faults Faults
-	Calls  int // answered
 
 	loop    *standin.Loop
 	service string
@@ -50,7 +49,8 @@
 	waiting []*query
 }
 
-// New listens; seen is told each answer to an instance. The error is that of the address.
+// New starts a registry that listens on an address. observe is called on the loop with each endpoint list that was
+// sent. An error says that the address cannot be listened on.
 func New(loop *standin.Loop, listen, service string, observe func(invariants.Event)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, observe: observe, index: firstIndex}
 	engine, err := netpoll.Start(1, r.handlers(), listen)
@@ -61,13 +61,13 @@
 	return r, nil
 }
 
-// Addr is the address that it listens on.
+// Addr is the address that the registry listens on, host:port.
 func (r *Registry) Addr() string { return r.engine.Addrs[0] }
 
-// Close ends it.
+// Close stops listening and closes all connections.
 func (r *Registry) Close() { r.engine.Stop() }
 
-// Set puts an entry in, or changes it.
+// Set adds an entry, or replaces the one with the same ID.
 func (r *Registry) Set(entry Entry) {
 	i := slices.IndexFunc(r.entries, func(other Entry) bool { return other.ID == entry.ID })
 	switch {
@@ -81,7 +81,7 @@
 	r.changed()
 }
 
-// Remove takes an entry out.
+// Remove removes an entry if there is one with this ID.
 func (r *Registry) Remove(id model.ReplicaID) {
 	before := len(r.entries)
 	r.entries = slices.DeleteFunc(r.entries, func(entry Entry) bool { return entry.ID == id })
@@ -101,7 +101,7 @@
 	}
 }
 
-// handlers post what comes on the sockets to the loop.
+// handlers post the events of the sockets to the loop.
 func (r *Registry) handlers() netpoll.Handlers {
 	return netpoll.Handlers{
 		Open: func(conn *nbio.Conn) { conn.SetSession(http1.NewParser(false, http1.Limits{})) },
--- a/internal/standin/replica/deduplication.go
+++ b/internal/standin/replica/deduplication.go
@@ -8,7 +8,7 @@
 	firstAt map[string]model.Microseconds // by idempotency key
 }
 
-// rememberedKeys is how many keys a group remembers before it forgets what is older than the window.
+// rememberedKeys is how many keys a group remembers before it drops those that are older than the window.
 const rememberedKeys = 10_000
 
 // NewDeduplicationGroup makes an empty group.
@@ -16,23 +16,23 @@
 	return &DeduplicationGroup{firstAt: map[string]model.Microseconds{}}
 }
 
-// repeated notes a key and reports whether it was seen within the window before.
-func (b *DeduplicationGroup) repeated(key string, now, window model.Microseconds) bool {
-	if len(b.firstAt) > rememberedKeys {
-		b.forget(now - window)
+// repeated reports whether a key was first seen within the window before now, and remembers it otherwise.
+func (g *DeduplicationGroup) repeated(key string, now, window model.Microseconds) bool {
+	if len(g.firstAt) > rememberedKeys {
+		g.forget(now - window)
 	}
-	at, known := b.firstAt[key]
+	at, known := g.firstAt[key]
 	if known && now-at <= window {
 		return true
 	}
-	b.firstAt[key] = now
+	g.firstAt[key] = now
 	return false
 }
 
-func (b *DeduplicationGroup) forget(before model.Microseconds) {
-	for key, at := range b.firstAt {
+func (g *DeduplicationGroup) forget(before model.Microseconds) {
+	for key, at := range g.firstAt {
 		if at < before {
-			delete(b.firstAt, key)
+			delete(g.firstAt, key)
 		}
 	}
 }
--- a/internal/standin/replica/load.go
+++ b/internal/standin/replica/load.go
@@ -2,14 +2,14 @@
 
 import "peppervale/internal/model"
 
-// loadMeter measures the share of the cores in use. It is refreshed now and then, as load reports are.
+// loadMeter measures the share of the cores in use. Its reading is refreshed at most once per Config.ReportInterval.
 type loadMeter struct {
 	busy       float64 // core microseconds used since measuredAt
 	reported   float64
 	measuredAt model.Microseconds
 }
 
-// idleReport is what a replica reports that claims to be idle.
+// idleReport is the utilization that a replica reports while ReportsIdle is set.
 const idleReport = 0.02
 
 // utilization is the replica's load report.
@@ -27,7 +27,7 @@
 	return r.load.reported
 }
 
-// overloadMeter sums the work that came to a warming replica within its overload window.
+// overloadMeter adds up the work that a warming replica received within its overload window.
 type overloadMeter struct {
 	recent []arrival
 }
@@ -37,7 +37,7 @@
 	work float64
 }
 
-// total adds an arrival and gives all work within the span before it.
+// total adds an arrival and returns all work received within the span up to it.
 func (m *overloadMeter) total(a arrival, span model.Microseconds) float64 {
 	m.recent = append(m.recent, a)
 	for len(m.recent) > 0 && m.recent[0].at <= a.at-span {
@@ -50,7 +50,7 @@
 	return total
 }
 
-// overloaded counts new work against what the replica can do, and reports whether it failed for good by it.
+// overloaded counts new work against the replica's capacity, and reports whether the replica has failed of overload.
 func (r *Replica) overloaded(now model.Microseconds, work float64) bool {
 	if r.warmth(now) >= 1 || r.OverloadFactor <= 0 {
 		return false
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -1,6 +1,7 @@
-// Package replica is a stand-in for what serves requests: HTTP/1.1 with cores, a waiting queue, a cold start, a limit
-// on connections, draining, and its load in each response by the published ORCA text header. The work of a request is
-// one of its header fields and is served by waiting, not by burning cores, so that one machine can hold many replicas.
+// Package replica is a stand-in for a server of requests over HTTP/1.1. It has cores, a queue, a warm-up, a limit on
+// connections, draining, and a load report in each response, in the text form of the ORCA header. The work of a request
+// is one of its header fields and is served by waiting, not by burning cores, so that one machine can hold many
+// replicas.
 package replica
 
 import (
@@ -13,42 +14,42 @@
 	"peppervale/internal/standin"
 )
 
-// Config is what a replica is.
+// Config holds the properties of a replica.
 type Config struct {
 	ID                       model.ReplicaID
-	Zone, DeduplicationGroup string // Bay: the replicas that drop repeats among themselves
+	Zone, DeduplicationGroup string // the group: replicas that drop repeats of a request among themselves
 	Cores                    int
-	Speed                    float64 // of a core; 1 does a microsecond of work in one
+	Speed                    float64 // of a core: microseconds of work in a microsecond
 	QueueLimit               int     // requests that may wait; more are rejected
 	MaxConnections           int     // accepted at once
-	InitialShare             float64 // of its capacity that it starts with
+	InitialShare             float64 // of its capacity, right after a cold start
 	WarmUpPeriod             model.Microseconds
-	OverloadFactor           float64            // sent so many times what it can do...
-	OverloadWindow           model.Microseconds // ...within so long, a warming replica fails for good
-	ReportInterval           model.Microseconds // its load report is that old at most
-	HandshakeWork            float64            // work of a new connection
+	OverloadFactor           float64            // times its capacity: a warming replica that is sent more...
+	OverloadWindow           model.Microseconds // ...within this window fails until it restarts
+	ReportInterval           model.Microseconds // between two refreshes of its load report
+	HandshakeWork            float64            // work that accepting a connection costs, in microseconds
 }
 
-// Replica runs on a loop; its methods must be called there.
+// Replica is a replica that can be started and stopped. Its fields and methods belong to its loop.
 type Replica struct {
 	Config
-	Slowdown          float64 // each piece of work takes so many times longer; 1: none
-	Silent            bool    // accepts connections and bytes, and answers nothing
-	Draining          bool    // rejects new work
-	ReportsIdle       bool    // reports that it is idle
-	FailingOperations map[int]bool
+	Slowdown          float64      // factor on the duration of all work; 1: none
+	Silent            bool         // accepts connections and bytes, and answers nothing
+	Draining          bool         // rejects new work
+	ReportsIdle       bool         // reports that it is idle
+	FailingOperations map[int]bool // by index of the operation: answers 500
 
 	Started    model.Microseconds // 0: before the scenario, warm
 	Running    bool
 	Overloaded bool // it failed of overload
-	Served     int
+	Served     int  // requests executed and answered, over all runs
 
 	loop    *standin.Loop
 	group   *DeduplicationGroup
 	windows []model.Microseconds // by operation, in which repeats are dropped; 0: it has no idempotency key
 	observe func(invariants.Event)
 	engine  *netpoll.Engine
-	run     int // grows with each start and stop: what is left of an earlier run does nothing
+	run     int // grows with each start and stop, so that events of an earlier run can be told apart and ignored
 
 	connections int
 	queue       workQueue
@@ -56,8 +57,8 @@
 	overload    overloadMeter
 }
 
-// New makes a replica that is down. windows gives for each operation how long its deduplication group remembers a
-// request, 0 where it has no idempotency key.
+// New makes a replica that is not running. windows gives for each operation how long the deduplication group remembers
+// a request, 0 where it has no idempotency key. observe is called on the loop.
 func New(
 	loop *standin.Loop, config Config, group *DeduplicationGroup,
 	windows []model.Microseconds, observe func(invariants.Event),
@@ -65,7 +66,8 @@
 	return &Replica{Config: config, Slowdown: 1, loop: loop, group: group, windows: windows, observe: observe}
 }
 
-// Start opens its port, cold or warm. It keeps its address over restarts. The error is that of the address.
+// Start listens on the replica's address, which stays the same over restarts, and begins cold or warm. It does nothing
+// if the replica runs. An error says that the address cannot be listened on.
 func (r *Replica) Start(cold bool) error {
 	if r.Running {
 		return nil
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// Stop ends the process: its connections and all its work.
+// Stop closes the replica's connections and drops all its work, as the end of a process does.
 func (r *Replica) Stop() {
 	if !r.Running {
 		return
@@ -110,10 +112,10 @@
 	r.Running = false
 	r.run++
 	engine := r.engine
-	go engine.Stop() // it waits for handlers that post here
+	go engine.Stop() // Stop waits for handlers, which post to this loop
 }
 
-// capacity is that of the warm replica, in core microseconds a microsecond.
+// capacity is that of the warm replica, in microseconds of work per microsecond.
 func (r *Replica) capacity() float64 { return float64(r.Cores) * r.Speed }
 
 // warmth is the share of its full capacity that it has now.
--- a/internal/standin/replica/serve.go
+++ b/internal/standin/replica/serve.go
@@ -20,7 +20,7 @@
 	repeated    = "repeat" // it was executed before
 )
 
-// handlers post what comes on the sockets of a run to the loop.
+// handlers post the events of the sockets of a run to the loop.
 func (r *Replica) handlers(run int) netpoll.Handlers {
 	return netpoll.Handlers{
 		Open: func(conn *nbio.Conn) {
@@ -70,7 +70,7 @@
 	r.load.busy += r.HandshakeWork
 }
 
-// request is a request in work.
+// request is a request that waits for a core or is served.
 type request struct {
 	conn          *nbio.Conn
 	work          float64
@@ -104,7 +104,7 @@
 	return &request{conn: conn, work: work, operation: operation, number: number, clientAttempt: clientAttempt}, nil
 }
 
-// handle takes a request in, or answers it at once.
+// handle queues a request, or answers it at once. A silent or overloaded replica does neither.
 func (r *Replica) handle(conn *nbio.Conn, m *http1.Message) {
 	if r.Silent || r.Overloaded {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// repeated reports whether the replica's group took the request before, within the operation's window.
+// repeated reports whether the replica's deduplication group took the request before, within the operation's window.
 func (r *Replica) repeated(req *request, now model.Microseconds) bool {
 	window := r.windows[req.operation]
 	if window == 0 || r.group == nil {
@@ -141,7 +141,7 @@
 	return r.group.repeated(fmt.Sprint(req.number, "-", req.clientAttempt), now, window)
 }
 
-// workQueue is what waits for a core, and how many cores are in use.
+// workQueue holds the requests that wait for a core, and how many cores are in use.
 type workQueue struct {
 	waiting []*request
 	running int
