--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -223,7 +223,7 @@
 	}},
 }
 
-// Each invariant is broken by one timeline and kept by its neighbour; no other invariant is broken.
+// Each invariant is broken by some timelines and kept by similar ones; no other invariant is broken.
 func TestEachInvariantIsBrokenByItsCaseOnly(t *testing.T) {
 	for invariant, cases := range map[string][]violationCase{
 		EmptyTable:     emptyTableCases,
--- a/internal/scenario/faulty_test.go
+++ b/internal/scenario/faulty_test.go
@@ -51,11 +51,11 @@
 	script := openScript(t, zoneLossFile)
 	script.Length = seconds(12)
 	script.Steps = []Step{
-		{Kind: ProxyMisbehaviour, At: 0, Duration: seconds(12), Fraction: 0.5, Group: groupIgnoresWithdrawals},
+		{Kind: ProxyMisbehavior, At: 0, Duration: seconds(12), Fraction: 0.5, Group: groupIgnoresWithdrawals},
 		{Kind: Drain, At: seconds(3), Duration: seconds(9), Fraction: 0.4},
 	}
 	verdict := runScript(t, script).Invariants[2]
 	if verdict.Invariant != invariants.LateDrain || len(verdict.Violations) == 0 {
-		t.Errorf("the proxies' misbehaviour is not detected: %+v", verdict)
+		t.Errorf("the proxies' misbehavior is not detected: %+v", verdict)
 	}
 }
--- a/internal/scenario/instancesteps.go
+++ b/internal/scenario/instancesteps.go
@@ -10,14 +10,18 @@
 const (
 	killTimeout     = time.Second
 	shutdownTimeout = 5 * time.Second
+
+	// Repeated crashes are this many times the step's size apart, drawn uniformly.
+	minCrashSpacing = 0.7
+	maxCrashSpacing = 1.3
 )
 
-// crashInstances kills the targets. A step with a number repeats, at moments drawn around each Size seconds.
+// crashInstances kills the targets. It does so step.Number times, about step.Size seconds apart.
 func (r *runner) crashInstances(step Step) {
 	if step.Number > 1 {
 		next := step
 		next.Number--
-		delay := model.Microseconds(r.random.Between(0.7, 1.3) * float64(seconds(step.Size)))
+		delay := model.Microseconds(r.random.Between(minCrashSpacing, maxCrashSpacing) * float64(seconds(step.Size)))
 		r.loop.After(delay, func() { r.crashInstances(next) })
 	}
 	targets, _ := r.targetInstances(step)
--- a/internal/scenario/network.go
+++ b/internal/scenario/network.go
@@ -16,21 +16,32 @@
 	clusterPort = 7710
 	gossipPort  = 7711
 	consolePort = 7780
-	probePort   = 7699 // says whether a network is in use
+	probePort   = 7699 // see findFreeNetwork
 	replicaPort = 8080
 )
 
 // loopbackNetwork is the second octet of the network 127.x.0.0/16 that a scenario has to itself.
 type loopbackNetwork int
 
-// runs counts the scenarios of this process, so that each begins its search for a network elsewhere.
+// The search for a free network. searchStride has no common factor with networkCount, so that a search never tries a
+// network twice. The searches of two scenarios in a row of one process begin runStride networks apart.
+const (
+	firstNetwork    = 20
+	networkCount    = 200
+	networkAttempts = 100
+	runStride       = 41
+	searchStride    = 37
+)
+
+// runs counts the scenarios of this process, so that each begins its search at another network.
 var runs atomic.Int64
 
-// findFreeNetwork finds a network in which nothing listens, so that two scenarios on one machine do not meet.
+// findFreeNetwork finds a network on whose probePort nothing listens. It does not hold that port, so this does not rule
+// out that another process uses the network: what keeps scenarios apart is where their searches begin.
 func findFreeNetwork() (loopbackNetwork, error) {
-	first := os.Getpid() + int(runs.Add(1))*41
-	for k := range 100 {
-		network := loopbackNetwork(20 + (first+k*37)%200)
+	first := os.Getpid() + int(runs.Add(1))*runStride
+	for k := range networkAttempts {
+		network := loopbackNetwork(firstNetwork + (first+k*searchStride)%networkCount)
 		listener, err := net.Listen("tcp", network.registryAddress(probePort))
 		if err == nil {
 			_ = listener.Close()
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -11,6 +11,9 @@
 // hour bounds every duration of a scenario.
 const hour = 3600 * model.Second
 
+// maxReplicasPerZone: a replica's number in its zone, from 1, is the last octet of its address.
+const maxReplicasPerZone = 250
+
 // noFaultyController is the setting for real instances.
 const noFaultyController = "none"
 
@@ -94,7 +97,7 @@
 
 func readReplicas(block *config.Block) Replicas {
 	replicas := Replicas{
-		PerZone:                block.Int("each_zone", 0, 1, 250),
+		PerZone:                block.Int("each_zone", 0, 1, maxReplicasPerZone),
 		Cores:                  block.Int("cores", 2, 1, 1000),
 		QueueLimit:             block.Int("waiting", 20, 0, 1_000_000),
 		MaxConnections:         block.Int("connections", 200, 1, 1_000_000),
--- a/internal/scenario/proxysteps.go
+++ b/internal/scenario/proxysteps.go
@@ -52,15 +52,15 @@
 
 func (r *runner) stopAcknowledging(step Step) {
 	for _, target := range r.targetProxies(step) {
-		target.Misbehaviour.NeverAcks = true
-		r.loop.After(step.Duration, func() { target.Misbehaviour.NeverAcks = false })
+		target.Misbehavior.NeverAcks = true
+		r.loop.After(step.Duration, func() { target.Misbehavior.NeverAcks = false })
 	}
 }
 
 func (r *runner) misbehave(step Step) {
 	for _, target := range r.targetProxies(step) {
-		target.Misbehaviour = misbehaviourOf(step.Group)
-		r.loop.After(step.Duration, func() { target.Misbehaviour = proxy.Misbehaviour{} })
+		target.Misbehavior = misbehaviorOf(step.Group)
+		r.loop.After(step.Duration, func() { target.Misbehavior = proxy.Misbehavior{} })
 	}
 }
 
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -38,9 +38,9 @@
 	LoadReportsLate StepKind = "sums_late"
 	// NeverAcknowledge: a fraction of the proxies acknowledges nothing.
 	NeverAcknowledge StepKind = "never_ack"
-	// ProxyMisbehaviour: a fraction of the proxies ignores withdrawals (Group "shuts") or retries any failure (Group
+	// ProxyMisbehavior: a fraction of the proxies ignores withdrawals (Group "shuts") or retries any failure (Group
 	// "repeats").
-	ProxyMisbehaviour StepKind = "disobey"
+	ProxyMisbehavior StepKind = "disobey"
 	// HeavyTail: a fraction of the requests costs Size times the work.
 	HeavyTail StepKind = "heavy_tail"
 )
@@ -95,8 +95,8 @@
 // The values of Step.Group for kinds that have variants.
 const (
 	groupAllButOne          = "but-one" // Drain: the last replica is spared
-	groupIgnoresWithdrawals = "shuts"   // ProxyMisbehaviour
-	groupRetriesAnything    = "repeats" // ProxyMisbehaviour
+	groupIgnoresWithdrawals = "shuts"   // ProxyMisbehavior
+	groupRetriesAnything    = "repeats" // ProxyMisbehavior
 )
 
 // stepActions carry out the kinds of steps.
@@ -111,7 +111,7 @@
 	ProxyPartition:    (*runner).partitionProxies,
 	LoadReportsLate:   (*runner).delayLoadReports,
 	NeverAcknowledge:  (*runner).stopAcknowledging,
-	ProxyMisbehaviour: (*runner).misbehave,
+	ProxyMisbehavior:  (*runner).misbehave,
 	RegistryFails:     func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Fails: true}) },
 	RegistrySilent:    func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Silent: true}) },
 	RegistryLate:      func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Delay: seconds(step.Size)}) },
@@ -136,9 +136,9 @@
 // StepKinds gives the names of all kinds of steps, sorted.
 func StepKinds() []StepKind { return slices.Sorted(maps.Keys(stepActions)) }
 
-// misbehaviourOf returns the misbehaviour that the Group of a ProxyMisbehaviour step names.
-func misbehaviourOf(group string) proxy.Misbehaviour {
-	return proxy.Misbehaviour{
+// misbehaviorOf returns the misbehavior that the Group of a ProxyMisbehavior step names.
+func misbehaviorOf(group string) proxy.Misbehavior {
+	return proxy.Misbehavior{
 		IgnoresWithdrawals: group == groupIgnoresWithdrawals,
 		RetriesAnything:    group == groupRetriesAnything,
 	}
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -24,13 +24,3 @@
 	distribution := distuv.Exponential{Rate: 1 / float64(mean), Src: s}
 	return model.Microseconds(distribution.Rand() + 0.5)
 }
-
-// LogNormal draws a log-normally distributed duration of this mean. sigma is the standard deviation of its logarithm;
-// without any, the duration is the mean.
-func (s RandomStream) LogNormal(mean model.Microseconds, sigma float64) model.Microseconds {
-	if sigma <= 0 {
-		return mean
-	}
-	distribution := distuv.LogNormal{Mu: -sigma * sigma / 2, Sigma: sigma, Src: s}
-	return model.Microseconds(float64(mean)*distribution.Rand() + 0.5)
-}
--- a/internal/standin/proxy/connection.go
+++ b/internal/standin/proxy/connection.go
@@ -34,7 +34,7 @@
 	c := &connection{proxy: p, replica: a.replica, run: p.run, parser: http1.NewParser(true, http1.Limits{})}
 	address := pubsubmsg.FormatAddress(a.replica.id)
 	netpoll.Dial(p.engine, address, p.dialTimeout().Duration(), c, func(conn *nbio.Conn, err error) {
-		p.loop.Post(func() { c.dialled(a, conn, err) })
+		p.loop.Post(func() { c.dialed(a, conn, err) })
 	})
 }
 
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// dialled handles the result of a dial for an attempt.
-func (c *connection) dialled(a *attempt, conn *nbio.Conn, err error) {
+// dialed handles the result of a dial for an attempt.
+func (c *connection) dialed(a *attempt, conn *nbio.Conn, err error) {
 	if err != nil {
 		a.end(invariants.ConnectFailed, nil)
 		return
@@ -63,7 +63,7 @@
 	switch {
 	case c.run != c.proxy.run:
 		c.drop()
-	case a.ended: // it timed out while dialling: a later attempt uses the connection
+	case a.ended: // it timed out while dialing: a later attempt uses the connection
 		c.keepIdle()
 	default:
 		a.sendOver(c)
--- a/internal/standin/proxy/messages.go
+++ b/internal/standin/proxy/messages.go
@@ -87,7 +87,7 @@
 }
 
 func (s *stream) acknowledge(m *pubsubmsg.Message) {
-	if s.proxy.Misbehaviour.NeverAcks || m.AckSequence < 0 || s.ended {
+	if s.proxy.Misbehavior.NeverAcks || m.AckSequence < 0 || s.ended {
 		return
 	}
 	_, _ = s.conn.Write(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -50,8 +50,8 @@
 // Instance is an instance of the control plane that a proxy may join.
 type Instance struct{ Name, Address string }
 
-// Misbehaviour is what a scenario has a proxy do wrong.
-type Misbehaviour struct {
+// Misbehavior is what a scenario has a proxy do wrong.
+type Misbehavior struct {
 	NeverAcks          bool
 	IgnoresWithdrawals bool // goes on sending to replicas that are withdrawn or removed from its table
 	RetriesAnything    bool // retries after any failure, whatever its retry policy
@@ -60,7 +60,7 @@
 // Proxy is a proxy that can be started and killed. Its fields and methods belong to its loop.
 type Proxy struct {
 	Config
-	Misbehaviour Misbehaviour
+	Misbehavior Misbehavior
 	// ReportDelay is how much later than due its load reports are sent.
 	ReportDelay model.Microseconds
 	// Unreachable holds the names of the instances that it cannot dial, as if the link were down.
--- a/internal/standin/proxy/stream.go
+++ b/internal/standin/proxy/stream.go
@@ -75,12 +75,12 @@
 		return
 	}
 	netpoll.Dial(p.engine, instance.Address, p.dialTimeout().Duration(), s, func(conn *nbio.Conn, err error) {
-		p.loop.Post(func() { s.dialled(conn, err) })
+		p.loop.Post(func() { s.dialed(conn, err) })
 	})
 }
 
-// dialled handles the result of a dial.
-func (s *stream) dialled(conn *nbio.Conn, err error) {
+// dialed handles the result of a dial.
+func (s *stream) dialed(conn *nbio.Conn, err error) {
 	current := s.run == s.proxy.run && !s.ended
 	switch {
 	case err != nil && current:
--- a/internal/standin/proxy/table.go
+++ b/internal/standin/proxy/table.go
@@ -80,7 +80,7 @@
 	if p.awaitsNewHolder {
 		policy = min(policy, model.RetryIfNotExecuted)
 	}
-	if p.Misbehaviour.RetriesAnything {
+	if p.Misbehavior.RetriesAnything {
 		policy = model.RetryTwiceOnAnyFailure
 	}
 	return share, policy
@@ -112,7 +112,7 @@
 	if e.weight <= 0 || e.id == except {
 		return false
 	}
-	return !p.table.withdrawn[e.id] || p.Misbehaviour.IgnoresWithdrawals
+	return !p.table.withdrawn[e.id] || p.Misbehavior.IgnoresWithdrawals
 }
 
 // pick picks an entry by the proxy's policy, except one of a replica that was tried before; nil if there is none.
@@ -177,7 +177,7 @@
 		p.table.quotas = nil
 	}
 	for _, e := range message.Entries {
-		p.table.setEntry(e, p.Misbehaviour.IgnoresWithdrawals)
+		p.table.setEntry(e, p.Misbehavior.IgnoresWithdrawals)
 	}
 	for _, w := range message.Withdrawals {
 		p.table.setWithdrawn(w)
