--- a/internal/scenario/faulty_test.go
+++ b/internal/scenario/faulty_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/invariants"
 )
 
-// Each faulty controller violates its own invariant and no other, and the violation names who, where and when.
+// Each faulty controller violates its own invariant and no other, and the violation names its time and limit.
 func TestEachFaultyControllerViolatesItsOwnInvariantOnly(t *testing.T) {
 	for kind, invariant := range map[string]string{
 		emptiesTable:       invariants.EmptyTable,
@@ -19,7 +19,7 @@
 	} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			report := runScript(t, openScript(t, filepath.Join("broken", kind+".hcl")))
+			report := runScript(t, openScript(t, filepath.Join("faulty", kind+".hcl")))
 			for _, verdict := range report.Invariants {
 				checkVerdict(t, verdict, invariant)
 			}
@@ -51,11 +51,11 @@
 	script := openScript(t, zoneLossFile)
 	script.Length = seconds(12)
 	script.Steps = []Step{
-		{Kind: ProxyMisbehaviour, At: 0, Duration: seconds(12), Fraction: 0.5, Group: groupIgnoresWithdrawals},
+		{Kind: ProxyMisbehavior, At: 0, Duration: seconds(12), Fraction: 0.5, Group: groupIgnoresWithdrawals},
 		{Kind: Drain, At: seconds(3), Duration: seconds(9), Fraction: 0.4},
 	}
 	verdict := runScript(t, script).Invariants[2]
 	if verdict.Invariant != invariants.LateDrain || len(verdict.Violations) == 0 {
-		t.Errorf("the proxies' misbehaviour is not detected: %+v", verdict)
+		t.Errorf("the proxies' misbehavior is not detected: %+v", verdict)
 	}
 }
--- a/internal/scenario/proxysteps.go
+++ b/internal/scenario/proxysteps.go
@@ -18,7 +18,7 @@
 	r.loop.After(down, func() { target.Start(r.standingTable(target)) })
 }
 
-// stallProxies has the targets stand still for as long as they run between two stalls.
+// stallProxies stalls the targets repeatedly; between two stalls they run for as long as a stall lasts.
 func (r *runner) stallProxies(step Step) {
 	duration := seconds(step.Size)
 	for _, target := range r.targetProxies(step) {
@@ -52,15 +52,15 @@
 
 func (r *runner) stopAcknowledging(step Step) {
 	for _, target := range r.targetProxies(step) {
-		target.Misbehaviour.NeverAcks = true
-		r.loop.After(step.Duration, func() { target.Misbehaviour.NeverAcks = false })
+		target.Misbehavior.NeverAcks = true
+		r.loop.After(step.Duration, func() { target.Misbehavior.NeverAcks = false })
 	}
 }
 
 func (r *runner) misbehave(step Step) {
 	for _, target := range r.targetProxies(step) {
-		target.Misbehaviour = misbehaviourOf(step.Group)
-		r.loop.After(step.Duration, func() { target.Misbehaviour = proxy.Misbehaviour{} })
+		target.Misbehavior = misbehaviorOf(step.Group)
+		r.loop.After(step.Duration, func() { target.Misbehavior = proxy.Misbehavior{} })
 	}
 }
 
