--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -134,7 +134,7 @@
 	l.proxy.Handle(&proxy.Request{
 		Number:    l.requests,
 		Operation: operation,
-		Work:      float64(l.settings.meanWork) * l.random.Lognormal(workSpread),
+		Work:      float64(l.settings.meanWork) * l.random.LogNormal(workSpread),
 		Done: func(result proxy.Result, latency model.Microseconds) {
 			if result == proxy.Succeeded && latency <= objective {
 				l.withinObjective++
--- a/internal/scenario/standins.go
+++ b/internal/scenario/standins.go
@@ -127,7 +127,7 @@
 	weights := make([]float64, r.script.Proxies.PerZone*zones)
 	totalWeight := 0.0
 	for i := range weights {
-		weights[i] = r.random.Lognormal(r.script.Proxies.RateSpread)
+		weights[i] = r.random.LogNormal(r.script.Proxies.RateSpread)
 		totalWeight += weights[i]
 	}
 	operations := r.proxyOperations()
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -36,7 +36,7 @@
 func (r *runner) sendRequest(target *managedProxy) {
 	load := r.drawOperation()
 	r.lastRequest++
-	work := float64(load.Mean) * r.random.Lognormal(load.Spread)
+	work := float64(load.Mean) * r.random.LogNormal(load.Spread)
 	if r.heavyTail.fraction > 0 && r.random.Float() < r.heavyTail.fraction {
 		work *= r.heavyTail.factor
 	}
--- a/internal/standin/random.go
+++ b/internal/standin/random.go
@@ -50,8 +50,8 @@
 // Interval draws the time in seconds until the next event of a Poisson process with a rate per second.
 func (r *Random) Interval(rate float64) float64 { return -math.Log(1-r.Float()) / rate }
 
-// Lognormal draws a log-normally distributed factor with mean 1 and the coefficient of variation cv.
-func (r *Random) Lognormal(cv float64) float64 {
+// LogNormal draws a log-normally distributed factor with mean 1 and the coefficient of variation cv.
+func (r *Random) LogNormal(cv float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
 	normal := math.Sqrt(-2*math.Log(1-r.Float())) * math.Cos(2*math.Pi*r.Float())
 	return math.Exp(sigma*normal - sigma*sigma/2)
