--- a/internal/cluster/raftnode.go
+++ b/internal/cluster/raftnode.go
@@ -31,6 +31,9 @@
 	configurationTimeout  = 5 * time.Second
 	leadershipQueueLength = 16
 	raftConnectionPool    = 2
+	// raftRequestsInFlight: one request at a time switches raft's replication pipeline off. In raft 1.7.3 the pipeline
+	// may block for good once a follower refuses an entry (its disk is full), and the end of raft with it.
+	raftRequestsInFlight = 1
 )
 
 // stateMachine is what the raft node drives.
@@ -89,6 +92,7 @@
 	node.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream:                streams,
 		MaxPool:               raftConnectionPool,
+		MaxRPCsInFlight:       raftRequestsInFlight,
 		Timeout:               node.leaseDuration() / transportsPerLease,
 		Logger:                logger,
 		ServerAddressProvider: peerAddresses{config},
