--- a/internal/console/comparison/server.go
+++ b/internal/console/comparison/server.go
@@ -6,7 +6,6 @@
 	"net/http"
 	"strings"
 	"sync"
-	"time"
 
 	"peppervale/internal/console"
 	"peppervale/internal/console/httpserver"
@@ -65,16 +64,7 @@
 
 func (s *Server) compareRepeatedly() {
 	defer s.comparing.Done()
-	ticker := time.NewTicker(compareInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-s.http.Done():
-			return
-		case <-ticker.C:
-			s.compare()
-		}
-	}
+	s.http.RunEvery(compareInterval, s.compare)
 }
 
 func (s *Server) compare() {
--- a/internal/console/httpserver/server.go
+++ b/internal/console/httpserver/server.go
@@ -75,6 +75,20 @@
 	return s.done
 }
 
+// RunEvery calls do once each interval until Close is called. The caller runs it on a goroutine of its own.
+func (s *Server) RunEvery(interval time.Duration, do func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-s.done:
+			return
+		case <-ticker.C:
+			do()
+		}
+	}
+}
+
 // Close ends the streams, waits for pages in progress up to WriteTimeout, and closes all connections.
 func (s *Server) Close() {
 	close(s.done)
--- a/internal/console/samples.go
+++ b/internal/console/samples.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"peppervale/internal/model"
 )
@@ -24,16 +23,7 @@
 // collectSamples takes a sample every second until the server is closed.
 func (s *Server) collectSamples() {
 	defer s.sampling.Done()
-	ticker := time.NewTicker(sampleInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-s.http.Done():
-			return
-		case <-ticker.C:
-			s.takeSample()
-		}
-	}
+	s.http.RunEvery(sampleInterval, s.takeSample)
 }
 
 // takeSample appends a sample. It reads counters only and does not ask for a detailed view.
