--- /dev/null
+++ b/internal/console/cluster_test.go
@@ -0,0 +1,101 @@
+package console
+
+import (
+	"strings"
+	"testing"
+
+	"peppervale/internal/cluster"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+)
+
+// standbySource is the Source of a cluster member that has not begun to step: it holds no shard.
+type standbySource struct{}
+
+func (standbySource) View() *controller.View         { return nil }
+func (standbySource) DetailedView() *controller.View { return nil }
+func (standbySource) Stats() pubsub.Stats            { return pubsub.Stats{} }
+func (standbySource) Decisions(int, func(*controller.Decision) bool) []controller.Decision {
+	return nil
+}
+
+func standbyStatus() cluster.Status {
+	return cluster.Status{
+		Member: "govan-1", Leader: secondMember, Term: 4, Fault: "a majority is <not> there",
+		LeaseDuration: 2 * model.Second,
+		Members: []cluster.MemberStatus{
+			{Name: "govan-1", Zone: "govan", SeemsAlive: true, Voter: true},
+			{Name: secondMember, Zone: secondZone, Draining: true, Shards: 1, Load: 12},
+		},
+		Shards: []cluster.ShardStatus{{
+			Number: 0, Zone: "govan", Holder: secondMember, Target: "govan-1", Epoch: 7,
+			WaitReason: "evener: waits for " + secondMember,
+		}},
+		Takeovers: []cluster.Event{
+			{Shard: 0, Epoch: 6, To: "govan-1", Reason: "with nobody"},
+			{Shard: 0, Epoch: 7, From: "govan-1", To: secondMember, Reason: "its member is gone"},
+		},
+	}
+}
+
+// startStandbyConsole returns the URL of the console of a cluster member that holds nothing.
+func startStandbyConsole(t *testing.T) string {
+	t.Helper()
+	console, err := Listen("127.0.0.1:0", Instance{
+		Name:     "govan-1",
+		Zones:    []string{"govan", secondZone},
+		Now:      func() model.Microseconds { return 10 * model.Second },
+		Settings: func() [][2]string { return nil },
+		Cluster:  standbyStatus,
+	}, standbySource{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(console.Close)
+	return "http://" + console.Addr()
+}
+
+// TestClusterPageOnStandby shows that a member on standby shows why it holds nothing, who holds what, and how that
+// came about.
+func TestClusterPageOnStandby(t *testing.T) {
+	url := startStandbyConsole(t)
+	status, text := httpGet(t, url+"/group")
+	for _, want := range []string{
+		"a majority is &lt;not&gt; there",
+		secondMember + ", term 4",
+		", draining",
+		"non-voter",
+		"evener: waits for " + secondMember,
+		"lease expired",
+		"first",
+		"</html>",
+	} {
+		if status != 200 || !strings.Contains(text, want) {
+			t.Errorf("%d, without %q:\n%s", status, want, text)
+		}
+	}
+	newest, oldest := strings.Index(text, "its member is gone"), strings.Index(text, "with nobody")
+	if newest > oldest {
+		t.Error("the newest takeover is not the first")
+	}
+	if status, text := httpGet(t, url+"/group?as=json"); status != 200 || !strings.Contains(text, `"epoch": 7`) {
+		t.Errorf("%d\n%s", status, text)
+	}
+}
+
+// TestOtherPagesOnStandby shows that the other pages refer to that of the cluster.
+func TestOtherPagesOnStandby(t *testing.T) {
+	url := startStandbyConsole(t)
+	if status, text := httpGet(t, url+"/"); status != 503 || !strings.Contains(text, "on standby") {
+		t.Errorf("the overview: %d, %s", status, text)
+	}
+}
+
+func TestClusterPageWithoutCluster(t *testing.T) {
+	f := startFixture(t, 2, 0)
+	status, text, _ := f.get("/group")
+	if status != 200 || !strings.Contains(text, "not a member of a cluster") || strings.Contains(text, `href="/group"`) {
+		t.Errorf("%d\n%s", status, text)
+	}
+}
--- a/internal/console/comparison/belief.go
+++ b/internal/console/comparison/belief.go
@@ -90,9 +90,11 @@
 	if len(second.Body) > rowsMost || len(third.Body) > rowsMost {
 		return nil, fmt.Errorf("%d replicas and %d forwarders on its pages; %d of each are taken", len(second.Body), len(third.Body), rowsMost)
 	}
-	b := &Belief{Name: first.Governor, Life: first.Life, Version: first.Channel.Version, At: first.At, Gate: first.Body.Gate, Waits: len(first.Body.Waits),
+	b := &Belief{
+		Name: first.Governor, Life: first.Life, Version: first.Channel.Version, At: first.At, Gate: first.Body.Gate, Waits: len(first.Body.Waits),
 		Joined: first.Body.Joined, Bound: first.Body.Bound, Ready: first.Body.Ready, List: first.Body.List, Stress: first.Body.Stress,
-		Queue: first.Channel.Queue, QueueMost: first.Body.QueueMost, Replicas: map[string]Replica{}, Forwarders: map[string]Forwarder{}}
+		Queue: first.Channel.Queue, QueueMost: first.Body.QueueMost, Replicas: map[string]Replica{}, Forwarders: map[string]Forwarder{},
+	}
 	for _, r := range second.Body {
 		b.Replicas[r.Address] = r
 	}
--- a/internal/console/comparison/pages.go
+++ b/internal/console/comparison/pages.go
@@ -183,7 +183,7 @@
 	for _, g := range seen {
 		one := row{Address: g.Address, Name: g.Address, Age: "never", Error: g.Error, Fresh: g.Belief != nil && now-g.At <= freshFor}
 		if b := g.Belief; b != nil {
-			one.Name, one.Age, one.Life, one.Version, one.Gate, one.Waits = b.Name, console.Ago(now, g.At), b.Life, b.Version, b.Gate, b.Waits
+			one.Name, one.Age, one.Life, one.Version, one.Gate, one.Waits = b.Name, console.FormatAge(now, g.At), b.Life, b.Version, b.Gate, b.Waits
 			one.Joined, one.Bound, one.Ready, one.List, one.Stress, one.Queue, one.QueueMost = b.Joined, b.Bound, b.Ready, b.List, b.Stress, b.Queue, b.QueueMost
 		}
 		o.Governors = append(o.Governors, one)
@@ -213,7 +213,7 @@
 		if g.Belief != nil {
 			head = g.Belief.Name
 			if now-g.At > freshFor {
-				head += ", " + console.Ago(now, g.At)
+				head += ", " + console.FormatAge(now, g.At)
 			}
 			for n := range of(g.Belief) {
 				if strings.Contains(n, only) {
--- a/internal/console/doc.go
+++ b/internal/console/doc.go
@@ -1,11 +1,15 @@
-// Package console is a governor's own web pages: what it believes, whom it has published what, and why. It reads views and
-// writes nothing: every request but GET and HEAD is turned down.
+// Package console serves the web pages of one controller: what it knows, what it has published to whom, and why. The
+// pages are read-only; requests other than GET and HEAD are rejected.
 //
-// Guarantees: a page is made from one immutable view and never waits for the governor, so that it stays readable while
-// the governor is overloaded; the age of what it shows is on it. Requests in work and live streams are bounded, each
-// with a write deadline, so that viewers who never read cost a goroutine for some seconds and nothing else. Names from
-// outside are escaped by html/template. Every page is JSON too, under the same address with ?as=json or Accept.
+// A page is made from one immutable view and never waits for the event loop, so that it stays readable while the
+// controller is overloaded; it states the age of the view. The pages in progress and the live streams are bounded,
+// and each has a write deadline, so that a viewer who does not read costs a goroutine for some seconds and nothing
+// else. Names from outside are escaped by html/template. Every page is also available as JSON, by ?as=json or the
+// Accept header; its keys and values are an interface and stay as they are.
 //
-// Caveats: there is no login; it listens where the file says, loopback unless told. The time line goes back 15 minutes,
-// the orders as far as the host's ring of causes.
+// There is no login: the console listens where the configuration says, on loopback by default. The time series go
+// back 15 minutes; the decision log goes back as far as its source does.
+//
+// Each page has a file of its own: overview.go, replicas.go, proxies.go, tables.go, zones.go, decisions.go,
+// settings.go, previous.go and cluster.go, with its template in templates/.
 package console
--- /dev/null
+++ b/internal/console/json_golden_test.go
@@ -0,0 +1,252 @@
+package console
+
+import (
+	"bytes"
+	"flag"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"peppervale/internal/balancer"
+	"peppervale/internal/cluster"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+)
+
+var update = flag.Bool("update", false, "write the golden pages in testdata anew")
+
+// fixedSource is a Source that never changes. Its values differ, so that each page shows where a value comes from.
+type fixedSource struct{ view *controller.View }
+
+func (s fixedSource) View() *controller.View         { return s.view }
+func (s fixedSource) DetailedView() *controller.View { return s.view }
+
+func (s fixedSource) Stats() pubsub.Stats {
+	return pubsub.Stats{
+		Forwarders: 1, Observers: 2, Connections: 3, Version: 4, Queue: 5, QueueMost: 6, Messages: 7, Lines: 8,
+		Bytes: 9, Folds: 10, Resyncs: 11, Faults: 12, Replaced: 13, Deferred: 14, Shed: 15, Storms: 16, Unsent: 17,
+		PutOff: 18, Moved: 19, Fenced: 20,
+	}
+}
+
+func (s fixedSource) Decisions(limit int, match func(*controller.Decision) bool) []controller.Decision {
+	decisions := []controller.Decision{
+		{
+			At: 97 * model.Second, Number: 3, Incarnation: 21, Inputs: []string{"timer"},
+			Reasons: []string{"withdrew 10.0.0.1:81"}, Updates: []string{"table 6: 10.0.0.1:81 weighs 0.5"},
+			OmittedUpdates: 22,
+		},
+		{
+			At: 96 * model.Second, Number: 2, Incarnation: 20, Inputs: []string{"joined till-1"},
+			Reasons: []string{"gate open"}, Updates: []string{"forwarder 7 on table 6"},
+			OmittedUpdates: 23,
+		},
+	}
+	var found []controller.Decision
+	for _, decision := range decisions {
+		if match(&decision) && len(found) < limit {
+			found = append(found, decision)
+		}
+	}
+	return found
+}
+
+var (
+	firstReplica  = model.ReplicaID{Addr: [4]byte{10, 0, 0, 1}, Port: 81}
+	secondReplica = model.ReplicaID{Addr: [4]byte{10, 0, 0, 2}, Port: 82}
+)
+
+// fixedView returns a view with every field set.
+func fixedView(safeModeEnded bool) *controller.View {
+	detail := &controller.Detail{
+		At:       99_500_000,
+		Balancer: fixedBalancerView(safeModeEnded),
+		Proxies: map[model.ProxyID]controller.Proxy{
+			7: {Name: "till-1", Zone: 1, ExpectedRate: 73, OnStandingTable: true, ConnectedAt: 89 * model.Second},
+		},
+		Endpoints: map[model.ReplicaID]model.Endpoint{
+			firstReplica: {
+				ID: firstReplica, Zone: 1, Status: model.EndpointReady, StartedAt: 94 * model.Second,
+			},
+			secondReplica: {
+				ID: secondReplica, Zone: 0, Status: model.EndpointDraining, StartedAt: 88 * model.Second,
+			},
+		},
+	}
+	return &controller.View{
+		At: 99_600_000, SafeModeEnded: safeModeEnded, ConnectedProxies: 81, ReadyReplicas: 82, ListedReplicas: 83,
+		EndpointsAt: 87 * model.Second, Steps: 84, LongestStep: 85, PendingReports: 86, MergedReports: 87,
+		Detail: detail,
+	}
+}
+
+func fixedBalancerView(safeModeEnded bool) *balancer.View {
+	return &balancer.View{
+		SafeModeEnded: safeModeEnded, UnreportedReplicas: []model.ReplicaID{secondReplica}, Saturation: 0.31,
+		NormalizedLatency: 0.32, WarmingFraction: 0.33, UnackedEntries: 34, Quotas: []float64{0.35, 0.36},
+		RetryPolicy: model.RetryOnAnyFailure,
+		Replicas: []balancer.ReplicaView{
+			{
+				ID: firstReplica, Zone: 1, State: "resting", Withdrawn: true, WarmingUp: true,
+				WithdrawnAt: 91 * model.Second, ReportedAt: 92 * model.Second, UtilizationAt: 93 * model.Second,
+				StartedAt: 94 * model.Second, SlowStartAt: 95 * model.Second, Utilization: 0.41,
+				NormalizedLatency: 0.42, SlowStartFactor: 0.43, RequestRate: 44, ErrorRate: 0.45, Entries: 46,
+				Ejections: 47,
+			},
+			{
+				ID: secondReplica, Zone: 0, State: "serving", ReportedAt: 98 * model.Second,
+				UtilizationAt: 99 * model.Second, Utilization: 0.51, NormalizedLatency: 0.52, SlowStartFactor: 0.53,
+				RequestRate: 54, ErrorRate: 0.55, Entries: 56, Ejections: 57,
+			},
+		},
+		Tables: []balancer.TableView{{
+			ID: 6, Zone: 1, ExpectedRate: 61, Proxies: 62,
+			Entries: []balancer.EntryView{
+				{Replica: firstReplica, Weight: 0.63},
+				{Replica: secondReplica, Weight: 0.64},
+			},
+		}},
+		Proxies: []balancer.ProxyView{{
+			ID: 7, Zone: 1, ExpectedRate: 71, Table: 6, UnackedMessages: 72, OldestUnackedAt: 90 * model.Second,
+		}},
+	}
+}
+
+// fixedClusterStatus returns a status with every field set.
+func fixedClusterStatus() cluster.Status {
+	return cluster.Status{
+		Member: "govan-1", Leader: secondMember, Term: 4, AppliedIndex: 5, Fault: "no majority",
+		LeaseDuration: 2_000_000, MaxClockDrift: 30_000,
+		Members: []cluster.MemberStatus{{
+			Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Capacity: 100.5, Voter: true, SeemsAlive: true,
+			Draining: true, Removed: true, Incarnation: 6, Shards: 7, Load: 8.5,
+		}},
+		Shards: []cluster.ShardStatus{{
+			Number: 9, Zone: "govan", Holder: "govan-1", Target: secondMember, Pinned: true, Epoch: 10, Load: 11.5,
+			HeldHere: true, LeaseRemaining: 1_200_000, WaitReason: "waits for " + secondMember,
+		}},
+		Takeovers: []cluster.Event{
+			{
+				At: 13, Leader: secondMember, Shard: 9, Epoch: 10, From: secondMember, To: "govan-1", Planned: true,
+				Reason: "its member leaves",
+			},
+			{
+				At: 14, Leader: "govan-1", Shard: 15, Epoch: 16, From: "govan-1", To: secondMember, Planned: true,
+				Reason: "evener",
+			},
+		},
+	}
+}
+
+// fixedPreviousSnapshot is what the previous incarnation published, as it is stored.
+const fixedPreviousSnapshot = `{"kind":"snapshot","life":24,"version":25,` +
+	`"tables":{"6":[{"replica":"10.0.0.1:81","weight":0.26}]},"withdrawn":["10.0.0.2:82"],` +
+	`"levels":[{"operations":3,"share":0.27,"way":2}],"forwarders":{"till-1":"6","till-2":""}}`
+
+// fixedServers returns servers with every value set, without and in safe mode, and one that has neither a cluster
+// nor a previous incarnation.
+func fixedServers() (started, inSafeMode, alone *Server) {
+	instance := Instance{
+		Name:             "govan-1",
+		Incarnation:      26,
+		Zones:            []string{"govan", secondZone},
+		Operations:       []string{"recipe-read", "recipe-write"},
+		Settings:         func() [][2]string { return [][2]string{{"listen", "127.0.0.1:7700"}} },
+		PreviousSnapshot: []byte(fixedPreviousSnapshot),
+		QueueLimit:       100,
+		Now:              func() model.Microseconds { return 100 * model.Second },
+		Cluster:          fixedClusterStatus,
+	}
+	started = &Server{instance: instance, source: fixedSource{fixedView(true)}}
+	inSafeMode = &Server{instance: instance, source: fixedSource{fixedView(false)}}
+	instance.Cluster = nil
+	instance.PreviousSnapshot = nil
+	alone = &Server{instance: instance, source: fixedSource{fixedView(true)}}
+	return started, inSafeMode, alone
+}
+
+// TestPagesAsJSON compares each page's JSON with the bytes that programs parse today: its keys must not change.
+func TestPagesAsJSON(t *testing.T) {
+	started, inSafeMode, alone := fixedServers()
+	for _, test := range []struct {
+		file   string
+		server *Server
+		path   string
+	}{
+		{"overview.json", inSafeMode, "/"},
+		{"overview_open.json", started, "/"},
+		{"zones.json", started, "/zones"},
+		{"replicas.json", started, "/replicas"},
+		{"replica.json", started, "/replicas/10.0.0.1:81"},
+		{"forwarders.json", started, "/forwarders"},
+		{"forwarder.json", started, "/forwarders/till-1"},
+		{"tables.json", started, "/tables"},
+		{"table.json", started, "/tables/6"},
+		{"orders.json", started, "/orders"},
+		{"orders_about.json", started, "/orders?about=gate"},
+		{"settings.json", started, "/settings"},
+		{"before.json", started, "/before"},
+		{"before_unknown.json", alone, "/before"},
+		{"group.json", started, "/group"},
+		{"group_alone.json", alone, "/group"},
+	} {
+		t.Run(test.file, func(t *testing.T) {
+			request := httptest.NewRequest(http.MethodGet, test.path, nil)
+			request.Header.Set("Accept", "application/json")
+			response := httptest.NewRecorder()
+			test.server.serve(response, request)
+			if response.Code != http.StatusOK || response.Header().Get("Content-Type") != "application/json" {
+				t.Fatalf("%s: %d %s", test.path, response.Code, response.Body)
+			}
+			checkGolden(t, filepath.Join("testdata", test.file), response.Body.Bytes())
+		})
+	}
+}
+
+// TestPagesAsHTML shows that each page's template fits its view model, with every field set and with none.
+func TestPagesAsHTML(t *testing.T) {
+	started, inSafeMode, alone := fixedServers()
+	paths := []string{
+		"/", "/zones", "/replicas", "/replicas/10.0.0.1:81", "/forwarders", "/forwarders/till-1", "/tables", "/tables/6",
+		"/orders", "/settings", "/before", "/group",
+	}
+	for name, server := range map[string]*Server{"started": started, "in safe mode": inSafeMode, "alone": alone} {
+		for _, path := range paths {
+			t.Run(name+path, func(t *testing.T) {
+				response := httptest.NewRecorder()
+				server.serve(response, httptest.NewRequest(http.MethodGet, path, nil))
+				text := response.Body.String()
+				if response.Code != http.StatusOK || !strings.Contains(text, "</html>") {
+					t.Errorf("%d %s", response.Code, text)
+				}
+			})
+		}
+	}
+}
+
+// checkGolden reports bytes that differ from the golden file. With -update it writes them to the file before.
+func checkGolden(t *testing.T, file string, got []byte) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	checkPinned(t, file, got)
+}
+
+// checkPinned reports bytes that differ from a golden file that is never written anew.
+func checkPinned(t *testing.T, file string, got []byte) {
+	t.Helper()
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+	}
+}
--- /dev/null
+++ b/internal/console/live.go
@@ -0,0 +1,80 @@
+package console
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"peppervale/internal/console/httpserver"
+)
+
+const (
+	// maxStreams bounds the live streams that are open at the same time.
+	maxStreams = 256
+
+	// streamInterval is the time between two lines of a live stream.
+	streamInterval = time.Second
+)
+
+// serveLive streams a short line every second as server-sent events. A viewer that does not read is disconnected at
+// the write deadline.
+func (s *Server) serveLive(w http.ResponseWriter, r *http.Request) {
+	if !s.openStream() {
+		w.Header().Set("Retry-After", "5")
+		httpserver.WriteText(w, http.StatusServiceUnavailable, "many viewers hold live streams; reload by hand")
+		return
+	}
+	defer s.closeStream()
+	w.Header().Set("Content-Type", "text/event-stream")
+	w.Header().Set("Cache-Control", "no-store")
+	control := http.NewResponseController(w)
+	ticker := time.NewTicker(streamInterval)
+	defer ticker.Stop()
+	for {
+		// A connection without deadlines is served all the same.
+		_ = control.SetWriteDeadline(time.Now().Add(httpserver.WriteTimeout))
+		if _, err := fmt.Fprintf(w, "data: %s\n\n", s.liveLine()); err != nil {
+			return
+		}
+		if err := control.Flush(); err != nil {
+			return
+		}
+		select {
+		case <-ticker.C:
+		case <-r.Context().Done():
+			return
+		case <-s.http.Done():
+			return
+		}
+	}
+}
+
+// openStream reports whether another stream may be open, and counts it.
+func (s *Server) openStream() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.streams >= maxStreams {
+		return false
+	}
+	s.streams++
+	return true
+}
+
+func (s *Server) closeStream() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.streams--
+}
+
+// liveLine describes the present state. Its words are served to programs too and stay as they are.
+func (s *Server) liveLine() string {
+	stats := s.source.Stats()
+	now := s.instance.Now()
+	line := fmt.Sprintf("%d forwarders, version %d, %d lines wait", stats.Forwarders, stats.Version, stats.Queue)
+	view := s.source.View()
+	if view == nil {
+		return line
+	}
+	return line + fmt.Sprintf(", gate %s, %d of %d replicas ready, last step %s",
+		gateName(view.SafeModeEnded), view.ReadyReplicas, view.ListedReplicas, FormatAge(now, view.At))
+}
--- /dev/null
+++ b/internal/console/live_test.go
@@ -0,0 +1,32 @@
+package console
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+)
+
+func TestLiveStream(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	response, err := http.Get("http://" + f.console.Addr() + "/live")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeBody(t, response)
+	buffer := make([]byte, 300)
+	n, err := response.Body.Read(buffer)
+	want := "data: 3 forwarders, version 7, 12 lines wait, gate open, 6 of 6 replicas ready"
+	if err != nil || !strings.HasPrefix(string(buffer[:n]), want) {
+		t.Fatalf("%q, %v", buffer[:n], err)
+	}
+}
+
+func TestLiveStreamsAreBounded(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	f.console.mu.Lock()
+	f.console.streams = maxStreams
+	f.console.mu.Unlock()
+	if status, text, _ := f.get("/live"); status != 503 || !strings.Contains(text, "reload by hand") {
+		t.Fatalf("%d %s", status, text)
+	}
+}
--- a/internal/console/metrics.go
+++ b/internal/console/metrics.go
@@ -12,79 +12,128 @@
 	"peppervale/internal/pubsub"
 )
 
-// figures are what /metrics tells, each read from the figures that the pages read. A counter only grows within a life.
-var figures = []struct {
-	name, help string
-	kind       prometheus.ValueType
-	of         func(pubsub.Stats, *controller.View, model.Microseconds) float64
-}{
-	{"forwarders", "Forwarders joined.", prometheus.GaugeValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Forwarders) }},
-	{"connections", "Connections open on the channel.", prometheus.GaugeValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Connections) }},
-	{"version", "Version published.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Version) }},
-	{"queue_lines", "Lines that wait for the channel's pace.", prometheus.GaugeValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Queue) }},
-	{"unsent_bytes", "Bytes that wait for peers to read them.", prometheus.GaugeValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Unsent) }},
-	{"messages_total", "Messages sent to forwarders.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Messages) }},
-	{"lines_total", "Lines sent to forwarders, by cost.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Lines) }},
-	{"snapshot_folds_total", "Slow readers whose changes were folded.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Folds) }},
-	{"resyncs_total", "Snapshots asked for by forwarders.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Resyncs) }},
-	{"faults_total", "Connections ended for what came over them.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Faults) }},
-	{"joins_deferred_total", "Joins put off.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.Deferred) }},
-	{"peers_put_off_total", "Peers put off for sending too many commands.", prometheus.CounterValue, func(s pubsub.Stats, _ *controller.View, _ model.Microseconds) float64 { return float64(s.PutOff) }},
-	{"gate_open", "1 while the gate is open.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 {
-		if v.SafeModeEnded {
-			return 1
-		}
-		return 0
-	}},
-	{"replicas_ready", "Replicas listed as ready.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 {
-		return float64(v.ReadyReplicas)
-	}},
-	{"list_age_seconds", "Since a whole machine list came; -1: none in this life.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, now model.Microseconds) float64 {
-		if v.EndpointsAt == 0 {
-			return -1
-		}
-		return (now - v.EndpointsAt).Duration().Seconds()
-	}},
-	{"sum_folds_total", "Sums folded because the decisions take no more.", prometheus.CounterValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 {
-		return float64(v.MergedReports)
-	}},
-	{"steps_total", "Steps taken.", prometheus.CounterValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 { return float64(v.Steps) }},
-	{"worst_step_seconds", "The longest step of this life.", prometheus.GaugeValue, func(_ pubsub.Stats, v *controller.View, _ model.Microseconds) float64 {
-		return v.LongestStep.Duration().Seconds()
-	}},
+const (
+	metricsPrefix  = "peppervale_"
+	metricsTimeout = 2 * time.Second
+)
+
+// metricsState is what the metrics of one scrape are read from.
+type metricsState struct {
+	stats pubsub.Stats
+	view  *controller.View
+	now   model.Microseconds
+}
+
+// metric is a metric without labels of its own. Its name, type and help text are an interface and stay as they are.
+type metric struct {
+	name  string
+	help  string
+	kind  prometheus.ValueType
+	value func(state metricsState) float64
+}
+
+func gauge(name, help string, value func(metricsState) float64) metric {
+	return metric{name: name, help: help, kind: prometheus.GaugeValue, value: value}
+}
+
+// counter is a metric that only grows within an incarnation.
+func counter(name, help string, value func(metricsState) float64) metric {
+	return metric{name: name, help: help, kind: prometheus.CounterValue, value: value}
+}
+
+var channelMetrics = []metric{
+	gauge("forwarders", "Forwarders joined.",
+		func(m metricsState) float64 { return float64(m.stats.Forwarders) }),
+	gauge("connections", "Connections open on the channel.",
+		func(m metricsState) float64 { return float64(m.stats.Connections) }),
+	counter("version", "Version published.",
+		func(m metricsState) float64 { return float64(m.stats.Version) }),
+	gauge("queue_lines", "Lines that wait for the channel's pace.",
+		func(m metricsState) float64 { return float64(m.stats.Queue) }),
+	gauge("unsent_bytes", "Bytes that wait for peers to read them.",
+		func(m metricsState) float64 { return float64(m.stats.Unsent) }),
+	counter("messages_total", "Messages sent to forwarders.",
+		func(m metricsState) float64 { return float64(m.stats.Messages) }),
+	counter("lines_total", "Lines sent to forwarders, by cost.",
+		func(m metricsState) float64 { return float64(m.stats.Lines) }),
+	counter("snapshot_folds_total", "Slow readers whose changes were folded.",
+		func(m metricsState) float64 { return float64(m.stats.Folds) }),
+	counter("resyncs_total", "Snapshots asked for by forwarders.",
+		func(m metricsState) float64 { return float64(m.stats.Resyncs) }),
+	counter("faults_total", "Connections ended for what came over them.",
+		func(m metricsState) float64 { return float64(m.stats.Faults) }),
+	counter("joins_deferred_total", "Joins put off.",
+		func(m metricsState) float64 { return float64(m.stats.Deferred) }),
+	counter("peers_put_off_total", "Peers put off for sending too many commands.",
+		func(m metricsState) float64 { return float64(m.stats.PutOff) }),
+}
+
+var controllerMetrics = []metric{
+	gauge("gate_open", "1 while the gate is open.",
+		func(m metricsState) float64 { return oneIf(m.view.SafeModeEnded) }),
+	gauge("replicas_ready", "Replicas listed as ready.",
+		func(m metricsState) float64 { return float64(m.view.ReadyReplicas) }),
+	gauge("list_age_seconds", "Since a whole machine list came; -1: none in this life.",
+		endpointListAge),
+	counter("sum_folds_total", "Sums folded because the decisions take no more.",
+		func(m metricsState) float64 { return float64(m.view.MergedReports) }),
+	counter("steps_total", "Steps taken.",
+		func(m metricsState) float64 { return float64(m.view.Steps) }),
+	gauge("worst_step_seconds", "The longest step of this life.",
+		func(m metricsState) float64 { return m.view.LongestStep.Duration().Seconds() }),
+}
+
+func oneIf(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
+
+// endpointListAge returns the seconds since a full endpoint list was received, or -1 if none was.
+func endpointListAge(state metricsState) float64 {
+	if state.view.EndpointsAt == 0 {
+		return -1
+	}
+	return (state.now - state.view.EndpointsAt).Duration().Seconds()
 }
 
-// collector reads the figures when they are asked for.
-type collector struct {
-	about Instance
-	from  Source
-	descs []*prometheus.Desc
+// metricsCollector reads the metrics when they are scraped.
+type metricsCollector struct {
+	instance     Instance
+	source       Source
+	metrics      []metric
+	descriptions []*prometheus.Desc // by the place of their metrics
 }
 
-func newMetrics(about Instance, from Source) http.Handler {
-	c := &collector{about: about, from: from}
-	for _, f := range figures {
-		c.descs = append(c.descs, prometheus.NewDesc("peppervale_"+f.name, f.help, nil, prometheus.Labels{"governor": about.Name}))
+func newMetricsHandler(instance Instance, source Source) http.Handler {
+	collector := &metricsCollector{instance: instance, source: source}
+	collector.metrics = append(collector.metrics, channelMetrics...)
+	collector.metrics = append(collector.metrics, controllerMetrics...)
+	labels := prometheus.Labels{"governor": instance.Name}
+	for _, metric := range collector.metrics {
+		description := prometheus.NewDesc(metricsPrefix+metric.name, metric.help, nil, labels)
+		collector.descriptions = append(collector.descriptions, description)
 	}
 	registry := prometheus.NewPedanticRegistry()
-	registry.MustRegister(c)
-	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{Timeout: 2 * time.Second, DisableCompression: true})
+	registry.MustRegister(collector)
+	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{Timeout: metricsTimeout, DisableCompression: true})
 }
 
-// Describe is prometheus.Collector's.
-func (c *collector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range c.descs {
-		to <- d
+// Describe implements prometheus.Collector.
+func (c *metricsCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	for _, description := range c.descriptions {
+		descriptions <- description
 	}
 }
 
-// Collect is prometheus.Collector's. It does not ask for a look.
-func (c *collector) Collect(to chan<- prometheus.Metric) {
-	st, v, now := c.from.Stats(), c.from.View(), c.about.Now()
-	if v == nil {
-		v = &controller.View{}
+// Collect implements prometheus.Collector. It does not ask for a detailed view.
+func (c *metricsCollector) Collect(values chan<- prometheus.Metric) {
+	state := metricsState{stats: c.source.Stats(), view: c.source.View(), now: c.instance.Now()}
+	if state.view == nil {
+		state.view = &controller.View{}
 	}
-	for i, f := range figures {
-		to <- prometheus.MustNewConstMetric(c.descs[i], f.kind, f.of(st, v, now))
+	for i, metric := range c.metrics {
+		values <- prometheus.MustNewConstMetric(c.descriptions[i], metric.kind, metric.value(state))
 	}
 }
--- /dev/null
+++ b/internal/console/overload_test.go
@@ -0,0 +1,90 @@
+package console
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"peppervale/internal/codec/pubsubmsg"
+	"peppervale/internal/model"
+)
+
+const (
+	// overloadViewers is the number of viewers who open a live stream and do not read it.
+	overloadViewers = 200
+
+	maxPageTime = 3 * time.Second
+)
+
+// TestPagesWhileOverloaded shows that pages stay right and quick while the controller is given ten times the load
+// reports and joins that it can process, each batch takes the channel 50 ms, and most of 200 viewers do not read.
+func TestPagesWhileOverloaded(t *testing.T) {
+	fixture := startFixture(t, 300, 50*time.Millisecond)
+	stop := make(chan struct{})
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		fixture.flood(stop)
+	}()
+	defer func() {
+		close(stop)
+		<-stopped
+	}()
+	for range overloadViewers {
+		fixture.openUnreadStream()
+	}
+	var slowest time.Duration
+	for range 3 {
+		for _, path := range sections {
+			status, text, took := fixture.get(path)
+			if status != 200 || !strings.Contains(text, "state as of") {
+				t.Fatalf("%s: %d\n%.300s", path, status, text)
+			}
+			slowest = max(slowest, took)
+		}
+	}
+	t.Logf("slowest page %s; %d load reports were merged", slowest, fixture.controller.View().MergedReports)
+	if slowest > maxPageTime {
+		t.Fatalf("a page took %s", slowest)
+	}
+}
+
+// flood reports on all replicas and has a proxy join every millisecond, until stop is closed.
+func (f *consoleFixture) flood(stop <-chan struct{}) {
+	for n := 0; ; n++ {
+		select {
+		case <-stop:
+			return
+		case <-time.After(time.Millisecond):
+		}
+		var reports []model.LoadReport
+		for replica := range 300 {
+			reports = append(reports, model.LoadReport{
+				Replica: replicaID(replica), Attempts: 3, MeanLatency: 100_000, Window: model.Second,
+			})
+		}
+		f.controller.LoadReported(n%2, reports)
+		proxy := model.ProxyID(10 + n%500)
+		join := pubsubmsg.Join{Name: fmt.Sprint("flood-", proxy), ExpectedRate: 1}
+		f.controller.ProxyConnected(proxy, uint64(1000+n), join, n%2)
+	}
+}
+
+// openUnreadStream opens a live stream that is never read, until the test ends.
+func (f *consoleFixture) openUnreadStream() {
+	f.t.Helper()
+	connection, err := net.Dial("tcp", f.console.Addr())
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(func() {
+		if err := connection.Close(); err != nil {
+			f.t.Error(err)
+		}
+	})
+	if _, err := fmt.Fprintf(connection, "GET /live HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+		f.t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/console/pages_test.go
@@ -0,0 +1,143 @@
+package console
+
+import (
+	"encoding/json"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// asJSON returns the path of a page in JSON.
+func asJSON(path string) string {
+	if strings.Contains(path, "?") {
+		return path + "&as=json"
+	}
+	return path + "?as=json"
+}
+
+// TestPagesInBothFormats shows that every page is HTML and JSON, and states the age of its view.
+func TestPagesInBothFormats(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	for _, path := range sections {
+		status, text, _ := f.get(path)
+		if status != 200 || !strings.Contains(text, "state as of") || !strings.Contains(text, "</html>") {
+			t.Errorf("%s: %d\n%s", path, status, text)
+		}
+		status, text, _ = f.get(asJSON(path))
+		var page struct {
+			Governor string
+			Life     int
+			Body     any
+		}
+		err := json.Unmarshal([]byte(text), &page)
+		if status != 200 || err != nil || page.Governor != "govan-1" || page.Life != 3 || page.Body == nil {
+			t.Errorf("%s as JSON: %d, %v\n%s", path, status, err, text)
+		}
+	}
+}
+
+func TestPlots(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	for name := range plots {
+		if status, text, _ := f.get("/plot/" + name); status != 200 || !strings.Contains(text, "<svg") {
+			t.Errorf("plot %s: %d", name, status)
+		}
+	}
+}
+
+func TestReplicasShowTheirStates(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	status, text, _ := f.get("/replicas?as=json")
+	if status != 200 || strings.Count(text, `"state": "serving"`) != 6 {
+		t.Errorf("replicas: %s", text)
+	}
+}
+
+func TestProxyShowsDecisionsAboutItsTable(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	status, text, _ := f.get("/forwarders/till?as=json")
+	if status != 200 || !strings.Contains(text, "on table") || !strings.Contains(text, "joined till") {
+		t.Errorf("decisions that led to the proxy's table: %s", text)
+	}
+}
+
+// TestHostileNames shows that names from outside are shown as text, whatever they contain.
+func TestHostileNames(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	hostilePaths := []string{
+		"/forwarders/" + "%3Cscript%3Ealert(1)%3C%2Fscript%3E&%22'",
+		"/orders?about=%3Cscript%3E",
+	}
+	for _, path := range append(hostilePaths, sections...) {
+		_, text, _ := f.get(path)
+		if strings.Contains(text, "<script>alert") || strings.Contains(text, `value="<script>`) {
+			t.Errorf("%s contains markup from outside", path)
+		}
+	}
+	status, text, _ := f.get("/forwarders")
+	if status != 200 || !strings.Contains(text, "&lt;script&gt;") || !strings.Contains(text, longName) {
+		t.Errorf("a name is missing: %s", text)
+	}
+}
+
+func TestPathsThatDoNotExist(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	for path, want := range map[string]int{
+		"/nope":                         404,
+		"/replicas/127.0.0.99:80":       404,
+		"/replicas/../../etc/passwd":    404,
+		"/forwarders/%2e%2e":            404,
+		"/tables/x":                     404,
+		"/plot/x.svg":                   404,
+		"/zones/govan":                  404,
+		"/" + strings.Repeat("x", 2000): 414,
+	} {
+		if status, text, _ := f.get(path); status != want || strings.Contains(text, "<html") {
+			t.Errorf("%s: %d %s", path, status, text)
+		}
+	}
+}
+
+func TestChangesAreRejected(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	response, err := http.Post("http://"+f.console.Addr()+"/", "text/plain", strings.NewReader("x"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeBody(t, response)
+	if response.StatusCode != http.StatusMethodNotAllowed {
+		t.Fatalf("a change is accepted: %d", response.StatusCode)
+	}
+}
+
+// TestDetailsAreCopiedForPagesOnly shows that neither samples nor readiness checks ask for detailed views.
+func TestDetailsAreCopiedForPagesOnly(t *testing.T) {
+	f := startFixture(t, 6, 0)
+	for range 3 {
+		f.console.takeSample()
+		// No full endpoint list was received in this incarnation.
+		if status, _, _ := f.get("/ready"); status != 503 {
+			t.Fatalf("ready responds %d", status)
+		}
+	}
+	f.awaitSteps(5)
+	if f.controller.View().Detail != nil {
+		t.Fatal("details are copied although nobody views a page")
+	}
+	if status, _, _ := f.get("/"); status != 200 || f.controller.View().Detail == nil {
+		t.Fatal("a page does not ask for details")
+	}
+}
+
+// awaitSteps waits until the event loop has taken a number of further steps.
+func (f *consoleFixture) awaitSteps(steps uint64) {
+	f.t.Helper()
+	target := f.controller.View().Steps + steps
+	for deadline := time.Now().Add(10 * time.Second); f.controller.View().Steps < target; {
+		if time.Now().After(deadline) {
+			f.t.Fatal("the event loop takes no steps")
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
--- /dev/null
+++ b/internal/console/server.go
@@ -0,0 +1,119 @@
+package console
+
+import (
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"peppervale/internal/cluster"
+	"peppervale/internal/console/httpserver"
+	"peppervale/internal/controller"
+	"peppervale/internal/model"
+	"peppervale/internal/pubsub"
+)
+
+const (
+	// maxRows bounds the rows of a page's table.
+	maxRows = 5000
+
+	// sampleInterval is the time between two points of a time series.
+	sampleInterval = time.Second
+)
+
+// Source is what the console shows; the server provides it from the controller and the channel.
+type Source interface {
+	// View returns the newest view at no cost. It is nil before the first step of the event loop.
+	View() *controller.View
+	// DetailedView is View and has the event loop include the details in its next views.
+	DetailedView() *controller.View
+	// Decisions returns up to limit decisions that match, the newest first.
+	Decisions(limit int, match func(*controller.Decision) bool) []controller.Decision
+	Stats() pubsub.Stats
+}
+
+// Instance is what does not change while a controller runs.
+type Instance struct {
+	Name        string
+	Incarnation uint64
+	Zones       []string
+	Operations  []string
+	// Settings returns the names and values of the settings in force, in the order of the configuration file.
+	Settings func() [][2]string
+	// PreviousSnapshot is what the previous incarnation published last, a pubsub.Snapshot as JSON; nil if unknown.
+	PreviousSnapshot []byte
+	QueueLimit       int // entries
+	Now              func() model.Microseconds
+	// Cluster returns the status of the cluster; nil for a controller that is not a member of one.
+	Cluster func() cluster.Status
+}
+
+// Server serves one controller's pages. It is created by Listen.
+type Server struct {
+	instance Instance
+	source   Source
+	http     *httpserver.Server
+	metrics  http.Handler
+	sampling sync.WaitGroup
+
+	mu      sync.Mutex
+	samples []sample
+	streams int // open live streams
+}
+
+// Listen opens the address and serves until Close. Errors are those of the address.
+func Listen(address string, instance Instance, source Source) (*Server, error) {
+	s := &Server{instance: instance, source: source, metrics: newMetricsHandler(instance, source)}
+	var err error
+	s.http, err = httpserver.Listen(address, s.serve, s.serveLive)
+	if err != nil {
+		return nil, err
+	}
+	s.sampling.Add(1)
+	go s.collectSamples()
+	return s, nil
+}
+
+// Addr returns the address that the console listens on.
+func (s *Server) Addr() string {
+	return s.http.Addr()
+}
+
+// Close ends the server and its live streams.
+func (s *Server) Close() {
+	s.http.Close()
+	s.sampling.Wait()
+}
+
+// serve serves everything but the live stream.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
+	section, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	switch {
+	case section == "plot":
+		s.servePlot(w, name)
+	case section == "ready" && name == "":
+		s.serveReadiness(w)
+	case section == "metrics" && name == "":
+		s.metrics.ServeHTTP(w, r)
+	default:
+		s.servePage(w, r, section, name)
+	}
+}
+
+// serveReadiness responds to health checks: ready once safe mode has ended and a full endpoint list was received.
+func (s *Server) serveReadiness(w http.ResponseWriter) {
+	view := s.source.View()
+	switch {
+	case view == nil || !view.SafeModeEnded:
+		httpserver.WriteText(w, http.StatusServiceUnavailable, "safe mode: load reports are awaited")
+	case view.EndpointsAt == 0:
+		httpserver.WriteText(w, http.StatusServiceUnavailable, "no endpoint list was received in this incarnation")
+	default:
+		httpserver.WriteText(w, http.StatusOK, "ready")
+	}
+}
+
+// zoneName returns the name of a zone, or its number if it has none.
+func (s *Server) zoneName(zone int) string {
+	return nameOf(s.instance.Zones, zone)
+}
