--- a/internal/balancer/golden_view_test.go
+++ b/internal/balancer/golden_view_test.go
@@ -49,7 +49,7 @@
 		fmt.Sprintf("times %d %d %d %d %d", int64(r.WithdrawnAt), int64(r.ReportedAt), int64(r.UtilizationAt),
 			int64(r.StartedAt), int64(r.SlowStartAt)),
 		fmt.Sprintf("figures %s %s %s %s %s", bits(r.Utilization), bits(r.NormalizedLatency), bits(r.SlowStartFactor),
-			bits(r.RequestRate), bits(r.ErrorRate)),
+			bits(r.AttemptRate), bits(r.ErrorRate)),
 		fmt.Sprintf("counts %d %d", r.Entries, r.Ejections),
 	}
 }
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -36,7 +36,7 @@
 	Utilization       float64 // share of its cores in use
 	NormalizedLatency float64 // time of good attempts over the latency objective
 	SlowStartFactor   float64 // of its full weight
-	RequestRate       float64 // attempts a second, over about ten reports
+	AttemptRate       float64 // attempts a second, over about ten reports
 	ErrorRate         float64 // share of errors, over about ten reports
 	Entries           int     // in tables
 	Ejections         int     // in a row
@@ -123,7 +123,7 @@
 		Utilization:       source.load.utilization,
 		NormalizedLatency: source.load.normalizedLatency,
 		SlowStartFactor:   b.slowStartFactor(source),
-		RequestRate:       source.load.recent.rate() * float64(model.Second),
+		AttemptRate:       source.load.recent.rate() * float64(model.Second),
 		ErrorRate:         source.load.recent.errorRate(),
 		Entries:           len(source.entries),
 		Ejections:         source.ejections,
--- a/internal/benchmark/idle.go
+++ b/internal/benchmark/idle.go
@@ -105,7 +105,7 @@
 }
 
 func (c *idleCluster) open() error {
-	now := controller.Clock()
+	now := controller.NewClock()
 	for k, peer := range c.peers {
 		counter := &sendCounter{name: peer.Name}
 		member, err := cluster.Open(cluster.Config{
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	now := controller.Clock()
+	now := controller.NewClock()
 	return &testbed{now: now, engine: engine, loop: standin.NewLoop(now)}, nil
 }
 
--- a/internal/cli/cluster_status.go
+++ b/internal/cli/cluster_status.go
@@ -70,7 +70,7 @@
 }
 
 // writeTakeovers writes the last takeovers, if there were any.
-func writeTakeovers(table io.Writer, takeovers []cluster.Event) {
+func writeTakeovers(table io.Writer, takeovers []cluster.Takeover) {
 	if len(takeovers) == 0 {
 		return
 	}
@@ -114,7 +114,7 @@
 }
 
 // takeoverKind describes how a shard came to its holder.
-func takeoverKind(takeover *cluster.Event) string {
+func takeoverKind(takeover *cluster.Takeover) string {
 	switch {
 	case takeover.From == "":
 		return "first"
--- a/internal/cli/cluster_status_test.go
+++ b/internal/cli/cluster_status_test.go
@@ -34,14 +34,14 @@
 }
 
 // takeoversFixture is one takeover more than are shown.
-func takeoversFixture() []cluster.Event {
-	all := []cluster.Event{
+func takeoversFixture() []cluster.Takeover {
+	all := []cluster.Takeover{
 		{Shard: 9, Epoch: 1, To: "too-old"},
 		{Shard: 0, Epoch: 1, To: "govan-1", Reason: "with nobody"},
 		{Shard: 1, Epoch: 2, From: "govan-1", To: "partick-1", Planned: true, Reason: "home"},
 	}
 	for epoch := uint64(3); epoch <= 10; epoch++ {
-		all = append(all, cluster.Event{Shard: 1, Epoch: epoch, From: "partick-1", To: "govan-1", Reason: "gone"})
+		all = append(all, cluster.Takeover{Shard: 1, Epoch: epoch, From: "partick-1", To: "govan-1", Reason: "gone"})
 	}
 	return all
 }
--- a/internal/cli/console.go
+++ b/internal/cli/console.go
@@ -30,7 +30,7 @@
 				address)
 		}
 	}
-	pages, err := comparison.Listen(c.Listen, c.Instances, controller.Clock())
+	pages, err := comparison.Listen(c.Listen, c.Instances, controller.NewClock())
 	if err != nil {
 		return err
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return fileError(err)
 	}
-	if err := controller.Check(settings.Balancer); err != nil {
+	if err := controller.CheckConfig(settings.Balancer); err != nil {
 		return NewInputError(err)
 	}
 	if c.Pretty {
--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	defer engine.Stop()
-	loop := standin.NewLoop(controller.Clock())
+	loop := standin.NewLoop(controller.NewClock())
 	defer loop.Stop()
 	load := &proxyLoad{settings: settings, loop: loop, random: standin.NewRandom(settings.seed, "load")}
 	loop.Do(func() {
--- a/internal/cli/standin_registry.go
+++ b/internal/cli/standin_registry.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	loop := standin.NewLoop(controller.Clock())
+	loop := standin.NewLoop(controller.NewClock())
 	defer loop.Stop()
 	var server *registry.Registry
 	loop.Do(func() { server, err = registry.New(loop, settings.listen, settings.service, ignoreObservation) })
--- a/internal/cli/standin_replica.go
+++ b/internal/cli/standin_replica.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	loop := standin.NewLoop(controller.Clock())
+	loop := standin.NewLoop(controller.NewClock())
 	defer loop.Stop()
 	var server *replica.Replica
 	loop.Do(func() {
--- a/internal/cluster/apply.go
+++ b/internal/cluster/apply.go
@@ -5,7 +5,7 @@
 	"peppervale/internal/model"
 )
 
-// reasonNewIncarnation is the reason of an Event that has no other. The replicated state holds its text, so it must
+// reasonNewIncarnation is the reason of a Takeover that has no other. The replicated state holds its text, so it must
 // stay the same in every version.
 const reasonNewIncarnation = "a new life of the same member"
 
@@ -37,10 +37,10 @@
 	}
 	for i, shard := range state.Shards {
 		if i >= len(c.Observations) {
-			shard.Lease.NewLeader(stamp)
+			shard.Lease.LeaderChanged(stamp)
 			continue
 		}
-		shard.Lease.NewLeaderWithObservation(lease.Observation(c.Observations[i]), stamp)
+		shard.Lease.LeaderChangedWithObservation(lease.Observation(c.Observations[i]), stamp)
 	}
 	for _, member := range state.Members {
 		member.RenewedAt = stamp - max(0, c.RenewalAges[member.Name])
@@ -110,7 +110,7 @@
 
 // recordTakeover remembers a grant in a new epoch.
 func (s *State) recordTakeover(shard *ShardState, previous lease.Holder, holder string, stamp model.Microseconds) {
-	event := Event{
+	event := Takeover{
 		At:      stamp,
 		Leader:  s.Leader,
 		Shard:   shard.Number,
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -30,7 +30,7 @@
 // Cluster is one running member. Make it with Open and end it with Close. Its methods may be called concurrently.
 type Cluster struct {
 	config    *Config
-	events    Events
+	events    LeaseListener
 	server    *portServer
 	node      *raftNode
 	gossip    *gossip
@@ -52,7 +52,7 @@
 
 // Open starts a member. Errors are those of its addresses and its directory; that other members cannot be reached is
 // none.
-func Open(config Config, events Events) (*Cluster, error) {
+func Open(config Config, events LeaseListener) (*Cluster, error) {
 	if err := os.MkdirAll(config.Directory, 0o755); err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
@@ -193,7 +193,8 @@
 	return sorted
 }
 
-// tick has the member decide, notifies Events of the leases that changed, and only then proposes what it decided.
+// tick has the member decide, notifies the LeaseListener of the leases that changed, and only then proposes what it
+// decided.
 func (c *Cluster) tick(readings *loadReadings) {
 	var alive map[string]bool
 	leads := c.node.isLeader()
@@ -295,7 +296,7 @@
 
 func (c *Cluster) applied(entry LogEntry, term uint64) {
 	c.mu.Lock()
-	c.member.Applied(entry, term, c.config.Now())
+	c.member.ApplyEntry(entry, term, c.config.Now())
 	c.mu.Unlock()
 	select {
 	case c.wake <- struct{}{}:
--- a/internal/cluster/commands_test.go
+++ b/internal/cluster/commands_test.go
@@ -75,7 +75,7 @@
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
 	undecodable := LogEntry{SchemaVersion: undecodableVersion, Command: unknownCommand{}}
-	sim.members[1].Applied(undecodable, sim.term, sim.now)
+	sim.members[1].ApplyEntry(undecodable, sim.term, sim.now)
 	sim.wantHeld(2, 0, 2)
 	var newer *NewerSchemaError
 	if _, err := sim.members[1].State().Encode(); !errors.As(err, &newer) || newer.Version != undecodableVersion {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -37,7 +37,7 @@
 	// Links lets tests and benchmarks cut links between members; nil: all are open.
 	Links Links
 	// Handover connects planned moves to the controller.
-	Handover HandoverHooks
+	Handover HandoverCallbacks
 	Log      zerolog.Logger
 
 	diskFault        func() error // set by tests: the error of each write to the log store, nil while it is writable
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// Events is notified, from one goroutine, of the leases that this member gains and loses.
-type Events interface {
+// LeaseListener is notified, from one goroutine, of the leases that this member gains and loses.
+type LeaseListener interface {
 	// LeaseGained says that this member holds a shard's lease from now on. A lease that was lost because its renewal
 	// came back late may be gained again in the same epoch: no other member held it meanwhile.
 	LeaseGained(shard int, epoch uint64)
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -26,8 +26,8 @@
 // maxLoggedReplicas bounds the withdrawn replicas that a log line names.
 const maxLoggedReplicas = 20
 
-// HandoverHooks are called at planned moves. A hook that is nil is left out.
-type HandoverHooks struct {
+// HandoverCallbacks are called at planned moves. A callback that is nil is left out.
+type HandoverCallbacks struct {
 	Export func() Handover // gives what this member knows; From and Shards are filled in
 	Import func(Handover)  // takes what another member knew
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -70,8 +70,8 @@
 // State is what the member knows to be committed; it is to be read under the caller's lock.
 func (m *Member) State() *State { return m.state }
 
-// Applied takes a committed entry of the log.
-func (m *Member) Applied(entry LogEntry, term uint64, now model.Microseconds) {
+// ApplyEntry takes a committed entry of the log.
+func (m *Member) ApplyEntry(entry LogEntry, term uint64, now model.Microseconds) {
 	_, announces := entry.Command.(LeaderElected)
 	if announces && entry.SchemaVersion <= m.state.supportedVersion {
 		m.state.Term = term
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -258,7 +258,7 @@
 	sim := newSimulation(t, 3)
 	sim.run(5 * model.Second)
 	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
-	sim.members[1].Applied(newer, sim.term, sim.now)
+	sim.members[1].ApplyEntry(newer, sim.term, sim.now)
 	sim.wantHeld(2, 0, 2)
 	if _, err := sim.members[1].State().Encode(); err == nil {
 		t.Error("a snapshot of what is not supported")
@@ -309,7 +309,7 @@
 	before := *member.state.Shards[0]
 	renewal := RenewLeases{Member: "m1", Incarnation: 1, Requests: []ShardRequest{{Shard: 0, Sequence: 9}}}
 	late := LogEntry{SchemaVersion: schemaVersion, At: sim.now + 3600*model.Second, Command: renewal}
-	member.Applied(late, sim.term-1, sim.now)
+	member.ApplyEntry(late, sim.term-1, sim.now)
 	if *member.state.Shards[0] != before {
 		t.Error("a stamp of a replaced leader's clock was taken")
 	}
--- a/internal/cluster/simulation_test.go
+++ b/internal/cluster/simulation_test.go
@@ -145,7 +145,7 @@
 func (s *simulation) deliver(m *simulatedMember) {
 	for ; !m.cut && !m.deaf && s.hasQuorum() && m.applied < len(s.log); m.applied++ {
 		committed := s.log[m.applied]
-		m.Applied(committed.entry, committed.term, m.clock(s))
+		m.ApplyEntry(committed.entry, committed.term, m.clock(s))
 	}
 }
 
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -33,9 +33,9 @@
 	NoProxies  bool        `cbor:"Empty"`  // it is held, and none of its proxies is connected to the holder
 }
 
-// Event is one takeover: a grant to another holder than before, or to another incarnation of it. Status gives it as
-// JSON; its tags are names that others read and must not change.
-type Event struct {
+// Takeover is a grant to another holder than before, or to another incarnation of it. Status gives it as JSON; its
+// tags are names that others read and must not change.
+type Takeover struct {
 	At      model.Microseconds `cbor:"At" json:"At"` // the leader's clock
 	Leader  string             `cbor:"Leader" json:"Leader"`
 	Shard   int                `cbor:"Part" json:"Part"`
@@ -60,7 +60,7 @@
 	Term          uint64             `cbor:"Term"` // the raft term in which the leader announced itself
 	Members       []*MemberState     `cbor:"Members"`
 	Shards        []*ShardState      `cbor:"Parts"`
-	Events        []Event            `cbor:"Events"`
+	Events        []Takeover         `cbor:"Events"`
 	// WaitReasons are the reasons of the newest placements that have not led to a grant yet, by shard.
 	WaitReasons map[int]string `cbor:"Whys"`
 	// NewerSchemaVersion is that of an entry which this program does not support; nothing after it is applied.
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -81,7 +81,7 @@
 				Epoch: 3, Holder: lease.Holder{Member: 1, Incarnation: 17}, Sequence: 41,
 				RenewedAt: 1_222_222,
 			}, Target: "m1", Pinned: true, Load: 12.5, LastHolder: "m0", NoProxies: true}},
-			Events: []Event{{
+			Events: []Takeover{{
 				At: 1_000_001, Leader: "m1", Shard: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Reason: "evener",
 			}},
 			WaitReasons: map[int]string{4: "back to its zone"}, NewerSchemaVersion: 2,
@@ -161,7 +161,7 @@
 
 // The status request and the console give takeovers as JSON.
 func TestEventAsJSON(t *testing.T) {
-	event := Event{At: 1, Leader: "m1", Shard: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Reason: "evener"}
+	event := Takeover{At: 1, Leader: "m1", Shard: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Reason: "evener"}
 	text, err := json.Marshal(event)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -17,7 +17,7 @@
 	MaxClockDrift model.Microseconds `json:"drift_us"`
 	Members       []MemberStatus     `json:"members"`
 	Shards        []ShardStatus      `json:"parts"`
-	Takeovers     []Event            `json:"takeovers"` // newest last; At is of the clock of the leader at that time
+	Takeovers     []Takeover         `json:"takeovers"` // newest last; At is of the clock of the leader at that time
 }
 
 // MemberStatus is one member.
@@ -68,7 +68,7 @@
 		MaxClockDrift: state.MaxClockDrift,
 		Members:       []MemberStatus{},
 		Shards:        []ShardStatus{},
-		Takeovers:     append([]Event{}, state.Events...),
+		Takeovers:     append([]Takeover{}, state.Events...),
 	}
 	for _, member := range state.Members {
 		_, votes := voters[member.Name]
--- a/internal/cluster/status_golden_test.go
+++ b/internal/cluster/status_golden_test.go
@@ -31,7 +31,7 @@
 			},
 			{Number: 12},
 		},
-		Takeovers: []Event{{
+		Takeovers: []Takeover{{
 			At: 13, Leader: "partick-1", Shard: 9, Epoch: 10, From: "partick-1", To: "govan-1", Planned: true,
 			Reason: "its member leaves",
 		}},
--- a/internal/cluster/storedstate_test.go
+++ b/internal/cluster/storedstate_test.go
@@ -377,7 +377,7 @@
 			t.Fatal(err)
 		}
 		if record.Kind == kindLeaderElected {
-			state.Term = entry.Term // as Member.Applied has it
+			state.Term = entry.Term // as Member.ApplyEntry has it
 		}
 		state.Apply(record.entry(), entry.Term)
 	}
--- a/internal/console/cluster_test.go
+++ b/internal/console/cluster_test.go
@@ -32,7 +32,7 @@
 			Number: 0, Zone: "govan", Holder: secondMember, Target: "govan-1", Epoch: 7,
 			WaitReason: "evener: waits for " + secondMember,
 		}},
-		Takeovers: []cluster.Event{
+		Takeovers: []cluster.Takeover{
 			{Shard: 0, Epoch: 6, To: "govan-1", Reason: "with nobody"},
 			{Shard: 0, Epoch: 7, From: "govan-1", To: secondMember, Reason: "its member is gone"},
 		},
--- a/internal/console/comparison/server_test.go
+++ b/internal/console/comparison/server_test.go
@@ -136,7 +136,7 @@
 	_, firstURL := newStubConsole(t, "govan-1", "serving")
 	second, secondURL := newStubConsole(t, "partick-1", "resting")
 	consoles := []string{strings.TrimPrefix(firstURL, "http://"), secondURL + "/", "127.0.0.1:1"}
-	server, err := Listen("127.0.0.1:0", consoles, controller.Clock())
+	server, err := Listen("127.0.0.1:0", consoles, controller.NewClock())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/console/fixture_test.go
+++ b/internal/console/fixture_test.go
@@ -107,7 +107,7 @@
 // long one, and waits until safe mode has ended.
 func startFixture(t *testing.T, replicas int, publishDelay time.Duration) *consoleFixture {
 	t.Helper()
-	now := controller.Clock()
+	now := controller.NewClock()
 	fixture := &consoleFixture{t: t, publishDelay: publishDelay}
 	fixture.controller = controller.New(fixtureConfig(), 10_000, now, zerolog.Nop())
 	var endpoints []model.Endpoint
--- a/internal/console/json_golden_test.go
+++ b/internal/console/json_golden_test.go
@@ -95,13 +95,13 @@
 				ID: firstReplica, Zone: 1, State: "resting", Withdrawn: true, WarmingUp: true,
 				WithdrawnAt: 91 * model.Second, ReportedAt: 92 * model.Second, UtilizationAt: 93 * model.Second,
 				StartedAt: 94 * model.Second, SlowStartAt: 95 * model.Second, Utilization: 0.41,
-				NormalizedLatency: 0.42, SlowStartFactor: 0.43, RequestRate: 44, ErrorRate: 0.45, Entries: 46,
+				NormalizedLatency: 0.42, SlowStartFactor: 0.43, AttemptRate: 44, ErrorRate: 0.45, Entries: 46,
 				Ejections: 47,
 			},
 			{
 				ID: secondReplica, Zone: 0, State: "serving", ReportedAt: 98 * model.Second,
 				UtilizationAt: 99 * model.Second, Utilization: 0.51, NormalizedLatency: 0.52, SlowStartFactor: 0.53,
-				RequestRate: 54, ErrorRate: 0.55, Entries: 56, Ejections: 57,
+				AttemptRate: 54, ErrorRate: 0.55, Entries: 56, Ejections: 57,
 			},
 		},
 		Tables: []balancer.TableView{{
@@ -130,7 +130,7 @@
 			Number: 9, Zone: "govan", Holder: "govan-1", Target: secondMember, Pinned: true, Epoch: 10, Load: 11.5,
 			HeldHere: true, LeaseRemaining: 1_200_000, WaitReason: "waits for " + secondMember,
 		}},
-		Takeovers: []cluster.Event{
+		Takeovers: []cluster.Takeover{
 			{
 				At: 13, Leader: secondMember, Shard: 9, Epoch: 10, From: secondMember, To: "govan-1", Planned: true,
 				Reason: "its member leaves",
--- a/internal/console/replicas.go
+++ b/internal/console/replicas.go
@@ -57,7 +57,7 @@
 		Withdrawn:         replica.Withdrawn,
 		WarmingUp:         replica.WarmingUp,
 		SlowStartFactor:   replica.SlowStartFactor,
-		RequestRate:       replica.RequestRate,
+		RequestRate:       replica.AttemptRate,
 		ErrorRate:         replica.ErrorRate,
 		NormalizedLatency: replica.NormalizedLatency,
 		Utilization:       replica.Utilization,
--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -7,7 +7,7 @@
 	"peppervale/internal/model"
 )
 
-// Errors of Check.
+// Errors of CheckConfig.
 var (
 	ErrNoZones                  = errors.New("no zones")
 	ErrPeriodOrQueueNotPositive = errors.New("the period and the queue must be above 0")
@@ -23,9 +23,9 @@
 	return fmt.Sprintf("%d operations; 1 to %d are handled", e.Count, model.MaxOperations)
 }
 
-// Check returns an error if the balancer cannot run with a configuration: an *OperationCountError, ErrNoZones or
+// CheckConfig returns an error if the balancer cannot run with a configuration: an *OperationCountError, ErrNoZones or
 // ErrPeriodOrQueueNotPositive.
-func Check(config model.Config) error {
+func CheckConfig(config model.Config) error {
 	operations := len(config.Operations)
 	switch {
 	case operations == 0 || operations > model.MaxOperations:
--- a/internal/controller/check_test.go
+++ b/internal/controller/check_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCheck(t *testing.T) {
-	if err := Check(testConfig()); err != nil {
+	if err := CheckConfig(testConfig()); err != nil {
 		t.Fatal(err)
 	}
 	for name, tt := range map[string]struct {
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			config := testConfig()
 			tt.change(&config)
-			err := Check(config)
+			err := CheckConfig(config)
 			if err == nil || err.Error() != tt.text {
 				t.Fatalf("%v, want %s", err, tt.text)
 			}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -53,8 +53,8 @@
 	stopped chan struct{}
 }
 
-// Clock returns a monotonic clock in microseconds since 1970, set by the wall clock at the time of this call.
-func Clock() func() model.Microseconds {
+// NewClock returns a monotonic clock in microseconds since 1970, set by the wall clock at the time of this call.
+func NewClock() func() model.Microseconds {
 	start := time.Now()
 	base := model.Microseconds(start.UnixMicro())
 	return func() model.Microseconds { return base + model.Microseconds(time.Since(start)/time.Microsecond) }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -74,7 +74,7 @@
 
 func startController(t *testing.T, cached []model.Endpoint, config model.Config) (*Controller, *environment) {
 	t.Helper()
-	controller := New(config, 1000, Clock(), zerolog.Nop())
+	controller := New(config, 1000, NewClock(), zerolog.Nop())
 	env := newEnvironment(10_000)
 	go controller.Run(env, env, cached)
 	t.Cleanup(controller.Stop)
--- a/internal/controller/detail_bench_test.go
+++ b/internal/controller/detail_bench_test.go
@@ -44,7 +44,7 @@
 		ProxyCount: proxies, MinReplicaConnections: 200,
 	}
 	bench := &stepBenchmark{
-		controller: New(config, 100_000, Clock(), zerolog.Nop()),
+		controller: New(config, 100_000, NewClock(), zerolog.Nop()),
 		proxies:    proxies,
 		now:        100 * model.Second,
 	}
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -168,7 +168,7 @@
 	next := w
 	next.leaderChanges++
 	for shard := range shardCount {
-		next.shards[shard].NewLeader(next.now)
+		next.shards[shard].LeaderChanged(next.now)
 	}
 	visit("another leader, which has seen nothing", next)
 	if w.observation != (sighting{}) {
@@ -188,8 +188,8 @@
 	next.leaderChanges++
 	seen := next.observation
 	observation := Observation{Epoch: seen.epoch, Sequence: seen.sequence, Age: next.now - seen.at}
-	next.shards[0].NewLeaderWithObservation(observation, next.now)
-	next.shards[1].NewLeader(next.now)
+	next.shards[0].LeaderChangedWithObservation(observation, next.now)
+	next.shards[1].LeaderChanged(next.now)
 	visit(fmt.Sprintf("another leader, which saw epoch %d and request %d at tick %d", seen.epoch, seen.sequence, seen.at),
 		next)
 }
--- a/internal/lease/shard.go
+++ b/internal/lease/shard.go
@@ -31,17 +31,17 @@
 	return s.Holder != (Holder{}) && now-s.RenewedAt < config.Duration+config.MaxClockDrift
 }
 
-// NewLeader begins the term of a leader that has not seen when the lease was renewed, by its own clock: it counts the
-// lease from now.
-func (s *Shard) NewLeader(now model.Microseconds) { s.RenewedAt = now }
+// LeaderChanged begins the term of a leader that has not seen when the lease was renewed, by its own clock: it counts
+// the lease from now.
+func (s *Shard) LeaderChanged(now model.Microseconds) { s.RenewedAt = now }
 
-// NewLeaderWithObservation begins the term of a leader that saw a renewal of the lease. If the shard was renewed since,
-// or the leader saw no renewal, it is as NewLeader. A renewal that came twice or late does not change the sequence, and
-// need not: it gave its holder no time.
-func (s *Shard) NewLeaderWithObservation(observation Observation, now model.Microseconds) {
+// LeaderChangedWithObservation begins the term of a leader that saw a renewal of the lease. If the shard was renewed
+// since, or the leader saw no renewal, it is as LeaderChanged. A renewal that came twice or late does not change the
+// sequence, and need not: it gave its holder no time.
+func (s *Shard) LeaderChangedWithObservation(observation Observation, now model.Microseconds) {
 	isNewest := s.Epoch == observation.Epoch && s.Sequence == observation.Sequence
 	if !isNewest || observation.Age < 0 {
-		s.NewLeader(now)
+		s.LeaderChanged(now)
 		return
 	}
 	s.RenewedAt = now - observation.Age
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -181,7 +181,7 @@
 		ProxyCount:      20,
 		MessageOverhead: 6,
 		ReplicaNames:    harness.names,
-		Now:             controller.Clock(),
+		Now:             controller.NewClock(),
 		Log:             zerolog.Nop(),
 		Limits: Limits{
 			Connections:      100,
--- a/internal/platform/liveness.go
+++ b/internal/platform/liveness.go
@@ -107,7 +107,7 @@
 	queue := &stream.acks
 	queue.askedAgainAt = now
 	queue.askedAgainSequence = queue.newest
-	s.stats.AskedAgain++
+	s.stats.AckRetries++
 	if len(queue.pending) == 0 {
 		s.expectAck(queue, now)
 	}
--- a/internal/platform/liveness_test.go
+++ b/internal/platform/liveness_test.go
@@ -31,7 +31,7 @@
 	harness.server.checkLiveness()
 	proxy.expect("update ticket 3")
 	harness.server.checkLiveness() // not asked over and over
-	if stats := harness.server.Stats(); stats.AskedAgain != 1 || stats.PendingAcks != 1 || stats.Proxies != 2 {
+	if stats := harness.server.Stats(); stats.AckRetries != 1 || stats.PendingAcks != 1 || stats.Proxies != 2 {
 		t.Fatalf("%+v", stats)
 	}
 	proxy.say("applied id 7 seq 3 ms 1")
--- a/internal/platform/publish.go
+++ b/internal/platform/publish.go
@@ -12,8 +12,8 @@
 	s.mu.Lock()
 	var slow []*connection
 	for _, delivery := range s.published.Apply(batch) {
-		stream := s.streams[delivery.To.Proxy]
-		if stream == nil || stream.subscriber != delivery.To {
+		stream := s.streams[delivery.Subscriber.Proxy]
+		if stream == nil || stream.subscriber != delivery.Subscriber {
 			continue
 		}
 		if err := s.deliver(stream, delivery); err != nil {
--- a/internal/platform/readmission.go
+++ b/internal/platform/readmission.go
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	return append(readmitted, r.takeDeferred(delivery.To, spare)...)
+	return append(readmitted, r.takeDeferred(delivery.Subscriber, spare)...)
 }
 
 // takeDeferred removes and returns the next deferred replicas, spare of them at most. Those of which the subscriber was
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -31,7 +31,7 @@
 	Silent     uint64 `json:"Silent"`     // closed because nothing came any more
 	Slow       uint64 `json:"Slow"`       // closed because too much waited for the peer
 	Replaced   uint64 `json:"Replaced"`   // closed because the proxy has joined again
-	AskedAgain uint64 `json:"AskedAgain"` // acknowledgements asked for again
+	AckRetries uint64 `json:"AskedAgain"` // acknowledgements asked for again
 }
 
 // PublishStats describe what was sent.
--- a/internal/platform/stats_test.go
+++ b/internal/platform/stats_test.go
@@ -13,7 +13,7 @@
 	stats := Stats{
 		ConnectionStats{Proxies: 1, Collectors: 2, Connections: 3, Unauthenticated: 4, Rejected: 5, Evicted: 6},
 		ProtocolErrorStats{MalformedMessages: 7, ProtocolErrors: 8},
-		StreamStats{Silent: 9, Slow: 10, Replaced: 11, AskedAgain: 12},
+		StreamStats{Silent: 9, Slow: 10, Replaced: 11, AckRetries: 12},
 		PublishStats{Updates: 13, Entries: 14, Bytes: 15},
 		ReportStats{LoadReports: 16, Attempts: 17, PendingAcks: 18, UsageRequests: 19},
 	}
--- a/internal/pubsub/delivery.go
+++ b/internal/pubsub/delivery.go
@@ -25,8 +25,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, delivery := range s.published.Apply(batch) {
-		conn := s.streams[delivery.To.Proxy]
-		if conn != nil && conn.stream.subscriber == delivery.To {
+		conn := s.streams[delivery.Subscriber.Proxy]
+		if conn != nil && conn.stream.subscriber == delivery.Subscriber {
 			s.queue.enqueue(batch.At, delivery, conn.stream.id)
 		}
 	}
@@ -42,7 +42,7 @@
 // sendDue sends the queued messages that are due; s.mu is held.
 func (s *Server) sendDue(now model.Microseconds) {
 	for message := s.queue.dequeueDue(now); message != nil; message = s.queue.dequeueDue(now) {
-		conn := s.streams[message.delivery.To.Proxy]
+		conn := s.streams[message.delivery.Subscriber.Proxy]
 		if conn != nil && conn.stream.id == message.streamID {
 			s.send(conn, message.delivery.Message)
 		}
--- a/internal/pubsub/observermessage.go
+++ b/internal/pubsub/observermessage.go
@@ -123,7 +123,7 @@
 		}
 	case snapshot.BindProxy:
 		bind := ChangeUpdate{Action: "bind", Table: fmt.Sprint(update.Table)}
-		if subscriber := s.published.ByProxy[update.Proxy]; subscriber != nil {
+		if subscriber := s.published.SubscribersByProxy[update.Proxy]; subscriber != nil {
 			bind.Proxy = subscriber.Name
 		}
 		return bind
--- a/internal/scenario/console_test.go
+++ b/internal/scenario/console_test.go
@@ -64,7 +64,7 @@
 	}
 	// The comparison has to know the instances from before the loss.
 	addresses := []string{consoles[survivingInstance], consoles[lostInstance]}
-	server, err := comparison.Listen("127.0.0.1:0", addresses, controller.Clock())
+	server, err := comparison.Listen("127.0.0.1:0", addresses, controller.NewClock())
 	if err != nil {
 		return err
 	}
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -33,7 +33,7 @@
 	run := &runner{
 		script:  script,
 		options: options,
-		now:     controller.Clock(),
+		now:     controller.NewClock(),
 		random:  standin.NewRandom(script.Seed, "day"),
 	}
 	defer run.close()
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -51,7 +51,7 @@
 		balancer: settings.Balancer,
 		outside:  outside,
 		log:      log,
-		now:      controller.Clock(),
+		now:      controller.NewClock(),
 	}
 }
 
--- a/internal/server/instance_test.go
+++ b/internal/server/instance_test.go
@@ -42,7 +42,7 @@
 		Zones:        1,
 		ReportPeriod: model.Second,
 		QueueLimit:   1,
-	}, 1, controller.Clock(), zerolog.Nop())
+	}, 1, controller.NewClock(), zerolog.Nop())
 	runs = make(chan struct{}, 2)
 	runner = &controllerRunner{controller: source, run: func() {
 		runs <- struct{}{}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -98,7 +98,7 @@
 		Capacity:         clusterSettings.Capacity,
 		ShardLoads:       m.proxies.ExpectedRates,
 		MisroutedProxies: misroutedProxies,
-		Handover:         cluster.HandoverHooks{Export: m.exportHandover, Import: m.importHandover},
+		Handover:         cluster.HandoverCallbacks{Export: m.exportHandover, Import: m.importHandover},
 		Now:              options.now,
 		Links:            options.links,
 		Log:              options.log,
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -200,7 +200,7 @@
 		UtilizationField:      -1,
 		WarmUpPeriod:          model.Second,
 	}
-	source := controller.New(balancerConfig, 1000, controller.Clock(), zerolog.Nop())
+	source := controller.New(balancerConfig, 1000, controller.NewClock(), zerolog.Nop())
 	runner := &controllerRunner{
 		controller: source,
 		run:        func() { source.Run(silentProxies{}, silentDiscovery{}, nil) },
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -73,11 +73,11 @@
 func ServePlatform(
 	ctx context.Context, settings *config.Platform, outside PlatformEnvironment, log zerolog.Logger,
 ) error {
-	if err := controller.Check(settings.Balancer); err != nil {
+	if err := controller.CheckConfig(settings.Balancer); err != nil {
 		return err
 	}
 	limitProcess(settings)
-	now := controller.Clock()
+	now := controller.NewClock()
 	inst := &platformInstance{settings: settings, outside: outside, log: log}
 	inst.controller = controller.New(settings.Balancer, platformReportLimit, now, log)
 	inst.controller.DisableDecisionLog()
--- a/internal/server/platform_testbed_test.go
+++ b/internal/server/platform_testbed_test.go
@@ -78,7 +78,7 @@
 		t:              t,
 		listen:         testaddr.Address(t),
 		file:           filepath.Join(t.TempDir(), "config.json"),
-		now:            controller.Clock(),
+		now:            controller.NewClock(),
 		reload:         make(chan struct{}),
 		ended:          make(chan error, 1),
 		hosts:          map[string]discoveryHost{},
--- a/internal/server/recorder_test.go
+++ b/internal/server/recorder_test.go
@@ -105,7 +105,7 @@
 		Zones:        4,
 		ReportPeriod: model.Second,
 		QueueLimit:   1,
-	}, 1, controller.Clock(), zerolog.Nop())
+	}, 1, controller.NewClock(), zerolog.Nop())
 	rec := newRecorder(source, store, recovered.Incarnation, zerolog.Nop())
 	t.Cleanup(func() {
 		rec.writer.Close()
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -37,7 +37,7 @@
 // and releases everything that it opened. Errors are those of starting: settings that the balancer rejects, the state
 // store, a *ListenError, the cluster, the console. One of closing is logged and changes nothing.
 func Serve(ctx context.Context, settings *config.Server, outside Environment, log zerolog.Logger) error {
-	if err := controller.Check(settings.Balancer); err != nil {
+	if err := controller.CheckConfig(settings.Balancer); err != nil {
 		return err
 	}
 	inst := newInstance(settings, outside, log)
--- a/internal/snapshot/delivery.go
+++ b/internal/snapshot/delivery.go
@@ -16,8 +16,8 @@
 
 // Delivery is a message made for one subscriber. It belongs to the caller of Apply.
 type Delivery struct {
-	To      *Subscriber
-	Message *pubsubmsg.Message
+	Subscriber *Subscriber
+	Message    *pubsubmsg.Message
 	// Readmitted names replicas of a newly bound table that other controllers may have withdrawn.
 	Readmitted []model.ReplicaID
 	// OperationTables stands in place of the message's entries where the subscriber's tables are for some operations
@@ -43,7 +43,7 @@
 		message.Cost += ackRequestCost
 	}
 	return Delivery{
-		To:              subscriber,
+		Subscriber:      subscriber,
 		Message:         message,
 		Readmitted:      changed.readmitted,
 		OperationTables: subscriber.splitByOperations(changed, message),
--- a/internal/snapshot/state.go
+++ b/internal/snapshot/state.go
@@ -12,11 +12,11 @@
 	Incarnation uint64 // of the controller
 	Version     uint64 // counts the batches applied
 
-	Tables      map[model.TableID]*Table
-	Withdrawn   []model.ReplicaID // withdrawn replicas, in the order of their withdrawal
-	Quotas      []pubsubmsg.Quota // in the order in which they were first set
-	Subscribers []*Subscriber     // in the order of their subscription
-	ByProxy     map[model.ProxyID]*Subscriber
+	Tables             map[model.TableID]*Table
+	Withdrawn          []model.ReplicaID // withdrawn replicas, in the order of their withdrawal
+	Quotas             []pubsubmsg.Quota // in the order in which they were first set
+	Subscribers        []*Subscriber     // in the order of their subscription
+	SubscribersByProxy map[model.ProxyID]*Subscriber
 
 	messageOverhead int // cost of a message beyond its entries, in entries
 	isWithdrawn     map[model.ReplicaID]bool
@@ -26,11 +26,11 @@
 // entries, in entries.
 func New(incarnation uint64, messageOverhead int) *State {
 	return &State{
-		Incarnation:     incarnation,
-		Tables:          map[model.TableID]*Table{},
-		ByProxy:         map[model.ProxyID]*Subscriber{},
-		messageOverhead: messageOverhead,
-		isWithdrawn:     map[model.ReplicaID]bool{},
+		Incarnation:        incarnation,
+		Tables:             map[model.TableID]*Table{},
+		SubscribersByProxy: map[model.ProxyID]*Subscriber{},
+		messageOverhead:    messageOverhead,
+		isWithdrawn:        map[model.ReplicaID]bool{},
 	}
 }
 
@@ -45,18 +45,18 @@
 		ackSequence: NoAckSequence,
 		withdrawn:   map[model.ReplicaID]bool{},
 	}
-	s.ByProxy[proxy] = subscriber
+	s.SubscribersByProxy[proxy] = subscriber
 	s.Subscribers = append(s.Subscribers, subscriber)
 	return subscriber
 }
 
 // Unsubscribe removes a proxy, if it is subscribed.
 func (s *State) Unsubscribe(proxy model.ProxyID) {
-	subscriber := s.ByProxy[proxy]
+	subscriber := s.SubscribersByProxy[proxy]
 	if subscriber == nil {
 		return
 	}
-	delete(s.ByProxy, proxy)
+	delete(s.SubscribersByProxy, proxy)
 	s.Subscribers = removeSubscriber(s.Subscribers, subscriber)
 	subscriber.unbind()
 }
@@ -122,7 +122,7 @@
 }
 
 func (s *State) bindProxy(update *Update) {
-	subscriber := s.ByProxy[update.Proxy]
+	subscriber := s.SubscribersByProxy[update.Proxy]
 	if subscriber == nil {
 		return
 	}
--- a/internal/snapshot/state_test.go
+++ b/internal/snapshot/state_test.go
@@ -28,11 +28,11 @@
 	bound, unbound := state.Subscribe(1, "one"), state.Subscribe(2, "two")
 	apply(state, weightUpdate(1, 1, 1), Update{Kind: BindProxy, Proxy: 1, Table: 1})
 	got := apply(state, withdrawalUpdate(9, true))
-	if len(got) != 1 || got[0].To != unbound {
+	if len(got) != 1 || got[0].Subscriber != unbound {
 		t.Fatalf("notified of a withdrawal: %+v", got)
 	}
 	got = apply(state, weightUpdate(1, 9, 1))
-	if len(got) != 1 || got[0].To != bound || len(got[0].Message.Withdrawals) != 1 ||
+	if len(got) != 1 || got[0].Subscriber != bound || len(got[0].Message.Withdrawals) != 1 ||
 		!got[0].Message.Withdrawals[0].Withdrawn {
 		t.Fatalf("an entry for a withdrawn replica: %+v", got[0].Message)
 	}
