--- a/internal/netpoll/accept.go
+++ b/internal/netpoll/accept.go
@@ -9,18 +9,18 @@
 	"github.com/lesismal/nbio"
 )
 
-// An address that cannot accept, as for want of a descriptor, waits before it tries again, for a time that doubles. The
-// longest wait keeps it from using a core, and is short beside the time that a peer is given.
+// Bounds of the delay before the next attempt after accept has failed, for example without a free descriptor. The delay
+// doubles with each failure. The longest delay prevents a busy loop and is short compared with the timeouts of peers.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 250 * time.Millisecond
 )
 
-// maxPendingAccepts is how many connections of one address may be accepted and not yet added by their poller: what Open
-// allows or closes bounds the descriptors in use only as far as it has seen them. The others wait in the kernel.
+// maxPendingAccepts is how many connections of one address may be accepted and not yet added by their poller. Open can
+// limit the number of descriptors only for connections that were added. Further connections wait in the kernel.
 const maxPendingAccepts = 8
 
-// accept takes connections until the address is closed.
+// accept accepts connections until the listener is closed.
 func (e *Engine) accept(listener net.Listener) {
 	defer e.background.Done()
 	backoff := time.Duration(0)
@@ -53,7 +53,7 @@
 	}
 }
 
-// wait returns false if the engine stops before the time has passed.
+// wait waits for a duration. It returns false if the engine stops first.
 func (e *Engine) wait(duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
@@ -63,10 +63,10 @@
 	}
 }
 
-// adopt makes a connection nbio's. nbio duplicates its descriptor without close-on-exec: a child process started
-// meanwhile would keep the connection open, and the poller would go on reporting its end under a number that another
-// connection has by then (seen: controllers restarted by a scenario broke hundreds of streams that had nothing to do
-// with them). So the flag is set before anything can be forked.
+// adopt converts a connection to an nbio connection. nbio duplicates the descriptor without close-on-exec. A child
+// process that is started before the flag is set would keep the connection open, and the poller would keep reporting
+// its end under a descriptor number that another connection has by then. (When a scenario restarted controllers, this
+// broke hundreds of unrelated streams.) The fork lock prevents a process from being started before the flag is set.
 func adopt(accepted net.Conn) (*nbio.Conn, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/internal/netpoll/accept_test.go
+++ b/internal/netpoll/accept_test.go
@@ -8,8 +8,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestAcceptWithoutFreeDescriptor: An address that finds no free descriptor waits without using a core, and accepts
-// the connections that waited once there is one.
+// TestAcceptWithoutFreeDescriptor: An engine without a free descriptor waits without a busy loop, and accepts the
+// pending connections once a descriptor is free.
 func TestAcceptWithoutFreeDescriptor(t *testing.T) {
 	opened := make(chan struct{}, 10)
 	engine := startEngine(t, Handlers{Open: func(*nbio.Conn) { opened <- struct{}{} }}, "127.0.0.1:0")
@@ -21,7 +21,7 @@
 	for _, socket := range sockets {
 		connectErrs = append(connectErrs, connectSocket(socket, number))
 	}
-	time.Sleep(300 * time.Millisecond) // what is measured is what it costs to wait
+	time.Sleep(300 * time.Millisecond) // the processor time of waiting is measured
 	used := processorTime() - before
 	release()
 	if connectErrs[0] != nil || connectErrs[1] != nil {
@@ -36,7 +36,8 @@
 	}
 }
 
-// exhaustDescriptors takes every descriptor below a bound and allows none beyond it, until release is called.
+// exhaustDescriptors occupies every descriptor below a bound and lowers the process limit to it, until release is
+// called.
 func exhaustDescriptors(t *testing.T, bound int) (release func()) {
 	t.Helper()
 	var limit syscall.Rlimit
@@ -67,7 +68,7 @@
 	}
 }
 
-// processorTime is what the process has used.
+// processorTime returns the processor time that the process has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/internal/netpoll/connserver/conn.go
+++ b/internal/netpoll/connserver/conn.go
@@ -11,19 +11,19 @@
 type Conn struct {
 	socket      *nbio.Conn
 	ended       atomic.Bool
-	unsentBytes atomic.Int64 // written and not yet accepted by the socket
+	unsentBytes atomic.Int64 // written, not yet accepted by the socket
 }
 
 func (c *Conn) connection() *Conn { return c }
 
-// Socket is the connection's socket; nil before it is registered.
+// Socket returns the connection's socket; nil before it is registered.
 func (c *Conn) Socket() *nbio.Conn { return c.socket }
 
-// Ended reports whether nothing more is read from the connection: it was marked as ended, or unregistered.
+// Ended reports whether the connection was marked as ended or unregistered. Nothing more is read from it then.
 func (c *Conn) Ended() bool { return c.ended.Load() }
 
-// MarkEnded marks the connection as ended without closing it, and reports whether it was not so before.
+// MarkEnded marks the connection as ended without closing it. It reports whether the connection had not ended before.
 func (c *Conn) MarkEnded() bool { return !c.ended.Swap(true) }
 
-// UnsentBytes is the number of bytes that were written to the connection and wait to be accepted by the socket.
+// UnsentBytes returns the number of bytes that were written to the connection and not yet accepted by the socket.
 func (c *Conn) UnsentBytes() int64 { return c.unsentBytes.Load() }
--- a/internal/netpoll/connserver/server.go
+++ b/internal/netpoll/connserver/server.go
@@ -1,12 +1,12 @@
-// Package connserver holds what the servers that proxies connect to have in common: the lifetime of a listening
-// address, the register of its open connections, and the count of the bytes that wait for each of them.
+// Package connserver contains the common part of the servers that proxies connect to: the lifetime of a listening
+// address, the register of its open connections, and the count of unsent bytes for each connection.
 //
 // A protocol server (internal/platform, internal/pubsub) keeps its own state of each connection in a type that embeds
-// Conn, and guards that state and the register with one lock of its own, which it hands to New. Methods that need the
-// lock say so; the others may be called with or without it.
+// Conn. It guards that state and the register with one lock, which it passes to New. Methods that require the lock say
+// so; all other methods may be called with or without it.
 //
-// What a connection may do before it has joined, which one makes room when there are too many, and how a peer
-// learns why it ends, differ between the protocols and stay with them.
+// Each protocol server defines what a connection may do before it has joined, which connection is closed at the
+// connection limit, and how a peer is notified of the reason.
 package connserver
 
 import (
@@ -29,15 +29,15 @@
 // Handlers are the events of a Server's connections, called without the lock. Opened and Received run on the
 // connection's poller, Closed after them on another goroutine.
 type Handlers[S Session] struct {
-	// Opened takes a new connection in; it calls Register before anything else is done with the connection.
+	// Opened is called for a new connection. It must call Register before it uses the connection otherwise.
 	Opened func(socket *nbio.Conn)
-	// Received takes bytes of a connection that has not ended. They are valid during the call only.
+	// Received receives the bytes read from a connection that has not ended. They are valid during the call only.
 	Received func(session S, data []byte)
 	// Closed is called once the socket is closed, by the peer or by this process.
 	Closed func(session S)
 }
 
-// Server is one listening address with its open connections. Make it with New, then call Listen once.
+// Server is one listening address with its open connections. Create it with New, then call Listen once.
 type Server[S Session] struct {
 	lock     sync.Locker
 	handlers Handlers[S]
@@ -53,7 +53,7 @@
 	closing      bool
 }
 
-// New makes a server that listens nowhere yet. The lock is the protocol server's own.
+// New creates a server that does not listen yet. The lock is that of the protocol server.
 func New[S Session](lock sync.Locker, handlers Handlers[S]) *Server[S] {
 	return &Server[S]{
 		lock:     lock,
@@ -63,8 +63,8 @@
 	}
 }
 
-// Listen opens the address, host:port, and serves it on so many pollers until Close. It takes the lock, so that
-// connections which come before it returns wait. Errors are those of the address.
+// Listen opens the address, host:port, and serves it with the given number of pollers until Close. It holds the lock,
+// so that connections accepted before it returns have to wait. It returns an error if the address cannot be opened.
 func (s *Server[S]) Listen(pollers int, address string) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -81,10 +81,11 @@
 	return nil
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server[S]) Addr() string { return s.engine.Addrs[0] }
 
-// Go runs a routine of the protocol server in the background; Close waits for it. It has to return once Done is closed.
+// Go runs a routine of the protocol server in the background. The routine must return once Done is closed; Close waits
+// for it.
 func (s *Server[S]) Go(routine func()) {
 	s.routines.Add(1)
 	go func() {
@@ -93,11 +94,11 @@
 	}()
 }
 
-// Done is closed when the server begins to close.
+// Done returns a channel that is closed when the server begins to close.
 func (s *Server[S]) Done() <-chan struct{} { return s.done }
 
-// Close ends the background routines, the address and every connection, and waits for them. It takes the lock. Only the
-// first call does anything.
+// Close ends the background routines, closes the address and all connections, and waits for them. It takes the lock.
+// Calls after the first have no effect.
 func (s *Server[S]) Close() {
 	s.lock.Lock()
 	if s.closing {
@@ -111,18 +112,19 @@
 	s.engine.Stop()
 }
 
-// RunOnPoller has a task run on the first poller's goroutine, after what could be read there when it was called.
+// RunOnPoller runs a task on the first poller's goroutine, after the data that was readable there at the time of the
+// call.
 func (s *Server[S]) RunOnPoller(task func()) { s.engine.RunOnPoller(task) }
 
-// Register takes a connection into the register; the lock is held.
+// Register adds a connection to the register; the lock is held.
 func (s *Server[S]) Register(socket *nbio.Conn, session S) {
 	session.connection().socket = socket
 	socket.SetSession(session)
 	s.sessions[socket] = session
 }
 
-// Unregister takes a connection out of the register and marks it as ended; the lock is held. It reports whether the
-// connection was registered until now.
+// Unregister removes a connection from the register and marks it as ended; the lock is held. It reports whether the
+// connection was registered.
 func (s *Server[S]) Unregister(session S) bool {
 	conn := session.connection()
 	conn.ended.Store(true)
@@ -139,14 +141,14 @@
 	return s.sessions[session.connection().socket] == session
 }
 
-// Sessions are the registered connections in no particular order; the lock is held.
+// Sessions iterates over the registered connections in no particular order; the lock is held.
 func (s *Server[S]) Sessions() iter.Seq[S] { return maps.Values(s.sessions) }
 
-// Count is the number of registered connections; the lock is held.
+// Count returns the number of registered connections; the lock is held.
 func (s *Server[S]) Count() int { return len(s.sessions) }
 
-// Write hands bytes to the engine, which keeps what the socket does not take; the lock is held. A connection that is
-// not registered gets nothing. A broken connection is reported by Handlers.Closed only.
+// Write passes bytes to the engine, which buffers those that the socket does not accept; the lock is held. Nothing is
+// written to a connection that is not registered. A broken connection is reported by Handlers.Closed only.
 func (s *Server[S]) Write(session S, data []byte) {
 	if !s.Registered(session) {
 		return
@@ -158,13 +160,13 @@
 	_, _ = conn.socket.Write(data)
 }
 
-// BytesWritten is the number of bytes handed to Write for registered connections; the lock is held.
+// BytesWritten returns the number of bytes passed to Write for registered connections; the lock is held.
 func (s *Server[S]) BytesWritten() uint64 { return s.bytesWritten }
 
-// UnsentBytes is the number of bytes that wait for all registered connections.
+// UnsentBytes returns the number of unsent bytes of all registered connections.
 func (s *Server[S]) UnsentBytes() int64 { return s.unsentBytes.Load() }
 
-// CloseOnPoller has the poller of each connection close it between two of its reads.
+// CloseOnPoller closes each connection on its poller's goroutine, between two reads.
 func (s *Server[S]) CloseOnPoller(sessions ...S) {
 	for _, session := range sessions {
 		s.engine.CloseOnPoller(session.connection().socket)
@@ -185,13 +187,13 @@
 	}
 }
 
-// wrote takes bytes that the socket has accepted off the counts.
+// wrote subtracts the bytes that the socket has accepted from the counts of unsent bytes.
 func (s *Server[S]) wrote(socket *nbio.Conn, count int) {
 	session, ok := socket.Session().(S)
 	if !ok || count <= 0 {
 		return
 	}
-	// Take off no more than still counts: Unregister has taken off all that waited for the connection.
+	// Subtract no more than the remaining count: Unregister has already subtracted the connection's unsent bytes.
 	unsent := &session.connection().unsentBytes
 	for {
 		waiting := unsent.Load()
--- a/internal/netpoll/connserver/server_test.go
+++ b/internal/netpoll/connserver/server_test.go
@@ -15,10 +15,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testSession is a connection of a protocol without messages.
+// testSession is a session without protocol state.
 type testSession struct{ Conn }
 
-// testServer hands the sessions that come and go to the test.
+// testServer echoes data, and passes opened and closed sessions to the test.
 type testServer struct {
 	*Server[*testSession]
 	mu     sync.Mutex
@@ -51,7 +51,8 @@
 	return server
 }
 
-// TestWriteCountsUnsentBytes: What was written counts until the socket has accepted it, and the total with it.
+// TestWriteCountsUnsentBytes: Written bytes count as unsent for the connection and in total until the socket has
+// accepted them.
 func TestWriteCountsUnsentBytes(t *testing.T) {
 	server := startServer(t)
 	client := netpolltest.Dial(t, server.Addr(), patience)
@@ -75,13 +76,13 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d bytes unsent, %d in all", session.UnsentBytes(), server.UnsentBytes())
+			t.Fatalf("%d bytes unsent on the connection, %d in total, want 0", session.UnsentBytes(), server.UnsentBytes())
 		}
 	}
 }
 
-// TestUnregisteredConnection: A connection that was unregistered is ended, is sent nothing more, and leaves no unsent
-// bytes behind; it can be unregistered once only.
+// TestUnregisteredConnection: An unregistered connection has ended, is sent nothing more, and adds no unsent bytes. It
+// can be unregistered only once.
 func TestUnregisteredConnection(t *testing.T) {
 	server := startServer(t)
 	client := netpolltest.Dial(t, server.Addr(), patience)
@@ -92,7 +93,7 @@
 		t.Errorf("received %v", value)
 	}
 	if closed := <-server.closed; closed != session {
-		t.Errorf("end of %p reported, want %p", closed, session)
+		t.Errorf("Closed was called for session %p, want %p", closed, session)
 	}
 }
 
@@ -101,21 +102,22 @@
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if server.Count() != 1 || !server.Registered(session) || session.Ended() {
-		t.Fatalf("%d registered, this one %t, ended %t", server.Count(), server.Registered(session), session.Ended())
+		t.Fatalf("%d registered, this one %t, ended %t; want 1, true, false",
+			server.Count(), server.Registered(session), session.Ended())
 	}
 	if !server.Unregister(session) || server.Unregister(session) {
-		t.Error("unregistered never or twice")
+		t.Error("want true from the first Unregister and false from the second")
 	}
 	server.Write(session, []byte("after the end"))
 	if !session.Ended() || server.Count() != 0 {
-		t.Errorf("ended %t, %d registered", session.Ended(), server.Count())
+		t.Errorf("ended %t, %d connections registered", session.Ended(), server.Count())
 	}
 	if server.BytesWritten() != 0 || server.UnsentBytes() != 0 || session.UnsentBytes() != 0 {
-		t.Errorf("%d bytes written, %d unsent", server.BytesWritten(), server.UnsentBytes())
+		t.Errorf("%d bytes written, %d unsent; want none", server.BytesWritten(), server.UnsentBytes())
 	}
 }
 
-// TestCloseWaitsForRoutines: Close ends background routines and every connection, and may be called again.
+// TestCloseWaitsForRoutines: Close ends background routines and all connections, and may be called again.
 func TestCloseWaitsForRoutines(t *testing.T) {
 	server := startServer(t)
 	client := netpolltest.Dial(t, server.Addr(), patience)
@@ -127,7 +129,7 @@
 	})
 	server.Close()
 	if !ended {
-		t.Error("a background routine outlives Close")
+		t.Error("a background routine is still running after Close")
 	}
 	if value, ok := client.Next(); ok {
 		t.Errorf("received %v", value)
--- a/internal/netpoll/descriptorreuse_test.go
+++ b/internal/netpoll/descriptorreuse_test.go
@@ -14,9 +14,9 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestDescriptorReusedAfterCloseInOpen: A connection that is closed in Open frees its descriptor's number, and
-// something takes it at once: the poller does not watch what is behind that number now. It once did, found a
-// connection there that was closed, and kept a core busy without reading.
+// TestDescriptorReusedAfterCloseInOpen: A connection that is closed in Open frees its descriptor's number, and the
+// number is reused at once. The poller does not watch the new descriptor with that number. If it did, it would find the
+// closed connection for each event, read nothing, and keep a core busy.
 func TestDescriptorReusedAfterCloseInOpen(t *testing.T) {
 	var engine *Engine
 	taken := make(chan []int, 1)
@@ -34,13 +34,13 @@
 	watched := watchedDescriptors(t)
 	for _, descriptor := range descriptors {
 		if slices.Contains(watched, fmt.Sprint(descriptor)) {
-			t.Errorf("descriptor %d is watched, and is none of the engine's", descriptor)
+			t.Errorf("descriptor %d is watched, but does not belong to the engine", descriptor)
 		}
 		_ = syscall.Close(descriptor)
 	}
 }
 
-// takeDescriptors takes the next eight descriptors, among them a number that was freed just before.
+// takeDescriptors occupies the next eight descriptors, including the number that was just freed.
 func takeDescriptors(t *testing.T) (taken []int) {
 	for range 4 {
 		ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -53,7 +53,7 @@
 	return taken
 }
 
-// watchedDescriptors are the descriptors that some epoll of this process watches.
+// watchedDescriptors returns the descriptors that the epoll instances of this process watch.
 func watchedDescriptors(t *testing.T) (watched []string) {
 	t.Helper()
 	infos, err := filepath.Glob("/proc/self/fdinfo/*")
@@ -71,12 +71,12 @@
 	return watched
 }
 
-// heldPoller is an engine with one poller that stays in each Data event, other than that of an echo, until it is
+// heldPoller is an engine with one poller that blocks in each Data event, except for echo requests, until it is
 // released.
 type heldPoller struct {
 	*Engine
 	opened  connLog
-	data    chan string // what each event has
+	data    chan string // data of each event
 	release chan struct{}
 }
 
@@ -99,7 +99,7 @@
 	return held
 }
 
-// waitForConnections waits until so many connections were opened.
+// waitForConnections waits until the given number of connections were opened.
 func (p *heldPoller) waitForConnections(t *testing.T, count int) {
 	t.Helper()
 	runWithin(t, "connections", func() {
@@ -109,14 +109,14 @@
 	})
 }
 
-// TestStaleEventEndsNoOtherConnection: An event that the poller gathered before its connection was closed does not end
-// the connection that has got the number since. The poller is held in the first of two events of one round; the second
-// one's connection is closed, and another is given its number.
+// TestStaleEventEndsNoOtherConnection: An event that the poller collected before its connection was closed does not end
+// the connection that reuses the descriptor's number. The poller is blocked in the first of two events of one round;
+// the connection of the second event is closed, and a new connection reuses its number.
 func TestStaleEventEndsNoOtherConnection(t *testing.T) {
 	poller := startHeldPoller(t)
 	address := poller.Addrs[0]
-	// Numbers are given from the lowest on: this one will be free for the connection as it is accepted, the closed one's
-	// for nbio's copy.
+	// The kernel assigns the lowest free number. The accepted connection will get this one once it is freed, and nbio's
+	// duplicate will get the number of the closed connection.
 	hole, err := syscall.Dup(0)
 	if err != nil {
 		t.Fatal(err)
@@ -127,12 +127,12 @@
 	poller.waitForConnections(t, 3)
 	socket := unconnectedSocket(t)
 	send(t, blocker, "block")
-	<-poller.data // the poller is in the blocker's event; the next two come in one round after it
+	<-poller.data // the poller is in the blocker's event; the next two events come in one round
 	send(t, first, "first")
 	reset(t, second)
 	poller.release <- struct{}{}
 	if got := <-poller.data; got != "first" {
-		t.Fatalf("%q", got)
+		t.Fatalf("received %q, want first", got)
 	}
 	stale := poller.opened.all()[2]
 	takeDescriptorsBelow(t, stale.Hash())
@@ -143,23 +143,23 @@
 	}
 	poller.awaitEarlyAccept(4)
 	poller.release <- struct{}{}
-	for range 2 { // the first one may be answered in the very round of the stale event
+	for range 2 { // the first echo may be answered in the same round as the stale event
 		expectEcho(t, socket)
 	}
 	conns := poller.opened.all()
 	if n := len(conns); n != 4 || conns[3].Hash() != stale.Hash() {
-		t.Errorf("%d connections; the last one has descriptor %d, not %d", n, conns[3].Hash(), stale.Hash())
+		t.Errorf("%d connections, want 4; the last one has descriptor %d, want %d", n, conns[3].Hash(), stale.Hash())
 	}
 }
 
-// reset closes a connection without taking leave of its peer.
+// reset closes a connection with a TCP reset.
 func reset(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
 
-// takeDescriptorsBelow takes every free descriptor below a bound.
+// takeDescriptorsBelow occupies every free descriptor below a bound.
 func takeDescriptorsBelow(t *testing.T, bound int) {
 	t.Helper()
 	for descriptor := 0; descriptor < bound; {
@@ -167,8 +167,8 @@
 	}
 }
 
-// awaitEarlyAccept returns a new connection, which has the stale number then, the time to be opened, as far as it is
-// opened at all while the poller is held.
+// awaitEarlyAccept waits up to 200 ms for the given number of opened connections. If connections are opened while the
+// poller is blocked, the new connection has the stale number by then.
 func (p *heldPoller) awaitEarlyAccept(count int) {
 	for deadline := time.Now().Add(200 * time.Millisecond); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if len(p.opened.all()) == count {
@@ -177,17 +177,17 @@
 	}
 }
 
-// expectEcho checks that a connection is up.
+// expectEcho checks that a connection is open.
 func expectEcho(t *testing.T, socket int) {
 	t.Helper()
 	runWithin(t, "answer", func() {
 		if _, err := syscall.Write(socket, []byte(echoWord)); err != nil {
-			t.Errorf("the new connection was ended: %v", err)
+			t.Errorf("the new connection was ended: write: %v", err)
 			return
 		}
 		answer := make([]byte, len(echoWord))
 		if n, err := syscall.Read(socket, answer); n != len(echoWord) || err != nil {
-			t.Errorf("the new connection was ended: %d bytes, %v", n, err)
+			t.Errorf("the new connection was ended: read %d bytes, %v", n, err)
 		}
 	})
 }
--- a/internal/netpoll/dial.go
+++ b/internal/netpoll/dial.go
@@ -8,15 +8,16 @@
 	"github.com/lesismal/nbio"
 )
 
-// maxDials is how many dials a process may have in progress.
+// maxDials is how many dials may be in progress in the process.
 const maxDials = 256
 
 // dialSlots holds one value for each dial in progress.
 var dialSlots = make(chan struct{}, maxDials)
 
-// Dial connects in the background and hands the connection, with its session set, to done: on the connection's poller,
-// before any data of it comes; an error on a goroutine of its own. done is called once. The engine's own dial of nbio
-// 1.6.8 is not used: it reads IPv4 addresses other than 127.0.0.1 wrongly, and reports a refusal as a connection.
+// Dial connects in the background and calls done once. It passes a connection, with its session set, on the
+// connection's poller before any of its data is read, and an error on a separate goroutine. The dial function of nbio
+// 1.6.8 is not used: it parses IPv4 addresses other than 127.0.0.1 incorrectly, and reports a refused connection as
+// established.
 func Dial(engine *Engine, address string, timeout time.Duration, session any, done func(*nbio.Conn, error)) {
 	if !engine.beginDial() {
 		go done(nil, fmt.Errorf("dial %s: %w", address, net.ErrClosed))
@@ -28,7 +29,7 @@
 	}()
 }
 
-// beginDial counts a dial as in progress; false once the engine stops.
+// beginDial counts a dial as in progress. It returns false once the engine is stopping.
 func (e *Engine) beginDial() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/netpoll/dial_test.go
+++ b/internal/netpoll/dial_test.go
@@ -8,7 +8,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestDialReachesLoopbackAddresses: Any loopback address is reached, and a refusal is reported as an error.
+// TestDialReachesLoopbackAddresses: Dial connects to any loopback address, and reports a refusal as an error.
 func TestDialReachesLoopbackAddresses(t *testing.T) {
 	server, err := Start(1, Handlers{}, "127.0.0.77:0")
 	if err != nil {
@@ -24,12 +24,12 @@
 	server.Stop()
 	Dial(client, server.Addrs[0], 5*time.Second, nil, done)
 	if err := <-results; err == nil {
-		t.Fatal("a refusal is reported as a connection")
+		t.Fatal("a refused dial is reported as a connection")
 	}
 }
 
-// TestStopWhileDialing: A dial in progress does not delay the stop, and its end is reported once; what it connected
-// meanwhile is closed.
+// TestStopWhileDialing: A dial in progress does not delay Stop, and its callback is called once. A connection that it
+// has established is closed.
 func TestStopWhileDialing(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 		expectDialsEndOnStop(t, listener.Addr().String())
 	}
 	_ = listener.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Millisecond))
-	for { // each connection that came up is closed
+	for { // each established connection is closed
 		conn, err := listener.Accept()
 		if err != nil {
 			return
@@ -50,7 +50,7 @@
 	}
 }
 
-// expectDialsEndOnStop stops an engine with two dials in progress, and dials once more after it.
+// expectDialsEndOnStop stops an engine with two dials in progress, and dials once more after the stop.
 func expectDialsEndOnStop(t *testing.T, address string) {
 	t.Helper()
 	engine, err := Start(1, Handlers{})
@@ -70,9 +70,9 @@
 	}
 	Dial(engine, address, 10*time.Second, nil, done)
 	if err := <-results; err == nil {
-		t.Fatal("an engine that has stopped dials")
+		t.Fatal("a dial of a stopped engine is reported as a connection")
 	}
 	if len(results) > 0 {
-		t.Fatal("the end of a dial is reported twice")
+		t.Fatal("the result of a dial is reported twice")
 	}
 }
--- a/internal/netpoll/engine.go
+++ b/internal/netpoll/engine.go
@@ -10,11 +10,11 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// Handlers take a connection's events on the engine's goroutines; nil ones are left out.
+// Handlers receive a connection's events on the engine's goroutines; nil handlers are not called.
 type Handlers struct {
-	// Open is called for a new connection before any data of it.
+	// Open is called for a new connection before any of its data is read.
 	Open func(conn *nbio.Conn)
-	// Data takes what came. The bytes belong to the engine and are valid during the call only.
+	// Data receives the bytes that were read. They belong to the engine and are valid during the call only.
 	Data func(conn *nbio.Conn, data []byte)
 	// Close is called at the end of a connection, after all its other events.
 	Close func(conn *nbio.Conn, err error)
@@ -22,16 +22,16 @@
 	Wrote func(conn *nbio.Conn, count int)
 }
 
-// Engine is an nbio engine with its addresses. Make it with Start.
+// Engine is an nbio engine with its addresses. Create it with Start.
 type Engine struct {
-	// Addrs are the addresses that the engine listens on, in the order of Start's. Read only.
+	// Addrs lists the addresses that the engine listens on, in the order of Start's addresses. It is read-only.
 	Addrs []string
 
 	nbio        *nbio.Engine
 	pollerLoops []*pollerLoop
 	listeners   []net.Listener
 
-	dialContext context.Context // ends the dials and the waits of acceptors
+	dialContext context.Context // cancels dials and ends the waits of acceptors
 	cancelDials context.CancelFunc
 	background  sync.WaitGroup // acceptors and dials
 
@@ -40,14 +40,15 @@
 	stopOnce sync.Once
 }
 
-// openFence orders what Open wrote before what Data reads on another goroutine: between them lies the kernel's
-// poller, of which Go's memory model knows nothing.
+// openFence orders the writes of Open before the reads of Data on another goroutine. The kernel's poller orders the two
+// calls, but Go's memory model does not cover it.
 var openFence atomic.Int64
 
-// silenceLog turns nbio's own log off.
+// silenceLog turns off nbio's log output.
 var silenceLog = sync.OnceFunc(func() { logging.SetLevel(logging.LevelNone) })
 
-// Start makes and starts an engine; without an address it only dials. Errors are those of the addresses.
+// Start creates and starts an engine; without an address it only dials. It returns an error if an address cannot be
+// opened or a poller cannot be started.
 func Start(pollers int, handlers Handlers, addresses ...string) (*Engine, error) {
 	silenceLog()
 	engine := &Engine{}
@@ -73,8 +74,8 @@
 }
 
 // startPollers starts the pollers and waits until each of them runs. An nbio engine that is stopped before its
-// goroutines have begun never stops: each of them clears the flag to end as it begins. (Seen: a controller that was
-// ended in the moment it began to serve hung, and kept a core busy.)
+// goroutines have begun never stops, because each goroutine clears its stop flag when it begins. (A controller that was
+// shut down just as it began to serve hung, and kept a core busy.)
 func (e *Engine) startPollers(pollers int, handlers Handlers) error {
 	nbioEngine := nbio.NewEngine(nbio.Config{Network: "tcp", NPoller: pollers})
 	setHandlers(nbioEngine, handlers)
@@ -93,14 +94,14 @@
 	e.nbio = nbioEngine
 	for _, loop := range e.pollerLoops {
 		if _, err := nbioEngine.AddConn(loop.conn); err != nil {
-			return err // an engine whose goroutines may not have begun cannot be stopped either
+			return err // do not stop the engine: its goroutines may not have begun
 		}
 		loop.waitUntilDone()
 	}
 	return nil
 }
 
-// setHandlers passes the events of all connections but the poller loops' own on.
+// setHandlers forwards the events of all connections except those of the poller loops.
 func setHandlers(engine *nbio.Engine, handlers Handlers) {
 	engine.OnOpen(func(conn *nbio.Conn) {
 		if handlers.Open != nil && loopOf(conn) == nil {
@@ -139,8 +140,8 @@
 	}
 }
 
-// Stop ends the addresses, the dials in progress and every connection, and waits for all of it. It may be called again,
-// and not from a handler.
+// Stop closes the addresses and all connections, cancels the dials in progress, and waits for all of it. It may be
+// called more than once, but not from a handler.
 func (e *Engine) Stop() { e.stopOnce.Do(e.stop) }
 
 func (e *Engine) stop() {
@@ -150,7 +151,8 @@
 	e.cancelDials()
 	e.closeListeners()
 	e.background.Wait()
-	// Nothing is added from here on but what was posted already; nbio closes what it knows of, once, and waits for all.
+	// From here on, only connections that were already posted are added. nbio's Stop closes the connections that were
+	// added before it, and waits for them.
 	for _, loop := range e.pollerLoops {
 		loop.waitUntilDone()
 	}
@@ -160,23 +162,24 @@
 	}
 }
 
-// CloseOnPoller has a connection's poller close it, between two of its rounds; it may be called from anywhere, also
-// from Open. A close on another goroutine may cross the poller's read of the same descriptor; the kernel (seen on
-// 6.18) then keeps the connection up until that read returns, which is when something else happens.
+// CloseOnPoller closes a connection on its poller's goroutine, between two polling rounds. It may be called from
+// anywhere, including Open. If another goroutine closes a descriptor while the poller reads it, the kernel (Linux 6.18)
+// keeps the connection open until that read returns, which takes until the next event.
 func (e *Engine) CloseOnPoller(conn *nbio.Conn) {
 	e.loopFor(conn).post(func() { _ = conn.Close() })
 }
 
-// RunOnPoller has a task run on the first poller's goroutine, between two of its rounds: after what could be read there
-// when it was called. It returns false once the engine has stopped; the task then never runs.
+// RunOnPoller runs a task on the first poller's goroutine, between two polling rounds, after the data that was readable
+// at the time of the call. It returns false once the engine has stopped; the task then never runs.
 func (e *Engine) RunOnPoller(task func()) bool { return e.pollerLoops[0].post(task) }
 
-// loopFor is the loop of a connection's poller.
+// loopFor returns the loop of a connection's poller.
 func (e *Engine) loopFor(conn *nbio.Conn) *pollerLoop {
 	return e.pollerLoops[conn.Hash()%len(e.pollerLoops)]
 }
 
-// add has a connection's poller add it, and calls done there; or at once, with an error, if the engine has stopped.
+// add adds a connection on its poller's goroutine and calls done there. If the engine has stopped, it closes the
+// connection and calls done with an error at once.
 func (e *Engine) add(conn *nbio.Conn, done func(error)) {
 	posted := e.loopFor(conn).post(func() {
 		_, err := e.nbio.AddConn(conn)
--- a/internal/netpoll/engine_test.go
+++ b/internal/netpoll/engine_test.go
@@ -11,8 +11,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestStopRightAfterStart: An engine that is stopped in the moment it was started, over and over, while every core has
-// other work, ends each time.
+// TestStopRightAfterStart: An engine that is stopped right after its start, while every core is busy, stops each time.
 func TestStopRightAfterStart(t *testing.T) {
 	var stopSpinning atomic.Bool
 	for range runtime.GOMAXPROCS(0) {
@@ -30,7 +29,7 @@
 			t.Fatal(err)
 		}
 	case <-time.After(60 * time.Second):
-		t.Fatal("an engine does not stop")
+		t.Fatal("an engine has not stopped within 60 s")
 	}
 }
 
@@ -46,12 +45,12 @@
 	return nil
 }
 
-// TestStartWithoutDescriptorGaps: A process whose descriptors are taken without a gap gives each socket pair an even
-// number first, or each an odd one: an engine of several pollers starts all the same. It once took every descriptor
-// that there was, and failed.
+// TestStartWithoutDescriptorGaps: If a process uses its descriptors without gaps, the first descriptor of every new
+// socket pair is even, or that of every pair is odd. An engine with several pollers starts nevertheless, and does not
+// use up all descriptors in its search for suitable ones.
 func TestStartWithoutDescriptorGaps(t *testing.T) {
 	last := highestDescriptor(t)
-	for descriptor := 0; descriptor <= last+1; { // the second round starts one number later
+	for descriptor := 0; descriptor <= last+1; { // the second engine of each size starts one number later
 		descriptor = duplicateDescriptor(t)
 	}
 	for pollers := 1; pollers <= 5; pollers++ {
@@ -62,7 +61,7 @@
 				t.Fatalf("%d pollers: %v", pollers, err)
 			}
 			if after := highestDescriptor(t); after > before+100 {
-				t.Errorf("%d pollers: descriptors up to %d, %d before", pollers, after, before)
+				t.Errorf("%d pollers: highest descriptor %d, before the start %d", pollers, after, before)
 			}
 			engine.Stop()
 			duplicateDescriptor(t)
@@ -70,7 +69,7 @@
 	}
 }
 
-// highestDescriptor is the highest descriptor of the process.
+// highestDescriptor returns the highest descriptor of the process.
 func highestDescriptor(t *testing.T) (highest int) {
 	t.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
@@ -85,8 +84,9 @@
 	return highest
 }
 
-// TestStopWhileConnectionIsAccepted: A connection that is being accepted while the engine stops is closed by it. nbio's
-// own Stop walks the connections that it knows of, and then waits for one more, whose peer keeps it open for good.
+// TestStopWhileConnectionIsAccepted: A connection that is being accepted while the engine stops is closed by the
+// engine. nbio's own Stop closes the connections that it knows at that time. It then waits for the additional one
+// forever if the peer keeps it open.
 func TestStopWhileConnectionIsAccepted(t *testing.T) {
 	for range 5 {
 		opened := make(chan struct{})
@@ -116,7 +116,7 @@
 		runWithin(t, "stop", func() { <-stopped })
 		waitForEnd(t, conn)
 		if closeCount.Load() != openCount.Load() {
-			t.Fatalf("%d ends reported of %d connections", closeCount.Load(), openCount.Load())
+			t.Fatalf("Close was called for %d of %d connections", closeCount.Load(), openCount.Load())
 		}
 	}
 }
--- a/internal/netpoll/helpers_test.go
+++ b/internal/netpoll/helpers_test.go
@@ -16,10 +16,11 @@
 	"go.uber.org/goleak"
 )
 
-// patience is how long a test waits for anything before it fails.
+// patience is how long a test waits for an expected event before it fails.
 const patience = 20 * time.Second
 
-// echoAddressVariable makes the test's own program an echo server at that address, see TestSocketOutlivesItsProcess.
+// echoAddressVariable is the environment variable that makes the test binary run as an echo server at that address, see
+// TestSocketOutlivesItsProcess.
 const echoAddressVariable = "SOCKETS_ECHO_AT"
 
 func TestMain(m *testing.M) {
@@ -29,7 +30,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// runEchoServer serves until its parent closes its input.
+// runEchoServer runs an echo server until its parent closes its standard input.
 func runEchoServer(address string) (exitStatus int) {
 	echo := Handlers{Data: func(conn *nbio.Conn, data []byte) { _, _ = conn.Write(data) }}
 	engine, err := Start(1, echo, address)
@@ -53,7 +54,7 @@
 	return engine
 }
 
-// runWithin fails the test unless a step ends soon.
+// runWithin fails the test if a step takes longer than patience.
 func runWithin(t *testing.T, what string, step func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -64,11 +65,11 @@
 	select {
 	case <-done:
 	case <-time.After(patience):
-		t.Fatalf("%s: not within %s", what, patience)
+		t.Fatalf("%s: not finished within %s", what, patience)
 	}
 }
 
-// connect dials an address; the connection is closed when the test ends.
+// connect dials an address and closes the connection when the test ends.
 func connect(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -87,17 +88,17 @@
 	}
 }
 
-// waitForEnd waits until a connection has ended at this side.
+// waitForEnd waits until the other side has closed a connection.
 func waitForEnd(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(patience))
 	_, err := io.ReadAll(conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal("the connection stays open")
+		t.Fatal("the connection is still open at the deadline")
 	}
 }
 
-// waitForRefusal waits until no socket listens at an address any more.
+// waitForRefusal waits until dials to an address are refused.
 func waitForRefusal(t *testing.T, address string) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); ; {
@@ -107,12 +108,12 @@
 		}
 		_ = conn.Close()
 		if time.Now().After(deadline) {
-			t.Fatal("the address is still open")
+			t.Fatal("the address is still open at the deadline")
 		}
 	}
 }
 
-// port is the port of an address.
+// port returns the port of an address.
 func port(t *testing.T, address string) int {
 	t.Helper()
 	var number int
@@ -122,7 +123,7 @@
 	return number
 }
 
-// duplicateDescriptor takes the lowest free descriptor until the test ends.
+// duplicateDescriptor occupies the lowest free descriptor until the test ends.
 func duplicateDescriptor(t *testing.T) int {
 	t.Helper()
 	descriptor, err := syscall.Dup(0)
@@ -133,7 +134,7 @@
 	return descriptor
 }
 
-// unconnectedSocket is the descriptor of a TCP socket; it is closed when the test ends.
+// unconnectedSocket returns the descriptor of a TCP socket that is closed when the test ends.
 func unconnectedSocket(t *testing.T) int {
 	t.Helper()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -144,12 +145,12 @@
 	return socket
 }
 
-// connectSocket connects a socket to a port on loopback.
+// connectSocket connects a socket to a loopback port.
 func connectSocket(socket, port int) error {
 	return syscall.Connect(socket, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
 }
 
-// connLog keeps connections in the order in which they were opened.
+// connLog records connections in the order in which they were opened.
 type connLog struct {
 	mu    sync.Mutex
 	conns []*nbio.Conn
--- a/internal/netpoll/inherited.go
+++ b/internal/netpoll/inherited.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// The protocol of systemd's socket activation: LISTEN_FDS descriptors from 3 on are meant for the process LISTEN_PID.
+// The protocol of systemd's socket activation: LISTEN_FDS descriptors, starting at 3, are passed to process LISTEN_PID.
 const (
 	inheritedCountVariable   = "LISTEN_FDS"
 	inheritedProcessVariable = "LISTEN_PID"
@@ -16,9 +16,9 @@
 	maxInheritedDescriptors  = 64
 )
 
-// inheritedSockets are the listening sockets that the process was handed, by address. The process that starts
-// controllers holds the listening socket while they come and go, so that a dial that falls between two of them waits
-// in the kernel and is not refused. Both variables are removed from the environment: they are not meant for a child.
+// inheritedSockets returns the listening sockets that were passed to the process, by address. The process that starts
+// controllers keeps the listening socket open across their restarts, so that a dial during a restart waits in the
+// kernel and is not refused. Both variables are removed from the environment: they must not reach a child process.
 var inheritedSockets = sync.OnceValue(func() map[string]*os.File {
 	sockets := map[string]*os.File{}
 	count := inheritedCount()
@@ -26,7 +26,7 @@
 		syscall.CloseOnExec(descriptor)
 		file := os.NewFile(uintptr(descriptor), "inherited")
 		listener, err := net.FileListener(file)
-		if err != nil { // not a listening stream socket: not for this package
+		if err != nil { // not a listening stream socket
 			continue
 		}
 		sockets[listener.Addr().String()] = file
@@ -35,7 +35,7 @@
 	return sockets
 })
 
-// inheritedCount is how many descriptors the process was handed; 0 if the variables make no sense.
+// inheritedCount returns how many descriptors were passed to the process; 0 if the variables are invalid.
 func inheritedCount() int {
 	count, countErr := strconv.Atoi(os.Getenv(inheritedCountVariable))
 	process, processErr := strconv.Atoi(os.Getenv(inheritedProcessVariable))
@@ -48,7 +48,7 @@
 	return count
 }
 
-// listen listens on an address: on the socket that was inherited for it, or on a new one.
+// listen listens on an address, using the inherited socket for it if there is one.
 func listen(network, address string) (net.Listener, error) {
 	if file := inheritedSockets()[address]; file != nil {
 		return net.FileListener(file)
--- a/internal/netpoll/inherited_test.go
+++ b/internal/netpoll/inherited_test.go
@@ -12,9 +12,9 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestSocketOutlivesItsProcess: A dial that falls between two processes waits in the socket that their parent
-// holds, and the next process serves it. The address is taken all the while, so a process that was not handed the
-// socket cannot listen there.
+// TestSocketOutlivesItsProcess: A dial between the end of one process and the start of the next waits in the socket
+// that their parent keeps open, and the next process serves it. The address stays in use throughout, so a process
+// without the inherited socket cannot listen there.
 func TestSocketOutlivesItsProcess(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 	defer func() { _ = held.Close() }()
 	output, err := exec.Command("env", echoAddressVariable+"="+address, os.Args[0]).CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "in use") {
-		t.Fatalf("without the socket: %v\n%s", err, output)
+		t.Fatalf("a process without the socket: %v, want an address in use\n%s", err, output)
 	}
 	for range 3 {
 		conn := connect(t, address) // no process serves the address
@@ -39,7 +39,7 @@
 	}
 }
 
-// expectEchoFromNewProcess starts an echo server with the socket that is held, and reads its answer to hello.
+// expectEchoFromNewProcess starts an echo server that inherits the held socket, and reads its answer to hello.
 func expectEchoFromNewProcess(t *testing.T, conn net.Conn, address string, held *os.File) {
 	t.Helper()
 	process := exec.Command("sh", "-c", `LISTEN_FDS=1 LISTEN_PID=$$ exec "$0"`, os.Args[0])
@@ -57,12 +57,12 @@
 	_ = input.Close()
 	exitErr := process.Wait()
 	if readErr != nil || string(answer) != "hello" || exitErr != nil {
-		t.Fatalf("%q, %v, %v", answer, readErr, exitErr)
+		t.Fatalf("answer %q, read error %v, exit error %v", answer, readErr, exitErr)
 	}
 }
 
-// TestChildProcessInheritsNoConnection: A child process started while a connection is open does not hold it: its end is
-// seen when this side closes it.
+// TestChildProcessInheritsNoConnection: A child process started while a connection is open does not keep it open: the
+// server sees the connection's end when this process closes it.
 func TestChildProcessInheritsNoConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	server := startEngine(t, Handlers{Close: func(*nbio.Conn, error) { closed <- struct{}{} }}, "127.0.0.1:0")
@@ -90,6 +90,6 @@
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the child keeps the connection open")
+		t.Fatal("the child process keeps the connection open")
 	}
 }
--- a/internal/netpoll/netpolltest/client.go
+++ b/internal/netpoll/netpolltest/client.go
@@ -1,4 +1,4 @@
-// Package netpolltest drives RESP servers over plain sockets, by hand, in tests.
+// Package netpolltest provides a client for tests of RESP servers over plain sockets.
 package netpolltest
 
 import (
@@ -13,9 +13,9 @@
 	"peppervale/internal/codec/resp"
 )
 
-// Client is the far end of one connection. It fails its test where it cannot go on.
+// Client is the client's end of one connection. It fails its test on any unexpected error.
 type Client struct {
-	// Conn is the socket, for what a test does to it beyond sending and receiving.
+	// Conn is the socket, for operations other than sending and receiving.
 	Conn net.Conn
 
 	tb       testing.TB
@@ -25,15 +25,15 @@
 }
 
 // Dial connects to an address and closes the connection when the test ends. The test fails if Next waits longer than
-// the patience.
+// the timeout.
 func Dial(tb testing.TB, address string, patience time.Duration) *Client {
 	tb.Helper()
 	return dial(tb, net.Dialer{}, address, patience)
 }
 
-// DialWithReceiveBuffer is Dial with a bound on what the kernel keeps for the client, in bytes. The bound holds from
-// the first segment on: one that is set on an open connection makes the kernel drop segments beyond the smaller
-// window, and with them the server's acknowledgements of what the client sends.
+// DialWithReceiveBuffer is Dial with a limit on the kernel's receive buffer of the client, in bytes. The limit is set
+// before the connection is made: a limit that is set on an open connection makes the kernel drop segments beyond the
+// smaller window, and with them the server's TCP acknowledgements of the client's data.
 func DialWithReceiveBuffer(tb testing.TB, address string, patience time.Duration, size int) *Client {
 	tb.Helper()
 	limitBuffer := func(_, _ string, socket syscall.RawConn) error {
@@ -64,7 +64,7 @@
 	}
 }
 
-// SendCommands sends messages, each given as words separated by blanks, one write for each.
+// SendCommands sends messages, each given as words separated by spaces, with one write per message.
 func (c *Client) SendCommands(messages ...string) {
 	c.tb.Helper()
 	for _, message := range messages {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Close closes the connection from this side.
+// Close closes the connection.
 func (c *Client) Close() {
 	c.tb.Helper()
 	if err := c.Conn.Close(); err != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// Next is the next value that comes; ok is false once the server has ended the connection.
+// Next returns the next value received; ok is false once the server has closed the connection.
 func (c *Client) Next() (value resp.Value, ok bool) {
 	c.tb.Helper()
 	buffer := make([]byte, 4096)
@@ -88,7 +88,7 @@
 		_ = c.Conn.SetReadDeadline(time.Now().Add(c.patience))
 		n, err := c.Conn.Read(buffer)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.tb.Fatalf("nothing came within %s", c.patience)
+			c.tb.Fatalf("no value received within %s", c.patience)
 		}
 		if err != nil {
 			return resp.Value{}, false
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// Command is the encoding of a message that is given as words separated by blanks.
+// Command encodes a message that is given as words separated by spaces.
 func Command(message string) string {
 	return string(resp.AppendCommand(nil, strings.Fields(message)...))
 }
--- a/internal/netpoll/pollerloop.go
+++ b/internal/netpoll/pollerloop.go
@@ -7,23 +7,24 @@
 	"github.com/lesismal/nbio"
 )
 
-// pollerLoop runs tasks on one poller's goroutine, between two of its reads. It is a connection of the poller's own:
-// a byte at its far end is read in the poller's next round, and what was posted before that byte runs there.
+// pollerLoop runs tasks on one poller's goroutine, between two of its reads. It uses a socket pair with one end
+// registered at the poller: a byte written to the far end makes the poller call runRound in its next round.
 //
-// A task runs one round after the one that learns of it. The events of a round were gathered before it; some of them
-// may be of descriptors that have been closed since, and nbio knows a connection by its descriptor's number alone. A
-// connection that is added in a round which began after it was accepted cannot be taken for such a one.
+// A task runs one round after the round that first sees it. The events of a round are collected before the round
+// begins. Some of them may belong to descriptors that were closed since then, and nbio identifies a connection only by
+// its descriptor's number. A connection that is added in a round which began after it was accepted cannot receive such
+// stale events.
 type pollerLoop struct {
 	conn          *nbio.Conn
 	farDescriptor int
 
 	mu     sync.Mutex
-	posted []func() // the poller has not learnt of them yet
+	posted []func() // not yet seen by the poller
 	ready  []func() // run in the poller's next round
 	closed bool
 }
 
-// newPollerLoop makes the loop of one poller; it works once its connection has been added.
+// newPollerLoop creates the loop of one poller; it runs tasks once its connection has been added.
 func newPollerLoop(poller, pollers int) (*pollerLoop, error) {
 	conn, farDescriptor, err := newPollerConn(poller, pollers)
 	if err != nil {
@@ -34,13 +35,13 @@
 	return loop, nil
 }
 
-// loopOf is the loop that a connection belongs to; nil for any other connection.
+// loopOf returns the loop that a connection belongs to; nil for any other connection.
 func loopOf(conn *nbio.Conn) *pollerLoop {
 	loop, _ := conn.Session().(*pollerLoop)
 	return loop
 }
 
-// post has a task run on the poller's goroutine; false once the loop is closed: the task then never runs.
+// post schedules a task on the poller's goroutine. It returns false once the loop is closed; the task then never runs.
 func (l *pollerLoop) post(task func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,10 +56,10 @@
 	return true
 }
 
-// wake writes the one byte that is in transit while there are tasks; l.mu is held.
+// wake writes one byte to the far end. One byte is in transit as long as there are tasks. l.mu is held.
 func (l *pollerLoop) wake() { _, _ = syscall.Write(l.farDescriptor, []byte{1}) }
 
-// runRound runs what the round before has learnt of.
+// runRound runs the tasks that the previous round has seen.
 func (l *pollerLoop) runRound() {
 	l.mu.Lock()
 	tasks := l.ready
@@ -73,7 +74,7 @@
 	}
 }
 
-// waitUntilDone waits until all that was posted before has run.
+// waitUntilDone waits until all tasks posted before have run.
 func (l *pollerLoop) waitUntilDone() {
 	done := make(chan struct{})
 	if l.post(func() { close(done) }) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// close takes no more tasks; the poller has ended.
+// close rejects further tasks and closes the far end; the poller has ended.
 func (l *pollerLoop) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/netpoll/socketpair.go
+++ b/internal/netpoll/socketpair.go
@@ -9,14 +9,14 @@
 	"github.com/lesismal/nbio"
 )
 
-// maxPairAttempts bounds the attempts at a descriptor's number while other goroutines take some too; an attempt fails
-// only if one is taken in the same moment.
+// maxPairAttempts bounds the attempts to get a suitable descriptor number. An attempt fails only if another goroutine
+// takes a descriptor at the same time.
 const maxPairAttempts = 1000
 
-// newPollerConn makes a connection of the given poller, whose far end is a plain descriptor. A poller has the
-// connections whose descriptor, modulo the number of pollers, is its own number, so the lowest free descriptors are
-// filled up to one that is. Left to chance, pairs fall on every second descriptor, and met every second poller only
-// until the process had no descriptor left.
+// newPollerConn creates a connection that belongs to the given poller; its far end is a plain descriptor. nbio assigns
+// a connection to the poller whose number equals the descriptor modulo the number of pollers, so the lowest free
+// descriptors are occupied until the next one matches. Repeated attempts alone would fail: each pair takes two
+// descriptors, so every attempt could hit only every second poller until the process has no free descriptor.
 func newPollerConn(poller, pollers int) (conn *nbio.Conn, farDescriptor int, err error) {
 	for range maxPairAttempts {
 		conn, farDescriptor, err = attemptPollerConn(poller, pollers)
@@ -26,11 +26,12 @@
 		_ = conn.Close()
 		_ = syscall.Close(farDescriptor)
 	}
-	return nil, 0, fmt.Errorf("netpoll: no connection for poller %d of %d in %d attempts",
+	return nil, 0, fmt.Errorf("netpoll: no descriptor for poller %d of %d after %d attempts",
 		poller, pollers, maxPairAttempts)
 }
 
-// attemptPollerConn makes a connection that is the given poller's unless the number is taken meanwhile.
+// attemptPollerConn creates a connection that belongs to the given poller, unless another goroutine takes the
+// descriptor number first.
 func attemptPollerConn(poller, pollers int) (conn *nbio.Conn, farDescriptor int, err error) {
 	near, farDescriptor, err := socketPair()
 	if err != nil {
@@ -49,7 +50,7 @@
 	return conn, farDescriptor, nil
 }
 
-// socketPair makes a connection and the descriptor of its far end.
+// socketPair returns a connection and the descriptor of its far end.
 func socketPair() (near net.Conn, farDescriptor int, err error) {
 	ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -65,8 +66,8 @@
 	return near, ends[1], nil
 }
 
-// fillDescriptors takes the lowest free descriptors until the next one is the poller's. release frees those that were
-// taken; it is valid with an error too.
+// fillDescriptors occupies the lowest free descriptors until the next one belongs to the poller. release closes the
+// occupied descriptors; it is valid even if an error is returned.
 func fillDescriptors(duplicated, poller, pollers int) (release func(), err error) {
 	var taken []int
 	release = func() {
--- a/internal/platform/acknowledge.go
+++ b/internal/platform/acknowledge.go
@@ -7,60 +7,60 @@
 	"peppervale/internal/model"
 )
 
-// maxPendingAcks bounds the acknowledgements that one stream may owe: hours of a calm fleet; beyond it the proxy
-// acknowledges nothing.
+// maxPendingAcks bounds the pending acknowledgements of one stream. In normal operation that many messages take hours
+// to send, so a proxy that exceeds the bound does not acknowledge at all.
 const maxPendingAcks = 4096
 
-// deliveryProgress numbers the messages that ask for an acknowledgement, over all streams.
+// deliveryProgress numbers the messages that request an acknowledgement, across all streams.
 type deliveryProgress struct {
-	sent         uint64 // number of the newest that was sent
-	acknowledged uint64 // number of the newest that was acknowledged, by any proxy
+	sent         uint64 // number of the newest message sent
+	acknowledged uint64 // number of the newest message that any proxy acknowledged
 }
 
-// ackQueue is what one stream owes.
+// ackQueue holds the pending acknowledgements of one stream.
 type ackQueue struct {
-	pending []pendingAck // the oldest first
-	newest  uint32       // the newest sequence asked for on this stream
+	pending []pendingAck // oldest first
+	newest  uint32       // newest sequence requested on this stream
 
-	askedAgainAt       model.Microseconds // when an acknowledgement was last asked for again; 0: never
-	askedAgainSequence uint32             // the sequence asked for then
+	askedAgainAt       model.Microseconds // when an acknowledgement was last requested again; 0: never
+	askedAgainSequence uint32             // the sequence of that request
 
-	// overtakenAt is when it was found that a message sent after the oldest pending one had been acknowledged on another
-	// stream; 0: not yet.
+	// overtakenAt is when the server noticed that another stream had acknowledged a message sent after this stream's
+	// oldest pending message; 0: not yet.
 	overtakenAt model.Microseconds
 }
 
-// pendingAck is one acknowledgement that a stream owes.
+// pendingAck is one acknowledgement that was requested on a stream and has not arrived.
 type pendingAck struct {
 	sequence uint32
 	sentAt   model.Microseconds
-	number   uint64 // of the message, see deliveryProgress
+	number   uint64 // number of the message, see deliveryProgress
 }
 
-// expectAck adds an acknowledgement to what the stream owes; s.mu is held.
+// expectAck adds an acknowledgement to the stream's pending ones; s.mu is held.
 func (s *Server) expectAck(queue *ackQueue, sentAt model.Microseconds) {
 	s.progress.sent++
 	queue.pending = append(queue.pending, pendingAck{queue.newest, sentAt, s.progress.sent})
 }
 
-// index is the index of a sequence in pending; -1: it is not pending.
+// index returns the index of a sequence in pending, or -1 if it is not pending.
 func (q *ackQueue) index(sequence uint32) int {
 	return slices.IndexFunc(q.pending, func(ack pendingAck) bool { return ack.sequence == sequence })
 }
 
-// isLateDuplicate reports whether a sequence that is not pending was asked for twice: the first acknowledgement has
-// come after the second.
+// isLateDuplicate reports whether a sequence that is not pending was requested twice. The proxy then acknowledges it
+// twice, and the second acknowledgement to arrive matches no pending one.
 func (q *ackQueue) isLateDuplicate(sequence uint32) bool {
 	return q.askedAgainAt > 0 && sequence == q.askedAgainSequence
 }
 
-// acknowledge takes a proxy's acknowledgement, which covers all that the stream owed before it. Acknowledgements come
-// in the order in which they were asked for, so a malformed one is still known to be the oldest that is owed: without
-// it, what it covers would count as unacknowledged until the next one.
+// acknowledge handles a proxy's acknowledgement, which also covers all earlier pending ones of the stream.
+// Acknowledgements arrive in the order in which they were requested, so a malformed one is counted as the oldest
+// pending one. Otherwise the entries that it covers would count as unacknowledged until the next acknowledgement.
 func (s *Server) acknowledge(stream *stream, message platformmsg.Message, malformed error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.connections.Registered(stream.conn) { // ended meanwhile
+	if !s.connections.Registered(stream.conn) { // ended in the meantime
 		return
 	}
 	queue := &stream.acks
@@ -73,7 +73,7 @@
 			return
 		}
 		s.malformedMessage().Err(malformed).Int("proxy", int(stream.proxy)).Uint32("ack_sequence", message.AckSequence).
-			Int("pending_acks", len(queue.pending)).Msg("malformed acknowledgement taken as the oldest pending one")
+			Int("pending_acks", len(queue.pending)).Msg("malformed acknowledgement counted as the oldest pending one")
 		if len(queue.pending) == 0 {
 			return
 		}
--- a/internal/platform/collector.go
+++ b/internal/platform/collector.go
@@ -9,21 +9,21 @@
 	"peppervale/internal/model"
 )
 
-// maxCollectorsPerZone is how many connections one zone's collector may hold: one, and a few whose end was not seen.
-// Beyond them the one that has been silent for longest is closed.
+// maxCollectorsPerZone is how many connections one zone's collector may hold: the one in use, and a few stale ones
+// whose end the server has not detected. At the limit, the connection that has been silent for longest is closed.
 const maxCollectorsPerZone = 3
 
-// noReading stands for a load field that a report does not have.
+// noReading is the value of a load field that is missing from a report.
 const noReading = -1
 
-// registerCollector takes a zone's collector in. An error is the reason for which it is rejected.
+// registerCollector registers a zone's collector. An error is the reason for its rejection.
 func (s *Server) registerCollector(conn *connection, message platformmsg.Message) error {
 	zone, known := s.zoneIndex(message.Zone)
 	if !known {
 		return fmt.Errorf("collector: there is no site %.40q", message.Zone)
 	}
 	s.mu.Lock()
-	if !s.connections.Registered(conn) { // ended meanwhile
+	if !s.connections.Registered(conn) { // ended in the meantime
 		s.mu.Unlock()
 		return errEnded
 	}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// removeCollector takes a collector's connection out of its zone; s.mu is held.
+// removeCollector removes a collector's connection from its zone; s.mu is held.
 func (s *Server) removeCollector(conn *connection) {
 	s.collectors[conn.collectorZone] = slices.DeleteFunc(s.collectors[conn.collectorZone], func(other *connection) bool {
 		return other == conn
@@ -51,12 +51,12 @@
 	return cmp.Compare(a.lastReceivedAt.Load(), b.lastReceivedAt.Load())
 }
 
-// reportLoad passes a load report on. An error is why the report is dropped.
+// reportLoad forwards a load report to the controller. An error is the reason why the report is dropped.
 func (s *Server) reportLoad(message platformmsg.Message) error {
 	zone, knownZone := s.zoneIndex(message.Zone)
 	replica, knownReplica := s.config.ReplicaNames.ID(message.Replica)
 	if !knownZone || !knownReplica {
-		return fmt.Errorf("heard: no site %.40q, or no replica %.40q", message.Zone, message.Replica)
+		return fmt.Errorf("load report: unknown site %.40q or unknown replica %.40q", message.Zone, message.Replica)
 	}
 	report := model.LoadReport{
 		Zone:        zone,
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// readings are the values of Config.LoadFields, noReading where one is missing; nil if the report has none at all.
+// readings returns the values of Config.LoadFields, with noReading for missing ones, or nil if the report has none.
 func (s *Server) readings(message platformmsg.Message) []float64 {
 	if len(message.Readings) == 0 {
 		return nil
--- a/internal/platform/collector_test.go
+++ b/internal/platform/collector_test.go
@@ -8,9 +8,8 @@
 	"peppervale/internal/model"
 )
 
-// TestLoadReportsUseConfiguredFieldNames: A load report has the field names of the configuration. They were once
-// looked for under the operators' other names: none was ever read, and controllers took a fleet for calm of which a
-// third was late.
+// TestLoadReportsUseConfiguredFieldNames: Readings are looked up by the configured field names. With other names no
+// reading is found, and controllers miss an overload: a third of the requests were late without a reaction.
 func TestLoadReportsUseConfiguredFieldNames(t *testing.T) {
 	harness := startServer(t, nil)
 	harness.dial(t).say(
@@ -33,8 +32,8 @@
 	}
 }
 
-// TestLongestSilentCollectorMakesRoom: Where collectors vanish without closing their connection, their successor is
-// taken and heard, and the one that has been silent for longest makes room.
+// TestLongestSilentCollectorMakesRoom: If collectors vanish without closing their connections, a new collector is
+// accepted and its reports are received, and the connection that has been silent for longest is closed.
 func TestLongestSilentCollectorMakesRoom(t *testing.T) {
 	clock := &testClock{now: 1}
 	harness := startServer(t, func(config *Config) { config.Now = clock.read })
@@ -46,7 +45,7 @@
 	}
 	first, second, third := join(), join(), join()
 	clock.advance(time.Second)
-	first.say("heard site govan target s-1 count 1 fail 0 mean 1 over 1") // the oldest is the one that works
+	first.say("heard site govan target s-1 count 1 fail 0 mean 1 over 1") // the oldest connection is the one in use
 	first.ping()
 	fourth := join()
 	second.expect(closedConnection)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -9,30 +9,30 @@
 	"peppervale/internal/model"
 )
 
-// Limits bounds what peers may cost.
+// Limits bounds the resources that peers may use.
 type Limits struct {
-	// Connections is how many may be open at once.
+	// Connections is how many connections may be open at once.
 	Connections int
 	// GreetingTimeout is the time within which a connection has to join.
 	GreetingTimeout time.Duration
-	// UnsentBytes is how many bytes may wait for one peer; beyond it the peer's connection is closed.
+	// UnsentBytes is how many unsent bytes may be buffered for one peer; beyond it the peer's connection is closed.
 	UnsentBytes int
-	// SilenceTimeout is how long a stream that owes an acknowledgement may send nothing, once another stream has
-	// acknowledged a later message; then it is taken as disconnected.
+	// SilenceTimeout is how long a stream with a pending acknowledgement may send nothing after another stream has
+	// acknowledged a later message. After that it counts as disconnected.
 	SilenceTimeout time.Duration
-	// AckRetryInterval is how long a stream may owe an acknowledgement, or send nothing, before the acknowledgement is
-	// asked for again; no shorter than SilenceTimeout.
+	// AckRetryInterval is how long an acknowledgement may be pending, or a stream may send nothing, before the
+	// acknowledgement is requested again. It is not shorter than SilenceTimeout.
 	AckRetryInterval time.Duration
 }
 
-// Config is what a server needs to know.
+// Config is a server's configuration.
 type Config struct {
 	Listen          string // host:port
 	Zones           []string
 	Operations      []string
-	LoadFields      []string // of a collector's report, in the order of model.LoadReport.Readings
-	ProxyCount      int      // proxy ids run from 0 to one less; 0: the number is not known
-	MessageOverhead int      // entries that a message costs beyond its own
+	LoadFields      []string // names in a collector's report, in the order of model.LoadReport.Readings
+	ProxyCount      int      // proxy ids run from 0 to ProxyCount-1; 0: the count is unknown
+	MessageOverhead int      // cost of a message in entries, added to its own entries
 	ReplicaNames    *platformmsg.ReplicaNames
 	Limits          Limits
 	Now             func() model.Microseconds
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -16,14 +16,14 @@
 	"peppervale/internal/netpoll/connserver"
 )
 
-// noZone is the collector zone of a connection that is no collector's.
+// noZone is the collector zone of a connection that does not belong to a collector.
 const noZone = -1
 
-// malformedLogged is how many malformed messages have a log line of their own; the others are only counted.
+// malformedLogged is how many malformed messages are logged; further ones are only counted.
 const malformedLogged = 20
 
-// errEnded stops the reader of a connection that has been ended; it is not reported.
-var errEnded = errors.New("ended")
+// errEnded stops the reader of a connection that has ended; it is not reported.
+var errEnded = errors.New("connection has ended")
 
 // connection is one connection of a proxy, a collector or an unknown client.
 type connection struct {
@@ -32,12 +32,12 @@
 	reader         *resp.Reader
 	openedAt       model.Microseconds
 	lastReceivedAt atomic.Int64  // in model.Microseconds
-	queued         *list.Element // its place in Server.unauthenticated; nil once it has joined
-	collectorZone  int           // the zone whose reports it brings, or noZone
+	queued         *list.Element // element in Server.unauthenticated; nil once the peer has joined
+	collectorZone  int           // zone of the collector, or noZone
 	stream         *stream       // nil unless a proxy has joined on it
 }
 
-// opened takes a connection in. If there are too many, the oldest unauthenticated one makes room.
+// opened registers a new connection. Above the connection limit, it closes the oldest unauthenticated connection.
 func (s *Server) opened(socket *nbio.Conn) {
 	conn := &connection{server: s, reader: resp.NewReader(platformmsg.MessageLimits), collectorZone: noZone}
 	s.mu.Lock()
@@ -56,7 +56,7 @@
 	s.connections.CloseOnPoller(evicted...)
 }
 
-// received reads what came. Bytes that are no message end the connection.
+// received decodes received bytes into messages. Bytes that cannot be decoded end the connection.
 func (s *Server) received(conn *connection, data []byte) {
 	conn.lastReceivedAt.Store(int64(s.config.Now()))
 	err := conn.reader.Feed(data, conn.handle)
@@ -83,14 +83,14 @@
 	s.end(conn)
 }
 
-// closed takes out a connection whose socket was closed, unless it was removed before.
+// closed removes a connection whose socket was closed, unless it was removed before.
 func (s *Server) closed(conn *connection) {
 	s.mu.Lock()
 	s.remove(conn)
 	s.mu.Unlock()
 }
 
-// reject tells an unauthenticated connection why it is not served, and ends it.
+// reject sends an unauthenticated connection the reason for its rejection, and ends it.
 func (s *Server) reject(conn *connection, reason string) {
 	s.mu.Lock()
 	s.stats.Rejected++
@@ -99,7 +99,7 @@
 	s.end(conn)
 }
 
-// end ends a connection. What follows from that follows at once, not when the poller has closed the socket.
+// end ends a connection. Its state is removed at once, not only when the poller has closed the socket.
 func (s *Server) end(conn *connection) {
 	s.mu.Lock()
 	s.remove(conn)
@@ -107,8 +107,8 @@
 	s.connections.CloseOnPoller(conn)
 }
 
-// remove takes connections out of all that the server keeps, each once, and reports the end of their streams; s.mu is
-// held. Their sockets remain to be closed.
+// remove removes connections from the server's state and reports the end of their streams; s.mu is held. A connection
+// that was removed before is skipped. The caller has to close the sockets.
 func (s *Server) remove(connections ...*connection) {
 	for _, c := range connections {
 		if !s.connections.Unregister(c) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// authenticate notes that a connection has joined; s.mu is held.
+// authenticate marks a connection as joined; s.mu is held.
 func (s *Server) authenticate(conn *connection) {
 	s.unauthenticated.Remove(conn.queued)
 	conn.queued = nil
@@ -139,12 +139,12 @@
 	return conn.queued != nil
 }
 
-// hasTooMuchUnsent reports whether more bytes wait for a peer than it may leave unread.
+// hasTooMuchUnsent reports whether a peer's unsent bytes exceed Limits.UnsentBytes.
 func (s *Server) hasTooMuchUnsent(conn *connection) bool {
 	return conn.UnsentBytes() > int64(s.config.Limits.UnsentBytes)
 }
 
-// handle takes one message. An error ends the connection.
+// handle handles one message. An error ends the connection.
 func (c *connection) handle(value resp.Value) error {
 	if c.Ended() {
 		return errEnded
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// handleGreeting takes the first message of a connection. An error is the reason for which it is rejected.
+// handleGreeting handles the first message of a connection. An error is the reason for the connection's rejection.
 func (s *Server) handleGreeting(conn *connection, message platformmsg.Message) error {
 	switch message.Kind {
 	case platformmsg.KindProxyJoined:
@@ -177,7 +177,7 @@
 	}
 }
 
-// handleJoined takes a message of a connection that has joined. An error is why the message is dropped.
+// handleJoined handles a message of a connection that has joined. An error is the reason why the message is dropped.
 func (s *Server) handleJoined(conn *connection, message platformmsg.Message, malformed error) error {
 	if message.Kind == platformmsg.KindAcknowledgement && conn.stream != nil {
 		s.acknowledge(conn.stream, message, malformed)
@@ -193,12 +193,12 @@
 		s.countUsage(message)
 		return nil
 	default:
-		return fmt.Errorf("%s: not from here", message.Kind)
+		return fmt.Errorf("%s: a message that this connection may not send", message.Kind)
 	}
 }
 
-// answerPing answers a ping. A peer that pings and reads no answer is closed: answers are bounded like all else that
-// waits.
+// answerPing answers a ping. A peer that pings and does not read the answers is closed: unsent answers count towards
+// Limits.UnsentBytes.
 func (s *Server) answerPing(conn *connection) error {
 	s.mu.Lock()
 	s.connections.Write(conn, platformmsg.AppendPong(nil))
@@ -223,8 +223,8 @@
 	event.Err(reason).Msg("malformed message dropped")
 }
 
-// malformedMessage counts a malformed message and returns its log line; nil, to which nothing is
-// logged, once there were malformedLogged. s.mu is held.
+// malformedMessage counts a malformed message and returns the event to log it with. After malformedLogged messages it
+// returns nil, which logs nothing. s.mu is held.
 func (s *Server) malformedMessage() *zerolog.Event {
 	s.stats.MalformedMessages++
 	if s.stats.MalformedMessages > malformedLogged {
@@ -233,7 +233,7 @@
 	return s.config.Log.Warn()
 }
 
-// zoneIndex is the place of a zone in Config.Zones; ok is false if there is none of that name.
+// zoneIndex returns the index of a zone in Config.Zones; ok is false if no zone has that name.
 func (s *Server) zoneIndex(name string) (index int, ok bool) {
 	index = slices.Index(s.config.Zones, name)
 	return index, index >= 0
--- a/internal/platform/connection_test.go
+++ b/internal/platform/connection_test.go
@@ -10,8 +10,8 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-// TestUnauthenticatedConnectionsTimeOut: Connections that send nothing, or half a message, or only a ping, are closed
-// when their time to join has passed.
+// TestUnauthenticatedConnectionsTimeOut: Connections that send nothing, half a message, or only a ping are closed after
+// the greeting timeout.
 func TestUnauthenticatedConnectionsTimeOut(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = 300 * time.Millisecond })
 	for _, bytes := range []string{"", "*3\r\n$4\r\njo", netpolltest.Command("ping")} {
@@ -20,17 +20,17 @@
 		if got := client.next(); got == "pong" {
 			got = client.next()
 			if got != closedConnection {
-				t.Fatalf("after a pong: %q", got)
+				t.Fatalf("received %q after a pong, want the end of the connection", got)
 			}
 		} else if got != closedConnection {
-			t.Fatalf("%q", got)
+			t.Fatalf("received %q, want the end of the connection", got)
 		}
 	}
 	harness.waitForNoConnections()
 }
 
-// TestFloodOfUnauthenticatedConnectionsLeavesRoomForProxies: A flood of silent connections takes no place from
-// proxies: the oldest of them make room.
+// TestFloodOfUnauthenticatedConnectionsLeavesRoomForProxies: A flood of silent connections does not displace proxies:
+// the oldest silent connections are closed.
 func TestFloodOfUnauthenticatedConnectionsLeavesRoomForProxies(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 10 })
 	for range 50 {
@@ -46,12 +46,12 @@
 	}
 	harness.waitUntil("evictions", func() bool { return harness.server.Stats().Evicted >= 90 })
 	if stats := harness.server.Stats(); stats.Proxies != 5 || stats.Connections > 10 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestUnauthenticatedConnectionAtLimitIsEvicted: Where streams have taken every place, a new connection finds none,
-// as it is itself the oldest that may go; the streams notice nothing.
+// TestUnauthenticatedConnectionAtLimitIsEvicted: If streams use all connections that the limit allows, a new connection
+// is closed, because it is the oldest unauthenticated one. The streams are not affected.
 func TestUnauthenticatedConnectionAtLimitIsEvicted(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 3 })
 	var joined []*testClient
@@ -68,12 +68,12 @@
 		client.expect("update out s-1 ticket 1")
 	}
 	if stats := harness.server.Stats(); stats.Proxies != 3 || stats.Connections != 3 || stats.Evicted != 20 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestResetsRightAfterAcceptLeaveNothing: Connections that are reset right after they came up, with bytes waiting or
-// none, leave no connection and no descriptor.
+// TestResetsRightAfterAcceptLeaveNothing: Connections that are reset right after they were accepted, with or without
+// unread bytes, leave no registered connection and no open descriptor.
 func TestResetsRightAfterAcceptLeaveNothing(t *testing.T) {
 	harness := startServer(t, nil)
 	harness.join(t, 7)
@@ -97,12 +97,12 @@
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		_ = conn.Close()
 	}
-	harness.waitUntil("end of all but one", func() bool {
+	harness.waitUntil("end of all connections but one", func() bool {
 		stats := harness.server.Stats()
 		onlyOneLeft := stats.Connections == 1 && stats.Collectors == 0
 		return onlyOneLeft && harness.unauthenticatedCount() == 0 && descriptors() == before
 	})
 	if open := harness.expectStreamOrder(); len(open) != 1 {
-		t.Fatalf("open: %v", open)
+		t.Fatalf("open streams: %v, want 1", open)
 	}
 }
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -19,25 +19,25 @@
 	"peppervale/internal/snapshot"
 )
 
-// patience is how long a test waits for anything before it fails.
+// patience is how long a test waits for an expected event before it fails.
 const patience = 20 * time.Second
 
-// closedConnection is what testClient.next gives once the server has closed the connection.
+// closedConnection is the result of testClient.next once the server has closed the connection.
 const closedConnection = "closed"
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testHarness stands in for the controller: it keeps the events, and admits each proxy that joins on a goroutine of its
-// own, as the controller does.
+// testHarness is a stand-in for the controller: it records the events, and admits each joined proxy on a separate
+// goroutine, as the controller does.
 type testHarness struct {
 	t      *testing.T
 	server *Server
 	names  *platformmsg.ReplicaNames
-	steps  chan func() // run one after another, as the controller's mailbox
+	steps  chan func() // run one after another, like the controller's mailbox
 
 	mu           sync.Mutex
-	events       []string      // as the steps have run
-	streamEvents []streamEvent // in the order of the calls
+	events       []string      // in the order in which the steps ran
+	streamEvents []streamEvent // in the order in which the server reported them
 	reports      []model.LoadReport
 }
 
@@ -69,7 +69,7 @@
 	h.events = append(h.events, fmt.Sprintf(format, args...))
 }
 
-// ProxyConnected admits the proxy in a later step and notes it then.
+// ProxyConnected admits the proxy and records the event in a later step.
 func (h *testHarness) ProxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
 	h.record(streamEvent{streamConnected, proxy, stream}, func() {
 		h.server.AdmitProxy(proxy, stream)
@@ -77,31 +77,31 @@
 	})
 }
 
-// ProxyDisconnected notes the end of a stream.
+// ProxyDisconnected records the end of a stream.
 func (h *testHarness) ProxyDisconnected(proxy model.ProxyID, stream uint64) {
 	h.record(streamEvent{streamDisconnected, proxy, stream}, func() { h.note("disconnected %d", proxy) })
 }
 
-// Acknowledged notes an acknowledgement.
+// Acknowledged records an acknowledgement.
 func (h *testHarness) Acknowledged(proxy model.ProxyID, stream uint64, ackSequence uint32) {
 	h.record(streamEvent{streamAcknowledged, proxy, stream}, func() { h.note("acknowledged %d %d", proxy, ackSequence) })
 }
 
-// LoadReported keeps load reports.
+// LoadReported records load reports.
 func (h *testHarness) LoadReported(_ int, reports []model.LoadReport) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reports = append(h.reports, reports...)
 }
 
-// unauthenticatedCount is the number of connections that have not joined.
+// unauthenticatedCount returns the number of connections that have not joined.
 func (h *testHarness) unauthenticatedCount() int {
 	h.server.mu.Lock()
 	defer h.server.mu.Unlock()
 	return h.server.unauthenticated.Len()
 }
 
-// waitForAdmission waits until a proxy's stream is admitted and fits.
+// waitForAdmission waits until a proxy's stream is admitted and meets a condition.
 func (h *testHarness) waitForAdmission(proxy model.ProxyID, fits func(*stream) bool) {
 	h.t.Helper()
 	h.waitUntil("admission", func() bool {
@@ -112,14 +112,14 @@
 	})
 }
 
-// reportCount is the number of load reports that came.
+// reportCount returns the number of load reports received.
 func (h *testHarness) reportCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.reports)
 }
 
-// waitForEvent waits until an event was noted.
+// waitForEvent waits until an event is recorded.
 func (h *testHarness) waitForEvent(want string) {
 	h.t.Helper()
 	h.waitUntil(want, func() bool {
@@ -133,7 +133,7 @@
 	h.t.Helper()
 	for deadline := time.Now().Add(patience); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			h.t.Fatalf("not reached: %s; events %q, %+v", what, h.events, h.server.Stats())
+			h.t.Fatalf("not reached within the time limit: %s; events %q, stats %+v", what, h.events, h.server.Stats())
 		}
 	}
 }
@@ -144,8 +144,8 @@
 	h.waitUntil("end of all connections", func() bool { return h.server.Stats().Connections == 0 })
 }
 
-// expectStreamOrder checks the events of each proxy: a stream's start, then its acknowledgements, then its end,
-// once, and no two streams at a time. It returns the streams that are open by it.
+// expectStreamOrder checks the events of each proxy: a stream's start, then its acknowledgements, then its end exactly
+// once, and at most one open stream at a time. It returns the open streams.
 func (h *testHarness) expectStreamOrder() map[model.ProxyID]uint64 {
 	h.t.Helper()
 	h.mu.Lock()
@@ -160,13 +160,13 @@
 			delete(open, event.proxy)
 		case event.kind == streamAcknowledged && current == event.stream:
 		default:
-			h.t.Fatalf("event %d, %+v, while stream %d is open", i, event, current)
+			h.t.Fatalf("event %d is %+v while stream %d is open", i, event, current)
 		}
 	}
 	return open
 }
 
-// startServer opens an address with two zones, two operations, twenty proxies and nine listed replicas, s-1 to s-9.
+// startServer starts a server with two zones, two operations, twenty proxies and nine listed replicas, s-1 to s-9.
 func startServer(t *testing.T, change func(*Config)) *testHarness {
 	t.Helper()
 	harness := &testHarness{t: t, names: platformmsg.NewReplicaNames(), steps: make(chan func(), 100_000)}
@@ -213,7 +213,7 @@
 	return harness
 }
 
-// testClock is moved by the test.
+// testClock is a clock that the test advances.
 type testClock struct {
 	mu  sync.Mutex
 	now model.Microseconds
@@ -236,7 +236,7 @@
 	return id
 }
 
-// publish publishes updates; the acknowledgement sequence is -1 where none is asked for.
+// publish publishes updates; an acknowledgement sequence of -1 requests no acknowledgement.
 func (h *testHarness) publish(ackSequence int, updates ...snapshot.Update) {
 	h.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: ackSequence})
 }
@@ -246,7 +246,7 @@
 	return snapshot.Update{Kind: snapshot.SetWeight, Table: 1, Replica: h.replica(n), Weight: weight}
 }
 
-// withdraw withdraws a replica, or readmits it.
+// withdraw withdraws or readmits a replica.
 func (h *testHarness) withdraw(n int, withdrawn bool) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: h.replica(n), Withdrawn: withdrawn}
 }
@@ -256,7 +256,7 @@
 	return snapshot.Update{Kind: snapshot.BindProxy, Proxy: proxy, Table: 1}
 }
 
-// admitQuota admits a share of the first operation.
+// admitQuota sets the admitted share of the first operation.
 func admitQuota(share float64) snapshot.Update {
 	return snapshot.Update{
 		Kind:  snapshot.SetQuota,
@@ -264,7 +264,7 @@
 	}
 }
 
-// testClient is the far end of a connection, driven by hand.
+// testClient is the client's end of a connection.
 type testClient struct {
 	*netpolltest.Client
 	t *testing.T
@@ -283,17 +283,17 @@
 	return client
 }
 
-// joinMessage is what a proxy of the first zone says on its standing table.
+// joinMessage returns the join message of a proxy of the first zone on its standing table.
 func joinMessage(proxy int) string { return fmt.Sprintf("joined id %d site govan rps 1 new 1", proxy) }
 
-// say sends messages, each given as words.
+// say sends messages, each given as words separated by spaces.
 func (c *testClient) say(messages ...string) *testClient {
 	c.t.Helper()
 	c.SendCommands(messages...)
 	return c
 }
 
-// next is the next message in words; closedConnection once the connection has ended.
+// next returns the words of the next message, or closedConnection once the connection has ended.
 func (c *testClient) next() string {
 	c.t.Helper()
 	value, ok := c.Next()
@@ -314,7 +314,7 @@
 	}
 }
 
-// ping exchanges a ping: all that was sent before it has been read by the server.
+// ping sends a ping and waits for its answer: the server has then read everything sent before it.
 func (c *testClient) ping() {
 	c.t.Helper()
 	c.say("ping")
--- a/internal/platform/liveness.go
+++ b/internal/platform/liveness.go
@@ -5,21 +5,22 @@
 	"peppervale/internal/model"
 )
 
-// idleChannelFactor is how many times Limits.SilenceTimeout a stream may send nothing while no stream acknowledges
-// anything: the platform's channel was measured to be up to five times slower than its stated pace.
+// idleChannelFactor is the multiple of Limits.SilenceTimeout for which a stream may send nothing while no stream
+// acknowledges anything: the platform's channel can be five times slower than its stated pace.
 const idleChannelFactor = 5
 
-// checkLiveness ends connections that did not join in time and streams whose proxy's host has vanished. TCP
-// does not report the latter, but the acknowledgements that they owe do not come, nor does anything else.
+// checkLiveness ends connections that did not join in time and streams whose proxy's host has vanished. TCP does not
+// report a vanished host, but its pending acknowledgements and all other messages of the stream fail to arrive.
 //
-// The platform's channel carries messages one after another at a pace of its own, so an acknowledgement is overdue
-// only once another stream has acknowledged a message that was sent later. Before that, a stream would be ended for
-// the queue that its message waits in, unless it is silent for idleChannelFactor times as long.
+// The platform's channel delivers messages one after another at its own pace, so an acknowledgement is overdue only
+// once another stream has acknowledged a message that was sent later. Without this rule, a stream would be ended
+// because its message is still queued. A stream that is silent for idleChannelFactor times as long is ended regardless.
 //
-// A stream that sends messages and still owes an acknowledgement has lost it, and one that sends nothing may be gone
-// without owing any. Each check asks one of them again, with a message that changes nothing. Its cost lies within the
-// messages and entries that the balancer leaves unused of each proxy's budget. The acknowledgement covers all that
-// was asked for before it, and being asked again acknowledges nothing.
+// If a stream sends messages but an acknowledgement is overdue, the acknowledgement was lost. A stream that sends
+// nothing may have vanished without a pending acknowledgement. Each check requests an acknowledgement again from one of
+// these streams, with a message that changes nothing. Its cost fits into the messages and entries that the balancer
+// leaves unused in each proxy's budget. The new acknowledgement covers all earlier requests. The retry itself does not
+// count as an acknowledgement.
 func (s *Server) checkLiveness() {
 	s.mu.Lock()
 	now := s.config.Now()
@@ -44,7 +45,7 @@
 	s.connections.CloseOnPoller(ended...)
 }
 
-// overdueGreetings are the connections that did not join in time; s.mu is held.
+// overdueGreetings returns the connections that did not join in time; s.mu is held.
 func (s *Server) overdueGreetings(now model.Microseconds) (overdue []*connection) {
 	for element := s.unauthenticated.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*connection)
@@ -56,14 +57,14 @@
 	return overdue
 }
 
-// noteOvertaken notes when the oldest pending acknowledgement was first seen to be overtaken.
+// noteOvertaken records when the oldest pending acknowledgement was first seen to be overtaken.
 func (q *ackQueue) noteOvertaken(newestAcknowledged uint64, now model.Microseconds) {
 	if len(q.pending) > 0 && q.overtakenAt == 0 && newestAcknowledged > q.pending[0].number {
 		q.overtakenAt = now
 	}
 }
 
-// overdueFor is how long the oldest pending acknowledgement has been overtaken; 0: it is not.
+// overdueFor returns how long ago the oldest pending acknowledgement was overtaken, or 0 if it was not.
 func (q *ackQueue) overdueFor(now model.Microseconds) model.Microseconds {
 	if q.overtakenAt > 0 {
 		return now - q.overtakenAt
@@ -71,12 +72,12 @@
 	return 0
 }
 
-// silentFor is how long nothing has come on the connection.
+// silentFor returns the time since the connection last received anything.
 func (c *connection) silentFor(now model.Microseconds) model.Microseconds {
 	return now - model.Microseconds(c.lastReceivedAt.Load())
 }
 
-// isSilent reports whether a stream's proxy is taken as vanished; s.mu is held.
+// isSilent reports whether a stream's proxy counts as vanished; s.mu is held.
 func (s *Server) isSilent(stream *stream, now model.Microseconds) bool {
 	limit := microseconds(s.config.Limits.SilenceTimeout)
 	silent := stream.conn.silentFor(now)
@@ -87,7 +88,7 @@
 	return len(pending) > 0 && min(now-pending[0].sentAt, silent) > idleChannelFactor*limit
 }
 
-// shouldAskAgain reports whether a stream is to be asked again for its acknowledgement; s.mu is held.
+// shouldAskAgain reports whether a stream's acknowledgement is to be requested again; s.mu is held.
 func (s *Server) shouldAskAgain(stream *stream, now model.Microseconds) bool {
 	interval := microseconds(s.config.Limits.AckRetryInterval)
 	if stream.subscriber == nil || now-stream.acks.askedAgainAt <= interval {
@@ -97,12 +98,12 @@
 	return stream.acks.overdueFor(now) > interval || owesNothing && stream.conn.silentFor(now) > interval
 }
 
-// askedBefore reports whether a stream was last asked again before the other one, if there is another.
+// askedBefore reports whether a stream's last retry is older than that of the other stream; other may be nil.
 func askedBefore(stream, other *stream) bool {
 	return other == nil || stream.acks.askedAgainAt < other.acks.askedAgainAt
 }
 
-// askAgain asks a stream once more for its newest acknowledgement; s.mu is held.
+// askAgain requests a stream's newest acknowledgement again; s.mu is held.
 func (s *Server) askAgain(stream *stream, now model.Microseconds) {
 	queue := &stream.acks
 	queue.askedAgainAt = now
--- a/internal/platform/liveness_test.go
+++ b/internal/platform/liveness_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestLostAcknowledgementIsAskedForAgain: An acknowledgement that was lost is asked for once more, with a message
-// that changes nothing. Asking acknowledges nothing, and neither does the first acknowledgement if it comes late
-// beside the second.
+// TestLostAcknowledgementIsAskedForAgain: A lost acknowledgement is requested once more, with a message that changes
+// nothing. The request does not count as an acknowledgement, and neither does the first acknowledgement if it arrives
+// after the second.
 func TestLostAcknowledgementIsAskedForAgain(t *testing.T) {
 	clock := &testClock{now: 1}
 	harness := startServer(t, func(config *Config) {
@@ -19,36 +19,36 @@
 	harness.publish(3, harness.withdraw(1, true))
 	proxy.expect("update out s-1 ticket 3")
 	other.expect("update out s-1 ticket 3")
-	other.say("applied id 8 seq 3 ms 1") // sent after the first one and acknowledged: the first one has had its turn
+	other.say("applied id 8 seq 3 ms 1") // sent after proxy 7's message: that acknowledgement is overdue
 	harness.waitForEvent("acknowledged 8 3")
 	harness.server.checkLiveness()
 	clock.advance(time.Minute)
-	proxy.say("usage id 7 lane read count 1 fail 0 over 1000") // it sends messages, and does not acknowledge
+	proxy.say("usage id 7 lane read count 1 fail 0 over 1000") // sends messages, but does not acknowledge
 	proxy.ping()
 	other.ping()
 	harness.server.checkLiveness()
 	clock.advance(time.Second)
 	harness.server.checkLiveness()
 	proxy.expect("update ticket 3")
-	harness.server.checkLiveness() // not asked over and over
+	harness.server.checkLiveness() // no second retry within the interval
 	if stats := harness.server.Stats(); stats.AckRetries != 1 || stats.PendingAcks != 1 || stats.Proxies != 2 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	proxy.say("applied id 7 seq 3 ms 1")
 	harness.waitForEvent("acknowledged 7 3")
 	harness.publish(4, harness.withdraw(2, true))
 	proxy.expect("update out s-2 ticket 4")
-	proxy.say("applied id 7 seq 3 ms 1") // the first acknowledgement, late
+	proxy.say("applied id 7 seq 3 ms 1") // the lost acknowledgement arrives late
 	proxy.ping()
 	if stats := harness.server.Stats(); stats.PendingAcks != 2 || stats.MalformedMessages != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	proxy.say("applied id 7 seq 4 ms 1")
 	harness.waitForEvent("acknowledged 7 4")
 }
 
-// TestSilentStreamWithoutPendingAcksIsAsked: A proxy that vanishes while it owes nothing is found too: it is asked
-// for an acknowledgement, and does not answer.
+// TestSilentStreamWithoutPendingAcksIsAsked: A proxy that vanishes while none of its acknowledgements is pending is
+// detected too: an acknowledgement is requested again, and the proxy does not answer.
 func TestSilentStreamWithoutPendingAcksIsAsked(t *testing.T) {
 	clock := &testClock{now: 1}
 	harness := startServer(t, func(config *Config) {
@@ -59,7 +59,7 @@
 	quiet := harness.join(t, 2)
 	clock.advance(time.Minute + time.Second)
 	harness.server.checkLiveness()
-	harness.server.checkLiveness() // one stream is asked in each check
+	harness.server.checkLiveness() // each check retries one stream
 	gone.expect("update ticket 0")
 	quiet.expect("update ticket 0")
 	quiet.say("applied id 2 seq 0 ms 1")
@@ -68,21 +68,21 @@
 	quiet.expect("update out s-1 ticket 1")
 	quiet.say("applied id 2 seq 1 ms 1")
 	harness.waitForEvent("acknowledged 2 1")
-	harness.server.checkLiveness() // what was sent after the other's message has been acknowledged
+	harness.server.checkLiveness() // a message sent later than that of the vanished proxy is acknowledged
 	clock.advance(21 * time.Second)
 	quiet.ping()
 	harness.server.checkLiveness()
 	harness.waitForEvent("disconnected 1")
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Silent != 1 || stats.PendingAcks != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
 // TestVanishedProxyIsDisconnected: The stream of a proxy whose host has vanished ends once another proxy has
-// acknowledged what was sent after it, and what it owes counts no more. A stream that owes an acknowledgement and
-// still sends messages stays, and so does one whose turn in the channel has not come: on a calm day 701 of 2,400
-// streams were once ended for the queue that their messages waited in. Where no stream acknowledges anything, a stream
-// ends for its silence, five times as late.
+// acknowledged a message that was sent later, and its pending acknowledgements no longer count. A stream with a pending
+// acknowledgement that still sends messages stays. So does a stream whose message is still queued in the channel:
+// without that rule, 701 of 2,400 streams were ended on a day without faults. If no stream acknowledges anything, a
+// silent stream ends after five times the timeout.
 func TestVanishedProxyIsDisconnected(t *testing.T) {
 	clock := &testClock{now: 1}
 	harness := startServer(t, func(config *Config) {
@@ -92,19 +92,19 @@
 	})
 	harness.join(t, 1)
 	talks := harness.join(t, 2)
-	harness.publish(1, harness.withdraw(1, true)) // to both; the first is sent before the second
+	harness.publish(1, harness.withdraw(1, true)) // to both, to proxy 1 first
 	talks.expect("update out s-1 ticket 1")
 	clock.advance(60 * time.Millisecond) // no stream has acknowledged: the channel may be slow
 	harness.server.checkLiveness()
 	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.Silent != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	talks.say("applied id 2 seq 1 ms 1")
 	talks.ping()
 	waits := harness.join(t, 3)
 	harness.publish(2, harness.withdraw(2, true))
-	talks.expect("update out s-2 ticket 2") // it owes this one, and sends messages
-	harness.server.checkLiveness()          // the acknowledgement has overtaken the first stream
+	talks.expect("update out s-2 ticket 2") // this one stays pending, and the proxy sends messages
+	harness.server.checkLiveness()          // proxy 1's acknowledgement is overtaken
 	clock.advance(40 * time.Millisecond)
 	talks.say("usage id 2 lane read count 0 fail 0 over 40")
 	talks.ping()
@@ -112,10 +112,10 @@
 	harness.server.checkLiveness()
 	harness.waitForEvent("disconnected 1")
 	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.Silent != 1 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	waits.expect("update out s-2 ticket 2")
-	clock.advance(250 * time.Millisecond) // nothing at all, from any stream
+	clock.advance(250 * time.Millisecond) // no stream sends anything
 	harness.server.checkLiveness()
 	harness.waitForEvent("disconnected 3")
 	harness.waitForEvent("disconnected 2")
--- a/internal/platform/protocolerror_test.go
+++ b/internal/platform/protocolerror_test.go
@@ -13,9 +13,9 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-// TestMalformedMessagesAreDropped: A malformed message costs only itself. A malformed acknowledgement is still that
-// of the oldest message that is owed one: without it, the entries that it covers would count as unacknowledged for
-// good, and hold all weights back.
+// TestMalformedMessagesAreDropped: A malformed message is dropped without further effect. A malformed acknowledgement
+// counts as the oldest pending one: otherwise the entries that it covers would count as unacknowledged forever, and
+// delay all weights.
 func TestMalformedMessagesAreDropped(t *testing.T) {
 	harness := startServer(t, nil)
 	reports := harness.dial(t).say("collector site kelvin")
@@ -36,7 +36,7 @@
 	harness.waitUntil("load report", func() bool { return harness.reportCount() == 1 })
 	stats := harness.server.Stats()
 	if stats.MalformedMessages != 11 || stats.ProtocolErrors != 0 || stats.Collectors != 1 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	client := harness.join(t, 7)
 	for n := range 3 {
@@ -50,12 +50,12 @@
 	client.say("applied id 7 seq 2 ms 1")
 	harness.waitForEvent("acknowledged 7 2")
 	if stats := harness.server.Stats(); stats.PendingAcks != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestUnauthenticatedConnectionsAreRejected: A client that sends what a connection that has not joined may not send
-// gets an error, or is closed, at once; a proxy beside them notices nothing.
+// TestUnauthenticatedConnectionsAreRejected: A connection that has not joined and sends an invalid or forbidden message
+// gets an error, or is closed, at once. A joined proxy is not affected.
 func TestUnauthenticatedConnectionsAreRejected(t *testing.T) {
 	harness := startServer(t, nil)
 	good := harness.join(t, 7)
@@ -87,11 +87,11 @@
 	harness.publish(1, harness.withdraw(1, true))
 	good.expect("update out s-1 ticket 1")
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Connections != 1 || stats.Rejected != 17 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// expectRejection checks that a connection is closed, after one refusal or none.
+// expectRejection checks that a connection is closed, after at most one rejection message.
 func expectRejection(client *testClient) {
 	client.t.Helper()
 	for n := 0; ; n++ {
@@ -100,14 +100,14 @@
 			return
 		}
 		if !strings.HasPrefix(got, "refused") || n > 0 {
-			client.t.Errorf("answered %q", got)
+			client.t.Errorf("received %q, want at most one rejection", got)
 		}
 	}
 }
 
-// TestPipelinedAndSplitMessages: Messages come many in one read, and in a thousand reads, with pings between: each
-// complete one is taken and each ping is answered in order, also on streams and collectors. Half a message before the
-// end costs nothing else.
+// TestPipelinedAndSplitMessages: Many messages arrive in one read or split over a thousand reads, mixed with pings:
+// each complete message is handled and each ping is answered, on streams and on collectors. Half a message before the
+// end of the connection has no effect.
 func TestPipelinedAndSplitMessages(t *testing.T) {
 	harness := startServer(t, nil)
 	random := rand.New(rand.NewPCG(4, 2))
@@ -125,8 +125,8 @@
 	harness.expectStreamOrder()
 }
 
-// expectAllTaken sends reports and pings in random order, in pieces of a size, with half a message at the end, and
-// checks that all of them are taken.
+// expectAllTaken sends reports and pings in random order, in pieces of the given size, with half a message at the end,
+// and checks that all complete messages are handled.
 func expectAllTaken(t *testing.T, harness *testHarness, opening, report string, size int, random *rand.Rand) {
 	t.Helper()
 	before := harness.server.Stats()
@@ -148,7 +148,7 @@
 	}
 	for n := range pings {
 		if got := client.next(); got != "pong" {
-			t.Fatalf("answer %d of %d is %q", n, pings, got)
+			t.Fatalf("answer %d of %d is %q, want pong", n, pings, got)
 		}
 	}
 	harness.waitUntil("reports", func() bool {
@@ -158,18 +158,18 @@
 	client.Close()
 	harness.waitForNoConnections()
 	if stats := harness.server.Stats(); stats.MalformedMessages != 0 || stats.ProtocolErrors != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestPeerThatReadsNoPongIsClosed: A peer that pings and reads no answer is closed before what waits for it grows
-// beyond the bound.
+// TestPeerThatReadsNoPongIsClosed: A peer that pings and does not read the answers is closed when its unsent bytes
+// exceed the limit.
 func TestPeerThatReadsNoPongIsClosed(t *testing.T) {
 	harness := startServer(t, nil)
 	client := netpolltest.DialWithReceiveBuffer(t, harness.server.Addr(), patience, 4<<10)
 	client.SendCommands("collector site govan")
 	many := []byte(strings.Repeat(netpolltest.Command("ping"), 1000))
-	for n := 0; ; n++ { // the kernel's buffers hold some hundred thousand answers first
+	for n := 0; ; n++ { // the kernel's buffers hold some hundred thousand answers
 		_ = client.Conn.SetWriteDeadline(time.Now().Add(20 * time.Second))
 		_, err := client.Conn.Write(many)
 		if errors.Is(err, os.ErrDeadlineExceeded) || n > 100_000 {
--- a/internal/platform/publish.go
+++ b/internal/platform/publish.go
@@ -6,8 +6,8 @@
 	"peppervale/internal/snapshot"
 )
 
-// Publish carries a batch out: one message on each stream that it concerns. A stream whose peer reads or acknowledges
-// too little is closed.
+// Publish applies a batch and sends one message on each stream that the batch affects. A stream whose peer reads or
+// acknowledges too slowly is closed.
 func (s *Server) Publish(batch *snapshot.Batch) {
 	s.mu.Lock()
 	var slow []*connection
@@ -17,7 +17,7 @@
 			continue
 		}
 		if err := s.deliver(stream, delivery); err != nil {
-			s.config.Log.Error().Int("proxy", int(stream.proxy)).Err(err).Msg("update cannot be encoded, dropped")
+			s.config.Log.Error().Int("proxy", int(stream.proxy)).Err(err).Msg("update dropped: encoding failed")
 			continue
 		}
 		if s.isSlow(stream) {
@@ -34,12 +34,12 @@
 	s.connections.CloseOnPoller(slow...)
 }
 
-// isSlow reports whether too much waits for a stream's peer; s.mu is held.
+// isSlow reports whether a stream has too many unsent bytes or pending acknowledgements; s.mu is held.
 func (s *Server) isSlow(stream *stream) bool {
 	return s.hasTooMuchUnsent(stream.conn) || len(stream.acks.pending) > maxPendingAcks
 }
 
-// deliver writes a message to a stream; s.mu is held. Errors are lists that do not fit into an update.
+// deliver writes a message to a stream; s.mu is held. It returns an error if the lists do not fit into an update.
 func (s *Server) deliver(stream *stream, delivery snapshot.Delivery) error {
 	message := delivery.Message
 	update := s.update(stream, delivery)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// update puts a message into the platform's form, with the readmissions that the stream needs; s.mu is held.
+// update converts a message to a platform update and adds the readmissions that the stream needs; s.mu is held.
 func (s *Server) update(stream *stream, delivery snapshot.Delivery) platformmsg.Update {
 	message := delivery.Message
 	update := platformmsg.Update{
@@ -96,8 +96,8 @@
 	return update
 }
 
-// spareReadmissions is how many deferred readmissions fit into a message: the place of the quotas that every message is
-// charged for and few have, on a stream that owes no acknowledgement.
+// spareReadmissions returns how many deferred readmissions fit into a message. Every message is charged for one quota
+// per operation, and few messages contain quotas. The unused part is available while no acknowledgement is pending.
 func (s *Server) spareReadmissions(stream *stream, message *pubsubmsg.Message) int {
 	if message.Full || len(stream.acks.pending) > 0 {
 		return 0
@@ -105,7 +105,7 @@
 	return len(s.config.Operations) - len(message.Quotas)
 }
 
-// entries names the replicas of a table's entries.
+// entries converts table entries to the platform's form, in which replicas have names.
 func (s *Server) entries(of []pubsubmsg.Entry) (named []platformmsg.Entry) {
 	for _, entry := range of {
 		named = append(named, platformmsg.Entry{Replica: s.config.ReplicaNames.Name(entry.Replica), Weight: entry.Weight})
@@ -113,8 +113,8 @@
 	return named
 }
 
-// operationNames are the names of operations, each given by the bit of its place in Config.Operations; 0 stands for
-// all.
+// operationNames returns the names of a set of operations. The bit at an operation's index in Config.Operations selects
+// it; 0 means all operations.
 func (s *Server) operationNames(operations uint16) (names []string) {
 	for i, name := range s.config.Operations {
 		if operations>>i&1 == 1 || operations == 0 {
--- a/internal/platform/publish_test.go
+++ b/internal/platform/publish_test.go
@@ -8,8 +8,8 @@
 	"peppervale/internal/snapshot"
 )
 
-// TestWithdrawalsOfOtherControllersAreReadmitted: A proxy that comes with withdrawals of other controllers would
-// never use an entry whose replica one of them has withdrawn: the replicas of its entries are readmitted.
+// TestWithdrawalsOfOtherControllersAreReadmitted: A proxy that joins with withdrawals of other controllers never uses
+// an entry whose replica one of them has withdrawn. The replicas of its entries are therefore readmitted.
 func TestWithdrawalsOfOtherControllersAreReadmitted(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.dial(t).say("joined id 7 site govan rps 1 new 0")
@@ -22,7 +22,8 @@
 	}
 	harness.publish(-1, append(updates, harness.withdraw(2, true), bound)...)
 	client.expect("update whole 1 lines s-1:1,s-2:1,s-4:1,s-5:1,s-6:1,s-7:1 out s-2 back s-1")
-	// The others follow, two with each message, in the place of quotas that it is charged for; a new entry brings its own.
+	// The remaining replicas are readmitted two at a time, in the message's unused capacity for quotas; a new entry
+	// readmits its own replica in addition.
 	harness.publish(-1, harness.weight(1, 2), harness.weight(3, 1))
 	client.expect("update lines s-1:2,s-3:1 back s-3,s-4,s-5")
 	harness.publish(-1, harness.weight(1, 1), admitQuota(0.9))
@@ -34,7 +35,8 @@
 	client.expect("update lines s-1:1")
 }
 
-// TestTablesOfSomeOperations: Operations with tables of their own are named in the parts of an update.
+// TestTablesOfSomeOperations: An update has one part for each table of its own that an operation has, with the
+// operation's name.
 func TestTablesOfSomeOperations(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.dial(t).say("joined id 7 site govan rps 1 new 0")
@@ -60,8 +62,7 @@
 	client.expect("update classes log lines s-3:2")
 }
 
-// TestProxyThatReadsNothingIsClosed: A proxy that reads nothing is closed before what waits for it grows beyond the
-// bound.
+// TestProxyThatReadsNothingIsClosed: A proxy that reads nothing is closed when its unsent bytes exceed the limit.
 func TestProxyThatReadsNothingIsClosed(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.dial(t).say(joinMessage(7))
@@ -70,7 +71,7 @@
 	for n := 0; harness.server.Stats().Slow == 0; n++ {
 		harness.publish(-1, harness.withdraw(n%9+1, n%2 == 0))
 		if n > 5_000_000 {
-			t.Fatal("it is still joined")
+			t.Fatal("the proxy is still joined after 5,000,000 updates")
 		}
 	}
 	harness.waitForEvent("disconnected 7")
--- a/internal/platform/race_test.go
+++ b/internal/platform/race_test.go
@@ -12,8 +12,8 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-// TestJoinCrossesGreetingTimeout: A proxy that joins as its time to join runs out is either joined or closed, never
-// both: the last byte of its message and the liveness check cross.
+// TestJoinCrossesGreetingTimeout: A proxy that joins just as its greeting timeout expires is either joined or closed,
+// never both. The last byte of its join message arrives while the timeout check runs.
 func TestJoinCrossesGreetingTimeout(t *testing.T) {
 	clock := &testClock{now: 1}
 	harness := startServer(t, func(config *Config) {
@@ -43,17 +43,17 @@
 		got := peer.next()
 		_, joined := harness.expectStreamOrder()[model.ProxyID(n)]
 		if joined != (got == "pong") {
-			t.Fatalf("round %d: the proxy receives %q, the controller has it joined: %t", n, got, joined)
+			t.Fatalf("round %d: the proxy receives %q, joined at the controller: %t", n, got, joined)
 		}
 		if joined {
 			inTime++
 		}
 	}
-	t.Logf("%d of 200 were in time", inTime)
+	t.Logf("%d of 200 joined in time", inTime)
 }
 
-// TestThreeStreamsOfOneProxyAtOnce: Three streams of one proxy come at once, over and over, while updates are
-// published: one of them stays, it is the one that the controller knows, and updates reach it.
+// TestThreeStreamsOfOneProxyAtOnce: Three streams of one proxy join concurrently while an update is published, in
+// repeated rounds. One of them stays open, it is the stream that the controller knows, and updates reach it.
 func TestThreeStreamsOfOneProxyAtOnce(t *testing.T) {
 	harness := startServer(t, nil)
 	for round := range 30 {
@@ -74,7 +74,7 @@
 		})
 		open := harness.expectStreamOrder()
 		if len(open) != 1 {
-			t.Fatalf("open: %v", open)
+			t.Fatalf("open streams: %v, want 1", open)
 		}
 		harness.waitForAdmission(7, func(stream *stream) bool { return stream.id == open[7] })
 		harness.publish(round, harness.withdraw(2, true))
@@ -92,14 +92,14 @@
 			}
 		}
 		if alive != 1 {
-			t.Fatalf("%d streams got the update", alive)
+			t.Fatalf("%d streams received the update, want 1", alive)
 		}
 	}
 }
 
-// TestOldStreamCrossesNewStream: An acknowledgement on a stream, the stream's end, a new stream of the proxy and an
-// update cross: the acknowledgement counts for its own stream or not at all, and the update reaches no stream or the
-// newest stream.
+// TestOldStreamCrossesNewStream: An acknowledgement on a stream, the stream's end, a new stream of the same proxy and
+// an update occur concurrently: the acknowledgement counts for its own stream or not at all, and the update reaches no
+// stream or the newest stream.
 func TestOldStreamCrossesNewStream(t *testing.T) {
 	harness := startServer(t, nil)
 	for round := range 30 {
@@ -121,23 +121,23 @@
 			go func() { defer routines.Done(); f() }()
 		}
 		routines.Wait()
-		harness.waitUntil("the newer stream alone", func() bool {
+		harness.waitUntil("only the newer stream", func() bool {
 			stats := harness.server.Stats()
 			return stats.Proxies == 1 && stats.Connections == 1
 		})
 		if open := harness.expectStreamOrder(); open[3] == 0 {
-			t.Fatalf("open: %v", open)
+			t.Fatalf("open streams: %v, want one of proxy 3", open)
 		}
 		newer.Close()
-		harness.waitUntil("end", func() bool { return harness.server.Stats().Proxies == 0 })
+		harness.waitUntil("end of all streams", func() bool { return harness.server.Stats().Proxies == 0 })
 		if open := harness.expectStreamOrder(); len(open) != 0 {
-			t.Fatalf("open: %v", open)
+			t.Fatalf("open streams: %v, want none", open)
 		}
 	}
 }
 
-// TestStreamsUpdatesAndChecksAtOnce: Updates are published, streams come and end and liveness checks run, all at
-// once, for a while: no event comes of a stream that has not joined, and the subscribers are those who have.
+// TestStreamsUpdatesAndChecksAtOnce: Updates are published, streams begin and end, and timeout checks run, all
+// concurrently: no event is reported for a stream that has not joined, and only joined proxies are subscribers.
 func TestStreamsUpdatesAndChecksAtOnce(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 12 })
 	stop := make(chan struct{})
@@ -180,12 +180,12 @@
 		time.Sleep(100 * time.Microsecond)
 	})
 	busy(func(int) { harness.server.checkLiveness(); time.Sleep(time.Millisecond) })
-	time.Sleep(700 * time.Millisecond) // for as long as it is to go on
+	time.Sleep(700 * time.Millisecond) // duration of the concurrent load
 	close(stop)
 	routines.Wait()
 	harness.waitForNoConnections()
 	if open := harness.expectStreamOrder(); len(open) != 0 {
-		t.Fatalf("open: %v", open)
+		t.Fatalf("open streams: %v, want none", open)
 	}
 	harness.server.mu.Lock()
 	defer harness.server.mu.Unlock()
--- a/internal/platform/readmission.go
+++ b/internal/platform/readmission.go
@@ -5,30 +5,30 @@
 	"peppervale/internal/snapshot"
 )
 
-// readmissions are the replicas that a proxy which came with withdrawals of other controllers has yet to be notified
-// of as usable again. Such a proxy keeps each withdrawal that it was sent on earlier streams, by any controller and
-// through full tables (measured, see docs/platform.md): an entry takes effect for certain only once its replica is
-// readmitted.
+// readmissions tracks the replicas that have to be readmitted for a proxy that joined with withdrawals of other
+// controllers. Such a proxy keeps each withdrawal that any controller sent it on earlier streams, even when it receives
+// full tables (see docs/platform.md). An entry is certain to take effect only once its replica is readmitted.
 //
-// A bind readmits at once the replicas that the controller thinks may be withdrawn, and a new entry its own, as both
-// are charged for. The other replicas of a bind follow later, where a message has capacity to spare.
+// A bind readmits at once the replicas that may be withdrawn according to the controller, and a new entry readmits its
+// own replica: the cost of both includes the readmission. The remaining replicas of a bind are readmitted later, in
+// messages with spare capacity.
 type readmissions struct {
-	// settled are the replicas that were withdrawn or readmitted on this stream, or are deferred. It is nil for a proxy
-	// that came on the standing table: nothing is readmitted for it.
+	// settled holds the replicas that were withdrawn or readmitted on this stream, or are deferred. It is nil for a proxy
+	// that joined on the standing table: no replica is readmitted for it.
 	settled map[model.ReplicaID]bool
-	// deferred are the replicas of a bind that are readmitted later, in that order.
+	// deferred lists the replicas of a bind that are readmitted later, in that order.
 	deferred []model.ReplicaID
 }
 
-// settle notes that a replica's withdrawal or readmission has been sent.
+// settle records that a replica's withdrawal or readmission has been sent.
 func (r *readmissions) settle(replica model.ReplicaID) {
 	if r.settled != nil {
 		r.settled[replica] = true
 	}
 }
 
-// next returns the replicas that a message readmits beyond its own readmissions, at most so many deferred ones among
-// them.
+// next returns the replicas that a message readmits in addition to its own readmissions, including at most spare
+// deferred ones.
 func (r *readmissions) next(delivery snapshot.Delivery, spare int) (readmitted []model.ReplicaID) {
 	if r.settled == nil {
 		return nil
@@ -57,8 +57,8 @@
 	return append(readmitted, r.takeDeferred(delivery.Subscriber, spare)...)
 }
 
-// takeDeferred removes and returns the next deferred replicas, spare of them at most. Those of which the subscriber was
-// notified that they are withdrawn are dropped, and do not count.
+// takeDeferred removes and returns the next deferred replicas, at most spare of them. Replicas that are withdrawn for
+// the subscriber are dropped and do not count.
 func (r *readmissions) takeDeferred(subscriber *snapshot.Subscriber, spare int) (readmitted []model.ReplicaID) {
 	for spare > 0 && len(r.deferred) > 0 {
 		replica := r.deferred[0]
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -12,32 +12,32 @@
 	"peppervale/internal/snapshot"
 )
 
-// pollers is how many pollers serve the address. With one, all input is read on one goroutine.
+// pollers is the number of pollers that serve the address. With one poller, all input is read on one goroutine.
 const pollers = 1
 
-// checksPerGreeting is how often connections and streams are checked within Limits.Greeting: a limit is enforced at
-// most a tenth of it late.
+// checksPerGreeting is the number of timeout checks within Limits.GreetingTimeout: the timeout is enforced with a delay
+// of at most a tenth of it.
 const checksPerGreeting = 10
 
-// Server serves the platform's address. Make it with Listen.
+// Server serves the platform's address. Create it with Listen.
 type Server struct {
 	config      Config
 	events      connserver.ProxyEvents
 	connections *connserver.Server[*connection]
 
-	livenessCheckDue atomic.Bool // one was handed to the poller and has not run yet
+	livenessCheckDue atomic.Bool // a check was passed to the poller and has not run yet
 
 	mu              sync.Mutex
 	published       *snapshot.State
-	unauthenticated *list.List // of *connection, the oldest first
+	unauthenticated *list.List // of *connection, oldest first
 	streams         map[model.ProxyID]*stream
-	collectors      map[int][]*connection // by zone, the oldest first
+	collectors      map[int][]*connection // by zone, oldest first
 	lastStreamID    uint64
 	progress        deliveryProgress
 	stats           Stats
 }
 
-// Listen opens the address and serves until Close. Errors are those of the address.
+// Listen opens the address and serves it until Close. It returns an error if the address cannot be opened.
 func Listen(config Config, events connserver.ProxyEvents) (*Server, error) {
 	server := &Server{
 		config:          config,
@@ -59,15 +59,15 @@
 	return server, nil
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.connections.Addr() }
 
-// Close ends every connection and the address.
+// Close closes all connections and the address.
 func (s *Server) Close() { s.connections.Close() }
 
-// scheduleLivenessChecks has liveness checks run until the server closes. They run on the poller's goroutine, once it
-// has read what was there to be read: a process that got no processor time takes no proxy for silent whose messages
-// wait in its own sockets.
+// scheduleLivenessChecks schedules timeout checks until the server closes. They run on the poller's goroutine after it
+// has read the data that had arrived: if the process was short of processor time, a proxy whose messages are still in
+// the socket buffers does not count as silent.
 func (s *Server) scheduleLivenessChecks() {
 	ticker := time.NewTicker(s.config.Limits.GreetingTimeout / checksPerGreeting)
 	defer ticker.Stop()
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -1,7 +1,7 @@
 package platform
 
-// Stats are counts since the start, and gauges of now where a field says so. They are logged as JSON; the keys are
-// those of earlier versions.
+// Stats holds counters since the start, and gauges where a field says "now". It is logged as JSON; the keys are those
+// of earlier versions.
 type Stats struct {
 	ConnectionStats
 	ProtocolErrorStats
@@ -10,46 +10,46 @@
 	ReportStats
 }
 
-// ConnectionStats describe connections.
+// ConnectionStats describes connections.
 type ConnectionStats struct {
 	Proxies         int    `json:"Proxies"`     // joined now
 	Collectors      int    `json:"Collectors"`  // registered now
 	Connections     int    `json:"Connections"` // open now
 	Unauthenticated uint64 `json:"Strangers"`   // ended without having joined
-	Rejected        uint64 `json:"Refused"`     // of them, those that were sent a reason
-	Evicted         uint64 `json:"Evicted"`     // of them, those that made room
+	Rejected        uint64 `json:"Refused"`     // of the unauthenticated: those that were sent a reason
+	Evicted         uint64 `json:"Evicted"`     // of the unauthenticated: those closed at the connection limit
 }
 
-// ProtocolErrorStats describe input that was of no use.
+// ProtocolErrorStats describes invalid input.
 type ProtocolErrorStats struct {
-	MalformedMessages uint64 `json:"Spoilt"` // dropped, or taken as the oldest acknowledgement
-	ProtocolErrors    uint64 `json:"Faults"` // joined connections closed as their bytes could not be read
+	MalformedMessages uint64 `json:"Spoilt"` // dropped, or counted as the oldest pending acknowledgement
+	ProtocolErrors    uint64 `json:"Faults"` // joined connections closed because their bytes could not be decoded
 }
 
-// StreamStats describe how streams ended, and the acknowledgements that they were asked for again.
+// StreamStats describes why streams were closed, and the acknowledgements that were requested again.
 type StreamStats struct {
-	Silent     uint64 `json:"Silent"`     // closed because nothing came any more
-	Slow       uint64 `json:"Slow"`       // closed because too much waited for the peer
-	Replaced   uint64 `json:"Replaced"`   // closed because the proxy has joined again
-	AckRetries uint64 `json:"AskedAgain"` // acknowledgements asked for again
+	Silent     uint64 `json:"Silent"`     // closed because the proxy was silent
+	Slow       uint64 `json:"Slow"`       // closed because the proxy read or acknowledged too slowly
+	Replaced   uint64 `json:"Replaced"`   // closed because the proxy joined again
+	AckRetries uint64 `json:"AskedAgain"` // acknowledgements requested again
 }
 
-// PublishStats describe what was sent.
+// PublishStats describes the updates sent.
 type PublishStats struct {
 	Updates uint64 `json:"Updates"`
 	Entries uint64 `json:"Lines"` // by cost
 	Bytes   uint64 `json:"Bytes"`
 }
 
-// ReportStats describe what proxies and collectors reported.
+// ReportStats describes the reports of proxies and collectors.
 type ReportStats struct {
 	LoadReports   uint64 `json:"Sums"`
 	Attempts      uint64 `json:"Tries"` // in load reports
-	PendingAcks   int    `json:"Owed"`  // acknowledgements that streams owe now
+	PendingAcks   int    `json:"Owed"`  // acknowledgements pending now
 	UsageRequests uint64 `json:"Usage"` // requests in usage messages
 }
 
-// Stats returns the figures of now.
+// Stats returns the current statistics.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/stats_test.go
+++ b/internal/platform/stats_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestLoggedFiguresKeepTheirKeys: The figures are logged under the keys, and in the order, of earlier versions.
+// TestLoggedFiguresKeepTheirKeys: The statistics are logged with the keys and in the order of earlier versions.
 func TestLoggedFiguresKeepTheirKeys(t *testing.T) {
 	const want = `{"Proxies":1,"Collectors":2,"Connections":3,"Strangers":4,"Refused":5,"Evicted":6,` +
 		`"Spoilt":7,"Faults":8,"Silent":9,"Slow":10,"Replaced":11,"AskedAgain":12,` +
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -15,13 +15,13 @@
 	conn            *connection
 	proxy           model.ProxyID
 	id              uint64
-	onStandingTable bool                 // it came with no withdrawals of other controllers
+	onStandingTable bool                 // it joined without withdrawals of other controllers
 	subscriber      *snapshot.Subscriber // nil until admitted
 	readmissions    readmissions
 	acks            ackQueue
 }
 
-// join registers a proxy's stream. An older stream of the same proxy ends.
+// join registers a proxy's stream and ends an older stream of the same proxy.
 func (s *Server) join(conn *connection, message platformmsg.Message) error {
 	if s.config.ProxyCount > 0 && message.Proxy >= s.config.ProxyCount {
 		return fmt.Errorf("joined: there is no proxy %d", message.Proxy)
@@ -32,7 +32,7 @@
 	}
 	proxy := model.ProxyID(message.Proxy)
 	s.mu.Lock()
-	if !s.connections.Registered(conn) { // ended meanwhile
+	if !s.connections.Registered(conn) { // ended in the meantime
 		s.mu.Unlock()
 		return errEnded
 	}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// AdmitProxy subscribes a joined proxy to what is published from now on. The proxy is sent nothing for it. A stream
-// that has ended meanwhile is ignored.
+// AdmitProxy subscribes a joined proxy to the updates published from now on. It sends the proxy nothing. A stream that
+// has ended in the meantime is ignored.
 func (s *Server) AdmitProxy(proxy model.ProxyID, streamID uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// removeStream takes a stream out and reports its end; s.mu is held.
+// removeStream removes a stream and reports its end; s.mu is held.
 func (s *Server) removeStream(stream *stream) {
 	delete(s.streams, stream.proxy)
 	if stream.subscriber != nil {
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestProxyJoinsAndReceivesUpdates: A proxy that joins is sent nothing for it. What is published reaches it in the
-// platform's messages, and its acknowledgement reaches the controller.
+// TestProxyJoinsAndReceivesUpdates: The server does not answer a join. Published updates reach the proxy as platform
+// messages, and its acknowledgement reaches the controller.
 func TestProxyJoinsAndReceivesUpdates(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.dial(t).say("ping", "joined id 7 site kelvin rps 21.5 new 1")
@@ -25,8 +25,8 @@
 	harness.waitForEvent("disconnected 7")
 }
 
-// TestNewerStreamReplacesOlder: A proxy may join again before the end of its old stream was seen: the old stream
-// ends, and the controller is notified of both in order.
+// TestNewerStreamReplacesOlder: If a proxy joins again before the end of its old stream was detected, the old stream
+// ends and the controller is notified of both events in order.
 func TestNewerStreamReplacesOlder(t *testing.T) {
 	harness := startServer(t, nil)
 	old := harness.join(t, 7)
@@ -40,14 +40,14 @@
 		"connected 7 zone 0 rate 2 standing false",
 	}
 	if !slices.Equal(harness.events, want) {
-		t.Fatalf("%q", harness.events)
+		t.Fatalf("unexpected events: %q", harness.events)
 	}
 	harness.mu.Unlock()
 	harness.publish(1, harness.withdraw(1, true))
 	newer.expect("update out s-1 ticket 1")
 }
 
-// TestUnreadableBytesEndStream: A joined connection that sends unreadable bytes is closed.
+// TestUnreadableBytesEndStream: A joined connection that sends bytes that cannot be decoded is closed.
 func TestUnreadableBytesEndStream(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.join(t, 7)
@@ -57,7 +57,7 @@
 }
 
 // TestDisconnectBeforeAdmission: A stream that ends before the controller admits it leaves no subscriber, and the
-// next stream is admitted as itself.
+// proxy's next stream is admitted.
 func TestDisconnectBeforeAdmission(t *testing.T) {
 	harness := startServer(t, nil)
 	hold := make(chan struct{})
@@ -75,7 +75,7 @@
 	harness.publish(1, harness.withdraw(1, true))
 	second.expect("update out s-1 ticket 1")
 	if len(harness.server.published.Subscribers) != 1 {
-		t.Fatalf("%d subscribers", len(harness.server.published.Subscribers))
+		t.Fatalf("%d subscribers, want 1", len(harness.server.published.Subscribers))
 	}
 	harness.expectStreamOrder()
 }
--- a/internal/pubsub/command.go
+++ b/internal/pubsub/command.go
@@ -11,8 +11,8 @@
 	"peppervale/internal/model"
 )
 
-// commands are the commands that a peer may send. ACK, SUMS and FENCED have no reply. An error of a command is a
-// protocol error: it is sent to the peer and ends the connection.
+// commands maps each command that a peer may send to its handler. ACK, SUMS and FENCED have no reply. An error returned
+// by a handler is a protocol error: it is sent to the peer and ends the connection.
 var commands = map[string]func(*connection, []resp.Value) error{
 	"HELLO":       (*connection).hello,
 	"PING":        (*connection).ping,
@@ -36,7 +36,7 @@
 // protocolVersion is the version of RESP that the server speaks.
 const protocolVersion = 3
 
-// handle takes one command.
+// handle handles one command.
 func (c *connection) handle(value resp.Value) error {
 	if value.Kind != resp.Array || len(value.Items) == 0 {
 		return errNoCommand
@@ -54,8 +54,8 @@
 	return command(c, value.Items[1:])
 }
 
-// mayCommand counts a command. A peer that sends more than it may is ended with a Retry-After; what it holds stays in
-// force meanwhile.
+// mayCommand counts a command and reports whether it is within the peer's rate limit. A peer above the limit gets an
+// error with a retry delay, and its connection is closed. The tables that it holds stay in force.
 func (c *connection) mayCommand() bool {
 	server := c.server
 	server.mu.Lock()
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// appendNumber appends one key of a map.
+// appendNumber appends one key of a map with a number as its value.
 func appendNumber(encoded []byte, key string, value int64) []byte {
 	return resp.AppendInt(resp.AppendBulk(encoded, key), value)
 }
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// client accepts what libraries state about themselves; the other subcommands of CLIENT are not implemented.
+// client accepts the subcommands SETINFO and SETNAME, with which client libraries describe themselves. Other
+// subcommands of CLIENT are not implemented.
 func (c *connection) client(args []resp.Value) error {
 	if len(args) > 0 {
 		subcommand := strings.ToUpper(args[0].ArgumentText())
--- a/internal/pubsub/config.go
+++ b/internal/pubsub/config.go
@@ -9,19 +9,19 @@
 	"peppervale/internal/model"
 )
 
-// Limits bounds what peers may cost. Zero fields take the values of DefaultLimits.
+// Limits bounds the resources that peers may use. Zero fields take the values of DefaultLimits.
 type Limits struct {
 	Connections      int            // open at once; more are closed with an error
-	Observers        int            // of them
-	UnsentBytes      int            // bytes that wait for one peer before its changes are folded into a snapshot
-	TotalUnsentBytes int            // bytes that wait for all peers before the changes of the slowest are folded
+	Observers        int            // of the connections
+	UnsentBytes      int            // unsent for one peer before its changes are folded into a snapshot
+	TotalUnsentBytes int            // unsent for all peers before the changes of the slowest are folded
 	GreetingTimeout  time.Duration  // within which a peer joins or subscribes
-	CommandRate      admission.Rate // that one peer may send; beyond it the peer is ended with a Retry-After
+	CommandRate      admission.Rate // of one peer; above it, the peer gets a retry delay and its connection is closed
 }
 
-// DefaultLimits suit some thousand proxies: 64 KiB hold a table of 2,000 entries. All together may leave a quarter of
-// a gigabyte unread. A proxy sends one load report each report period and one acknowledgement for each message, so
-// that 200 commands a second are twenty times what it needs.
+// DefaultLimits are suitable for some thousand proxies: 64 KiB hold a table of 2,000 entries. All peers together may
+// have a quarter of a gigabyte unsent. A proxy sends one load report each report period and one acknowledgement for
+// each message, so 200 commands a second are twenty times what it needs.
 var DefaultLimits = Limits{
 	Connections:      8192,
 	Observers:        256,
@@ -31,7 +31,7 @@
 	CommandRate:      admission.Rate{PerSecond: 200, Burst: 2000},
 }
 
-// withDefaults puts the values of DefaultLimits where there are none.
+// withDefaults replaces missing values by those of DefaultLimits.
 func (l Limits) withDefaults() Limits {
 	l.Connections = positiveOr(l.Connections, DefaultLimits.Connections)
 	l.Observers = positiveOr(l.Observers, DefaultLimits.Observers)
@@ -57,28 +57,29 @@
 	return admission.Budget{PerPeer: int64(l.UnsentBytes), Total: int64(l.TotalUnsentBytes)}
 }
 
-// Config is what a server needs to know.
+// Config is a server's configuration.
 type Config struct {
 	Listen           string // host:port
 	Incarnation      uint64
 	Zones            []string
-	ReportPeriod     model.Microseconds // for which proxies gather a load report
-	MessageOverhead  int                // entries that a message costs beyond its own
-	EntriesPerSecond float64            // entries a second
+	ReportPeriod     model.Microseconds // over which proxies aggregate a load report
+	MessageOverhead  int                // cost of a message in entries, added to its own entries
+	EntriesPerSecond float64            // pace of the channel
 	Limits           Limits
-	JoinLimits       admission.Limits // how many may join; zero: all
-	Leases           Leases           // nil: this controller may send updates to every proxy that joins
+	JoinLimits       admission.Limits // rate at which proxies may join; zero: unlimited
+	Leases           Leases           // nil: this controller may send updates to every joined proxy
 	Now              func() model.Microseconds
 	Log              zerolog.Logger
 }
 
-// Leases tells which proxies a controller may send updates to, where controllers share the fleet out in shards. It is
-// asked for each message as it leaves, under the server's lock: it must not call back.
+// Leases reports which proxies a controller may send updates to when controllers divide the proxies into shards. It is
+// called for each message before it is sent, with the server's lock held: it must not call the server.
 type Leases interface {
-	// Shard is the shard of a proxy.
+	// Shard returns the shard of a proxy.
 	Shard(zone int, name string) int
-	// IsLeaseHolder reports whether this controller holds a shard's lease now, and in which epoch.
+	// IsLeaseHolder reports whether this controller currently holds a shard's lease, and in which epoch.
 	IsLeaseHolder(shard int) (epoch uint64, ok bool)
-	// Holder is the channel's address of the controller that should hold a shard; "": this one, or not known.
+	// Holder returns the channel address of the controller that should hold a shard. It is empty if that is this
+	// controller or is unknown.
 	Holder(shard int) (address string)
 }
--- a/internal/pubsub/connection.go
+++ b/internal/pubsub/connection.go
@@ -28,8 +28,8 @@
 	stream      stream
 }
 
-// stream is the state of a connection on which a proxy joins. The join and the shard are set once a JOIN was read, all
-// else once it was accepted.
+// stream is the state of a connection on which a proxy joins. The fields join and shard are set once a JOIN was read,
+// all other fields once it was accepted.
 type stream struct {
 	id         uint64 // 0: not joined
 	join       pubsubmsg.Join
@@ -41,15 +41,16 @@
 	resyncedAt model.Microseconds
 }
 
-// Errors that end a connection for no fault of its peer begin with one of these words; the others begin with ERR.
+// An error that ends a connection although its peer did nothing wrong begins with one of these words; all other errors
+// begin with ERR.
 const (
 	errorLater  = "LATER"  // retry after the given time
 	errorEnding = "ENDING" // this controller shuts down
 	errorMoved  = "MOVED"  // another controller holds the proxy's shard
 )
 
-// isNoFault reports whether an error says that the peer has done nothing wrong; in a storm of joins there are
-// thousands.
+// isNoFault reports whether an error ends a connection although its peer did nothing wrong. These errors are logged at
+// debug level: a join storm causes thousands of them.
 func isNoFault(reason string) bool {
 	return strings.HasPrefix(reason, errorLater) ||
 		strings.HasPrefix(reason, errorEnding) ||
@@ -67,10 +68,10 @@
 		return
 	}
 	_ = socket.SetReadDeadline(time.Now().Add(s.config.Limits.GreetingTimeout))
-	_ = socket.SetWriteBuffer(s.config.Limits.UnsentBytes) // what the kernel keeps for a slow reader is bounded too
+	_ = socket.SetWriteBuffer(s.config.Limits.UnsentBytes) // bounds what the kernel buffers for a slow reader
 }
 
-// received reads what came. A protocol error ends the connection.
+// received decodes received bytes into commands. A protocol error ends the connection.
 func (s *Server) received(conn *connection, data []byte) {
 	err := conn.reader.Feed(data, conn.handle)
 	if err == nil {
@@ -82,8 +83,8 @@
 	s.mu.Unlock()
 }
 
-// endWithError sends a peer the reason for which its connection ends, and closes it; s.mu is held. An ended connection
-// is left alone.
+// endWithError sends a peer the reason why its connection ends, and closes the connection; s.mu is held. It does
+// nothing if the connection has already ended.
 func (s *Server) endWithError(conn *connection, reason string) {
 	if !conn.MarkEnded() {
 		return
@@ -98,7 +99,7 @@
 	_ = conn.Socket().Close()
 }
 
-// closed takes a connection out, and reports the end of its stream.
+// closed unregisters a connection and reports the end of its stream.
 func (s *Server) closed(conn *connection) {
 	s.mu.Lock()
 	if !s.connections.Unregister(conn) {
@@ -119,7 +120,7 @@
 	}
 }
 
-// removeStream takes a stream out; what waits for it is dropped. s.mu is held.
+// removeStream removes a stream and drops its queued messages; s.mu is held.
 func (s *Server) removeStream(conn *connection) {
 	delete(s.streams, conn.stream.proxy)
 	if conn.stream.subscriber != nil {
@@ -128,19 +129,19 @@
 	s.queue.dropStream(conn.stream.id)
 }
 
-// reply writes an answer.
+// reply writes a reply.
 func (c *connection) reply(encoded []byte) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	c.server.connections.Write(c, encoded)
 }
 
-// replyError writes an error that leaves the connection open.
+// replyError replies with an error and leaves the connection open.
 func (c *connection) replyError(format string, args ...any) {
 	c.reply(resp.AppendLine(nil, resp.SimpleError, fmt.Sprintf(format, args...)))
 }
 
 func (c *connection) replyOK() { c.reply(resp.AppendLine(nil, resp.SimpleString, "OK")) }
 
-// stayOpen lifts the deadline by which a peer has to join or subscribe.
+// stayOpen removes the deadline by which a peer has to join or subscribe.
 func (c *connection) stayOpen() { _ = c.Socket().SetReadDeadline(time.Time{}) }
--- a/internal/pubsub/delivery.go
+++ b/internal/pubsub/delivery.go
@@ -6,8 +6,8 @@
 	"peppervale/internal/snapshot"
 )
 
-// AdmitProxy starts a joined proxy's stream: it is sent its snapshot, and what is published from now on concerns it. It
-// is to be called once for each ProxyConnected, before the next Publish. A stream that has ended meanwhile is ignored.
+// AdmitProxy starts a joined proxy's stream: it sends the proxy a snapshot and subscribes it to later updates. It must
+// be called once for each ProxyConnected, before the next Publish. A stream that has ended in the meantime is ignored.
 func (s *Server) AdmitProxy(proxy model.ProxyID, streamID uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -19,8 +19,8 @@
 	s.sendSnapshot(conn)
 }
 
-// Publish carries a batch out: one message for each proxy that it concerns, queued at the channel's pace, and one for
-// each observer, at once.
+// Publish applies a batch. It queues one message for each affected proxy, to be sent at the channel's pace, and sends
+// one message to each observer at once.
 func (s *Server) Publish(batch *snapshot.Batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// sendFolded sends a snapshot to those slow readers that read again; s.mu is held.
+// sendFolded sends a snapshot to each slow reader that has resumed reading; s.mu is held.
 func (s *Server) sendFolded() {
 	for conn := range s.folded {
 		if conn.UnsentBytes() >= int64(s.config.Limits.UnsentBytes)/2 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// send writes a message, or folds it into a later snapshot if the proxy does not read; s.mu is held.
+// send writes a message, or folds it into a later snapshot if the proxy reads too slowly; s.mu is held.
 func (s *Server) send(conn *connection, message *pubsubmsg.Message) {
 	if s.folded[conn] {
 		return
@@ -88,21 +88,21 @@
 	s.connections.Write(conn, pubsubmsg.Append(nil, message))
 }
 
-// sendSnapshot sends a proxy all that it should hold by now; s.mu is held.
+// sendSnapshot sends a proxy its complete state; s.mu is held.
 func (s *Server) sendSnapshot(conn *connection) {
 	message := s.published.Snapshot(conn.stream.subscriber)
 	message.UpdatedAt = s.config.Now()
 	s.send(conn, message)
 }
 
-// hasTooMuchUnsent reports whether so much waits for a peer that it gets a snapshot later instead of the next message;
-// s.mu is held.
+// hasTooMuchUnsent reports whether a peer's unsent bytes exceed the budget, so that it gets a later snapshot instead of
+// the next message; s.mu is held.
 func (s *Server) hasTooMuchUnsent(conn *connection) bool {
 	budget := s.config.Limits.budget()
 	return budget.MustMerge(conn.UnsentBytes(), s.connections.UnsentBytes(), s.connections.Count())
 }
 
-// fold has a slow reader get a snapshot once it reads again; s.mu is held.
+// fold marks a slow reader, which gets a snapshot once it resumes reading; s.mu is held.
 func (s *Server) fold(conn *connection) {
 	s.folded[conn] = true
 	s.stats.SnapshotFolds++
--- a/internal/pubsub/doc.go
+++ b/internal/pubsub/doc.go
@@ -1,20 +1,21 @@
-// Package pubsub is the controller's side of the publish-subscribe channel: proxies that join and are sent tables,
-// and observers that subscribe and are sent each version. It runs on internal/netpoll and speaks RESP3
-// (internal/codec/resp) in the vocabulary of internal/codec/pubsubmsg. It carries updates out and decides nothing
-// about them.
+// Package pubsub implements the controller's side of the publish-subscribe channel: proxies join and receive tables,
+// and observers subscribe and receive each version. It runs on internal/netpoll and speaks RESP3 (internal/codec/resp)
+// with the messages of internal/codec/pubsubmsg. It sends updates and makes no decisions about them.
 //
 // Guarantees:
-//   - All updates of one Publish leave as one message for each proxy that they concern. Messages reach a proxy in
-//     order, and each names the version before it, so that a missing one shows.
-//   - A proxy joins with a snapshot. After a gap (RESYNC), or after it has read too slowly, it gets another one,
-//     never a guess. At most Limits.UnsentBytes bytes and one snapshot wait for a slow reader.
-//   - Messages leave at the stated pace, in entries a second; what waits is counted in entries (Stats.QueuedEntries).
-//   - Bytes that are no RESP, commands that make no sense and peers that send nothing end that connection with one
-//     clear error, and touch no other.
-//   - Events are reported without Server.mu, so that their receiver may call the server. A stream that is replaced by
-//     a newer one of the same proxy is not reported as disconnected: the newer one's ProxyConnected stands for it.
+//   - All updates of one Publish are sent as one message to each affected proxy. Messages reach a proxy in order, and
+//     each contains the previous version, so that a gap is detected.
+//   - A proxy gets a snapshot when it joins, after a gap (RESYNC), and after it has read too slowly. At most
+//     Limits.UnsentBytes bytes and one snapshot are buffered for a slow reader.
+//   - Messages are sent at the configured pace, in entries a second; queued messages are counted in entries
+//     (Stats.QueuedEntries).
+//   - Bytes that are not RESP, invalid commands and peers that send nothing end their own connection with one clear
+//     error, and do not affect other connections.
+//   - Events are reported without holding Server.mu, so that their receiver may call the server. A stream that is
+//     replaced by a newer one of the same proxy is not reported as disconnected: the ProxyConnected event of the newer
+//     stream implies its end.
 //
-// Caveats: a snapshot that answers a JOIN or a RESYNC is not paced, as it is a reply. RESYNC is answered once a
-// second. Updates for a proxy that is between two streams are dropped: its next stream starts from a snapshot. The
-// order of messages to two proxies is that of the queue only.
+// Caveats: a snapshot that answers a JOIN or a RESYNC is a reply and is not paced. RESYNC is answered once a second.
+// Updates for a proxy that is between two streams are dropped: its next stream starts from a snapshot. Messages to
+// different proxies are ordered by the queue only.
 package pubsub
--- a/internal/pubsub/harness_test.go
+++ b/internal/pubsub/harness_test.go
@@ -17,14 +17,14 @@
 	"peppervale/internal/snapshot"
 )
 
-// patience is how long a test waits for anything before it fails.
+// patience is how long a test waits for an expected event before it fails.
 const patience = 10 * time.Second
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// testHarness stands in for the controller: it admits each proxy that joins and keeps the events.
+// testHarness is a stand-in for the controller: it admits each joined proxy and records the events.
 type testHarness struct {
 	t       *testing.T
 	server  *Server
@@ -51,17 +51,17 @@
 	h.note("connected %s %d", join.Name, zone)
 }
 
-// ProxyDisconnected notes the end of a stream.
+// ProxyDisconnected records the end of a stream.
 func (h *testHarness) ProxyDisconnected(proxy model.ProxyID, _ uint64) {
 	h.note("disconnected %d", proxy)
 }
 
-// Acknowledged notes an acknowledgement.
+// Acknowledged records an acknowledgement.
 func (h *testHarness) Acknowledged(proxy model.ProxyID, _ uint64, ackSequence uint32) {
 	h.note("acknowledged %d %d", proxy, ackSequence)
 }
 
-// LoadReported notes how many load reports came.
+// LoadReported records the number of load reports.
 func (h *testHarness) LoadReported(zone int, reports []model.LoadReport) {
 	h.note("reported %d %d", zone, len(reports))
 }
@@ -70,7 +70,7 @@
 	return model.Microseconds(time.Since(h.started) / time.Microsecond)
 }
 
-// waitForEvent waits until an event was noted; the events of one proxy come in order.
+// waitForEvent waits until an event is recorded; the events of one proxy are in order.
 func (h *testHarness) waitForEvent(event string) {
 	h.t.Helper()
 	deadline := time.After(patience)
@@ -84,7 +84,7 @@
 		select {
 		case <-h.came:
 		case <-deadline:
-			h.t.Fatalf("no event %q; there were\n%s", event, all)
+			h.t.Fatalf("no event %q within the time limit; recorded events:\n%s", event, all)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	if change != nil {
 		change(&config)
 	}
-	harness.mu.Lock() // no proxy joins before the server is known
+	harness.mu.Lock() // no event is recorded before server is set
 	var err error
 	if harness.server, err = Listen(config, harness); err != nil {
 		t.Fatal(err)
@@ -115,12 +115,12 @@
 	return harness
 }
 
-// publish publishes updates; the acknowledgement sequence is -1 where none is asked for.
+// publish publishes updates; an acknowledgement sequence of -1 requests no acknowledgement.
 func (h *testHarness) publish(ackSequence int, updates ...snapshot.Update) {
 	h.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: ackSequence, At: h.now()})
 }
 
-// testClient is the far end of a connection, driven by hand.
+// testClient is the client's end of a connection.
 type testClient struct {
 	*netpolltest.Client
 	t *testing.T
@@ -131,7 +131,7 @@
 	return &testClient{netpolltest.Dial(t, h.server.Addr(), patience), t}
 }
 
-// join connects a proxy of the second zone on its standing table, and returns the snapshot that it is sent.
+// join connects a proxy of the second zone on its standing table, and returns the snapshot that it receives.
 func (h *testHarness) join(t *testing.T, name string) (*testClient, *pubsubmsg.Message) {
 	t.Helper()
 	client := h.dial(t)
@@ -143,22 +143,22 @@
 	}))
 	for range 2 {
 		if value, _ := client.Next(); value.Kind != resp.Map {
-			t.Fatalf("no answer to a join: %v", value)
+			t.Fatalf("the reply to HELLO or JOIN is %v, want a map", value)
 		}
 	}
 	return client, client.message()
 }
 
-// message is the next message that comes.
+// message returns the next message received.
 func (c *testClient) message() *pubsubmsg.Message {
 	c.t.Helper()
 	value, ok := c.Next()
 	if !ok {
-		c.t.Fatal("the connection ended")
+		c.t.Fatal("the connection ended before a message")
 	}
 	message, err := pubsubmsg.Parse(value)
 	if err != nil {
-		c.t.Fatalf("%v: %v", value, err)
+		c.t.Fatalf("message %v cannot be parsed: %v", value, err)
 	}
 	return message
 }
@@ -179,7 +179,7 @@
 	}
 }
 
-// expectError checks that the next value is an error that has a text.
+// expectError checks that the next value is an error that contains a text.
 func (c *testClient) expectError(text string) {
 	c.t.Helper()
 	if value, _ := c.Next(); value.Kind != resp.SimpleError || !strings.Contains(value.Text, text) {
@@ -199,7 +199,7 @@
 
 func pingCommand() []byte { return resp.AppendCommand(nil, "PING") }
 
-// replica is a replica's address by its last byte.
+// replica returns a replica's id by the last byte of its address.
 func replica(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
 // weight sets the weight of a replica in table 1.
--- a/internal/pubsub/join.go
+++ b/internal/pubsub/join.go
@@ -11,10 +11,10 @@
 	"peppervale/internal/model"
 )
 
-// maxProxyNames bounds the names that may join in one incarnation: model.ProxyID has 16 bits.
+// maxProxyNames bounds the proxy names in one incarnation: model.ProxyID has 16 bits.
 const maxProxyNames = 65535
 
-// joinProxy makes the connection a proxy's stream and reports it, outside the lock.
+// joinProxy registers the connection as a proxy's stream and reports it, without holding the lock.
 func (c *connection) joinProxy(args []resp.Value) error {
 	if !c.saidHello {
 		return errHelloFirst
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// registerStream makes a connection a proxy's stream and answers its JOIN. A stream of the same name that is still here
-// is replaced: its connection is the older one. The proxy is not joined if it was deferred or redirected.
+// registerStream registers a connection as a proxy's stream and answers its JOIN. It ends an older stream of the same
+// name. joined is false if the proxy was deferred or redirected.
 func (s *Server) registerStream(conn *connection, join pubsubmsg.Join, zone int) (joined bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,8 +77,8 @@
 	return true, nil
 }
 
-// leaseFor notes a proxy's shard and reports whether this controller holds its lease, in no older epoch than the proxy
-// has seen; s.mu is held. Without leases it holds all in epoch 0.
+// leaseFor stores a proxy's shard and reports whether this controller holds its lease, in an epoch that is not older
+// than the newest one the proxy has seen; s.mu is held. Without leases, the controller holds all shards in epoch 0.
 func (s *Server) leaseFor(conn *connection, zone int) (epoch uint64, isHolder bool) {
 	if s.config.Leases == nil {
 		return 0, true
@@ -89,8 +89,8 @@
 	return epoch, isHolder && epoch >= join.Epoch
 }
 
-// admitJoin reports whether a proxy may join now; s.mu is held. One that may not is sent a Retry-After, and ended so
-// that it holds no place among the connections.
+// admitJoin reports whether a proxy may join now; s.mu is held. Otherwise it sends the proxy a retry delay and ends its
+// connection, so that the connection does not count towards the limit.
 func (s *Server) admitJoin(conn *connection) bool {
 	decision, after := s.joins.Decide(s.config.Now(), conn.stream.join.Name, len(s.streams))
 	if decision == admission.Admit {
@@ -101,7 +101,7 @@
 	return false
 }
 
-// proxyID is the number of a name, the same throughout an incarnation; s.mu is held.
+// proxyID returns the number of a name, which stays the same throughout an incarnation; s.mu is held.
 func (s *Server) proxyID(name string) (model.ProxyID, error) {
 	if proxy, known := s.proxyIDs[name]; known {
 		return proxy, nil
@@ -114,7 +114,7 @@
 	return proxy, nil
 }
 
-// answerJoin sends a proxy what it needs to know of this controller; s.mu is held.
+// answerJoin sends a proxy the incarnation, version, report period and epoch; s.mu is held.
 func (s *Server) answerJoin(conn *connection, epoch uint64) {
 	encoded := resp.AppendHeader(nil, resp.Map, 4)
 	encoded = appendNumber(encoded, "life", int64(s.published.Incarnation))
--- a/internal/pubsub/joinstorm_test.go
+++ b/internal/pubsub/joinstorm_test.go
@@ -13,19 +13,20 @@
 	"peppervale/internal/standin/proxy"
 )
 
-// The storm of TestJoinStormSettles: its proxies, and the joins that the server admits a second and at once.
+// The proxies of TestJoinStormSettles, and the joins that the server admits per second and at once.
 const (
 	stormProxies = 300
 	stormRate    = 150
 	stormBurst   = 30
 )
 
-// TestJoinStormSettles: Hundreds of proxies dial at once. Those beyond the burst are deferred once each, with times
-// that keep the rate, and all join; none is dropped without a Retry-After, and they do not retry as a storm.
+// TestJoinStormSettles: Hundreds of proxies dial at once. Those beyond the burst are deferred once each, with retry
+// delays that keep the rate, and all join. No proxy is dropped without a retry delay, and the retries do not form
+// another storm.
 //
-// Server and proxies use one clock, which the test advances. It stands still until each proxy has its first answer: by
-// the wall clock, proxies that connect more slowly than the rate, as on a busy machine, rightly count as a second
-// storm.
+// Server and proxies use one clock, which the test advances. It stands still until each proxy has its first answer:
+// with the wall clock, proxies that connect more slowly than the rate, as on a busy machine, would correctly count as a
+// second storm.
 func TestJoinStormSettles(t *testing.T) {
 	var clock manualClock
 	harness := startServer(t, func(config *Config) {
@@ -35,12 +36,12 @@
 	storm := startJoinStorm(t, harness.server.Addr(), &clock)
 	storm.waitUntil("all first joins answered", func(c joinCounts) bool { return c.joined+c.deferred == stormProxies })
 	if counts := storm.counts(); counts.joined != stormBurst {
-		t.Fatalf("%+v, want %d joined at once", counts, stormBurst)
+		t.Fatalf("%+v, want %d joined immediately", counts, stormBurst)
 	}
 
 	const interval = model.Second / stormRate
-	// A proxy dials up to one interval, by the jitter, and up to one millisecond, by rounding, after the time that is
-	// reserved for it: less than two intervals.
+	// A proxy dials after its reserved time: up to one interval later because of the jitter, and up to one millisecond
+	// because of rounding, in total less than two intervals.
 	const maxLateIntervals = 2
 	for intervals := 1; intervals <= stormProxies-stormBurst+maxLateIntervals; intervals++ {
 		clock.advance(interval)
@@ -48,12 +49,12 @@
 		most := stormBurst + intervals
 		storm.waitUntil(fmt.Sprintf("%d joined", least), func(c joinCounts) bool { return c.joined >= least })
 		if counts := storm.counts(); counts.joined > most {
-			t.Fatalf("%+v after %d us, want at most %d joined", counts, clock.now(), most)
+			t.Fatalf("%+v after %d us of the clock, want at most %d joined", counts, clock.now(), most)
 		}
 	}
 
 	storm.checkEachJoinedOnce()
-	// A proxy reads the answer to its join before the controller has admitted it.
+	// A proxy reads the reply to its join before the controller admits the proxy.
 	storm.waitUntil("all admitted", func(joinCounts) bool { return harness.server.Stats().Proxies == stormProxies })
 	stats := harness.server.Stats()
 	if stats.JoinsDeferred != stormProxies-stormBurst || stats.JoinStorms != 1 || stats.Replaced != 0 {
@@ -72,13 +73,13 @@
 type joinStorm struct {
 	t       *testing.T
 	loop    *standin.Loop
-	proxies []*proxy.Proxy // they belong to the loop
+	proxies []*proxy.Proxy // used only on the loop
 }
 
 // joinCounts are sums over the proxies of a storm.
 type joinCounts struct{ joined, deferred int }
 
-// startJoinStorm starts the proxies, and ends them with the test.
+// startJoinStorm starts the proxies and kills them when the test ends.
 func startJoinStorm(t *testing.T, address string, clock *manualClock) *joinStorm {
 	t.Helper()
 	engine, err := proxy.NewEngine()
@@ -112,7 +113,7 @@
 	return storm
 }
 
-// counts adds up what the proxies have met so far. It also has the loop look at its clock again.
+// counts sums up the joins and deferrals of all proxies so far. The call also makes the loop read its clock again.
 func (s *joinStorm) counts() (counts joinCounts) {
 	s.loop.Do(func() {
 		for _, one := range s.proxies {
@@ -129,7 +130,7 @@
 	s.loop.Do(func() {
 		for _, one := range s.proxies {
 			if one.Joins != 1 || one.Deferred > 1 {
-				s.t.Errorf("%s joined %d times and was deferred %d times", one.Name, one.Joins, one.Deferred)
+				s.t.Errorf("%s joined %d times and was deferred %d times, want 1 and at most 1", one.Name, one.Joins, one.Deferred)
 			}
 		}
 	})
--- a/internal/pubsub/lease_test.go
+++ b/internal/pubsub/lease_test.go
@@ -15,10 +15,10 @@
 	holders map[int]string // other controllers' addresses by shard
 }
 
-// Shard is the shard of a zone.
+// Shard returns the zone as the shard.
 func (l *testLeases) Shard(zone int, _ string) int { return zone }
 
-// IsLeaseHolder reports whether the shard is among those held.
+// IsLeaseHolder reports whether the shard is in held.
 func (l *testLeases) IsLeaseHolder(shard int) (epoch uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -26,7 +26,7 @@
 	return epoch, ok
 }
 
-// Holder is the other controller's address.
+// Holder returns the other controller's address.
 func (l *testLeases) Holder(shard int) (address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,19 +39,19 @@
 	delete(l.held, shard)
 }
 
-// tryJoin sends HELLO and JOIN, and reads the answer to HELLO.
+// tryJoin sends HELLO and JOIN, and reads the reply to HELLO.
 func (h *testHarness) tryJoin(t *testing.T, name, zone string) *testClient {
 	t.Helper()
 	client := h.dial(t)
 	client.Send(append(helloCommand(), joinCommand(name, zone)...))
 	if value, _ := client.Next(); value.Kind != resp.Map {
-		t.Fatalf("HELLO is answered by %v", value)
+		t.Fatalf("the reply to HELLO is %v, want a map", value)
 	}
 	return client
 }
 
-// TestJoinIsRedirectedToLeaseHolder: A proxy whose shard another controller holds is sent its address, or a
-// Retry-After where no controller holds it, and its connection is closed.
+// TestJoinIsRedirectedToLeaseHolder: A proxy whose shard another controller holds is sent the address of that
+// controller, or a retry delay if no controller holds the shard. Its connection is closed.
 func TestJoinIsRedirectedToLeaseHolder(t *testing.T) {
 	leases := &testLeases{held: map[int]uint64{}, holders: map[int]string{0: "127.0.0.1:7001"}}
 	harness := startServer(t, func(config *Config) { config.Leases = leases })
@@ -66,23 +66,23 @@
 		client.expectClosed()
 	}
 	if stats := harness.server.Stats(); stats.Redirected != 2 || stats.ProtocolErrors != 0 || stats.Proxies != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestLostLeaseEndsStreams: Messages carry the epoch of the proxy's shard. Once its lease is lost, its streams end, and
-// those of other shards stay.
+// TestLostLeaseEndsStreams: Messages contain the epoch of the proxy's shard. Once a shard's lease is lost, the shard's
+// streams end, and streams of other shards stay.
 func TestLostLeaseEndsStreams(t *testing.T) {
 	leases := &testLeases{held: map[int]uint64{0: 5, 1: 8}, holders: map[int]string{1: "127.0.0.1:7001"}}
 	harness := startServer(t, func(config *Config) { config.Leases = leases })
 	stays := harness.tryJoin(t, "stays", "govan")
 	stays.expectMap()
 	if message := stays.message(); message.Epoch != 5 {
-		t.Fatalf("%+v", message)
+		t.Fatalf("unexpected epoch in %+v", message)
 	}
 	moves, first := harness.join(t, "moves")
 	if first.Epoch != 8 {
-		t.Fatalf("%+v", first)
+		t.Fatalf("unexpected epoch in %+v", first)
 	}
 	if rates := harness.server.ExpectedRates(); len(rates) != 2 || rates[1] != 2 {
 		t.Fatalf("expected rates %v", rates)
@@ -98,7 +98,7 @@
 	stays.Send(pingCommand())
 	stays.expectPong()
 	if stats := harness.server.Stats(); stats.Fenced != 1 || stats.Redirected != 1 || stats.Proxies != 1 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
@@ -110,14 +110,14 @@
 	}
 }
 
-// TestMisroutedProxiesAreCounted: A proxy counts once it has gone on asking for long enough, until it has not asked for
-// misroutedMemory; a pause as long, or another shard, begins anew.
+// TestMisroutedProxiesAreCounted: A proxy counts once it has tried to join for long enough, until it has not tried for
+// misroutedMemory. A pause of that length, or a join for another shard, restarts the span.
 func TestMisroutedProxiesAreCounted(t *testing.T) {
 	misrouted := misroutedProxies{}
-	misrouted.note("asks on", 1, 0)
-	misrouted.note("asks once", 1, 0)
+	misrouted.note("retries", 1, 0)
+	misrouted.note("joins once", 1, 0)
 	misrouted.note("changes shard", 1, 0)
-	misrouted.note("asks on", 1, 2*model.Second)
+	misrouted.note("retries", 1, 2*model.Second)
 	misrouted.note("changes shard", 2, 2*model.Second)
 	for _, tt := range []struct {
 		name         string
@@ -126,14 +126,14 @@
 	}{
 		{"long enough", 2 * model.Second, 2 * model.Second, 1},
 		{"not long enough", 2 * model.Second, 2*model.Second + 1, 0},
-		{"still remembered", 2*model.Second + misroutedMemory - 1, model.Second, 1},
-		{"forgotten", 2*model.Second + misroutedMemory, model.Second, 0},
+		{"just before expiry", 2*model.Second + misroutedMemory - 1, model.Second, 1},
+		{"expired", 2*model.Second + misroutedMemory, model.Second, 0},
 	} {
 		if got := misrouted.count(tt.now, tt.atLeast); got[1] != tt.want || got[2] != 0 {
-			t.Errorf("%s: %v, want %d of shard 1", tt.name, got, tt.want)
+			t.Errorf("%s: counts by shard %v, want %d of shard 1 and none of shard 2", tt.name, got, tt.want)
 		}
 	}
 	if len(misrouted) != 0 {
-		t.Errorf("%d are still remembered", len(misrouted))
+		t.Errorf("%d proxies are still tracked after expiry", len(misrouted))
 	}
 }
--- a/internal/pubsub/limits_test.go
+++ b/internal/pubsub/limits_test.go
@@ -9,8 +9,8 @@
 	"peppervale/internal/codec/resp"
 )
 
-// TestSilentConnectionsAreClosed: A thousand connections that send nothing are closed; a proxy that joins meanwhile is
-// served.
+// TestSilentConnectionsAreClosed: A thousand connections that send nothing are closed; a proxy that joins in the
+// meantime is served.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	harness := startServer(t, func(config *Config) {
 		config.Limits.GreetingTimeout = 300 * time.Millisecond
@@ -28,8 +28,8 @@
 	proxy.expectAckSequence(1)
 }
 
-// TestUnfinishedStringIsClosed: A string that is begun and never ended costs no more than what came of it, and its
-// connection is closed when its time to join has passed; a proxy that joins meanwhile is served.
+// TestUnfinishedStringIsClosed: A connection that sends the beginning of a string and never its end is closed after the
+// greeting timeout; a proxy that joins in the meantime is served.
 func TestUnfinishedStringIsClosed(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = 300 * time.Millisecond })
 	client := harness.dial(t)
@@ -40,7 +40,7 @@
 	proxy.expectAckSequence(1)
 }
 
-// TestTooManyConnections: A connection beyond the limit gets an error that says so.
+// TestTooManyConnections: A connection beyond the limit gets an error that states the reason.
 func TestTooManyConnections(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 2 })
 	harness.join(t, "a")
@@ -48,8 +48,8 @@
 	harness.dial(t).expectError("too many connections")
 }
 
-// TestTooManyCommands: A peer that sends more commands than it may gets a Retry-After, and no other peer notices;
-// with the limit raised in service the same flood passes.
+// TestTooManyCommands: A peer that exceeds the command rate gets a retry delay, and other peers are not affected. After
+// the limit is raised on the running server, the same flood passes.
 func TestTooManyCommands(t *testing.T) {
 	const burst, flood = 20, 100
 	harness := startServer(t, func(config *Config) {
@@ -58,14 +58,14 @@
 	calm := harness.dial(t)
 	calm.Send(helloCommand())
 	if _, ok := calm.Next(); !ok {
-		t.Fatal("the calm connection is closed")
+		t.Fatal("the other connection is closed")
 	}
 	pings := []byte(strings.Repeat(string(pingCommand()), flood))
 	flooding := harness.dial(t)
 	flooding.Send(pings)
 	flooding.expectDeferralAfter(burst)
 	if stats := harness.server.Stats(); stats.RateLimited != 1 || stats.ProtocolErrors != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	calm.Send(pingCommand())
 	calm.expectPong()
@@ -78,19 +78,19 @@
 	}
 }
 
-// expectDeferralAfter checks that so many answers are followed by an error with a Retry-After.
+// expectDeferralAfter checks that the given number of answers is followed by an error with a retry delay.
 func (c *testClient) expectDeferralAfter(answers int) {
 	c.t.Helper()
 	for n := 0; ; n++ {
 		value, ok := c.Next()
 		if !ok {
-			c.t.Fatalf("closed without an error after %d answers", n)
+			c.t.Fatalf("the connection ended without an error after %d answers", n)
 		}
 		if value.Kind != resp.SimpleError {
 			continue
 		}
 		if !strings.HasPrefix(value.Text, "LATER ") || n != answers {
-			c.t.Fatalf("after %d answers: %q", n, value.Text)
+			c.t.Fatalf("after %d answers: error %q, want LATER after the expected answers", n, value.Text)
 		}
 		return
 	}
--- a/internal/pubsub/misrouted.go
+++ b/internal/pubsub/misrouted.go
@@ -7,18 +7,18 @@
 	"peppervale/internal/model"
 )
 
-// unheldRetry is when a proxy whose shard has no lease holder may ask again: a lease changes hands in some multiples of
-// it.
+// unheldRetry is the retry delay for a proxy whose shard has no lease holder. The transfer of a lease takes a few times
+// as long.
 const unheldRetry = 100 * time.Millisecond
 
-// maxMisroutedProxies bounds those that are remembered; the others are not counted.
+// maxMisroutedProxies bounds the number of tracked misrouted proxies; further ones are not counted.
 const maxMisroutedProxies = 10_000
 
-// misroutedMemory is how long a misrouted proxy is remembered after it asked: one that cannot reach its own
-// controller is back within a dial's timeout and some backoff.
+// misroutedMemory is how long a misrouted proxy is tracked after its last join. A proxy that cannot reach its own
+// controller joins here again within a dial timeout and some backoff.
 const misroutedMemory = 5 * model.Second
 
-// misroutedProxies are the proxies that asked here for a shard of another controller, by name.
+// misroutedProxies holds the proxies that joined here although another controller has their shard, by name.
 type misroutedProxies map[string]*misroutedProxy
 
 type misroutedProxy struct {
@@ -27,7 +27,7 @@
 	lastAskedAt  model.Microseconds
 }
 
-// note remembers that a proxy has asked for a shard.
+// note records that a proxy of a shard has tried to join.
 func (m misroutedProxies) note(name string, shard int, now model.Microseconds) {
 	known := m[name]
 	switch {
@@ -38,8 +38,8 @@
 	}
 }
 
-// count returns how many proxies have gone on asking for at least so long, by shard, and forgets those that have
-// stopped.
+// count returns, by shard, how many proxies have tried to join for a span of at least atLeast. It removes proxies that
+// have stopped trying.
 func (m misroutedProxies) count(now, atLeast model.Microseconds) map[int]int {
 	counts := map[int]int{}
 	for name, proxy := range m {
@@ -52,8 +52,8 @@
 	return counts
 }
 
-// MisroutedProxies counts the proxies that went on asking here for at least so long, though they were redirected, by
-// shard.
+// MisroutedProxies returns, by shard, how many proxies have tried to join here for a span of at least atLeast, although
+// they were redirected.
 func (s *Server) MisroutedProxies(atLeast model.Microseconds) map[int]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,8 @@
 	}
 }
 
-// redirect ends a proxy whose shard's lease this controller does not hold, and tells it who should; s.mu is held.
+// redirect ends the connection of a proxy whose shard's lease this controller does not hold. The error that it sends
+// contains the address of the lease holder, if known. s.mu is held.
 func (s *Server) redirect(conn *connection) {
 	if conn.Ended() {
 		return
--- a/internal/pubsub/observer.go
+++ b/internal/pubsub/observer.go
@@ -8,10 +8,10 @@
 	"peppervale/internal/snapshot"
 )
 
-// topic is what observers subscribe to.
+// topic is the name of the channel that observers subscribe to.
 const topic = "tables"
 
-// subscribe makes a connection an observer's. It is sent the complete state, and each version from now on.
+// subscribe makes the peer an observer: it is sent the complete state and each later version.
 func (c *connection) subscribe(args []resp.Value) error {
 	if !c.saidHello {
 		return errHelloFirst
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// encodeSubscription is what Redis pushes after a subscription has changed.
+// encodeSubscription encodes a change of subscription as Redis pushes it.
 func encodeSubscription(change string, topics int64) []byte {
 	encoded := resp.AppendHeader(nil, resp.Push, 3)
 	encoded = resp.AppendBulk(encoded, change)
 	return appendNumber(encoded, topic, topics)
 }
 
-// encodeTopicMessage is a published message as Redis pushes it.
+// encodeTopicMessage encodes a published message as Redis pushes it.
 func encodeTopicMessage(text []byte) []byte {
 	encoded := resp.AppendHeader(nil, resp.Push, 3)
 	encoded = resp.AppendBulk(encoded, "message")
@@ -70,7 +70,7 @@
 func (s *Server) notifyObservers(batch *snapshot.Batch) {
 	text, err := json.Marshal(s.change(batch))
 	if err != nil {
-		return // weights are finite: the balancer's tests hold that
+		return // only infinite weights fail to encode; the balancer's tests exclude them
 	}
 	encoded := encodeTopicMessage(text)
 	for conn := range s.connections.Sessions() {
--- a/internal/pubsub/observer_test.go
+++ b/internal/pubsub/observer_test.go
@@ -8,8 +8,8 @@
 	"github.com/redis/go-redis/v9"
 )
 
-// TestRedisClientObserves: An observer with a third-party client gets the complete state once, then each version once
-// and in order.
+// TestRedisClientObserves: An observer that uses a third-party Redis client receives the complete state once, then each
+// version exactly once and in order.
 func TestRedisClientObserves(t *testing.T) {
 	harness := startServer(t, nil)
 	harness.join(t, "till")
@@ -25,7 +25,7 @@
 	receive(ctx, t, subscription, &state)
 	isExpected := state.Kind == "snapshot" && state.Version == 1 && state.Incarnation == 3
 	if !isExpected || len(state.Tables["1"]) != 1 || state.Proxies["till"] != "1" {
-		t.Fatalf("%+v", state)
+		t.Fatalf("unexpected snapshot: %+v", state)
 	}
 	const changes = 200
 	for n := range changes {
@@ -48,6 +48,6 @@
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal([]byte(message.Payload), into); err != nil {
-		t.Fatalf("%s: %v", message.Payload, err)
+		t.Fatalf("payload %s cannot be decoded: %v", message.Payload, err)
 	}
 }
--- a/internal/pubsub/observermessage.go
+++ b/internal/pubsub/observermessage.go
@@ -7,13 +7,13 @@
 	"peppervale/internal/snapshot"
 )
 
-// The kinds of message that observers get.
+// The kinds of message that observers receive.
 const (
 	kindSnapshot = "snapshot"
 	kindChange   = "change"
 )
 
-// Snapshot is the complete published state, as observers get it.
+// Snapshot is the complete published state, as sent to observers.
 type Snapshot struct {
 	Kind        string                  `json:"kind"` // snapshot
 	Incarnation uint64                  `json:"life"`
@@ -21,7 +21,7 @@
 	Tables      map[string][]TableEntry `json:"tables"`
 	Withdrawn   []string                `json:"withdrawn"`
 	Quotas      []Quota                 `json:"levels"`
-	Proxies     map[string]string       `json:"forwarders"` // proxy's name to its table; empty: on its own
+	Proxies     map[string]string       `json:"forwarders"` // table by proxy name; empty: not bound
 }
 
 // TableEntry is a table's entry in JSON.
@@ -30,14 +30,14 @@
 	Weight  float64 `json:"weight"`
 }
 
-// Quota is an admission quota in JSON; Operations has a bit for each operation.
+// Quota is an admission quota in JSON; Operations has one bit per operation.
 type Quota struct {
 	Operations  uint16  `json:"operations"`
 	Share       float64 `json:"share"`
-	RetryPolicy uint8   `json:"way"` // of retrying, see model.RetryPolicy
+	RetryPolicy uint8   `json:"way"` // see model.RetryPolicy
 }
 
-// Change is one version's updates, as observers get them.
+// Change contains the updates of one version, as sent to observers.
 type Change struct {
 	Kind        string         `json:"kind"` // change
 	Incarnation uint64         `json:"life"`
--- a/internal/pubsub/observermessage_test.go
+++ b/internal/pubsub/observermessage_test.go
@@ -14,10 +14,10 @@
 	"peppervale/internal/snapshot"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden messages in testdata anew")
+var updateGolden = flag.Bool("update", false, "write the current messages to the golden files in testdata")
 
-// TestObserverMessagesKeepTheirKeys compares what observers are sent, and what is stored of it, with the bytes that
-// programs read today: its keys must not change.
+// TestObserverMessagesKeepTheirKeys: Messages to observers are byte for byte equal to golden files, because observers
+// depend on their keys. Decoding gives the same message again.
 func TestObserverMessagesKeepTheirKeys(t *testing.T) {
 	published := snapshot.New(3, 6)
 	published.Subscribe(7, "till-1")
@@ -37,7 +37,8 @@
 	checkMessage(t, "snapshot.json", server.snapshot(), &Snapshot{})
 }
 
-// checkMessage compares a message's JSON with a golden file, and what decoding that into empty gives with the message.
+// checkMessage compares a message's JSON with a golden file, decodes the file into empty and compares that with the
+// message.
 func checkMessage(t *testing.T, name string, message, empty any) {
 	t.Helper()
 	got, err := json.Marshal(message)
@@ -60,6 +61,6 @@
 	}
 	err = json.Unmarshal(want, empty)
 	if err != nil || !reflect.DeepEqual(reflect.ValueOf(empty).Elem().Interface(), message) {
-		t.Errorf("%s: read back as %+v, %v; want %+v", file, empty, err, message)
+		t.Errorf("%s: decoded as %+v, %v; want %+v", file, empty, err, message)
 	}
 }
--- a/internal/pubsub/pacedqueue.go
+++ b/internal/pubsub/pacedqueue.go
@@ -5,22 +5,22 @@
 	"peppervale/internal/snapshot"
 )
 
-// pacedQueue holds the messages that wait for the channel's pace: they leave one after another, each taking the time of
-// its entries. It does no I/O.
+// pacedQueue holds queued messages and releases them one after another at the channel's pace. The cost of a message in
+// entries determines how long it occupies the channel. It does no I/O.
 type pacedQueue struct {
 	entriesPerSecond  float64
-	busyUntil         model.Microseconds // when the last message taken will have left
+	busyUntil         model.Microseconds // departure time of the last queued message
 	messages          []*queuedMessage
 	waitingEntries    int
 	maxWaitingEntries int
 }
 
-// queuedMessage is a message that waits.
+// queuedMessage is a message in the queue.
 type queuedMessage struct {
 	delivery  snapshot.Delivery
 	streamID  uint64
 	departsAt model.Microseconds
-	dropped   bool // its stream ended first
+	dropped   bool // its stream ended before departure
 }
 
 // enqueue adds a message for a stream.
@@ -32,7 +32,7 @@
 	q.maxWaitingEntries = max(q.maxWaitingEntries, q.waitingEntries)
 }
 
-// dequeueDue takes out the next message that leaves by now; nil if none does.
+// dequeueDue removes and returns the next message that is due; nil if there is none.
 func (q *pacedQueue) dequeueDue(now model.Microseconds) *queuedMessage {
 	for len(q.messages) > 0 && q.messages[0].departsAt <= now {
 		first := q.messages[0]
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// nextDeparture is when the first message leaves; ok is false for an empty queue.
+// nextDeparture returns the departure time of the first message; ok is false for an empty queue.
 func (q *pacedQueue) nextDeparture() (at model.Microseconds, ok bool) {
 	if len(q.messages) == 0 {
 		return 0, false
@@ -53,7 +53,8 @@
 	return q.messages[0].departsAt, true
 }
 
-// dropStream drops what waits for a stream. Its time stays reserved: what was promised to others is not moved.
+// dropStream drops the queued messages of a stream. Their time stays reserved: departure times of other messages do not
+// change.
 func (q *pacedQueue) dropStream(streamID uint64) {
 	for _, message := range q.messages {
 		if message.streamID == streamID && !message.dropped {
--- a/internal/pubsub/protocolerror_test.go
+++ b/internal/pubsub/protocolerror_test.go
@@ -13,8 +13,8 @@
 	return pubsubmsg.AppendJoin(nil, pubsubmsg.Join{Name: name, Zone: zone})
 }
 
-// TestProtocolErrorsEndTheirConnection: What makes no sense ends that connection with one clear error and touches no
-// other.
+// TestProtocolErrorsEndTheirConnection: Invalid input ends its connection with one clear error and does not affect
+// other connections.
 func TestProtocolErrorsEndTheirConnection(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = time.Minute })
 	good, _ := harness.join(t, "till")
@@ -52,13 +52,13 @@
 	good.expectAckSequence(1)
 }
 
-// expectEndWith checks that the connection ends, after an error that has a reason.
+// expectEndWith checks that the connection ends after an error that contains the reason.
 func (c *testClient) expectEndWith(reason string) {
 	c.t.Helper()
 	for {
 		value, ok := c.Next()
 		if !ok {
-			c.t.Fatalf("ended without the reason %q", reason)
+			c.t.Fatalf("the connection ended without an error that contains %q", reason)
 		}
 		if value.Kind == resp.SimpleError && strings.Contains(value.Text, reason) {
 			break
--- a/internal/pubsub/proxy_test.go
+++ b/internal/pubsub/proxy_test.go
@@ -9,8 +9,8 @@
 	"peppervale/internal/model"
 )
 
-// TestProxyJoinsAndReceivesChanges: A proxy that joins gets a snapshot, then each change; what it acknowledges and
-// reports reaches the controller.
+// TestProxyJoinsAndReceivesChanges: A proxy that joins receives a snapshot, then each change. Its acknowledgements and
+// load reports reach the controller.
 func TestProxyJoinsAndReceivesChanges(t *testing.T) {
 	harness := startServer(t, nil)
 	client, first := harness.join(t, "till")
@@ -20,10 +20,10 @@
 	harness.publish(7, weight(1, 0.5), weight(2, 1), bind(0), withdraw(2))
 	bound := client.message()
 	if !bound.Full || !bound.Bound || len(bound.Entries) != 2 || len(bound.Withdrawals) != 1 {
-		t.Fatalf("bound by %+v", bound)
+		t.Fatalf("the bind is %+v, want a full table of 2 entries with 1 withdrawal", bound)
 	}
 	if bound.AckSequence != 7 || bound.PreviousVersion != first.Version {
-		t.Fatalf("bound by %+v", bound)
+		t.Fatalf("the bind is %+v, want acknowledgement sequence 7 and the snapshot as previous version", bound)
 	}
 	harness.publish(8, weight(1, 0.6), weight(2, 0))
 	changed := client.message()
@@ -35,22 +35,23 @@
 	harness.waitForEvent("disconnected 0")
 	all := strings.Join(harness.events, " ")
 	if strings.Contains(all, "99") || strings.Contains(all, "reported 1 0") {
-		t.Fatal("an acknowledgement of an earlier incarnation or a repeated load report is taken: ", all)
+		t.Fatal("an acknowledgement of an earlier incarnation or a repeated load report is not ignored: ", all)
 	}
 }
 
-// expectRemoval checks a change of two entries after a version, the second of which is removed.
+// expectRemoval checks that a change follows a version and has two entries, the second of which is removed.
 func expectRemoval(t *testing.T, change *pubsubmsg.Message, previousVersion uint64) {
 	t.Helper()
 	if change.Full || change.PreviousVersion != previousVersion || change.Cost != 6+2+1 {
-		t.Fatalf("changed by %+v", change)
+		t.Fatalf("the change is %+v, want one that follows the previous version and costs 9 entries", change)
 	}
 	if len(change.Entries) != 2 || change.Entries[1].Weight != 0 {
-		t.Fatalf("changed by %+v", change)
+		t.Fatalf("the change is %+v, want 2 entries with the second removed", change)
 	}
 }
 
-// acknowledgeAndReport sends an acknowledgement of an earlier incarnation and one of this, and a load report twice.
+// acknowledgeAndReport sends an acknowledgement of an earlier incarnation, one of this incarnation, and a load report
+// twice.
 func acknowledgeAndReport(client *testClient, version uint64) {
 	client.t.Helper()
 	client.Send(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{Incarnation: 2, Version: version, Sequence: 99}))
@@ -67,10 +68,10 @@
 	}))
 }
 
-// TestReconnectBetweenSnapshotAndChange: A reconnect that falls between a snapshot and the first change starts from a
-// snapshot of its own, and what was queued for the old stream does not reach the new one.
+// TestReconnectBetweenSnapshotAndChange: If a proxy reconnects between its snapshot and the first change, the new
+// stream starts with its own snapshot, and messages queued for the old stream do not reach the new one.
 func TestReconnectBetweenSnapshotAndChange(t *testing.T) {
-	// A message of 6 + 2 entries waits 130 ms.
+	// A message of 6 + 2 entries is queued for 130 ms.
 	harness := startServer(t, func(config *Config) { config.EntriesPerSecond = 60 })
 	client, _ := harness.join(t, "till")
 	harness.publish(1, weight(1, 1), bind(0))
@@ -83,14 +84,14 @@
 	harness.publish(2, bind(0))
 	bound := again.message()
 	if bound.AckSequence != 2 || bound.PreviousVersion != first.Version || !bound.Bound {
-		t.Fatalf("after it %+v", bound)
+		t.Fatalf("the message after the snapshot is %+v", bound)
 	}
 	if stats := harness.server.Stats(); stats.QueuedEntries != 0 {
-		t.Fatalf("%d entries still count for the stream that ended", stats.QueuedEntries)
+		t.Fatalf("%d entries of the ended stream are still counted as queued", stats.QueuedEntries)
 	}
 }
 
-// TestResyncBringsSnapshot: A proxy that has missed a version gets a snapshot, and no second one within a second.
+// TestResyncBringsSnapshot: A proxy that sends RESYNC receives a snapshot, and no second one within a second.
 func TestResyncBringsSnapshot(t *testing.T) {
 	harness := startServer(t, func(config *Config) {
 		config.Now = func() model.Microseconds { return 5 * model.Second }
@@ -102,14 +103,14 @@
 	resynced := client.message()
 	isComplete := resynced.Full && resynced.Bound && len(resynced.Entries) == 1
 	if !isComplete || resynced.Version != bound.Version || resynced.AckSequence != 1 {
-		t.Fatalf("after a gap %+v", resynced)
+		t.Fatalf("the reply to RESYNC is %+v, want a snapshot of the same version", resynced)
 	}
 	client.Send(resp.AppendCommand(nil, "RESYNC"))
 	client.Send(pingCommand())
 	client.expectPong()
 }
 
-// TestNewerConnectionReplacesOlder: The newer connection of a name is the one that counts.
+// TestNewerConnectionReplacesOlder: A newer connection with the same proxy name replaces the older one.
 func TestNewerConnectionReplacesOlder(t *testing.T) {
 	harness := startServer(t, nil)
 	older, _ := harness.join(t, "till")
@@ -118,6 +119,6 @@
 	harness.publish(4, withdraw(1))
 	newer.expectAckSequence(4)
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Replaced != 1 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
--- a/internal/pubsub/proxycommand.go
+++ b/internal/pubsub/proxycommand.go
@@ -9,7 +9,8 @@
 // maxAckSequence is the largest acknowledgement sequence: it has 16 bits.
 const maxAckSequence = 65535
 
-// resyncInterval is how often one proxy is sent a snapshot that it asks for: a proxy in a loop costs no more than that.
+// resyncInterval is the least time between two snapshots that one proxy requests. It bounds the cost of a proxy that
+// sends RESYNC in a loop.
 const resyncInterval = model.Second
 
 // requireJoined returns an error unless a proxy has joined on the connection.
@@ -20,7 +21,8 @@
 	return nil
 }
 
-// acknowledge takes an acknowledgement. One of an earlier incarnation says nothing about the messages of this one.
+// acknowledge handles ACK. An acknowledgement of an earlier incarnation is ignored: it does not cover messages of this
+// one.
 func (c *connection) acknowledge(args []resp.Value) error {
 	ack, err := pubsubmsg.ParseAck(args)
 	if err != nil {
@@ -37,7 +39,7 @@
 	return nil
 }
 
-// reportLoad takes load reports. Those whose number is not newer than the last one came before.
+// reportLoad handles SUMS, which contains load reports. A repeated or older sequence number is ignored.
 func (c *connection) reportLoad(args []resp.Value) error {
 	message, err := pubsubmsg.ParseLoadReports(args)
 	if err != nil {
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// fenced takes a proxy's word that it did not obey a message, as it has seen a newer epoch.
+// fenced handles FENCED: the proxy ignored a message because it has seen a newer epoch.
 func (c *connection) fenced([]resp.Value) error {
 	if err := c.requireJoined(); err != nil {
 		return err
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// resync sends a snapshot anew, at most once each resyncInterval.
+// resync handles RESYNC: it sends another snapshot, at most once each resyncInterval.
 func (c *connection) resync([]resp.Value) error {
 	if err := c.requireJoined(); err != nil {
 		return err
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -11,17 +11,17 @@
 	"peppervale/internal/snapshot"
 )
 
-// pollers is how many pollers serve the address.
+// pollers is the number of pollers that serve the address.
 const pollers = 2
 
-// Bounds of the wait between two rounds of the sender.
+// Bounds of the wait between two iterations of sendQueued.
 const (
 	minSendWait         = 50 * time.Microsecond
 	maxSendWait         = time.Hour
 	foldedCheckInterval = 10 * time.Millisecond // how often slow readers are checked
 )
 
-// Server is a controller's channel. Make it with Listen.
+// Server is the server of a controller's channel. Create it with Listen.
 type Server struct {
 	config      Config
 	events      connserver.ProxyEvents
@@ -32,17 +32,17 @@
 	joins         *admission.Controller
 	published     *snapshot.State
 	queue         pacedQueue
-	streams       map[model.ProxyID]*connection // that have joined
-	proxyIDs      map[string]model.ProxyID      // by name, of all that have joined in this incarnation
+	streams       map[model.ProxyID]*connection // the joined connections, by proxy
+	proxyIDs      map[string]model.ProxyID      // by name, of all proxies that joined in this incarnation
 	observerCount int
-	folded        map[*connection]bool // slow readers that get a snapshot once they read again
+	folded        map[*connection]bool // slow readers, which get a snapshot once they resume reading
 	misrouted     misroutedProxies
-	lastID        uint64 // of connections and of streams
+	lastID        uint64 // last number of a connection or a stream
 	shutdownEnds  time.Time
 	stats         Stats
 }
 
-// Listen opens the address and serves until Close. Errors are those of the address.
+// Listen opens the address and serves it until Close. It returns an error if the address cannot be opened.
 func Listen(config Config, events connserver.ProxyEvents) (*Server, error) {
 	config.Limits = config.Limits.withDefaults()
 	server := &Server{
@@ -69,14 +69,14 @@
 	return server, nil
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.connections.Addr() }
 
-// Close ends every connection and the address.
+// Close closes all connections and the address.
 func (s *Server) Close() { s.connections.Close() }
 
-// SetLimits changes what peers may cost while the channel is in use; zero limits take the values of DefaultLimits.
-// Peers that are connected stay, also beyond a smaller number.
+// SetLimits changes the limits while the channel is in use; zero limits take the values of DefaultLimits. Connected
+// peers stay connected, even above a lowered limit.
 func (s *Server) SetLimits(limits Limits, joins admission.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	s.joins.SetLimits(joins, s.config.Now())
 }
 
-// sendQueued sends messages when they are due, and slow readers their snapshot once they read again, until the server
+// sendQueued sends messages when they are due, and snapshots to slow readers once they resume reading, until the server
 // closes.
 func (s *Server) sendQueued() {
 	timer := time.NewTimer(maxSendWait)
@@ -106,7 +106,7 @@
 	}
 }
 
-// nextSendWait is the time until something may have to be sent; s.mu is held.
+// nextSendWait returns the time until the next message or check of slow readers is due; s.mu is held.
 func (s *Server) nextSendWait(now model.Microseconds) time.Duration {
 	wait := maxSendWait
 	if departsAt, ok := s.queue.nextDeparture(); ok {
--- a/internal/pubsub/shutdown.go
+++ b/internal/pubsub/shutdown.go
@@ -6,17 +6,17 @@
 	"peppervale/internal/codec/resp"
 )
 
-// shutdownSteps is in how many steps a graceful shutdown asks proxies to join another controller.
+// shutdownSteps is the number of steps in which a graceful shutdown asks proxies to join another controller.
 const shutdownSteps = 10
 
-// restartTime is when a controller that has shut down may be expected at its address again: a process is back in 20 ms
-// (peppervale benchmark restart), a start with a full journal takes 0.15 s.
+// restartTime is the expected time between a controller's shutdown and its restart at the same address: a restart takes
+// 20 ms (peppervale benchmark restart), and 0.15 s with a full journal.
 const restartTime = 200 * time.Millisecond
 
 // Shutdown shuts the channel down gracefully: it asks proxies to join another controller, a tenth of them at a time,
-// and waits until the span has passed or all have gone. From its beginning no proxy is admitted any more; one that
-// tries is answered when this address may answer again. A proxy that has no other controller may stay to the end. It
-// leaves the sockets open.
+// and returns when the span has passed or all proxies have left. Once it has begun, joins are rejected with the time
+// after which this address may accept them again. A proxy that has no other controller may stay connected until the
+// end. Shutdown does not close the sockets.
 func (s *Server) Shutdown(span time.Duration) {
 	s.mu.Lock()
 	s.shutdownEnds = time.Now().Add(span)
@@ -33,7 +33,7 @@
 	}
 }
 
-// sendElsewhere asks the proxies of one step to join another controller, and returns how many proxies are subscribed.
+// sendElsewhere asks the proxies of one step to join another controller. It returns how many proxies are subscribed.
 func (s *Server) sendElsewhere(step int) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 // isShuttingDown reports whether Shutdown was called; s.mu is held.
 func (s *Server) isShuttingDown() bool { return !s.shutdownEnds.IsZero() }
 
-// backIn is in how many milliseconds a controller that shuts down may be here again; s.mu is held.
+// backIn returns the milliseconds after which the controller is expected at this address again; s.mu is held.
 func (s *Server) backIn() int64 {
 	return int64((max(0, time.Until(s.shutdownEnds)) + restartTime) / time.Millisecond)
 }
--- a/internal/pubsub/shutdown_test.go
+++ b/internal/pubsub/shutdown_test.go
@@ -8,8 +8,8 @@
 	"peppervale/internal/codec/resp"
 )
 
-// TestGracefulShutdown: A proxy is asked to join another controller. One that joins meanwhile is not admitted only to
-// be sent away again: it gets a Retry-After.
+// TestGracefulShutdown: A connected proxy is asked to join another controller. A proxy that tries to join during the
+// shutdown is rejected with a retry delay.
 func TestGracefulShutdown(t *testing.T) {
 	harness := startServer(t, nil)
 	client, _ := harness.join(t, "till")
@@ -19,13 +19,13 @@
 		close(done)
 	}()
 	if value, _ := client.Next(); value.Kind != resp.Push || value.Items[0].Text != "elsewhere" {
-		t.Fatalf("during a shutdown a proxy receives %v", value)
+		t.Fatalf("a proxy receives %v during a shutdown, want the push elsewhere", value)
 	}
 	late := harness.dial(t)
 	late.Send(append(helloCommand(), joinCommand("late", "kelvin")...))
 	late.Next()
 	if value, _ := late.Next(); value.Kind != resp.SimpleError || !strings.HasPrefix(value.Text, "ENDING ") {
-		t.Fatalf("during a shutdown a join is answered by %v", value)
+		t.Fatalf("the reply to a join during a shutdown is %v, want an error with ENDING", value)
 	}
 	client.Close()
 	<-done
