--- a/internal/pubsub/slowreader_test.go
+++ b/internal/pubsub/slowreader_test.go
@@ -11,17 +11,18 @@
 	"peppervale/internal/snapshot"
 )
 
-// limitReceiveBuffer bounds what the kernel keeps for a client, in bytes.
+// limitReceiveBuffer limits the kernel's receive buffer of a client, in bytes.
 func (c *testClient) limitReceiveBuffer(size int) { _ = c.Conn.(*net.TCPConn).SetReadBuffer(size) }
 
-// receiveUntil reads messages up to the one with an acknowledgement sequence.
+// receiveUntil reads messages up to the one with the given acknowledgement sequence.
 func (c *testClient) receiveUntil(ackSequence int) {
 	c.t.Helper()
 	for c.message().AckSequence != ackSequence {
 	}
 }
 
-// TestSlowReaderGetsSnapshot: One slow reader delays no other proxy, and gets what it missed as one snapshot.
+// TestSlowReaderGetsSnapshot: A slow reader does not delay other proxies, and receives the changes that it missed as
+// one snapshot.
 func TestSlowReaderGetsSnapshot(t *testing.T) {
 	harness := startServer(t, func(config *Config) {
 		config.Limits.UnsentBytes = 4096
@@ -34,28 +35,28 @@
 	last := 0
 	for n := 1; harness.server.Stats().SnapshotFolds == 0; n++ {
 		harness.publish(n%65536, weights(float64(n))...)
-		quick.receiveUntil(n) // it is served all the while
+		quick.receiveUntil(n) // receives every update
 		last = n
 		if n > 5000 {
-			t.Fatal("nothing is folded though no proxy reads")
+			t.Fatal("no changes were folded after 5000 updates that the slow proxy did not read")
 		}
 	}
 	for !isSnapshotOf(slow.message(), last) {
 	}
 }
 
-// isSnapshotOf reports whether a message is a snapshot of the weights that were published n-th.
+// isSnapshotOf reports whether a message is a snapshot of the n-th published weights.
 func isSnapshotOf(message *pubsubmsg.Message, n int) bool {
 	isComplete := message.Full && len(message.Entries) == 200
 	return isComplete && message.Entries[0].Weight == float64(n) && message.AckSequence == n
 }
 
-// TestSlowReadersShareUnsentBudget: Many peers that do not read share the bound on all unsent bytes: what waits stays
-// under it, and the proxy that reads misses nothing.
+// TestSlowReadersShareUnsentBudget: Many peers that do not read share the limit on all unsent bytes: the sum of unsent
+// bytes stays within it, and a proxy that reads receives every update.
 func TestSlowReadersShareUnsentBudget(t *testing.T) {
 	const slowReaders, unsentAll = 20, 64 << 10
 	harness := startServer(t, func(config *Config) {
-		config.Limits.UnsentBytes = 4096 // and as little in the kernel
+		config.Limits.UnsentBytes = 4096 // also limits the kernel's send buffer
 		config.EntriesPerSecond = 1e9
 	})
 	reader, _ := harness.join(t, "reads")
@@ -70,13 +71,13 @@
 	var most int64
 	for n := 1; harness.server.Stats().SnapshotFolds < slowReaders; n++ {
 		harness.publish(n%65536, weights(float64(n))...)
-		reader.receiveUntil(n % 65536) // it misses nothing
+		reader.receiveUntil(n % 65536) // receives every update
 		most = max(most, harness.server.Stats().UnsentBytes)
 		if n > 20_000 {
-			t.Fatalf("%d folds", harness.server.Stats().SnapshotFolds)
+			t.Fatalf("%d folds after 20,000 updates, want one for each slow reader", harness.server.Stats().SnapshotFolds)
 		}
 	}
 	if most < unsentAll/2 || most > unsentAll+(slowReaders+1)*16<<10 {
-		t.Fatalf("at most %d bytes waited of %d", most, unsentAll)
+		t.Fatalf("at most %d bytes were unsent, with a limit of %d", most, unsentAll)
 	}
 }
--- a/internal/pubsub/stats.go
+++ b/internal/pubsub/stats.go
@@ -1,30 +1,30 @@
 package pubsub
 
-// Stats are counts since the start, and gauges of now where a field says so.
+// Stats holds counters since the start, and gauges where a field says "now".
 type Stats struct {
 	Proxies          int    `json:"forwarders"`       // proxies admitted now
 	Observers        int    `json:"observers"`        // now
 	Connections      int    `json:"connections"`      // open now
-	Version          uint64 `json:"version"`          // published now
-	QueuedEntries    int    `json:"queue_lines"`      // entries that wait for the channel's pace now
-	MaxQueuedEntries int    `json:"queue_most_lines"` // the most that waited
-	Messages         uint64 `json:"messages"`         // sent to proxies
+	Version          uint64 `json:"version"`          // version published now
+	QueuedEntries    int    `json:"queue_lines"`      // entries queued now
+	MaxQueuedEntries int    `json:"queue_most_lines"` // most entries queued at any time
+	Messages         uint64 `json:"messages"`         // messages sent to proxies
 	Entries          uint64 `json:"lines"`            // entries sent to proxies, by cost
 	Bytes            uint64 `json:"bytes"`
 	SnapshotFolds    uint64 `json:"snapshot_folds"` // slow readers whose changes were folded into a snapshot
-	Resyncs          uint64 `json:"resyncs"`        // snapshots that proxies asked for
+	Resyncs          uint64 `json:"resyncs"`        // snapshots sent in answer to RESYNC
 	ProtocolErrors   uint64 `json:"faults"`         // connections ended for a protocol error
-	Replaced         uint64 `json:"replaced"`       // streams whose proxy has joined again
+	Replaced         uint64 `json:"replaced"`       // streams closed because the proxy joined again
 	JoinsDeferred    uint64 `json:"joins_deferred"`
 	JoinsRejected    uint64 `json:"joins_shed"`
 	JoinStorms       uint64 `json:"join_storms"`
-	UnsentBytes      int64  `json:"unsent_bytes"` // wait for all peers now
-	RateLimited      uint64 `json:"put_off"`      // peers that sent more commands than they may
-	Redirected       uint64 `json:"moved"`        // peers redirected as another controller has their shard
-	Fenced           uint64 `json:"fenced"`       // messages that proxies did not obey, as their epoch was old
+	UnsentBytes      int64  `json:"unsent_bytes"` // bytes unsent to all peers now
+	RateLimited      uint64 `json:"put_off"`      // peers that exceeded the command rate
+	Redirected       uint64 `json:"moved"`        // peers redirected because another controller has their shard
+	Fenced           uint64 `json:"fenced"`       // messages that proxies ignored because their epoch was old
 }
 
-// Stats returns the figures of now.
+// Stats returns the current statistics.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +43,7 @@
 	return stats
 }
 
-// ExpectedRates returns the request rates that joined proxies expect, by shard.
+// ExpectedRates returns the sums of the request rates that joined proxies expect, by shard.
 func (s *Server) ExpectedRates() map[int]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
