--- a/internal/netpoll/accept.go
+++ b/internal/netpoll/accept.go
@@ -20,8 +20,8 @@
 // limit the number of descriptors only for connections that were added. Further connections wait in the kernel.
 const maxPendingAccepts = 8
 
-// accept accepts connections until the listener is closed.
-func (e *Engine) accept(listener net.Listener) {
+// acceptConnections accepts connections until the listener is closed.
+func (e *Engine) acceptConnections(listener net.Listener) {
 	defer e.background.Done()
 	backoff := time.Duration(0)
 	pending := make(chan struct{}, maxPendingAccepts)
@@ -38,23 +38,23 @@
 		if err != nil {
 			<-pending
 			backoff = min(max(2*backoff, minAcceptBackoff), maxAcceptBackoff)
-			if !e.wait(backoff) {
+			if !e.waitBeforeRetry(backoff) {
 				return
 			}
 			continue
 		}
 		backoff = 0
-		conn, err := adopt(accepted)
+		conn, err := newNBConn(accepted)
 		if err != nil {
 			<-pending
 			continue
 		}
-		e.add(conn, func(error) { <-pending })
+		e.addToPoller(conn, func(error) { <-pending })
 	}
 }
 
-// wait waits for a duration. It returns false if the engine stops first.
-func (e *Engine) wait(duration time.Duration) bool {
+// waitBeforeRetry waits for a duration. It returns false if the engine stops first.
+func (e *Engine) waitBeforeRetry(duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
 		return true
@@ -63,11 +63,11 @@
 	}
 }
 
-// adopt converts a connection to an nbio connection. nbio duplicates the descriptor without close-on-exec. A child
+// newNBConn converts a connection to an nbio connection. nbio duplicates the descriptor without close-on-exec. A child
 // process that is started before the flag is set would keep the connection open, and the poller would keep reporting
 // its end under a descriptor number that another connection has by then. (When a scenario restarted controllers, this
 // broke hundreds of unrelated streams.) The fork lock prevents a process from being started before the flag is set.
-func adopt(accepted net.Conn) (*nbio.Conn, error) {
+func newNBConn(accepted net.Conn) (*nbio.Conn, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	conn, err := nbio.NBConn(accepted)
--- a/internal/netpoll/accept_test.go
+++ b/internal/netpoll/accept_test.go
@@ -8,9 +8,9 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestAcceptWithoutFreeDescriptor: An engine without a free descriptor waits without a busy loop, and accepts the
+// TestAcceptResumesOnceDescriptorIsFree: An engine without a free descriptor waits without a busy loop, and accepts the
 // pending connections once a descriptor is free.
-func TestAcceptWithoutFreeDescriptor(t *testing.T) {
+func TestAcceptResumesOnceDescriptorIsFree(t *testing.T) {
 	opened := make(chan struct{}, 10)
 	engine := startEngine(t, Handlers{Open: func(*nbio.Conn) { opened <- struct{}{} }}, "127.0.0.1:0")
 	sockets := []int{unconnectedSocket(t), unconnectedSocket(t)}
@@ -27,7 +27,7 @@
 	if connectErrs[0] != nil || connectErrs[1] != nil {
 		t.Fatal(connectErrs)
 	}
-	runWithin(t, "both connections", func() {
+	runWithTimeout(t, "both connections", func() {
 		<-opened
 		<-opened
 	})
@@ -49,17 +49,17 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
 		t.Fatal(err)
 	}
-	var taken []int
+	var occupied []int
 	for {
 		descriptor, err := syscall.Dup(0)
 		if err != nil {
 			break
 		}
-		taken = append(taken, descriptor)
+		occupied = append(occupied, descriptor)
 	}
 	return func() {
 		t.Helper()
-		for _, descriptor := range taken {
+		for _, descriptor := range occupied {
 			_ = syscall.Close(descriptor)
 		}
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/netpoll/connserver/conn.go
+++ b/internal/netpoll/connserver/conn.go
@@ -14,7 +14,7 @@
 	unsentBytes atomic.Int64 // written, not yet accepted by the socket
 }
 
-func (c *Conn) connection() *Conn { return c }
+func (c *Conn) base() *Conn { return c }
 
 // Socket returns the connection's socket; nil before it is registered.
 func (c *Conn) Socket() *nbio.Conn { return c.socket }
--- a/internal/netpoll/connserver/server.go
+++ b/internal/netpoll/connserver/server.go
@@ -23,7 +23,7 @@
 // Session is a protocol server's state of one connection. A type becomes one by embedding Conn.
 type Session interface {
 	comparable
-	connection() *Conn
+	base() *Conn
 }
 
 // Handlers are the events of a Server's connections, called without the lock. Opened and Received run on the
@@ -70,9 +70,9 @@
 	defer s.lock.Unlock()
 	engine, err := netpoll.Start(pollers, netpoll.Handlers{
 		Open:  s.handlers.Opened,
-		Data:  s.received,
-		Close: s.closed,
-		Wrote: s.wrote,
+		Data:  s.handleData,
+		Close: s.handleClose,
+		Wrote: s.subtractWritten,
 	}, address)
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 
 // Register adds a connection to the register; the lock is held.
 func (s *Server[S]) Register(socket *nbio.Conn, session S) {
-	session.connection().socket = socket
+	session.base().socket = socket
 	socket.SetSession(session)
 	s.sessions[socket] = session
 }
@@ -126,7 +126,7 @@
 // Unregister removes a connection from the register and marks it as ended; the lock is held. It reports whether the
 // connection was registered.
 func (s *Server[S]) Unregister(session S) bool {
-	conn := session.connection()
+	conn := session.base()
 	conn.ended.Store(true)
 	if !s.Registered(session) {
 		return false
@@ -138,7 +138,7 @@
 
 // Registered reports whether a connection is in the register; the lock is held.
 func (s *Server[S]) Registered(session S) bool {
-	return s.sessions[session.connection().socket] == session
+	return s.sessions[session.base().socket] == session
 }
 
 // Sessions iterates over the registered connections in no particular order; the lock is held.
@@ -153,7 +153,7 @@
 	if !s.Registered(session) {
 		return
 	}
-	conn := session.connection()
+	conn := session.base()
 	conn.unsentBytes.Add(int64(len(data)))
 	s.unsentBytes.Add(int64(len(data)))
 	s.bytesWritten += uint64(len(data))
@@ -169,32 +169,32 @@
 // CloseOnPoller closes each connection on its poller's goroutine, between two reads.
 func (s *Server[S]) CloseOnPoller(sessions ...S) {
 	for _, session := range sessions {
-		s.engine.CloseOnPoller(session.connection().socket)
+		s.engine.CloseOnPoller(session.base().socket)
 	}
 }
 
-func (s *Server[S]) received(socket *nbio.Conn, data []byte) {
+func (s *Server[S]) handleData(socket *nbio.Conn, data []byte) {
 	session, ok := socket.Session().(S)
-	if !ok || session.connection().Ended() {
+	if !ok || session.base().Ended() {
 		return
 	}
 	s.handlers.Received(session, data)
 }
 
-func (s *Server[S]) closed(socket *nbio.Conn, _ error) {
+func (s *Server[S]) handleClose(socket *nbio.Conn, _ error) {
 	if session, ok := socket.Session().(S); ok {
 		s.handlers.Closed(session)
 	}
 }
 
-// wrote subtracts the bytes that the socket has accepted from the counts of unsent bytes.
-func (s *Server[S]) wrote(socket *nbio.Conn, count int) {
+// subtractWritten subtracts the bytes that the socket has accepted from the counts of unsent bytes.
+func (s *Server[S]) subtractWritten(socket *nbio.Conn, count int) {
 	session, ok := socket.Session().(S)
 	if !ok || count <= 0 {
 		return
 	}
 	// Subtract no more than the remaining count: Unregister has already subtracted the connection's unsent bytes.
-	unsent := &session.connection().unsentBytes
+	unsent := &session.base().unsentBytes
 	for {
 		waiting := unsent.Load()
 		taken := min(waiting, int64(count))
--- a/internal/netpoll/connserver/server_test.go
+++ b/internal/netpoll/connserver/server_test.go
@@ -11,7 +11,7 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -51,11 +51,11 @@
 	return server
 }
 
-// TestWriteCountsUnsentBytes: Written bytes count as unsent for the connection and in total until the socket has
-// accepted them.
-func TestWriteCountsUnsentBytes(t *testing.T) {
+// TestWrittenBytesCountAsUnsentUntilAccepted: Written bytes count as unsent for the connection and in total until the
+// socket has accepted them.
+func TestWrittenBytesCountAsUnsentUntilAccepted(t *testing.T) {
 	server := startServer(t)
-	client := netpolltest.Dial(t, server.Addr(), patience)
+	client := netpolltest.Dial(t, server.Addr(), waitTimeout)
 	session := <-server.opened
 	client.SendCommands("ping")
 	if value, ok := client.Next(); !ok || value.Items[0].Text != "ping" {
@@ -71,7 +71,7 @@
 
 func waitForNoUnsentBytes(t *testing.T, server *testServer, session *testSession) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		if session.UnsentBytes() == 0 && server.UnsentBytes() == 0 {
 			return
 		}
@@ -81,11 +81,11 @@
 	}
 }
 
-// TestUnregisteredConnection: An unregistered connection has ended, is sent nothing more, and adds no unsent bytes. It
-// can be unregistered only once.
-func TestUnregisteredConnection(t *testing.T) {
+// TestUnregisteredConnectionIsSentNothing: An unregistered connection has ended, is sent nothing more, and adds no
+// unsent bytes. It can be unregistered only once.
+func TestUnregisteredConnectionIsSentNothing(t *testing.T) {
 	server := startServer(t)
-	client := netpolltest.Dial(t, server.Addr(), patience)
+	client := netpolltest.Dial(t, server.Addr(), waitTimeout)
 	session := <-server.opened
 	expectUnregister(t, server, session)
 	server.CloseOnPoller(session)
@@ -117,10 +117,10 @@
 	}
 }
 
-// TestCloseWaitsForRoutines: Close ends background routines and all connections, and may be called again.
-func TestCloseWaitsForRoutines(t *testing.T) {
+// TestCloseEndsRoutinesAndConnections: Close ends background routines and all connections, and may be called again.
+func TestCloseEndsRoutinesAndConnections(t *testing.T) {
 	server := startServer(t)
-	client := netpolltest.Dial(t, server.Addr(), patience)
+	client := netpolltest.Dial(t, server.Addr(), waitTimeout)
 	<-server.opened
 	ended := false
 	server.Go(func() {
--- a/internal/netpoll/descriptorreuse_test.go
+++ b/internal/netpoll/descriptorreuse_test.go
@@ -14,23 +14,23 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestDescriptorReusedAfterCloseInOpen: A connection that is closed in Open frees its descriptor's number, and the
-// number is reused at once. The poller does not watch the new descriptor with that number. If it did, it would find the
-// closed connection for each event, read nothing, and keep a core busy.
-func TestDescriptorReusedAfterCloseInOpen(t *testing.T) {
+// TestDescriptorReusedAfterCloseInOpenIsNotWatched: A connection that is closed in Open frees its descriptor's number,
+// and the number is reused at once. The poller does not watch the new descriptor with that number. If it did, it would
+// find the closed connection for each event, read nothing, and keep a core busy.
+func TestDescriptorReusedAfterCloseInOpenIsNotWatched(t *testing.T) {
 	var engine *Engine
-	taken := make(chan []int, 1)
+	occupied := make(chan []int, 1)
 	started := make(chan struct{})
 	engine = startEngine(t, Handlers{Open: func(conn *nbio.Conn) {
 		<-started
 		engine.CloseOnPoller(conn)
-		taken <- takeDescriptors(t)
+		occupied <- occupyDescriptorPairs(t)
 	}}, "127.0.0.1:0")
 	close(started)
 	conn := connect(t, engine.Addrs[0])
-	descriptors := <-taken
+	descriptors := <-occupied
 	waitForEnd(t, conn)
-	engine.pollerLoops[0].waitUntilDone()
+	engine.pollerLoops[0].waitForScheduled()
 	watched := watchedDescriptors(t)
 	for _, descriptor := range descriptors {
 		if slices.Contains(watched, fmt.Sprint(descriptor)) {
@@ -40,17 +40,17 @@
 	}
 }
 
-// takeDescriptors occupies the next eight descriptors, including the number that was just freed.
-func takeDescriptors(t *testing.T) (taken []int) {
+// occupyDescriptorPairs occupies the next eight descriptors, including the number that was just freed.
+func occupyDescriptorPairs(t *testing.T) (occupied []int) {
 	for range 4 {
 		ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Error(err)
 			break
 		}
-		taken = append(taken, ends[0], ends[1])
+		occupied = append(occupied, ends[0], ends[1])
 	}
-	return taken
+	return occupied
 }
 
 // watchedDescriptors returns the descriptors that the epoll instances of this process watch.
@@ -71,53 +71,53 @@
 	return watched
 }
 
-// heldPoller is an engine with one poller that blocks in each Data event, except for echo requests, until it is
+// blockingPoller is an engine with one poller that blocks in each Data event, except for echo requests, until it is
 // released.
-type heldPoller struct {
+type blockingPoller struct {
 	*Engine
-	opened  connLog
-	data    chan string // data of each event
-	release chan struct{}
+	opened   connLog
+	received chan string // data of each event
+	release  chan struct{}
 }
 
 const echoWord = "echo"
 
-func startHeldPoller(t *testing.T) *heldPoller {
+func startBlockingPoller(t *testing.T) *blockingPoller {
 	t.Helper()
-	held := &heldPoller{data: make(chan string, 10), release: make(chan struct{})}
-	held.Engine = startEngine(t, Handlers{
-		Open: held.opened.add,
+	poller := &blockingPoller{received: make(chan string, 10), release: make(chan struct{})}
+	poller.Engine = startEngine(t, Handlers{
+		Open: poller.opened.add,
 		Data: func(conn *nbio.Conn, data []byte) {
-			held.data <- string(data)
+			poller.received <- string(data)
 			if string(data) == echoWord {
 				_, _ = conn.Write(data)
 				return
 			}
-			<-held.release
+			<-poller.release
 		},
 	}, "127.0.0.1:0")
-	return held
+	return poller
 }
 
 // waitForConnections waits until the given number of connections were opened.
-func (p *heldPoller) waitForConnections(t *testing.T, count int) {
+func (p *blockingPoller) waitForConnections(t *testing.T, count int) {
 	t.Helper()
-	runWithin(t, "connections", func() {
+	runWithTimeout(t, "connections", func() {
 		for len(p.opened.all()) < count {
 			time.Sleep(time.Millisecond)
 		}
 	})
 }
 
-// TestStaleEventEndsNoOtherConnection: An event that the poller collected before its connection was closed does not end
-// the connection that reuses the descriptor's number. The poller is blocked in the first of two events of one round;
-// the connection of the second event is closed, and a new connection reuses its number.
-func TestStaleEventEndsNoOtherConnection(t *testing.T) {
-	poller := startHeldPoller(t)
+// TestStaleEventDoesNotEndConnectionWithSameDescriptor: An event that the poller collected before its connection was
+// closed does not end the connection that reuses the descriptor's number. The poller is blocked in the first of two
+// events of one round; the connection of the second event is closed, and a new connection reuses its number.
+func TestStaleEventDoesNotEndConnectionWithSameDescriptor(t *testing.T) {
+	poller := startBlockingPoller(t)
 	address := poller.Addrs[0]
 	// The kernel assigns the lowest free number. The accepted connection will get this one once it is freed, and nbio's
 	// duplicate will get the number of the closed connection.
-	hole, err := syscall.Dup(0)
+	freed, err := syscall.Dup(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,26 +125,26 @@
 	first := connect(t, address)
 	second := connect(t, address)
 	poller.waitForConnections(t, 3)
-	socket := unconnectedSocket(t)
+	newSocket := unconnectedSocket(t)
 	send(t, blocker, "block")
-	<-poller.data // the poller is in the blocker's event; the next two events come in one round
+	<-poller.received // the poller is in the blocker's event; the next two events come in one round
 	send(t, first, "first")
-	reset(t, second)
+	resetConnection(t, second)
 	poller.release <- struct{}{}
-	if got := <-poller.data; got != "first" {
+	if got := <-poller.received; got != "first" {
 		t.Fatalf("received %q, want first", got)
 	}
 	stale := poller.opened.all()[2]
-	takeDescriptorsBelow(t, stale.Hash())
+	occupyDescriptorsBelow(t, stale.Hash())
 	_ = stale.Close()
-	_ = syscall.Close(hole)
-	if err := connectSocket(socket, port(t, address)); err != nil {
+	_ = syscall.Close(freed)
+	if err := connectSocket(newSocket, port(t, address)); err != nil {
 		t.Fatal(err)
 	}
-	poller.awaitEarlyAccept(4)
+	poller.waitForEarlyAccept(4)
 	poller.release <- struct{}{}
 	for range 2 { // the first echo may be answered in the same round as the stale event
-		expectEcho(t, socket)
+		expectEcho(t, newSocket)
 	}
 	conns := poller.opened.all()
 	if n := len(conns); n != 4 || conns[3].Hash() != stale.Hash() {
@@ -152,24 +152,24 @@
 	}
 }
 
-// reset closes a connection with a TCP reset.
-func reset(t *testing.T, conn net.Conn) {
+// resetConnection closes a connection with a TCP reset.
+func resetConnection(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
 
-// takeDescriptorsBelow occupies every free descriptor below a bound.
-func takeDescriptorsBelow(t *testing.T, bound int) {
+// occupyDescriptorsBelow occupies every free descriptor below a bound.
+func occupyDescriptorsBelow(t *testing.T, bound int) {
 	t.Helper()
 	for descriptor := 0; descriptor < bound; {
 		descriptor = duplicateDescriptor(t)
 	}
 }
 
-// awaitEarlyAccept waits up to 200 ms for the given number of opened connections. If connections are opened while the
+// waitForEarlyAccept waits up to 200 ms for the given number of opened connections. If connections are opened while the
 // poller is blocked, the new connection has the stale number by then.
-func (p *heldPoller) awaitEarlyAccept(count int) {
+func (p *blockingPoller) waitForEarlyAccept(count int) {
 	for deadline := time.Now().Add(200 * time.Millisecond); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if len(p.opened.all()) == count {
 			return
@@ -180,7 +180,7 @@
 // expectEcho checks that a connection is open.
 func expectEcho(t *testing.T, socket int) {
 	t.Helper()
-	runWithin(t, "answer", func() {
+	runWithTimeout(t, "answer", func() {
 		if _, err := syscall.Write(socket, []byte(echoWord)); err != nil {
 			t.Errorf("the new connection was ended: write: %v", err)
 			return
--- a/internal/netpoll/dial.go
+++ b/internal/netpoll/dial.go
@@ -46,13 +46,13 @@
 		done(nil, err)
 		return
 	}
-	conn, err := adopt(connected)
+	conn, err := newNBConn(connected)
 	if err != nil {
 		done(nil, err)
 		return
 	}
 	conn.SetSession(session)
-	e.add(conn, func(err error) {
+	e.addToPoller(conn, func(err error) {
 		if err != nil {
 			done(nil, err)
 			return
--- a/internal/netpoll/dial_test.go
+++ b/internal/netpoll/dial_test.go
@@ -8,8 +8,9 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestDialReachesLoopbackAddresses: Dial connects to any loopback address, and reports a refusal as an error.
-func TestDialReachesLoopbackAddresses(t *testing.T) {
+// TestDialConnectsToLoopbackAndReportsRefusal: Dial connects to any loopback address, and reports a refusal as an
+// error.
+func TestDialConnectsToLoopbackAndReportsRefusal(t *testing.T) {
 	server, err := Start(1, Handlers{}, "127.0.0.77:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,9 +29,9 @@
 	}
 }
 
-// TestStopWhileDialing: A dial in progress does not delay Stop, and its callback is called once. A connection that it
-// has established is closed.
-func TestStopWhileDialing(t *testing.T) {
+// TestStopEndsDialsInProgress: A dial in progress does not delay Stop, and its callback is called once. A connection
+// that it has established is closed.
+func TestStopEndsDialsInProgress(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +63,7 @@
 	for range 2 {
 		Dial(engine, address, 10*time.Second, nil, done)
 	}
-	runWithin(t, "stop", engine.Stop)
+	runWithTimeout(t, "stop", engine.Stop)
 	for range 2 {
 		if err := <-results; err != nil {
 			t.Logf("a dial was ended by the stop: %v", err)
--- a/internal/netpoll/engine.go
+++ b/internal/netpoll/engine.go
@@ -68,7 +68,7 @@
 	}
 	for _, listener := range engine.listeners {
 		engine.background.Add(1)
-		go engine.accept(listener)
+		go engine.acceptConnections(listener)
 	}
 	return engine, nil
 }
@@ -96,7 +96,7 @@
 		if _, err := nbioEngine.AddConn(loop.conn); err != nil {
 			return err // do not stop the engine: its goroutines may not have begun
 		}
-		loop.waitUntilDone()
+		loop.waitForScheduled()
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 	engine.OnData(func(conn *nbio.Conn, data []byte) {
 		openFence.Load()
 		if loop := loopOf(conn); loop != nil {
-			loop.runRound()
+			loop.runReadyTasks()
 		} else if handlers.Data != nil {
 			handlers.Data(conn, data)
 		}
@@ -142,19 +142,19 @@
 
 // Stop closes the addresses and all connections, cancels the dials in progress, and waits for all of it. It may be
 // called more than once, but not from a handler.
-func (e *Engine) Stop() { e.stopOnce.Do(e.stop) }
+func (e *Engine) Stop() { e.stopOnce.Do(e.stopAll) }
 
-func (e *Engine) stop() {
+func (e *Engine) stopAll() {
 	e.mu.Lock()
 	e.stopping = true
 	e.mu.Unlock()
 	e.cancelDials()
 	e.closeListeners()
 	e.background.Wait()
-	// From here on, only connections that were already posted are added. nbio's Stop closes the connections that were
+	// From here on, only connections that were already scheduled are added. nbio's Stop closes the connections that were
 	// added before it, and waits for them.
 	for _, loop := range e.pollerLoops {
-		loop.waitUntilDone()
+		loop.waitForScheduled()
 	}
 	e.nbio.Stop()
 	for _, loop := range e.pollerLoops {
@@ -166,22 +166,22 @@
 // anywhere, including Open. If another goroutine closes a descriptor while the poller reads it, the kernel (Linux 6.18)
 // keeps the connection open until that read returns, which takes until the next event.
 func (e *Engine) CloseOnPoller(conn *nbio.Conn) {
-	e.loopFor(conn).post(func() { _ = conn.Close() })
+	e.loopFor(conn).schedule(func() { _ = conn.Close() })
 }
 
 // RunOnPoller runs a task on the first poller's goroutine, between two polling rounds, after the data that was readable
 // at the time of the call. It returns false once the engine has stopped; the task then never runs.
-func (e *Engine) RunOnPoller(task func()) bool { return e.pollerLoops[0].post(task) }
+func (e *Engine) RunOnPoller(task func()) bool { return e.pollerLoops[0].schedule(task) }
 
 // loopFor returns the loop of a connection's poller.
 func (e *Engine) loopFor(conn *nbio.Conn) *pollerLoop {
 	return e.pollerLoops[conn.Hash()%len(e.pollerLoops)]
 }
 
-// add adds a connection on its poller's goroutine and calls done there. If the engine has stopped, it closes the
-// connection and calls done with an error at once.
-func (e *Engine) add(conn *nbio.Conn, done func(error)) {
-	posted := e.loopFor(conn).post(func() {
+// addToPoller adds a connection on its poller's goroutine and calls done there. If the engine has stopped, it closes
+// the connection and calls done with an error at once.
+func (e *Engine) addToPoller(conn *nbio.Conn, done func(error)) {
+	posted := e.loopFor(conn).schedule(func() {
 		_, err := e.nbio.AddConn(conn)
 		done(err)
 	})
--- a/internal/netpoll/engine_test.go
+++ b/internal/netpoll/engine_test.go
@@ -11,8 +11,9 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestStopRightAfterStart: An engine that is stopped right after its start, while every core is busy, stops each time.
-func TestStopRightAfterStart(t *testing.T) {
+// TestStopRightAfterStartReturns: An engine that is stopped right after its start, while every core is busy, stops each
+// time.
+func TestStopRightAfterStartReturns(t *testing.T) {
 	var stopSpinning atomic.Bool
 	for range runtime.GOMAXPROCS(0) {
 		go func() {
@@ -45,10 +46,10 @@
 	return nil
 }
 
-// TestStartWithoutDescriptorGaps: If a process uses its descriptors without gaps, the first descriptor of every new
-// socket pair is even, or that of every pair is odd. An engine with several pollers starts nevertheless, and does not
-// use up all descriptors in its search for suitable ones.
-func TestStartWithoutDescriptorGaps(t *testing.T) {
+// TestStartSucceedsWithoutDescriptorGaps: If a process uses its descriptors without gaps, the first descriptor of every
+// new socket pair is even, or that of every pair is odd. An engine with several pollers starts nevertheless, and does
+// not use up all descriptors in its search for suitable ones.
+func TestStartSucceedsWithoutDescriptorGaps(t *testing.T) {
 	last := highestDescriptor(t)
 	for descriptor := 0; descriptor <= last+1; { // the second engine of each size starts one number later
 		descriptor = duplicateDescriptor(t)
@@ -84,10 +85,10 @@
 	return highest
 }
 
-// TestStopWhileConnectionIsAccepted: A connection that is being accepted while the engine stops is closed by the
+// TestStopClosesConnectionBeingAccepted: A connection that is being accepted while the engine stops is closed by the
 // engine. nbio's own Stop closes the connections that it knows at that time. It then waits for the additional one
 // forever if the peer keeps it open.
-func TestStopWhileConnectionIsAccepted(t *testing.T) {
+func TestStopClosesConnectionBeingAccepted(t *testing.T) {
 	for range 5 {
 		opened := make(chan struct{})
 		release := make(chan struct{})
@@ -113,7 +114,7 @@
 		}()
 		waitForRefusal(t, engine.Addrs[0])
 		close(release)
-		runWithin(t, "stop", func() { <-stopped })
+		runWithTimeout(t, "stop", func() { <-stopped })
 		waitForEnd(t, conn)
 		if closeCount.Load() != openCount.Load() {
 			t.Fatalf("Close was called for %d of %d connections", closeCount.Load(), openCount.Load())
--- a/internal/netpoll/helpers_test.go
+++ b/internal/netpoll/helpers_test.go
@@ -16,11 +16,11 @@
 	"go.uber.org/goleak"
 )
 
-// patience is how long a test waits for an expected event before it fails.
-const patience = 20 * time.Second
+// waitTimeout is how long a test waits for an expected event before it fails.
+const waitTimeout = 20 * time.Second
 
 // echoAddressVariable is the environment variable that makes the test binary run as an echo server at that address, see
-// TestSocketOutlivesItsProcess.
+// TestInheritedSocketKeepsDialsBetweenProcesses.
 const echoAddressVariable = "SOCKETS_ECHO_AT"
 
 func TestMain(m *testing.M) {
@@ -54,8 +54,8 @@
 	return engine
 }
 
-// runWithin fails the test if a step takes longer than patience.
-func runWithin(t *testing.T, what string, step func()) {
+// runWithTimeout fails the test if a step takes longer than waitTimeout.
+func runWithTimeout(t *testing.T, operation string, step func()) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -64,8 +64,8 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatalf("%s: not finished within %s", what, patience)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s: not finished within %s", operation, waitTimeout)
 	}
 }
 
@@ -91,7 +91,7 @@
 // waitForEnd waits until the other side has closed a connection.
 func waitForEnd(t *testing.T, conn net.Conn) {
 	t.Helper()
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := io.ReadAll(conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal("the connection is still open at the deadline")
@@ -101,7 +101,7 @@
 // waitForRefusal waits until dials to an address are refused.
 func waitForRefusal(t *testing.T, address string) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); ; {
+	for deadline := time.Now().Add(waitTimeout); ; {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			return
--- a/internal/netpoll/inherited_test.go
+++ b/internal/netpoll/inherited_test.go
@@ -12,39 +12,39 @@
 	"github.com/lesismal/nbio"
 )
 
-// TestSocketOutlivesItsProcess: A dial between the end of one process and the start of the next waits in the socket
-// that their parent keeps open, and the next process serves it. The address stays in use throughout, so a process
-// without the inherited socket cannot listen there.
-func TestSocketOutlivesItsProcess(t *testing.T) {
+// TestInheritedSocketKeepsDialsBetweenProcesses: A dial between the end of one process and the start of the next waits
+// in the socket that their parent keeps open, and the next process serves it. The address stays in use throughout, so a
+// process without the inherited socket cannot listen there.
+func TestInheritedSocketKeepsDialsBetweenProcesses(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	held, err := listener.(*net.TCPListener).File()
+	socket, err := listener.(*net.TCPListener).File()
 	_ = listener.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = held.Close() }()
+	defer func() { _ = socket.Close() }()
 	output, err := exec.Command("env", echoAddressVariable+"="+address, os.Args[0]).CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "in use") {
 		t.Fatalf("a process without the socket: %v, want an address in use\n%s", err, output)
 	}
 	for range 3 {
 		conn := connect(t, address) // no process serves the address
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 		send(t, conn, "hello")
-		expectEchoFromNewProcess(t, conn, address, held)
+		expectEchoFromNewProcess(t, conn, address, socket)
 	}
 }
 
 // expectEchoFromNewProcess starts an echo server that inherits the held socket, and reads its answer to hello.
-func expectEchoFromNewProcess(t *testing.T, conn net.Conn, address string, held *os.File) {
+func expectEchoFromNewProcess(t *testing.T, conn net.Conn, address string, socket *os.File) {
 	t.Helper()
 	process := exec.Command("sh", "-c", `LISTEN_FDS=1 LISTEN_PID=$$ exec "$0"`, os.Args[0])
 	process.Env = append(os.Environ(), echoAddressVariable+"="+address)
-	process.ExtraFiles = []*os.File{held}
+	process.ExtraFiles = []*os.File{socket}
 	input, err := process.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestChildProcessInheritsNoConnection: A child process started while a connection is open does not keep it open: the
-// server sees the connection's end when this process closes it.
-func TestChildProcessInheritsNoConnection(t *testing.T) {
+// TestChildProcessDoesNotInheritConnections: A child process started while a connection is open does not keep it open:
+// the server sees the connection's end when this process closes it.
+func TestChildProcessDoesNotInheritConnections(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	server := startEngine(t, Handlers{Close: func(*nbio.Conn, error) { closed <- struct{}{} }}, "127.0.0.1:0")
 	client := startEngine(t, Handlers{})
--- a/internal/netpoll/netpolltest/client.go
+++ b/internal/netpoll/netpolltest/client.go
@@ -19,22 +19,22 @@
 	Conn net.Conn
 
 	tb       testing.TB
-	patience time.Duration
+	timeout  time.Duration
 	reader   *resp.Reader
 	received []resp.Value
 }
 
 // Dial connects to an address and closes the connection when the test ends. The test fails if Next waits longer than
 // the timeout.
-func Dial(tb testing.TB, address string, patience time.Duration) *Client {
+func Dial(tb testing.TB, address string, timeout time.Duration) *Client {
 	tb.Helper()
-	return dial(tb, net.Dialer{}, address, patience)
+	return dial(tb, net.Dialer{}, address, timeout)
 }
 
 // DialWithReceiveBuffer is Dial with a limit on the kernel's receive buffer of the client, in bytes. The limit is set
 // before the connection is made: a limit that is set on an open connection makes the kernel drop segments beyond the
 // smaller window, and with them the server's TCP acknowledgements of the client's data.
-func DialWithReceiveBuffer(tb testing.TB, address string, patience time.Duration, size int) *Client {
+func DialWithReceiveBuffer(tb testing.TB, address string, timeout time.Duration, size int) *Client {
 	tb.Helper()
 	limitBuffer := func(_, _ string, socket syscall.RawConn) error {
 		var failed error
@@ -43,17 +43,17 @@
 		})
 		return errors.Join(err, failed)
 	}
-	return dial(tb, net.Dialer{Control: limitBuffer}, address, patience)
+	return dial(tb, net.Dialer{Control: limitBuffer}, address, timeout)
 }
 
-func dial(tb testing.TB, dialer net.Dialer, address string, patience time.Duration) *Client {
+func dial(tb testing.TB, dialer net.Dialer, address string, timeout time.Duration) *Client {
 	tb.Helper()
 	conn, err := dialer.Dial("tcp", address)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { _ = conn.Close() })
-	return &Client{Conn: conn, tb: tb, patience: patience, reader: resp.NewReader(resp.Limits{})}
+	return &Client{Conn: conn, tb: tb, timeout: timeout, reader: resp.NewReader(resp.Limits{})}
 }
 
 // Send writes bytes as they are.
@@ -85,15 +85,15 @@
 	c.tb.Helper()
 	buffer := make([]byte, 4096)
 	for len(c.received) == 0 {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(c.patience))
+		_ = c.Conn.SetReadDeadline(time.Now().Add(c.timeout))
 		n, err := c.Conn.Read(buffer)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.tb.Fatalf("no value received within %s", c.patience)
+			c.tb.Fatalf("no value received within %s", c.timeout)
 		}
 		if err != nil {
 			return resp.Value{}, false
 		}
-		if err := c.reader.Feed(buffer[:n], c.keep); err != nil {
+		if err := c.reader.Feed(buffer[:n], c.appendReceived); err != nil {
 			c.tb.Fatal(err)
 		}
 	}
@@ -102,7 +102,7 @@
 	return value, true
 }
 
-func (c *Client) keep(value resp.Value) error {
+func (c *Client) appendReceived(value resp.Value) error {
 	c.received = append(c.received, value)
 	return nil
 }
--- a/internal/netpoll/pollerloop.go
+++ b/internal/netpoll/pollerloop.go
@@ -8,7 +8,7 @@
 )
 
 // pollerLoop runs tasks on one poller's goroutine, between two of its reads. It uses a socket pair with one end
-// registered at the poller: a byte written to the far end makes the poller call runRound in its next round.
+// registered at the poller: a byte written to the far end makes the poller call runReadyTasks in its next round.
 //
 // A task runs one round after the round that first sees it. The events of a round are collected before the round
 // begins. Some of them may belong to descriptors that were closed since then, and nbio identifies a connection only by
@@ -18,10 +18,10 @@
 	conn          *nbio.Conn
 	farDescriptor int
 
-	mu     sync.Mutex
-	posted []func() // not yet seen by the poller
-	ready  []func() // run in the poller's next round
-	closed bool
+	mu        sync.Mutex
+	scheduled []func() // not yet seen by the poller
+	ready     []func() // run in the poller's next round
+	closed    bool
 }
 
 // newPollerLoop creates the loop of one poller; it runs tasks once its connection has been added.
@@ -41,15 +41,16 @@
 	return loop
 }
 
-// post schedules a task on the poller's goroutine. It returns false once the loop is closed; the task then never runs.
-func (l *pollerLoop) post(task func()) bool {
+// schedule schedules a task on the poller's goroutine. It returns false once the loop is closed; the task then never
+// runs.
+func (l *pollerLoop) schedule(task func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return false
 	}
-	wasIdle := len(l.posted)+len(l.ready) == 0
-	l.posted = append(l.posted, task)
+	wasIdle := len(l.scheduled)+len(l.ready) == 0
+	l.scheduled = append(l.scheduled, task)
 	if wasIdle {
 		l.wake()
 	}
@@ -59,12 +60,12 @@
 // wake writes one byte to the far end. One byte is in transit as long as there are tasks. l.mu is held.
 func (l *pollerLoop) wake() { _, _ = syscall.Write(l.farDescriptor, []byte{1}) }
 
-// runRound runs the tasks that the previous round has seen.
-func (l *pollerLoop) runRound() {
+// runReadyTasks runs the tasks that the previous round has seen.
+func (l *pollerLoop) runReadyTasks() {
 	l.mu.Lock()
 	tasks := l.ready
-	l.ready = l.posted
-	l.posted = nil
+	l.ready = l.scheduled
+	l.scheduled = nil
 	if len(l.ready) > 0 {
 		l.wake()
 	}
@@ -74,10 +75,10 @@
 	}
 }
 
-// waitUntilDone waits until all tasks posted before have run.
-func (l *pollerLoop) waitUntilDone() {
+// waitForScheduled waits until all tasks scheduled before have run.
+func (l *pollerLoop) waitForScheduled() {
 	done := make(chan struct{})
-	if l.post(func() { close(done) }) {
+	if l.schedule(func() { close(done) }) {
 		<-done
 	}
 }
--- a/internal/netpoll/socketpair.go
+++ b/internal/netpoll/socketpair.go
@@ -37,9 +37,9 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	release, err := fillDescriptors(farDescriptor, poller, pollers)
+	release, err := occupyDescriptors(farDescriptor, poller, pollers)
 	if err == nil {
-		conn, err = adopt(near)
+		conn, err = newNBConn(near)
 	}
 	release()
 	if err != nil {
@@ -66,12 +66,12 @@
 	return near, ends[1], nil
 }
 
-// fillDescriptors occupies the lowest free descriptors until the next one belongs to the poller. release closes the
+// occupyDescriptors occupies the lowest free descriptors until the next one belongs to the poller. release closes the
 // occupied descriptors; it is valid even if an error is returned.
-func fillDescriptors(duplicated, poller, pollers int) (release func(), err error) {
-	var taken []int
+func occupyDescriptors(duplicated, poller, pollers int) (release func(), err error) {
+	var occupied []int
 	release = func() {
-		for _, descriptor := range taken {
+		for _, descriptor := range occupied {
 			_ = syscall.Close(descriptor)
 		}
 	}
@@ -85,6 +85,6 @@
 			_ = syscall.Close(descriptor)
 			return release, nil
 		}
-		taken = append(taken, descriptor)
+		occupied = append(occupied, descriptor)
 	}
 }
--- a/internal/platform/acknowledge.go
+++ b/internal/platform/acknowledge.go
@@ -22,12 +22,12 @@
 	pending []pendingAck // oldest first
 	newest  uint32       // newest sequence requested on this stream
 
-	askedAgainAt       model.Microseconds // when an acknowledgement was last requested again; 0: never
-	askedAgainSequence uint32             // the sequence of that request
+	retriedAt       model.Microseconds // when an acknowledgement was last requested again; 0: never
+	retriedSequence uint32             // the sequence of that request
 
-	// overtakenAt is when the server noticed that another stream had acknowledged a message sent after this stream's
+	// overtakenSince is when the server noticed that another stream had acknowledged a message sent after this stream's
 	// oldest pending message; 0: not yet.
-	overtakenAt model.Microseconds
+	overtakenSince model.Microseconds
 }
 
 // pendingAck is one acknowledgement that was requested on a stream and has not arrived.
@@ -37,21 +37,21 @@
 	number   uint64 // number of the message, see deliveryProgress
 }
 
-// expectAck adds an acknowledgement to the stream's pending ones; s.mu is held.
-func (s *Server) expectAck(queue *ackQueue, sentAt model.Microseconds) {
+// addPendingAck adds an acknowledgement to the stream's pending ones; s.mu is held.
+func (s *Server) addPendingAck(queue *ackQueue, sentAt model.Microseconds) {
 	s.progress.sent++
 	queue.pending = append(queue.pending, pendingAck{queue.newest, sentAt, s.progress.sent})
 }
 
-// index returns the index of a sequence in pending, or -1 if it is not pending.
-func (q *ackQueue) index(sequence uint32) int {
+// indexOf returns the index of a sequence in pending, or -1 if it is not pending.
+func (q *ackQueue) indexOf(sequence uint32) int {
 	return slices.IndexFunc(q.pending, func(ack pendingAck) bool { return ack.sequence == sequence })
 }
 
 // isLateDuplicate reports whether a sequence that is not pending was requested twice. The proxy then acknowledges it
 // twice, and the second acknowledgement to arrive matches no pending one.
 func (q *ackQueue) isLateDuplicate(sequence uint32) bool {
-	return q.askedAgainAt > 0 && sequence == q.askedAgainSequence
+	return q.retriedAt > 0 && sequence == q.retriedSequence
 }
 
 // acknowledge handles a proxy's acknowledgement, which also covers all earlier pending ones of the stream.
@@ -66,13 +66,13 @@
 	queue := &stream.acks
 	index := -1
 	if malformed == nil {
-		index = queue.index(message.AckSequence)
+		index = queue.indexOf(message.AckSequence)
 	}
 	if index < 0 {
 		if malformed == nil && queue.isLateDuplicate(message.AckSequence) {
 			return
 		}
-		s.malformedMessage().Err(malformed).Int("proxy", int(stream.proxy)).Uint32("ack_sequence", message.AckSequence).
+		s.countMalformed().Err(malformed).Int("proxy", int(stream.proxy)).Uint32("ack_sequence", message.AckSequence).
 			Int("pending_acks", len(queue.pending)).Msg("malformed acknowledgement counted as the oldest pending one")
 		if len(queue.pending) == 0 {
 			return
@@ -82,6 +82,6 @@
 	acknowledged := queue.pending[index]
 	s.progress.acknowledged = max(s.progress.acknowledged, acknowledged.number)
 	queue.pending = append(queue.pending[:0], queue.pending[index+1:]...)
-	queue.overtakenAt = 0
+	queue.overtakenSince = 0
 	s.events.Acknowledged(stream.proxy, stream.id, acknowledged.sequence)
 }
--- a/internal/platform/collector.go
+++ b/internal/platform/collector.go
@@ -13,8 +13,8 @@
 // whose end the server has not detected. At the limit, the connection that has been silent for longest is closed.
 const maxCollectorsPerZone = 3
 
-// noReading is the value of a load field that is missing from a report.
-const noReading = -1
+// missingReading is the value of a load field that is missing from a report.
+const missingReading = -1
 
 // registerCollector registers a zone's collector. An error is the reason for its rejection.
 func (s *Server) registerCollector(conn *connection, message platformmsg.Message) error {
@@ -32,7 +32,7 @@
 	var replaced []*connection
 	if len(s.collectors[zone]) >= maxCollectorsPerZone {
 		replaced = append(replaced, slices.MinFunc(s.collectors[zone], compareLastReceived))
-		s.remove(replaced...)
+		s.unregister(replaced...)
 	}
 	s.collectors[zone] = append(s.collectors[zone], conn)
 	s.mu.Unlock()
@@ -75,14 +75,15 @@
 	return nil
 }
 
-// readings returns the values of Config.LoadFields, with noReading for missing ones, or nil if the report has none.
+// readings returns the values of Config.LoadFields, with missingReading for missing ones, or nil if the report has
+// none.
 func (s *Server) readings(message platformmsg.Message) []float64 {
 	if len(message.Readings) == 0 {
 		return nil
 	}
 	values := make([]float64, 0, len(s.config.LoadFields))
 	for _, field := range s.config.LoadFields {
-		value := float64(noReading)
+		value := float64(missingReading)
 		for _, reading := range message.Readings {
 			if reading.Name == field {
 				value = reading.Value
--- a/internal/platform/collector_test.go
+++ b/internal/platform/collector_test.go
@@ -12,7 +12,7 @@
 // reading is found, and controllers miss an overload: a third of the requests were late without a reaction.
 func TestLoadReportsUseConfiguredFieldNames(t *testing.T) {
 	harness := startServer(t, nil)
-	harness.dial(t).say(
+	harness.dial(t).send(
 		"collector site govan",
 		"heard site govan target s-1 count 4 fail 1 mean 131.3 over 989.9 util cpu_share:0.105",
 		"heard site govan target s-2 count 2 fail 0 mean 1 over 989.9",
@@ -32,25 +32,25 @@
 	}
 }
 
-// TestLongestSilentCollectorMakesRoom: If collectors vanish without closing their connections, a new collector is
+// TestLongestSilentCollectorIsClosedAtLimit: If collectors vanish without closing their connections, a new collector is
 // accepted and its reports are received, and the connection that has been silent for longest is closed.
-func TestLongestSilentCollectorMakesRoom(t *testing.T) {
+func TestLongestSilentCollectorIsClosedAtLimit(t *testing.T) {
 	clock := &testClock{now: 1}
 	harness := startServer(t, func(config *Config) { config.Now = clock.read })
 	join := func() *testClient {
 		clock.advance(time.Second)
-		peer := harness.dial(t).say("collector site govan", "ping")
-		peer.expect("pong")
+		peer := harness.dial(t).send("collector site govan", "ping")
+		peer.expectMessage("pong")
 		return peer
 	}
 	first, second, third := join(), join(), join()
 	clock.advance(time.Second)
-	first.say("heard site govan target s-1 count 1 fail 0 mean 1 over 1") // the oldest connection is the one in use
+	first.send("heard site govan target s-1 count 1 fail 0 mean 1 over 1") // the oldest connection is the one in use
 	first.ping()
 	fourth := join()
-	second.expect(closedConnection)
-	fourth.say("heard site govan target s-2 count 1 fail 0 mean 1 over 1")
-	first.say("heard site govan target s-3 count 1 fail 0 mean 1 over 1")
+	second.expectMessage(closedConnection)
+	fourth.send("heard site govan target s-2 count 1 fail 0 mean 1 over 1")
+	first.send("heard site govan target s-3 count 1 fail 0 mean 1 over 1")
 	harness.waitUntil("load reports of both", func() bool { return harness.reportCount() == 3 })
 	_ = third
 }
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -19,8 +19,8 @@
 // noZone is the collector zone of a connection that does not belong to a collector.
 const noZone = -1
 
-// malformedLogged is how many malformed messages are logged; further ones are only counted.
-const malformedLogged = 20
+// maxMalformedLogged is how many malformed messages are logged; further ones are only counted.
+const maxMalformedLogged = 20
 
 // errEnded stops the reader of a connection that has ended; it is not reported.
 var errEnded = errors.New("connection has ended")
@@ -28,43 +28,44 @@
 // connection is one connection of a proxy, a collector or an unknown client.
 type connection struct {
 	connserver.Conn
-	server         *Server
-	reader         *resp.Reader
-	openedAt       model.Microseconds
-	lastReceivedAt atomic.Int64  // in model.Microseconds
-	queued         *list.Element // element in Server.unauthenticated; nil once the peer has joined
-	collectorZone  int           // zone of the collector, or noZone
-	stream         *stream       // nil unless a proxy has joined on it
-}
-
-// opened registers a new connection. Above the connection limit, it closes the oldest unauthenticated connection.
-func (s *Server) opened(socket *nbio.Conn) {
+	server                 *Server
+	reader                 *resp.Reader
+	openedAt               model.Microseconds
+	lastReceivedAt         atomic.Int64  // in model.Microseconds
+	unauthenticatedElement *list.Element // element in Server.unauthenticated; nil once the peer has joined
+	collectorZone          int           // zone of the collector, or noZone
+	stream                 *stream       // nil unless a proxy has joined on it
+}
+
+// registerConnection registers a new connection. Above the connection limit, it closes the oldest unauthenticated
+// connection.
+func (s *Server) registerConnection(socket *nbio.Conn) {
 	conn := &connection{server: s, reader: resp.NewReader(platformmsg.MessageLimits), collectorZone: noZone}
 	s.mu.Lock()
 	conn.openedAt = s.config.Now()
 	conn.lastReceivedAt.Store(int64(conn.openedAt))
 	s.connections.Register(socket, conn)
-	conn.queued = s.unauthenticated.PushBack(conn)
+	conn.unauthenticatedElement = s.unauthenticated.PushBack(conn)
 	var evicted []*connection
 	if s.connections.Count() > s.config.Limits.Connections {
 		oldest := s.unauthenticated.Front().Value.(*connection)
 		s.stats.Evicted++
-		s.remove(oldest)
+		s.unregister(oldest)
 		evicted = append(evicted, oldest)
 	}
 	s.mu.Unlock()
 	s.connections.CloseOnPoller(evicted...)
 }
 
-// received decodes received bytes into messages. Bytes that cannot be decoded end the connection.
-func (s *Server) received(conn *connection, data []byte) {
+// readMessages decodes received bytes into messages. Bytes that cannot be decoded end the connection.
+func (s *Server) readMessages(conn *connection, data []byte) {
 	conn.lastReceivedAt.Store(int64(s.config.Now()))
-	err := conn.reader.Feed(data, conn.handle)
+	err := conn.reader.Feed(data, conn.handleMessage)
 	if err == nil || errors.Is(err, errEnded) {
 		return
 	}
 	s.mu.Lock()
-	hasJoined := conn.queued == nil
+	hasJoined := conn.unauthenticatedElement == nil
 	if hasJoined {
 		s.stats.ProtocolErrors++
 	}
@@ -80,13 +81,13 @@
 		event.Int("collector_zone", conn.collectorZone)
 	}
 	event.Msg("connection closed: protocol error")
-	s.end(conn)
+	s.closeConnection(conn)
 }
 
-// closed removes a connection whose socket was closed, unless it was removed before.
-func (s *Server) closed(conn *connection) {
+// handleClosed removes a connection whose socket was closed, unless it was removed before.
+func (s *Server) handleClosed(conn *connection) {
 	s.mu.Lock()
-	s.remove(conn)
+	s.unregister(conn)
 	s.mu.Unlock()
 }
 
@@ -96,26 +97,26 @@
 	s.stats.Rejected++
 	s.connections.Write(conn, platformmsg.AppendRejection(nil, reason))
 	s.mu.Unlock()
-	s.end(conn)
+	s.closeConnection(conn)
 }
 
-// end ends a connection. Its state is removed at once, not only when the poller has closed the socket.
-func (s *Server) end(conn *connection) {
+// closeConnection ends a connection. Its state is removed at once, not only when the poller has closed the socket.
+func (s *Server) closeConnection(conn *connection) {
 	s.mu.Lock()
-	s.remove(conn)
+	s.unregister(conn)
 	s.mu.Unlock()
 	s.connections.CloseOnPoller(conn)
 }
 
-// remove removes connections from the server's state and reports the end of their streams; s.mu is held. A connection
-// that was removed before is skipped. The caller has to close the sockets.
-func (s *Server) remove(connections ...*connection) {
+// unregister removes connections from the server's state and reports the end of their streams; s.mu is held. A
+// connection that was removed before is skipped. The caller has to close the sockets.
+func (s *Server) unregister(connections ...*connection) {
 	for _, c := range connections {
 		if !s.connections.Unregister(c) {
 			continue
 		}
-		if c.queued != nil {
-			s.unauthenticated.Remove(c.queued)
+		if c.unauthenticatedElement != nil {
+			s.unauthenticated.Remove(c.unauthenticatedElement)
 			s.stats.Unauthenticated++
 		}
 		if c.collectorZone != noZone {
@@ -129,23 +130,23 @@
 
 // authenticate marks a connection as joined; s.mu is held.
 func (s *Server) authenticate(conn *connection) {
-	s.unauthenticated.Remove(conn.queued)
-	conn.queued = nil
+	s.unauthenticated.Remove(conn.unauthenticatedElement)
+	conn.unauthenticatedElement = nil
 }
 
 func (s *Server) isUnauthenticated(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return conn.queued != nil
+	return conn.unauthenticatedElement != nil
 }
 
-// hasTooMuchUnsent reports whether a peer's unsent bytes exceed Limits.UnsentBytes.
-func (s *Server) hasTooMuchUnsent(conn *connection) bool {
+// exceedsUnsentLimit reports whether a peer's unsent bytes exceed Limits.UnsentBytes.
+func (s *Server) exceedsUnsentLimit(conn *connection) bool {
 	return conn.UnsentBytes() > int64(s.config.Limits.UnsentBytes)
 }
 
-// handle handles one message. An error ends the connection.
-func (c *connection) handle(value resp.Value) error {
+// handleMessage handles one message. An error ends the connection.
+func (c *connection) handleMessage(value resp.Value) error {
 	if c.Ended() {
 		return errEnded
 	}
@@ -202,10 +203,10 @@
 func (s *Server) answerPing(conn *connection) error {
 	s.mu.Lock()
 	s.connections.Write(conn, platformmsg.AppendPong(nil))
-	slow := s.hasTooMuchUnsent(conn)
+	slow := s.exceedsUnsentLimit(conn)
 	if slow {
 		s.stats.Slow++
-		s.remove(conn)
+		s.unregister(conn)
 	}
 	s.mu.Unlock()
 	if !slow {
@@ -218,16 +219,16 @@
 // dropMalformed counts and logs a malformed message that is dropped.
 func (s *Server) dropMalformed(reason error) {
 	s.mu.Lock()
-	event := s.malformedMessage()
+	event := s.countMalformed()
 	s.mu.Unlock()
 	event.Err(reason).Msg("malformed message dropped")
 }
 
-// malformedMessage counts a malformed message and returns the event to log it with. After malformedLogged messages it
+// countMalformed counts a malformed message and returns the event to log it with. After maxMalformedLogged messages it
 // returns nil, which logs nothing. s.mu is held.
-func (s *Server) malformedMessage() *zerolog.Event {
+func (s *Server) countMalformed() *zerolog.Event {
 	s.stats.MalformedMessages++
-	if s.stats.MalformedMessages > malformedLogged {
+	if s.stats.MalformedMessages > maxMalformedLogged {
 		return nil
 	}
 	return s.config.Log.Warn()
--- a/internal/platform/connection_test.go
+++ b/internal/platform/connection_test.go
@@ -17,8 +17,8 @@
 	for _, bytes := range []string{"", "*3\r\n$4\r\njo", netpolltest.Command("ping")} {
 		client := harness.dial(t)
 		client.Send([]byte(bytes))
-		if got := client.next(); got == "pong" {
-			got = client.next()
+		if got := client.nextMessage(); got == "pong" {
+			got = client.nextMessage()
 			if got != closedConnection {
 				t.Fatalf("received %q after a pong, want the end of the connection", got)
 			}
@@ -29,17 +29,17 @@
 	harness.waitForNoConnections()
 }
 
-// TestFloodOfUnauthenticatedConnectionsLeavesRoomForProxies: A flood of silent connections does not displace proxies:
+// TestUnauthenticatedConnectionFloodDoesNotDisplaceProxies: A flood of silent connections does not displace proxies:
 // the oldest silent connections are closed.
-func TestFloodOfUnauthenticatedConnectionsLeavesRoomForProxies(t *testing.T) {
+func TestUnauthenticatedConnectionFloodDoesNotDisplaceProxies(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 10 })
 	for range 50 {
 		harness.dial(t)
 	}
 	for n := range 5 {
 		client := harness.join(t, n)
-		harness.publish(n, harness.withdraw(n+1, true))
-		client.expect(fmt.Sprintf("update out s-%d ticket %d", n+1, n))
+		harness.publish(n, harness.setWithdrawn(n+1, true))
+		client.expectMessage(fmt.Sprintf("update out s-%d ticket %d", n+1, n))
 	}
 	for range 50 {
 		harness.dial(t)
@@ -59,22 +59,22 @@
 		joined = append(joined, harness.join(t, n))
 	}
 	for range 20 {
-		if got := harness.dial(t).next(); got != closedConnection {
+		if got := harness.dial(t).nextMessage(); got != closedConnection {
 			t.Fatalf("a connection beyond the limit receives %q", got)
 		}
 	}
-	harness.publish(1, harness.withdraw(1, true))
+	harness.publish(1, harness.setWithdrawn(1, true))
 	for _, client := range joined {
-		client.expect("update out s-1 ticket 1")
+		client.expectMessage("update out s-1 ticket 1")
 	}
 	if stats := harness.server.Stats(); stats.Proxies != 3 || stats.Connections != 3 || stats.Evicted != 20 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestResetsRightAfterAcceptLeaveNothing: Connections that are reset right after they were accepted, with or without
-// unread bytes, leave no registered connection and no open descriptor.
-func TestResetsRightAfterAcceptLeaveNothing(t *testing.T) {
+// TestResetsRightAfterAcceptLeakNoConnection: Connections that are reset right after they were accepted, with or
+// without unread bytes, leave no registered connection and no open descriptor.
+func TestResetsRightAfterAcceptLeakNoConnection(t *testing.T) {
 	harness := startServer(t, nil)
 	harness.join(t, 7)
 	descriptors := func() int {
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -19,8 +19,8 @@
 	"peppervale/internal/snapshot"
 )
 
-// patience is how long a test waits for an expected event before it fails.
-const patience = 20 * time.Second
+// waitTimeout is how long a test waits for an expected event before it fails.
+const waitTimeout = 20 * time.Second
 
 // closedConnection is the result of testClient.next once the server has closed the connection.
 const closedConnection = "closed"
@@ -56,14 +56,14 @@
 	streamAcknowledged
 )
 
-func (h *testHarness) record(event streamEvent, step func()) {
+func (h *testHarness) recordStreamEvent(event streamEvent, step func()) {
 	h.mu.Lock()
 	h.streamEvents = append(h.streamEvents, event)
 	h.mu.Unlock()
 	h.steps <- step
 }
 
-func (h *testHarness) note(format string, args ...any) {
+func (h *testHarness) recordEvent(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, fmt.Sprintf(format, args...))
@@ -71,20 +71,22 @@
 
 // ProxyConnected admits the proxy and records the event in a later step.
 func (h *testHarness) ProxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
-	h.record(streamEvent{streamConnected, proxy, stream}, func() {
+	h.recordStreamEvent(streamEvent{streamConnected, proxy, stream}, func() {
 		h.server.AdmitProxy(proxy, stream)
-		h.note("connected %d zone %d rate %g standing %t", proxy, zone, join.ExpectedRate, join.OnStandingTable)
+		h.recordEvent("connected %d zone %d rate %g standing %t", proxy, zone, join.ExpectedRate, join.OnStandingTable)
 	})
 }
 
 // ProxyDisconnected records the end of a stream.
 func (h *testHarness) ProxyDisconnected(proxy model.ProxyID, stream uint64) {
-	h.record(streamEvent{streamDisconnected, proxy, stream}, func() { h.note("disconnected %d", proxy) })
+	h.recordStreamEvent(streamEvent{streamDisconnected, proxy, stream}, func() { h.recordEvent("disconnected %d", proxy) })
 }
 
 // Acknowledged records an acknowledgement.
 func (h *testHarness) Acknowledged(proxy model.ProxyID, stream uint64, ackSequence uint32) {
-	h.record(streamEvent{streamAcknowledged, proxy, stream}, func() { h.note("acknowledged %d %d", proxy, ackSequence) })
+	h.recordStreamEvent(streamEvent{streamAcknowledged, proxy, stream}, func() {
+		h.recordEvent("acknowledged %d %d", proxy, ackSequence)
+	})
 }
 
 // LoadReported records load reports.
@@ -102,13 +104,13 @@
 }
 
 // waitForAdmission waits until a proxy's stream is admitted and meets a condition.
-func (h *testHarness) waitForAdmission(proxy model.ProxyID, fits func(*stream) bool) {
+func (h *testHarness) waitForAdmission(proxy model.ProxyID, isExpected func(*stream) bool) {
 	h.t.Helper()
 	h.waitUntil("admission", func() bool {
 		h.server.mu.Lock()
 		defer h.server.mu.Unlock()
 		stream := h.server.streams[proxy]
-		return stream != nil && stream.subscriber != nil && fits(stream)
+		return stream != nil && stream.subscriber != nil && isExpected(stream)
 	})
 }
 
@@ -129,11 +131,11 @@
 	})
 }
 
-func (h *testHarness) waitUntil(what string, reached func() bool) {
+func (h *testHarness) waitUntil(condition string, isMet func() bool) {
 	h.t.Helper()
-	for deadline := time.Now().Add(patience); !reached(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !isMet(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			h.t.Fatalf("not reached within the time limit: %s; events %q, stats %+v", what, h.events, h.server.Stats())
+			h.t.Fatalf("not reached within the time limit: %s; events %q, stats %+v", condition, h.events, h.server.Stats())
 		}
 	}
 }
@@ -225,10 +227,10 @@
 	return c.now
 }
 
-func (c *testClock) advance(by time.Duration) {
+func (c *testClock) advance(duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now += model.Microseconds(by / time.Microsecond)
+	c.now += model.Microseconds(duration / time.Microsecond)
 }
 
 func (h *testHarness) replica(n int) model.ReplicaID {
@@ -241,23 +243,23 @@
 	h.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: ackSequence})
 }
 
-// weight sets the weight of a replica in table 1.
-func (h *testHarness) weight(n int, weight float64) snapshot.Update {
+// setWeight sets the weight of a replica in table 1.
+func (h *testHarness) setWeight(n int, weight float64) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.SetWeight, Table: 1, Replica: h.replica(n), Weight: weight}
 }
 
-// withdraw withdraws or readmits a replica.
-func (h *testHarness) withdraw(n int, withdrawn bool) snapshot.Update {
+// setWithdrawn withdraws or readmits a replica.
+func (h *testHarness) setWithdrawn(n int, withdrawn bool) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: h.replica(n), Withdrawn: withdrawn}
 }
 
-// bind binds a proxy to table 1.
-func bind(proxy model.ProxyID) snapshot.Update {
+// bindProxy binds a proxy to table 1.
+func bindProxy(proxy model.ProxyID) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.BindProxy, Proxy: proxy, Table: 1}
 }
 
-// admitQuota sets the admitted share of the first operation.
-func admitQuota(share float64) snapshot.Update {
+// setQuota sets the admitted share of the first operation.
+func setQuota(share float64) snapshot.Update {
 	return snapshot.Update{
 		Kind:  snapshot.SetQuota,
 		Quota: pubsubmsg.Quota{Operations: 1, Share: share, RetryPolicy: model.RetryIfNotExecuted},
@@ -272,13 +274,13 @@
 
 func (h *testHarness) dial(t *testing.T) *testClient {
 	t.Helper()
-	return &testClient{netpolltest.Dial(t, h.server.Addr(), patience), t}
+	return &testClient{netpolltest.Dial(t, h.server.Addr(), waitTimeout), t}
 }
 
 // join connects a proxy of the first zone on its standing table and waits until it is admitted.
 func (h *testHarness) join(t *testing.T, proxy int) *testClient {
 	t.Helper()
-	client := h.dial(t).say(joinMessage(proxy))
+	client := h.dial(t).send(joinMessage(proxy))
 	h.waitForEvent(fmt.Sprintf("connected %d zone 0 rate 1 standing true", proxy))
 	return client
 }
@@ -286,15 +288,15 @@
 // joinMessage returns the join message of a proxy of the first zone on its standing table.
 func joinMessage(proxy int) string { return fmt.Sprintf("joined id %d site govan rps 1 new 1", proxy) }
 
-// say sends messages, each given as words separated by spaces.
-func (c *testClient) say(messages ...string) *testClient {
+// send sends messages, each given as words separated by spaces.
+func (c *testClient) send(messages ...string) *testClient {
 	c.t.Helper()
 	c.SendCommands(messages...)
 	return c
 }
 
-// next returns the words of the next message, or closedConnection once the connection has ended.
-func (c *testClient) next() string {
+// nextMessage returns the words of the next message, or closedConnection once the connection has ended.
+func (c *testClient) nextMessage() string {
 	c.t.Helper()
 	value, ok := c.Next()
 	if !ok {
@@ -307,9 +309,9 @@
 	return strings.Join(words, " ")
 }
 
-func (c *testClient) expect(want string) {
+func (c *testClient) expectMessage(want string) {
 	c.t.Helper()
-	if got := c.next(); got != want {
+	if got := c.nextMessage(); got != want {
 		c.t.Fatalf("received:  %s\nwant:      %s", got, want)
 	}
 }
@@ -317,6 +319,6 @@
 // ping sends a ping and waits for its answer: the server has then read everything sent before it.
 func (c *testClient) ping() {
 	c.t.Helper()
-	c.say("ping")
-	c.expect("pong")
+	c.send("ping")
+	c.expectMessage("pong")
 }
--- a/internal/platform/protocolerror_test.go
+++ b/internal/platform/protocolerror_test.go
@@ -18,8 +18,8 @@
 // delay all weights.
 func TestMalformedMessagesAreDropped(t *testing.T) {
 	harness := startServer(t, nil)
-	reports := harness.dial(t).say("collector site kelvin")
-	reports.say(
+	reports := harness.dial(t).send("collector site kelvin")
+	reports.send(
 		"heard site kelvin target s-77 count 1 fail 0 mean 1 over 1",
 		"heard site nowhere target s-1 count 1 fail 0 mean 1 over 1",
 		"heard site kelvin target s-1 count -1 fail 0 mean 1 over 1",
@@ -32,7 +32,7 @@
 		"update whole 1",
 		"collector site govan",
 	)
-	reports.say("heard site kelvin target s-1 count 1 fail 0 mean 1 over 1")
+	reports.send("heard site kelvin target s-1 count 1 fail 0 mean 1 over 1")
 	harness.waitUntil("load report", func() bool { return harness.reportCount() == 1 })
 	stats := harness.server.Stats()
 	if stats.MalformedMessages != 11 || stats.ProtocolErrors != 0 || stats.Collectors != 1 {
@@ -40,33 +40,33 @@
 	}
 	client := harness.join(t, 7)
 	for n := range 3 {
-		harness.publish(n, harness.withdraw(n+1, true))
-		client.next()
+		harness.publish(n, harness.setWithdrawn(n+1, true))
+		client.nextMessage()
 	}
-	client.say("applied id 7 seq x ms 1")
+	client.send("applied id 7 seq x ms 1")
 	harness.waitForEvent("acknowledged 7 0")
-	client.say("applied id 7 seq 40000 ms 1")
+	client.send("applied id 7 seq 40000 ms 1")
 	harness.waitForEvent("acknowledged 7 1")
-	client.say("applied id 7 seq 2 ms 1")
+	client.send("applied id 7 seq 2 ms 1")
 	harness.waitForEvent("acknowledged 7 2")
 	if stats := harness.server.Stats(); stats.PendingAcks != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestUnauthenticatedConnectionsAreRejected: A connection that has not joined and sends an invalid or forbidden message
+// TestInvalidFirstMessagesAreRejected: A connection that has not joined and sends an invalid or forbidden message
 // gets an error, or is closed, at once. A joined proxy is not affected.
-func TestUnauthenticatedConnectionsAreRejected(t *testing.T) {
+func TestInvalidFirstMessagesAreRejected(t *testing.T) {
 	harness := startServer(t, nil)
-	good := harness.join(t, 7)
+	joined := harness.join(t, 7)
 	for name, bytes := range map[string]string{
 		"HTTP":                           "GET / HTTP/1.1\r\n\r\n",
 		"zeros":                          strings.Repeat("\x00", 100),
 		"an impossible length":           "*1\r\n$99999999999\r\n",
 		"a long string":                  "*2\r\n$4\r\nping\r\n$1048576\r\nxxx",
 		"an impossible count":            "*99999999\r\n",
-		"nesting":                        "*1\r\n*1\r\n*1\r\n",
-		"no array":                       "$4\r\nping\r\n",
+		"nested arrays":                  "*1\r\n*1\r\n*1\r\n",
+		"not an array":                   "$4\r\nping\r\n",
 		"an update":                      netpolltest.Command("update whole 1 lines s-1:1"),
 		"a load report":                  netpolltest.Command("heard site govan target s-1 count 1 fail 0 mean 1 over 1"),
 		"an acknowledgement":             netpolltest.Command("applied id 7 seq 1 ms 1"),
@@ -75,7 +75,7 @@
 		"a proxy of an unknown zone":     netpolltest.Command("joined id 3 site nowhere rps 1 new 1"),
 		"a proxy without a rate":         netpolltest.Command("joined id 3 site govan new 1"),
 		"a collector of an unknown zone": netpolltest.Command("collector site nowhere"),
-		"an endless empty string":        "*64\r\n" + strings.Repeat("$0\r\n\r\n", 64),
+		"many empty strings":             "*64\r\n" + strings.Repeat("$0\r\n\r\n", 64),
 		"an unknown message":             netpolltest.Command("hello 3"),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -84,8 +84,8 @@
 			expectRejection(client)
 		})
 	}
-	harness.publish(1, harness.withdraw(1, true))
-	good.expect("update out s-1 ticket 1")
+	harness.publish(1, harness.setWithdrawn(1, true))
+	joined.expectMessage("update out s-1 ticket 1")
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Connections != 1 || stats.Rejected != 17 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
@@ -95,7 +95,7 @@
 func expectRejection(client *testClient) {
 	client.t.Helper()
 	for n := 0; ; n++ {
-		got := client.next()
+		got := client.nextMessage()
 		if got == closedConnection {
 			return
 		}
@@ -105,10 +105,10 @@
 	}
 }
 
-// TestPipelinedAndSplitMessages: Many messages arrive in one read or split over a thousand reads, mixed with pings:
-// each complete message is handled and each ping is answered, on streams and on collectors. Half a message before the
-// end of the connection has no effect.
-func TestPipelinedAndSplitMessages(t *testing.T) {
+// TestPipelinedAndSplitMessagesAreAllHandled: Many messages arrive in one read or split over a thousand reads, mixed
+// with pings: each complete message is handled and each ping is answered, on streams and on collectors. Half a message
+// before the end of the connection has no effect.
+func TestPipelinedAndSplitMessagesAreAllHandled(t *testing.T) {
 	harness := startServer(t, nil)
 	random := rand.New(rand.NewPCG(4, 2))
 	peers := []struct{ kind, opening, report string }{
@@ -118,16 +118,16 @@
 	for _, size := range []int{1 << 20, 1, 7} {
 		for _, peer := range peers {
 			t.Run(fmt.Sprintf("%s in pieces of %d", peer.kind, size), func(t *testing.T) {
-				expectAllTaken(t, harness, peer.opening, peer.report, size, random)
+				expectAllHandled(t, harness, peer.opening, peer.report, size, random)
 			})
 		}
 	}
 	harness.expectStreamOrder()
 }
 
-// expectAllTaken sends reports and pings in random order, in pieces of the given size, with half a message at the end,
-// and checks that all complete messages are handled.
-func expectAllTaken(t *testing.T, harness *testHarness, opening, report string, size int, random *rand.Rand) {
+// expectAllHandled sends reports and pings in random order, in pieces of the given size, with half a message at the
+// end, and checks that all complete messages are handled.
+func expectAllHandled(t *testing.T, harness *testHarness, opening, report string, size int, random *rand.Rand) {
 	t.Helper()
 	before := harness.server.Stats()
 	text := netpolltest.Command(opening)
@@ -147,7 +147,7 @@
 		client.Send(piece)
 	}
 	for n := range pings {
-		if got := client.next(); got != "pong" {
+		if got := client.nextMessage(); got != "pong" {
 			t.Fatalf("answer %d of %d is %q, want pong", n, pings, got)
 		}
 	}
@@ -166,12 +166,12 @@
 // exceed the limit.
 func TestPeerThatReadsNoPongIsClosed(t *testing.T) {
 	harness := startServer(t, nil)
-	client := netpolltest.DialWithReceiveBuffer(t, harness.server.Addr(), patience, 4<<10)
+	client := netpolltest.DialWithReceiveBuffer(t, harness.server.Addr(), waitTimeout, 4<<10)
 	client.SendCommands("collector site govan")
-	many := []byte(strings.Repeat(netpolltest.Command("ping"), 1000))
+	pings := []byte(strings.Repeat(netpolltest.Command("ping"), 1000))
 	for n := 0; ; n++ { // the kernel's buffers hold some hundred thousand answers
 		_ = client.Conn.SetWriteDeadline(time.Now().Add(20 * time.Second))
-		_, err := client.Conn.Write(many)
+		_, err := client.Conn.Write(pings)
 		if errors.Is(err, os.ErrDeadlineExceeded) || n > 100_000 {
 			t.Fatalf("the connection stays open: %v", err)
 		}
--- a/internal/platform/publish.go
+++ b/internal/platform/publish.go
@@ -29,27 +29,27 @@
 		s.config.Log.Warn().Int("proxy", int(c.stream.proxy)).Int64("unsent_bytes", c.UnsentBytes()).
 			Int("pending_acks", len(c.stream.acks.pending)).Msg("stream closed: proxy reads or acknowledges too slowly")
 	}
-	s.remove(slow...)
+	s.unregister(slow...)
 	s.mu.Unlock()
 	s.connections.CloseOnPoller(slow...)
 }
 
 // isSlow reports whether a stream has too many unsent bytes or pending acknowledgements; s.mu is held.
 func (s *Server) isSlow(stream *stream) bool {
-	return s.hasTooMuchUnsent(stream.conn) || len(stream.acks.pending) > maxPendingAcks
+	return s.exceedsUnsentLimit(stream.conn) || len(stream.acks.pending) > maxPendingAcks
 }
 
 // deliver writes a message to a stream; s.mu is held. It returns an error if the lists do not fit into an update.
 func (s *Server) deliver(stream *stream, delivery snapshot.Delivery) error {
 	message := delivery.Message
-	update := s.update(stream, delivery)
+	update := s.buildUpdate(stream, delivery)
 	encoded, err := update.Append(nil)
 	if err != nil {
 		return err
 	}
 	if message.AckSequence >= 0 {
 		stream.acks.newest = uint32(message.AckSequence)
-		s.expectAck(&stream.acks, s.config.Now())
+		s.addPendingAck(&stream.acks, s.config.Now())
 	}
 	s.stats.Updates++
 	s.stats.Entries += uint64(message.Cost)
@@ -57,19 +57,19 @@
 	return nil
 }
 
-// update converts a message to a platform update and adds the readmissions that the stream needs; s.mu is held.
-func (s *Server) update(stream *stream, delivery snapshot.Delivery) platformmsg.Update {
+// buildUpdate converts a message to a platform update and adds the readmissions that the stream needs; s.mu is held.
+func (s *Server) buildUpdate(stream *stream, delivery snapshot.Delivery) platformmsg.Update {
 	message := delivery.Message
 	update := platformmsg.Update{
 		Full:        message.Full && len(delivery.OperationTables) == 0,
 		AckSequence: message.AckSequence,
-		Entries:     s.entries(message.Entries),
+		Entries:     s.namedEntries(message.Entries),
 	}
 	for _, table := range delivery.OperationTables {
 		update.OperationTables = append(update.OperationTables, platformmsg.OperationTable{
 			Operations: s.operationNames(table.Operations),
 			Full:       table.Full,
-			Entries:    s.entries(table.Entries),
+			Entries:    s.namedEntries(table.Entries),
 		})
 	}
 	for _, withdrawal := range message.Withdrawals {
@@ -79,9 +79,9 @@
 		} else {
 			update.Readmitted = append(update.Readmitted, name)
 		}
-		stream.readmissions.settle(withdrawal.Replica)
+		stream.readmissions.markSettled(withdrawal.Replica)
 	}
-	for _, replica := range stream.readmissions.next(delivery, s.spareReadmissions(stream, message)) {
+	for _, replica := range stream.readmissions.forDelivery(delivery, s.spareReadmissionCount(stream, message)) {
 		update.Readmitted = append(update.Readmitted, s.config.ReplicaNames.Name(replica))
 	}
 	for _, quota := range message.Quotas {
@@ -96,18 +96,19 @@
 	return update
 }
 
-// spareReadmissions returns how many deferred readmissions fit into a message. Every message is charged for one quota
-// per operation, and few messages contain quotas. The unused part is available while no acknowledgement is pending.
-func (s *Server) spareReadmissions(stream *stream, message *pubsubmsg.Message) int {
+// spareReadmissionCount returns how many deferred readmissions fit into a message. Every message is charged for one
+// quota per operation, and few messages contain quotas. The unused part is available while no acknowledgement is
+// pending.
+func (s *Server) spareReadmissionCount(stream *stream, message *pubsubmsg.Message) int {
 	if message.Full || len(stream.acks.pending) > 0 {
 		return 0
 	}
 	return len(s.config.Operations) - len(message.Quotas)
 }
 
-// entries converts table entries to the platform's form, in which replicas have names.
-func (s *Server) entries(of []pubsubmsg.Entry) (named []platformmsg.Entry) {
-	for _, entry := range of {
+// namedEntries converts table entries to the platform's form, in which replicas have names.
+func (s *Server) namedEntries(entries []pubsubmsg.Entry) (named []platformmsg.Entry) {
+	for _, entry := range entries {
 		named = append(named, platformmsg.Entry{Replica: s.config.ReplicaNames.Name(entry.Replica), Weight: entry.Weight})
 	}
 	return named
--- a/internal/platform/publish_test.go
+++ b/internal/platform/publish_test.go
@@ -12,64 +12,64 @@
 // an entry whose replica one of them has withdrawn. The replicas of its entries are therefore readmitted.
 func TestWithdrawalsOfOtherControllersAreReadmitted(t *testing.T) {
 	harness := startServer(t, nil)
-	client := harness.dial(t).say("joined id 7 site govan rps 1 new 0")
+	client := harness.dial(t).send("joined id 7 site govan rps 1 new 0")
 	harness.waitForEvent("connected 7 zone 0 rate 1 standing false")
-	bound := bind(7)
+	bound := bindProxy(7)
 	bound.Readmitted = []model.ReplicaID{harness.replica(1), harness.replica(2)}
 	var updates []snapshot.Update
 	for _, replica := range []int{1, 2, 4, 5, 6, 7} {
-		updates = append(updates, harness.weight(replica, 1))
+		updates = append(updates, harness.setWeight(replica, 1))
 	}
-	harness.publish(-1, append(updates, harness.withdraw(2, true), bound)...)
-	client.expect("update whole 1 lines s-1:1,s-2:1,s-4:1,s-5:1,s-6:1,s-7:1 out s-2 back s-1")
+	harness.publish(-1, append(updates, harness.setWithdrawn(2, true), bound)...)
+	client.expectMessage("update whole 1 lines s-1:1,s-2:1,s-4:1,s-5:1,s-6:1,s-7:1 out s-2 back s-1")
 	// The remaining replicas are readmitted two at a time, in the message's unused capacity for quotas; a new entry
 	// readmits its own replica in addition.
-	harness.publish(-1, harness.weight(1, 2), harness.weight(3, 1))
-	client.expect("update lines s-1:2,s-3:1 back s-3,s-4,s-5")
-	harness.publish(-1, harness.weight(1, 1), admitQuota(0.9))
-	client.expect("update lines s-1:1 back s-6 more 1")
-	client.expect("update classes read level 0.9 retry 1")
-	harness.publish(-1, harness.weight(1, 2))
-	client.expect("update lines s-1:2 back s-7")
-	harness.publish(-1, harness.weight(1, 1))
-	client.expect("update lines s-1:1")
+	harness.publish(-1, harness.setWeight(1, 2), harness.setWeight(3, 1))
+	client.expectMessage("update lines s-1:2,s-3:1 back s-3,s-4,s-5")
+	harness.publish(-1, harness.setWeight(1, 1), setQuota(0.9))
+	client.expectMessage("update lines s-1:1 back s-6 more 1")
+	client.expectMessage("update classes read level 0.9 retry 1")
+	harness.publish(-1, harness.setWeight(1, 2))
+	client.expectMessage("update lines s-1:2 back s-7")
+	harness.publish(-1, harness.setWeight(1, 1))
+	client.expectMessage("update lines s-1:1")
 }
 
-// TestTablesOfSomeOperations: An update has one part for each table of its own that an operation has, with the
-// operation's name.
-func TestTablesOfSomeOperations(t *testing.T) {
+// TestOperationTablesAreSentInSeparateUpdateParts: An update has one part for each table of its own that an operation
+// has, with the operation's name.
+func TestOperationTablesAreSentInSeparateUpdateParts(t *testing.T) {
 	harness := startServer(t, nil)
-	client := harness.dial(t).say("joined id 7 site govan rps 1 new 0")
+	client := harness.dial(t).send("joined id 7 site govan rps 1 new 0")
 	harness.waitForEvent("connected 7 zone 0 rate 1 standing false")
-	read := bind(7)
+	read := bindProxy(7)
 	read.Operations = 1
-	log := bind(7)
+	log := bindProxy(7)
 	log.Operations = 2
 	log.Table = 2
 	log.Readmitted = []model.ReplicaID{harness.replica(3)}
-	near := harness.weight(3, 1)
+	near := harness.setWeight(3, 1)
 	near.Table = 2
-	harness.publish(5, harness.weight(1, 1), harness.weight(2, 1), near, read, log, harness.withdraw(2, true))
-	client.expect("update out s-2 back s-3 more 1")
-	client.expect("update classes read whole 1 lines s-1:1,s-2:1 more 1")
-	client.expect("update classes log whole 1 lines s-3:1 ticket 5")
-	client.say("applied id 7 seq 5 ms 1")
+	harness.publish(5, harness.setWeight(1, 1), harness.setWeight(2, 1), near, read, log, harness.setWithdrawn(2, true))
+	client.expectMessage("update out s-2 back s-3 more 1")
+	client.expectMessage("update classes read whole 1 lines s-1:1,s-2:1 more 1")
+	client.expectMessage("update classes log whole 1 lines s-3:1 ticket 5")
+	client.send("applied id 7 seq 5 ms 1")
 	harness.waitForEvent("acknowledged 7 5")
 	near.Weight = 2
-	harness.publish(-1, near, harness.weight(4, 1))
-	client.expect("update back s-4,s-1 more 1")
-	client.expect("update classes read lines s-4:1 more 1")
-	client.expect("update classes log lines s-3:2")
+	harness.publish(-1, near, harness.setWeight(4, 1))
+	client.expectMessage("update back s-4,s-1 more 1")
+	client.expectMessage("update classes read lines s-4:1 more 1")
+	client.expectMessage("update classes log lines s-3:2")
 }
 
 // TestProxyThatReadsNothingIsClosed: A proxy that reads nothing is closed when its unsent bytes exceed the limit.
 func TestProxyThatReadsNothingIsClosed(t *testing.T) {
 	harness := startServer(t, nil)
-	client := harness.dial(t).say(joinMessage(7))
+	client := harness.dial(t).send(joinMessage(7))
 	_ = client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	harness.waitForEvent("connected 7 zone 0 rate 1 standing true")
 	for n := 0; harness.server.Stats().Slow == 0; n++ {
-		harness.publish(-1, harness.withdraw(n%9+1, n%2 == 0))
+		harness.publish(-1, harness.setWithdrawn(n%9+1, n%2 == 0))
 		if n > 5_000_000 {
 			t.Fatal("the proxy is still joined after 5,000,000 updates")
 		}
--- a/internal/platform/race_test.go
+++ b/internal/platform/race_test.go
@@ -12,9 +12,9 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-// TestJoinCrossesGreetingTimeout: A proxy that joins just as its greeting timeout expires is either joined or closed,
-// never both. The last byte of its join message arrives while the timeout check runs.
-func TestJoinCrossesGreetingTimeout(t *testing.T) {
+// TestJoinAtGreetingTimeoutIsEitherJoinedOrClosed: A proxy that joins just as its greeting timeout expires is either
+// joined or closed, never both. The last byte of its join message arrives while the timeout check runs.
+func TestJoinAtGreetingTimeoutIsEitherJoinedOrClosed(t *testing.T) {
 	clock := &testClock{now: 1}
 	harness := startServer(t, func(config *Config) {
 		config.Limits.GreetingTimeout = time.Minute
@@ -24,37 +24,38 @@
 		config.ProxyCount = 200
 		config.Now = clock.read
 	})
-	inTime := 0
+	joinedCount := 0
 	for n := range 200 {
 		peer := harness.dial(t)
-		said := netpolltest.Command(joinMessage(n))
-		peer.Send([]byte(said[:len(said)-1]))
+		joinBytes := netpolltest.Command(joinMessage(n))
+		peer.Send([]byte(joinBytes[:len(joinBytes)-1]))
 		harness.waitUntil("bytes", func() bool {
 			harness.server.mu.Lock()
 			defer harness.server.mu.Unlock()
-			return harness.server.connections.Count() == inTime+1
+			return harness.server.connections.Count() == joinedCount+1
 		})
 		clock.advance(time.Minute)
-		var both sync.WaitGroup
-		both.Add(1)
-		go func() { defer both.Done(); harness.server.checkLiveness() }()
-		_, _ = peer.Conn.Write([]byte(said[len(said)-1:] + netpolltest.Command("ping")))
-		both.Wait()
-		got := peer.next()
+		var routines sync.WaitGroup
+		routines.Add(1)
+		go func() { defer routines.Done(); harness.server.checkTimeouts() }()
+		_, _ = peer.Conn.Write([]byte(joinBytes[len(joinBytes)-1:] + netpolltest.Command("ping")))
+		routines.Wait()
+		got := peer.nextMessage()
 		_, joined := harness.expectStreamOrder()[model.ProxyID(n)]
 		if joined != (got == "pong") {
 			t.Fatalf("round %d: the proxy receives %q, joined at the controller: %t", n, got, joined)
 		}
 		if joined {
-			inTime++
+			joinedCount++
 		}
 	}
-	t.Logf("%d of 200 joined in time", inTime)
+	t.Logf("%d of 200 joined in time", joinedCount)
 }
 
-// TestThreeStreamsOfOneProxyAtOnce: Three streams of one proxy join concurrently while an update is published, in
-// repeated rounds. One of them stays open, it is the stream that the controller knows, and updates reach it.
-func TestThreeStreamsOfOneProxyAtOnce(t *testing.T) {
+// TestConcurrentStreamsOfOneProxyLeaveOneOpen: Three streams of one proxy join concurrently while an update is
+// published, in repeated rounds. One of them stays open, it is the stream that the controller knows, and updates reach
+// it.
+func TestConcurrentStreamsOfOneProxyLeaveOneOpen(t *testing.T) {
 	harness := startServer(t, nil)
 	for round := range 30 {
 		var routines sync.WaitGroup
@@ -66,7 +67,7 @@
 				_, _ = peer.Conn.Write([]byte(netpolltest.Command(joinMessage(7))))
 			}()
 		}
-		harness.publish(-1, harness.withdraw(1, round%2 == 0))
+		harness.publish(-1, harness.setWithdrawn(1, round%2 == 0))
 		routines.Wait()
 		harness.waitUntil("one stream", func() bool {
 			stats := harness.server.Stats()
@@ -77,48 +78,48 @@
 			t.Fatalf("open streams: %v, want 1", open)
 		}
 		harness.waitForAdmission(7, func(stream *stream) bool { return stream.id == open[7] })
-		harness.publish(round, harness.withdraw(2, true))
-		alive := 0
+		harness.publish(round, harness.setWithdrawn(2, true))
+		updated := 0
 		for _, peer := range peers {
 			last := ""
-			for got := peer.next(); got != closedConnection; got = peer.next() {
+			for got := peer.nextMessage(); got != closedConnection; got = peer.nextMessage() {
 				last = got
 				if strings.Contains(got, "ticket") {
 					break
 				}
 			}
 			if last == fmt.Sprintf("update out s-2 ticket %d", round) {
-				alive++
+				updated++
 			}
 		}
-		if alive != 1 {
-			t.Fatalf("%d streams received the update, want 1", alive)
+		if updated != 1 {
+			t.Fatalf("%d streams received the update, want 1", updated)
 		}
 	}
 }
 
-// TestOldStreamCrossesNewStream: An acknowledgement on a stream, the stream's end, a new stream of the same proxy and
-// an update occur concurrently: the acknowledgement counts for its own stream or not at all, and the update reaches no
-// stream or the newest stream.
-func TestOldStreamCrossesNewStream(t *testing.T) {
+// TestConcurrentStreamEndAndRejoinKeepEventOrder: An acknowledgement on a stream, the stream's end, a new stream of the
+// same proxy and an update occur concurrently: the acknowledgement counts for its own stream or not at all, and the
+// update reaches no stream or the newest stream.
+func TestConcurrentStreamEndAndRejoinKeepEventOrder(t *testing.T) {
 	harness := startServer(t, nil)
 	for round := range 30 {
-		old := harness.dial(t).say(joinMessage(3))
+		old := harness.dial(t).send(joinMessage(3))
 		harness.waitForAdmission(3, func(stream *stream) bool { return stream.id == harness.server.lastStreamID })
-		harness.publish(round, harness.withdraw(1, round%2 == 0))
-		old.next()
+		harness.publish(round, harness.setWithdrawn(1, round%2 == 0))
+		old.nextMessage()
 		newer := harness.dial(t)
 		var routines sync.WaitGroup
-		for _, f := range []func(){
+		for _, action := range []func(){
 			func() {
 				_, _ = old.Conn.Write([]byte(netpolltest.Command(fmt.Sprintf("applied id 3 seq %d ms 1", round))))
 				_ = old.Conn.Close()
 			},
 			func() { _, _ = newer.Conn.Write([]byte(netpolltest.Command(joinMessage(3)))) },
-			func() { harness.publish(-1, harness.withdraw(2, round%2 == 0)) },
+			func() { harness.publish(-1, harness.setWithdrawn(2, round%2 == 0)) },
 		} {
 			routines.Add(1)
-			go func() { defer routines.Done(); f() }()
+			go func() { defer routines.Done(); action() }()
 		}
 		routines.Wait()
 		harness.waitUntil("only the newer stream", func() bool {
@@ -136,13 +137,14 @@
 	}
 }
 
-// TestStreamsUpdatesAndChecksAtOnce: Updates are published, streams begin and end, and timeout checks run, all
-// concurrently: no event is reported for a stream that has not joined, and only joined proxies are subscribers.
-func TestStreamsUpdatesAndChecksAtOnce(t *testing.T) {
+// TestConcurrentStreamsUpdatesAndChecksLeaveNoSubscriber: Updates are published, streams begin and end, and timeout
+// checks run, all concurrently: no event is reported for a stream that has not joined, and only joined proxies are
+// subscribers.
+func TestConcurrentStreamsUpdatesAndChecksLeaveNoSubscriber(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 12 })
 	stop := make(chan struct{})
 	var routines sync.WaitGroup
-	busy := func(f func(n int)) {
+	runRepeatedly := func(action func(n int)) {
 		routines.Add(1)
 		go func() {
 			defer routines.Done()
@@ -151,13 +153,13 @@
 				case <-stop:
 					return
 				default:
-					f(n)
+					action(n)
 				}
 			}
 		}()
 	}
 	for id := range 4 {
-		busy(func(n int) {
+		runRepeatedly(func(n int) {
 			conn, err := net.Dial("tcp", harness.server.Addr())
 			if err != nil {
 				return
@@ -173,13 +175,13 @@
 			_ = conn.Close()
 		})
 	}
-	busy(func(n int) {
+	runRepeatedly(func(n int) {
 		replica := n%9 + 1
-		harness.publish(n%60000, harness.weight(replica, float64(n%3)), harness.withdraw(replica, n%2 == 0),
-			bind(model.ProxyID(n%2)))
+		harness.publish(n%60000, harness.setWeight(replica, float64(n%3)), harness.setWithdrawn(replica, n%2 == 0),
+			bindProxy(model.ProxyID(n%2)))
 		time.Sleep(100 * time.Microsecond)
 	})
-	busy(func(int) { harness.server.checkLiveness(); time.Sleep(time.Millisecond) })
+	runRepeatedly(func(int) { harness.server.checkTimeouts(); time.Sleep(time.Millisecond) })
 	time.Sleep(700 * time.Millisecond) // duration of the concurrent load
 	close(stop)
 	routines.Wait()
--- a/internal/platform/readmission.go
+++ b/internal/platform/readmission.go
@@ -20,16 +20,16 @@
 	deferred []model.ReplicaID
 }
 
-// settle records that a replica's withdrawal or readmission has been sent.
-func (r *readmissions) settle(replica model.ReplicaID) {
+// markSettled records that a replica's withdrawal or readmission has been sent.
+func (r *readmissions) markSettled(replica model.ReplicaID) {
 	if r.settled != nil {
 		r.settled[replica] = true
 	}
 }
 
-// next returns the replicas that a message readmits in addition to its own readmissions, including at most spare
+// forDelivery returns the replicas that a message readmits in addition to its own readmissions, including at most spare
 // deferred ones.
-func (r *readmissions) next(delivery snapshot.Delivery, spare int) (readmitted []model.ReplicaID) {
+func (r *readmissions) forDelivery(delivery snapshot.Delivery, spare int) (readmitted []model.ReplicaID) {
 	if r.settled == nil {
 		return nil
 	}
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -15,9 +15,9 @@
 // pollers is the number of pollers that serve the address. With one poller, all input is read on one goroutine.
 const pollers = 1
 
-// checksPerGreeting is the number of timeout checks within Limits.GreetingTimeout: the timeout is enforced with a delay
-// of at most a tenth of it.
-const checksPerGreeting = 10
+// checksPerGreetingTimeout is the number of timeout checks within Limits.GreetingTimeout: the timeout is enforced with
+// a delay of at most a tenth of it.
+const checksPerGreetingTimeout = 10
 
 // Server serves the platform's address. Create it with Listen.
 type Server struct {
@@ -25,7 +25,7 @@
 	events      connserver.ProxyEvents
 	connections *connserver.Server[*connection]
 
-	livenessCheckDue atomic.Bool // a check was passed to the poller and has not run yet
+	timeoutCheckPending atomic.Bool // a check was passed to the poller and has not run yet
 
 	mu              sync.Mutex
 	published       *snapshot.State
@@ -48,14 +48,14 @@
 		collectors:      map[int][]*connection{},
 	}
 	server.connections = connserver.New(&server.mu, connserver.Handlers[*connection]{
-		Opened:   server.opened,
-		Received: server.received,
-		Closed:   server.closed,
+		Opened:   server.registerConnection,
+		Received: server.readMessages,
+		Closed:   server.handleClosed,
 	})
 	if err := server.connections.Listen(pollers, config.Listen); err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	server.connections.Go(server.scheduleLivenessChecks)
+	server.connections.Go(server.scheduleTimeoutChecks)
 	return server, nil
 }
 
@@ -65,19 +65,19 @@
 // Close closes all connections and the address.
 func (s *Server) Close() { s.connections.Close() }
 
-// scheduleLivenessChecks schedules timeout checks until the server closes. They run on the poller's goroutine after it
+// scheduleTimeoutChecks schedules timeout checks until the server closes. They run on the poller's goroutine after it
 // has read the data that had arrived: if the process was short of processor time, a proxy whose messages are still in
 // the socket buffers does not count as silent.
-func (s *Server) scheduleLivenessChecks() {
-	ticker := time.NewTicker(s.config.Limits.GreetingTimeout / checksPerGreeting)
+func (s *Server) scheduleTimeoutChecks() {
+	ticker := time.NewTicker(s.config.Limits.GreetingTimeout / checksPerGreetingTimeout)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			if s.livenessCheckDue.CompareAndSwap(false, true) {
+			if s.timeoutCheckPending.CompareAndSwap(false, true) {
 				s.connections.RunOnPoller(func() {
-					s.checkLiveness()
-					s.livenessCheckDue.Store(false)
+					s.checkTimeouts()
+					s.timeoutCheckPending.Store(false)
 				})
 			}
 		case <-s.connections.Done():
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -57,8 +57,8 @@
 	stats.Proxies = len(s.streams)
 	stats.Connections = s.connections.Count()
 	stats.Bytes = s.connections.BytesWritten()
-	for _, ofZone := range s.collectors {
-		stats.Collectors += len(ofZone)
+	for _, zoneCollectors := range s.collectors {
+		stats.Collectors += len(zoneCollectors)
 	}
 	for _, stream := range s.streams {
 		stats.PendingAcks += len(stream.acks.pending)
--- a/internal/platform/stats_test.go
+++ b/internal/platform/stats_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestLoggedFiguresKeepTheirKeys: The statistics are logged with the keys and in the order of earlier versions.
-func TestLoggedFiguresKeepTheirKeys(t *testing.T) {
+// TestStatsJSONKeepsKeysAndOrder: The statistics are logged with the keys and in the order of earlier versions.
+func TestStatsJSONKeepsKeysAndOrder(t *testing.T) {
 	const want = `{"Proxies":1,"Collectors":2,"Connections":3,"Strangers":4,"Refused":5,"Evicted":6,` +
 		`"Spoilt":7,"Faults":8,"Silent":9,"Slow":10,"Replaced":11,"AskedAgain":12,` +
 		`"Updates":13,"Lines":14,"Bytes":15,"Sums":16,"Tries":17,"Owed":18,"Usage":19}`
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -39,7 +39,7 @@
 	var replaced []*connection
 	if older := s.streams[proxy]; older != nil {
 		s.stats.Replaced++
-		s.remove(older.conn)
+		s.unregister(older.conn)
 		replaced = append(replaced, older.conn)
 	}
 	s.authenticate(conn)
--- a/internal/platform/liveness.go
+++ b/internal/platform/timeouts.go
@@ -5,48 +5,48 @@
 	"peppervale/internal/model"
 )
 
-// idleChannelFactor is the multiple of Limits.SilenceTimeout for which a stream may send nothing while no stream
+// idleTimeoutFactor is the multiple of Limits.SilenceTimeout for which a stream may send nothing while no stream
 // acknowledges anything: the platform's channel can be five times slower than its stated pace.
-const idleChannelFactor = 5
+const idleTimeoutFactor = 5
 
-// checkLiveness ends connections that did not join in time and streams whose proxy's host has vanished. TCP does not
+// checkTimeouts ends connections that did not join in time and streams whose proxy's host has vanished. TCP does not
 // report a vanished host, but its pending acknowledgements and all other messages of the stream fail to arrive.
 //
 // The platform's channel delivers messages one after another at its own pace, so an acknowledgement is overdue only
 // once another stream has acknowledged a message that was sent later. Without this rule, a stream would be ended
-// because its message is still queued. A stream that is silent for idleChannelFactor times as long is ended regardless.
+// because its message is still queued. A stream that is silent for idleTimeoutFactor times as long is ended regardless.
 //
 // If a stream sends messages but an acknowledgement is overdue, the acknowledgement was lost. A stream that sends
 // nothing may have vanished without a pending acknowledgement. Each check requests an acknowledgement again from one of
 // these streams, with a message that changes nothing. Its cost fits into the messages and entries that the balancer
 // leaves unused in each proxy's budget. The new acknowledgement covers all earlier requests. The retry itself does not
 // count as an acknowledgement.
-func (s *Server) checkLiveness() {
+func (s *Server) checkTimeouts() {
 	s.mu.Lock()
 	now := s.config.Now()
-	ended := s.overdueGreetings(now)
-	var toAsk *stream
+	ended := s.timedOutGreetings(now)
+	var retryStream *stream
 	for _, stream := range s.streams {
-		stream.acks.noteOvertaken(s.progress.acknowledged, now)
+		stream.acks.markOvertaken(s.progress.acknowledged, now)
 		switch {
 		case s.isSilent(stream, now):
 			s.stats.Silent++
 			s.config.Log.Warn().Int("proxy", int(stream.proxy)).Msg("stream closed: proxy is silent")
 			ended = append(ended, stream.conn)
-		case s.shouldAskAgain(stream, now) && askedBefore(stream, toAsk):
-			toAsk = stream
+		case s.shouldRetryAck(stream, now) && retriedEarlier(stream, retryStream):
+			retryStream = stream
 		}
 	}
-	if toAsk != nil {
-		s.askAgain(toAsk, now)
+	if retryStream != nil {
+		s.retryAck(retryStream, now)
 	}
-	s.remove(ended...)
+	s.unregister(ended...)
 	s.mu.Unlock()
 	s.connections.CloseOnPoller(ended...)
 }
 
-// overdueGreetings returns the connections that did not join in time; s.mu is held.
-func (s *Server) overdueGreetings(now model.Microseconds) (overdue []*connection) {
+// timedOutGreetings returns the connections that did not join in time; s.mu is held.
+func (s *Server) timedOutGreetings(now model.Microseconds) (overdue []*connection) {
 	for element := s.unauthenticated.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*connection)
 		if now-c.openedAt < microseconds(s.config.Limits.GreetingTimeout) {
@@ -57,17 +57,17 @@
 	return overdue
 }
 
-// noteOvertaken records when the oldest pending acknowledgement was first seen to be overtaken.
-func (q *ackQueue) noteOvertaken(newestAcknowledged uint64, now model.Microseconds) {
-	if len(q.pending) > 0 && q.overtakenAt == 0 && newestAcknowledged > q.pending[0].number {
-		q.overtakenAt = now
+// markOvertaken records when the oldest pending acknowledgement was first seen to be overtaken.
+func (q *ackQueue) markOvertaken(newestAcknowledged uint64, now model.Microseconds) {
+	if len(q.pending) > 0 && q.overtakenSince == 0 && newestAcknowledged > q.pending[0].number {
+		q.overtakenSince = now
 	}
 }
 
 // overdueFor returns how long ago the oldest pending acknowledgement was overtaken, or 0 if it was not.
 func (q *ackQueue) overdueFor(now model.Microseconds) model.Microseconds {
-	if q.overtakenAt > 0 {
-		return now - q.overtakenAt
+	if q.overtakenSince > 0 {
+		return now - q.overtakenSince
 	}
 	return 0
 }
@@ -85,32 +85,32 @@
 		return true
 	}
 	pending := stream.acks.pending
-	return len(pending) > 0 && min(now-pending[0].sentAt, silent) > idleChannelFactor*limit
+	return len(pending) > 0 && min(now-pending[0].sentAt, silent) > idleTimeoutFactor*limit
 }
 
-// shouldAskAgain reports whether a stream's acknowledgement is to be requested again; s.mu is held.
-func (s *Server) shouldAskAgain(stream *stream, now model.Microseconds) bool {
+// shouldRetryAck reports whether a stream's acknowledgement is to be requested again; s.mu is held.
+func (s *Server) shouldRetryAck(stream *stream, now model.Microseconds) bool {
 	interval := microseconds(s.config.Limits.AckRetryInterval)
-	if stream.subscriber == nil || now-stream.acks.askedAgainAt <= interval {
+	if stream.subscriber == nil || now-stream.acks.retriedAt <= interval {
 		return false
 	}
-	owesNothing := len(stream.acks.pending) == 0
-	return stream.acks.overdueFor(now) > interval || owesNothing && stream.conn.silentFor(now) > interval
+	hasNoPendingAck := len(stream.acks.pending) == 0
+	return stream.acks.overdueFor(now) > interval || hasNoPendingAck && stream.conn.silentFor(now) > interval
 }
 
-// askedBefore reports whether a stream's last retry is older than that of the other stream; other may be nil.
-func askedBefore(stream, other *stream) bool {
-	return other == nil || stream.acks.askedAgainAt < other.acks.askedAgainAt
+// retriedEarlier reports whether a stream's last retry is older than that of the other stream; other may be nil.
+func retriedEarlier(stream, other *stream) bool {
+	return other == nil || stream.acks.retriedAt < other.acks.retriedAt
 }
 
-// askAgain requests a stream's newest acknowledgement again; s.mu is held.
-func (s *Server) askAgain(stream *stream, now model.Microseconds) {
+// retryAck requests a stream's newest acknowledgement again; s.mu is held.
+func (s *Server) retryAck(stream *stream, now model.Microseconds) {
 	queue := &stream.acks
-	queue.askedAgainAt = now
-	queue.askedAgainSequence = queue.newest
+	queue.retriedAt = now
+	queue.retriedSequence = queue.newest
 	s.stats.AckRetries++
 	if len(queue.pending) == 0 {
-		s.expectAck(queue, now)
+		s.addPendingAck(queue, now)
 	}
 	update := platformmsg.Update{AckSequence: int(queue.newest)}
 	encoded, _ := update.Append(nil) // an update without lists always fits
--- a/internal/pubsub/command.go
+++ b/internal/pubsub/command.go
@@ -28,18 +28,18 @@
 }
 
 var (
-	errNoCommand  = errors.New("a command is an array that begins with its name")
-	errHelloFirst = errors.New("say HELLO 3 first")
-	errJoinFirst  = errors.New("say JOIN first")
+	errMalformedCommand = errors.New("a command is an array that begins with its name")
+	errHelloFirst       = errors.New("say HELLO 3 first")
+	errJoinFirst        = errors.New("say JOIN first")
 )
 
 // protocolVersion is the version of RESP that the server speaks.
 const protocolVersion = 3
 
-// handle handles one command.
-func (c *connection) handle(value resp.Value) error {
+// handleCommand handles one command.
+func (c *connection) handleCommand(value resp.Value) error {
 	if value.Kind != resp.Array || len(value.Items) == 0 {
-		return errNoCommand
+		return errMalformedCommand
 	}
 	name := strings.ToUpper(value.Items[0].ArgumentText())
 	command := commands[name]
@@ -48,25 +48,25 @@
 		c.replyError("ERR unknown command '%.40s'; known are %s", name, strings.Join(known, ", "))
 		return nil
 	}
-	if !c.mayCommand() {
+	if !c.checkCommandRate() {
 		return nil
 	}
 	return command(c, value.Items[1:])
 }
 
-// mayCommand counts a command and reports whether it is within the peer's rate limit. A peer above the limit gets an
-// error with a retry delay, and its connection is closed. The tables that it holds stay in force.
-func (c *connection) mayCommand() bool {
+// checkCommandRate counts a command and reports whether it is within the peer's rate limit. A peer above the limit gets
+// an error with a retry delay, and its connection is closed. The tables that it holds stay in force.
+func (c *connection) checkCommandRate() bool {
 	server := c.server
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	rate := server.config.Limits.CommandRate
-	ok, after := c.commandRate.Take(server.config.Now(), rate)
+	ok, retryAfter := c.commandRate.Take(server.config.Now(), rate)
 	if !ok && !c.Ended() {
 		server.stats.RateLimited++
 		server.endWithError(c, fmt.Sprintf(
 			errorLater+" %d milliseconds: %g commands a second are taken from one peer, %d at once; keep what you hold",
-			after/model.Millisecond+1, rate.PerSecond, rate.Burst))
+			retryAfter/model.Millisecond+1, rate.PerSecond, rate.Burst))
 	}
 	return ok
 }
@@ -82,7 +82,7 @@
 			return nil
 		}
 	}
-	c.saidHello = true
+	c.receivedHello = true
 	properties := [][2]string{
 		{"server", "peppervale"},
 		{"version", "1"},
--- a/internal/pubsub/connection.go
+++ b/internal/pubsub/connection.go
@@ -19,26 +19,26 @@
 // connection is one connection of a proxy, an observer or an unknown client.
 type connection struct {
 	connserver.Conn
-	server      *Server
-	id          uint64
-	reader      *resp.Reader
-	commandRate admission.TokenBucket
-	saidHello   bool
-	observes    bool
-	stream      stream
+	server        *Server
+	id            uint64
+	reader        *resp.Reader
+	commandRate   admission.TokenBucket
+	receivedHello bool
+	isObserver    bool
+	stream        stream
 }
 
 // stream is the state of a connection on which a proxy joins. The fields join and shard are set once a JOIN was read,
 // all other fields once it was accepted.
 type stream struct {
-	id         uint64 // 0: not joined
-	join       pubsubmsg.Join
-	zone       int
-	shard      int
-	proxy      model.ProxyID
-	subscriber *snapshot.Subscriber // nil until admitted
-	lastReport uint64               // number of the newest load report
-	resyncedAt model.Microseconds
+	id                 uint64 // 0: not joined
+	join               pubsubmsg.Join
+	zone               int
+	shard              int
+	proxy              model.ProxyID
+	subscriber         *snapshot.Subscriber // nil until admitted
+	lastReportSequence uint64               // number of the newest load report
+	resyncedAt         model.Microseconds
 }
 
 // An error that ends a connection although its peer did nothing wrong begins with one of these words; all other errors
@@ -49,15 +49,15 @@
 	errorMoved  = "MOVED"  // another controller holds the proxy's shard
 )
 
-// isNoFault reports whether an error ends a connection although its peer did nothing wrong. These errors are logged at
-// debug level: a join storm causes thousands of them.
-func isNoFault(reason string) bool {
+// isExpectedEnd reports whether an error ends a connection although its peer did nothing wrong. These errors are logged
+// at debug level: a join storm causes thousands of them.
+func isExpectedEnd(reason string) bool {
 	return strings.HasPrefix(reason, errorLater) ||
 		strings.HasPrefix(reason, errorEnding) ||
 		strings.HasPrefix(reason, errorMoved)
 }
 
-func (s *Server) opened(socket *nbio.Conn) {
+func (s *Server) registerConnection(socket *nbio.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastID++
@@ -71,9 +71,9 @@
 	_ = socket.SetWriteBuffer(s.config.Limits.UnsentBytes) // bounds what the kernel buffers for a slow reader
 }
 
-// received decodes received bytes into commands. A protocol error ends the connection.
-func (s *Server) received(conn *connection, data []byte) {
-	err := conn.reader.Feed(data, conn.handle)
+// readCommands decodes received bytes into commands. A protocol error ends the connection.
+func (s *Server) readCommands(conn *connection, data []byte) {
+	err := conn.reader.Feed(data, conn.handleCommand)
 	if err == nil {
 		return
 	}
@@ -90,7 +90,7 @@
 		return
 	}
 	level := zerolog.WarnLevel
-	if isNoFault(reason) {
+	if isExpectedEnd(reason) {
 		level = zerolog.DebugLevel
 	}
 	s.config.Log.WithLevel(level).Str("peer", conn.Socket().RemoteAddr().String()).Str("proxy", conn.stream.join.Name).
@@ -99,15 +99,15 @@
 	_ = conn.Socket().Close()
 }
 
-// closed unregisters a connection and reports the end of its stream.
-func (s *Server) closed(conn *connection) {
+// handleClosed unregisters a connection and reports the end of its stream.
+func (s *Server) handleClosed(conn *connection) {
 	s.mu.Lock()
 	if !s.connections.Unregister(conn) {
 		s.mu.Unlock()
 		return
 	}
 	delete(s.folded, conn)
-	if conn.observes {
+	if conn.isObserver {
 		s.observerCount--
 	}
 	hasStream := conn.stream.id != 0 && s.streams[conn.stream.proxy] == conn
@@ -143,5 +143,5 @@
 
 func (c *connection) replyOK() { c.reply(resp.AppendLine(nil, resp.SimpleString, "OK")) }
 
-// stayOpen removes the deadline by which a peer has to join or subscribe.
-func (c *connection) stayOpen() { _ = c.Socket().SetReadDeadline(time.Time{}) }
+// clearReadDeadline removes the deadline by which a peer has to join or subscribe.
+func (c *connection) clearReadDeadline() { _ = c.Socket().SetReadDeadline(time.Time{}) }
--- a/internal/pubsub/delivery.go
+++ b/internal/pubsub/delivery.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// sendDue sends the queued messages that are due; s.mu is held.
-func (s *Server) sendDue(now model.Microseconds) {
+// sendDueMessages sends the queued messages that are due; s.mu is held.
+func (s *Server) sendDueMessages(now model.Microseconds) {
 	for message := s.queue.dequeueDue(now); message != nil; message = s.queue.dequeueDue(now) {
 		conn := s.streams[message.delivery.Subscriber.Proxy]
 		if conn != nil && conn.stream.id == message.streamID {
@@ -49,14 +49,14 @@
 	}
 }
 
-// sendFolded sends a snapshot to each slow reader that has resumed reading; s.mu is held.
-func (s *Server) sendFolded() {
+// sendFoldedSnapshots sends a snapshot to each slow reader that has resumed reading; s.mu is held.
+func (s *Server) sendFoldedSnapshots() {
 	for conn := range s.folded {
 		if conn.UnsentBytes() >= int64(s.config.Limits.UnsentBytes)/2 {
 			continue
 		}
 		delete(s.folded, conn)
-		if conn.observes {
+		if conn.isObserver {
 			s.sendObserverSnapshot(conn)
 		} else {
 			s.sendSnapshot(conn)
@@ -69,7 +69,7 @@
 	if s.folded[conn] {
 		return
 	}
-	if s.hasTooMuchUnsent(conn) {
+	if s.exceedsUnsentBudget(conn) {
 		s.fold(conn)
 		s.config.Log.Warn().Str("proxy", conn.stream.join.Name).Int64("unsent_bytes", conn.UnsentBytes()).
 			Msg("proxy reads slowly: its changes are folded into a snapshot")
@@ -95,9 +95,9 @@
 	s.send(conn, message)
 }
 
-// hasTooMuchUnsent reports whether a peer's unsent bytes exceed the budget, so that it gets a later snapshot instead of
-// the next message; s.mu is held.
-func (s *Server) hasTooMuchUnsent(conn *connection) bool {
+// exceedsUnsentBudget reports whether a peer's unsent bytes exceed the budget, so that it gets a later snapshot instead
+// of the next message; s.mu is held.
+func (s *Server) exceedsUnsentBudget(conn *connection) bool {
 	budget := s.config.Limits.budget()
 	return budget.MustMerge(conn.UnsentBytes(), s.connections.UnsentBytes(), s.connections.Count())
 }
--- a/internal/pubsub/harness_test.go
+++ b/internal/pubsub/harness_test.go
@@ -17,8 +17,8 @@
 	"peppervale/internal/snapshot"
 )
 
-// patience is how long a test waits for an expected event before it fails.
-const patience = 10 * time.Second
+// waitTimeout is how long a test waits for an expected event before it fails.
+const waitTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
@@ -30,17 +30,17 @@
 	server  *Server
 	started time.Time
 
-	mu     sync.Mutex
-	events []string
-	came   chan struct{} // signalled after each event
+	mu            sync.Mutex
+	events        []string
+	eventRecorded chan struct{} // signalled after each event
 }
 
-func (h *testHarness) note(format string, args ...any) {
+func (h *testHarness) recordEvent(format string, args ...any) {
 	h.mu.Lock()
 	h.events = append(h.events, fmt.Sprintf(format, args...))
 	h.mu.Unlock()
 	select {
-	case h.came <- struct{}{}:
+	case h.eventRecorded <- struct{}{}:
 	default:
 	}
 }
@@ -48,22 +48,22 @@
 // ProxyConnected admits the proxy.
 func (h *testHarness) ProxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
 	h.server.AdmitProxy(proxy, stream)
-	h.note("connected %s %d", join.Name, zone)
+	h.recordEvent("connected %s %d", join.Name, zone)
 }
 
 // ProxyDisconnected records the end of a stream.
 func (h *testHarness) ProxyDisconnected(proxy model.ProxyID, _ uint64) {
-	h.note("disconnected %d", proxy)
+	h.recordEvent("disconnected %d", proxy)
 }
 
 // Acknowledged records an acknowledgement.
 func (h *testHarness) Acknowledged(proxy model.ProxyID, _ uint64, ackSequence uint32) {
-	h.note("acknowledged %d %d", proxy, ackSequence)
+	h.recordEvent("acknowledged %d %d", proxy, ackSequence)
 }
 
 // LoadReported records the number of load reports.
 func (h *testHarness) LoadReported(zone int, reports []model.LoadReport) {
-	h.note("reported %d %d", zone, len(reports))
+	h.recordEvent("reported %d %d", zone, len(reports))
 }
 
 func (h *testHarness) now() model.Microseconds {
@@ -73,7 +73,7 @@
 // waitForEvent waits until an event is recorded; the events of one proxy are in order.
 func (h *testHarness) waitForEvent(event string) {
 	h.t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for {
 		h.mu.Lock()
 		all := strings.Join(h.events, "\n")
@@ -82,7 +82,7 @@
 			return
 		}
 		select {
-		case <-h.came:
+		case <-h.eventRecorded:
 		case <-deadline:
 			h.t.Fatalf("no event %q within the time limit; recorded events:\n%s", event, all)
 		}
@@ -91,7 +91,7 @@
 
 func startServer(t *testing.T, change func(*Config)) *testHarness {
 	t.Helper()
-	harness := &testHarness{t: t, came: make(chan struct{}, 1), started: time.Now()}
+	harness := &testHarness{t: t, eventRecorded: make(chan struct{}, 1), started: time.Now()}
 	config := Config{
 		Listen:           "127.0.0.1:0",
 		Incarnation:      3,
@@ -128,7 +128,7 @@
 
 func (h *testHarness) dial(t *testing.T) *testClient {
 	t.Helper()
-	return &testClient{netpolltest.Dial(t, h.server.Addr(), patience), t}
+	return &testClient{netpolltest.Dial(t, h.server.Addr(), waitTimeout), t}
 }
 
 // join connects a proxy of the second zone on its standing table, and returns the snapshot that it receives.
@@ -202,25 +202,25 @@
 // replica returns a replica's id by the last byte of its address.
 func replica(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
-// weight sets the weight of a replica in table 1.
-func weight(n byte, weight float64) snapshot.Update {
+// setWeight sets the weight of a replica in table 1.
+func setWeight(n byte, weight float64) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.SetWeight, Table: 1, Replica: replica(n), Weight: weight}
 }
 
-// weights sets the weights of 200 replicas in table 1.
-func weights(value float64) (updates []snapshot.Update) {
+// setWeights sets the weights of 200 replicas in table 1.
+func setWeights(value float64) (updates []snapshot.Update) {
 	for n := range byte(200) {
-		updates = append(updates, weight(n+1, value))
+		updates = append(updates, setWeight(n+1, value))
 	}
 	return updates
 }
 
-// withdraw withdraws a replica.
-func withdraw(n byte) snapshot.Update {
+// withdrawReplica withdraws a replica.
+func withdrawReplica(n byte) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: replica(n), Withdrawn: true}
 }
 
-// bind binds a proxy to table 1.
-func bind(proxy model.ProxyID) snapshot.Update {
+// bindProxy binds a proxy to table 1.
+func bindProxy(proxy model.ProxyID) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.BindProxy, Proxy: proxy, Table: 1}
 }
--- a/internal/pubsub/join.go
+++ b/internal/pubsub/join.go
@@ -16,7 +16,7 @@
 
 // joinProxy registers the connection as a proxy's stream and reports it, without holding the lock.
 func (c *connection) joinProxy(args []resp.Value) error {
-	if !c.saidHello {
+	if !c.receivedHello {
 		return errHelloFirst
 	}
 	join, err := pubsubmsg.ParseJoin(args)
@@ -47,10 +47,11 @@
 	conn.stream.join = join
 	if s.isShuttingDown() {
 		s.endWithError(conn, fmt.Sprintf(
-			errorEnding+" this governor ends: join another, or here again in %d milliseconds; keep what you hold", s.backIn()))
+			errorEnding+" this governor ends: join another, or here again in %d milliseconds; keep what you hold",
+			s.restartDelayMilliseconds()))
 		return false, nil
 	}
-	epoch, isHolder := s.leaseFor(conn, zone)
+	epoch, isHolder := s.lookUpLease(conn, zone)
 	if !isHolder {
 		s.redirect(conn)
 		return false, nil
@@ -72,14 +73,14 @@
 	conn.stream.proxy = proxy
 	conn.stream.id = s.lastID
 	s.streams[proxy] = conn
-	conn.stayOpen()
+	conn.clearReadDeadline()
 	s.answerJoin(conn, epoch)
 	return true, nil
 }
 
-// leaseFor stores a proxy's shard and reports whether this controller holds its lease, in an epoch that is not older
+// lookUpLease stores a proxy's shard and reports whether this controller holds its lease, in an epoch that is not older
 // than the newest one the proxy has seen; s.mu is held. Without leases, the controller holds all shards in epoch 0.
-func (s *Server) leaseFor(conn *connection, zone int) (epoch uint64, isHolder bool) {
+func (s *Server) lookUpLease(conn *connection, zone int) (epoch uint64, isHolder bool) {
 	if s.config.Leases == nil {
 		return 0, true
 	}
@@ -92,12 +93,12 @@
 // admitJoin reports whether a proxy may join now; s.mu is held. Otherwise it sends the proxy a retry delay and ends its
 // connection, so that the connection does not count towards the limit.
 func (s *Server) admitJoin(conn *connection) bool {
-	decision, after := s.joins.Decide(s.config.Now(), conn.stream.join.Name, len(s.streams))
+	decision, retryAfter := s.joins.Decide(s.config.Now(), conn.stream.join.Name, len(s.streams))
 	if decision == admission.Admit {
 		return true
 	}
 	s.endWithError(conn, fmt.Sprintf(
-		errorLater+" %d milliseconds, then join again; keep what you hold", after/model.Millisecond+1))
+		errorLater+" %d milliseconds, then join again; keep what you hold", retryAfter/model.Millisecond+1))
 	return false
 }
 
--- a/internal/pubsub/joinstorm_test.go
+++ b/internal/pubsub/joinstorm_test.go
@@ -13,21 +13,21 @@
 	"peppervale/internal/standin/proxy"
 )
 
-// The proxies of TestJoinStormSettles, and the joins that the server admits per second and at once.
+// The proxies of TestJoinStormIsAdmittedAtConfiguredRate, and the joins that the server admits per second and at once.
 const (
 	stormProxies = 300
 	stormRate    = 150
 	stormBurst   = 30
 )
 
-// TestJoinStormSettles: Hundreds of proxies dial at once. Those beyond the burst are deferred once each, with retry
-// delays that keep the rate, and all join. No proxy is dropped without a retry delay, and the retries do not form
-// another storm.
+// TestJoinStormIsAdmittedAtConfiguredRate: Hundreds of proxies dial at once. Those beyond the burst are deferred once
+// each, with retry delays that keep the rate, and all join. No proxy is dropped without a retry delay, and the retries
+// do not form another storm.
 //
 // Server and proxies use one clock, which the test advances. It stands still until each proxy has its first answer:
 // with the wall clock, proxies that connect more slowly than the rate, as on a busy machine, would correctly count as a
 // second storm.
-func TestJoinStormSettles(t *testing.T) {
+func TestJoinStormIsAdmittedAtConfiguredRate(t *testing.T) {
 	var clock manualClock
 	harness := startServer(t, func(config *Config) {
 		config.Now = clock.now
@@ -91,7 +91,7 @@
 	t.Cleanup(storm.loop.Stop)
 	storm.loop.Do(func() {
 		for n := range stormProxies {
-			one := proxy.New(storm.loop, engine, proxy.Config{
+			standInProxy := proxy.New(storm.loop, engine, proxy.Config{
 				Name:           fmt.Sprint("till-", n),
 				Zone:           "govan",
 				RedialInterval: model.Second,
@@ -99,14 +99,14 @@
 				StreamsOnly:    true,
 				Instances:      []proxy.Instance{{Name: "g", Address: address}},
 			}, 1, func(invariants.Event) {})
-			one.Start(nil)
-			storm.proxies = append(storm.proxies, one)
+			standInProxy.Start(nil)
+			storm.proxies = append(storm.proxies, standInProxy)
 		}
 	})
 	t.Cleanup(func() {
 		storm.loop.Do(func() {
-			for _, one := range storm.proxies {
-				one.Kill()
+			for _, standInProxy := range storm.proxies {
+				standInProxy.Kill()
 			}
 		})
 	})
@@ -116,9 +116,9 @@
 // counts sums up the joins and deferrals of all proxies so far. The call also makes the loop read its clock again.
 func (s *joinStorm) counts() (counts joinCounts) {
 	s.loop.Do(func() {
-		for _, one := range s.proxies {
-			counts.joined += one.Joins
-			counts.deferred += one.Deferred
+		for _, standInProxy := range s.proxies {
+			counts.joined += standInProxy.Joins
+			counts.deferred += standInProxy.Deferred
 		}
 	})
 	return counts
@@ -128,22 +128,23 @@
 func (s *joinStorm) checkEachJoinedOnce() {
 	s.t.Helper()
 	s.loop.Do(func() {
-		for _, one := range s.proxies {
-			if one.Joins != 1 || one.Deferred > 1 {
-				s.t.Errorf("%s joined %d times and was deferred %d times, want 1 and at most 1", one.Name, one.Joins, one.Deferred)
+		for _, standInProxy := range s.proxies {
+			if standInProxy.Joins != 1 || standInProxy.Deferred > 1 {
+				s.t.Errorf("%s joined %d times and was deferred %d times, want 1 and at most 1",
+					standInProxy.Name, standInProxy.Joins, standInProxy.Deferred)
 			}
 		}
 	})
 }
 
 // waitUntil waits until the counts meet a condition.
-func (s *joinStorm) waitUntil(what string, isMet func(joinCounts) bool) {
+func (s *joinStorm) waitUntil(condition string, isMet func(joinCounts) bool) {
 	s.t.Helper()
 	const pollInterval = time.Millisecond
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for counts := s.counts(); !isMet(counts); counts = s.counts() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not within %s: %s; %+v", patience, what, counts)
+			s.t.Fatalf("not within %s: %s; %+v", waitTimeout, condition, counts)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/pubsub/lease_test.go
+++ b/internal/pubsub/lease_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestLostLeaseEndsStreams: Messages contain the epoch of the proxy's shard. Once a shard's lease is lost, the shard's
-// streams end, and streams of other shards stay.
-func TestLostLeaseEndsStreams(t *testing.T) {
+// TestLostLeaseEndsStreamsOfItsShardOnly: Messages contain the epoch of the proxy's shard. Once a shard's lease is
+// lost, the shard's streams end, and streams of other shards stay.
+func TestLostLeaseEndsStreamsOfItsShardOnly(t *testing.T) {
 	leases := &testLeases{held: map[int]uint64{0: 5, 1: 8}, holders: map[int]string{1: "127.0.0.1:7001"}}
 	harness := startServer(t, func(config *Config) { config.Leases = leases })
 	stays := harness.tryJoin(t, "stays", "govan")
@@ -92,7 +92,7 @@
 	moves.expectError("MOVED 1 127.0.0.1:7001")
 	moves.expectClosed()
 	harness.waitForEvent("disconnected 1")
-	harness.publish(3, withdraw(1))
+	harness.publish(3, withdrawReplica(1))
 	stays.expectAckSequence(3)
 	stays.Send(resp.AppendCommand(nil, "FENCED", "6", "3", "1"))
 	stays.Send(pingCommand())
@@ -110,15 +110,15 @@
 	}
 }
 
-// TestMisroutedProxiesAreCounted: A proxy counts once it has tried to join for long enough, until it has not tried for
-// misroutedMemory. A pause of that length, or a join for another shard, restarts the span.
-func TestMisroutedProxiesAreCounted(t *testing.T) {
+// TestMisroutedProxiesAreCountedUntilExpiry: A proxy counts once it has tried to join for long enough, until it has not
+// tried for misroutedExpiry. A pause of that length, or a join for another shard, restarts the span.
+func TestMisroutedProxiesAreCountedUntilExpiry(t *testing.T) {
 	misrouted := misroutedProxies{}
-	misrouted.note("retries", 1, 0)
-	misrouted.note("joins once", 1, 0)
-	misrouted.note("changes shard", 1, 0)
-	misrouted.note("retries", 1, 2*model.Second)
-	misrouted.note("changes shard", 2, 2*model.Second)
+	misrouted.record("retries", 1, 0)
+	misrouted.record("joins once", 1, 0)
+	misrouted.record("changes shard", 1, 0)
+	misrouted.record("retries", 1, 2*model.Second)
+	misrouted.record("changes shard", 2, 2*model.Second)
 	for _, tt := range []struct {
 		name         string
 		now, atLeast model.Microseconds
@@ -126,8 +126,8 @@
 	}{
 		{"long enough", 2 * model.Second, 2 * model.Second, 1},
 		{"not long enough", 2 * model.Second, 2*model.Second + 1, 0},
-		{"just before expiry", 2*model.Second + misroutedMemory - 1, model.Second, 1},
-		{"expired", 2*model.Second + misroutedMemory, model.Second, 0},
+		{"just before expiry", 2*model.Second + misroutedExpiry - 1, model.Second, 1},
+		{"expired", 2*model.Second + misroutedExpiry, model.Second, 0},
 	} {
 		if got := misrouted.count(tt.now, tt.atLeast); got[1] != tt.want || got[2] != 0 {
 			t.Errorf("%s: counts by shard %v, want %d of shard 1 and none of shard 2", tt.name, got, tt.want)
--- a/internal/pubsub/limits_test.go
+++ b/internal/pubsub/limits_test.go
@@ -24,40 +24,40 @@
 	for _, client := range silent {
 		client.expectClosed()
 	}
-	harness.publish(1, withdraw(1))
+	harness.publish(1, withdrawReplica(1))
 	proxy.expectAckSequence(1)
 }
 
-// TestUnfinishedStringIsClosed: A connection that sends the beginning of a string and never its end is closed after the
-// greeting timeout; a proxy that joins in the meantime is served.
-func TestUnfinishedStringIsClosed(t *testing.T) {
+// TestConnectionWithUnfinishedStringIsClosed: A connection that sends the beginning of a string and never its end is
+// closed after the greeting timeout; a proxy that joins in the meantime is served.
+func TestConnectionWithUnfinishedStringIsClosed(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = 300 * time.Millisecond })
 	client := harness.dial(t)
 	client.Send([]byte("*2\r\n$1000000\r\nbegun"))
 	proxy, _ := harness.join(t, "till")
 	client.expectClosed()
-	harness.publish(1, withdraw(1))
+	harness.publish(1, withdrawReplica(1))
 	proxy.expectAckSequence(1)
 }
 
-// TestTooManyConnections: A connection beyond the limit gets an error that states the reason.
-func TestTooManyConnections(t *testing.T) {
+// TestConnectionBeyondLimitGetsError: A connection beyond the limit gets an error that states the reason.
+func TestConnectionBeyondLimitGetsError(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 2 })
 	harness.join(t, "a")
 	harness.join(t, "b")
 	harness.dial(t).expectError("too many connections")
 }
 
-// TestTooManyCommands: A peer that exceeds the command rate gets a retry delay, and other peers are not affected. After
-// the limit is raised on the running server, the same flood passes.
-func TestTooManyCommands(t *testing.T) {
+// TestExcessCommandsGetRetryDelay: A peer that exceeds the command rate gets a retry delay, and other peers are not
+// affected. After the limit is raised on the running server, the same flood passes.
+func TestExcessCommandsGetRetryDelay(t *testing.T) {
 	const burst, flood = 20, 100
 	harness := startServer(t, func(config *Config) {
 		config.Limits.CommandRate = admission.Rate{PerSecond: 10, Burst: burst}
 	})
-	calm := harness.dial(t)
-	calm.Send(helloCommand())
-	if _, ok := calm.Next(); !ok {
+	otherPeer := harness.dial(t)
+	otherPeer.Send(helloCommand())
+	if _, ok := otherPeer.Next(); !ok {
 		t.Fatal("the other connection is closed")
 	}
 	pings := []byte(strings.Repeat(string(pingCommand()), flood))
@@ -67,8 +67,8 @@
 	if stats := harness.server.Stats(); stats.RateLimited != 1 || stats.ProtocolErrors != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
-	calm.Send(pingCommand())
-	calm.expectPong()
+	otherPeer.Send(pingCommand())
+	otherPeer.expectPong()
 	raised := Limits{CommandRate: admission.Rate{PerSecond: 10, Burst: 200}}
 	harness.server.SetLimits(raised, admission.Limits{})
 	flooding = harness.dial(t)
--- a/internal/pubsub/misrouted.go
+++ b/internal/pubsub/misrouted.go
@@ -7,16 +7,16 @@
 	"peppervale/internal/model"
 )
 
-// unheldRetry is the retry delay for a proxy whose shard has no lease holder. The transfer of a lease takes a few times
-// as long.
-const unheldRetry = 100 * time.Millisecond
+// noHolderRetryDelay is the retry delay for a proxy whose shard has no lease holder. The transfer of a lease takes a
+// few times as long.
+const noHolderRetryDelay = 100 * time.Millisecond
 
 // maxMisroutedProxies bounds the number of tracked misrouted proxies; further ones are not counted.
 const maxMisroutedProxies = 10_000
 
-// misroutedMemory is how long a misrouted proxy is tracked after its last join. A proxy that cannot reach its own
+// misroutedExpiry is how long a misrouted proxy is tracked after its last join. A proxy that cannot reach its own
 // controller joins here again within a dial timeout and some backoff.
-const misroutedMemory = 5 * model.Second
+const misroutedExpiry = 5 * model.Second
 
 // misroutedProxies holds the proxies that joined here although another controller has their shard, by name.
 type misroutedProxies map[string]*misroutedProxy
@@ -27,11 +27,11 @@
 	lastAskedAt  model.Microseconds
 }
 
-// note records that a proxy of a shard has tried to join.
-func (m misroutedProxies) note(name string, shard int, now model.Microseconds) {
+// record records that a proxy of a shard has tried to join.
+func (m misroutedProxies) record(name string, shard int, now model.Microseconds) {
 	known := m[name]
 	switch {
-	case known != nil && now-known.lastAskedAt < misroutedMemory && known.shard == shard:
+	case known != nil && now-known.lastAskedAt < misroutedExpiry && known.shard == shard:
 		known.lastAskedAt = now
 	case known != nil || len(m) < maxMisroutedProxies:
 		m[name] = &misroutedProxy{shard: shard, firstAskedAt: now, lastAskedAt: now}
@@ -43,7 +43,7 @@
 func (m misroutedProxies) count(now, atLeast model.Microseconds) map[int]int {
 	counts := map[int]int{}
 	for name, proxy := range m {
-		if now-proxy.lastAskedAt >= misroutedMemory {
+		if now-proxy.lastAskedAt >= misroutedExpiry {
 			delete(m, name)
 		} else if proxy.lastAskedAt-proxy.firstAskedAt >= atLeast {
 			counts[proxy.shard]++
@@ -80,12 +80,12 @@
 	}
 	s.stats.Redirected++
 	shard := conn.stream.shard
-	s.misrouted.note(conn.stream.join.Name, shard, s.config.Now())
+	s.misrouted.record(conn.stream.join.Name, shard, s.config.Now())
 	if holder := s.config.Leases.Holder(shard); holder != "" {
 		s.endWithError(conn, fmt.Sprintf(errorMoved+" %d %s: join there; keep what you hold", shard, holder))
 		return
 	}
 	s.endWithError(conn, fmt.Sprintf(
 		errorMoved+" %d - : nobody has it yet, ask again in %d milliseconds; keep what you hold",
-		shard, unheldRetry/time.Millisecond))
+		shard, noHolderRetryDelay/time.Millisecond))
 }
--- a/internal/pubsub/observer.go
+++ b/internal/pubsub/observer.go
@@ -13,7 +13,7 @@
 
 // subscribe makes the peer an observer: it is sent the complete state and each later version.
 func (c *connection) subscribe(args []resp.Value) error {
-	if !c.saidHello {
+	if !c.receivedHello {
 		return errHelloFirst
 	}
 	for _, arg := range args {
@@ -25,13 +25,13 @@
 	server := c.server
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if !c.observes && server.observerCount >= server.config.Limits.Observers {
+	if !c.isObserver && server.observerCount >= server.config.Limits.Observers {
 		return fmt.Errorf("%d observers are here, no more are taken", server.observerCount)
 	}
-	c.stayOpen()
+	c.clearReadDeadline()
 	server.connections.Write(c, encodeSubscription("subscribe", 1))
-	if !c.observes {
-		c.observes = true
+	if !c.isObserver {
+		c.isObserver = true
 		server.observerCount++
 		server.sendObserverSnapshot(c)
 	}
@@ -42,8 +42,8 @@
 	server := c.server
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if c.observes {
-		c.observes = false
+	if c.isObserver {
+		c.isObserver = false
 		server.observerCount--
 		delete(server.folded, c)
 	}
@@ -68,15 +68,15 @@
 
 // notifyObservers sends a batch to all observers; s.mu is held.
 func (s *Server) notifyObservers(batch *snapshot.Batch) {
-	text, err := json.Marshal(s.change(batch))
+	text, err := json.Marshal(s.changeMessage(batch))
 	if err != nil {
 		return // only infinite weights fail to encode; the balancer's tests exclude them
 	}
 	encoded := encodeTopicMessage(text)
 	for conn := range s.connections.Sessions() {
 		switch {
-		case !conn.observes || s.folded[conn]:
-		case s.hasTooMuchUnsent(conn):
+		case !conn.isObserver || s.folded[conn]:
+		case s.exceedsUnsentBudget(conn):
 			s.fold(conn)
 		default:
 			s.connections.Write(conn, encoded)
@@ -86,7 +86,7 @@
 
 // sendObserverSnapshot sends an observer the complete state; s.mu is held.
 func (s *Server) sendObserverSnapshot(conn *connection) {
-	if text, err := json.Marshal(s.snapshot()); err == nil {
+	if text, err := json.Marshal(s.snapshotMessage()); err == nil {
 		s.connections.Write(conn, encodeTopicMessage(text))
 	}
 }
--- a/internal/pubsub/observer_test.go
+++ b/internal/pubsub/observer_test.go
@@ -8,15 +8,15 @@
 	"github.com/redis/go-redis/v9"
 )
 
-// TestRedisClientObserves: An observer that uses a third-party Redis client receives the complete state once, then each
-// version exactly once and in order.
-func TestRedisClientObserves(t *testing.T) {
+// TestRedisObserverReceivesSnapshotThenEachChange: An observer that uses a third-party Redis client receives the
+// complete state once, then each version exactly once and in order.
+func TestRedisObserverReceivesSnapshotThenEachChange(t *testing.T) {
 	harness := startServer(t, nil)
 	harness.join(t, "till")
-	harness.publish(-1, weight(1, 1), bind(0))
+	harness.publish(-1, setWeight(1, 1), bindProxy(0))
 	client := redis.NewClient(&redis.Options{Addr: harness.server.Addr(), Protocol: 3, PoolSize: 2})
 	defer func() { _ = client.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	subscription := client.Subscribe(ctx, topic)
 	defer func() { _ = subscription.Close() }()
@@ -29,7 +29,7 @@
 	}
 	const changes = 200
 	for n := range changes {
-		harness.publish(-1, weight(byte(n+2), 0.5))
+		harness.publish(-1, setWeight(byte(n+2), 0.5))
 	}
 	for n := range changes {
 		var change Change
--- a/internal/pubsub/observermessage.go
+++ b/internal/pubsub/observermessage.go
@@ -59,11 +59,11 @@
 func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.snapshot()
+	return s.snapshotMessage()
 }
 
-// snapshot returns the published state; s.mu is held.
-func (s *Server) snapshot() Snapshot {
+// snapshotMessage returns the published state; s.mu is held.
+func (s *Server) snapshotMessage() Snapshot {
 	published := s.published
 	message := Snapshot{
 		Kind:        kindSnapshot,
@@ -97,8 +97,8 @@
 	return message
 }
 
-// change returns the message for a batch that has just been published; s.mu is held.
-func (s *Server) change(batch *snapshot.Batch) Change {
+// changeMessage returns the message for a batch that has just been published; s.mu is held.
+func (s *Server) changeMessage(batch *snapshot.Batch) Change {
 	message := Change{
 		Kind:        kindChange,
 		Incarnation: s.published.Incarnation,
--- a/internal/pubsub/observermessage_test.go
+++ b/internal/pubsub/observermessage_test.go
@@ -16,9 +16,9 @@
 
 var updateGolden = flag.Bool("update", false, "write the current messages to the golden files in testdata")
 
-// TestObserverMessagesKeepTheirKeys: Messages to observers are byte for byte equal to golden files, because observers
-// depend on their keys. Decoding gives the same message again.
-func TestObserverMessagesKeepTheirKeys(t *testing.T) {
+// TestObserverMessagesMatchGoldenFiles: Messages to observers are byte for byte equal to golden files, because
+// observers depend on their keys. Decoding gives the same message again.
+func TestObserverMessagesMatchGoldenFiles(t *testing.T) {
 	published := snapshot.New(3, 6)
 	published.Subscribe(7, "till-1")
 	published.Subscribe(8, "till-2")
@@ -33,8 +33,8 @@
 	}}
 	published.Apply(batch)
 	server := &Server{published: published}
-	checkMessage(t, "change.json", server.change(batch), &Change{})
-	checkMessage(t, "snapshot.json", server.snapshot(), &Snapshot{})
+	checkMessage(t, "change.json", server.changeMessage(batch), &Change{})
+	checkMessage(t, "snapshot.json", server.snapshotMessage(), &Snapshot{})
 }
 
 // checkMessage compares a message's JSON with a golden file, decodes the file into empty and compares that with the
--- a/internal/pubsub/pacedqueue.go
+++ b/internal/pubsub/pacedqueue.go
@@ -9,7 +9,7 @@
 // entries determines how long it occupies the channel. It does no I/O.
 type pacedQueue struct {
 	entriesPerSecond  float64
-	busyUntil         model.Microseconds // departure time of the last queued message
+	lastDeparture     model.Microseconds // departure time of the last queued message
 	messages          []*queuedMessage
 	waitingEntries    int
 	maxWaitingEntries int
@@ -26,8 +26,8 @@
 // enqueue adds a message for a stream.
 func (q *pacedQueue) enqueue(now model.Microseconds, delivery snapshot.Delivery, streamID uint64) {
 	duration := model.Microseconds(float64(delivery.Message.Cost) / q.entriesPerSecond * float64(model.Second))
-	q.busyUntil = max(q.busyUntil, now) + duration
-	q.messages = append(q.messages, &queuedMessage{delivery: delivery, streamID: streamID, departsAt: q.busyUntil})
+	q.lastDeparture = max(q.lastDeparture, now) + duration
+	q.messages = append(q.messages, &queuedMessage{delivery: delivery, streamID: streamID, departsAt: q.lastDeparture})
 	q.waitingEntries += delivery.Message.Cost
 	q.maxWaitingEntries = max(q.maxWaitingEntries, q.waitingEntries)
 }
--- a/internal/pubsub/pacedqueue_test.go
+++ b/internal/pubsub/pacedqueue_test.go
@@ -7,9 +7,9 @@
 	"peppervale/internal/snapshot"
 )
 
-// TestPacedQueue: Queued messages are counted in entries and leave at the channel's pace. Queued messages of a stream
-// that has ended do not count.
-func TestPacedQueue(t *testing.T) {
+// TestPacedQueueReleasesMessagesAtPace: Queued messages are counted in entries and leave at the channel's pace. Queued
+// messages of a stream that has ended do not count.
+func TestPacedQueueReleasesMessagesAtPace(t *testing.T) {
 	queue := pacedQueue{entriesPerSecond: 1000}
 	ofCost := func(cost int) snapshot.Delivery {
 		return snapshot.Delivery{Message: &pubsubmsg.Message{Cost: cost}}
--- a/internal/pubsub/protocolerror_test.go
+++ b/internal/pubsub/protocolerror_test.go
@@ -13,18 +13,18 @@
 	return pubsubmsg.AppendJoin(nil, pubsubmsg.Join{Name: name, Zone: zone})
 }
 
-// TestProtocolErrorsEndTheirConnection: Invalid input ends its connection with one clear error and does not affect
+// TestProtocolErrorsEndOnlyTheirConnection: Invalid input ends its connection with one clear error and does not affect
 // other connections.
-func TestProtocolErrorsEndTheirConnection(t *testing.T) {
+func TestProtocolErrorsEndOnlyTheirConnection(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = time.Minute })
-	good, _ := harness.join(t, "till")
+	otherProxy, _ := harness.join(t, "till")
 	hello := string(helloCommand())
 	joined := hello + string(joinCommand("other", "govan"))
 	contradicting := resp.AppendCommand(nil, "SUMS", "1", "1000000", "127.0.0.1:80", "1", "2", "0", "")
 	for name, tt := range map[string]struct{ sent, reason string }{
-		"no RESP":                {"GET / HTTP/1.1\r\n\r\n", "opens no value"},
+		"not RESP":               {"GET / HTTP/1.1\r\n\r\n", "opens no value"},
 		"a length of 2^62":       {"$4611686018427387904\r\n", "a string of"},
-		"nesting":                {strings.Repeat("*1\r\n", 1000), "nesting deeper"},
+		"deep nesting":           {strings.Repeat("*1\r\n", 1000), "nesting deeper"},
 		"a value, not a command": {":1\r\n", "a command is an array"},
 		"a join without hello":   {string(joinCommand("x", "govan")), "HELLO 3 first"},
 		"an unknown zone":        {hello + string(joinCommand("x", "leith")), "there are govan, kelvin"},
@@ -36,8 +36,8 @@
 		"a subscription without hello": {
 			string(resp.AppendCommand(nil, "SUBSCRIBE", "tables")), "HELLO 3 first",
 		},
-		"an incomplete join":   {hello + string(resp.AppendCommand(nil, "JOIN", "x")), "JOIN takes"},
-		"reports over no time": {joined + string(resp.AppendCommand(nil, "SUMS", "1", "0")), "a span of"},
+		"an incomplete join":         {hello + string(resp.AppendCommand(nil, "JOIN", "x")), "JOIN takes"},
+		"reports over a window of 0": {joined + string(resp.AppendCommand(nil, "SUMS", "1", "0")), "a span of"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := harness.dial(t)
@@ -48,8 +48,8 @@
 	unknown := harness.dial(t)
 	unknown.Send(resp.AppendCommand(nil, "FLUSHALL"))
 	unknown.expectError("known are ACK")
-	harness.publish(1, withdraw(1))
-	good.expectAckSequence(1)
+	harness.publish(1, withdrawReplica(1))
+	otherProxy.expectAckSequence(1)
 }
 
 // expectEndWith checks that the connection ends after an error that contains the reason.
--- a/internal/pubsub/proxy_test.go
+++ b/internal/pubsub/proxy_test.go
@@ -17,7 +17,7 @@
 	if !first.Full || first.Bound || first.Incarnation != 3 {
 		t.Fatalf("the first message is %+v", first)
 	}
-	harness.publish(7, weight(1, 0.5), weight(2, 1), bind(0), withdraw(2))
+	harness.publish(7, setWeight(1, 0.5), setWeight(2, 1), bindProxy(0), withdrawReplica(2))
 	bound := client.message()
 	if !bound.Full || !bound.Bound || len(bound.Entries) != 2 || len(bound.Withdrawals) != 1 {
 		t.Fatalf("the bind is %+v, want a full table of 2 entries with 1 withdrawal", bound)
@@ -25,9 +25,9 @@
 	if bound.AckSequence != 7 || bound.PreviousVersion != first.Version {
 		t.Fatalf("the bind is %+v, want acknowledgement sequence 7 and the snapshot as previous version", bound)
 	}
-	harness.publish(8, weight(1, 0.6), weight(2, 0))
+	harness.publish(8, setWeight(1, 0.6), setWeight(2, 0))
 	changed := client.message()
-	expectRemoval(t, changed, bound.Version)
+	expectChangeWithRemoval(t, changed, bound.Version)
 	acknowledgeAndReport(client, changed.Version)
 	harness.waitForEvent("acknowledged 0 8")
 	harness.waitForEvent("reported 1 1")
@@ -39,8 +39,8 @@
 	}
 }
 
-// expectRemoval checks that a change follows a version and has two entries, the second of which is removed.
-func expectRemoval(t *testing.T, change *pubsubmsg.Message, previousVersion uint64) {
+// expectChangeWithRemoval checks that a change follows a version and has two entries, the second of which is removed.
+func expectChangeWithRemoval(t *testing.T, change *pubsubmsg.Message, previousVersion uint64) {
 	t.Helper()
 	if change.Full || change.PreviousVersion != previousVersion || change.Cost != 6+2+1 {
 		t.Fatalf("the change is %+v, want one that follows the previous version and costs 9 entries", change)
@@ -68,21 +68,21 @@
 	}))
 }
 
-// TestReconnectBetweenSnapshotAndChange: If a proxy reconnects between its snapshot and the first change, the new
+// TestReconnectDiscardsMessagesOfOldStream: If a proxy reconnects between its snapshot and the first change, the new
 // stream starts with its own snapshot, and messages queued for the old stream do not reach the new one.
-func TestReconnectBetweenSnapshotAndChange(t *testing.T) {
+func TestReconnectDiscardsMessagesOfOldStream(t *testing.T) {
 	// A message of 6 + 2 entries is queued for 130 ms.
 	harness := startServer(t, func(config *Config) { config.EntriesPerSecond = 60 })
 	client, _ := harness.join(t, "till")
-	harness.publish(1, weight(1, 1), bind(0))
+	harness.publish(1, setWeight(1, 1), bindProxy(0))
 	client.Close()
 	harness.waitForEvent("disconnected 0")
-	again, first := harness.join(t, "till")
+	newer, first := harness.join(t, "till")
 	if first.Bound || first.AckSequence != -1 {
 		t.Fatalf("the new stream begins with %+v", first)
 	}
-	harness.publish(2, bind(0))
-	bound := again.message()
+	harness.publish(2, bindProxy(0))
+	bound := newer.message()
 	if bound.AckSequence != 2 || bound.PreviousVersion != first.Version || !bound.Bound {
 		t.Fatalf("the message after the snapshot is %+v", bound)
 	}
@@ -91,13 +91,14 @@
 	}
 }
 
-// TestResyncBringsSnapshot: A proxy that sends RESYNC receives a snapshot, and no second one within a second.
-func TestResyncBringsSnapshot(t *testing.T) {
+// TestResyncSendsOneSnapshotPerSecond: A proxy that sends RESYNC receives a snapshot, and no second one within a
+// second.
+func TestResyncSendsOneSnapshotPerSecond(t *testing.T) {
 	harness := startServer(t, func(config *Config) {
 		config.Now = func() model.Microseconds { return 5 * model.Second }
 	})
 	client, _ := harness.join(t, "till")
-	harness.publish(1, weight(1, 1), bind(0))
+	harness.publish(1, setWeight(1, 1), bindProxy(0))
 	bound := client.message()
 	client.Send(resp.AppendCommand(nil, "RESYNC"))
 	resynced := client.message()
@@ -116,7 +117,7 @@
 	older, _ := harness.join(t, "till")
 	newer, _ := harness.join(t, "till")
 	older.expectError("replaced")
-	harness.publish(4, withdraw(1))
+	harness.publish(4, withdrawReplica(1))
 	newer.expectAckSequence(4)
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Replaced != 1 {
 		t.Fatalf("unexpected statistics: %+v", stats)
--- a/internal/pubsub/proxycommand.go
+++ b/internal/pubsub/proxycommand.go
@@ -31,8 +31,8 @@
 	if err := c.requireJoined(); err != nil {
 		return err
 	}
-	asksForNone := ack.Sequence < 0 || ack.Sequence > maxAckSequence
-	if ack.Incarnation != c.server.config.Incarnation || asksForNone {
+	isOutOfRange := ack.Sequence < 0 || ack.Sequence > maxAckSequence
+	if ack.Incarnation != c.server.config.Incarnation || isOutOfRange {
 		return nil
 	}
 	c.server.events.Acknowledged(c.stream.proxy, c.stream.id, uint32(ack.Sequence))
@@ -48,10 +48,10 @@
 	if err := c.requireJoined(); err != nil {
 		return err
 	}
-	if message.Sequence <= c.stream.lastReport {
+	if message.Sequence <= c.stream.lastReportSequence {
 		return nil
 	}
-	c.stream.lastReport = message.Sequence
+	c.stream.lastReportSequence = message.Sequence
 	for i := range message.Reports {
 		message.Reports[i].Zone = c.stream.zone
 		message.Reports[i].Window = message.Window
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -28,18 +28,18 @@
 	connections *connserver.Server[*connection]
 	wakeSender  chan struct{}
 
-	mu            sync.Mutex
-	joins         *admission.Controller
-	published     *snapshot.State
-	queue         pacedQueue
-	streams       map[model.ProxyID]*connection // the joined connections, by proxy
-	proxyIDs      map[string]model.ProxyID      // by name, of all proxies that joined in this incarnation
-	observerCount int
-	folded        map[*connection]bool // slow readers, which get a snapshot once they resume reading
-	misrouted     misroutedProxies
-	lastID        uint64 // last number of a connection or a stream
-	shutdownEnds  time.Time
-	stats         Stats
+	mu               sync.Mutex
+	joins            *admission.Controller
+	published        *snapshot.State
+	queue            pacedQueue
+	streams          map[model.ProxyID]*connection // the joined connections, by proxy
+	proxyIDs         map[string]model.ProxyID      // by name, of all proxies that joined in this incarnation
+	observerCount    int
+	folded           map[*connection]bool // slow readers, which get a snapshot once they resume reading
+	misrouted        misroutedProxies
+	lastID           uint64 // last number of a connection or a stream
+	shutdownDeadline time.Time
+	stats            Stats
 }
 
 // Listen opens the address and serves it until Close. It returns an error if the address cannot be opened.
@@ -58,9 +58,9 @@
 		misrouted:  misroutedProxies{},
 	}
 	server.connections = connserver.New(&server.mu, connserver.Handlers[*connection]{
-		Opened:   server.opened,
-		Received: server.received,
-		Closed:   server.closed,
+		Opened:   server.registerConnection,
+		Received: server.readCommands,
+		Closed:   server.handleClosed,
 	})
 	if err := server.connections.Listen(pollers, config.Listen); err != nil {
 		return nil, fmt.Errorf("channel: %w", err)
@@ -92,8 +92,8 @@
 	for {
 		s.mu.Lock()
 		now := s.config.Now()
-		s.sendDue(now)
-		s.sendFolded()
+		s.sendDueMessages(now)
+		s.sendFoldedSnapshots()
 		wait := s.nextSendWait(now)
 		s.mu.Unlock()
 		timer.Reset(max(wait, minSendWait))
--- a/internal/pubsub/shutdown_test.go
+++ b/internal/pubsub/shutdown_test.go
@@ -8,9 +8,9 @@
 	"peppervale/internal/codec/resp"
 )
 
-// TestGracefulShutdown: A connected proxy is asked to join another controller. A proxy that tries to join during the
-// shutdown is rejected with a retry delay.
-func TestGracefulShutdown(t *testing.T) {
+// TestGracefulShutdownMovesProxiesAndRejectsJoins: A connected proxy is asked to join another controller. A proxy that
+// tries to join during the shutdown is rejected with a retry delay.
+func TestGracefulShutdownMovesProxiesAndRejectsJoins(t *testing.T) {
 	harness := startServer(t, nil)
 	client, _ := harness.join(t, "till")
 	done := make(chan struct{})
--- a/internal/pubsub/slowreader_test.go
+++ b/internal/pubsub/slowreader_test.go
@@ -21,21 +21,21 @@
 	}
 }
 
-// TestSlowReaderGetsSnapshot: A slow reader does not delay other proxies, and receives the changes that it missed as
-// one snapshot.
-func TestSlowReaderGetsSnapshot(t *testing.T) {
+// TestSlowReaderReceivesMissedChangesAsSnapshot: A slow reader does not delay other proxies, and receives the changes
+// that it missed as one snapshot.
+func TestSlowReaderReceivesMissedChangesAsSnapshot(t *testing.T) {
 	harness := startServer(t, func(config *Config) {
 		config.Limits.UnsentBytes = 4096
 		config.EntriesPerSecond = 1e9
 	})
 	slow, _ := harness.join(t, "slow")
-	quick, _ := harness.join(t, "quick")
+	fast, _ := harness.join(t, "quick")
 	slow.limitReceiveBuffer(64 << 10)
-	harness.publish(-1, bind(0), bind(1), weight(1, 1))
+	harness.publish(-1, bindProxy(0), bindProxy(1), setWeight(1, 1))
 	last := 0
 	for n := 1; harness.server.Stats().SnapshotFolds == 0; n++ {
-		harness.publish(n%65536, weights(float64(n))...)
-		quick.receiveUntil(n) // receives every update
+		harness.publish(n%65536, setWeights(float64(n))...)
+		fast.receiveUntil(n) // receives every update
 		last = n
 		if n > 5000 {
 			t.Fatal("no changes were folded after 5000 updates that the slow proxy did not read")
@@ -54,30 +54,30 @@
 // TestSlowReadersShareUnsentBudget: Many peers that do not read share the limit on all unsent bytes: the sum of unsent
 // bytes stays within it, and a proxy that reads receives every update.
 func TestSlowReadersShareUnsentBudget(t *testing.T) {
-	const slowReaders, unsentAll = 20, 64 << 10
+	const slowReaders, totalLimit = 20, 64 << 10
 	harness := startServer(t, func(config *Config) {
 		config.Limits.UnsentBytes = 4096 // also limits the kernel's send buffer
 		config.EntriesPerSecond = 1e9
 	})
-	reader, _ := harness.join(t, "reads")
-	updates := []snapshot.Update{bind(0)}
+	fast, _ := harness.join(t, "reads")
+	updates := []snapshot.Update{bindProxy(0)}
 	for n := range slowReaders {
 		client, _ := harness.join(t, fmt.Sprint("slow", n))
 		client.limitReceiveBuffer(4096)
-		updates = append(updates, bind(model.ProxyID(n+1)))
+		updates = append(updates, bindProxy(model.ProxyID(n+1)))
 	}
-	harness.server.SetLimits(Limits{UnsentBytes: 1 << 20, TotalUnsentBytes: unsentAll}, admission.Limits{})
+	harness.server.SetLimits(Limits{UnsentBytes: 1 << 20, TotalUnsentBytes: totalLimit}, admission.Limits{})
 	harness.publish(-1, updates...)
-	var most int64
+	var maxUnsent int64
 	for n := 1; harness.server.Stats().SnapshotFolds < slowReaders; n++ {
-		harness.publish(n%65536, weights(float64(n))...)
-		reader.receiveUntil(n % 65536) // receives every update
-		most = max(most, harness.server.Stats().UnsentBytes)
+		harness.publish(n%65536, setWeights(float64(n))...)
+		fast.receiveUntil(n % 65536) // receives every update
+		maxUnsent = max(maxUnsent, harness.server.Stats().UnsentBytes)
 		if n > 20_000 {
 			t.Fatalf("%d folds after 20,000 updates, want one for each slow reader", harness.server.Stats().SnapshotFolds)
 		}
 	}
-	if most < unsentAll/2 || most > unsentAll+(slowReaders+1)*16<<10 {
-		t.Fatalf("at most %d bytes were unsent, with a limit of %d", most, unsentAll)
+	if maxUnsent < totalLimit/2 || maxUnsent > totalLimit+(slowReaders+1)*16<<10 {
+		t.Fatalf("at most %d bytes were unsent, with a limit of %d", maxUnsent, totalLimit)
 	}
 }
