--- a/internal/netpoll/connserver/server_test.go
+++ b/internal/netpoll/connserver/server_test.go
@@ -11,14 +11,14 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testSession is a connection of a protocol without messages.
+// testSession is a session without protocol state.
 type testSession struct{ Conn }
 
-// testServer hands the sessions that come and go to the test.
+// testServer echoes data, and passes opened and closed sessions to the test.
 type testServer struct {
 	*Server[*testSession]
 	mu     sync.Mutex
@@ -51,10 +51,11 @@
 	return server
 }
 
-// TestWriteCountsUnsentBytes: What was written counts until the socket has accepted it, and the total with it.
-func TestWriteCountsUnsentBytes(t *testing.T) {
+// TestWrittenBytesCountAsUnsentUntilAccepted: Written bytes count as unsent for the connection and in total until the
+// socket has accepted them.
+func TestWrittenBytesCountAsUnsentUntilAccepted(t *testing.T) {
 	server := startServer(t)
-	client := netpolltest.Dial(t, server.Addr(), patience)
+	client := netpolltest.Dial(t, server.Addr(), waitTimeout)
 	session := <-server.opened
 	client.SendCommands("ping")
 	if value, ok := client.Next(); !ok || value.Items[0].Text != "ping" {
@@ -70,21 +71,21 @@
 
 func waitForNoUnsentBytes(t *testing.T, server *testServer, session *testSession) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		if session.UnsentBytes() == 0 && server.UnsentBytes() == 0 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d bytes unsent, %d in all", session.UnsentBytes(), server.UnsentBytes())
+			t.Fatalf("%d bytes unsent on the connection, %d in total, want 0", session.UnsentBytes(), server.UnsentBytes())
 		}
 	}
 }
 
-// TestUnregisteredConnection: A connection that was unregistered is ended, is sent nothing more, and leaves no unsent
-// bytes behind; it can be unregistered once only.
-func TestUnregisteredConnection(t *testing.T) {
+// TestUnregisteredConnectionIsSentNothing: An unregistered connection has ended, is sent nothing more, and adds no
+// unsent bytes. It can be unregistered only once.
+func TestUnregisteredConnectionIsSentNothing(t *testing.T) {
 	server := startServer(t)
-	client := netpolltest.Dial(t, server.Addr(), patience)
+	client := netpolltest.Dial(t, server.Addr(), waitTimeout)
 	session := <-server.opened
 	expectUnregister(t, server, session)
 	server.CloseOnPoller(session)
@@ -92,7 +93,7 @@
 		t.Errorf("received %v", value)
 	}
 	if closed := <-server.closed; closed != session {
-		t.Errorf("end of %p reported, want %p", closed, session)
+		t.Errorf("Closed was called for session %p, want %p", closed, session)
 	}
 }
 
@@ -101,24 +102,25 @@
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if server.Count() != 1 || !server.Registered(session) || session.Ended() {
-		t.Fatalf("%d registered, this one %t, ended %t", server.Count(), server.Registered(session), session.Ended())
+		t.Fatalf("%d registered, this one %t, ended %t; want 1, true, false",
+			server.Count(), server.Registered(session), session.Ended())
 	}
 	if !server.Unregister(session) || server.Unregister(session) {
-		t.Error("unregistered never or twice")
+		t.Error("want true from the first Unregister and false from the second")
 	}
 	server.Write(session, []byte("after the end"))
 	if !session.Ended() || server.Count() != 0 {
-		t.Errorf("ended %t, %d registered", session.Ended(), server.Count())
+		t.Errorf("ended %t, %d connections registered", session.Ended(), server.Count())
 	}
 	if server.BytesWritten() != 0 || server.UnsentBytes() != 0 || session.UnsentBytes() != 0 {
-		t.Errorf("%d bytes written, %d unsent", server.BytesWritten(), server.UnsentBytes())
+		t.Errorf("%d bytes written, %d unsent; want none", server.BytesWritten(), server.UnsentBytes())
 	}
 }
 
-// TestCloseWaitsForRoutines: Close ends background routines and every connection, and may be called again.
-func TestCloseWaitsForRoutines(t *testing.T) {
+// TestCloseEndsRoutinesAndConnections: Close ends background routines and all connections, and may be called again.
+func TestCloseEndsRoutinesAndConnections(t *testing.T) {
 	server := startServer(t)
-	client := netpolltest.Dial(t, server.Addr(), patience)
+	client := netpolltest.Dial(t, server.Addr(), waitTimeout)
 	<-server.opened
 	ended := false
 	server.Go(func() {
@@ -127,7 +129,7 @@
 	})
 	server.Close()
 	if !ended {
-		t.Error("a background routine outlives Close")
+		t.Error("a background routine is still running after Close")
 	}
 	if value, ok := client.Next(); ok {
 		t.Errorf("received %v", value)
