--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// ticksPerReport is how often the timer fires in a report period, and so the ticks that a round of binds takes.
+	// ticksPerReport is the number of timer ticks in a report period.
 	ticksPerReport = 5
-	// minTick bounds the work where the report period is short.
+	// minTick is the shortest timer period. It bounds the CPU time used where the report period is short.
 	minTick = 50 * model.Millisecond
-	// resubscribeDelay is the wait after a failed poll of the endpoint list: an immediate one would add to the load of a
-	// failing server.
+	// resubscribeDelay is the time from a failed poll of the endpoint list to the next subscription. Subscribing again
+	// at once would add to the load of a failing server.
 	resubscribeDelay = model.Second
 )
 
-// Balancer is one instance. Its methods must not be called concurrently.
+// Balancer holds the state of one balancer instance. Its methods must not be called concurrently.
 type Balancer struct {
 	config    model.Config
 	publisher model.Publisher
@@ -23,7 +23,7 @@
 
 	replicas     []*replica // in random order
 	replicasByID map[model.ReplicaID]*replica
-	proxies      []*proxy // in the order connected
+	proxies      []*proxy // in the order in which they connected
 	proxiesByID  map[model.ProxyID]*proxy
 
 	safeMode  safeMode
@@ -35,13 +35,13 @@
 	window    sendWindow
 
 	ticked        bool               // the timer fired since the last flush
-	changed       bool               // a proxy connected or a replica changed since then
-	weightsSentAt model.Microseconds // when weight changes that are not urgent were last sent
+	changed       bool               // a proxy connected or a replica changed since the last flush
+	weightsSentAt model.Microseconds // when routine weight changes were last sent
 }
 
-// New makes a balancer, subscribes it to the endpoint list if that is sent to subscribers only, sets its timer, starts
-// its start window and publishes the first quotas. The balancer keeps the publisher, and calls it only from within its
-// own methods.
+// New creates a balancer, subscribes it to the endpoint list if the list is sent to subscribers only, sets its timer,
+// starts its start window and publishes the first quotas. The balancer keeps the publisher, and calls it only from
+// within its own methods.
 func New(config model.Config, publisher model.Publisher, now model.Microseconds) *Balancer {
 	balancer := &Balancer{
 		config:       config,
@@ -66,32 +66,32 @@
 	return balancer
 }
 
-// tickPeriod is the period of the one timer.
+// tickPeriod is the period of the timer.
 func (b *Balancer) tickPeriod() model.Microseconds {
 	return max(b.config.ReportPeriod/ticksPerReport, minTick)
 }
 
-// EndpointsChanged handles an endpoint update. A failed poll has no endpoints: the known list stays, and the balancer
-// subscribes again after resubscribeDelay.
+// EndpointsChanged handles an update of the endpoint list. A failed poll carries no endpoints: the balancer keeps the
+// endpoints that it knows, and subscribes again after resubscribeDelay.
 func (b *Balancer) EndpointsChanged(now model.Microseconds, update model.EndpointUpdate, endpoints []model.Endpoint) {
 	b.now = now
 	if update == model.PollFailed {
 		b.deadlines.add(deadline{at: now + resubscribeDelay, kind: resubscribeDeadline})
 		return
 	}
-	named := map[*replica]bool{}
+	listed := map[*replica]bool{}
 	for _, endpoint := range endpoints {
 		r := b.findOrAddReplica(endpoint.ID)
-		named[r] = true
+		listed[r] = true
 		b.updateEndpoint(r, endpoint)
 	}
 	if update != model.ChangedEntries {
-		b.removeUnlisted(named)
+		b.removeUnlisted(listed)
 	}
 }
 
 // ProxyConnected adds a proxy whose stream is established; expectedRate is in requests a second. The proxy may still
-// apply withdrawals of other balancers, and lack those of this one.
+// apply withdrawals of other balancers, and has not received those of this one.
 func (b *Balancer) ProxyConnected(now model.Microseconds, id model.ProxyID, zone int, expectedRate float64) {
 	b.ProxyDisconnected(now, id)
 	p := &proxy{id: id, zone: zone % b.config.Zones, expectedRate: expectedRate, state: unbound}
@@ -101,17 +101,17 @@
 	b.changed = true
 }
 
-// ProxyDisconnected removes a proxy whose stream ended; what it had not acknowledged is lost. An unknown proxy is
-// ignored.
+// ProxyDisconnected removes a proxy whose stream ended. Messages that the proxy has not acknowledged are lost. An
+// unknown proxy is ignored.
 func (b *Balancer) ProxyDisconnected(now model.Microseconds, id model.ProxyID) {
 	b.now = now
 	if p := b.proxiesByID[id]; p != nil {
-		apply(b, proxyTransitions, &p.state, streamEnded, p)
+		applyEvent(b, proxyTransitions, &p.state, streamEnded, p)
 	}
 }
 
-// Acknowledged handles a proxy's acknowledgement of a message, by its sequence number; it covers every earlier message
-// too. An unknown proxy or number is ignored.
+// Acknowledged handles a proxy's acknowledgement of a message, given by its sequence number. It acknowledges every
+// earlier message to the proxy too. An unknown proxy or sequence number is ignored.
 func (b *Balancer) Acknowledged(now model.Microseconds, id model.ProxyID, sequence uint32) {
 	b.now = now
 	if p := b.proxiesByID[id]; p != nil {
@@ -119,25 +119,26 @@
 	}
 }
 
-// LoadReported adds what a zone's proxies measured at a replica. A report on an unknown replica, or one whose figures
-// contradict themselves, is dropped.
+// LoadReported adds the attempts that a zone's proxies measured at a replica. A report on an unknown replica, or with
+// contradictory figures, is dropped.
 func (b *Balancer) LoadReported(now model.Microseconds, report model.LoadReport) {
 	b.now = now
 	r := b.replicasByID[report.Replica]
-	if r == nil || contradicts(report) {
+	if r == nil || isContradictory(report) {
 		return
 	}
 	r.load.record(now, report, b.config.UtilizationField)
-	b.load.arrived += float64(report.Attempts)
+	b.load.reportedAttempts += float64(report.Attempts)
 }
 
-// TimerFired sets the timer again, handles the deadlines that are due and, once a report period, digests load reports.
+// TimerFired sets the timer again, handles the deadlines that are due and, once in a report period, digests load
+// reports.
 func (b *Balancer) TimerFired(now model.Microseconds) {
 	b.now = now
 	b.ticked = true
 	b.publisher.SetTimer(b.tickPeriod())
 	for {
-		d, due := b.deadlines.next(now)
+		d, due := b.deadlines.removeDue(now)
 		if !due {
 			break
 		}
@@ -148,13 +149,13 @@
 	}
 }
 
-// Flush publishes the updates that follow from the events since the last call. To be called once all events of one
-// moment have been passed in.
+// Flush publishes the updates that follow from the events since the last call. Call it after all events that have the
+// same timestamp.
 func (b *Balancer) Flush(now model.Microseconds) {
 	b.now = now
 	if b.ticked || b.changed {
-		b.window.measureAge(now, b.proxies)
-		b.binder.forgetCosts()
+		b.window.countAgedEntries(now, b.proxies)
+		b.binder.clearCosts()
 		b.bindProxies()
 		b.withdrawReplicas()
 		b.removeUnavailableEntries()
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/model"
 )
 
-// contradictoryReports have figures that contradict each other, or the configuration.
+// contradictoryReports returns load reports with figures that contradict each other or the configuration.
 func contradictoryReports() []model.LoadReport {
 	return []model.LoadReport{
 		{Replica: replicaID(1), Attempts: 5},
@@ -28,22 +28,22 @@
 func TestWeightsStayNumbersOnContradictoryEvents(t *testing.T) {
 	for name, disturb := range map[string]func(fleet *fakeFleet){
 		"no listed replica": func(fleet *fakeFleet) { fleet.updateEndpoints(model.FullList) },
-		"all draining": func(fleet *fakeFleet) {
+		"every replica draining": func(fleet *fakeFleet) {
 			for k := range 6 {
 				fleet.drain(k + 1)
 			}
 		},
-		"an empty zone and a zone beyond the configured ones": func(fleet *fakeFleet) {
+		"a zone without replicas and zones that are not configured": func(fleet *fakeFleet) {
 			fleet.balancer.ProxyConnected(fleet.now, 8, 1, 10)
 			fleet.balancer.ProxyConnected(fleet.now, 9, 77, 10)
 			fleet.updateEndpoints(model.ChangedEntries, readyEndpoint(9, 55))
 		},
-		"load reports that contradict themselves": func(fleet *fakeFleet) {
+		"contradictory load reports": func(fleet *fakeFleet) {
 			for _, report := range contradictoryReports() {
 				fleet.balancer.LoadReported(fleet.now, report)
 			}
 		},
-		"unknown proxies and acknowledgements": func(fleet *fakeFleet) {
+		"unknown proxies and sequence numbers, a second connect": func(fleet *fakeFleet) {
 			fleet.disconnect(77)
 			fleet.balancer.Acknowledged(fleet.now, 77, 1)
 			fleet.balancer.Acknowledged(fleet.now, 1, 60000)
@@ -53,10 +53,10 @@
 		t.Run(name, func(t *testing.T) {
 			fleet := startWarmFleet(t, 6, reportsUtilization)
 			disturb(fleet)
-			fleet.run(5, fleet.goodReports(6))
+			fleet.advance(5, fleet.goodReports(6))
 			for r, weight := range fleet.weights {
 				isNumber := !math.IsNaN(weight) && !math.IsInf(weight, 0) && weight >= 0
-				require(t, isNumber, "replica %v at %v", r, weight)
+				require(t, isNumber, "replica %v has weight %v, want a finite number of at least 0", r, weight)
 			}
 		})
 	}
@@ -66,12 +66,12 @@
 	var first []string
 	for range 5 {
 		fleet := startFleet(t, 12, nil)
-		fleet.run(15, fleet.goodReports(12))
+		fleet.advance(15, fleet.goodReports(12))
 		fleet.updateEndpoints(model.FullList, readyEndpoint(3, 0), readyEndpoint(5, 0), readyEndpoint(20, 1))
-		fleet.run(5, fleet.goodReports(5))
+		fleet.advance(5, fleet.goodReports(5))
 		if first == nil {
 			first = fleet.updates
 		}
-		require(t, reflect.DeepEqual(first, fleet.updates), "updates differ")
+		require(t, reflect.DeepEqual(first, fleet.updates), "updates differ between two runs of the same events")
 	}
 }
--- a/internal/balancer/binding.go
+++ b/internal/balancer/binding.go
@@ -7,61 +7,61 @@
 	"peppervale/internal/model"
 )
 
-// proxyState is a state of a connected proxy.
+// proxyState is a state of a proxy.
 type proxyState uint8
 
 const (
-	unbound      proxyState = 1 << iota // on standing tables, which this balancer did not make
-	bound                               // on tables of this balancer
-	disconnected                        // gone
+	unbound      proxyState = 1 << iota // uses a standing table, which this balancer did not make
+	bound                               // uses tables of this balancer
+	disconnected                        // its stream ended
 )
 
 // proxyEvent is an event of a proxy's state machine.
 type proxyEvent uint8
 
 const (
-	bindDue             proxyEvent = 1 << iota // its turn in a round of binds has come
-	emptyTableSuspected                        // its standing table may be empty
+	bindDue             proxyEvent = 1 << iota // the proxy's turn in a round of binds
+	emptyTableSuspected                        // the proxy's standing table may be empty
 	streamEnded
 )
 
 var proxyTransitions = []transition[proxyState, proxyEvent, *proxy]{
 	{unbound, bindDue | emptyTableSuspected, bound, (*Balancer).bind},
-	{unbound | bound, streamEnded, disconnected, (*Balancer).forgetProxy},
+	{unbound | bound, streamEnded, disconnected, (*Balancer).removeProxy},
 }
 
-// proxy is what is known of a connected proxy.
+// proxy is the state of a connected proxy.
 type proxy struct {
 	id           model.ProxyID
 	zone         int
 	expectedRate float64 // requests a second
 	state        proxyState
-	tables       []*table // one, or one more for operations that stay in its zone
+	tables       []*table // none while unbound; a second one for zone-local operations if they have their own tables
 
-	reserved     int // entries reserved in the message being written; 0: the message does not reach it
+	reserved     int // entries charged for the message being written; 0: the message does not go to this proxy
 	unacked      []sentMessage
-	messageTimes []model.Microseconds // of the messages that count against the limit
+	messageTimes []model.Microseconds // send times of the messages that count towards the message limit
 }
 
 const (
-	// bindRoundTicks is the ticks over which all proxies are bound, so a round of binds takes about one report period.
+	// bindRoundTicks is the number of ticks in which a round binds all proxies. A round takes about one report period.
 	bindRoundTicks = ticksPerReport
-	// zoneTableReplicas is the fewest replicas with which a zone has standing tables of its own replicas only.
+	// zoneTableReplicas: a standing table has replicas of its own zone only if the zone has at least this many replicas.
 	zoneTableReplicas = 3
-	// bindOverhead is what a bind costs beyond the entries of its table.
+	// bindOverhead is the cost of a bind, in entries, in addition to the entries of its table.
 	bindOverhead = 2
 )
 
 // binder decides which proxy uses which table.
 type binder struct {
-	unbound         int // proxies
+	unbound         int // number of unbound proxies
 	lastConnectedAt model.Microseconds
-	// bindsFirst: withdrawals that are due leave with binds, which list them.
+	// bindsFirst: withdrawals that are due are not sent on their own, as binds are sent first and contain them.
 	bindsFirst bool
-	// withdrawalsBlocked: withdrawals wait for capacity in the send window, so binds and weights are put off.
+	// withdrawalsBlocked: withdrawals wait for capacity in the send window, so routine binds and weights are delayed.
 	withdrawalsBlocked bool
 
-	// Cached costs of a bind by zone, in entries, without and with bindsFirst; 0: not known.
+	// Cached costs of a bind by zone, in entries, without and with bindsFirst; 0: not computed.
 	costs           []int
 	costsBindsFirst []int
 }
@@ -70,24 +70,24 @@
 	return binder{costs: make([]int, zones), costsBindsFirst: make([]int, zones)}
 }
 
-func (bd *binder) forgetCosts() {
+func (bd *binder) clearCosts() {
 	clear(bd.costs)
 	clear(bd.costsBindsFirst)
 }
 
-// forgetProxy removes a proxy whose stream ended. What it had not acknowledged is lost.
-func (b *Balancer) forgetProxy(gone *proxy) {
-	b.window.release(gone, len(gone.unacked))
-	delete(b.proxiesByID, gone.id)
-	isGone := func(p *proxy) bool { return p == gone }
-	b.proxies = slices.DeleteFunc(b.proxies, isGone)
-	for _, t := range gone.tables {
-		t.users = slices.DeleteFunc(t.users, isGone)
-		t.expectedRate -= gone.expectedRate
+// removeProxy removes a proxy whose stream ended, and releases the entries that it has not acknowledged.
+func (b *Balancer) removeProxy(removed *proxy) {
+	b.window.release(removed, len(removed.unacked))
+	delete(b.proxiesByID, removed.id)
+	isRemoved := func(p *proxy) bool { return p == removed }
+	b.proxies = slices.DeleteFunc(b.proxies, isRemoved)
+	for _, t := range removed.tables {
+		t.users = slices.DeleteFunc(t.users, isRemoved)
+		t.expectedRate -= removed.expectedRate
 	}
 }
 
-// bindProxies binds a fraction of the proxies at each tick once safe mode is over; before that only those whose
+// bindProxies binds a fraction of the proxies at each tick after safe mode. In safe mode it binds only proxies whose
 // standing table may be empty.
 func (b *Balancer) bindProxies() {
 	bindsLeft := 1 + len(b.proxies)/bindRoundTicks
@@ -101,23 +101,24 @@
 		cost := b.bindCost(p.zone, b.binder.bindsFirst)
 		switch {
 		case urgent[p.zone] && b.window.reserve(b.now, recipient, cost, withdrawalBudget):
-			apply(b, proxyTransitions, &p.state, emptyTableSuspected, p)
+			applyEvent(b, proxyTransitions, &p.state, emptyTableSuspected, p)
 		case b.mayBindRoutinely(bindsLeft) && b.window.reserve(b.now, recipient, cost, routineBindBudget),
 			b.binder.bindsFirst && b.window.reserve(b.now, recipient, cost, urgentBindBudget):
 			bindsLeft--
-			apply(b, proxyTransitions, &p.state, bindDue, p)
+			applyEvent(b, proxyTransitions, &p.state, bindDue, p)
 		default:
 			b.binder.unbound++
 		}
 	}
 }
 
-// mayBindRoutinely reports whether a proxy may be bound in a round of binds, of which bindsLeft are left for this tick.
+// mayBindRoutinely reports whether a round of binds may bind one more proxy; bindsLeft is the number of binds left
+// for this tick.
 func (b *Balancer) mayBindRoutinely(bindsLeft int) bool {
 	return !b.safeMode.active() && b.ticked && !b.binder.withdrawalsBlocked && bindsLeft > 0
 }
 
-// urgentZones reports by zone whether its proxies can't wait for the end of safe mode.
+// urgentZones reports by zone whether its proxies must be bound before safe mode ends.
 func (b *Balancer) urgentZones() []bool {
 	urgent := make([]bool, b.config.Zones)
 	for zone := range urgent {
@@ -126,8 +127,8 @@
 	return urgent
 }
 
-// mayHaveEmptyTable reports whether withdrawals may have emptied a zone's standing tables. These have few entries, all
-// of the zone if it has zoneTableReplicas.
+// mayHaveEmptyTable reports whether withdrawals may have emptied a standing table of a zone. A standing table has at
+// most StandingTableSize entries; all of them are replicas of the zone if it has at least zoneTableReplicas replicas.
 func (b *Balancer) mayHaveEmptyTable(zone int) bool {
 	candidate := func(r *replica) bool { return r.zone == zone }
 	if b.countReplicas(candidate) < zoneTableReplicas {
@@ -139,14 +140,14 @@
 		withdrawn >= min(b.config.StandingTableSize, b.countReplicas(candidate))
 }
 
-// bindCost is the most that a bind in a zone costs beyond its message, in entries.
+// bindCost is the highest cost of a bind in a zone, in entries, without the overhead of its message.
 func (b *Balancer) bindCost(zone int, bindsFirst bool) int {
-	known := &b.binder.costs[zone]
+	cached := &b.binder.costs[zone]
 	if bindsFirst {
-		known = &b.binder.costsBindsFirst[zone]
+		cached = &b.binder.costsBindsFirst[zone]
 	}
-	if *known > 0 {
-		return *known
+	if *cached > 0 {
+		return *cached
 	}
 	cost := 0
 	for pool := zone; pool < len(b.subsets.pools); pool += b.config.Zones {
@@ -154,17 +155,18 @@
 		for _, t := range b.subsets.pools[pool] {
 			highest = max(highest, tableBindCost(t, bindsFirst))
 		}
-		if highest == 0 { // no table yet, or none was sent: as much as the longest table costs at most
-			highest = 2 * b.subsets.longest
+		if highest == 0 { // no table exists or was sent: assume the highest cost of the longest table
+			highest = 2 * b.subsets.mostEntries
 		}
 		cost += bindOverhead + highest
 	}
-	*known = cost
+	*cached = cost
 	return cost
 }
 
-// tableBindCost is one for each sent entry, and one more for each whose replica's withdrawal or readmission comes
-// along: with bindsFirst that is known by replica, else it is assumed of all.
+// tableBindCost is the cost of sending a table: one for each entry in the table as sent, and one more if the
+// withdrawal or readmission of the entry's replica is sent too. bindsFirst selects whether that is taken from the
+// replica's state or assumed for every entry.
 func tableBindCost(t *table, bindsFirst bool) (cost int) {
 	for _, e := range t.entries {
 		if e.weight <= 0 {
@@ -178,9 +180,9 @@
 	return cost
 }
 
-// bind puts a proxy on a table of its zone; where some operations stay in the zone, on one more for those.
+// bind binds a proxy to a table of its zone and, if zone-local operations have their own tables, to one of those too.
 func (b *Balancer) bind(p *proxy) {
-	if !b.subsets.separate() {
+	if !b.subsets.hasZoneLocalPools() {
 		const everyOperation = 0
 		b.bindToPool(p, p.zone, everyOperation)
 		return
@@ -190,14 +192,14 @@
 	b.bindToPool(p, b.subsets.zoneLocalPool(p.zone), b.config.ZoneLocalOperations)
 }
 
-// bindToPool binds a proxy to the table of a pool that has the least traffic for its open entries; it creates the
-// pool's tables first if there are none.
+// bindToPool binds a proxy to the table of a pool that has the lowest expected rate for each open entry. It creates
+// the pool's tables if there are none.
 func (b *Balancer) bindToPool(p *proxy, pool int, operations uint16) {
 	if b.subsets.pools[pool] == nil {
 		b.createTables(pool)
 	}
 	t := slices.MinFunc(b.subsets.pools[pool], func(x, y *table) int {
-		return cmp.Compare(x.loadWith(p), y.loadWith(p))
+		return cmp.Compare(x.rateForEachEntryWith(p), y.rateForEachEntryWith(p))
 	})
 	p.tables = append(p.tables, t)
 	t.users = append(t.users, p)
@@ -205,7 +207,8 @@
 	b.publisher.BindProxy(p.id, t.id, operations, b.readmittedIn(t))
 }
 
-// readmittedIn returns the replicas in a table that other balancers may have withdrawn and this one has not.
+// readmittedIn returns the replicas in a table that other balancers may have withdrawn and this one has not
+// withdrawn.
 func (b *Balancer) readmittedIn(t *table) (readmitted []model.ReplicaID) {
 	for _, e := range t.entries {
 		if e.weight > 0 && !e.replica.withdrawn && (e.replica.withdrawnElsewhere || !b.binder.bindsFirst) {
--- a/internal/balancer/binding_test.go
+++ b/internal/balancer/binding_test.go
@@ -14,30 +14,32 @@
 	}
 	fleet.updateEndpoints(model.ChangedEntries, drains...)
 	fleet.flush()
-	fleet.requireBound(t, 0, "with three withdrawn of standing tables of four")
+	fleet.requireBound(t, 0, "with three replicas withdrawn from standing tables of four")
 	fleet.drain(4)
-	require(t, len(fleet.binds) == 2 && fleet.weight(5) > 0, "bound %v on %v", fleet.binds, fleet.weights)
+	require(t, len(fleet.binds) == 2 && fleet.weight(5) > 0,
+		"with all four replicas withdrawn: binds %v, weights %v", fleet.binds, fleet.weights)
 }
 
-// A few unbound proxies are bound, and a bind lists all that is withdrawn, before everybody is notified of all again.
-func TestFewNewProxiesAreBoundFirst(t *testing.T) {
+// If few proxies are unbound, they are bound, and the bind contains the withdrawals. The withdrawals are not sent to
+// every proxy again.
+func TestFewUnboundProxiesAreBoundBeforeWithdrawalsRepeat(t *testing.T) {
 	fleet := startWarmFleet(t, 12, func(config *model.Config) { config.QueueLimit = 100000 })
 	fleet.connectMore(40)
-	fleet.run(3, fleet.goodReports(12))
+	fleet.advance(3, fleet.goodReports(12))
 	fleet.drain(1)
 	fleet.drain(2)
 	fleet.connect(50)
 	fleet.updates = nil
-	fleet.run(1, fleet.goodReports(12))
-	require(t, fleet.binds[50] == 1, "the new proxy is not bound")
+	fleet.advance(1, fleet.goodReports(12))
+	require(t, fleet.binds[50] == 1, "the new proxy 50 is not bound")
 	for _, update := range fleet.updates {
-		require(t, update != withdrawalText(replicaID(1), true), "all are notified of an old withdrawal again")
+		require(t, update != withdrawalText(replicaID(1), true), "an earlier withdrawal is sent to every proxy again")
 	}
 }
 
-// Operations that stay in the proxy's zone have tables of its replicas only; the others have their own. Where all
-// operations stay there, or none, there is one table.
-func TestTablesOfZoneLocalOperations(t *testing.T) {
+// If some operations stay in the zone of the proxy, they have tables with replicas of that zone only, and the other
+// operations have tables of their own. If all operations stay in the zone, or none, a proxy uses one table.
+func TestZoneLocalOperationsUseTablesOfTheirZone(t *testing.T) {
 	for zoneLocal, bindsOfAProxy := range map[uint16][]uint16{0: {0}, 2: {1, 2}, 3: {0}} {
 		fleet := startFleet(t, 4, func(config *model.Config) {
 			config.ZoneLocalOperations = zoneLocal
@@ -47,31 +49,33 @@
 		for n := 5; n <= 8; n++ {
 			fleet.updateEndpoints(model.ChangedEntries, readyEndpoint(n, 1))
 		}
-		fleet.run(12, fleet.goodReports(8))
+		fleet.advance(12, fleet.goodReports(8))
 		for _, p := range fleet.connected {
 			for _, operations := range bindsOfAProxy {
 				fleet.requireTableOf(t, p, operations, zoneLocal)
 			}
 		}
-		require(t, fleet.binds[1] == len(bindsOfAProxy), "zone-local %b: %d binds", zoneLocal, fleet.binds[1])
-		// A proxy is notified of a drain once, whichever of its tables has the entry.
+		require(t, fleet.binds[1] == len(bindsOfAProxy),
+			"zone-local %b: wrong number of binds of proxy 1: %d", zoneLocal, fleet.binds[1])
+		// A proxy is notified of a drain once, even if both of its tables have an entry of the replica.
 		before := fleet.balancer.window.unackedEntries
-		fleet.acks = false
+		fleet.acknowledges = false
 		fleet.drain(1)
-		require(t, fleet.isWithdrawn(1), "zone-local %b: not withdrawn", zoneLocal)
+		require(t, fleet.isWithdrawn(1), "zone-local %b: replica 1 is not withdrawn", zoneLocal)
 		charged := fleet.balancer.window.unackedEntries - before
 		require(t, charged <= len(fleet.connected)*(6+1+2+1),
-			"zone-local %b: %d entries are charged for one drain", zoneLocal, charged)
+			"zone-local %b: %d entries charged for one drain", zoneLocal, charged)
 	}
 }
 
-// requireTableOf checks the table that a proxy of zone 0 uses for some operations: all four replicas of the zone, and
-// others only if the operations may leave it.
+// requireTableOf checks the table that a proxy of zone 0 uses for some operations: it has all four replicas of the
+// zone, and replicas of other zones if and only if the operations may leave the zone.
 func (f *fakeFleet) requireTableOf(t *testing.T, p model.ProxyID, operations, zoneLocal uint16) {
 	t.Helper()
 	table, bound := f.boundTables[bindKey{p, operations}]
-	require(t, bound, "zone-local %b: proxy %d is not bound for %b: %v", zoneLocal, p, operations, f.boundTables)
-	sameZone, others := 0, 0
+	require(t, bound,
+		"zone-local %b: proxy %d is not bound for operations %b: %v", zoneLocal, p, operations, f.boundTables)
+	sameZone, crossZone := 0, 0
 	for n := 1; n <= 8; n++ {
 		if f.tableWeights[table][replicaID(n)] <= 0 {
 			continue
@@ -79,10 +83,11 @@
 		if n <= 4 {
 			sameZone++
 		} else {
-			others++
+			crossZone++
 		}
 	}
 	stays := zoneLocal != 0 && (operations == 0 || operations&zoneLocal != 0)
-	require(t, sameZone == 4 && stays == (others == 0),
-		"zone-local %b: table for %b has %d entries of the zone, %d others", zoneLocal, operations, sameZone, others)
+	require(t, sameZone == 4 && stays == (crossZone == 0),
+		"zone-local %b: table for operations %b has %d entries of its zone and %d of other zones",
+		zoneLocal, operations, sameZone, crossZone)
 }
--- a/internal/balancer/drain.go
+++ b/internal/balancer/drain.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// surgeRiskLevel is the failure risk of a table's median entry above which proxies may turn to a replica that warms
-	// up, all at once.
+	// surgeRiskLevel limits the failure risk of the median entry of a table. Above it a surge is likely: the proxies of
+	// the table turn all at once to a replica that warms up.
 	surgeRiskLevel = 0.7
-	// warmUpAllowance lowers that level for a replica just started, as a smaller surge overloads it. Lower levels (0.58
-	// and 0.45 were tried) fixed no further scenario, and lost many more requests in releases amid errors.
+	// warmUpAllowance lowers surgeRiskLevel for a replica that has just started, as a smaller surge overloads it. Levels
+	// of 0.58 or 0.45 fix no further scenario, and lose many more requests during releases with errors.
 	warmUpAllowance = 0.06
-	// newReplicasLimit: where half of the fleet is new and warming up, its capacity is needed at once.
+	// newReplicasLimit: if at least this share of the replicas in use is new and warming up, the fleet needs their
+	// capacity, and they are not withdrawn for protection.
 	newReplicasLimit = 0.5
 )
 
-// mustWithdraw reports whether a replica is to be withdrawn everywhere: one that is not in use, or one that warms up
-// and needs protection.
+// mustWithdraw reports whether a replica is to be withdrawn from all proxies: it is not in use, or it warms up and
+// needs protection.
 func (b *Balancer) mustWithdraw(r *replica) bool {
 	return !r.inUse() || b.isWarmingUp(r) && b.needsProtection(r)
 }
 
-// needsProtection reports whether a replica that warms up is to be withdrawn: in safe mode, as standing tables have it
-// at full weight, and where proxies that avoid what fails may turn to it all at once.
+// needsProtection reports whether a replica that warms up is to be withdrawn: in safe mode, as standing tables have
+// it at full weight, and when proxies that avoid failing replicas may turn to it all at once.
 func (b *Balancer) needsProtection(r *replica) bool {
 	if b.safeMode.active() {
 		return true
@@ -31,8 +32,9 @@
 	return b.config.ProxiesAvoidFailing && b.surgeLikely(r) && b.load.warmingFraction < newReplicasLimit
 }
 
-// surgeLikely reports whether proxies may turn to a replica from others all at once: the fleet is overloaded, one of
-// its tables nearly is, or a table has a single user, whose surge comes before any load report of it.
+// surgeLikely reports whether proxies may turn from other replicas to this one all at once: the fleet is overloaded,
+// a table with this replica nearly is, or such a table has a single proxy. The surge of a single proxy arrives before
+// any load report shows it.
 func (b *Balancer) surgeLikely(r *replica) bool {
 	if b.load.saturation > overloadSaturation {
 		return true
@@ -43,18 +45,18 @@
 	})
 }
 
-// dueWithdrawals are replicas to be withdrawn, in the order in which they may use the send window: replicas that
-// drain come before those that may return soon.
+// dueWithdrawals are the replicas to be withdrawn, in the order in which they may use the send window: draining and
+// removed replicas come before replicas that may soon be used again.
 type dueWithdrawals struct {
-	first     []*replica // draining or gone, and no proxy was notified
-	repeated  []*replica // the same, but proxies that connected later were not notified
+	first     []*replica // draining or not listed, and no withdrawal was sent
+	repeated  []*replica // draining or not listed, and proxies connected after the withdrawal was sent
 	temporary []*replica // ejected, or protected while warming up
 }
 
-// withdrawReplicas sends withdrawals, again for proxies that connected later. While a proxy is unbound each message
-// goes to all, and most of its cost is overhead: one message a replica would fill the queue with overhead when many
-// proxies connect from a lost balancer while replicas are lost too. So pending withdrawals are sent together, first
-// those that no proxy was notified of, and binds and weights wait until they have been sent.
+// withdrawReplicas sends withdrawals, and sends them again for proxies that connected later. While a proxy is unbound
+// each message goes to all proxies, and most of its cost is overhead. If many proxies of a failed balancer connect
+// while replicas are lost too, one message for each replica fills the queue with overhead. So withdrawals are sent
+// together, first withdrawals before repeated ones, and binds and weights wait until all have been sent.
 func (b *Balancer) withdrawReplicas() {
 	b.endEjectionsOfEmptyZones()
 	due := b.collectWithdrawals()
@@ -70,8 +72,8 @@
 	b.sendWithdrawals(due.temporary, promptBudget, false)
 }
 
-// endEjectionsOfEmptyZones ends ejections where no replica is left in use: in the fleet, or in a zone if operations
-// stay in it.
+// endEjectionsOfEmptyZones ends ejections if no replica of the fleet is left in use or, with zone-local operations,
+// no replica of the zone.
 func (b *Balancer) endEjectionsOfEmptyZones() {
 	noneLeft := make([]bool, b.config.Zones)
 	for zone := range noneLeft {
@@ -82,7 +84,7 @@
 	}
 	for _, r := range b.replicas {
 		if noneLeft[r.zone] {
-			b.changeReplica(r, ejectionElapsed, "")
+			b.applyReplicaEvent(r, ejectionElapsed, "")
 		}
 	}
 }
@@ -96,9 +98,9 @@
 	return due
 }
 
-// collectWithdrawal adds a replica to the withdrawals that are due, if it is to be withdrawn for the first time or
-// again. A repeated temporary withdrawal waits for the tick, so that proxies that connect at one time are notified
-// together.
+// collectWithdrawal adds a replica to the due withdrawals if its withdrawal has not been sent, or proxies may have
+// missed it. A repeated temporary withdrawal waits for the tick, so that proxies that connect between two ticks are
+// notified together.
 func (b *Balancer) collectWithdrawal(due *dueWithdrawals, r *replica) {
 	repeated := r.withdrawn && b.mayHaveMissedWithdrawal(r)
 	switch {
@@ -119,12 +121,12 @@
 	return b.binder.unbound > 0 && r.withdrawnAt <= b.binder.lastConnectedAt
 }
 
-// bindingIsCheaper reports whether withdrawals wait for binds: a bind contains all withdrawals too, and costs less
-// where few proxies are unbound or many replicas are withdrawn. Meanwhile removeUnavailableEntries covers the bound
-// proxies. It reports false while an unbound proxy may not be sent a message.
+// bindingIsCheaper reports whether binds are sent before withdrawals. A bind contains all withdrawals, and costs less
+// if few proxies are unbound or many replicas are withdrawn. Proxies that are bound already are notified by
+// removeUnavailableEntries. It reports false if the message limit of an unbound proxy is reached.
 func (b *Balancer) bindingIsCheaper(due *dueWithdrawals) bool {
 	messageCost := b.window.messageCost
-	messages := (len(due.first) + messageCost - 1) / messageCost // of first withdrawals, each full
+	messages := (len(due.first) + messageCost - 1) / messageCost // full messages for the first withdrawals
 	repeated := len(due.repeated)
 	if b.safeMode.active() || messages+repeated == 0 || b.binder.unbound == 0 {
 		return false
@@ -144,8 +146,9 @@
 }
 
 // sendWithdrawals sends as many withdrawals as the send window has capacity for. While a proxy is unbound, a message
-// contains as many as its overhead costs, so that the overhead is half of it at most. Once a blocking one does not fit,
-// nothing more is sent: smaller messages would take the capacity that this one waits for, over and over.
+// contains up to as many withdrawals as its overhead costs, so that overhead is half of a full message. If blocking
+// is set and a message does not fit, no further withdrawals are sent: smaller messages would repeatedly use up the
+// capacity that this one waits for.
 func (b *Balancer) sendWithdrawals(replicas []*replica, limits budget, blocking bool) {
 	perMessage := 1
 	if b.binder.unbound > 0 {
@@ -162,12 +165,12 @@
 	}
 }
 
-// setWithdrawn withdraws replicas, or readmits them, if that fits the send window of all proxies concerned, and reports
-// whether it does. What is charged must be acknowledged, or the window fills up: while a proxy is unbound, all proxies
-// are charged and acknowledge.
+// setWithdrawn withdraws or readmits replicas if the send window has capacity for all recipients, and reports whether
+// it has. Every charged proxy must acknowledge, or the window fills up: while a proxy is unbound, all proxies are
+// charged and asked to acknowledge.
 func (b *Balancer) setWithdrawn(replicas []*replica, withdrawn bool, limits budget) bool {
 	recipients := b.proxies
-	if b.binder.unbound == 0 { // then withdrawals are sent one by one
+	if b.binder.unbound == 0 { // then each call has one replica
 		recipients = b.usersOf(replicas[0])
 	}
 	if !b.window.reserve(b.now, recipients, len(replicas), limits) {
@@ -184,23 +187,24 @@
 	return true
 }
 
-// usersOf returns the proxies on tables with a sent entry of a replica, each once though it may have two tables.
+// usersOf returns the proxies that use a table with a sent entry of a replica. A proxy with two tables is returned
+// once.
 func (b *Balancer) usersOf(r *replica) (users []*proxy) {
 	for _, e := range r.entries {
 		if e.weight > 0 {
 			users = append(users, e.table.users...)
 		}
 	}
-	if b.subsets.separate() {
+	if b.subsets.hasZoneLocalPools() {
 		slices.SortFunc(users, func(p, q *proxy) int { return cmp.Compare(p.id, q.id) })
 		users = slices.Compact(users)
 	}
 	return users
 }
 
-// removeUnavailableEntries takes entries that proxies must not pick out of the tables while binds contain the
-// withdrawals: so bound proxies are notified, and a bind has less to contain. Binds come first, as unbound proxies have
-// waited longer.
+// removeUnavailableEntries removes entries of replicas that are not listed as ready from tables while withdrawals are
+// sent with binds. Bound proxies learn of the withdrawals this way, and later binds have fewer entries to send. Binds
+// come first, as unbound proxies have waited longer.
 func (b *Balancer) removeUnavailableEntries() {
 	if !b.binder.bindsFirst {
 		return
@@ -210,7 +214,7 @@
 	}
 }
 
-// readmitReplicas readmits the replicas that need not be withdrawn any more.
+// readmitReplicas readmits the withdrawn replicas that no longer need to be withdrawn.
 func (b *Balancer) readmitReplicas() {
 	for _, r := range b.replicas {
 		if r.withdrawn && !b.mustWithdraw(r) {
--- a/internal/balancer/fakefleet_test.go
+++ b/internal/balancer/fakefleet_test.go
@@ -12,26 +12,27 @@
 	ticksPerSecond = 5
 )
 
-// fakeFleet plays a fleet by hand: it keeps what was published and, where acks is set, acknowledges it at once.
+// fakeFleet is a fleet that a test controls step by step. It records what the balancer publishes and, if acknowledges
+// is set, acknowledges it after the flush.
 type fakeFleet struct {
-	t        *testing.T
-	balancer *Balancer
-	now      model.Microseconds
-	acks     bool
-
-	connected    []model.ProxyID
-	pendingAcks  []fakeAck                                     // to be given after the flush
-	weights      map[model.ReplicaID]float64                   // of table 0
-	tableWeights map[model.TableID]map[model.ReplicaID]float64 // of all tables
-	binds        map[model.ProxyID]int                         // counts
-	boundTables  map[bindKey]model.TableID
-	withdrawn    map[model.ReplicaID]bool
-	quotas       map[uint16]float64
-	policies     map[model.RetryPolicy]bool // ever published
-	updates      []string                   // all, in the order given
-	messageTimes []model.Microseconds
-	subscribed   int // times
-	logged       []string
+	t            *testing.T
+	balancer     *Balancer
+	now          model.Microseconds
+	acknowledges bool
+
+	connected         []model.ProxyID
+	pendingAcks       []fakeAck                                     // passed to the balancer after the flush
+	weights           map[model.ReplicaID]float64                   // of table 0
+	tableWeights      map[model.TableID]map[model.ReplicaID]float64 // of all tables
+	binds             map[model.ProxyID]int                         // number of binds
+	boundTables       map[bindKey]model.TableID
+	withdrawn         map[model.ReplicaID]bool
+	quotas            map[uint16]float64
+	publishedPolicies map[model.RetryPolicy]bool // published at any time
+	updates           []string                   // all updates, in the order published
+	messageTimes      []model.Microseconds
+	subscriptions     int // number of subscriptions
+	logged            []string
 }
 
 type bindKey struct {
@@ -47,7 +48,7 @@
 func (f *fakeFleet) SetWeight(table model.TableID, r model.ReplicaID, weight float64) {
 	f.updates = append(f.updates, fmt.Sprint(table, r, weight))
 	if !(weight >= 0) || weight > 1e6 {
-		f.t.Errorf("weight %v", weight)
+		f.t.Errorf("weight %v is not between 0 and 1e6", weight)
 	}
 	if f.tableWeights[table] == nil {
 		f.tableWeights[table] = map[model.ReplicaID]float64{}
@@ -74,12 +75,12 @@
 func (f *fakeFleet) SetQuota(operations uint16, quota float64, policy model.RetryPolicy) {
 	f.updates = append(f.updates, fmt.Sprint(operations, quota, policy))
 	f.quotas[operations] = quota
-	f.policies[policy] = true
+	f.publishedPolicies[policy] = true
 }
 
 func (f *fakeFleet) RequestAck(sequence uint32, _ bool) {
 	f.messageTimes = append(f.messageTimes, f.now)
-	if !f.acks {
+	if !f.acknowledges {
 		return
 	}
 	for _, p := range f.connected {
@@ -88,10 +89,10 @@
 }
 
 func (f *fakeFleet) SetTimer(model.Microseconds) {}
-func (f *fakeFleet) Subscribe()                  { f.subscribed++ }
+func (f *fakeFleet) Subscribe()                  { f.subscriptions++ }
 func (f *fakeFleet) Log(text string)             { f.logged = append(f.logged, text) }
 
-// replicaID is the address of a replica by its number, from 1 on.
+// replicaID returns the address of a replica; numbers start at 1.
 func replicaID(n int) model.ReplicaID {
 	return model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 250), byte(n % 250)}, Port: 5000}
 }
@@ -100,7 +101,7 @@
 	return model.Endpoint{ID: replicaID(n), Zone: zone, Status: model.EndpointReady}
 }
 
-// fakeFleetConfig is the configuration that tests change.
+// fakeFleetConfig returns the configuration of a fakeFleet, which tests may change.
 func fakeFleetConfig() model.Config {
 	return model.Config{
 		Operations: []model.Operation{
@@ -113,7 +114,8 @@
 	}
 }
 
-// startFleet starts a balancer with replicas 1 to n ready in zone 0 and proxies 1 and 2 connected there.
+// startFleet starts a balancer with n replicas, 1 to n, that are ready in zone 0, and connects proxies 1 and 2 in
+// that zone.
 func startFleet(t *testing.T, n int, change func(*model.Config)) *fakeFleet {
 	t.Helper()
 	config := fakeFleetConfig()
@@ -121,14 +123,14 @@
 		change(&config)
 	}
 	fleet := &fakeFleet{
-		t: t, now: model.Second, acks: true,
-		weights:      map[model.ReplicaID]float64{},
-		tableWeights: map[model.TableID]map[model.ReplicaID]float64{},
-		binds:        map[model.ProxyID]int{},
-		boundTables:  map[bindKey]model.TableID{},
-		withdrawn:    map[model.ReplicaID]bool{},
-		quotas:       map[uint16]float64{},
-		policies:     map[model.RetryPolicy]bool{},
+		t: t, now: model.Second, acknowledges: true,
+		weights:           map[model.ReplicaID]float64{},
+		tableWeights:      map[model.TableID]map[model.ReplicaID]float64{},
+		binds:             map[model.ProxyID]int{},
+		boundTables:       map[bindKey]model.TableID{},
+		withdrawn:         map[model.ReplicaID]bool{},
+		quotas:            map[uint16]float64{},
+		publishedPolicies: map[model.RetryPolicy]bool{},
 	}
 	fleet.balancer = New(config, fleet, fleet.now)
 	var endpoints []model.Endpoint
@@ -142,11 +144,12 @@
 	return fleet
 }
 
-// startWarmFleet lets twelve good seconds pass after that: safe mode is over and all is learnt.
+// startWarmFleet starts a fleet and lets twelve seconds with good reports pass: safe mode is over and weights have
+// settled.
 func startWarmFleet(t *testing.T, n int, change func(*model.Config)) *fakeFleet {
 	t.Helper()
 	fleet := startFleet(t, n, change)
-	fleet.run(12, fleet.goodReports(n))
+	fleet.advance(12, fleet.goodReports(n))
 	return fleet
 }
 
@@ -155,7 +158,7 @@
 	f.balancer.ProxyConnected(f.now, p, 0, 10)
 }
 
-// connectMore connects so many proxies from number 3 on.
+// connectMore connects count proxies, numbered from 3.
 func (f *fakeFleet) connectMore(count int) {
 	for k := range count {
 		f.connect(model.ProxyID(k + 3))
@@ -172,15 +175,15 @@
 	f.pendingAcks = nil
 }
 
-// acknowledge has every proxy acknowledge up to a sequence number.
+// acknowledge makes every proxy acknowledge messages up to a sequence number.
 func (f *fakeFleet) acknowledge(sequence int) {
 	for _, p := range f.connected {
 		f.balancer.Acknowledged(f.now, p, uint32(sequence))
 	}
 }
 
-// run lets seconds pass tick by tick; report is called once a second.
-func (f *fakeFleet) run(seconds int, report func()) {
+// advance lets a number of seconds pass, tick by tick, and calls report once a second.
+func (f *fakeFleet) advance(seconds int, report func()) {
 	for k := range seconds * ticksPerSecond {
 		f.now += tickSpan
 		if report != nil && k%ticksPerSecond == 0 {
@@ -191,7 +194,7 @@
 	}
 }
 
-// report reports attempts at a replica over a second.
+// report delivers a load report on one second of attempts at a replica.
 func (f *fakeFleet) report(n, attempts, errors int, latency model.Microseconds) {
 	f.balancer.LoadReported(f.now, model.LoadReport{
 		Replica: replicaID(n), Attempts: attempts, Errors: errors, MeanLatency: latency, Window: model.Second,
@@ -199,7 +202,7 @@
 	})
 }
 
-// reportsOf gives a report of the same second at replicas first to last.
+// reportsOf returns a function that delivers the same load report for each of the replicas first to last.
 func (f *fakeFleet) reportsOf(first, last, attempts, errors int, latency model.Microseconds) func() {
 	return func() {
 		for n := first; n <= last; n++ {
@@ -208,10 +211,10 @@
 	}
 }
 
-// goodReports reports ten quick attempts without an error at replicas 1 to n.
+// goodReports returns a function that reports ten quick attempts without errors at each of the replicas 1 to n.
 func (f *fakeFleet) goodReports(n int) func() { return f.reportsOf(1, n, 10, 0, 100*model.Millisecond) }
 
-// reportUtilization reports ten good attempts with that share of the cores in use.
+// reportUtilization reports ten good attempts and a utilization of the cores at each of the replicas first to last.
 func (f *fakeFleet) reportUtilization(first, last int, latency model.Microseconds, utilization float64) {
 	for n := first; n <= last; n++ {
 		f.balancer.LoadReported(f.now, model.LoadReport{
@@ -225,8 +228,8 @@
 	f.balancer.EndpointsChanged(f.now, update, endpoints)
 }
 
-// change lists replicas of zone 0 with a status and a start time.
-func (f *fakeFleet) change(status model.EndpointStatus, startedAt model.Microseconds, numbers ...int) {
+// updateStatus delivers an endpoint update with a status and a start time for replicas of zone 0.
+func (f *fakeFleet) updateStatus(status model.EndpointStatus, startedAt model.Microseconds, numbers ...int) {
 	var endpoints []model.Endpoint
 	for _, n := range numbers {
 		endpoints = append(endpoints, model.Endpoint{ID: replicaID(n), Status: status, StartedAt: startedAt})
@@ -234,27 +237,27 @@
 	f.updateEndpoints(model.ChangedEntries, endpoints...)
 }
 
-// start lists replicas of zone 0 as started so long ago.
-func (f *fakeFleet) start(age model.Microseconds, numbers ...int) {
-	f.change(model.EndpointReady, f.now-age, numbers...)
+// listAsStarted delivers an endpoint update in which replicas of zone 0 are ready and started an age ago.
+func (f *fakeFleet) listAsStarted(age model.Microseconds, numbers ...int) {
+	f.updateStatus(model.EndpointReady, f.now-age, numbers...)
 }
 
 func (f *fakeFleet) remove(numbers ...int) {
-	f.change(model.EndpointGone, 0, numbers...)
+	f.updateStatus(model.EndpointGone, 0, numbers...)
 	f.flush()
 }
 
 func (f *fakeFleet) drain(numbers ...int) {
-	f.change(model.EndpointDraining, 0, numbers...)
+	f.updateStatus(model.EndpointDraining, 0, numbers...)
 	f.flush()
 }
 
-// weight is a replica's weight in table 0.
+// weight returns the weight of a replica in table 0.
 func (f *fakeFleet) weight(n int) float64 { return f.weights[replicaID(n)] }
 
 func (f *fakeFleet) isWithdrawn(n int) bool { return f.withdrawn[replicaID(n)] }
 
-// require fails a test at once where a condition does not hold.
+// require ends a test with a message if a condition does not hold.
 func require(t *testing.T, holds bool, format string, args ...any) {
 	t.Helper()
 	if !holds {
@@ -272,21 +275,21 @@
 	require(t, !f.isWithdrawn(n), "replica %d is withdrawn: %s", n, why)
 }
 
-// requireNeverWithdrawn fails if any replica was ever withdrawn.
+// requireNeverWithdrawn fails if a replica was withdrawn at any time.
 func (f *fakeFleet) requireNeverWithdrawn(t *testing.T) {
 	t.Helper()
-	require(t, len(f.withdrawn) == 0, "withdrawn or readmitted: %v", f.withdrawn)
+	require(t, len(f.withdrawn) == 0, "replicas were withdrawn or readmitted: %v", f.withdrawn)
 }
 
-// requireBound fails unless so many proxies were bound.
+// requireBound fails unless exactly count proxies were bound.
 func (f *fakeFleet) requireBound(t *testing.T, count int, when string) {
 	t.Helper()
-	require(t, len(f.binds) == count, "%d proxies are bound %s, not %d: %v", len(f.binds), when, count, f.binds)
+	require(t, len(f.binds) == count, "%d proxies are bound %s, want %d: %v", len(f.binds), when, count, f.binds)
 }
 
-// requireUnacked fails unless so many entries at most are unacknowledged.
+// requireUnacked fails if more than most entries are unacknowledged.
 func (f *fakeFleet) requireUnacked(t *testing.T, most int, when string) {
 	t.Helper()
 	unacked := f.balancer.window.unackedEntries
-	require(t, unacked <= most, "%d entries are unacknowledged %s", unacked, when)
+	require(t, unacked <= most, "%d entries are unacknowledged %s, which is too many", unacked, when)
 }
--- a/internal/balancer/golden_events_test.go
+++ b/internal/balancer/golden_events_test.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/model"
 )
 
-// updateEndpoints delivers replicas as an endpoint update; a complete list lacks those that are gone.
+// updateEndpoints delivers replicas as an endpoint update. A complete list leaves out replicas that are gone.
 func (tr *trace) updateEndpoints(name string, update model.EndpointUpdate, replicas []*tracedReplica) {
 	var endpoints []model.Endpoint
 	for _, r := range replicas {
@@ -21,8 +21,9 @@
 	})
 }
 
-// change gives some replicas a status and lists them; where restarted is set, they started within two seconds.
-func (tr *trace) change(name string, status model.EndpointStatus, restarted bool, replicas ...*tracedReplica) {
+// updateStatus sets the status of some replicas and delivers it as an endpoint update. If restarted is set, the
+// replicas started within the last two seconds.
+func (tr *trace) updateStatus(name string, status model.EndpointStatus, restarted bool, replicas ...*tracedReplica) {
 	for _, r := range replicas {
 		r.status = status
 		if restarted {
@@ -39,20 +40,20 @@
 
 func (tr *trace) happens(chance float64) bool { return tr.random.Float64() < chance }
 
-// churnReplicas publishes changes of the endpoint list, at random.
+// churnReplicas delivers random changes of the endpoint list.
 func (tr *trace) churnReplicas() {
 	chances := tr.plan.churn
 	if tr.happens(chances.drain) {
-		tr.change("drain", model.EndpointDraining, false, tr.anyReplica())
+		tr.updateStatus("drain", model.EndpointDraining, false, tr.anyReplica())
 	}
 	if tr.happens(chances.removed) {
-		tr.change("gone", model.EndpointGone, false, tr.anyReplica())
+		tr.updateStatus("gone", model.EndpointGone, false, tr.anyReplica())
 	}
 	if tr.happens(chances.restarted) {
-		tr.change("restart", model.EndpointReady, true, tr.anyReplica())
+		tr.updateStatus("restart", model.EndpointReady, true, tr.anyReplica())
 	}
 	if tr.happens(chances.readyAgain) {
-		tr.change("ready", model.EndpointReady, false, tr.anyReplica())
+		tr.updateStatus("ready", model.EndpointReady, false, tr.anyReplica())
 	}
 	if tr.happens(chances.fullList) {
 		tr.updateEndpoints("complete", model.FullList, tr.replicas)
@@ -66,7 +67,7 @@
 	tr.churnFaults()
 }
 
-// churnFaults has a replica fail or recover, at random, unseen by the endpoint list.
+// churnFaults makes random replicas fail or recover, which the endpoint list does not show.
 func (tr *trace) churnFaults() {
 	chances := tr.plan.churn
 	if r := tr.anyReplica(); tr.happens(chances.startFailing) {
@@ -82,7 +83,7 @@
 func (tr *trace) churnProxies() {
 	p := tr.proxies[tr.random.IntN(len(tr.proxies))]
 	if tr.happens(tr.plan.churn.connect) {
-		tr.connect(p) // an old stream may still stand
+		tr.connect(p) // also if an earlier stream is still connected
 	}
 	p = tr.proxies[tr.random.IntN(len(tr.proxies))]
 	if tr.happens(tr.plan.churn.disconnect) {
@@ -94,7 +95,7 @@
 	tr.step(fmt.Sprintf("join %d from %d", len(proxies), int(proxies[0].id)), func() {
 		for _, p := range proxies {
 			expectedRate := tr.plan.expectedRate * (0.5 + tr.random.Float64())
-			tr.note("join %d %d %s", int(p.id), p.zone, bits(expectedRate))
+			tr.recordEvent("join %d %d %s", int(p.id), p.zone, bits(expectedRate))
 			p.connected = true
 			tr.balancer.ProxyConnected(tr.now, p.id, p.zone, expectedRate)
 		}
@@ -104,15 +105,15 @@
 func (tr *trace) disconnect(proxies ...*tracedProxy) {
 	tr.step(fmt.Sprintf("leave %d from %d", len(proxies), int(proxies[0].id)), func() {
 		for _, p := range proxies {
-			tr.note("leave %d", int(p.id))
+			tr.recordEvent("leave %d", int(p.id))
 			p.connected = false
 			tr.balancer.ProxyDisconnected(tr.now, p.id)
 		}
 	})
 }
 
-// report gives a load report for every replica and zone, some of them contradictory.
-func (tr *trace) report() {
+// deliverReports delivers load reports of each replica from each zone; some of them are contradictory.
+func (tr *trace) deliverReports() {
 	load := tr.plan.load(tr.tick)
 	tr.step("reports", func() {
 		for _, r := range tr.replicas {
@@ -126,12 +127,12 @@
 }
 
 func (tr *trace) loadReported(report model.LoadReport) {
-	tr.note("report %s %d %d %d %d %d", replicaText(report.Replica), report.Zone, report.Attempts, report.Errors,
+	tr.recordEvent("report %s %d %d %d %d %d", replicaText(report.Replica), report.Zone, report.Attempts, report.Errors,
 		int64(report.MeanLatency), int64(report.Window))
 	tr.balancer.LoadReported(tr.now, report)
 }
 
-// loadReport is a report of a replica at a load, which is the mean latency over the objective.
+// loadReport returns a load report of a replica; load is the mean latency of the fleet divided by the objective.
 func (tr *trace) loadReport(r *tracedReplica, zone int, load float64) model.LoadReport {
 	objective := float64(tr.plan.config.Operations[0].LatencyObjective)
 	attempts := 1 + tr.random.IntN(2*tr.plan.attempts)
@@ -144,13 +145,13 @@
 		report.MeanLatency = 0
 	}
 	if tr.happens(tr.plan.churn.contradictory) {
-		tr.contradict(&report)
+		tr.makeContradictory(&report)
 	}
 	return report
 }
 
-// contradict makes a report one that the balancer drops, or whose reading of the utilization it drops.
-func (tr *trace) contradict(report *model.LoadReport) {
+// makeContradictory changes a report so that the balancer drops it or ignores its utilization.
+func (tr *trace) makeContradictory(report *model.LoadReport) {
 	switch tr.random.IntN(7) {
 	case 0:
 		report.Attempts = 0
--- a/internal/balancer/golden_plans_test.go
+++ b/internal/balancer/golden_scenarios_test.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/model"
 )
 
-// tracedConfig is the configuration that the scenarios change.
+// tracedConfig returns the configuration that the scenarios start from.
 func tracedConfig() model.Config {
 	return model.Config{
 		Seed: 11, Zones: 3, SubscriptionRequired: true, AdmissionControl: true, FullQuota: 1, ProxiesAvoidFailing: true,
@@ -21,14 +21,14 @@
 	}
 }
 
-func steady(load float64) func(int) float64 { return func(int) float64 { return load } }
+func constantLoad(load float64) func(int) float64 { return func(int) float64 { return load } }
 
-// expectKinds fails where a trace lacks a kind of update: it would not pin it.
-func expectKinds(t *testing.T, kinds map[string]int, names ...string) {
+// requireKinds fails if a trace lacks one of the given kinds of update, as it would not check updates of that kind.
+func requireKinds(t *testing.T, kinds map[string]int, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		if kinds[name] == 0 {
-			t.Errorf("the trace has no update of the kind %q", name)
+			t.Errorf("the trace has no update of kind %q", name)
 		}
 	}
 }
@@ -46,13 +46,13 @@
 		connect: 0.15, disconnect: 0.1, drain: 0.06, removed: 0.04, restarted: 0.06, readyAgain: 0.1, fullList: 0.02,
 		cachedList: 0.02, failedPoll: 0.03, startFailing: 0.03, recover: 0.1, contradictory: 0.03,
 	}
-	expectKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt", "wake", "follow")
+	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt", "wake", "follow")
 }
 
-func TestGoldenTraceOfZoneBoundOperations(t *testing.T) {
+func TestGoldenTraceOfZoneLocalOperations(t *testing.T) {
 	plan := scenario{
 		name: "own-zone", seed: 2, config: tracedConfig(), replicas: 30, proxies: 36, ticks: 300, expectedRate: 15,
-		attempts: 10, ackDelay: 500 * model.Millisecond, ackLoss: 0.01, load: steady(0.3),
+		attempts: 10, ackDelay: 500 * model.Millisecond, ackLoss: 0.01, load: constantLoad(0.3),
 	}
 	plan.config.ZoneLocalOperations = 0b010
 	plan.config.ProxyCount = 80
@@ -61,7 +61,7 @@
 		connect: 0.15, disconnect: 0.1, drain: 0.05, removed: 0.03, restarted: 0.08, readyAgain: 0.1, fullList: 0.02,
 		failedPoll: 0.02, startFailing: 0.04, recover: 0.1, contradictory: 0.02,
 	}
-	// A zone whose replicas are all gone, and come back.
+	// All replicas of zone 0 are removed, and restart later.
 	plan.script = func(tr *trace, tick int) {
 		var first []*tracedReplica
 		for _, r := range tr.replicas {
@@ -71,12 +71,12 @@
 		}
 		switch tick {
 		case 150:
-			tr.change("gone", model.EndpointGone, false, first...)
+			tr.updateStatus("gone", model.EndpointGone, false, first...)
 		case 190:
-			tr.change("restart", model.EndpointReady, true, first...)
+			tr.updateStatus("restart", model.EndpointReady, true, first...)
 		}
 	}
-	expectKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
+	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
 func TestGoldenTraceOfASlowQueue(t *testing.T) {
@@ -93,22 +93,23 @@
 		connect: 0.1, disconnect: 0.08, drain: 0.08, removed: 0.05, restarted: 0.08, readyAgain: 0.12, fullList: 0.02,
 		failedPoll: 0.02, startFailing: 0.04, recover: 0.1, contradictory: 0.02,
 	}
-	// Drains tick by tick while no proxy is bound, until the queue is full; later proxies come over amid drains.
+	// Replicas drain at each tick while no proxy is bound, until the queue is full. Later, proxies reconnect while
+	// replicas drain.
 	plan.script = func(tr *trace, tick int) {
 		switch {
 		case tick < 5:
-			tr.change("drain", model.EndpointDraining, false, tr.replicas[4*tick-4:4*tick-1]...)
+			tr.updateStatus("drain", model.EndpointDraining, false, tr.replicas[4*tick-4:4*tick-1]...)
 		case tick == 12:
-			tr.change("ready", model.EndpointReady, false, tr.replicas...)
+			tr.updateStatus("ready", model.EndpointReady, false, tr.replicas...)
 		case tick%90 == 0:
 			tr.disconnect(tr.proxies[:10]...)
 			tr.connect(tr.proxies[:10]...)
-			tr.change("drain", model.EndpointDraining, false, tr.replicas[:6]...)
+			tr.updateStatus("drain", model.EndpointDraining, false, tr.replicas[:6]...)
 		case tick%90 == 40:
-			tr.change("restart", model.EndpointReady, true, tr.replicas[:10]...)
+			tr.updateStatus("restart", model.EndpointReady, true, tr.replicas[:10]...)
 		}
 	}
-	expectKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
+	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
 func TestGoldenTraceOfAnOverload(t *testing.T) {
@@ -123,13 +124,13 @@
 		connect: 0.05, disconnect: 0.04, restarted: 0.04, readyAgain: 0.05, failedPoll: 0.01,
 		startFailing: 0.06, recover: 0.08, contradictory: 0.05,
 	}
-	expectKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
+	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-func TestGoldenTraceOfManyProxiesThatMove(t *testing.T) {
+func TestGoldenTraceOfManyReconnectingProxies(t *testing.T) {
 	plan := scenario{
 		name: "herd", seed: 5, config: tracedConfig(), replicas: 90, proxies: 150, ticks: 240, expectedRate: 20,
-		attempts: 10, ackDelay: 600 * model.Millisecond, ackLoss: 0.01, load: steady(0.25), allAtOnce: true,
+		attempts: 10, ackDelay: 600 * model.Millisecond, ackLoss: 0.01, load: constantLoad(0.25), allAtOnce: true,
 	}
 	plan.config.ProxyCount = 150
 	plan.config.QueueLimit = 12000
@@ -138,27 +139,27 @@
 	plan.churn = churn{
 		connect: 0.1, disconnect: 0.05, restarted: 0.1, readyAgain: 0.1, failedPoll: 0.01, contradictory: 0.01,
 	}
-	plan.script = movingProxiesScript
-	expectKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
+	plan.script = reconnectingProxiesScript
+	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-// In safe mode many drain, so that standing tables may be empty. Then, again and again, a part of the proxies comes
-// over while replicas drain.
-func movingProxiesScript(run *trace, tick int) {
+// reconnectingProxiesScript drains many replicas in safe mode, so that standing tables may be empty. Afterwards a
+// part of the proxies reconnects at intervals while replicas drain.
+func reconnectingProxiesScript(run *trace, tick int) {
 	switch {
 	case tick == 2:
-		run.change("drain", model.EndpointDraining, false, run.replicas[:30]...)
+		run.updateStatus("drain", model.EndpointDraining, false, run.replicas[:30]...)
 	case tick == 12:
-		run.change("ready", model.EndpointReady, false, run.replicas[:30]...)
+		run.updateStatus("ready", model.EndpointReady, false, run.replicas[:30]...)
 	case tick >= 40 && tick%40 == 0:
 		first := tick % 120
 		run.disconnect(run.proxies[first : first+30]...)
 		run.connect(run.proxies[first : first+30]...)
-		run.change("drain", model.EndpointDraining, false, run.replicas[tick%60:tick%60+25]...)
+		run.updateStatus("drain", model.EndpointDraining, false, run.replicas[tick%60:tick%60+25]...)
 	case tick >= 40 && tick%40 == 1:
-		run.change("drain", model.EndpointDraining, false, run.replicas[60:70]...)
+		run.updateStatus("drain", model.EndpointDraining, false, run.replicas[60:70]...)
 	case tick >= 40 && tick%40 == 20:
-		run.change("restart", model.EndpointReady, true, run.replicas...)
+		run.updateStatus("restart", model.EndpointReady, true, run.replicas...)
 	}
 }
 
@@ -179,34 +180,35 @@
 		connect: 0.1, disconnect: 0.1, drain: 0.05, removed: 0.05, restarted: 0.06, readyAgain: 0.1, fullList: 0.03,
 		cachedList: 0.02, failedPoll: 0.02, startFailing: 0.04, recover: 0.08, contradictory: 0.03,
 	}
-	// Half of the replicas drain in safe mode; later all are lost at once, and come back.
+	// Half of the replicas drain in safe mode; later all drain at once, and become ready again.
 	plan.script = func(tr *trace, tick int) {
 		switch tick {
 		case 1:
-			tr.change("drain", model.EndpointDraining, false, tr.replicas[:4]...)
+			tr.updateStatus("drain", model.EndpointDraining, false, tr.replicas[:4]...)
 		case 10:
-			tr.change("ready", model.EndpointReady, false, tr.replicas[:4]...)
+			tr.updateStatus("ready", model.EndpointReady, false, tr.replicas[:4]...)
 		case 120:
-			tr.change("drain", model.EndpointDraining, false, tr.replicas...)
+			tr.updateStatus("drain", model.EndpointDraining, false, tr.replicas...)
 		case 140:
-			tr.change("ready", model.EndpointReady, false, tr.replicas...)
+			tr.updateStatus("ready", model.EndpointReady, false, tr.replicas...)
 		}
 	}
-	expectKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
+	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-// The two traces of a full queue hold it near its limits, where a decision turns on a few entries: replicas restart
-// (their quarters are sent at once), fail and are ejected, and the load moves the admitted shares up and down. Their
-// seeds were chosen among 20 so that a hundredth more in any of the queue's limits (0.5, 0.7, 0.9) changes a trace.
+// The two traces of a full queue keep it near its limits, where a few entries change a decision: replicas restart
+// (their reduced weights are sent at once), fail and are ejected, and quotas change with the load. With each of the
+// two seeds, a change of any share of the queue limit (0.5, 0.7, 0.9) by a hundredth changes a trace.
 func TestGoldenTraceOfAFullQueue(t *testing.T) {
-	expectKinds(t, goldenTrace(t, fullQueue("full-queue", 12)), "assign", "bind", "withdraw", "level", "receipt")
+	requireKinds(t, goldenTrace(t, fullQueueScenario("full-queue", 12)), "assign", "bind", "withdraw", "level", "receipt")
 }
 
 func TestGoldenTraceOfAnotherFullQueue(t *testing.T) {
-	expectKinds(t, goldenTrace(t, fullQueue("full-queue-2", 17)), "assign", "bind", "withdraw", "level", "receipt")
+	requireKinds(t, goldenTrace(t, fullQueueScenario("full-queue-2", 17)),
+		"assign", "bind", "withdraw", "level", "receipt")
 }
 
-func fullQueue(name string, seed uint64) scenario {
+func fullQueueScenario(name string, seed uint64) scenario {
 	plan := scenario{
 		name: name, seed: seed, config: tracedConfig(), replicas: 24, proxies: 48, ticks: 600, expectedRate: 20,
 		attempts: 12, ackDelay: 1500 * model.Millisecond, ackLoss: 0.005, allAtOnce: true, load: func(tick int) float64 {
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -16,14 +16,15 @@
 	"peppervale/internal/model"
 )
 
-// The golden traces pin what the balancer publishes, bit for bit: seeded event sequences are driven through its public
-// methods, and after every step the published updates are hashed and compared with testdata/trace-*.txt. The traces
-// know nothing of the balancer but its updates. Every float is hashed by its bits; the files were written on amd64, and
-// an architecture whose compiler fuses multiplications with additions may round differently.
+// The golden traces check the published updates bit for bit. Seeded event sequences are passed to the public methods
+// of the balancer; after every step the published updates are hashed and compared with testdata/trace-*.txt. The
+// traces see nothing of the balancer but its updates and its View. Floats are hashed by their bits. The files were
+// written on amd64; an architecture whose compiler fuses multiplications and additions may round differently. The
+// words for events and kinds of update are part of the hashed text, so they must not change.
 
-var updateTraces = flag.Bool("update", false, "rewrite testdata/trace-*.txt from the code as it is")
+var updateTraces = flag.Bool("update", false, "rewrite testdata/trace-*.txt from the current behaviour")
 
-// viewEvery is the number of steps from one hash of the whole View to the next.
+// viewEvery is the number of steps between two hashes of the View.
 const viewEvery = 10
 
 // tracedReplica is a replica of the simulated fleet.
@@ -51,29 +52,29 @@
 	sequence uint32
 }
 
-// trace drives one scenario, records what is published, and compares it with the golden lines.
+// trace runs one scenario, records what the balancer publishes, and compares it with the golden lines.
 type trace struct {
-	t          *testing.T
-	plan       scenario
-	random     *rand.Rand
-	balancer   *balancer.Balancer
-	now        model.Microseconds
-	timerAt    model.Microseconds // when the timer fires next, as set by SetTimer
-	tick       int
-	subscribed bool // a subscription was asked for and not answered yet
-	replicas   []*tracedReplica
-	proxies    []*tracedProxy
-	acks       []pendingAck
-
-	text    []string // of the step: its single events and the updates, in the order given
-	updates int      // of the step
-	logs    int      // of the step
-	want    []string // golden lines
-	got     []string
-	kinds   map[string]int // updates of the whole trace by kind
+	t           *testing.T
+	plan        scenario
+	random      *rand.Rand
+	balancer    *balancer.Balancer
+	now         model.Microseconds
+	timerAt     model.Microseconds // when the timer fires next, as set by SetTimer
+	tick        int
+	subscribed  bool // the balancer subscribed and has not received a list since
+	replicas    []*tracedReplica
+	proxies     []*tracedProxy
+	pendingAcks []pendingAck
+
+	stepText []string // events and updates of the step, in order
+	updates  int      // number of updates in the step
+	logs     int      // number of log messages in the step
+	want     []string // golden lines
+	got      []string
+	kinds    map[string]int // number of updates in the whole trace, by kind
 }
 
-// scenario is a fleet, its configuration and the chances of what happens in it.
+// scenario is a fleet, its configuration and the probabilities of its events.
 type scenario struct {
 	name         string
 	seed         uint64
@@ -84,33 +85,33 @@
 	expectedRate float64 // requests a second of a proxy
 	attempts     int     // mean attempts in a load report
 	ackDelay     model.Microseconds
-	ackLoss      float64
+	ackLoss      float64 // probability that an acknowledgement is lost
 	churn        churn
 	load         func(tick int) float64 // mean latency over the objective
 	script       func(tr *trace, tick int)
 	allAtOnce    bool // every proxy connects at the start
 }
 
-// churn holds the chances for each tick that an event comes.
+// churn holds the probability of each event in a tick.
 type churn struct {
 	connect, disconnect                   float64 // of a proxy
-	drain, removed, restarted, readyAgain float64 // of a replica, as the endpoint list has it
-	startFailing, recover                 float64 // of a replica, unseen by the list
+	drain, removed, restarted, readyAgain float64 // of a replica, in the endpoint list
+	startFailing, recover                 float64 // of a replica, not shown in the endpoint list
 	fullList, cachedList, failedPoll      float64
 	contradictory                         float64 // load report
 }
 
-func (tr *trace) record(format string, args ...any) {
+func (tr *trace) recordUpdate(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	kind, _, _ := strings.Cut(line, " ")
 	tr.kinds[kind]++
 	tr.updates++
-	tr.text = append(tr.text, line)
+	tr.stepText = append(tr.stepText, line)
 }
 
-// note puts a single event of a step into its text.
-func (tr *trace) note(format string, args ...any) {
-	tr.text = append(tr.text, "event "+fmt.Sprintf(format, args...))
+// recordEvent adds an event to the text of the step.
+func (tr *trace) recordEvent(format string, args ...any) {
+	tr.stepText = append(tr.stepText, "event "+fmt.Sprintf(format, args...))
 }
 
 func bits(f float64) string { return strconv.FormatUint(math.Float64bits(f), 16) }
@@ -120,7 +121,7 @@
 }
 
 func (tr *trace) SetWeight(t model.TableID, r model.ReplicaID, weight float64) {
-	tr.record("assign %d %s %s", int(t), replicaText(r), bits(weight))
+	tr.recordUpdate("assign %d %s %s", int(t), replicaText(r), bits(weight))
 }
 
 func (tr *trace) BindProxy(p model.ProxyID, t model.TableID, operations uint16, readmitted []model.ReplicaID) {
@@ -128,38 +129,38 @@
 	for _, r := range readmitted {
 		names = append(names, replicaText(r))
 	}
-	tr.record("bind %d %d %d [%s]", int(p), int(t), operations, strings.Join(names, ","))
+	tr.recordUpdate("bind %d %d %d [%s]", int(p), int(t), operations, strings.Join(names, ","))
 }
 
 func (tr *trace) SetWithdrawn(r model.ReplicaID, withdrawn bool) {
-	tr.record("withdraw %s %t", replicaText(r), withdrawn)
+	tr.recordUpdate("withdraw %s %t", replicaText(r), withdrawn)
 }
 
 func (tr *trace) SetQuota(operations uint16, quota float64, policy model.RetryPolicy) {
-	tr.record("level %d %s %d", operations, bits(quota), int(policy))
+	tr.recordUpdate("level %d %s %d", operations, bits(quota), int(policy))
 }
 
-// RequestAck has every connected proxy acknowledge later, or never. An acknowledgement of a message that a proxy did
-// not get must change nothing.
+// RequestAck makes every connected proxy acknowledge later, or never. Proxies that did not get the message
+// acknowledge too; that must change nothing.
 func (tr *trace) RequestAck(sequence uint32, fromAll bool) {
-	tr.record("receipt %d %t", sequence, fromAll)
+	tr.recordUpdate("receipt %d %t", sequence, fromAll)
 	for _, p := range tr.proxies {
 		if !p.connected || tr.random.Float64() < tr.plan.ackLoss {
 			continue
 		}
 		delay := model.Microseconds(tr.random.Int64N(int64(tr.plan.ackDelay) + 1))
-		tr.acks = append(tr.acks, pendingAck{tr.now + delay, p.id, sequence})
+		tr.pendingAcks = append(tr.pendingAcks, pendingAck{tr.now + delay, p.id, sequence})
 	}
 }
 
 func (tr *trace) SetTimer(after model.Microseconds) {
 	tr.timerAt = tr.now + after
-	tr.record("wake %d", int64(after))
+	tr.recordUpdate("wake %d", int64(after))
 }
 
 func (tr *trace) Subscribe() {
 	tr.subscribed = true
-	tr.record("follow")
+	tr.recordUpdate("follow")
 }
 
 func (tr *trace) Log(string) { tr.logs++ }
@@ -173,16 +174,16 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// step runs one step and compares its line with the golden one.
+// step runs one step and compares its line with the golden line.
 func (tr *trace) step(event string, run func()) {
 	tr.t.Helper()
-	tr.text = nil
+	tr.stepText = nil
 	tr.updates = 0
 	tr.logs = 0
 	run()
 	number := len(tr.got)
 	line := fmt.Sprintf("%04d %d %s | orders %d logs %d %s", number, int64(tr.now), event, tr.updates, tr.logs,
-		hashOf(tr.text))
+		hashOf(tr.stepText))
 	var view []string
 	if number%viewEvery == 0 && tr.balancer != nil {
 		view = viewText(tr.t, tr.balancer.View())
@@ -192,17 +193,17 @@
 	if *updateTraces {
 		return
 	}
-	want := "(the golden trace ends before)"
+	want := "(the golden trace ends before this step)"
 	if number < len(tr.want) {
 		want = tr.want[number]
 	}
 	if line != want {
-		tr.t.Fatalf("step %d differs, event: %s\nwant %s\ngot  %s\nevents and orders given:\n%s\nview:\n%s",
-			number, event, want, line, strings.Join(tr.text, "\n"), strings.Join(view, "\n"))
+		tr.t.Fatalf("step %d differs, event: %s\nwant %s\ngot  %s\nevents and updates:\n%s\nview:\n%s",
+			number, event, want, line, strings.Join(tr.stepText, "\n"), strings.Join(view, "\n"))
 	}
 }
 
-// goldenTrace drives a scenario from its start to its end.
+// goldenTrace runs a scenario and returns the number of its updates by kind.
 func goldenTrace(t *testing.T, plan scenario) map[string]int {
 	run := &trace{
 		t: t, plan: plan, random: rand.New(rand.NewPCG(plan.seed, 0x9e3779b97f4a7c15)),
@@ -227,7 +228,7 @@
 
 func (tr *trace) finish(path string) {
 	if len(tr.got) < 400 {
-		tr.t.Fatalf("%d steps are too few for a trace", len(tr.got))
+		tr.t.Fatalf("the trace has %d steps, want at least 400", len(tr.got))
 	}
 	if *updateTraces {
 		if err := os.WriteFile(path, []byte(strings.Join(tr.got, "\n")+"\n"), 0o644); err != nil {
@@ -236,7 +237,7 @@
 		return
 	}
 	if len(tr.got) != len(tr.want) {
-		tr.t.Fatalf("the trace ends after %d steps, the golden one after %d", len(tr.got), len(tr.want))
+		tr.t.Fatalf("the trace has %d steps, want %d as in the golden file", len(tr.got), len(tr.want))
 	}
 }
 
@@ -261,12 +262,12 @@
 	tr.flush()
 }
 
-// between is a moment between two rings of the timer.
+// betweenTimers delivers acknowledgements and random events at a random time between two timer events.
 func (tr *trace) betweenTimers() {
 	before := len(tr.got)
 	tr.now += 1 + model.Microseconds(tr.random.Int64N(int64(tr.timerAt-tr.now-1)))
 	tr.answerSubscription()
-	tr.deliver()
+	tr.deliverAcks()
 	tr.churnReplicas()
 	tr.churnProxies()
 	if tr.plan.script != nil {
@@ -277,12 +278,12 @@
 	}
 }
 
-// ringing is the moment of the timer; load reports come with every fifth.
+// timerFires fires the timer; load reports arrive with every fifth timer event.
 func (tr *trace) timerFires() {
 	tr.now = tr.timerAt
-	tr.deliver()
+	tr.deliverAcks()
 	if tr.tick%5 == 0 {
-		tr.report()
+		tr.deliverReports()
 	}
 	tr.step("timer", func() { tr.balancer.TimerFired(tr.now) })
 	tr.flush()
@@ -297,23 +298,23 @@
 	}
 }
 
-// deliver hands over the acknowledgements that are due.
-func (tr *trace) deliver() {
+// deliverAcks passes the acknowledgements that are due to the balancer.
+func (tr *trace) deliverAcks() {
 	var due, later []pendingAck
-	for _, a := range tr.acks {
+	for _, a := range tr.pendingAcks {
 		if a.at <= tr.now {
 			due = append(due, a)
 		} else {
 			later = append(later, a)
 		}
 	}
-	tr.acks = later
+	tr.pendingAcks = later
 	if len(due) == 0 {
 		return
 	}
 	tr.step(fmt.Sprintf("acks %d", len(due)), func() {
 		for _, a := range due {
-			tr.note("ack %d %d", int(a.proxy), a.sequence)
+			tr.recordEvent("ack %d %d", int(a.proxy), a.sequence)
 			tr.balancer.Acknowledged(tr.now, a.proxy, a.sequence)
 		}
 	})
--- a/internal/balancer/golden_view_test.go
+++ b/internal/balancer/golden_view_test.go
@@ -7,10 +7,11 @@
 	"peppervale/internal/balancer"
 )
 
-// stateCodes stands between the words for a replica's state, as the console serves them, and the hashes.
+// stateCodes maps the states in ReplicaView.State to numbers, so that the hashes don't depend on the names of states.
 var stateCodes = map[string]int{"away": 1, "draining": 2, "easing": 3, "serving": 4, "resting": 5}
 
-// viewText writes every value of a View, in the order given, floats by their bits.
+// viewText returns every value of a View as text, in a fixed order, floats by their bits. The text is hashed, so it
+// must not change.
 func viewText(t *testing.T, view *balancer.View) (lines []string) {
 	t.Helper()
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
@@ -42,7 +43,7 @@
 	t.Helper()
 	code, known := stateCodes[r.State]
 	if !known {
-		t.Fatalf("the state %q is not in stateCodes", r.State)
+		t.Fatalf("replica state %q is not in stateCodes", r.State)
 	}
 	return []string{
 		fmt.Sprintf("replica %s %d %d %t %t", replicaText(r.ID), r.Zone, code, r.Withdrawn, r.WarmingUp),
--- a/internal/balancer/fleetrules_test.go
+++ b/internal/balancer/invariants_test.go
@@ -9,7 +9,7 @@
 	"peppervale/internal/model"
 )
 
-// invariantOperations are the operations of the fleets that the invariants are checked for.
+// invariantOperations are the operations of the fleets in these tests.
 func invariantOperations() []model.Operation {
 	return []model.Operation{
 		{LatencyObjective: 500_000, PriorityWeight: 1},
@@ -17,21 +17,21 @@
 	}
 }
 
-// fleetCourse is a random fleet and what happens to it.
-type fleetCourse struct {
+// randomRun is a random fleet with the random events that happen to it.
+type randomRun struct {
 	t        *rapid.T
 	fleet    *simulatedFleet
-	replicas []int // numbers
+	replicas []int // replica numbers
 	proxies  int
 }
 
-// drawCourse draws a fleet whose limits follow from its configuration.
-func drawCourse(t *rapid.T) *fleetCourse {
+// drawRun draws a fleet and sets the limits that follow from its configuration.
+func drawRun(t *rapid.T) *randomRun {
 	zones := rapid.IntRange(1, 3).Draw(t, "zones")
 	replicas := rapid.IntRange(4, 24).Draw(t, "replicas")
 	proxies := rapid.IntRange(2, 60).Draw(t, "proxies")
 	delay := model.Microseconds(rapid.IntRange(1, 300).Draw(t, "delay")) * model.Millisecond
-	// What can't be put off fits twice, with all proxies on this balancer: the limits are set so for each deployment.
+	// The queue limit must fit urgent updates to all proxies at least twice, as it must in every deployment.
 	entriesPerSecond := float64(proxies*(9+replicas)) * rapid.Float64Range(1, 4).Draw(t, "speed")
 	fleet := newSimulatedFleet(t, model.Config{
 		Seed:                  rapid.Uint64().Draw(t, "seed"),
@@ -53,20 +53,21 @@
 	})
 	fleet.delay = delay
 	fleet.entriesPerSecond = entriesPerSecond
-	course := &fleetCourse{t: t, fleet: fleet, proxies: proxies}
-	// A message waits for the whole queue and its delay, and the balancer acts five times a second; binds take a queue
-	// too.
-	fleet.drainLimit = 3*model.Second + delay + 2*course.tick()
-	// A proxy may come back with withdrawals of an earlier incarnation, unknown to this one until it binds the proxy.
-	fleet.emptyLimit = max(4*model.Second, 3*fleet.config.ReportPeriod+model.Second) + delay + 2*course.tick()
-	course.replicas = fleet.addReplicas(replicas)
-	return course
+	run := &randomRun{t: t, fleet: fleet, proxies: proxies}
+	// A message waits for the whole queue and its delay, the balancer acts only at ticks, and binds may fill the queue a
+	// second time.
+	fleet.drainLimit = 3*model.Second + delay + 2*run.tick()
+	// A proxy may reconnect with withdrawals of an earlier incarnation, which this incarnation does not know until it
+	// binds the proxy.
+	fleet.emptyLimit = max(4*model.Second, 3*fleet.config.ReportPeriod+model.Second) + delay + 2*run.tick()
+	run.replicas = fleet.addReplicas(replicas)
+	return run
 }
 
-// tick is the time from one tick to the next.
-func (c *fleetCourse) tick() model.Microseconds { return c.fleet.config.ReportPeriod / ticksPerReport }
+// tick is the time between two ticks.
+func (c *randomRun) tick() model.Microseconds { return c.fleet.config.ReportPeriod / ticksPerReport }
 
-func (c *fleetCourse) start() {
+func (c *randomRun) start() {
 	c.fleet.startBalancer(c.replicas)
 	for p := range c.proxies {
 		c.fleet.connect(model.ProxyID(p), p%c.fleet.config.Zones, true)
@@ -74,8 +75,8 @@
 	c.fleet.flush()
 }
 
-// someReplicas draws up to so many replicas, each once.
-func (c *fleetCourse) someReplicas(most int, name string) (numbers []int) {
+// drawReplicas draws up to most different replicas.
+func (c *randomRun) drawReplicas(most int, name string) (numbers []int) {
 	for range rapid.IntRange(1, most).Draw(c.t, name) {
 		numbers = append(numbers, rapid.IntRange(1, len(c.replicas)).Draw(c.t, "replica"))
 	}
@@ -83,7 +84,7 @@
 	return slices.Compact(numbers)
 }
 
-func (c *fleetCourse) replicasOfZone(zone int) (numbers []int) {
+func (c *randomRun) replicasOfZone(zone int) (numbers []int) {
 	for _, n := range c.replicas {
 		if c.fleet.replicas[replicaID(n)].zone == zone {
 			numbers = append(numbers, n)
@@ -92,8 +93,8 @@
 	return numbers
 }
 
-// startReplicas starts those of some replicas that are not ready.
-func (c *fleetCourse) startReplicas(numbers []int) {
+// startReplicas starts the given replicas that are not ready.
+func (c *randomRun) startReplicas(numbers []int) {
 	for _, n := range numbers {
 		if r := c.fleet.replicas[replicaID(n)]; r.status != model.EndpointReady {
 			r.status = model.EndpointReady
@@ -103,28 +104,29 @@
 	c.fleet.updateEndpoints(model.ChangedEntries, numbers...)
 }
 
-func (c *fleetCourse) disconnectSome() {
+func (c *randomRun) disconnectSome() {
 	for range rapid.IntRange(1, 1+c.proxies/2).Draw(c.t, "disconnects") {
 		c.fleet.disconnect(model.ProxyID(rapid.IntRange(0, c.proxies-1).Draw(c.t, "proxy")))
 	}
 }
 
-// reconnectSome reconnects the first disconnected proxies, some of them with a new standing table.
-func (c *fleetCourse) reconnectSome() {
-	left := 1 + rapid.IntRange(0, c.proxies-1).Draw(c.t, "reconnects")
+// reconnectSome reconnects some of the disconnected proxies, some of them with a new standing table.
+func (c *randomRun) reconnectSome() {
+	remaining := 1 + rapid.IntRange(0, c.proxies-1).Draw(c.t, "reconnects")
 	for id := range model.ProxyID(c.proxies) {
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		if p := c.fleet.proxies[id]; !p.connected {
 			c.fleet.connect(id, p.zone, rapid.Bool().Draw(c.t, "fresh"))
-			left--
+			remaining--
 		}
 	}
 }
 
-// restartBalancer starts the balancer again with its last list; some proxies return at once with what they have.
-func (c *fleetCourse) restartBalancer() {
+// restartBalancer starts the balancer again with its last endpoint list. Some proxies reconnect at once and keep
+// their tables.
+func (c *randomRun) restartBalancer() {
 	c.fleet.restartBalancer(c.replicas)
 	for id := range model.ProxyID(c.proxies) {
 		if rapid.Bool().Draw(c.t, "back at once") {
@@ -133,23 +135,23 @@
 	}
 }
 
-// drawEvent has one of the events of a fleet happen, or none.
-func (c *fleetCourse) drawEvent() {
+// applyRandomEvent triggers a random event of the fleet, or none.
+func (c *randomRun) applyRandomEvent() {
 	count := len(c.replicas)
 	switch rapid.IntRange(0, 19).Draw(c.t, "event") {
 	case 0:
-		c.fleet.setStatus(model.EndpointDraining, c.someReplicas(1+count/3, "drains")...)
+		c.fleet.setStatus(model.EndpointDraining, c.drawReplicas(1+count/3, "drains")...)
 	case 1:
-		c.fleet.setStatus(model.EndpointGone, c.someReplicas(1+count/4, "gone")...)
+		c.fleet.setStatus(model.EndpointGone, c.drawReplicas(1+count/4, "gone")...)
 	case 2:
-		c.startReplicas(c.someReplicas(1+count/4, "start"))
+		c.startReplicas(c.drawReplicas(1+count/4, "start"))
 	case 3:
 		c.disconnectSome()
 	case 4, 5:
 		c.reconnectSome()
 	case 6:
 		c.fleet.balancer.EndpointsChanged(c.fleet.now, model.PollFailed, nil)
-	case 7: // a zone is lost, seen from here
+	case 7: // the endpoint list loses all replicas of a zone
 		zone := rapid.IntRange(0, c.fleet.config.Zones-1).Draw(c.t, "zone")
 		c.fleet.setStatus(model.EndpointGone, c.replicasOfZone(zone)...)
 	case 8:
@@ -157,8 +159,8 @@
 	}
 }
 
-// drawReports has load reports of all ready replicas come, or be late.
-func (c *fleetCourse) drawReports() {
+// deliverRandomReports delivers load reports of all ready replicas, or none, as if they were late.
+func (c *randomRun) deliverRandomReports() {
 	if rapid.IntRange(0, 4).Draw(c.t, "reports") == 0 {
 		return
 	}
@@ -174,40 +176,40 @@
 	}
 }
 
-// Any fleet, any course of drains, losses, starts, streams that break and return, late and missing acknowledgements
-// and load reports: what proxies have keeps the invariants, within limits that follow from the configuration.
-func TestInvariantsOfAnyFleet(t *testing.T) {
+// Checks the invariants on random fleets with random drains, losses, starts, broken streams, reconnects and load
+// reports, with late and lost acknowledgements. The limits follow from the configuration.
+func TestInvariantsHoldForRandomFleets(t *testing.T) {
 	const ticks = 75
 	rapid.Check(t, func(t *rapid.T) {
-		course := drawCourse(t)
-		course.start()
-		began := course.fleet.now
+		run := drawRun(t)
+		run.start()
+		startedAt := run.fleet.now
 		for k := range ticks {
 			if k == 1 && rapid.IntRange(0, 3).Draw(t, "early loss") == 0 { // in safe mode
-				course.fleet.setStatus(model.EndpointDraining, course.replicasOfZone(0)...)
+				run.fleet.setStatus(model.EndpointDraining, run.replicasOfZone(0)...)
 			}
-			course.fleet.advanceTo(began + model.Microseconds(k+1)*course.tick())
-			course.drawEvent()
+			run.fleet.advanceTo(startedAt + model.Microseconds(k+1)*run.tick())
+			run.applyRandomEvent()
 			if k%ticksPerReport == 0 {
-				course.drawReports()
+				run.deliverRandomReports()
 			}
-			course.fleet.tick()
+			run.fleet.tick()
 		}
 	})
 }
 
-// Four of five balancers die amid a release, so 185 proxies come over to the fifth, with the tables that those made;
-// then sixty replicas are drained or gone at once. Notified one by one, on tables that this balancer did not make, that
-// costs each of them eight messages: at the channel's speed 8.9 s, where 3 s are allowed (figures of herd+mass, 30
-// nodes, seed 2). Bound first, they need be notified of none.
-func TestManyDrainsMeetManyNewProxies(t *testing.T) {
+// Four of five balancers fail during a release, so 185 proxies connect to the fifth and keep the tables of the failed
+// ones; then sixty replicas drain or are removed at once. Notifying the unbound proxies of each withdrawal costs
+// eight messages for each proxy, which takes 8.9 s at the speed of the channel, where 3 s are allowed. If the proxies
+// are bound first, they need no separate withdrawals (scenario herd+mass, 30 nodes, seed 2).
+func TestDrainLimitHoldsWhenReplicasDrainWhileProxiesReconnect(t *testing.T) {
 	const (
 		replicas      = 200
 		ownProxies    = 19
 		proxiesMoving = 185
 		allProxies    = ownProxies + proxiesMoving
 		ticks         = 90
-		movesFrom     = 50 // tick; within six ticks all have moved
+		movesFrom     = 50 // tick; all have moved six ticks later
 		drainsAt      = 58 // tick
 	)
 	fleet := newSimulatedFleet(t, model.Config{
@@ -229,9 +231,9 @@
 		}
 	}
 	fleet.startBalancer(all)
-	began, connected := fleet.now, 0
+	startedAt, connected := fleet.now, 0
 	for tick := 1; tick <= ticks; tick++ {
-		fleet.advanceTo(began + model.Microseconds(tick)*tickSpan)
+		fleet.advanceTo(startedAt + model.Microseconds(tick)*tickSpan)
 		for connected < min(ownProxies+max(0, (tick-movesFrom)*proxiesMoving/6), allProxies) {
 			fleet.connectWithEntries(connected, 12)
 			connected++
@@ -246,12 +248,13 @@
 	}
 	for id, p := range fleet.proxies {
 		if !p.bound {
-			t.Fatalf("proxy %d is not bound", id)
+			t.Fatalf("proxy %d is not bound at the end", id)
 		}
 	}
 }
 
-// connectWithEntries connects a proxy that has so many entries more than its standing table.
+// connectWithEntries connects a proxy that has more entries than those of its standing table; entries is the number
+// of additional ones.
 func (f *simulatedFleet) connectWithEntries(number, entries int) {
 	id := model.ProxyID(number)
 	f.connect(id, number%f.config.Zones, true)
--- a/internal/balancer/loadshed_test.go
+++ b/internal/balancer/loadshed_test.go
@@ -6,95 +6,102 @@
 	"peppervale/internal/model"
 )
 
-// Operation 1 has the least value; its quota and that of the other are keyed by their bit.
+// Bits of the operations, by which quotas are keyed. The first operation has the lower value.
 const (
 	lowValueOperation  = 1
 	highValueOperation = 2
 )
 
-// requireAllAdmitted fails if a quota is below one.
+// requireAllAdmitted fails if a quota is below 1.
 func (f *fakeFleet) requireAllAdmitted(t *testing.T) {
 	t.Helper()
-	require(t, f.quotas[lowValueOperation] == 1 && f.quotas[highValueOperation] == 1, "quotas %v", f.quotas)
+	require(t, f.quotas[lowValueOperation] == 1 && f.quotas[highValueOperation] == 1, "quotas %v, want 1", f.quotas)
 }
 
 func reportsUtilization(config *model.Config) { config.UtilizationField = 0 }
 
-func TestQuotas(t *testing.T) {
+func TestQuotasFollowLatency(t *testing.T) {
 	overloaded := func(fleet *fakeFleet) func() { return fleet.reportsOf(1, 6, 10, 4, 400*model.Millisecond) }
-	t.Run("fall for the operation with the least value, and rise again", func(t *testing.T) {
+	t.Run("fall for the operation with the least value, and rise after the overload", func(t *testing.T) {
 		fleet := startWarmFleet(t, 6, nil)
-		fleet.run(4, overloaded(fleet))
+		fleet.advance(4, overloaded(fleet))
 		require(t, fleet.quotas[lowValueOperation] <= 0.7 && fleet.quotas[highValueOperation] == 1,
 			"quotas %v", fleet.quotas)
-		fleet.run(30, fleet.goodReports(6))
-		require(t, fleet.quotas[lowValueOperation] == 1, "quotas %v after the overload", fleet.quotas)
+		fleet.advance(30, fleet.goodReports(6))
+		require(t, fleet.quotas[lowValueOperation] == 1,
+			"quotas %v after the overload, want 1 for the low value", fleet.quotas)
 	})
-	t.Run("stay while attempts err but the good ones are quick", func(t *testing.T) {
-		// Found by an incident: one operation went unanswered everywhere, and nine tenths of all were rejected.
+	t.Run("stay at 1 while attempts fail but the good ones are quick", func(t *testing.T) {
+		// When one operation gets no response from any replica, shedding load on errors alone rejects nine tenths of all
+		// requests.
 		fleet := startWarmFleet(t, 6, nil)
-		fleet.run(6, fleet.reportsOf(1, 6, 10, 6, 100*model.Millisecond))
+		fleet.advance(6, fleet.reportsOf(1, 6, 10, 6, 100*model.Millisecond))
 		fleet.requireAllAdmitted(t)
 	})
-	t.Run("stay while attempts are slow but most cores idle", func(t *testing.T) {
-		// Found by an incident: new connections took most of the objective, and shedding made each one new.
+	t.Run("stay at 1 while attempts are slow but most cores are idle", func(t *testing.T) {
+		// When setting up connections takes most of the latency objective, shedding leaves so few requests that every
+		// connection is a new one, and the latency stays high.
 		fleet := startWarmFleet(t, 8, reportsUtilization)
-		fleet.run(6, func() {
+		fleet.advance(6, func() {
 			fleet.reportUtilization(1, 2, 400*model.Millisecond, 1)
 			fleet.reportUtilization(3, 8, 400*model.Millisecond, 0.2)
 		})
 		fleet.requireAllAdmitted(t)
 	})
-	t.Run("stay where proxies ignore them", func(t *testing.T) {
+	t.Run("stay at 1 if proxies ignore quotas", func(t *testing.T) {
 		fleet := startFleet(t, 6, func(config *model.Config) { config.AdmissionControl = false })
-		fleet.run(12, overloaded(fleet))
+		fleet.advance(12, overloaded(fleet))
 		fleet.requireAllAdmitted(t)
 	})
 }
 
 func TestQuotasFollowUtilization(t *testing.T) {
 	const quick = 100 * model.Millisecond
-	t.Run("when most cores are in use though some replicas idle", func(t *testing.T) {
-		// Found by an incident: two in five answered nothing and idled, the others were full long before they were late.
+	t.Run("fall when most cores are in use though some replicas are idle", func(t *testing.T) {
+		// When two replicas in five do not respond and are idle, the other replicas are full long before their latency
+		// rises.
 		fleet := startFleet(t, 10, reportsUtilization)
-		fleet.run(4, func() {
+		fleet.advance(4, func() {
 			fleet.reportUtilization(1, 6, quick, 0.97)
 			fleet.reportUtilization(7, 10, quick, 0.2)
 		})
 		require(t, fleet.quotas[lowValueOperation] <= 0.95, "quotas %v", fleet.quotas)
 	})
-	t.Run("deeper where all cores are in use, and back while there is capacity", func(t *testing.T) {
-		// On sockets a release left replicas full: their utilization cannot pass one, so quotas fell by a seventh each two
-		// seconds while a third was late, and came back by hundredths once two fifths idled.
+	t.Run("fall further when all cores are in use, and rise when there is capacity", func(t *testing.T) {
+		// A release leaves replicas with all cores in use. As utilization cannot exceed 1, a saturation proportional to it
+		// lets quotas fall by only a seventh every two seconds while a third of the requests is late, and rise by
+		// hundredths once two fifths of the cores are idle.
 		fleet := startFleet(t, 10, reportsUtilization)
-		fleet.run(4, func() { fleet.reportUtilization(1, 10, quick, 0.99) })
-		require(t, fleet.quotas[lowValueOperation] <= 0.65, "quotas %v with all in use", fleet.quotas)
-		fleet.run(10, func() { fleet.reportUtilization(1, 10, quick, 0.62) })
-		require(t, fleet.quotas[lowValueOperation] >= 0.9, "quotas %v with two fifths idle", fleet.quotas)
+		fleet.advance(4, func() { fleet.reportUtilization(1, 10, quick, 0.99) })
+		require(t, fleet.quotas[lowValueOperation] <= 0.65, "quotas %v with all cores in use", fleet.quotas)
+		fleet.advance(10, func() { fleet.reportUtilization(1, 10, quick, 0.62) })
+		require(t, fleet.quotas[lowValueOperation] >= 0.9, "quotas %v with two fifths of the cores idle", fleet.quotas)
 	})
-	t.Run("when a release takes capacity, before latency shows it", func(t *testing.T) {
-		// Found by the search for broken invariants: four of nine drained, and the overload reached a replica that warmed up.
+	t.Run("fall when a release removes capacity, before latency rises", func(t *testing.T) {
+		// When four of nine replicas drain, the overload reaches a replica that warms up unless quotas fall in time.
 		fleet := startWarmFleet(t, 6, reportsUtilization)
 		fleet.drain(4, 5, 6)
-		fleet.run(2, fleet.goodReports(3))
-		require(t, fleet.quotas[lowValueOperation] <= 0.95, "quotas %v with half the capacity", fleet.quotas)
+		fleet.advance(2, fleet.goodReports(3))
+		require(t, fleet.quotas[lowValueOperation] <= 0.95, "quotas %v with half of the capacity", fleet.quotas)
 	})
 }
 
-func TestRetryPolicy(t *testing.T) {
+func TestRetriesStopWhileTheFleetIsShortOfCapacity(t *testing.T) {
 	fleet := startFleet(t, 6, func(config *model.Config) { config.AdmissionControl = false })
-	t.Run("retries only on proof that the first attempt never ran", func(t *testing.T) {
-		fleet.run(12, fleet.goodReports(6))
-		require(t, len(fleet.policies) == 1 && fleet.policies[model.RetryIfNotExecuted],
-			"policies %v: no other is safe for every effect", fleet.policies)
+	t.Run("retries only if the first attempt was provably not executed", func(t *testing.T) {
+		fleet.advance(12, fleet.goodReports(6))
+		require(t, len(fleet.publishedPolicies) == 1 && fleet.publishedPolicies[model.RetryIfNotExecuted],
+			"policies %v, want RetryIfNotExecuted only: no other policy is safe for every effect", fleet.publishedPolicies)
 	})
-	t.Run("retries nothing while the fleet is short of capacity, and again after", func(t *testing.T) {
-		// Found by an incident: full replicas rejected attempts at once, and each came again elsewhere.
-		fleet.run(4, fleet.reportsOf(1, 6, 10, 6, 300*model.Millisecond))
-		unsafe := fleet.policies[model.RetryOnAnyFailure] || fleet.policies[model.RetryTwiceOnAnyFailure]
-		require(t, !unsafe && fleet.policies[model.RetryNever], "policies %v", fleet.policies)
-		clear(fleet.policies)
-		fleet.run(10, fleet.goodReports(6))
-		require(t, fleet.policies[model.RetryIfNotExecuted], "policies %v after the overload", fleet.policies)
+	t.Run("retries nothing while the fleet is short of capacity, and retries after that", func(t *testing.T) {
+		// Full replicas reject attempts at once, and with retries each rejected attempt arrives at another replica.
+		fleet.advance(4, fleet.reportsOf(1, 6, 10, 6, 300*model.Millisecond))
+		unsafe := fleet.publishedPolicies[model.RetryOnAnyFailure] || fleet.publishedPolicies[model.RetryTwiceOnAnyFailure]
+		require(t, !unsafe && fleet.publishedPolicies[model.RetryNever],
+			"policies %v, want RetryNever and no retry on any failure", fleet.publishedPolicies)
+		clear(fleet.publishedPolicies)
+		fleet.advance(10, fleet.goodReports(6))
+		require(t, fleet.publishedPolicies[model.RetryIfNotExecuted],
+			"policies %v after the overload, want RetryIfNotExecuted", fleet.publishedPolicies)
 	})
 }
--- a/internal/balancer/loadstats.go
+++ b/internal/balancer/loadstats.go
@@ -8,71 +8,73 @@
 )
 
 const (
-	// recentDecay is what a report period leaves of the recent statistics, which so reach over about ten periods.
+	// recentDecay is the factor by which the recent statistics decay in a report period. They cover about ten periods.
 	recentDecay = 0.9
-	// briefDecay is the same of the brief statistics, which reach over about two.
+	// briefDecay is the factor by which the brief statistics decay in a report period. They cover about two periods.
 	briefDecay = 0.5
 
-	// latencyCap bounds a normalized latency: beyond it a replica counts as no slower.
+	// latencyCap is the highest normalized latency: all replicas slower than that get the same value.
 	latencyCap = 1.5
-	// minErrorsToAssess without a good attempt give a replica that latency: a single error may be chance.
+	// minErrorsToAssess: a replica with at least this many errors and no good attempt gets latencyCap. A single error
+	// may be chance.
 	minErrorsToAssess = 2
 
-	// utilizationLifetime is how long a utilization counts: over a few report periods, so that the load of a replica which
-	// has just left is included.
+	// utilizationLifetime is the age up to which a reported utilization is used. It spans a few report periods, so that
+	// the load of a replica that has just left is included.
 	utilizationLifetime = 3 * model.Second
-	// idleUtilization is the use of cores below which few attempts wait: they may be slow for other reasons.
+	// idleUtilization is the utilization of the cores below which few attempts wait for a core: slow attempts may have
+	// other causes.
 	idleUtilization = 0.7
-	// fullUtilization is the use of cores from which load is shed. Beyond it utilization no longer shows how much capacity
-	// is missing.
+	// fullUtilization is the utilization of the cores from which load is shed. Above it utilization no longer shows how
+	// much capacity is missing.
 	fullUtilization = 0.9
-	// nearOverloadSaturation is the saturation with all cores in use.
+	// nearOverloadSaturation is the saturation that corresponds to a utilization of 1.
 	nearOverloadSaturation = 0.95
 )
 
-// attemptStats are counts of attempts with the time of the good ones, over a window. The figures decay, so they are
-// fractions.
+// attemptStats are counts of attempts over a window, and the total latency of the good ones. The figures decay, so
+// they are not whole numbers.
 type attemptStats struct {
 	attempts, good, errored float64
-	latency                 float64 // of the good attempts together, in microseconds
+	latency                 float64 // sum over the good attempts, in microseconds
 	window                  float64 // in microseconds
 }
 
 func (s *attemptStats) add(more attemptStats) { s.decayAndAdd(more, 1) }
 
-// decayAndAdd multiplies the figures by keep, a fraction, and adds more.
-func (s *attemptStats) decayAndAdd(more attemptStats, keep float64) {
-	s.attempts = s.attempts*keep + more.attempts
-	s.good = s.good*keep + more.good
-	s.errored = s.errored*keep + more.errored
-	s.latency = s.latency*keep + more.latency
-	s.window = s.window*keep + more.window
+// decayAndAdd multiplies the figures by keep, a fraction, and then adds more.
+func (s *attemptStats) decayAndAdd(more attemptStats, factor float64) {
+	s.attempts = s.attempts*factor + more.attempts
+	s.good = s.good*factor + more.good
+	s.errored = s.errored*factor + more.errored
+	s.latency = s.latency*factor + more.latency
+	s.window = s.window*factor + more.window
 }
 
 func (s *attemptStats) meanLatency() float64 { return s.latency / s.good }
 
-// errorRate is the share of attempts that erred; of less than one attempt it is taken as of one.
+// errorRate is the share of attempts that failed. A count below one attempt is taken as one.
 func (s *attemptStats) errorRate() float64 { return s.errored / max(s.attempts, 1) }
 
-// rate is in attempts a microsecond.
+// rate is the rate in attempts a microsecond.
 func (s *attemptStats) rate() float64 { return s.attempts / max(s.window, 1) }
 
-// replicaLoad is what load reports say of a replica.
+// replicaLoad is the load of a replica, from load reports.
 type replicaLoad struct {
-	pending attemptStats // since they were last digested
+	pending attemptStats // reported since the last digest
 	recent  attemptStats // over about ten report periods
-	brief   attemptStats // over about two
+	brief   attemptStats // over about two report periods
 
-	reported   bool               // named in a load report
-	reportedAt model.Microseconds // when attempts were last digested, or the start of the first window
+	reported   bool               // a load report named the replica
+	reportedAt model.Microseconds // time of the last digest with attempts; before the first one, start of its window
 
-	utilization       float64 // share of its cores in use
+	utilization       float64 // share of the cores in use
 	utilizationAt     model.Microseconds
-	normalizedLatency float64 // mean latency of good attempts over the objective, more with errors; 0: not known
-	failureRisk       float64 // the same, or the error rate if that is more
+	normalizedLatency float64 // mean latency of good attempts over the objective, raised by errors; 0: unknown
+	failureRisk       float64 // the higher of normalizedLatency and the error rate
 }
 
-// reset clears the statistics: those from before a replica's start say nothing of it now.
+// reset clears the statistics: attempts before a replica's start say nothing about its present load.
 func (l *replicaLoad) reset(now model.Microseconds) {
 	l.reportedAt = now
 	l.pending = attemptStats{}
@@ -80,7 +82,8 @@
 	l.brief = attemptStats{}
 }
 
-// record takes a load report; utilizationField is the place of the utilization in its readings, or negative.
+// record adds a load report. utilizationField is the index of the utilization in the readings, negative if it is not
+// reported.
 func (l *replicaLoad) record(now model.Microseconds, report model.LoadReport, utilizationField int) {
 	l.reported = true
 	if l.recent.window == 0 && l.pending.attempts == 0 {
@@ -103,8 +106,8 @@
 	return field >= 0 && field < len(report.Readings) && report.Readings[field] >= 0
 }
 
-// digest moves the pending statistics into the decayed ones. A report may cover several periods, so rates are taken
-// over the time since the last one.
+// digest moves the pending statistics into the decaying ones. A report may cover several periods, so rates are
+// computed over the time since the last digest.
 func (l *replicaLoad) digest(now, reportPeriod model.Microseconds) {
 	if l.pending.attempts <= 0 {
 		return
@@ -117,9 +120,9 @@
 	l.reportedAt = now
 }
 
-// assess sets the normalized latency and the failure risk. Errors multiply the latency of the good
-// attempts: beside quick ones they come from replicas that fail, which admitting less does not help. Too few attempts
-// show nothing, or a fleet that admits little would keep doing so.
+// assess sets the normalized latency and the failure risk. Errors only multiply the latency of the good attempts:
+// errors with low latency come from replicas that fail, and shedding load does not help against them. With too few
+// attempts the latency is unknown; otherwise a fleet that admits few requests would keep shedding.
 func (l *replicaLoad) assess(objective float64) {
 	switch {
 	case l.brief.good >= 1:
@@ -130,19 +133,19 @@
 	default:
 		l.normalizedLatency = 0
 	}
-	// Errors drive proxies that avoid what fails away as lateness does.
+	// Proxies that avoid failing replicas react to errors as they do to high latency.
 	l.failureRisk = max(l.normalizedLatency, l.brief.errorRate())
 }
 
-// fleetLoad is what load reports say of the fleet.
+// fleetLoad is the load of the fleet, from load reports.
 type fleetLoad struct {
-	objective  float64            // mean latency objective of the operations, in microseconds
-	arrived    float64            // attempts reported since digestedAt
-	digestedAt model.Microseconds // when reports were last digested
-	recentRate float64            // attempts a microsecond by the recent statistics
+	objective        float64            // mean latency objective of the operations, in microseconds
+	reportedAttempts float64            // attempts reported since digestedAt
+	digestedAt       model.Microseconds // when reports were last digested
+	recentRate       float64            // attempts a microsecond by the recent statistics
 
-	normalizedLatency float64 // at the median replica
-	saturation        float64 // how short of capacity the fleet is, see the levels of saturation
+	normalizedLatency float64 // of the median replica
+	saturation        float64 // how short of capacity the fleet is; see normalSaturation and the levels after it
 	warmingFraction   float64 // share of replicas in use that are new and warming up
 }
 
@@ -154,18 +157,18 @@
 	return load
 }
 
-// contradicts reports whether the figures of a report contradict themselves.
-func contradicts(report model.LoadReport) bool {
+// isContradictory reports whether a load report has impossible or contradictory figures.
+func isContradictory(report model.LoadReport) bool {
 	return report.Attempts <= 0 || report.Window <= 0 || report.Errors < 0 ||
 		report.Errors > report.Attempts || report.MeanLatency < 0
 }
 
-// reportsDue reports whether reports came and a report period has passed since they were last digested.
+// reportsDue reports whether load reports have arrived and a report period has passed since the last digest.
 func (l *fleetLoad) reportsDue(now, reportPeriod model.Microseconds) bool {
-	return l.arrived > 0 && now-l.digestedAt >= reportPeriod
+	return l.reportedAttempts > 0 && now-l.digestedAt >= reportPeriod
 }
 
-// digestReports updates the statistics from the pending load reports and takes the decisions that depend on them.
+// digestReports updates the statistics from the pending load reports and makes the decisions that depend on them.
 func (b *Balancer) digestReports() {
 	for _, r := range b.replicas {
 		r.load.digest(b.now, b.config.ReportPeriod)
@@ -175,19 +178,20 @@
 	newReplicas := b.countReplicas(b.isNewAndWarmingUp)
 	b.load.warmingFraction = float64(newReplicas) / float64(max(b.countReplicas((*replica).inUse), 1))
 	if b.everyReplicaReported() {
-		apply(b, safeModeTransitions, &b.safeMode.state, allReplicasReported, struct{}{})
+		applyEvent(b, safeModeTransitions, &b.safeMode.state, allReplicasReported, struct{}{})
 	}
 	if !b.safeMode.active() {
 		b.ejectOutliers()
 	}
 	b.adjustQuotas()
 	b.load.digestedAt = b.now
-	b.load.arrived = 0
+	b.load.reportedAttempts = 0
 }
 
-// measureSaturation sets the saturation to the normalized latency of the median replica. Where utilization is reported,
-// idle cores lower it, and cores in use raise it: those at the median replica, or those of all replicas over the
-// capacity of the ones that are not withdrawn.
+// measureSaturation sets the saturation to the normalized latency of the median replica. If utilization is reported,
+// low utilization of the median replica lowers the saturation, and high utilization raises it: the higher of the
+// utilization of the median replica and the work of all replicas divided by the capacity of those that need not be
+// withdrawn.
 func (b *Balancer) measureSaturation() {
 	var latencies, utilizations []float64
 	work := 0.0
@@ -216,8 +220,8 @@
 	b.load.saturation = saturation
 }
 
-// utilizationSaturation is the saturation that a utilization stands for. At fullUtilization load is shed; from there on
-// saturation rises faster, as utilization cannot exceed one, up to nearOverloadSaturation.
+// utilizationSaturation is the saturation that corresponds to a utilization. At fullUtilization it reaches
+// sheddingSaturation. Above that it rises faster, as utilization cannot exceed 1, up to nearOverloadSaturation.
 func utilizationSaturation(utilization float64) float64 {
 	const headroom = 1 - fullUtilization
 	upToFull := sheddingSaturation * utilization / fullUtilization
@@ -225,7 +229,7 @@
 	return max(upToFull, min(nearOverloadSaturation, beyondFull))
 }
 
-// quantile sorts the figures and returns the one that a share of them lies below; of none it is 0.
+// quantile sorts the figures and returns the one below which the given share of them lies; 0 if there are none.
 func quantile(share float64, figures []float64) float64 {
 	if len(figures) == 0 {
 		return 0
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -7,40 +7,42 @@
 )
 
 const (
-	// ejectionPeriod outlasts most silences that are no restart. It doubles with each further ejection in a row.
+	// ejectionPeriod is the length of a first ejection. It is longer than most gaps between the load reports of a
+	// replica that has not restarted. The length doubles with each further ejection in a row.
 	ejectionPeriod = 8 * model.Second
-	// maxEjectionDoublings bounds an ejection to 8, 16, then 32 s.
+	// maxEjectionDoublings is the number of times that the length of an ejection doubles: 8, 16, then 32 s.
 	maxEjectionDoublings = 2
 
-	// A replica fails with at least minOutlierErrors errors, which are outlierErrorRate of its attempts and
-	// outlierErrorRatio times the share that errs elsewhere.
+	// A replica counts as failing if it has at least minOutlierErrors errors, and the errors are at least
+	// outlierErrorRate of its attempts and outlierErrorRatio times the error rate of the other replicas.
 	minOutlierErrors  = 3
 	outlierErrorRate  = 0.9
 	outlierErrorRatio = 3
 
-	// A replica is silent if silenceRatio times the age of the last report that silenceQuantile of the replicas stay
-	// under has passed, though minMissedAttempts were due by then: fewer may be missing by chance.
+	// A replica counts as silent if the time since its last report exceeds silenceRatio times the sum of a report period
+	// and the silenceQuantile quantile of that time over the replicas in use, and at least minMissedAttempts attempts
+	// were expected in that time: fewer may be missing by chance.
 	silenceRatio      = 2
 	silenceQuantile   = 0.75
 	minMissedAttempts = 5
 
-	// ejectedShareDivisor: at most 1/ejectedShareDivisor of the replicas that are or recently were in use are out of use
-	// at once.
+	// ejectedShareDivisor: at most 1/ejectedShareDivisor of the replicas that are in use, or recently were, may be out
+	// of use at the same time.
 	ejectedShareDivisor = 3
 )
 
-// outlierDetector finds replicas that answer nothing: first their attempts err, then no report names them. Late reports
-// or an overload affect all replicas alike, so each is compared with the others. A detector serves one comparison of
-// the fleet.
+// outlierDetector finds replicas that do not respond: first their attempts fail, then no load report names them. Late
+// reports or an overload affect all replicas alike, so each replica is compared with the other replicas. A detector
+// is used for one comparison of the fleet.
 type outlierDetector struct {
 	fleet         attemptStats // brief statistics of all replicas in use
 	silenceLimit  float64      // in microseconds
-	reportedShare float64      // attempts reported over those expected, at most 1
-	unavailable   int          // replicas that were in use recently and are not
-	candidates    int          // those and the ones in use
+	reportedShare float64      // attempts reported divided by attempts expected, at most 1
+	unavailable   int          // replicas that were in use recently and no longer are
+	candidates    int          // unavailable replicas and replicas in use
 }
 
-// newOutlierDetector gathers the figures that each replica is compared with.
+// newOutlierDetector computes the figures of the fleet that each replica is compared with.
 func (b *Balancer) newOutlierDetector() outlierDetector {
 	var detector outlierDetector
 	var silences []float64
@@ -52,7 +54,7 @@
 	}
 	detector.silenceLimit = silenceRatio * (quantile(silenceQuantile, silences) + float64(b.config.ReportPeriod))
 	expected := float64(b.now-b.load.digestedAt) * b.load.recentRate
-	detector.reportedShare = min(1, b.load.arrived/max(expected, epsilon))
+	detector.reportedShare = min(1, b.load.reportedAttempts/max(expected, epsilon))
 	detector.unavailable = b.countReplicas(b.leftRecently)
 	detector.candidates = detector.unavailable + b.countReplicas((*replica).inUse)
 	return detector
@@ -70,12 +72,12 @@
 	return (d.unavailable+1)*ejectedShareDivisor <= d.candidates
 }
 
-// errorRateElsewhere is the error rate of the other replicas.
+// errorRateElsewhere is the error rate of the other replicas in use.
 func (d *outlierDetector) errorRateElsewhere(r *replica) float64 {
 	return (d.fleet.errored - r.load.brief.errored) / max(d.fleet.attempts-r.load.brief.attempts, 1)
 }
 
-// fails reports whether nearly all attempts at a replica err, and many more than elsewhere.
+// fails reports whether nearly all attempts at a replica fail, and many more than at the other replicas.
 func (d *outlierDetector) fails(r *replica) bool {
 	brief := &r.load.brief
 	byRate := outlierErrorRate * brief.attempts
@@ -83,18 +85,20 @@
 	return brief.errored >= max(minOutlierErrors, byRate, byRatio)
 }
 
-// missedAttempts is how many attempts would have been reported of a replica while it was silent.
+// missedAttempts is the number of attempts that were expected in load reports of a replica since its last one.
 func (d *outlierDetector) missedAttempts(r *replica, silence float64) float64 {
 	return r.load.recent.rate() * d.reportedShare * silence
 }
 
-// isSilent reports whether a replica with entries is unreported for longer than the others and than by chance.
+// isSilent reports whether a replica with traffic has been without a load report for longer than chance and the other
+// replicas explain.
 func (d *outlierDetector) isSilent(r *replica, silence float64) bool {
 	return r.expectedRate > 0 && d.missedAttempts(r, silence) >= minMissedAttempts && silence > d.silenceLimit
 }
 
-// isOverloaded reports whether a replica that errs is full rather than broken: its good attempts are late while the
-// load is not normal. With it ejected, the others would be overloaded next.
+// isOverloaded reports whether a replica with errors is overloaded rather than broken: the mean latency of its good
+// attempts is above the objective, and the load of the fleet is not normal. Ejecting it would overload the other
+// replicas next.
 func (b *Balancer) isOverloaded(r *replica) bool {
 	late := r.load.brief.latency > r.load.brief.good*b.load.objective
 	return late && b.load.normalizedLatency >= normalSaturation
@@ -109,13 +113,13 @@
 		}
 		if evidence := b.outlierEvidence(&detector, r); evidence != "" {
 			detector.unavailable++
-			b.changeReplica(r, failureDetected, evidence)
+			b.applyReplicaEvent(r, failureDetected, evidence)
 		}
 	}
 }
 
-// outlierEvidence returns the figure that passed its bound, as the end of a log message; "" for a replica that is no
-// outlier.
+// outlierEvidence returns the figures that exceeded their limits, as the end of a log message, or "" if the replica
+// is not an outlier.
 func (b *Balancer) outlierEvidence(detector *outlierDetector, r *replica) string {
 	silence := b.silence(r)
 	switch {
@@ -129,10 +133,10 @@
 	return ""
 }
 
-// beginEjection withdraws a replica for some time, longer with each ejection in a row.
+// beginEjection schedules the end of an ejection; each ejection in a row is longer than the previous one.
 func (b *Balancer) beginEjection(r *replica) {
 	r.generation++
-	span := ejectionPeriod << min(r.ejections, maxEjectionDoublings)
-	b.scheduleReplicaEvent(r, ejectionElapsed, b.now+span)
+	length := ejectionPeriod << min(r.ejections, maxEjectionDoublings)
+	b.scheduleReplicaEvent(r, ejectionElapsed, b.now+length)
 	r.ejections++
 }
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -7,7 +7,7 @@
 	"peppervale/internal/model"
 )
 
-// replicaState is a state of a replica's life cycle.
+// replicaState is a state of a replica's lifecycle.
 type replicaState uint8
 
 const (
@@ -18,7 +18,7 @@
 	ejected                           // listed as ready, withdrawn by outlier detection
 )
 
-// replicaEvent is an event of a replica's life cycle.
+// replicaEvent is an event of a replica's lifecycle.
 type replicaEvent uint8
 
 const (
@@ -27,8 +27,8 @@
 	drainReported                 // listed as draining
 	removedFromList               // not in the endpoint list any more
 	failureDetected               // by outlier detection
-	slowStartElapsed              // it may have its full weight
-	ejectionElapsed               // it is to be used again
+	slowStartElapsed              // the slow start is over
+	ejectionElapsed               // the ejection is over
 )
 
 var replicaTransitions = []transition[replicaState, replicaEvent, *replica]{
@@ -41,7 +41,7 @@
 	{ejected, ejectionElapsed, warming, (*Balancer).beginSlowStart},
 }
 
-// replicaEventMessages are the log messages of events. They are stored in the decision log.
+// replicaEventMessages are the log messages of events. They are stored in the decision log, so they must not change.
 var replicaEventMessages = map[replicaEvent]string{
 	listedAsReady:    "listed",
 	startReported:    "started",
@@ -57,30 +57,31 @@
 	id      model.ReplicaID
 	zone    int
 	state   replicaState
-	entries []*entry // its places in tables
+	entries []*entry // its entries, at most one in each table
 
-	startedAt   model.Microseconds // as the endpoint list has it; 0: long ago
+	startedAt   model.Microseconds // start time in the endpoint list; 0: not given
 	slowStartAt model.Microseconds // when its slow start began
-	restarted   bool               // it had statistics when its slow start began
-	generation  int                // a deadline of an earlier generation has lapsed
-	ejections   int                // in a row
+	restarted   bool               // it had load statistics when its slow start began
+	generation  int                // raised to cancel pending deadlines, which hold an earlier generation
+	ejections   int                // number in a row
 
 	load             replicaLoad
-	expectedRate     float64 // requests a second: the share of its entries in the tables' traffic
-	capacityEstimate float64 // what it can take, relative to the average replica
+	expectedRate     float64 // requests a second, by its entries' shares of the expected rates of their tables
+	capacityEstimate float64 // load that it can serve; 1: as much as the average replica
 
-	withdrawn          bool // its withdrawal was sent, last at withdrawnAt
-	withdrawnAt        model.Microseconds
-	withdrawnElsewhere bool // other balancers may have withdrawn it
+	withdrawn          bool               // its withdrawal was sent, and no readmission since
+	withdrawnAt        model.Microseconds // when a withdrawal or readmission was last sent
+	withdrawnElsewhere bool               // other balancers may have withdrawn the replica
 }
 
-// listedReady reports whether the endpoint list has a replica as ready; it may be withdrawn all the same.
+// listedReady reports whether the endpoint list has a replica as ready. The replica may be withdrawn.
 func (r *replica) listedReady() bool { return r.state&(warming|serving|ejected) != 0 }
 
-// inUse reports whether a replica's state lets proxies pick it. It may be withdrawn while warming up all the same.
+// inUse reports whether a replica's state allows proxies to pick it. A replica in use may still be withdrawn while it
+// warms up.
 func (r *replica) inUse() bool { return r.state&(warming|serving) != 0 }
 
-// countReplicas counts the replicas that match.
+// countReplicas returns the number of replicas for which matches returns true.
 func (b *Balancer) countReplicas(matches func(*replica) bool) (n int) {
 	for _, r := range b.replicas {
 		if matches(r) {
@@ -90,11 +91,11 @@
 	return n
 }
 
-// findOrAddReplica returns the replica of an endpoint. A new one gets a random place in the order of replicas, so
-// that balancers fill their tables differently.
+// findOrAddReplica returns the replica of an endpoint. A new replica is inserted at a random index, so that the
+// tables of different balancers differ.
 func (b *Balancer) findOrAddReplica(id model.ReplicaID) *replica {
-	if known := b.replicasByID[id]; known != nil {
-		return known
+	if existing := b.replicasByID[id]; existing != nil {
+		return existing
 	}
 	added := &replica{id: id, state: absent}
 	b.replicasByID[id] = added
@@ -102,14 +103,14 @@
 	return added
 }
 
-// updateEndpoint takes what the endpoint list says of a replica.
+// updateEndpoint updates a replica from its entry in the endpoint list.
 func (b *Balancer) updateEndpoint(r *replica, endpoint model.Endpoint) {
 	r.zone = endpoint.Zone % b.config.Zones
 	event := b.endpointEvent(r, endpoint)
 	if endpoint.Status == model.EndpointReady {
 		r.startedAt = endpoint.StartedAt
 	}
-	b.changeReplica(r, event, "")
+	b.applyReplicaEvent(r, event, "")
 }
 
 func (b *Balancer) endpointEvent(r *replica, endpoint model.Endpoint) replicaEvent {
@@ -125,29 +126,29 @@
 	}
 }
 
-// isRecentStart reports whether a start time is not yet known of a replica, and within the span of a slow start.
+// isRecentStart reports whether a start time is new for a replica and within the span of a slow start.
 func (b *Balancer) isRecentStart(r *replica, startedAt model.Microseconds) bool {
 	return startedAt > 0 && startedAt != r.startedAt && b.now-startedAt < slowStartSpan
 }
 
-// removeUnlisted handles the removal of every replica that a complete endpoint list does not name.
-func (b *Balancer) removeUnlisted(named map[*replica]bool) {
+// removeUnlisted marks every replica that a complete endpoint list does not name as removed.
+func (b *Balancer) removeUnlisted(listed map[*replica]bool) {
 	for _, r := range b.replicas {
-		if !named[r] {
-			b.changeReplica(r, removedFromList, "")
+		if !listed[r] {
+			b.applyReplicaEvent(r, removedFromList, "")
 		}
 	}
 }
 
-// changeReplica applies an event to a replica's state machine and logs a change of state; evidence, which may be empty,
-// ends the log message. A first listing is not logged: hundreds of them would flood the log at the start.
-func (b *Balancer) changeReplica(r *replica, event replicaEvent, evidence string) {
-	before := r.state
-	apply(b, replicaTransitions, &r.state, event, r)
+// applyReplicaEvent applies an event to a replica's state machine and logs a change of state; evidence, which may be
+// empty, ends the log message. A first listing is not logged, as hundreds of them would flood the log after a start.
+func (b *Balancer) applyReplicaEvent(r *replica, event replicaEvent, evidence string) {
+	previousState := r.state
+	applyEvent(b, replicaTransitions, &r.state, event, r)
 	b.changed = true
-	noteworthy := before != r.state && event != listedAsReady
-	r.withdrawnElsewhere = r.withdrawnElsewhere || r.startedAt > 0 || noteworthy
-	if noteworthy {
+	worthLogging := previousState != r.state && event != listedAsReady
+	r.withdrawnElsewhere = r.withdrawnElsewhere || r.startedAt > 0 || worthLogging
+	if worthLogging {
 		b.logReplica(r, replicaEventMessages[event]+evidence)
 	}
 }
--- a/internal/balancer/safemode.go
+++ b/internal/balancer/safemode.go
@@ -2,11 +2,11 @@
 
 import "peppervale/internal/model"
 
-// safeModeState is a state of the safe mode that a balancer starts in.
+// safeModeState is a state of safe mode, in which a balancer starts.
 type safeModeState uint8
 
 const (
-	safeModeActive safeModeState = 1 << iota // no weight moves; a proxy is bound only if its table may be empty
+	safeModeActive safeModeState = 1 << iota // weights stay; a proxy is bound only if its standing table may be empty
 	safeModeEnded                            // weights follow load reports
 )
 
@@ -18,37 +18,37 @@
 	startWindowElapsed
 )
 
-// SafeModeEndedMessage is logged when safe mode ends, by which the controller learns of it. Stored decision logs
-// contain the text, so it must not change.
-const SafeModeEndedMessage = "gate open"
+// SafeModeEndedMessage is logged when safe mode ends. The controller compares log messages with it to detect the end.
+const SafeModeEndedMessage = "safe mode ended"
 
 var safeModeTransitions = []transition[safeModeState, safeModeEvent, struct{}]{
 	{safeModeActive, allReplicasReported | startWindowElapsed, safeModeEnded, (*Balancer).logSafeModeEnd},
 }
 
-// safeMode keeps a balancer from deciding on incomplete load reports after a start: it lasts until every replica listed
-// as ready is named in a load report, or until the start window ends.
+// safeMode keeps a balancer from making decisions on incomplete load reports after its start. It lasts until a load
+// report has named every replica that is listed as ready, or until the start window ends.
 type safeMode struct{ state safeModeState }
 
 func (m *safeMode) active() bool { return m.state == safeModeActive }
 
 const (
-	// startWindowPeriods: a report is gathered in one period and arrives in a second; a third serves replicas whose first
-	// entry has to wait. A replica unreported by then is in no standing table, so waiting longer is of no use.
+	// startWindowPeriods is the length of the start window in report periods. A report is collected in the first period
+	// and arrives in the second; the third is for replicas that get their first table entry late. A replica unreported
+	// by then is in no standing table, so waiting longer does not help.
 	startWindowPeriods = 3
-	// startWindowLimit is the start window of the design.
+	// startWindowLimit is the longest start window.
 	startWindowLimit = 10 * model.Second
 )
 
-// startWindow is the longest time that safe mode lasts.
+// startWindow is the longest duration of safe mode.
 func startWindow(reportPeriod model.Microseconds) model.Microseconds {
 	return min(startWindowPeriods*reportPeriod, startWindowLimit)
 }
 
 func (b *Balancer) logSafeModeEnd(struct{}) { b.publisher.Log(SafeModeEndedMessage) }
 
-// everyReplicaReported reports whether each replica listed as ready was named in a load report. Draining and absent
-// ones are not waited for.
+// everyReplicaReported reports whether load reports have named every replica that is listed as ready. Draining and
+// unlisted replicas do not count.
 func (b *Balancer) everyReplicaReported() bool {
 	for _, r := range b.replicas {
 		if r.listedReady() && !r.load.reported {
--- a/internal/balancer/seed_test.go
+++ b/internal/balancer/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// The same draws come in every run, so that a verdict says something of the change that it stands beside; -rapid.seed N
-// draws others.
+// A fixed seed gives the same random cases in every run, so that a failure is due to the change under test. The flag
+// -rapid.seed N selects other cases.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/balancer/sendwindow.go
+++ b/internal/balancer/sendwindow.go
@@ -6,53 +6,53 @@
 	"peppervale/internal/model"
 )
 
-// Shares of the queue limit that unacknowledged entries may fill.
+// Shares of the queue limit that unacknowledged entries may fill, by the urgency of the next update.
 const (
-	urgentShare  = 0.9 // by updates that can't be put off
-	promptShare  = 0.7 // by updates that should be sent soon
-	routineShare = 0.5 // by the others
+	urgentShare  = 0.9 // updates that must not be delayed
+	promptShare  = 0.7 // updates that should be sent soon
+	routineShare = 0.5 // all other updates
 )
 
-// budget is what an update may use: a share of the queue limit, and all but some of a proxy's messages. Spare messages
-// are left for more urgent updates.
+// budget limits what an update may use: a share of the queue limit, and the message limit of a proxy less
+// spareMessages, which are kept for more urgent updates.
 type budget struct {
 	queueShare    float64
 	spareMessages int
 }
 
 var (
-	withdrawalBudget  = budget{urgentShare, 1} // of replicas that drain or are gone, and of updates in place of them
-	promptBudget      = budget{promptShare, 1} // of temporary withdrawals and cut weights
+	withdrawalBudget  = budget{urgentShare, 1} // withdrawals of draining or unlisted replicas, or their substitutes
+	promptBudget      = budget{promptShare, 1} // temporary withdrawals and cut weights
 	urgentBindBudget  = budget{urgentShare, 2}
 	routineBindBudget = budget{routineShare, 2}
 	quotaBudget       = budget{promptShare, 3}
 	weightBudget      = budget{routineShare, 3}
 
-	firstWeightsBudget = budget{1, 0} // of a table that no proxy uses yet
+	firstWeightsBudget = budget{1, 0} // weights of a new table, which no proxy uses yet
 )
 
-// sequenceNumbers is the count of acknowledgement sequence numbers, which stand in 16 bits on the wire.
+// sequenceNumbers is the number of different sequence numbers. They have 16 bits on the wire.
 const sequenceNumbers = 1 << 16
 
 // sentMessage is a message that a proxy has not acknowledged.
 type sentMessage struct {
 	sequence int
-	entries  int // that it is charged for
-	at       model.Microseconds
+	entries  int                // entries charged for it
+	at       model.Microseconds // send time
 }
 
-// sendWindow bounds the entries that wait to be sent by counting those not acknowledged, as the network may be slower
-// than configured. Costs are in entries.
+// sendWindow is the flow control: it limits the entries that are sent and not acknowledged, and so the length of the
+// send queue. It does not rely on the configured speed of the network, which may be slower. Costs are in entries.
 type sendWindow struct {
-	messageCost    int // of a message beyond its own entries
-	queueLimit     int
-	messageLimit   int // to one proxy within messageSpan; 0: no limit
+	messageCost    int // overhead of a message
+	queueLimit     int // in entries
+	messageLimit   int // messages to one proxy within messageSpan; 0: no limit
 	messageSpan    model.Microseconds
-	unackedEntries int      // entries not acknowledged or reserved
-	agedEntries    int      // entries counted again for their age
-	sequence       int      // of the last message
-	reached        []*proxy // by the message being written
-	ackFromAll     bool     // every proxy is to acknowledge it, reached or not
+	unackedEntries int      // entries that are unacknowledged or reserved
+	agedEntries    int      // entries added for the age of unacknowledged messages
+	sequence       int      // sequence number of the last message
+	recipients     []*proxy // proxies that get the message being written
+	ackFromAll     bool     // every proxy is to acknowledge that message, also if it is not in recipients
 }
 
 func newSendWindow(config model.Config) sendWindow {
@@ -64,9 +64,10 @@
 	}
 }
 
-// measureAge counts entries again for each second beyond the first that they wait for their acknowledgement: a network
-// that has become slow still holds what was sent before, and withdrawals must not wait behind weights.
-func (w *sendWindow) measureAge(now model.Microseconds, proxies []*proxy) {
+// countAgedEntries counts the entries of a message once more for each second after the first that it has been
+// unacknowledged. A network that has become slow still has earlier messages queued, and withdrawals must not wait
+// behind weights.
+func (w *sendWindow) countAgedEntries(now model.Microseconds, proxies []*proxy) {
 	w.agedEntries = 0
 	for _, p := range proxies {
 		for _, message := range p.unacked {
@@ -76,7 +77,7 @@
 	}
 }
 
-// reserve charges entries to each of some proxies if they may be sent now, and reports whether they may.
+// reserve charges entries to each of the given proxies if they may be sent now, and reports whether they may.
 func (w *sendWindow) reserve(now model.Microseconds, proxies []*proxy, entries int, limits budget) bool {
 	total := w.unackedEntries
 	for _, p := range proxies {
@@ -85,7 +86,7 @@
 			continue
 		}
 		total += w.messageCost
-		w.forgetOldMessages(now, p)
+		w.dropOldMessageTimes(now, p)
 		if w.messagesExhausted(p, limits.spareMessages) {
 			return false
 		}
@@ -96,7 +97,7 @@
 	for _, p := range proxies {
 		if p.reserved == 0 {
 			p.reserved = w.messageCost
-			w.reached = append(w.reached, p)
+			w.recipients = append(w.recipients, p)
 		}
 		p.reserved += entries
 	}
@@ -104,12 +105,13 @@
 	return true
 }
 
-// messagesExhausted reports whether a further message would leave a proxy too few spare ones.
+// messagesExhausted reports whether another message would leave a proxy with fewer than spare messages under the
+// message limit.
 func (w *sendWindow) messagesExhausted(p *proxy, spare int) bool {
 	return w.messageLimit > 0 && len(p.messageTimes)+spare >= w.messageLimit
 }
 
-// exceedsQueue reports whether entries pass a share of the queue limit. Aged entries count too, except for urgent
+// exceedsQueue reports whether entries exceed a share of the queue limit. Aged entries count too, except for urgent
 // updates.
 func (w *sendWindow) exceedsQueue(entries int, share float64) bool {
 	if share < urgentShare {
@@ -118,46 +120,46 @@
 	return float64(entries) > share*float64(w.queueLimit)
 }
 
-// forgetOldMessages drops the times of messages that count no longer against the limit.
-func (w *sendWindow) forgetOldMessages(now model.Microseconds, p *proxy) {
+// dropOldMessageTimes removes the send times that no longer count towards the message limit.
+func (w *sendWindow) dropOldMessageTimes(now model.Microseconds, p *proxy) {
 	p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at model.Microseconds) bool {
 		return now-at > w.messageSpan
 	})
 }
 
-// nextSequence numbers the message being written.
+// nextSequence returns the sequence number of the message being written.
 func (w *sendWindow) nextSequence() uint32 {
 	w.sequence = (w.sequence + 1) % sequenceNumbers
 	return uint32(w.sequence)
 }
 
-// recordSent records the message that was written as unacknowledged by every proxy that it reaches.
+// recordSent records the message that was written as unacknowledged by each of its recipients.
 func (w *sendWindow) recordSent(now model.Microseconds) {
-	for _, p := range w.reached {
+	for _, p := range w.recipients {
 		p.unacked = append(p.unacked, sentMessage{w.sequence, p.reserved, now})
 		p.messageTimes = append(p.messageTimes, now)
 		p.reserved = 0
 	}
-	w.reached = nil
+	w.recipients = nil
 }
 
-// acknowledge frees the entries of a proxy's messages up to a sequence number. An unknown number frees nothing.
+// acknowledge releases the entries of a proxy's messages up to a sequence number. An unknown number releases nothing.
 func (w *sendWindow) acknowledge(p *proxy, sequence int) {
 	last := slices.IndexFunc(p.unacked, func(m sentMessage) bool { return m.sequence == sequence })
 	w.release(p, last+1)
 }
 
-// release frees the entries of a proxy's first messages.
-func (w *sendWindow) release(p *proxy, messages int) {
-	for _, message := range p.unacked[:messages] {
+// release releases the entries of a proxy's oldest unacknowledged messages; messages is their number.
+func (w *sendWindow) release(p *proxy, count int) {
+	for _, message := range p.unacked[:count] {
 		w.unackedEntries -= message.entries
 	}
-	p.unacked = p.unacked[messages:]
+	p.unacked = p.unacked[count:]
 }
 
-// finishMessage asks for an acknowledgement of what was published since the last message, if anything was.
+// finishMessage requests an acknowledgement of the updates published since the last message, if there are any.
 func (b *Balancer) finishMessage() {
-	if len(b.window.reached) > 0 {
+	if len(b.window.recipients) > 0 {
 		b.publisher.RequestAck(b.window.nextSequence(), b.window.ackFromAll)
 		b.window.ackFromAll = false
 	}
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -6,42 +6,43 @@
 	"peppervale/internal/model"
 )
 
-// never is the time of what did not happen.
+// never is the time of an event that did not happen.
 const never model.Microseconds = -1
 
-// fataler is what a test and a property check have in common.
-type fataler interface{ Fatalf(string, ...any) }
+// fatalReporter has the method that testing.T and rapid.T have in common.
+type fatalReporter interface{ Fatalf(string, ...any) }
 
-// simulatedFleet is a fleet behind a channel of limited speed: it carries a balancer's updates to proxies late,
-// acknowledges them, and checks by what proxies have. It knows nothing of the balancer but its updates.
+// simulatedFleet is a fleet behind a channel of limited speed. It delivers a balancer's updates to proxies with a
+// delay, acknowledges them, and checks the tables and withdrawals of the proxies. It sees nothing of the balancer but
+// its updates.
 type simulatedFleet struct {
-	t        fataler
+	t        fatalReporter
 	config   model.Config
 	balancer *Balancer
 	now      model.Microseconds
 
-	drainLimit model.Microseconds // from the update with a drain to the last proxy that may pick the replica
-	emptyLimit model.Microseconds // for a proxy without an entry that it may pick
+	drainLimit model.Microseconds // longest time from a drain update until no proxy may pick the replica
+	emptyLimit model.Microseconds // longest time that a proxy may have no entry to pick
 
 	entriesPerSecond float64            // of the channel
-	delay            model.Microseconds // of a message once it has left
-	channelFreeAt    model.Microseconds
-	drafts           map[model.ProxyID]*simulatedMessage // of the moment
+	delay            model.Microseconds // from sending a message to its arrival
+	channelIdleAt    model.Microseconds
+	pendingMessages  map[model.ProxyID]*simulatedMessage // messages being written, by proxy
 	queue            []*simulatedMessage
 	inFlight         []*simulatedMessage
 
-	replicas  map[model.ReplicaID]*simulatedReplica
-	proxies   map[model.ProxyID]*simulatedProxy
-	tables    map[model.TableID]map[model.ReplicaID]float64
-	users     map[model.TableID]map[model.ProxyID]bool
-	withdrawn map[model.ReplicaID]bool
-	quotas    int // published
+	replicas        map[model.ReplicaID]*simulatedReplica
+	proxies         map[model.ProxyID]*simulatedProxy
+	tables          map[model.TableID]map[model.ReplicaID]float64
+	users           map[model.TableID]map[model.ProxyID]bool
+	withdrawn       map[model.ReplicaID]bool
+	publishedQuotas int // number of published quotas
 }
 
 type simulatedReplica struct {
 	zone       int
 	status     model.EndpointStatus
-	leftListAt model.Microseconds // when the balancer was notified of its drain or end; never: it is ready
+	leftListAt model.Microseconds // when the balancer was notified that it drains or is gone; never: it is ready
 	startedAt  model.Microseconds
 }
 
@@ -49,41 +50,41 @@
 	zone        int
 	connected   bool
 	connectedAt model.Microseconds
-	stream      int // number of its stream
+	stream      int // number of the current stream
 	weights     map[model.ReplicaID]float64
 	withdrawn   map[model.ReplicaID]bool
 	emptySince  model.Microseconds
 	table       model.TableID
-	bound       bool // by the balancer's updates
+	bound       bool // the balancer has bound it in this stream
 }
 
-// simulatedMessage is what its proxy applies once it arrives.
+// simulatedMessage is a message to a proxy, which applies its changes when it arrives.
 type simulatedMessage struct {
-	to        model.ProxyID
-	stream    int
-	cost      int
-	changes   []func(*simulatedProxy)
-	sequence  uint32
-	asksAck   bool
-	leavesAt  model.Microseconds
-	arrivesAt model.Microseconds
+	to          model.ProxyID
+	stream      int
+	cost        int
+	changes     []func(*simulatedProxy)
+	sequence    uint32
+	requestsAck bool
+	leavesAt    model.Microseconds
+	arrivesAt   model.Microseconds
 }
 
-func newSimulatedFleet(t fataler, config model.Config) *simulatedFleet {
+func newSimulatedFleet(t fatalReporter, config model.Config) *simulatedFleet {
 	return &simulatedFleet{
-		t:         t,
-		config:    config,
-		now:       100 * model.Second,
-		drafts:    map[model.ProxyID]*simulatedMessage{},
-		replicas:  map[model.ReplicaID]*simulatedReplica{},
-		proxies:   map[model.ProxyID]*simulatedProxy{},
-		tables:    map[model.TableID]map[model.ReplicaID]float64{},
-		users:     map[model.TableID]map[model.ProxyID]bool{},
-		withdrawn: map[model.ReplicaID]bool{},
+		t:               t,
+		config:          config,
+		now:             100 * model.Second,
+		pendingMessages: map[model.ProxyID]*simulatedMessage{},
+		replicas:        map[model.ReplicaID]*simulatedReplica{},
+		proxies:         map[model.ProxyID]*simulatedProxy{},
+		tables:          map[model.TableID]map[model.ReplicaID]float64{},
+		users:           map[model.TableID]map[model.ProxyID]bool{},
+		withdrawn:       map[model.ReplicaID]bool{},
 	}
 }
 
-// addReplicas adds replicas 1 to n, ready, spread over the zones, and returns their numbers.
+// addReplicas adds n ready replicas, 1 to n, spread over the zones, and returns their numbers.
 func (f *simulatedFleet) addReplicas(n int) (numbers []int) {
 	for k := range n {
 		f.replicas[replicaID(k+1)] = &simulatedReplica{
@@ -94,18 +95,18 @@
 	return numbers
 }
 
-// startBalancer starts a balancer with a cached list of replicas.
+// startBalancer starts a balancer with a cached endpoint list of the given replicas.
 func (f *simulatedFleet) startBalancer(numbers []int) {
 	f.balancer = New(f.config, f, f.now)
 	f.updateEndpoints(model.CachedList, numbers...)
 }
 
-// draft is the message being written to a proxy.
-func (f *simulatedFleet) draft(p model.ProxyID) *simulatedMessage {
-	if f.drafts[p] == nil {
-		f.drafts[p] = &simulatedMessage{to: p, stream: f.proxies[p].stream, cost: f.config.MessageOverhead}
+// messageTo returns the message being written to a proxy.
+func (f *simulatedFleet) messageTo(p model.ProxyID) *simulatedMessage {
+	if f.pendingMessages[p] == nil {
+		f.pendingMessages[p] = &simulatedMessage{to: p, stream: f.proxies[p].stream, cost: f.config.MessageOverhead}
 	}
-	return f.drafts[p]
+	return f.pendingMessages[p]
 }
 
 func (f *simulatedFleet) SetWeight(table model.TableID, changed model.ReplicaID, weight float64) {
@@ -120,12 +121,12 @@
 	withdrawn := f.withdrawn[changed]
 	apply := func(p *simulatedProxy) {
 		p.weights[changed] = weight
-		if !known { // a new entry is as withdrawn as its replica is by then
+		if !known { // a new entry carries the withdrawal state of its replica
 			p.withdrawn[changed] = withdrawn
 		}
 	}
 	for p := range f.users[table] {
-		message := f.draft(p)
+		message := f.messageTo(p)
 		message.cost++
 		message.changes = append(message.changes, apply)
 	}
@@ -134,7 +135,7 @@
 func (f *simulatedFleet) BindProxy(id model.ProxyID, table model.TableID, _ uint16, readmitted []model.ReplicaID) {
 	p := f.proxies[id]
 	if p == nil || !p.connected {
-		f.t.Fatalf("a bind for proxy %d, which is not connected", id)
+		f.t.Fatalf("proxy %d is bound but not connected", id)
 	}
 	if p.bound {
 		f.t.Fatalf("proxy %d is bound twice in one stream", id)
@@ -145,13 +146,13 @@
 		f.users[table] = map[model.ProxyID]bool{}
 	}
 	f.users[table][id] = true
-	message := f.draft(id)
-	// Entries that follow in the same message come with it.
-	message.cost += 1 + len(f.tables[table]) + f.quotas + len(f.withdrawn) + len(readmitted)
+	message := f.messageTo(id)
+	// Entries published after the bind are in the same message.
+	message.cost += 1 + len(f.tables[table]) + f.publishedQuotas + len(f.withdrawn) + len(readmitted)
 	message.changes = append(message.changes, func(p *simulatedProxy) { f.applyTable(p, table) })
 }
 
-// applyTable has a proxy take a table, and all withdrawals, as they are by then.
+// applyTable replaces the entries and withdrawals of a proxy by those of a table and of the balancer.
 func (f *simulatedFleet) applyTable(p *simulatedProxy, table model.TableID) {
 	clear(p.weights)
 	clear(p.withdrawn)
@@ -171,11 +172,11 @@
 	}
 	apply := func(p *simulatedProxy) { p.withdrawn[changed] = withdrawn }
 	for id, p := range f.proxies {
-		_, has := f.tables[p.table][changed]
-		if !p.connected || p.bound && !has {
+		_, hasEntry := f.tables[p.table][changed]
+		if !p.connected || p.bound && !hasEntry {
 			continue
 		}
-		message := f.draft(id)
+		message := f.messageTo(id)
 		message.cost++
 		message.changes = append(message.changes, apply)
 	}
@@ -183,12 +184,12 @@
 
 func (f *simulatedFleet) SetQuota(_ uint16, _ float64, policy model.RetryPolicy) {
 	if policy > model.RetryIfNotExecuted {
-		f.t.Fatalf("retry policy %d repeats what may have run", policy)
+		f.t.Fatalf("retry policy %d repeats requests that may have been executed", policy)
 	}
-	f.quotas = len(f.config.Operations)
+	f.publishedQuotas = len(f.config.Operations)
 	for id, p := range f.proxies {
 		if p.connected {
-			f.draft(id).cost++
+			f.messageTo(id).cost++
 		}
 	}
 }
@@ -196,12 +197,12 @@
 func (f *simulatedFleet) RequestAck(sequence uint32, all bool) {
 	for id, p := range f.proxies {
 		if all && p.connected {
-			f.draft(id)
+			f.messageTo(id)
 		}
 	}
-	for _, message := range f.drafts {
+	for _, message := range f.pendingMessages {
 		message.sequence = sequence
-		message.asksAck = true
+		message.requestsAck = true
 		message.cost++
 	}
 }
@@ -210,44 +211,44 @@
 func (f *simulatedFleet) Subscribe()                  {}
 func (f *simulatedFleet) Log(string)                  {}
 
-// flush has the balancer flush and queues what it published, in the proxies' order.
+// flush flushes the balancer and queues its messages, ordered by proxy.
 func (f *simulatedFleet) flush() {
 	f.balancer.Flush(f.now)
-	ids := make([]model.ProxyID, 0, len(f.drafts))
-	for p := range f.drafts {
+	ids := make([]model.ProxyID, 0, len(f.pendingMessages))
+	for p := range f.pendingMessages {
 		ids = append(ids, p)
 	}
 	slices.Sort(ids)
 	for _, p := range ids {
-		message := f.drafts[p]
+		message := f.pendingMessages[p]
 		span := model.Microseconds(float64(message.cost) / f.entriesPerSecond * float64(model.Second))
-		f.channelFreeAt = max(f.channelFreeAt, f.now) + span
-		message.leavesAt = f.channelFreeAt
+		f.channelIdleAt = max(f.channelIdleAt, f.now) + span
+		message.leavesAt = f.channelIdleAt
 		f.queue = append(f.queue, message)
 	}
-	clear(f.drafts)
+	clear(f.pendingMessages)
 	waiting := 0
 	for _, message := range f.queue {
 		waiting += message.cost
 	}
 	if waiting > f.config.QueueLimit {
-		f.t.Fatalf("short queue: %d entries wait, %d are allowed", waiting, f.config.QueueLimit)
+		f.t.Fatalf("short queue: %d entries are queued, the limit is %d", waiting, f.config.QueueLimit)
 	}
 }
 
-// tick is a tick of the balancer's timer, with the checks after it.
+// tick fires the balancer's timer, flushes and checks the fleet.
 func (f *simulatedFleet) tick() {
 	f.balancer.TimerFired(f.now)
 	f.flush()
-	f.check()
+	f.checkProxies()
 }
 
-// advanceTo lets time pass up to a moment: messages leave, arrive, are applied and acknowledged.
+// advanceTo advances the time to end: messages are sent, arrive, are applied and acknowledged.
 func (f *simulatedFleet) advanceTo(end model.Microseconds) {
 	for {
 		leaves := len(f.queue) > 0 && f.queue[0].leavesAt <= end
 		arrives := len(f.inFlight) > 0 && f.inFlight[0].arrivesAt <= end
-		if leaves && arrives { // the earlier one; an arrival first if both are at one time
+		if leaves && arrives { // the earlier event first; the arrival if both have the same time
 			arrives = f.inFlight[0].arrivesAt <= f.queue[0].leavesAt
 		}
 		switch {
@@ -262,7 +263,7 @@
 	}
 }
 
-// sendFirst takes the first message out of the queue.
+// sendFirst sends the first message of the queue.
 func (f *simulatedFleet) sendFirst() {
 	message := f.queue[0]
 	f.queue = f.queue[1:]
@@ -271,7 +272,8 @@
 	f.inFlight = append(f.inFlight, message)
 }
 
-// deliverFirst has a proxy apply and acknowledge the first message in flight, unless its stream has ended.
+// deliverFirst delivers the first message in flight: its proxy applies and acknowledges it, unless the stream has
+// ended.
 func (f *simulatedFleet) deliverFirst() {
 	message := f.inFlight[0]
 	f.inFlight = f.inFlight[1:]
@@ -283,14 +285,14 @@
 	for _, change := range message.changes {
 		change(p)
 	}
-	f.check()
-	if message.asksAck {
+	f.checkProxies()
+	if message.requestsAck {
 		f.balancer.Acknowledged(f.now, message.to, message.sequence)
 	}
 }
 
-// check looks at what each connected proxy has now.
-func (f *simulatedFleet) check() {
+// checkProxies checks the entries and withdrawals of each connected proxy.
+func (f *simulatedFleet) checkProxies() {
 	warm := f.hasWarmReplica()
 	for id, p := range f.proxies {
 		if !p.connected {
@@ -303,20 +305,20 @@
 		case p.emptySince < 0:
 			p.emptySince = f.now
 		case f.now-p.emptySince > f.emptyLimit:
-			f.t.Fatalf("lost: proxy %d has no entry for %d us", id, f.now-p.emptySince)
+			f.t.Fatalf("lost: proxy %d has had no entry to pick for %d us", id, f.now-p.emptySince)
 		}
 	}
 }
 
-// checkDrained fails if a proxy may still pick a replica that the balancer was to withdraw.
+// checkDrained fails if a proxy may still pick a replica that drains or is gone after drainLimit.
 func (f *simulatedFleet) checkDrained(id model.ProxyID, p *simulatedProxy) {
 	for r := range p.weights {
-		left := f.replicas[r].leftListAt
-		if left == never || !p.mayPick(r) {
+		leftAt := f.replicas[r].leftListAt
+		if leftAt == never || !p.mayPick(r) {
 			continue
 		}
-		if late := f.now - max(left, p.connectedAt); late > f.drainLimit {
-			f.t.Fatalf("drain: proxy %d may pick %v %d us after the balancer was notified", id, r, late)
+		if late := f.now - max(leftAt, p.connectedAt); late > f.drainLimit {
+			f.t.Fatalf("drain: proxy %d may still pick %v %d us after the balancer was notified", id, r, late)
 		}
 	}
 }
@@ -341,9 +343,9 @@
 	return false
 }
 
-// connect gives a proxy a stream; a fresh one has a standing table of its zone's replicas.
-func (f *simulatedFleet) connect(id model.ProxyID, zone int, fresh bool) {
-	if f.proxies[id] == nil || fresh {
+// connect connects a proxy with a new stream. A new or fresh proxy gets a standing table of its zone.
+func (f *simulatedFleet) connect(id model.ProxyID, zone int, newStandingTable bool) {
+	if f.proxies[id] == nil || newStandingTable {
 		f.proxies[id] = &simulatedProxy{
 			zone: zone, weights: f.standingTable(zone), withdrawn: map[model.ReplicaID]bool{}, emptySince: never,
 		}
@@ -358,9 +360,9 @@
 	f.balancer.ProxyConnected(f.now, id, p.zone, 5)
 }
 
-// standingTable has up to three ready replicas of a zone, and then others up to the size of a standing table.
+// standingTable returns a standing table: up to three ready replicas of a zone first, then others up to its size.
 func (f *simulatedFleet) standingTable(zone int) map[model.ReplicaID]float64 {
-	const ofZone = 3
+	const zoneReplicas = 3
 	weights := map[model.ReplicaID]float64{}
 	add := func(limit int, wanted func(*simulatedReplica) bool) {
 		for n := 1; n <= len(f.replicas) && len(weights) < limit; n++ {
@@ -369,12 +371,12 @@
 			}
 		}
 	}
-	add(min(ofZone, f.config.StandingTableSize), func(r *simulatedReplica) bool { return r.zone == zone })
-	add(min(2*ofZone, f.config.StandingTableSize), func(*simulatedReplica) bool { return true })
+	add(min(zoneReplicas, f.config.StandingTableSize), func(r *simulatedReplica) bool { return r.zone == zone })
+	add(min(2*zoneReplicas, f.config.StandingTableSize), func(*simulatedReplica) bool { return true })
 	return weights
 }
 
-// disconnect ends a proxy's stream: messages queued or in flight to it are lost.
+// disconnect ends a proxy's stream. Messages to it that are queued or in flight are lost.
 func (f *simulatedFleet) disconnect(id model.ProxyID) {
 	p := f.proxies[id]
 	if p == nil || !p.connected {
@@ -384,20 +386,21 @@
 	for _, users := range f.users {
 		delete(users, id)
 	}
-	lost := func(message *simulatedMessage) bool { return message.to == id }
-	f.queue = slices.DeleteFunc(f.queue, lost)
-	f.inFlight = slices.DeleteFunc(f.inFlight, lost)
+	isToProxy := func(message *simulatedMessage) bool { return message.to == id }
+	f.queue = slices.DeleteFunc(f.queue, isToProxy)
+	f.inFlight = slices.DeleteFunc(f.inFlight, isToProxy)
 	f.balancer.ProxyDisconnected(f.now, id)
 }
 
-// restartBalancer replaces the balancer by a new one, which starts with the cached endpoint list only.
+// restartBalancer replaces the balancer by a new one, which starts with a cached endpoint list only. All proxies are
+// disconnected.
 func (f *simulatedFleet) restartBalancer(numbers []int) {
 	for id := range f.proxies {
 		f.proxies[id].connected = false
 	}
 	f.queue = nil
 	f.inFlight = nil
-	f.channelFreeAt = 0
+	f.channelIdleAt = 0
 	clear(f.tables)
 	clear(f.users)
 	clear(f.withdrawn)
@@ -407,7 +410,7 @@
 	f.startBalancer(numbers)
 }
 
-// setStatus changes the status of replicas and notifies the balancer.
+// setStatus changes the status of replicas and delivers the change to the balancer.
 func (f *simulatedFleet) setStatus(status model.EndpointStatus, numbers ...int) {
 	for _, n := range numbers {
 		f.replicas[replicaID(n)].status = status
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -3,15 +3,15 @@
 import "peppervale/internal/model"
 
 const (
-	// slowStartSpan is the design's default: a started replica reaches its full weight after it.
+	// slowStartSpan is the time after which a started replica has its full weight.
 	slowStartSpan = 30 * model.Second
-	// slowStartFloor is the design's: the fraction of its full weight that a replica starts with.
+	// slowStartFloor is the fraction of its full weight that a replica starts with.
 	slowStartFloor = 0.25
 )
 
-// beginSlowStart starts a replica at a quarter of its weight, with no statistics. It may have its full weight in
-// tables as sent, so that is cut at once. The span runs from the replica's start, unless an ejection has ended:
-// a balancer that starts amid a release would otherwise take all replicas for equally new.
+// beginSlowStart sets a replica to a quarter of its weight and clears its statistics. Its weight in tables as sent
+// may be the full one, so that weight is cut at once. The span begins when the replica started, or now after an
+// ejection: otherwise a balancer that starts during a release would treat all replicas as equally new.
 func (b *Balancer) beginSlowStart(r *replica) {
 	r.generation++
 	r.restarted = r.load.recent.window > 0
@@ -26,7 +26,7 @@
 	b.scheduleReplicaEvent(r, slowStartElapsed, r.slowStartAt+slowStartSpan)
 }
 
-// endSlowStart ends a slow start and a series of ejections.
+// endSlowStart cancels pending deadlines and ends a series of ejections.
 func (b *Balancer) endSlowStart(r *replica) {
 	r.generation++
 	r.ejections = 0
@@ -46,10 +46,10 @@
 	return r.state == warming && b.now-r.startedAt < b.config.WarmUpPeriod
 }
 
-// isNewAndWarmingUp reports whether a replica started within the warm-up period and was not known before.
+// isNewAndWarmingUp reports whether a replica started within the warm-up period and had no load statistics before.
 func (b *Balancer) isNewAndWarmingUp(r *replica) bool { return b.isWarmingUp(r) && !r.restarted }
 
-// remainingWarmUp is 1 for a replica just started, and falls evenly to 0 at the end of its warm-up period.
+// remainingWarmUp is 1 for a replica that has just started, and falls linearly to 0 at the end of its warm-up period.
 func (b *Balancer) remainingWarmUp(r *replica) float64 {
 	return 1 - min(1, float64(b.now-r.startedAt)/float64(max(b.config.WarmUpPeriod, 1)))
 }
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -7,102 +7,103 @@
 	"peppervale/internal/model"
 )
 
-func TestStartedReplica(t *testing.T) {
-	t.Run("gets a quarter at once and its full weight after thirty seconds", func(t *testing.T) {
+func TestStartedReplicaHasRisingWeight(t *testing.T) {
+	t.Run("has a quarter of its weight at once and its full weight after thirty seconds", func(t *testing.T) {
 		fleet := startWarmFleet(t, 8, nil)
-		fleet.start(1, 1)
+		fleet.listAsStarted(1, 1)
 		fleet.flush()
 		first := fleet.weight(1)
-		require(t, math.Abs(first-0.25) <= 0.01, "starts at %v", first)
-		fleet.run(15, fleet.goodReports(8))
+		require(t, math.Abs(first-0.25) <= 0.01, "weight %v after the start, want 0.25", first)
+		fleet.advance(15, fleet.goodReports(8))
 		half := fleet.weight(1)
-		fleet.run(20, fleet.goodReports(8))
+		fleet.advance(20, fleet.goodReports(8))
 		require(t, half >= 0.4 && half <= 0.8 && fleet.weight(1) >= 0.8,
-			"%v after 15 s, %v after 35 s", half, fleet.weight(1))
+			"weight %v after 15 s, want 0.4 to 0.8; %v after 35 s, want at least 0.8", half, fleet.weight(1))
 	})
-	t.Run("is as old as its start, not as the balancer", func(t *testing.T) {
-		// On sockets, balancers restarted amid a release took replicas of three and of ten seconds for equal: the old ones
-		// idled.
+	t.Run("has the weight for its own start time, not for the start of the balancer", func(t *testing.T) {
+		// A balancer that restarts during a release must not treat replicas started three and ten seconds ago as equal: the
+		// older ones would be nearly idle.
 		fleet := startWarmFleet(t, 8, nil)
-		fleet.start(10*model.Second, 1)
-		fleet.start(model.Second, 2)
+		fleet.listAsStarted(10*model.Second, 1)
+		fleet.listAsStarted(model.Second, 2)
 		fleet.flush()
 		older, newer := fleet.weight(1), fleet.weight(2)
 		require(t, math.Abs(older-0.5) <= 0.01 && math.Abs(newer-0.275) <= 0.01,
-			"weights %v at 10 s, %v at 1 s", older, newer)
+			"weights %v at 10 s and %v at 1 s, want 0.5 and 0.275", older, newer)
 	})
 }
 
-func TestWarmingUpReplicaIsWithdrawnFromAnOverload(t *testing.T) {
+func TestWarmingUpReplicaIsWithdrawnInAnOverloadIfProxiesAvoidFailing(t *testing.T) {
 	for name, avoids := range map[string]bool{
-		"where proxies avoid what fails": true,
-		"not where they avoid nothing":   false,
+		"withdrawn if proxies avoid failing replicas": true,
+		"kept if proxies avoid no replicas":           false,
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := startWarmFleet(t, 8, func(config *model.Config) { config.ProxiesAvoidFailing = avoids })
-			fleet.start(1, 1)
+			fleet.listAsStarted(1, 1)
 			fleet.flush()
-			fleet.run(4, fleet.reportsOf(2, 8, 10, 7, 400*model.Millisecond))
+			fleet.advance(4, fleet.reportsOf(2, 8, 10, 7, 400*model.Millisecond))
 			require(t, fleet.isWithdrawn(1) == avoids,
-				"withdrawn %v: proxies turn from full replicas to the one that warms up", fleet.isWithdrawn(1))
+				"replica 1, which warms up in an overloaded fleet: withdrawn %v", fleet.isWithdrawn(1))
 		})
 	}
 }
 
-// Found by the search for broken invariants (h27f5e4, h463155): what a replica of some seconds can do is exceeded by a
-// surge that a nearly warm one stands, so the newer it is the earlier it is withdrawn.
-func TestNewerReplicaIsWithdrawnEarlier(t *testing.T) {
+// A replica that started seconds ago is overloaded by a surge that a nearly warm replica can serve, so the newer a
+// replica is, the lower the error rate of its table at which it is withdrawn (scenarios h27f5e4, h463155).
+func TestNewerReplicaIsWithdrawnAtALowerErrorRate(t *testing.T) {
 	for age, withdrawn := range map[model.Microseconds]bool{model.Second: true, 11 * model.Second: false} {
 		fleet := startWarmFleet(t, 8, nil)
-		fleet.start(age, 1)
+		fleet.listAsStarted(age, 1)
 		fleet.flush()
-		fleet.run(4, fleet.reportsOf(2, 8, 100, 68, 100*model.Millisecond))
+		fleet.advance(4, fleet.reportsOf(2, 8, 100, 68, 100*model.Millisecond))
 		require(t, fleet.isWithdrawn(1) == withdrawn,
-			"started %d us ago, withdrawn %v, with two attempts in three unanswered", age, fleet.isWithdrawn(1))
+			"started %d us ago, two attempts in three fail: withdrawn %v", age, fleet.isWithdrawn(1))
 	}
 }
 
-// Found by the search for broken invariants: most replicas refused connections, and all proxies turned to the one just
-// started.
-func TestStartedReplicaIsWithdrawnFromAnErringTable(t *testing.T) {
+// If most replicas refuse connections, all proxies may turn to the replica that has just started.
+func TestStartedReplicaIsWithdrawnWhenItsTableFails(t *testing.T) {
 	fleet := startWarmFleet(t, 8, nil)
-	fleet.run(3, fleet.reportsOf(2, 8, 10, 8, 100*model.Millisecond))
-	fleet.start(1, 1)
+	fleet.advance(3, fleet.reportsOf(2, 8, 10, 8, 100*model.Millisecond))
+	fleet.listAsStarted(1, 1)
 	fleet.flush()
-	fleet.requireWithdrawn(t, 1, "all proxies would turn to it")
+	fleet.requireWithdrawn(t, 1, "all proxies may turn to it")
 }
 
-func TestStartedReplicaIsWithdrawnFromATableWithOneProxy(t *testing.T) {
-	// Found by the search for broken invariants: a table's one heavy proxy turned to its new replicas within a second.
+func TestStartedReplicaIsWithdrawnWhenItsTableHasOneProxy(t *testing.T) {
+	// The single proxy of a table, which has much traffic, may turn to new replicas within a second.
 	fleet := startFleet(t, 8, nil)
 	fleet.disconnect(2)
-	fleet.run(5, fleet.goodReports(8))
-	fleet.start(1, 1)
+	fleet.advance(5, fleet.goodReports(8))
+	fleet.listAsStarted(1, 1)
 	fleet.flush()
-	fleet.requireWithdrawn(t, 1, "a replica that warms up stands in the table of one proxy")
-	// Found by that search too: proxies were not notified of a withdrawal sent before its replica got the entry.
-	fleet.start(1, 9)
-	fleet.run(2, fleet.goodReports(8))
-	require(t, fleet.weight(9) == 0, "a new entry with weight %v for what is withdrawn", fleet.weight(9))
+	fleet.requireWithdrawn(t, 1, "it warms up in a table with one proxy")
+	// A proxy is not notified of a withdrawal that is sent before the replica gets its entry.
+	fleet.listAsStarted(1, 9)
+	fleet.advance(2, fleet.goodReports(8))
+	require(t, fleet.weight(9) == 0, "new entry with weight %v for a withdrawn replica, want none", fleet.weight(9))
 }
 
-func TestManyStartedReplicasInAnOverload(t *testing.T) {
+func TestOverloadedFleetUsesNewReplicasAndWithdrawsRestartedOnes(t *testing.T) {
 	for name, known := range map[string]bool{
-		// Found by an incident: a fleet that doubled in an overload had its new replicas withdrawn, and stayed overloaded.
-		"new ones are used": false,
-		// Found by an incident: half of the fleet restarted at once, and one after the other was overloaded.
-		"restarted ones are withdrawn": true,
+		// A fleet that doubles during an overload needs its new replicas; if they are withdrawn it stays overloaded.
+		"new replicas are used": false,
+		// When half of the fleet restarts at once in an overload, the restarted replicas would be overloaded one after the
+		// other.
+		"restarted replicas are withdrawn": true,
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := startFleet(t, 8, nil)
 			added := []int{9, 10, 11, 12, 13, 14, 15, 16}
 			if known {
-				fleet.change(model.EndpointReady, 0, added...)
+				fleet.updateStatus(model.EndpointReady, 0, added...)
 			}
-			fleet.run(5, fleet.goodReports(16))
-			fleet.start(model.Second, added...)
-			fleet.run(5, fleet.reportsOf(1, 8, 10, 7, 900*model.Millisecond))
-			require(t, fleet.isWithdrawn(9) == known && fleet.isWithdrawn(16) == known, "withdrawn %v", fleet.withdrawn)
+			fleet.advance(5, fleet.goodReports(16))
+			fleet.listAsStarted(model.Second, added...)
+			fleet.advance(5, fleet.reportsOf(1, 8, 10, 7, 900*model.Millisecond))
+			require(t, fleet.isWithdrawn(9) == known && fleet.isWithdrawn(16) == known,
+				"wrong state of replicas 9 and 16, withdrawn: %v", fleet.withdrawn)
 		})
 	}
 }
--- a/internal/balancer/step_bench_test.go
+++ b/internal/balancer/step_bench_test.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 )
 
-// benchPublisher discards updates; it keeps the newest sequence number that is to be acknowledged.
+// benchPublisher discards updates, and keeps the newest sequence number to be acknowledged.
 type benchPublisher struct {
 	sequence uint32
 	ackDue   bool
@@ -28,7 +28,7 @@
 func (p *benchPublisher) Subscribe()                  {}
 func (p *benchPublisher) Log(string)                  {}
 
-// benchFleet is a fleet whose proxies acknowledge at once.
+// benchFleet is a fleet whose proxies acknowledge every message after the step.
 type benchFleet struct {
 	publisher benchPublisher
 	balancer  *balancer.Balancer
@@ -56,7 +56,7 @@
 	return fleet
 }
 
-// report gives a load report for every replica from each of some zones; round varies the latencies.
+// report delivers a load report of every replica from each of the given number of zones; round varies the latencies.
 func (f *benchFleet) report(zones, attempts, round int) {
 	for n, endpoint := range f.endpoints {
 		for zone := range zones {
@@ -68,13 +68,13 @@
 	}
 }
 
-// tick is a tick of the timer with the flush after it.
+// tick fires the timer and flushes.
 func (f *benchFleet) tick() {
 	f.balancer.TimerFired(f.now)
 	f.balancer.Flush(f.now)
 }
 
-// acknowledge has every proxy acknowledge the newest message.
+// acknowledge makes every proxy acknowledge the newest message.
 func (f *benchFleet) acknowledge() {
 	if !f.publisher.ackDue {
 		return
@@ -85,7 +85,7 @@
 	f.publisher.ackDue = false
 }
 
-// BenchmarkStepWithReports times one tick of a warm fleet in which every replica is reported by every zone.
+// BenchmarkStepWithReports measures one tick of a warm fleet in which every zone reports every replica.
 func BenchmarkStepWithReports(b *testing.B) {
 	const (
 		proxies  = 2000
@@ -115,8 +115,9 @@
 	}
 }
 
-// BenchmarkStep times a tick, a fifth of a second of the fleet's time, with the reports of all replicas once a second
-// and acknowledgements at once. It reports mean, p99 and the worst of a fleet's first hundred seconds.
+// BenchmarkStep measures a tick, which is a fifth of a second of the fleet's time. All replicas are reported once a
+// second, and proxies acknowledge at once. It reports the mean, the p99 and the longest time over the first hundred
+// seconds of a fleet.
 func BenchmarkStep(b *testing.B) {
 	config := model.Config{
 		Seed: 1,
@@ -139,7 +140,7 @@
 	}
 }
 
-// firstSteps times the ticks of a fleet's first hundred seconds.
+// firstSteps measures the ticks of the first hundred seconds of a fleet.
 func firstSteps(fleet *benchFleet) (times []time.Duration) {
 	const (
 		steps         = 500
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -6,61 +6,66 @@
 	"peppervale/internal/model"
 )
 
-// Bounds on the entries of a table. Each further entry costs connections, handshakes and updates.
+// Bounds on the number of entries of a table. Each further entry costs connections, handshakes and updates.
 const (
-	// entryRequestInterval is how often an entry has to get a request to be worth its cost, in seconds.
+	// entryRequestInterval is the mean time between requests to an entry, in seconds, above which the entry is not worth
+	// its cost.
 	entryRequestInterval = 2.5
-	// entryRequestIntervalAtUnitCost, divided by the cost of publishing, is the same where updates are expensive.
+	// entryRequestIntervalAtUnitCost, divided by the cost of publishing, replaces entryRequestInterval if it is shorter.
 	entryRequestIntervalAtUnitCost = 0.05
-	// connectionDivisor: all proxies together take up to 1/connectionDivisor of the smallest replica's connections.
+	// connectionDivisor: all proxies together use up to 1/connectionDivisor of the connections of the smallest replica.
 	connectionDivisor = 4
-	// minTableEntries leaves a table entries when it loses a few.
+	// minTableEntries is the fewest entries wanted in a table, so that a table that loses a few still has some.
 	minTableEntries = 8
-	// minProxiesPerReplica: with fewer proxies on each replica their different rates would not even out.
+	// minProxiesPerReplica is the fewest proxies wanted on each replica. With fewer, the different rates of the proxies
+	// would not even out.
 	minProxiesPerReplica = 18
-	// A pool has as many tables as leave sameZoneNumerator/sameZoneDenominator of their entries in the zone.
+	// The number of tables of a pool is chosen so that replicas of the zone fill sameZoneNumerator/sameZoneDenominator
+	// of their entries.
 	sameZoneNumerator   = 2
 	sameZoneDenominator = 3
 )
 
-// Scores of a replica that may get a further entry: the one with the fewest entries in the pool of tables comes first,
-// those of the zone before others, then the one with the fewest entries in all.
+// Scores of a replica that may get a further entry; the lowest score comes first. A replica with fewer entries in the
+// pool comes before one with more, then a replica of the zone before one of another zone, then a replica with fewer
+// entries in all tables.
 const (
-	scoreEntryInAll   = 1
-	scoreCrossZone    = 1000
-	scoreEntryHere    = 2000
-	scoreAfterAnEntry = scoreEntryHere + scoreEntryInAll
+	scoreForEachEntry       = 1
+	scoreCrossZone          = 1000
+	scoreForEachEntryInPool = 2000
+	scoreForNewEntry        = scoreForEachEntryInPool + scoreForEachEntry
 )
 
-// table is a shared table for some of a zone's proxies: a subset of the replicas, with weights.
+// table is shared by some of the proxies of a zone: a subset of the replicas, with weights.
 type table struct {
-	id        model.TableID
-	zone      int
-	pool      int  // its place in subsetTables.pools
-	zoneLocal bool // for operations that stay in the zone: all its entries are of the zone
-	width     int  // open entries that it needs
-	entries   []*entry
-	users     []*proxy
+	id            model.TableID
+	zone          int
+	pool          int  // index in subsetTables.pools
+	zoneLocal     bool // for operations that stay in the zone: all its replicas are of the zone
+	wantedEntries int  // number of open entries wanted
+	entries       []*entry
+	users         []*proxy
 
-	expectedRate      float64 // requests a second of its users
-	normalizedLatency float64 // of the median entry
-	failureRisk       float64 // of the median entry
-	crossZoneFactor   float64 // what a replica of another zone counts for, 1 for as much as one of the zone
+	expectedRate      float64 // sum over its users, in requests a second
+	normalizedLatency float64 // of its median open entry
+	failureRisk       float64 // of its median open entry
+	crossZoneFactor   float64 // weight of a replica of another zone relative to one of the zone
 }
 
-// entry is a replica's place in a table.
+// entry is an entry of a table: a replica and its weight. It is open while its replica is in use, so that proxies may
+// pick it.
 type entry struct {
 	replica    *replica
 	table      *table
-	weight     float64 // as last sent; 0: not in the table as sent
-	nextWeight float64 // to be sent
-	cut        bool    // the weight is to be cut at once
+	weight     float64 // as last sent; 0: never sent, or removed
+	nextWeight float64 // weight to be sent next
+	cut        bool    // the reduced weight is to be sent at once
 }
 
-// isNew reports whether the table as sent lacks an entry.
+// isNew reports whether the table as sent does not contain the entry.
 func (e *entry) isNew() bool { return e.weight == 0 }
 
-// measure sets a table's latency and risk by its open entries.
+// measure sets a table's normalized latency and failure risk from its open entries.
 func (t *table) measure() {
 	latencies := make([]float64, 0, len(t.entries))
 	risks := make([]float64, 0, len(t.entries))
@@ -74,7 +79,7 @@
 	t.failureRisk = median(risks)
 }
 
-// openEntries counts the entries that proxies may pick.
+// openEntries returns the number of open entries.
 func (t *table) openEntries() (n int) {
 	for _, e := range t.entries {
 		if e.replica.inUse() {
@@ -84,28 +89,29 @@
 	return n
 }
 
-// missing is the count of open entries that a table needs beyond those it has; negative where it has more.
-func (t *table) missing() int { return t.width - t.openEntries() }
+// missingEntries is the number of open entries that a table lacks; negative if it has more than wanted.
+func (t *table) missingEntries() int { return t.wantedEntries - t.openEntries() }
 
 func (t *table) has(r *replica) bool {
 	return slices.ContainsFunc(r.entries, func(e *entry) bool { return e.table == t })
 }
 
-// loadWith is the traffic for an open entry, with a further proxy on the table.
-func (t *table) loadWith(p *proxy) float64 {
+// rateForEachEntryWith is the expected rate for each open entry if one more proxy used the table.
+func (t *table) rateForEachEntryWith(p *proxy) float64 {
 	const almostNoEntry = 0.1 // keeps the load of a table without open entries finite
 	return (t.expectedRate + p.expectedRate) / (float64(t.openEntries()) + almostNoEntry)
 }
 
-// subsetTables are all tables. Those of a zone form a pool, at the zone's index in pools; where some operations stay in
-// the zone, the tables for them form a second pool of the zone, after the first pools of all zones.
+// subsetTables holds all tables. The tables of a zone form a pool, at the index of the zone in pools. If only some
+// operations stay in the zone, the tables for those form a second pool of the zone; the second pools follow the first
+// pools of all zones.
 type subsetTables struct {
-	zones   int
-	tables  []*table
-	pools   [][]*table
-	width   int // entries wanted in a table
-	longest int // most entries of a table
-	turn    int // place of the table whose weights are sent first the next time
+	zones         int
+	tables        []*table
+	pools         [][]*table
+	wantedEntries int // number of open entries wanted in a new table
+	mostEntries   int // largest number of entries in a table
+	firstToUpdate int // index of the table whose weights are sent first next time
 }
 
 func newSubsetTables(config model.Config) subsetTables {
@@ -120,50 +126,52 @@
 	return config.ZoneLocalOperations != 0 && config.ZoneLocalOperations != allOperations(config)
 }
 
-// allOperations has the bit of each operation set.
+// allOperations is the mask with the bit of each operation.
 func allOperations(config model.Config) uint16 { return 1<<len(config.Operations) - 1 }
 
-// separate reports whether operations that stay in the zone have tables of their own.
-func (s *subsetTables) separate() bool { return len(s.pools) > s.zones }
+// hasZoneLocalPools reports whether operations that stay in the zone have their own tables.
+func (s *subsetTables) hasZoneLocalPools() bool { return len(s.pools) > s.zones }
 
 func (s *subsetTables) zoneOf(pool int) int { return pool % s.zones }
 
-// zoneLocalPool is the pool of a zone for operations that stay in it. It exists only if separate reports true.
+// zoneLocalPool is the index of the pool of a zone for operations that stay in it. The pool exists only if
+// hasZoneLocalPools returns true.
 func (s *subsetTables) zoneLocalPool(zone int) int { return zone + s.zones }
 
-// isLastOfZone reports whether a pool is the second of its zone, or the only one. If operations stay in the zone, its
-// tables are for those.
-func (s *subsetTables) isLastOfZone(pool int) bool { return pool >= len(s.pools)-s.zones }
+// isLastPoolOfZone reports whether a pool is the second pool of its zone, or the only one. If operations stay in the
+// zone, the tables of that pool are for them.
+func (s *subsetTables) isLastPoolOfZone(pool int) bool { return pool >= len(s.pools)-s.zones }
 
-// add makes an empty table at the end of a pool.
-func (s *subsetTables) add(pool int, zoneLocal bool) {
+// addTable adds an empty table to the end of a pool.
+func (s *subsetTables) addTable(pool int, zoneLocal bool) {
 	added := &table{
-		id: model.TableID(len(s.tables)), zone: s.zoneOf(pool), pool: pool, zoneLocal: zoneLocal, width: s.width,
+		id: model.TableID(len(s.tables)), zone: s.zoneOf(pool), pool: pool, zoneLocal: zoneLocal,
+		wantedEntries: s.wantedEntries,
 	}
 	s.tables = append(s.tables, added)
 	s.pools[pool] = append(s.pools[pool], added)
 }
 
-// addEntry gives a replica a place in a table.
+// addEntry adds an entry for a replica to a table.
 func (s *subsetTables) addEntry(t *table, r *replica) {
 	added := &entry{replica: r, table: t}
 	t.entries = append(t.entries, added)
 	r.entries = append(r.entries, added)
-	s.longest = max(s.longest, len(t.entries))
+	s.mostEntries = max(s.mostEntries, len(t.entries))
 }
 
-// createTables makes the tables of a pool, fills them and sends their first weights.
+// createTables creates the tables of a pool, fills them and sends their first weights.
 func (b *Balancer) createTables(pool int) {
-	b.subsets.width = b.wantedWidth()
+	b.subsets.wantedEntries = b.wantedTableEntries()
 	zone := b.subsets.zoneOf(pool)
-	width := b.subsets.width
+	wantedEntries := b.subsets.wantedEntries
 	candidates := b.countReplicas(func(r *replica) bool { return r.zone == zone && r.listedReady() })
-	count := (sameZoneDenominator*candidates + width - 1) / (sameZoneNumerator * width)
-	zoneLocal := b.config.ZoneLocalOperations != 0 && b.subsets.isLastOfZone(pool)
+	count := (sameZoneDenominator*candidates + wantedEntries - 1) / (sameZoneNumerator * wantedEntries)
+	zoneLocal := b.config.ZoneLocalOperations != 0 && b.subsets.isLastPoolOfZone(pool)
 	for range max(1, count) {
-		b.subsets.add(pool, zoneLocal)
+		b.subsets.addTable(pool, zoneLocal)
 	}
-	b.binder.forgetCosts()
+	b.binder.clearCosts()
 	b.fillTables(pool)
 	b.estimateCapacities()
 	for _, t := range b.subsets.pools[pool] {
@@ -171,8 +179,8 @@
 	}
 }
 
-// wantedWidth is the count of entries that a table needs by the traffic of the connected proxies.
-func (b *Balancer) wantedWidth() int {
+// wantedTableEntries is the number of entries wanted in a table, by the expected rates of the connected proxies.
+func (b *Balancer) wantedTableEntries() int {
 	meanRate := 0.0
 	for _, p := range b.proxies {
 		meanRate += p.expectedRate / float64(len(b.proxies))
@@ -189,8 +197,8 @@
 	return everyReplica
 }
 
-// fillTables gives the pool's table that lacks most entries one more, until all have enough and each replica of the
-// zone is in one.
+// fillTables adds entries to the tables of a pool, each time to the table that lacks most, until all tables have
+// enough open entries and each replica of the zone is in a table.
 func (b *Balancer) fillTables(pool int) {
 	if !b.needsEntries(pool) {
 		return
@@ -198,42 +206,43 @@
 	zone := b.subsets.zoneOf(pool)
 	ranks := b.rank(func(r *replica) int { return entryScore(r, pool, zone) })
 	for {
-		t := slices.MinFunc(b.subsets.pools[pool], func(x, y *table) int { return y.missing() - x.missing() })
+		t := slices.MinFunc(b.subsets.pools[pool], func(x, y *table) int { return y.missingEntries() - x.missingEntries() })
 		openEntries := t.openEntries()
 		best := ranks.takeBest(func(r *replica) bool { return b.mayAddEntry(t, r, openEntries) })
 		if best == nil {
 			return
 		}
-		wideEnough := openEntries >= t.width
+		enoughEntries := openEntries >= t.wantedEntries
 		everySameZoneReplicaPlaced := best.score >= scoreCrossZone
-		if wideEnough && everySameZoneReplicaPlaced {
+		if enoughEntries && everySameZoneReplicaPlaced {
 			return
 		}
 		b.subsets.addEntry(t, best.replica)
-		ranks.putBack(best, best.score+scoreAfterAnEntry)
+		ranks.putBack(best, best.score+scoreForNewEntry)
 	}
 }
 
-// needsEntries reports whether a table of a pool is short of open entries, or a replica of its zone is in none of them.
+// needsEntries reports whether a table of a pool lacks open entries, or a replica of its zone has no entry in the
+// pool.
 func (b *Balancer) needsEntries(pool int) bool {
 	tables := b.subsets.pools[pool]
 	if len(tables) == 0 {
 		return false
 	}
-	short := func(t *table) bool { return t.openEntries() < t.width }
-	here := func(e *entry) bool { return e.table.pool == pool }
+	lacksEntries := func(t *table) bool { return t.openEntries() < t.wantedEntries }
+	isInPool := func(e *entry) bool { return e.table.pool == pool }
 	zone := b.subsets.zoneOf(pool)
-	unplaced := func(r *replica) bool {
-		return r.zone == zone && r.inUse() && !slices.ContainsFunc(r.entries, here)
+	hasNoEntryInPool := func(r *replica) bool {
+		return r.zone == zone && r.inUse() && !slices.ContainsFunc(r.entries, isInPool)
 	}
-	return slices.ContainsFunc(tables, short) || slices.ContainsFunc(b.replicas, unplaced)
+	return slices.ContainsFunc(tables, lacksEntries) || slices.ContainsFunc(b.replicas, hasNoEntryInPool)
 }
 
 func entryScore(r *replica, pool, zone int) int {
-	score := len(r.entries) * scoreEntryInAll
+	score := len(r.entries) * scoreForEachEntry
 	for _, e := range r.entries {
 		if e.table.pool == pool {
-			score += scoreEntryHere
+			score += scoreForEachEntryInPool
 		}
 	}
 	if r.zone != zone {
@@ -242,14 +251,14 @@
 	return score
 }
 
-// mayAddEntry reports whether a replica may get an entry of a table that has openEntries open ones. Tables for
-// operations that stay in the zone have replicas of the zone only. Beyond the width a replica of another zone that
-// warms up is not wanted: proxies of a zone that is short of capacity would turn to it all at once.
+// mayAddEntry reports whether a replica may get an entry in a table that has openEntries open entries. Zone-local
+// tables have replicas of their zone only. A table that has enough open entries gets no replica of another zone that
+// warms up: proxies of a zone that is short of capacity would turn to it all at once.
 func (b *Balancer) mayAddEntry(t *table, r *replica, openEntries int) bool {
 	if !r.inUse() || t.has(r) {
 		return false
 	}
 	sameZone := r.zone == t.zone
-	crossZoneWanted := !t.zoneLocal && (openEntries < b.subsets.width || !b.isWarmingUp(r))
+	crossZoneWanted := !t.zoneLocal && (openEntries < b.subsets.wantedEntries || !b.isWarmingUp(r))
 	return sameZone || crossZoneWanted
 }
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -20,7 +20,7 @@
 		config.MinReplicaConnections = 100
 	})
 	fleet.connectMore(wideFleetProxies - 2)
-	fleet.run(5, fleet.goodReports(wideFleetReplicas))
+	fleet.advance(5, fleet.goodReports(wideFleetReplicas))
 	return fleet
 }
 
@@ -30,19 +30,20 @@
 	placed := map[*replica]bool{}
 	for _, table := range tables {
 		require(t, len(table.entries) <= 24 && len(table.users) != 0,
-			"%d entries, %d users", len(table.entries), len(table.users))
+			"table has %d entries, want at most 24, and %d users, want at least one", len(table.entries), len(table.users))
 		for _, e := range table.entries {
 			placed[e.replica] = true
 		}
 	}
-	require(t, len(tables) >= 2 && len(placed) == wideFleetReplicas, "%d tables, %d replicas", len(tables), len(placed))
+	require(t, len(tables) >= 2 && len(placed) == wideFleetReplicas,
+		"%d tables, %d replicas with an entry", len(tables), len(placed))
 }
 
 func TestTableSlowerThanTheFleetGetsMoreEntries(t *testing.T) {
 	fleet := startWideFleet(t)
 	table := fleet.balancer.subsets.tables[0]
 	before := len(table.entries)
-	fleet.run(4, func() {
+	fleet.advance(4, func() {
 		for n := 1; n <= wideFleetReplicas; n++ {
 			latency := 100 * model.Millisecond
 			isOfReplica := func(e *entry) bool { return e.replica.id == replicaID(n) }
@@ -52,10 +53,10 @@
 			fleet.report(n, 10, 0, latency)
 		}
 	})
-	require(t, len(table.entries) > before, "still %d entries", before)
+	require(t, len(table.entries) > before, "table still has %d entries", before)
 }
 
-func TestFleetGrowsFourfoldAndShrinksInOneStep(t *testing.T) {
+func TestTablesHaveOpenEntriesAfterTheFleetGrowsAndShrinksInOneStep(t *testing.T) {
 	fleet := startWideFleet(t)
 	var added []model.Endpoint
 	for k := range 144 {
@@ -64,18 +65,17 @@
 		})
 	}
 	fleet.updateEndpoints(model.ChangedEntries, added...)
-	fleet.run(6, fleet.goodReports(192))
+	fleet.advance(6, fleet.goodReports(192))
 	require(t, fleet.weight(150)+fleet.weight(151)+fleet.weight(152) != 0, "new replicas have no entries")
 	fleet.updateEndpoints(model.FullList, added[:3]...)
-	fleet.run(2, fleet.goodReports(52))
+	fleet.advance(2, fleet.goodReports(52))
 	for _, table := range fleet.balancer.subsets.tables {
-		require(t, table.openEntries() >= 3, "%d open entries", table.openEntries())
+		require(t, table.openEntries() >= 3, "%d open entries, want at least 3", table.openEntries())
 	}
 }
 
-// Found by the search for broken invariants: the preference for the own zone sent two thirds of a zone's traffic to its
-// replicas that warmed up.
-func TestZoneThatReturnsWarmingUpLeavesItsProxiesToOtherZones(t *testing.T) {
+// The preference for the own zone must not send two thirds of the traffic of a zone to its replicas that warm up.
+func TestZoneThatWarmsUpGetsLessWeightThanOtherZones(t *testing.T) {
 	fleet := startFleet(t, 24, func(config *model.Config) { config.ProxiesAvoidFailing = false })
 	var endpoints []model.Endpoint
 	for n := 1; n <= 24; n++ {
@@ -86,6 +86,7 @@
 		endpoints = append(endpoints, endpoint)
 	}
 	fleet.updateEndpoints(model.FullList, endpoints...)
-	fleet.run(5, fleet.goodReports(24))
-	require(t, fleet.weight(9) >= 2.5*fleet.weight(2), "other zone %v, warming up %v", fleet.weight(9), fleet.weight(2))
+	fleet.advance(5, fleet.goodReports(24))
+	require(t, fleet.weight(9) >= 2.5*fleet.weight(2),
+		"weights: other zone %v, warming up %v, want a ratio of at least 2.5", fleet.weight(9), fleet.weight(2))
 }
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -6,72 +6,72 @@
 	"peppervale/internal/model"
 )
 
-// View is a copy of a balancer's state. Nothing in it is written again, so any goroutine may read it.
+// View is a copy of a balancer's state. It is never modified, so any goroutine may read it.
 type View struct {
 	SafeModeEnded      bool
-	UnreportedReplicas []model.ReplicaID // listed as ready, and not named in a load report yet
-	Saturation         float64           // how short of capacity the fleet is: load is shed above 0.5
-	NormalizedLatency  float64           // time of good attempts over the latency objective, at the median replica
+	UnreportedReplicas []model.ReplicaID // listed as ready, and not yet named in a load report
+	Saturation         float64           // how short of capacity the fleet is; above 0.5 load is shed
+	NormalizedLatency  float64           // mean latency of good attempts over the objective, median replica
 	WarmingFraction    float64           // share of the replicas in use that are new and warming up
-	UnackedEntries     int               // entries sent and not acknowledged
+	UnackedEntries     int               // entries sent and not yet acknowledged
 	Quotas             []float64         // admitted share, by operation
 	RetryPolicy        model.RetryPolicy
 	Replicas           []ReplicaView
 	Tables             []TableView
-	Proxies            []ProxyView // in the order connected
+	Proxies            []ProxyView // in the order in which they connected
 }
 
-// ReplicaView is the state of a replica. A time of 0 stands for never.
+// ReplicaView is the state of a replica. A time of 0 means never.
 type ReplicaView struct {
 	ID                model.ReplicaID
 	Zone              int
 	State             string // away (absent), draining, easing (warming), serving or resting (ejected)
-	Withdrawn         bool   // its withdrawal was sent
+	Withdrawn         bool   // its withdrawal was sent, and no readmission since
 	WarmingUp         bool   // it started within the warm-up period
 	WithdrawnAt       model.Microseconds
 	ReportedAt        model.Microseconds
 	UtilizationAt     model.Microseconds
 	StartedAt         model.Microseconds
 	SlowStartAt       model.Microseconds
-	Utilization       float64 // share of its cores in use
-	NormalizedLatency float64 // time of good attempts over the latency objective
-	SlowStartFactor   float64 // of its full weight
-	AttemptRate       float64 // attempts a second, over about ten reports
-	ErrorRate         float64 // share of errors, over about ten reports
-	Entries           int     // in tables
-	Ejections         int     // in a row
+	Utilization       float64 // share of the cores in use
+	NormalizedLatency float64 // mean latency of good attempts over the objective
+	SlowStartFactor   float64 // fraction of its full weight that it may have now
+	AttemptRate       float64 // attempts a second, over about ten report periods
+	ErrorRate         float64 // share of attempts that failed, over about ten report periods
+	Entries           int     // number of its entries in tables
+	Ejections         int     // number in a row
 }
 
-// TableView is a shared table.
+// TableView is the state of a shared table.
 type TableView struct {
 	ID           model.TableID
 	Zone         int
-	ExpectedRate float64 // requests a second of its proxies
-	Proxies      int
+	ExpectedRate float64 // sum over its proxies, in requests a second
+	Proxies      int     // number of proxies that use the table
 	Entries      []EntryView
 }
 
-// EntryView is a table entry as it was sent.
+// EntryView is an entry of a table as it was last sent.
 type EntryView struct {
 	Replica model.ReplicaID
 	Weight  float64
 }
 
-// noTable is the table of a proxy that is on standing tables.
+// noTable is the table number of a proxy that uses a standing table.
 const noTable = -1
 
-// ProxyView is a connected proxy.
+// ProxyView is the state of a connected proxy.
 type ProxyView struct {
 	ID              model.ProxyID
 	Zone            int
 	ExpectedRate    float64            // requests a second
-	Table           int                // its first table; -1 while it is on standing tables
-	UnackedMessages int                // messages sent and not acknowledged
-	OldestUnackedAt model.Microseconds // when the first of them was sent; 0 if there is none
+	Table           int                // its first table; -1 while it uses a standing table
+	UnackedMessages int                // messages sent and not yet acknowledged
+	OldestUnackedAt model.Microseconds // when the oldest unacknowledged message was sent; 0 if there is none
 }
 
-// servedStates are the values of ReplicaView.State. The console serves them as JSON, so its readers rely on them.
-var servedStates = map[replicaState]string{
+// stateNames are the values of ReplicaView.State. The console serves them as JSON, so they must not change.
+var stateNames = map[replicaState]string{
 	absent:   "away",
 	draining: "draining",
 	warming:  "easing",
@@ -79,7 +79,7 @@
 	ejected:  "resting",
 }
 
-// View copies the present state; it takes time linear in the fleet.
+// View returns a copy of the present state. It takes time linear in the size of the fleet.
 func (b *Balancer) View() *View {
 	view := &View{
 		SafeModeEnded:     !b.safeMode.active(),
@@ -112,7 +112,7 @@
 	return ReplicaView{
 		ID:                source.id,
 		Zone:              source.zone,
-		State:             servedStates[source.state],
+		State:             stateNames[source.state],
 		Withdrawn:         source.withdrawn,
 		WarmingUp:         b.isWarmingUp(source),
 		WithdrawnAt:       source.withdrawnAt,
