--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -7,39 +7,42 @@
 )
 
 const (
-	// A weight moves by a tenth at most, and a change under minWeightChange of it is not sent: the design's step.
+	// A weight changes by at most a tenth in one step; a change below minWeightChange of the weight is not sent.
 	minStepFactor   = 0.9
 	maxStepFactor   = 1.1
 	minWeightChange = 0.05
 
-	// priorAttempts is the weight of the prior estimate, an average replica's: fewer attempts say little of a latency.
+	// priorAttempts is the number of attempts that the prior capacity estimate, 1, counts for. The latency of fewer
+	// attempts says little about a replica.
 	priorAttempts = 10
-	// warmingCapacityLimit bounds the estimate of a warming replica. Its served rate follows from its reduced weight, so
-	// only its latency shows its speed.
+	// warmingCapacityLimit is the highest capacity estimate of a warming replica. Its reduced weight determines its
+	// served rate, so only its latency shows its speed.
 	warmingCapacityLimit = 2
 
-	// crossZonePenalty over the cost of a crossing lies between what suits a low load and what suits an overload.
+	// crossZonePenalty, multiplied by the cost of a request to another zone, sets the strength of the preference for the
+	// own zone. It is a compromise between the best value at low load and the best value in an overload.
 	crossZonePenalty = 60
-	// belowFullWeightDivisor: once 1/belowFullWeightDivisor of the replicas of the zone, or of all, is below its full
-	// weight, those of other zones count as much.
+	// belowFullWeightDivisor: once 1/belowFullWeightDivisor of the replicas of the zone, or of the fleet, is below full
+	// weight, the own zone is no longer preferred.
 	belowFullWeightDivisor = 3
-	// epsilon is added to a divisor, or is its least value, to avoid a division by zero.
+	// epsilon is added to a divisor, or is its lowest value, to avoid a division by zero.
 	epsilon = 1e-9
 
-	// minOpenEntries: a table with fewer gets new ones at once.
+	// minOpenEntries is the number of open entries below which new entries of a table are sent at once.
 	minOpenEntries = 3
-	// A table whose median entry is overloadedRatio times as slow as the fleet's, and takes overloadedLatency of the
-	// objective or more, has more traffic than its entries can take: its width grows by wideningStep.
-	overloadedRatio   = 1.25
-	overloadedLatency = 0.25
-	wideningStep      = 2
+	// A table has more traffic than its entries can serve if the normalized latency of its median entry exceeds
+	// overloadedRatio times that of the fleet, and overloadedLatency. The number of open entries wanted in it is then
+	// raised to addedEntriesWhenOverloaded above the present number.
+	overloadedRatio            = 1.25
+	overloadedLatency          = 0.25
+	addedEntriesWhenOverloaded = 2
 
-	// weightMessageDivisor: weights take 1/weightMessageDivisor of the messages that a proxy may get.
+	// weightMessageDivisor: weights use at most 1/weightMessageDivisor of the messages that a proxy may get.
 	weightMessageDivisor = 2
 )
 
-// prior is an entry's weight before anything is learnt of the replica's speed.
-func (b *Balancer) prior(e *entry) float64 {
+// priorWeight is the weight of an entry before load reports show the replica's speed.
+func (b *Balancer) priorWeight(e *entry) float64 {
 	switch {
 	case !e.replica.listedReady():
 		return 0
@@ -50,8 +53,8 @@
 	}
 }
 
-// estimateCapacities estimates what replicas can take, as the design has it: served rate times the fleet's mean latency
-// over the replica's own. Unreported replicas count as average.
+// estimateCapacities estimates the load that each replica can serve: its served rate times the fleet's mean latency
+// divided by its own mean latency. Unreported replicas count as average.
 func (b *Balancer) estimateCapacities() {
 	fleet := b.totalRecentStats()
 	preference := b.newZonePreference()
@@ -59,7 +62,7 @@
 	for _, t := range b.subsets.tables {
 		t.measure()
 		t.crossZoneFactor = b.crossZoneFactor(t, preference)
-		b.spreadExpectedRate(t)
+		b.distributeExpectedRate(t)
 		expectedRate += t.expectedRate
 	}
 	for _, r := range b.replicas {
@@ -67,8 +70,8 @@
 	}
 }
 
-// totalRecentStats adds up the recent statistics of listed replicas, sets the fleet's recent rate from them and resets
-// the replicas' expected rates.
+// totalRecentStats returns the sum of the recent statistics of the replicas that are listed as ready, sets the recent
+// rate of the fleet and resets the replicas' expected rates.
 func (b *Balancer) totalRecentStats() (fleet attemptStats) {
 	b.load.recentRate = 0
 	for _, r := range b.replicas {
@@ -81,39 +84,41 @@
 	return fleet
 }
 
-// zonePreference is how much replicas of the proxy's own zone are preferred now, as crossing zones has a price. The
-// preference gives way as load is about to be shed, where other zones are quicker, and as replicas of the zone or of
-// all are below their full weight.
+// zonePreference is the present preference for replicas of the proxy's own zone, as requests to another zone cost
+// more. It weakens as the load approaches the level at which load is shed, if other zones have a lower latency, and
+// as replicas of the zone or of the fleet are below full weight.
 type zonePreference struct {
-	crossZoneFactor float64 // what a replica of another zone counts for at full strength
-	strength        float64 // 1: in full, 0: not at all
-	fleetFullness   float64 // share of the replicas that are in use at full weight
+	crossZoneFactor      float64 // relative weight of a replica of another zone at full strength
+	strength             float64 // 1: full preference, 0: none
+	fleetFullWeightShare float64 // share of the replicas that are in use at full weight
 }
 
 func (b *Balancer) newZonePreference() zonePreference {
-	inFull := b.countReplicas(func(r *replica) bool { return r.state == serving })
-	// In full up to half of the saturation that sheds load, and not at all from that on.
+	atFullWeight := b.countReplicas(func(r *replica) bool { return r.state == serving })
+	// The preference is full up to half of sheddingSaturation, and falls to zero at sheddingSaturation.
 	strength := min(max(2-2*b.load.saturation/sheddingSaturation, 0), 1)
 	return zonePreference{
-		crossZoneFactor: 1 / (1 + crossZonePenalty*b.config.CrossZoneCost),
-		strength:        strength,
-		fleetFullness:   float64(inFull) / float64(max(b.countReplicas((*replica).listedReady), 1)),
+		crossZoneFactor:      1 / (1 + crossZonePenalty*b.config.CrossZoneCost),
+		strength:             strength,
+		fleetFullWeightShare: float64(atFullWeight) / float64(max(b.countReplicas((*replica).listedReady), 1)),
 	}
 }
 
-// factor is what a replica of another zone counts for in a table, by the statistics of both kinds.
-func (z *zonePreference) factor(sameZoneFullness float64, sameZone, others *attemptStats) float64 {
-	fullness := max(0, belowFullWeightDivisor*min(z.fleetFullness, sameZoneFullness)-(belowFullWeightDivisor-1))
-	factor := math.Pow(z.crossZoneFactor, z.strength*fullness)
-	if sameZone.good >= 1 && others.good >= 1 {
-		factor *= sameZone.meanLatency() / max(others.meanLatency(), 1)
+// factorFor is the relative weight of a replica of another zone in a table, given the statistics of the replicas of
+// the zone and of the other replicas.
+func (z *zonePreference) factorFor(zoneFullWeightShare float64, sameZone, crossZone *attemptStats) float64 {
+	fullWeightShare := max(0,
+		belowFullWeightDivisor*min(z.fleetFullWeightShare, zoneFullWeightShare)-(belowFullWeightDivisor-1))
+	factor := math.Pow(z.crossZoneFactor, z.strength*fullWeightShare)
+	if sameZone.good >= 1 && crossZone.good >= 1 {
+		factor *= sameZone.meanLatency() / max(crossZone.meanLatency(), 1)
 	}
 	return min(max(factor, z.crossZoneFactor), 1)
 }
 
-// crossZoneFactor is what a replica of another zone counts for in a table.
+// crossZoneFactor is the relative weight of a replica of another zone in a table.
 func (b *Balancer) crossZoneFactor(t *table, preference zonePreference) float64 {
-	var sameZone, others attemptStats
+	var sameZone, crossZone attemptStats
 	sameZoneCapacity := 0.0
 	sameZoneCount := epsilon
 	for _, e := range t.entries {
@@ -124,25 +129,27 @@
 			sameZoneCapacity += b.slowStartFactor(r)
 			sameZoneCount++
 		default:
-			others.add(r.load.recent)
+			crossZone.add(r.load.recent)
 		}
 	}
-	return preference.factor(sameZoneCapacity/sameZoneCount, &sameZone, &others)
+	return preference.factorFor(sameZoneCapacity/sameZoneCount, &sameZone, &crossZone)
 }
 
-// spreadExpectedRate adds a table's expected rate to its replicas, by the priors of their entries.
-func (b *Balancer) spreadExpectedRate(t *table) {
+// distributeExpectedRate distributes a table's expected rate over its replicas, in proportion to the prior weights of
+// their entries.
+func (b *Balancer) distributeExpectedRate(t *table) {
 	totalPrior := epsilon
 	for _, e := range t.entries {
-		totalPrior += b.prior(e)
+		totalPrior += b.priorWeight(e)
 	}
 	for _, e := range t.entries {
-		e.replica.expectedRate += t.expectedRate * b.prior(e) / totalPrior
+		e.replica.expectedRate += t.expectedRate * b.priorWeight(e) / totalPrior
 	}
 }
 
-// estimateCapacity is what a replica can take, 1 for the average. The rate that it served counts beside what the priors
-// of its entries are due, and by the root, or a weight would feed on the traffic that it drew.
+// estimateCapacity is the load that a replica can serve, 1 for the average replica. The served rate is compared with
+// the expected rate that the prior weights of its entries give, and only the square root of the ratio counts:
+// otherwise a high weight would attract traffic that raises the weight further.
 func (b *Balancer) estimateCapacity(r *replica, fleet *attemptStats, expectedRate float64) float64 {
 	recent := &r.load.recent
 	estimate := 1.0
@@ -157,8 +164,9 @@
 	return (estimate*recent.attempts + priorAttempts) / (recent.attempts + priorAttempts)
 }
 
-// updateWeights moves the weights once a report period. The table that does not fit the send window is the first next
-// time. Cut weights are sent at once, as are new entries of a table with few open ones.
+// updateWeights changes the weights once in a report period. If a table does not fit the send window, the next update
+// begins with that table. Cut weights are sent at once, and so are new entries of a table with fewer than
+// minOpenEntries open entries.
 func (b *Balancer) updateWeights() {
 	due := b.weightsDue()
 	if due {
@@ -168,23 +176,23 @@
 		b.fillTables(pool)
 	}
 	b.estimateCapacities()
-	first := b.subsets.turn
-	for k := range b.subsets.tables {
-		t := b.subsets.tables[(first+k)%len(b.subsets.tables)]
+	first := b.subsets.firstToUpdate
+	for offset := range b.subsets.tables {
+		t := b.subsets.tables[(first+offset)%len(b.subsets.tables)]
 		b.sendUrgentWeights(t)
 		if !due {
 			continue
 		}
 		b.weightsSentAt = b.now
-		b.widenIfOverloaded(t)
+		b.extendIfOverloaded(t)
 		due = b.sendWeights(t, weightBudget, limitStep)
 		if !due {
-			b.subsets.turn = first + k
+			b.subsets.firstToUpdate = first + offset
 		}
 	}
 }
 
-// weightsDue reports whether weights may move: once a report period, or less often if that would take more than
+// weightsDue reports whether weights may change: once in a report period, or less often if that would use more than
 // 1/weightMessageDivisor of the messages that a proxy may get.
 func (b *Balancer) weightsDue() bool {
 	period := b.config.ReportPeriod
@@ -194,7 +202,7 @@
 	return !b.safeMode.active() && b.ticked && !b.binder.withdrawalsBlocked && b.now-b.weightsSentAt >= period
 }
 
-// sendUrgentWeights sends cut weights, and where few entries are open new ones too.
+// sendUrgentWeights sends cut weights and, if the table has few open entries, new entries too.
 func (b *Balancer) sendUrgentWeights(t *table) {
 	if t.openEntries() < minOpenEntries {
 		b.sendWeights(t, withdrawalBudget, func(e *entry) bool { return e.cut || e.isNew() })
@@ -203,16 +211,18 @@
 	b.sendWeights(t, promptBudget, func(e *entry) bool { return e.cut })
 }
 
-// widenIfOverloaded gives a table more entries if most of its own are slower than the fleet: its proxies' traffic
-// grew, or the subset shrank. Where the whole fleet is short of capacity, more entries don't help.
-func (b *Balancer) widenIfOverloaded(t *table) {
+// extendIfOverloaded raises the number of open entries wanted in a table if its median entry is slower than the fleet:
+// the traffic of its proxies grew, or it lost entries. If the whole fleet is short of capacity, more entries don't
+// help.
+func (b *Balancer) extendIfOverloaded(t *table) {
 	limit := max(overloadedLatency, overloadedRatio*b.load.normalizedLatency)
 	if t.normalizedLatency > limit && b.load.saturation < sheddingSaturation {
-		t.width = t.openEntries() + wideningStep
+		t.wantedEntries = t.openEntries() + addedEntriesWhenOverloaded
 	}
 }
 
-// limitStep bounds the change of an entry's next weight and reports whether the change is worth sending.
+// limitStep limits the change of an entry's weight in one step and reports whether the change is large enough to be
+// sent.
 func limitStep(e *entry) bool {
 	if e.isNew() || e.nextWeight == 0 {
 		return true
@@ -221,8 +231,9 @@
 	return math.Abs(e.nextWeight-e.weight) >= minWeightChange*e.weight
 }
 
-// sendWeights sends the wanted weights of a table that change, and reports whether they fit the send window. No
-// new entry is sent for a withdrawn replica: the table's proxies were not notified of the withdrawal.
+// sendWeights sends the changed weights of the entries for which wanted returns true, and reports whether the send
+// window has capacity for them. A new entry of a withdrawn replica is not sent, as the table's proxies were not
+// notified of the withdrawal.
 func (b *Balancer) sendWeights(t *table, limits budget, wanted func(*entry) bool) bool {
 	changed, cost := b.changedWeights(t, wanted)
 	if len(changed) > 0 && !b.window.reserve(b.now, t.users, cost, limits) {
@@ -236,22 +247,23 @@
 	return true
 }
 
-// changedWeights sets the next weights of a table and returns the wanted entries whose weight changes, with what
-// it costs to send them. wanted is called once the next weight is set, and may limit it as limitStep does.
+// changedWeights sets the next weight of each entry of a table. It returns the entries whose weight changes and for
+// which wanted returns true, and the cost of sending them. wanted is called after the next weight is set, and may
+// limit it as limitStep does.
 func (b *Balancer) changedWeights(t *table, wanted func(*entry) bool) (changed []*entry, cost int) {
 	for _, e := range t.entries {
-		e.nextWeight = b.prior(e) * e.replica.capacityEstimate
+		e.nextWeight = b.priorWeight(e) * e.replica.capacityEstimate
 		if !wanted(e) || e.nextWeight == e.weight {
 			continue
 		}
-		missedWithdrawal := e.isNew() && b.mustWithdraw(e.replica)
-		if missedWithdrawal {
+		withdrawnUnnoticed := e.isNew() && b.mustWithdraw(e.replica)
+		if withdrawnUnnoticed {
 			continue
 		}
 		changed = append(changed, e)
 		cost++
 		if e.isNew() {
-			cost++ // it may bring along that its replica is withdrawn, or readmitted
+			cost++ // a withdrawal or readmission of its replica may be sent with it
 		}
 	}
 	return changed, cost
