--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -1,25 +1,25 @@
 package admission
 
-// Budget bounds the bytes that wait for peers to read them. Once a peer is over its own limit, or over its even share
-// of Total while all together are over Total, its deltas are merged into one snapshot, sent later. So a peer that reads
-// is not held up by one that does not.
+// Budget bounds the bytes that are queued for peers. A peer's deltas are merged into one snapshot, which is sent later,
+// once its queue is over PerPeer, or over its even share of Total while all queues together are over Total. So a peer
+// that reads is not delayed by a peer that does not.
 //
-//	waiting for this peer    waiting for all   decision
+//	queued for this peer     queued for all    decision
 //	over PerPeer             any               merge
 //	over its even share      over Total        merge
 //	up to its even share     over Total        send
 //	up to PerPeer            up to Total       send
 //
-// So at most twice Total, one message for each peer, and one further message wait: some peers may have up to Total
-// waiting before the others come up to their even shares.
+// At most twice Total is queued, and one message for each peer, and one further message: some peers may have queued up
+// to Total before the queues of the other peers reach their even shares.
 type Budget struct {
-	PerPeer int64 // bytes that may wait for one peer
-	Total   int64 // bytes that may wait for all peers together
+	PerPeer int64 // bytes that may be queued for one peer
+	Total   int64 // bytes that may be queued for all peers together
 }
 
-// MustMerge reports whether a peer's messages are to be merged; waiting and waitingForAll are in bytes, peers counts
-// the connections.
-func (b Budget) MustMerge(waiting, waitingForAll int64, peers int) bool {
+// MustMerge reports whether a peer's messages must be merged; queued and queuedForAll are in bytes, peers is the
+// number of connections.
+func (b Budget) MustMerge(queued, queuedForAll int64, peers int) bool {
 	evenShare := b.Total / int64(max(peers, 1))
-	return waiting > b.PerPeer || waitingForAll > b.Total && waiting > evenShare
+	return queued > b.PerPeer || queuedForAll > b.Total && queued > evenShare
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -2,35 +2,35 @@
 
 import "peppervale/internal/model"
 
-// Limits are how many connections a controller admits. A Rate of 0 or less admits all up to MaxProxies.
+// Limits bounds the connections that a controller admits. With a Rate of 0 or less all are admitted up to MaxProxies.
 type Limits struct {
-	Rate       float64 // connections a second
+	Rate       float64 // connections per second
 	Burst      int     // connections at once; at least 1 is allowed
 	MaxProxies int     // proxies connected at the same time; 0 or less: no limit
-	Jitter     float64 // random part of a wait: 0.2 adds up to a fifth
-	Seed       uint64  // of the random part
+	Jitter     float64 // random addition to a delay, as a fraction: 0.2 adds up to a fifth
+	Seed       uint64  // seed of the jitter
 }
 
-// Decision is the answer to a connection.
+// Decision is the response to a connection.
 type Decision uint8
 
 // The decisions.
 const (
 	Admit  Decision = iota
-	Defer           // retry after the time given, for which a token is reserved
-	Reject          // no capacity for one more proxy: retry much later, or at another controller
+	Defer           // retry after the returned delay; a token is reserved for then
+	Reject          // MaxProxies are connected: retry much later, or at another controller
 )
 
-// rejectRetryAfter is the Retry-After of a rejected proxy: as long as it takes a whole fleet to move to another
-// controller.
+// rejectRetryAfter is the Retry-After of a rejected proxy. A whole fleet can move to another controller within this
+// time.
 const rejectRetryAfter = 10 * model.Second
 
-// maxReservations bounds the memory. A proxy beyond it gets a Retry-After without reservation.
+// maxReservations bounds the memory. Further proxies get a Retry-After without a reservation.
 const maxReservations = 65536
 
-// Controller is the admission control of connections. Make it with New. It belongs to one goroutine at a time.
+// Controller decides which connections are admitted. Create it with New. It belongs to one goroutine at a time.
 type Controller struct {
-	Stats Stats // to be read only
+	Stats Stats // read-only for callers
 
 	limits     Limits
 	jitter     jitterSource
@@ -39,17 +39,17 @@
 
 	inStorm          bool
 	stormStartedAt   model.Microseconds
-	reservations     map[string]model.Microseconds // by proxy name: when it may connect
-	lastReservedTime model.Microseconds            // the latest that was reserved
+	reservations     map[string]model.Microseconds // when a proxy may connect, by its name
+	lastReservedTime model.Microseconds            // latest time that was reserved
 }
 
-// Stats count decisions.
+// Stats counts decisions.
 type Stats struct {
 	Admitted, Deferred, Rejected uint64
-	Storms                       uint64 // times that the state went from normal to storm
+	Storms                       uint64 // changes from the normal state to the storm state
 }
 
-// New makes a controller in the normal state with a full burst of tokens.
+// New returns a controller in the normal state with a full burst of tokens.
 func New(limits Limits, now model.Microseconds) *Controller {
 	controller := &Controller{
 		limits:       limits,
@@ -61,8 +61,8 @@
 	return controller
 }
 
-// SetLimits changes the limits while the controller is in use, but not the seed, which stays that of New.
-// Reservations stay; tokens beyond a smaller burst are lost.
+// SetLimits changes the limits while the controller is in use, except for the seed, which stays as passed to New.
+// Reservations stay valid; tokens beyond a smaller burst are dropped.
 func (c *Controller) SetLimits(limits Limits, now model.Microseconds) {
 	c.refill(now)
 	c.limits = limits
@@ -73,11 +73,11 @@
 	}
 }
 
-// InStorm reports whether connections get reservations now.
+// InStorm reports whether the controller is in the storm state, in which connections need a reservation.
 func (c *Controller) InStorm() bool { return c.inStorm }
 
-// Decide decides on a proxy that connects now, while some number of proxies are connected. retryAfter is how long a
-// deferred or rejected proxy should wait; for an admitted one it is 0.
+// Decide returns the decision on a proxy that connects now; connected is the number of proxies that are connected
+// already. retryAfter is the delay for a deferred or rejected proxy; for an admitted proxy it is 0.
 func (c *Controller) Decide(
 	now model.Microseconds, name string, connected int,
 ) (decision Decision, retryAfter model.Microseconds) {
@@ -109,8 +109,8 @@
 	return Reject, rejectRetryAfter + c.jitter.draw(spread)
 }
 
-// useReservation admits a proxy whose reserved time has come: its token was taken when the reservation was made. One
-// that comes early keeps its reservation.
+// useReservation admits a proxy at or after its reserved time; its token was taken when the reservation was made. A
+// proxy that connects too early is deferred and keeps its reservation.
 func (c *Controller) useReservation(
 	now model.Microseconds, name string, reservedTime model.Microseconds,
 ) (Decision, model.Microseconds) {
@@ -122,8 +122,8 @@
 	return c.admit()
 }
 
-// reserve defers a proxy until the next free reservation. Each is a token of its own, so that a proxy which comes back
-// in time finds one.
+// reserve defers a proxy until the next free reservation. Each reservation has its own token, so that a proxy which
+// retries in time is admitted.
 func (c *Controller) reserve(now model.Microseconds, name string) (Decision, model.Microseconds) {
 	c.Stats.Deferred++
 	if !c.inStorm {
@@ -140,13 +140,13 @@
 	return Defer, c.lastReservedTime - now + c.jitter.draw(spread)
 }
 
-// refill adds the tokens of the time that has passed. In a storm these tokens are the reservations; the storm ends once
-// the last one is past and none is outstanding.
+// refill adds the tokens for the time since the last call. In a storm these tokens are used for the reservations; the
+// storm ends once the last reserved time has passed and no reservation is outstanding.
 func (c *Controller) refill(now model.Microseconds) {
 	elapsed := now - c.refilledAt
 	c.refilledAt = now
 	if !c.inStorm {
-		c.tokens = min(c.tokens+c.tokensOf(elapsed), c.burst())
+		c.tokens = min(c.tokens+c.tokensFor(elapsed), c.burst())
 		return
 	}
 	if now < c.lastReservedTime {
@@ -155,27 +155,28 @@
 	c.dropExpiredReservations(now)
 	if len(c.reservations) == 0 {
 		c.inStorm = false
-		c.tokens = c.tokensOf(now - c.lastReservedTime)
+		c.tokens = c.tokensFor(now - c.lastReservedTime)
 	}
 }
 
-// dropExpiredReservations forgets reservations that were not used for as long again as the storm took: their proxies
-// have probably connected to another controller. It also forgets those from before the storm.
+// dropExpiredReservations removes the unused reservations once the time since the last reserved time exceeds the
+// duration of the storm: their proxies have probably connected to another controller. It also removes reservations from
+// before the storm.
 func (c *Controller) dropExpiredReservations(now model.Microseconds) {
-	expiredFrom := 2*c.lastReservedTime - c.stormStartedAt
+	expireAfter := 2*c.lastReservedTime - c.stormStartedAt
 	for name, reservedTime := range c.reservations {
-		if now > expiredFrom || reservedTime <= c.stormStartedAt {
+		if now > expireAfter || reservedTime <= c.stormStartedAt {
 			delete(c.reservations, name)
 		}
 	}
 }
 
-// burst returns the most tokens that there may be.
+// burst returns the capacity of the token bucket.
 func (c *Controller) burst() float64 { return float64(max(c.limits.Burst, 1)) }
 
-// tokensOf returns the tokens of a duration, at most a burst. A negative duration, by a clock that was set back, counts
-// as a long one.
-func (c *Controller) tokensOf(duration model.Microseconds) float64 {
+// tokensFor returns the tokens for a duration, at most a burst. A negative duration, from a clock that was set back,
+// gives a full burst.
+func (c *Controller) tokensFor(duration model.Microseconds) float64 {
 	if duration < 0 {
 		return c.burst()
 	}
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -14,46 +14,46 @@
 	controller := New(Limits{Rate: 10, Burst: 20}, 0)
 	for n := range 20 {
 		if decision, _ := controller.Decide(0, fmt.Sprint(n), n); decision != Admit {
-			t.Fatalf("connection %d of a burst is not admitted", n)
+			t.Fatalf("connection %d of a burst was not admitted", n)
 		}
 	}
 	decision, retryAfter := controller.Decide(0, "late", 20)
 	if decision != Defer || retryAfter != model.Second/10 || !controller.InStorm() {
-		t.Fatalf("beyond the burst: %v after %d", decision, retryAfter)
+		t.Fatalf("beyond the burst: got decision %v and retry after %d us, want Defer and 100000", decision, retryAfter)
 	}
 }
 
-func TestReservationIsKept(t *testing.T) {
+func TestReservedProxyIsAdmittedAtReservedTime(t *testing.T) {
 	controller := New(Limits{Rate: 10, Burst: 1}, 0)
 	controller.Decide(0, "first", 0)
 	_, retryAfter := controller.Decide(0, "second", 1)
-	if decision, again := controller.Decide(retryAfter/2, "second", 1); decision != Defer || again != retryAfter/2 {
-		t.Fatalf("early: %v after %d", decision, again)
+	if decision, delay := controller.Decide(retryAfter/2, "second", 1); decision != Defer || delay != retryAfter/2 {
+		t.Fatalf("retry before the reserved time: got decision %v and retry after %d us", decision, delay)
 	}
 	if decision, _ := controller.Decide(retryAfter, "second", 1); decision != Admit {
-		t.Fatal("in time, and not admitted")
+		t.Fatal("a retry at the reserved time was not admitted")
 	}
 }
 
-func TestStormEndsThoughAProxyStaysAway(t *testing.T) {
+func TestStormEndsWhenReservationIsNotUsed(t *testing.T) {
 	controller := New(Limits{Rate: 10, Burst: 1}, 0)
 	controller.Decide(0, "first", 0)
-	controller.Decide(0, "goes elsewhere", 1)
+	controller.Decide(0, "does not return", 1)
 	decision, _ := controller.Decide(100*model.Second, "much later", 1)
 	if decision != Admit || controller.InStorm() || len(controller.reservations) != 0 {
-		t.Fatalf("the storm does not end: %v, %d reservations", decision, len(controller.reservations))
+		t.Fatalf("the storm did not end: got decision %v with %d reservations", decision, len(controller.reservations))
 	}
 }
 
-func TestFullControllerRejects(t *testing.T) {
+func TestControllerRejectsWhenMaxProxiesAreConnected(t *testing.T) {
 	controller := New(Limits{Rate: 10, Burst: 10, MaxProxies: 2, Jitter: 0.5}, 0)
 	decision, retryAfter := controller.Decide(0, "third", 2)
 	if decision != Reject || retryAfter < rejectRetryAfter || retryAfter > rejectRetryAfter*3/2 {
-		t.Fatalf("%v after %d", decision, retryAfter)
+		t.Fatalf("got decision %v and retry after %d us, want a rejection", decision, retryAfter)
 	}
 }
 
-// arrivals is a heap of connections by their time.
+// arrivals is a heap of connection attempts ordered by time.
 type arrivals []arrival
 
 type arrival struct {
@@ -72,47 +72,47 @@
 	return last
 }
 
-// Two thousand that connect at once are all admitted after the time that the rate asks for, with no second storm:
-// none is deferred more than twice, and no second brings more than the rate and the burst allow.
-func TestStormOfTwoThousandConnections(t *testing.T) {
+// Two thousand proxies that connect at once are all admitted in the time that follows from the rate, without a second
+// storm: no proxy is deferred more than twice, and no second has more connections than the rate and the burst allow.
+func TestStormOfTwoThousandProxiesIsAdmittedAtRate(t *testing.T) {
 	const proxies, rate, burst = 2000, 200, 50
 	controller := New(Limits{Rate: rate, Burst: burst, Jitter: 1, Seed: 7}, 0)
 	var queue arrivals
 	for proxy := range proxies {
 		heap.Push(&queue, arrival{model.Microseconds(proxy % 100), proxy})
 	}
-	deferred := map[int]int{}
-	arrivalsIn := map[model.Microseconds]int{} // by second
+	deferrals := map[int]int{}
+	connectionsInSecond := map[model.Microseconds]int{} // by second
 	admitted := 0
 	var lastAdmitted model.Microseconds
 	for len(queue) > 0 {
 		next := heap.Pop(&queue).(arrival)
-		arrivalsIn[next.at/model.Second]++
+		connectionsInSecond[next.at/model.Second]++
 		decision, retryAfter := controller.Decide(next.at, fmt.Sprint(next.proxy), admitted)
 		if decision == Admit {
 			admitted++
 			lastAdmitted = next.at
 			continue
 		}
-		deferred[next.proxy]++
-		if deferred[next.proxy] > 2 {
-			t.Fatalf("proxy %d is deferred %d times", next.proxy, deferred[next.proxy])
+		deferrals[next.proxy]++
+		if deferrals[next.proxy] > 2 {
+			t.Fatalf("proxy %d was deferred %d times, want at most 2", next.proxy, deferrals[next.proxy])
 		}
 		heap.Push(&queue, arrival{next.at + retryAfter, next.proxy})
 	}
 	if admitted != proxies || lastAdmitted > model.Microseconds(float64(proxies)/rate*1.1)*model.Second {
-		t.Fatalf("%d admitted after %d us", admitted, lastAdmitted)
+		t.Fatalf("%d proxies were admitted, the last after %d us", admitted, lastAdmitted)
 	}
-	for second, count := range arrivalsIn {
+	for second, count := range connectionsInSecond {
 		if second > 0 && count > rate+burst {
-			t.Fatalf("%d come in second %d: a second storm", count, second)
+			t.Fatalf("%d connections in second %d exceed rate and burst", count, second)
 		}
 	}
 }
 
-// In any sequence of connections no span admits more than its burst and rate, a proxy that retries in time is admitted,
-// and the memory is bounded by the number of proxies.
-func TestAnySequenceOfConnections(t *testing.T) {
+// In any sequence of connections, no span has more admissions than burst and rate allow, a proxy that retries in time
+// is admitted, and there are no more reservations than proxies.
+func TestAnySequenceOfConnectionsStaysWithinRate(t *testing.T) {
 	const proxies = 41
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.IntRange(1, 50).Draw(t, "rate"), rapid.IntRange(1, 20).Draw(t, "burst")
@@ -131,42 +131,42 @@
 			}
 			due, isDeferred := retryAt[proxy]
 			if isDeferred && now >= due && now <= due+model.Second/model.Microseconds(rate) {
-				t.Fatalf("proxy %d retries in time and is deferred again", proxy)
+				t.Fatalf("proxy %d retried in time and was deferred again", proxy)
 			}
 			if retryAfter <= 0 {
-				t.Fatalf("deferred by %d", retryAfter)
+				t.Fatalf("deferred by %d us, want more than 0", retryAfter)
 			}
 			retryAt[proxy] = now + retryAfter
 		}
 		for i, from := range admittedAt {
 			for k, until := range admittedAt[i:] {
-				// Reservations of a storm that were not used in time may be used up to a storm's length later.
+				// Unused reservations stay valid for the duration of the storm after it, so each proxy may add one admission.
 				seconds := float64(until-from) / float64(model.Second)
 				if limit := float64(burst) + seconds*float64(rate) + proxies; float64(k+1) > limit {
-					t.Fatalf("%d admitted within %d us", k+1, until-from)
+					t.Fatalf("%d connections were admitted within %d us", k+1, until-from)
 				}
 			}
 		}
 		if len(controller.reservations) > proxies {
-			t.Fatalf("%d reservations", len(controller.reservations))
+			t.Fatalf("%d reservations are more than proxies", len(controller.reservations))
 		}
 	})
 }
 
-// The limits change in a storm: who has a reservation finds it, and without limits all are admitted.
-func TestLimitsChangeInAStorm(t *testing.T) {
+// If the limits change in a storm, reservations stay valid, and without limits all connections are admitted.
+func TestReservationsStayValidWhenLimitsChange(t *testing.T) {
 	controller := New(Limits{Rate: 1, Burst: 1}, 0)
 	controller.Decide(0, "first", 0)
 	_, retryAfter := controller.Decide(0, "second", 1)
 	controller.SetLimits(Limits{Rate: 100, Burst: 5}, model.Second/10)
 	if decision, _ := controller.Decide(retryAfter, "second", 1); decision != Admit {
-		t.Fatal("a reservation was taken back")
+		t.Fatal("a reservation was dropped when the limits changed")
 	}
 	controller.Decide(retryAfter, "third", 2)
 	controller.SetLimits(Limits{}, retryAfter)
 	for n := range 100 {
 		if decision, _ := controller.Decide(retryAfter, fmt.Sprint("all", n), n); decision != Admit {
-			t.Fatalf("without limits the decision is %v", decision)
+			t.Fatalf("without limits: got decision %v, want admission", decision)
 		}
 	}
 }
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,12 +1,11 @@
-// Package admission controls the load that connecting peers put on a controller: which proxies may connect now and
-// which retry later (Controller), how many commands a peer may send (TokenBucket), and how many bytes may
-// wait for peers to read them (Budget). It does no I/O and reads no clock: the caller passes the time and carries the
-// decision out.
+// Package admission limits the load that peers cause on a controller: which proxies may connect now and which must
+// retry later (Controller), how many commands a peer may send (TokenBucket), and how many bytes may be queued for peers
+// (Budget). It does no I/O and reads no clock: the caller passes the time and carries out the decision.
 //
-// A connection costs the controller a snapshot, a binding and, for a proxy that comes late, all withdrawals anew. So
-// connections are admitted at a rate, with a burst for the everyday restart of a few proxies. Those beyond it are
-// deferred, with a Retry-After at which a token is reserved for them, spread at random so that a connection storm
-// does not return as a storm.
+// A connection costs the controller a snapshot, a binding and, for a proxy that connects late, a repetition of all
+// withdrawals. So connections are admitted at a limited rate, with a burst for the routine restart of a few proxies.
+// Connections beyond the burst are deferred, with a Retry-After at which a token is reserved for them. Jitter spreads
+// the retries, so that a connection storm is not followed by a second one.
 //
 // The decision table of Controller:
 //
@@ -20,5 +19,5 @@
 //	any      connection, MaxProxies are connected   unchanged    reject
 //
 // Guarantees: no more than Burst + Rate x span connections are admitted in any span; a deferred proxy that retries at
-// its time is admitted then; the memory is bounded by maxReservations names.
+// its reserved time is admitted; the memory is bounded by maxReservations names.
 package admission
--- a/internal/admission/jitter.go
+++ b/internal/admission/jitter.go
@@ -7,13 +7,13 @@
 	"peppervale/internal/model"
 )
 
-// jitterSource draws pseudo-random durations that follow from a seed and the number of draws.
+// jitterSource draws pseudo-random durations that are determined by a seed and the number of draws.
 type jitterSource struct {
 	seed  uint64
 	draws uint64
 }
 
-// draw returns a duration from 0 up to, but without, limit; 0 for a limit of 0 or less.
+// draw returns a duration from 0 up to, but excluding, limit; it returns 0 for a limit of 0 or less.
 func (j *jitterSource) draw(limit model.Microseconds) model.Microseconds {
 	if limit <= 0 {
 		return 0
--- a/internal/admission/tokenbucket.go
+++ b/internal/admission/tokenbucket.go
@@ -2,8 +2,8 @@
 
 import "peppervale/internal/model"
 
-// Rate is what a TokenBucket is held to: PerSecond commands in the long run and Burst at once. A PerSecond of 0 or less
-// allows all.
+// Rate is the limit of a TokenBucket: PerSecond commands in the long run and Burst commands at once. A PerSecond of 0
+// or less allows all commands.
 type Rate struct {
 	PerSecond float64
 	Burst     int // at least 1 is allowed
@@ -11,12 +11,12 @@
 
 // TokenBucket limits the commands of one peer. The zero TokenBucket is full. It belongs to one goroutine at a time.
 type TokenBucket struct {
-	used       float64 // tokens of the burst
+	used       float64 // tokens of the burst that are in use
 	refilledAt model.Microseconds
 }
 
-// Take takes the token of a command and reports whether there was one. If not, retryAfter is the time until half of the
-// burst is available again: after a shorter wait the next command would soon have to wait again.
+// Take takes the token for a command and reports whether one was available. If not, retryAfter is the time until half
+// of the burst is available again: after a shorter delay the peer would soon exceed its rate again.
 func (b *TokenBucket) Take(now model.Microseconds, rate Rate) (ok bool, retryAfter model.Microseconds) {
 	if rate.PerSecond <= 0 {
 		return true, 0
--- a/internal/admission/tokenbucket_test.go
+++ b/internal/admission/tokenbucket_test.go
@@ -8,8 +8,8 @@
 	"peppervale/internal/model"
 )
 
-// A peer is held to its rate in any span, and one that retries after its Retry-After may go on.
-func TestTokenBucketHoldsToRate(t *testing.T) {
+// A peer does not exceed its rate and burst, and a command that is retried after the Retry-After is accepted.
+func TestTokenBucketLimitsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := Rate{
 			PerSecond: float64(rapid.IntRange(1, 1000).Draw(t, "rate")),
@@ -24,13 +24,13 @@
 			if !ok {
 				now += retryAfter + 1
 				if ok, _ = bucket.Take(now, rate); !ok {
-					t.Fatalf("back after %d and rejected again", retryAfter)
+					t.Fatalf("a retry after %d us was rejected again", retryAfter)
 				}
 			}
 			taken++
 			elapsed := float64(now) / float64(model.Second)
 			if limit := float64(rate.Burst) + rate.PerSecond*elapsed + 1; float64(taken) > limit {
-				t.Fatalf("%d commands in %d us, at most %g", taken, now, limit)
+				t.Fatalf("%d commands were accepted in %d us, want at most %g", taken, now, limit)
 			}
 		}
 	})
--- a/internal/controller/check.go
+++ b/internal/controller/check.go
@@ -7,20 +7,20 @@
 	"peppervale/internal/model"
 )
 
-// Errors of CheckConfig.
+// Errors returned by CheckConfig.
 var (
-	ErrNoZones                  = errors.New("no zones")
-	ErrPeriodOrQueueNotPositive = errors.New("the period and the queue must be above 0")
+	ErrNoZones                  = errors.New("no zones are configured")
+	ErrPeriodOrQueueNotPositive = errors.New("the report period and the queue limit must be above 0")
 )
 
 // OperationCountError reports that a configuration has no operation, or more than model.MaxOperations.
 type OperationCountError struct {
-	Count int // operations configured
+	Count int // configured operations
 }
 
 // Error implements error.
 func (e *OperationCountError) Error() string {
-	return fmt.Sprintf("%d operations; 1 to %d are handled", e.Count, model.MaxOperations)
+	return fmt.Sprintf("%d operations are configured; 1 to %d are supported", e.Count, model.MaxOperations)
 }
 
 // CheckConfig returns an error if the balancer cannot run with a configuration: an *OperationCountError, ErrNoZones or
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// environment stands in for the proxy server and for endpoint discovery and records the calls that they get.
+// environment replaces the proxy server and endpoint discovery and records the calls to them.
 type environment struct {
 	batches chan *snapshot.Batch
 	events  chan string
@@ -36,15 +36,15 @@
 	select {
 	case got := <-e.events:
 		if got != want {
-			t.Fatalf("%s, want %s", got, want)
+			t.Fatalf("got event %q, want %q", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("no %s", want)
+		t.Fatalf("event %q was not received within 10 s", want)
 	}
 }
 
-// expectUpdate takes batches until one holds an update that matches.
-func (e *environment) expectUpdate(t *testing.T, match func(snapshot.Update) bool, what string) *snapshot.Batch {
+// expectUpdate receives batches until one contains a matching update, and returns that batch.
+func (e *environment) expectUpdate(t *testing.T, match func(snapshot.Update) bool, description string) *snapshot.Batch {
 	t.Helper()
 	deadline := time.After(20 * time.Second)
 	for {
@@ -56,7 +56,7 @@
 				}
 			}
 		case <-deadline:
-			t.Fatalf("no update: %s", what)
+			t.Fatalf("%s was not published within 20 s", description)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	return endpoints
 }
 
-// waitForView returns the view of the step that published a batch: it is stored after the batch is published.
+// waitForView waits for the view of the step that published a batch; the step stores it after publishing the batch.
 func waitForView(t *testing.T, controller *Controller, batch *snapshot.Batch) *View {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -98,16 +98,17 @@
 			return view
 		}
 	}
-	t.Fatal("no view follows a published batch")
+	t.Fatal("no view was stored within 10 s after a batch was published")
 	return nil
 }
 
-// In safe mode no proxy is bound before each listed replica is named in a report, but withdrawals are published.
+// In safe mode, before every listed replica has been named in a load report, no proxy is bound, but withdrawals are
+// published.
 func TestSafeModePublishesWithdrawalsOnly(t *testing.T) {
 	config := testConfig()
 	config.ReportPeriod = 5 * model.Second // the start window does not end within this test
 	controller, env := startController(t, readyEndpoints(1, 2, 3), config)
-	controller.ProxyConnected(7, 70, pubsubmsg.Join{Name: "till", ExpectedRate: 5}, 0)
+	controller.ProxyConnected(7, 70, pubsubmsg.Join{Name: "proxy-1", ExpectedRate: 5}, 0)
 	env.expectEvent(t, "admit 7 70")
 	draining := model.Endpoint{ID: id(3), Status: model.EndpointDraining}
 	controller.EndpointsChanged(model.FullList, append(readyEndpoints(1, 2), draining))
@@ -116,19 +117,20 @@
 	}, "the draining replica's withdrawal")
 	for _, update := range batch.Updates {
 		if isBinding(update) {
-			t.Fatal("bound in safe mode")
+			t.Fatal("a proxy was bound in safe mode")
 		}
 	}
 	view := waitForView(t, controller, batch)
 	if view.SafeModeEnded || view.ReadyReplicas != 2 || view.ListedReplicas != 3 {
-		t.Fatalf("%+v", view)
+		t.Fatalf("got view %+v, want safe mode with 2 ready of 3 listed replicas", view)
 	}
 }
 
-// Once each replica has been reported on, proxies are bound, and an acknowledgement is asked for with the same batch.
-func TestSafeModeEndsOnReports(t *testing.T) {
+// Once every replica has been named in a load report, proxies are bound, and the same batch requests an
+// acknowledgement.
+func TestProxiesAreBoundWhenAllReplicasAreReported(t *testing.T) {
 	controller, env := startController(t, readyEndpoints(1, 2), testConfig())
-	controller.ProxyConnected(7, 70, pubsubmsg.Join{Name: "till", ExpectedRate: 5}, 0)
+	controller.ProxyConnected(7, 70, pubsubmsg.Join{Name: "proxy-1", ExpectedRate: 5}, 0)
 	env.expectEvent(t, "admit 7 70")
 	controller.LoadReported(0, []model.LoadReport{
 		{Replica: id(1), Attempts: 5, MeanLatency: 1000, Window: model.Second},
@@ -136,43 +138,43 @@
 	})
 	batch := env.expectUpdate(t, isBinding, "a binding")
 	if batch.AckSequence < 0 || batch.At == 0 {
-		t.Fatalf("%+v", batch)
+		t.Fatalf("got batch %+v, want an acknowledgement request and a time", batch)
 	}
 	controller.Acknowledged(7, 70, uint32(batch.AckSequence))
 	controller.ProxyDisconnected(7, 70)
-	controller.ProxyConnected(7, 71, pubsubmsg.Join{Name: "till", ExpectedRate: 5}, 0)
+	controller.ProxyConnected(7, 71, pubsubmsg.Join{Name: "proxy-1", ExpectedRate: 5}, 0)
 	env.expectEvent(t, "admit 7 71")
-	env.expectUpdate(t, isBinding, "a binding of the new stream")
+	env.expectUpdate(t, isBinding, "a binding after the proxy reconnected")
 }
 
-// After a failed poll the controller subscribes again, and what is known stays.
-func TestFailedPollKeepsTheList(t *testing.T) {
+// After a failed poll the controller subscribes again and keeps the endpoint list.
+func TestFailedPollKeepsEndpointList(t *testing.T) {
 	controller, env := startController(t, readyEndpoints(1, 2), testConfig())
 	controller.EndpointsChanged(model.PollFailed, nil)
 	env.expectEvent(t, "subscribe")
 	if view := controller.View(); view.ReadyReplicas != 2 {
-		t.Fatalf("%+v", view)
+		t.Fatalf("got view %+v, want 2 ready replicas", view)
 	}
 }
 
 // A detail is copied only while DetailedView is called.
 func TestDetailIsCopiedOnDemand(t *testing.T) {
 	controller, env := startController(t, readyEndpoints(1, 2), testConfig())
-	controller.ProxyConnected(7, 70, pubsubmsg.Join{Name: "till", ExpectedRate: 5}, 0)
+	controller.ProxyConnected(7, 70, pubsubmsg.Join{Name: "proxy-1", ExpectedRate: 5}, 0)
 	env.expectEvent(t, "admit 7 70")
 	env.expectUpdate(t, isBinding, "a binding")
 	if view := controller.View(); view.Detail != nil {
-		t.Fatal("a detail is copied without a call of DetailedView")
+		t.Fatal("a detail was copied without a call of DetailedView")
 	}
 	deadline := time.Now().Add(10 * time.Second)
 	for ; controller.DetailedView().Detail == nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("no detail comes")
+			t.Fatal("no detail was copied within 10 s after a call of DetailedView")
 		}
 	}
 	detail := controller.View().Detail
 	if len(detail.Balancer.Replicas) != 2 || len(detail.Balancer.Proxies) != 1 ||
-		detail.Proxies[7].Name != "till" || len(detail.Endpoints) != 2 {
-		t.Fatalf("%+v", detail)
+		detail.Proxies[7].Name != "proxy-1" || len(detail.Endpoints) != 2 {
+		t.Fatalf("got detail %+v, want 2 replicas, 2 endpoints and the proxy proxy-1", detail)
 	}
 }
--- a/internal/controller/decisionlog.go
+++ b/internal/controller/decisionlog.go
@@ -12,16 +12,17 @@
 )
 
 // Decision is a decision log entry: one step that published something or changed the state of the balancer or the
-// fleet. It records what came in, the balancer's reasons, and what was published; together they answer why a proxy has
-// no entry for a replica. It is stored as JSON; its tags are names in stored data and must not change.
+// fleet. It records the events received, the balancer's reasons and the published updates; together they explain, for
+// instance, why a proxy has no entry for a replica. It is stored as JSON; its tags are names in stored data and must
+// not change.
 type Decision struct {
-	At             model.Microseconds `json:"At"`             // when the step was taken
-	Number         uint64             `json:"Number"`         // of the entries of one incarnation, from 1
-	Incarnation    uint64             `json:"Life,omitempty"` // that took the step, if an earlier one; 0: this one
-	Inputs         []string           `json:"Came"`           // events, as text; reports and acknowledgements only counted
-	Reasons        []string           `json:"Said"`           // what the balancer logged
-	Updates        []string           `json:"Orders"`         // what was published, as text
-	OmittedUpdates int                `json:"Cut"`            // updates beyond those in Updates
+	At             model.Microseconds `json:"At"`             // time of the step
+	Number         uint64             `json:"Number"`         // within its incarnation, from 1
+	Incarnation    uint64             `json:"Life,omitempty"` // earlier incarnation that took the step; 0: current
+	Inputs         []string           `json:"Came"`           // events as text; reports and acks only counted
+	Reasons        []string           `json:"Said"`           // messages that the balancer logged
+	Updates        []string           `json:"Orders"`         // published updates as text
+	OmittedUpdates int                `json:"Cut"`            // published updates left out of Updates
 }
 
 // Mentions reports whether any input, reason or update contains a text.
@@ -32,16 +33,16 @@
 		slices.ContainsFunc(d.Updates, containsText)
 }
 
-// Limits of the decision log. At five flushes a second with a few steps each, maxDecisions is about an hour of a calm
-// fleet. The first entries of a table of hundreds say what the others do.
+// Limits of the decision log. At five flushes a second with a few steps each, maxDecisions covers about an hour of a
+// fleet without incidents. If a table of hundreds of entries changes, the first updates show what kind of change it is.
 const (
 	maxDecisions = 16384
-	maxUpdates   = 64 // of one entry
-	maxInputs    = 16 // of one entry
+	maxUpdates   = 64 // recorded in one entry
+	maxInputs    = 16 // recorded in one entry
 )
 
-// Texts of decision log entries. Entries of earlier versions are read and searched beside new ones, and the console
-// searches for some of the texts, so they must not change.
+// Texts of decision log entries. They must not change: entries of earlier versions are searched together with new ones,
+// and the console searches for some of the texts.
 const (
 	inputEndpoints    = "list %s of %d"
 	inputConnected    = "joined %s"
@@ -65,21 +66,21 @@
 	model.PollFailed:     "failed",
 }
 
-// decisionLog keeps the newest decisions in memory. The event loop's goroutine writes, any goroutine reads.
+// decisionLog keeps the newest decisions in memory. The event loop's goroutine writes it; any goroutine may read it.
 type decisionLog struct {
-	disabled bool            // nothing is kept
-	persist  func(*Decision) // gets each entry and must not block; nil: entries are not persisted
+	disabled bool            // no entry is recorded
+	persist  func(*Decision) // called with each entry, must not block; nil: entries are not persisted
 	current  stepRecord
 
 	mu     sync.Mutex
-	ring   []*Decision // entries are never written again
+	ring   []*Decision // entries are immutable
 	start  int         // index of the oldest entry
 	number uint64      // of the newest entry
 }
 
-// stepRecord gathers what happens in the current step.
+// stepRecord collects the events of the current step.
 type stepRecord struct {
-	inputs           []string // the first maxInputs
+	inputs           []string // the first maxInputs of them
 	inputCount       int
 	reasons          []string
 	reports          int
@@ -87,7 +88,7 @@
 	timer            bool
 }
 
-// describeInputs returns the inputs as text, with those that are only counted.
+// describeInputs returns the inputs as text, including the counts of inputs that are not listed one by one.
 func (s *stepRecord) describeInputs() []string {
 	inputs := s.inputs
 	if s.inputCount > maxInputs {
@@ -116,7 +117,7 @@
 	}
 }
 
-// addReason records what the balancer logged in the current step.
+// addReason records a message that the balancer logged in the current step.
 func (l *decisionLog) addReason(text string) {
 	if l.disabled {
 		return
@@ -128,8 +129,8 @@
 func (l *decisionLog) addAcknowledgement()  { l.current.acknowledgements++ }
 func (l *decisionLog) addTimer()            { l.current.timer = true }
 
-// closeStep ends the current step and appends its entry. A step with no input but load reports, acknowledgements or the
-// timer, and with neither reason nor update, is not kept.
+// closeStep ends the current step and appends its entry. A step without reasons and updates is not recorded if its only
+// inputs are load reports, acknowledgements and the timer.
 func (l *decisionLog) closeStep(now model.Microseconds, updates []snapshot.Update) {
 	step := l.current
 	l.current = stepRecord{}
@@ -145,7 +146,7 @@
 	l.append(entry)
 }
 
-// append numbers an entry, persists it and, once the ring is full, replaces the oldest by it.
+// append numbers an entry, persists it and adds it to the ring. In a full ring it replaces the oldest entry.
 func (l *decisionLog) append(entry *Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,8 +180,8 @@
 	return fmt.Sprintf(updateQuota, quota.Operations, quota.Share, quota.RetryPolicy)
 }
 
-// find returns at most limit matching entries, newest first. It copies the ring's pointers and matches without the
-// lock: a search of all entries takes some tens of milliseconds, and a step must not wait for it.
+// find returns at most limit matching entries, newest first. It copies the ring's pointers and matches without holding
+// the lock, because a search of all entries takes some tens of milliseconds and must not delay a step.
 func (l *decisionLog) find(limit int, match func(*Decision) bool) []Decision {
 	var found []Decision
 	for _, entry := range slices.Backward(l.entries()) {
@@ -202,7 +203,7 @@
 	return slices.Concat(l.ring[l.start:], l.ring[:l.start])
 }
 
-// oldest returns the number of the oldest entry in memory; the next one's if there is none.
+// oldest returns the number of the oldest entry in memory, or the number of the next entry if there is none.
 func (l *decisionLog) oldest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controller/detail_bench_test.go
+++ b/internal/controller/detail_bench_test.go
@@ -10,20 +10,20 @@
 	"peppervale/internal/model"
 )
 
-// BenchmarkDetail times what a detail and the decision log cost beside a step's own work, at three fleet sizes.
+// BenchmarkDetail measures a step alone, with the decision log and with a detail, at three fleet sizes.
 func BenchmarkDetail(b *testing.B) {
 	for _, size := range []struct{ proxies, replicas int }{{100, 30}, {482, 305}, {5000, 1000}} {
 		bench := newStepBenchmark(size.proxies, size.replicas)
 		name := fmt.Sprint(size.proxies, "x", size.replicas)
-		b.Run(name+"/plain", func(b *testing.B) { bench.run(b, func() {}) })
+		b.Run(name+"/plain", func(b *testing.B) { bench.measureSteps(b, func() {}) })
 		b.Run(name+"/decisions", func(b *testing.B) {
-			bench.run(b, func() {
+			bench.measureSteps(b, func() {
 				bench.controller.decisions.addTimer()
 				bench.controller.decisions.closeStep(bench.now, bench.controller.pending.Updates)
 			})
 		})
 		b.Run(name+"/detail", func(b *testing.B) {
-			bench.run(b, func() { bench.controller.views.detail = bench.controller.copyDetail(bench.now) })
+			bench.measureSteps(b, func() { bench.controller.views.detail = bench.controller.copyDetail(bench.now) })
 		})
 	}
 }
@@ -59,13 +59,13 @@
 	controller.balancer.EndpointsChanged(bench.now, model.CachedList, bench.replicas)
 	for p := range proxies {
 		controller.balancer.ProxyConnected(bench.now, model.ProxyID(p), p%4, 5)
-		controller.proxies[model.ProxyID(p)] = Proxy{Name: fmt.Sprint("till-", p)}
+		controller.proxies[model.ProxyID(p)] = Proxy{Name: fmt.Sprint("proxy-", p)}
 	}
 	return bench
 }
 
-// run times steps with a report on every replica; extra runs in each after the flush.
-func (s *stepBenchmark) run(b *testing.B, extra func()) {
+// measureSteps measures steps that each deliver a load report of every replica; extra is called after each flush.
+func (s *stepBenchmark) measureSteps(b *testing.B, extra func()) {
 	controller := s.controller
 	for b.Loop() {
 		s.now += 200 * model.Millisecond
--- a/internal/controller/endpointlist.go
+++ b/internal/controller/endpointlist.go
@@ -2,14 +2,14 @@
 
 import "peppervale/internal/model"
 
-// endpointList is the endpoint list as endpoint discovery last reported it.
+// endpointList is the endpoint list that endpoint discovery reported last.
 type endpointList struct {
 	byID       map[model.ReplicaID]model.Endpoint
-	ready      int                // entries that are ready
-	fullListAt model.Microseconds // when the newest complete list came; 0: none has
+	readyCount int                // number of ready entries
+	fullListAt model.Microseconds // when the newest complete list was received; 0: none was
 }
 
-// apply brings the list up to date. A failed poll leaves it as it is.
+// apply updates the list. A failed poll does not change it.
 func (l *endpointList) apply(now model.Microseconds, event *endpointEvent) {
 	if event.update == model.PollFailed {
 		return
@@ -27,10 +27,10 @@
 }
 
 func (l *endpointList) countReady() {
-	l.ready = 0
+	l.readyCount = 0
 	for _, entry := range l.byID {
 		if entry.Status == model.EndpointReady {
-			l.ready++
+			l.readyCount++
 		}
 	}
 }
--- a/internal/controller/eventloop.go
+++ b/internal/controller/eventloop.go
@@ -7,11 +7,11 @@
 	"peppervale/internal/snapshot"
 )
 
-// gatherPeriod is how long the loop waits after the first event, so that many proxies which connect at once make one
-// step.
+// gatherPeriod is how long the loop waits after the first event, so that the connections of many proxies at once are
+// delivered in one step.
 const gatherPeriod = 2 * time.Millisecond
 
-// loop takes a step whenever the balancer's timer fires or events have arrived, until Stop.
+// loop runs a step whenever the balancer's timer fires or events have arrived, until Stop is called.
 func (c *Controller) loop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -40,7 +40,7 @@
 	}
 }
 
-// step delivers everything that has arrived to the balancer and publishes its decisions.
+// step delivers all events that have arrived to the balancer and publishes its decisions.
 func (c *Controller) step() {
 	now := c.now()
 	events := c.mailbox.drain(c.reportBudget.refill(now))
@@ -53,7 +53,7 @@
 	c.finishStep(now)
 }
 
-// finishStep lets the balancer decide, publishes the result and makes the step visible to readers.
+// finishStep has the balancer flush its decisions, publishes them, records the step and stores its view.
 func (c *Controller) finishStep(now model.Microseconds) {
 	c.balancer.Flush(now)
 	c.publish(now)
@@ -62,7 +62,7 @@
 	c.storeView(now)
 }
 
-// deliverEndpoints delivers endpoint discovery's newest event; nil: there was none.
+// deliverEndpoints delivers the newest event of endpoint discovery; nil means that there is none.
 func (c *Controller) deliverEndpoints(now model.Microseconds, event *endpointEvent) {
 	if event == nil {
 		return
@@ -84,7 +84,7 @@
 		if event.connected {
 			c.deliverConnected(now, event)
 		}
-		if event.acknowledged != noSequence {
+		if event.acknowledged != noAcknowledgement {
 			c.deliverAcknowledged(now, event)
 		}
 	}
@@ -137,7 +137,7 @@
 	c.balancer.TimerFired(now)
 }
 
-// publish sends the pending batch, if it concerns any proxy.
+// publish sends the pending batch unless it is empty and requests no acknowledgement.
 func (c *Controller) publish(now model.Microseconds) {
 	if c.pending.Empty() && c.pending.AckSequence == snapshot.NoAckSequence {
 		return
--- a/internal/controller/latestreports.go
+++ b/internal/controller/latestreports.go
@@ -9,12 +9,12 @@
 	"peppervale/internal/model"
 )
 
-// maxReportAgePeriods is how old a load report may be that is handed over, in report periods: one period may be under
-// way and one report may have been lost.
+// maxReportAgePeriods is the maximum age of a load report that is handed over, in report periods: the current period
+// may not have ended, and one report may have been lost.
 const maxReportAgePeriods = 3
 
-// latestReports keeps the last load report of each replica and zone, for a controller that takes shards over in a
-// planned migration. The balancer here never reads it.
+// latestReports keeps the last load report of each replica and zone, for a controller that takes over shards in a
+// planned migration. This controller's own balancer does not read it.
 type latestReports struct {
 	mu    sync.Mutex
 	byKey map[reportKey]receivedReport
@@ -33,7 +33,7 @@
 	}
 }
 
-// dropUnlisted forgets replicas that are not in the endpoint list, which bounds the memory.
+// dropUnlisted removes the reports of replicas that are not in the endpoint list. This bounds the memory.
 func (l *latestReports) dropUnlisted(listed map[model.ReplicaID]model.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// receivedSince returns the reports received at or after a time, in no order.
+// receivedSince returns the reports received at or after a time, in no particular order.
 func (l *latestReports) receivedSince(oldest model.Microseconds) []model.LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,12 +57,12 @@
 	return reports
 }
 
-// LatestReports returns the last load report of each replica and zone that is no older than three report periods, in
-// the order of zone and address.
+// LatestReports returns the last load report of each replica and zone that is no older than three report periods,
+// sorted by zone and address.
 func (c *Controller) LatestReports() []model.LoadReport {
-	fresh := c.latestReports.receivedSince(c.now() - maxReportAgePeriods*c.config.ReportPeriod)
-	slices.SortFunc(fresh, compareReports)
-	return fresh
+	recent := c.latestReports.receivedSince(c.now() - maxReportAgePeriods*c.config.ReportPeriod)
+	slices.SortFunc(recent, compareReports)
+	return recent
 }
 
 func compareReports(a, b model.LoadReport) int {
@@ -72,8 +72,8 @@
 	return strings.Compare(pubsubmsg.FormatAddress(a.Replica), pubsubmsg.FormatAddress(b.Replica))
 }
 
-// AddHandedOverReports adds the latest load reports of the controller that held the shards before, and starts a step to
-// deliver them.
+// AddHandedOverReports adds the load reports that the previous holder of the shards handed over, and starts a step that
+// delivers them.
 func (c *Controller) AddHandedOverReports(reports []model.LoadReport) {
 	for _, report := range reports {
 		c.LoadReported(report.Zone, []model.LoadReport{report})
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -7,31 +7,33 @@
 	"peppervale/internal/model"
 )
 
-// noSequence stands where no acknowledgement is waiting.
-const noSequence = -1
+// noAcknowledgement is the value of proxyEvents.acknowledged while no acknowledgement waits.
+const noAcknowledgement = -1
 
-// mailbox keeps the events that wait for the balancer: of each proxy, of the endpoint list and of each replica and zone
-// only the newest state. It does no I/O, and every method returns at once. It may be used from any goroutine.
+// mailbox queues the events for the balancer. It keeps only the newest state of each proxy and of the endpoint list,
+// and one merged load report for each replica and zone. It does no I/O, its methods do not block, and it may be used
+// from any goroutine.
 type mailbox struct {
-	signal chan struct{} // has a value while a step is wanted
+	signal chan struct{} // contains a value while a step is requested
 
-	mu        sync.Mutex
-	proxies   map[model.ProxyID]*proxySlot // those with an open stream or with waiting events
-	waiting   []*proxySlot                 // those with waiting events, in the order of their first one
-	endpoints *endpointEvent               // nil: none waits
-	reports   pendingReports
+	mu           sync.Mutex
+	proxies      map[model.ProxyID]*proxySlot // proxies with an open stream or with waiting events
+	waitingSlots []*proxySlot                 // slots with waiting events, in the order of their first event
+	endpoints    *endpointEvent               // the waiting event; nil: none
+	reports      pendingReports
 }
 
-// proxyEvents are the events of one proxy that wait, in the order in which they are delivered.
+// proxyEvents are the waiting events of one proxy. They are delivered in the order disconnected, connected,
+// acknowledged.
 type proxyEvents struct {
 	proxy  model.ProxyID
-	stream uint64 // the newest that was opened; 0: none is open
+	stream uint64 // the newest stream that was opened; 0: none is open
 	join   pubsubmsg.Join
 	zone   int
 
-	disconnected bool // the stream that the balancer knows of has ended
-	connected    bool // the newest stream is not known to the balancer
-	acknowledged int  // the newest acknowledgement sequence, or noSequence
+	disconnected bool // the stream that is registered with the balancer has ended
+	connected    bool // the newest stream is not yet registered with the balancer
+	acknowledged int  // the newest acknowledgement sequence, or noAcknowledgement
 }
 
 // proxySlot is the mailbox's state of one proxy.
@@ -40,15 +42,15 @@
 	isWaiting bool // it is in mailbox.waiting
 }
 
-// clearEvents forgets the events, which have been taken.
+// clearEvents removes the events after they were drained.
 func (s *proxySlot) clearEvents() {
 	s.isWaiting = false
 	s.disconnected = false
 	s.connected = false
-	s.acknowledged = noSequence
+	s.acknowledged = noAcknowledgement
 }
 
-// endpointEvent is what endpoint discovery reported last.
+// endpointEvent is an event of endpoint discovery.
 type endpointEvent struct {
 	update  model.EndpointUpdate
 	entries []model.Endpoint
@@ -56,7 +58,7 @@
 
 // receivedEvents are the events that one step delivers to the balancer.
 type receivedEvents struct {
-	endpoints *endpointEvent // nil: none came
+	endpoints *endpointEvent // nil: there was none
 	proxies   []proxyEvents
 	reports   []model.LoadReport
 }
@@ -69,7 +71,7 @@
 	}
 }
 
-// wake asks for a step.
+// wake requests a step.
 func (m *mailbox) wake() {
 	select {
 	case m.signal <- struct{}{}:
@@ -77,22 +79,22 @@
 	}
 }
 
-// waitingSlot returns a proxy's slot, which it adds to those with waiting events. The caller holds m.mu.
+// waitingSlot returns a proxy's slot after adding it to the slots with waiting events. The caller holds m.mu.
 func (m *mailbox) waitingSlot(proxy model.ProxyID) *proxySlot {
 	slot := m.proxies[proxy]
 	if slot == nil {
-		slot = &proxySlot{proxyEvents: proxyEvents{proxy: proxy, acknowledged: noSequence}}
+		slot = &proxySlot{proxyEvents: proxyEvents{proxy: proxy, acknowledged: noAcknowledgement}}
 		m.proxies[proxy] = slot
 	}
 	if !slot.isWaiting {
 		slot.isWaiting = true
-		m.waiting = append(m.waiting, slot)
+		m.waitingSlots = append(m.waitingSlots, slot)
 	}
 	return slot
 }
 
-// hasNewest reports whether a stream is the newest of its proxy. The caller holds m.mu.
-func (m *mailbox) hasNewest(proxy model.ProxyID, stream uint64) bool {
+// isNewestStream reports whether a stream is the newest of its proxy. The caller holds m.mu.
+func (m *mailbox) isNewestStream(proxy model.ProxyID, stream uint64) bool {
 	slot := m.proxies[proxy]
 	return slot != nil && slot.stream == stream
 }
@@ -105,36 +107,36 @@
 	slot.join = join
 	slot.zone = zone
 	slot.connected = true
-	slot.acknowledged = noSequence
+	slot.acknowledged = noAcknowledgement
 	m.wake()
 }
 
 func (m *mailbox) proxyDisconnected(proxy model.ProxyID, stream uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.hasNewest(proxy, stream) {
+	if !m.isNewestStream(proxy, stream) {
 		return
 	}
 	slot := m.waitingSlot(proxy)
 	slot.stream = 0
 	slot.connected = false
 	slot.disconnected = true
-	slot.acknowledged = noSequence
+	slot.acknowledged = noAcknowledgement
 	m.wake()
 }
 
-// acknowledged is ignored while the stream's connection itself waits: nothing can have been sent over it.
+// acknowledged has no effect while the connection of the stream itself waits, as no message can have been sent over it.
 func (m *mailbox) acknowledged(proxy model.ProxyID, stream uint64, sequence uint32) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.hasNewest(proxy, stream) || m.proxies[proxy].connected {
+	if !m.isNewestStream(proxy, stream) || m.proxies[proxy].connected {
 		return
 	}
 	m.waitingSlot(proxy).acknowledged = int(sequence)
 	m.wake()
 }
 
-// loadReported does not ask for a step: reports wait for the next one.
+// loadReported does not request a step: reports are delivered in the next one.
 func (m *mailbox) loadReported(zone int, reports []model.LoadReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -143,13 +145,13 @@
 	}
 }
 
-// endpointsChanged replaces the event that waits. A failed poll does not replace a list; then the list counts as a
-// complete one, and the balancer subscribes anew at the next failure.
+// endpointsChanged replaces the waiting event, except that a failed poll does not replace a list. The list is then
+// delivered as a complete list, and the balancer subscribes again at the next failure.
 func (m *mailbox) endpointsChanged(update model.EndpointUpdate, entries []model.Endpoint) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	listWaits := m.endpoints != nil && m.endpoints.update != model.PollFailed
-	if update == model.PollFailed && listWaits {
+	listIsWaiting := m.endpoints != nil && m.endpoints.update != model.PollFailed
+	if update == model.PollFailed && listIsWaiting {
 		m.endpoints.update = model.FullList
 		return
 	}
@@ -157,7 +159,7 @@
 	m.wake()
 }
 
-// drain takes everything that waits, but at most reportLimit load reports.
+// drain removes and returns all waiting events, with at most reportLimit load reports.
 func (m *mailbox) drain(reportLimit int) receivedEvents {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,22 +168,22 @@
 	return events
 }
 
-// drainProxies takes the waiting events of all proxies and forgets the proxies without an open stream. The caller holds
-// m.mu.
+// drainProxies removes and returns the waiting events of all proxies, and deletes the slots of proxies without an open
+// stream. The caller holds m.mu.
 func (m *mailbox) drainProxies() []proxyEvents {
 	var events []proxyEvents
-	for _, slot := range m.waiting {
+	for _, slot := range m.waitingSlots {
 		events = append(events, slot.proxyEvents)
 		slot.clearEvents()
 		if slot.stream == 0 {
 			delete(m.proxies, slot.proxy)
 		}
 	}
-	m.waiting = nil
+	m.waitingSlots = nil
 	return events
 }
 
-// reportCounts returns how many load reports wait and how many were merged since the start.
+// reportCounts returns the number of waiting load reports and the number of reports merged since the start.
 func (m *mailbox) reportCounts() (pending int, merged uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -10,38 +10,37 @@
 
 func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
-// In any order of events a proxy's newest state takes one slot, and the balancer is notified once of each stream's
-// end.
-func TestMailboxKeepsNewestStateOfAProxy(t *testing.T) {
+// In any order of events a proxy takes one slot with its newest state, and the end of a stream is delivered once.
+func TestMailboxKeepsNewestStateOfProxy(t *testing.T) {
 	box := newMailbox()
 	box.proxyConnected(1, 10, pubsubmsg.Join{Name: "a", ExpectedRate: 1}, 0)
-	box.acknowledged(1, 10, 3) // before its connection was taken: nothing was sent yet
+	box.acknowledged(1, 10, 3) // its connection was not drained yet, so no message was sent
 	box.proxyDisconnected(1, 10)
 	box.proxyConnected(1, 11, pubsubmsg.Join{Name: "a", ExpectedRate: 2}, 1)
-	box.proxyDisconnected(1, 10) // the old stream's end comes late
+	box.proxyDisconnected(1, 10) // the end of the old stream arrives late
 	got := box.drain(10).proxies
 	if len(got) != 1 || !got[0].connected || got[0].stream != 11 || got[0].join.ExpectedRate != 2 ||
-		got[0].acknowledged != noSequence {
-		t.Fatalf("after two connections: %+v", got)
+		got[0].acknowledged != noAcknowledgement {
+		t.Fatalf("after two connections: got %+v, want the newest connection only", got)
 	}
 	box.acknowledged(1, 11, 4)
 	box.acknowledged(1, 11, 5)
-	box.acknowledged(1, 10, 9) // over the old stream
+	box.acknowledged(1, 10, 9) // sent over the old stream
 	if got = box.drain(10).proxies; len(got) != 1 || got[0].acknowledged != 5 || got[0].connected {
-		t.Fatalf("after acknowledgements: %+v", got)
+		t.Fatalf("after acknowledgements: got %+v, want sequence 5 only", got)
 	}
 	box.proxyDisconnected(1, 11)
 	if got = box.drain(10).proxies; len(got) != 1 || !got[0].disconnected {
-		t.Fatalf("after the end: %+v", got)
+		t.Fatalf("after the stream ended: got %+v, want one disconnection", got)
 	}
 	if len(box.proxies) != 0 || len(box.drain(10).proxies) != 0 {
-		t.Fatal("a disconnected proxy is kept")
+		t.Fatal("the slot of a disconnected proxy was not deleted")
 	}
 }
 
-// A hundred thousand connections, endpoint lists and load reports of one fleet wait in no more memory than the fleet
-// takes.
-func TestMailboxIsBoundedByTheFleet(t *testing.T) {
+// A hundred thousand connections, endpoint lists and load reports of one fleet are queued in memory that is bounded by
+// the size of the fleet.
+func TestMailboxSizeIsBoundedByFleetSize(t *testing.T) {
 	box := newMailbox()
 	for n := range 100_000 {
 		box.proxyConnected(model.ProxyID(n%50), uint64(n+1), pubsubmsg.Join{}, 0)
@@ -50,27 +49,28 @@
 		})
 		box.endpointsChanged(model.FullList, nil)
 	}
-	if len(box.waiting) != 50 || len(box.reports.byKey) != 30 || len(box.reports.order) != 30 {
-		t.Fatalf("%d proxies, %d reports", len(box.waiting), len(box.reports.byKey))
+	if len(box.waitingSlots) != 50 || len(box.reports.byKey) != 30 || len(box.reports.order) != 30 {
+		t.Fatalf("%d proxies and %d reports wait, want 50 and 30", len(box.waitingSlots), len(box.reports.byKey))
 	}
 	got := box.drain(4)
 	if len(got.proxies) != 50 || len(got.reports) != 4 || got.endpoints == nil {
-		t.Fatalf("%d proxies, %d reports", len(got.proxies), len(got.reports))
+		t.Fatalf("drained %d proxies and %d reports, want 50 and 4", len(got.proxies), len(got.reports))
 	}
 	attempts, errors := 0, 0
 	for _, report := range append(got.reports, box.drain(100).reports...) {
 		attempts += report.Attempts
 		errors += report.Errors
 		if report.MeanLatency != 100 {
-			t.Fatalf("merged to %+v", report)
+			t.Fatalf("merged report %+v, want a mean latency of 100 us", report)
 		}
 	}
 	if attempts != 200_000 || errors != 100_000 {
-		t.Fatalf("%d attempts, %d errors: merging loses some", attempts, errors)
+		t.Fatalf("got %d attempts and %d errors after merging, want 200000 and 100000", attempts, errors)
 	}
 }
 
-// Load reports that wait longer than a step are merged, and the merges are counted; means weigh by successful attempts.
+// Load reports that wait longer than a step are merged, and the merges are counted. The mean latency is weighted by
+// successful attempts.
 func TestMergedReportsAreCounted(t *testing.T) {
 	box := newMailbox()
 	report := func(attempts int, latency model.Microseconds) {
@@ -87,20 +87,20 @@
 		{Replica: id(1), Attempts: 4, MeanLatency: 175, Window: model.Second, Readings: []float64{3}},
 	}
 	if box.reports.merged != 1 || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%d merged, %+v", box.reports.merged, got)
+		t.Fatalf("got %d merges and reports %+v", box.reports.merged, got)
 	}
 }
 
-// A failed poll never hides a list that waits, and neither is lost.
+// A failed poll does not replace a waiting list; without a waiting list it is delivered itself.
 func TestFailedPollDoesNotReplaceWaitingList(t *testing.T) {
 	box := newMailbox()
 	box.endpointsChanged(model.FullList, []model.Endpoint{{ID: id(1)}})
 	box.endpointsChanged(model.PollFailed, nil)
 	if got := box.drain(0).endpoints; got == nil || got.update != model.FullList || len(got.entries) != 1 {
-		t.Fatalf("a list, then a failed poll: %+v", got)
+		t.Fatalf("a list, then a failed poll: got %+v, want the list", got)
 	}
 	box.endpointsChanged(model.PollFailed, nil)
 	if got := box.drain(0).endpoints; got == nil || got.update != model.PollFailed {
-		t.Fatalf("a failed poll alone: %+v", got)
+		t.Fatalf("a failed poll alone: got %+v, want the failed poll", got)
 	}
 }
--- a/internal/controller/pendingreports.go
+++ b/internal/controller/pendingreports.go
@@ -2,7 +2,7 @@
 
 import "peppervale/internal/model"
 
-// reportKey names a load report: there is at most one of each replica and zone of proxies.
+// reportKey identifies the load report of a replica and a zone of proxies.
 type reportKey struct {
 	zone    int
 	replica model.ReplicaID
@@ -11,18 +11,18 @@
 // pendingReports merges the load reports that wait for the balancer, one for each replica and zone.
 type pendingReports struct {
 	byKey  map[reportKey]*mergedReport
-	order  []reportKey // in the order of their first report
-	merged uint64      // reports merged into one that a step had left waiting
+	order  []reportKey // in the order of the first report of each
+	merged uint64      // reports merged into a report that a step had left waiting
 }
 
-// mergedReport is a load report with the sum that its mean latency is computed from.
+// mergedReport is a load report with the total latency that its mean latency is computed from.
 type mergedReport struct {
 	report       model.LoadReport
-	totalLatency float64 // of the successful attempts together, microseconds
-	leftWaiting  bool    // a step reached its report limit before it
+	totalLatency float64 // sum over the successful attempts, microseconds
+	leftWaiting  bool    // a step reached the report limit before this report
 }
 
-// add merges a report into the one of its replica and zone. A report without attempts is ignored.
+// add merges a report into the pending report of its replica and zone. A report without attempts is ignored.
 func (p *pendingReports) add(zone int, report *model.LoadReport) {
 	if report.Attempts <= 0 {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// result returns the report with the mean over all successful attempts.
+// result returns the report with the mean latency over all successful attempts.
 func (r *mergedReport) result() model.LoadReport {
 	result := r.report
 	if succeeded := result.Attempts - result.Errors; succeeded > 0 {
@@ -58,7 +58,7 @@
 	return result
 }
 
-// take removes at most limit reports, the longest waiting first.
+// take removes and returns at most limit reports, the longest waiting first.
 func (p *pendingReports) take(limit int) []model.LoadReport {
 	var taken []model.LoadReport
 	count := min(limit, len(p.order))
--- a/internal/controller/publisher.go
+++ b/internal/controller/publisher.go
@@ -7,7 +7,7 @@
 	"peppervale/internal/snapshot"
 )
 
-// The controller is its balancer's publisher: it gathers the updates and publishes them after the flush.
+// The controller is its balancer's publisher: it collects the updates and publishes them after the flush.
 var _ model.Publisher = (*Controller)(nil)
 
 func (c *Controller) addUpdate(update snapshot.Update) {
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestDecisionStoredNames fixes the JSON of a decision log entry: state stores of earlier versions hold these bytes.
-func TestDecisionStoredNames(t *testing.T) {
+// TestDecisionKeepsStoredJSON fixes the JSON encoding of a decision log entry, which state stores of earlier versions
+// contain.
+func TestDecisionKeepsStoredJSON(t *testing.T) {
 	for _, tt := range []struct {
 		decision Decision
 		stored   string
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -8,23 +8,22 @@
 	"peppervale/internal/model"
 )
 
-// View is the state of a controller after a step. It is never written again and may be read from any goroutine.
+// View is the state of a controller after a step. It is immutable and may be read from any goroutine.
 type View struct {
 	At               model.Microseconds // time of the step
 	SafeModeEnded    bool               // the balancer has left safe mode: weights follow load reports
 	ConnectedProxies int
 	ReadyReplicas    int                // replicas listed as ready
 	ListedReplicas   int                // replicas in the endpoint list
-	EndpointsAt      model.Microseconds // when the newest complete endpoint list came; 0: none has
+	EndpointsAt      model.Microseconds // when the newest complete endpoint list was received; 0: none was
 	Steps            uint64             // steps taken since the start
-	LongestStep      model.Microseconds // the longest that a step has taken
+	LongestStep      model.Microseconds // duration of the longest step
 	PendingReports   int                // load reports that wait for the balancer
 	MergedReports    uint64             // load reports merged because they came faster than the report limit
-	Detail           *Detail            // nil or out of date unless DetailedView was called in the last seconds
+	Detail           *Detail            // nil or out of date unless DetailedView was called recently
 }
 
-// Detail is a copy of the state of a controller and its balancer, made only while DetailedView is called. It is never
-// written again.
+// Detail is an immutable copy of the state of a controller and its balancer, made only while DetailedView is called.
 type Detail struct {
 	At        model.Microseconds // when it was copied
 	Balancer  *balancer.View
@@ -32,24 +31,24 @@
 	Endpoints map[model.ReplicaID]model.Endpoint
 }
 
-// Proxy is what a connected proxy reported of itself as it connected.
+// Proxy is a connected proxy with the properties that it reported when it connected.
 type Proxy struct {
 	Name            string
 	Zone            int                // index of its zone in the configuration
-	ExpectedRate    float64            // requests a second that it expects
-	OnStandingTable bool               // it still uses the table that it started with
-	ConnectedAt     model.Microseconds // when the balancer was notified of it
+	ExpectedRate    float64            // requests a second that it expects to forward
+	OnStandingTable bool               // it used its standing table when it connected
+	ConnectedAt     model.Microseconds // when it was registered with the balancer
 }
 
-// A Detail costs a copy of the fleet. It is renewed at most once each detailInterval, and only within
-// detailDemandPeriod after a call of DetailedView: the number of viewers adds no cost.
+// Making a Detail copies the state of the whole fleet. It is done at most once each detailInterval, and only within
+// detailDemandPeriod after a call of DetailedView, so the cost does not depend on the number of viewers.
 const (
 	detailInterval     = 200 * model.Millisecond
 	detailDemandPeriod = 5 * model.Second
 )
 
-// viewStore holds the newest view and the state that the next one is made from. Its plain fields belong to the event
-// loop.
+// viewStore holds the newest view and the state that the next view is made from. The fields that are not atomic belong
+// to the goroutine of the event loop.
 type viewStore struct {
 	current           atomic.Pointer[View]
 	detailRequestedAt atomic.Int64 // by the controller's clock, microseconds
@@ -60,22 +59,22 @@
 	longestStep model.Microseconds
 }
 
-// detailIsDue reports whether a detail is in demand and the last copy is old enough.
+// detailIsDue reports whether DetailedView was called recently and the last copy is at least detailInterval old.
 func (s *viewStore) detailIsDue(now model.Microseconds) bool {
 	requestedAt := model.Microseconds(s.detailRequestedAt.Load())
 	return now-requestedAt < detailDemandPeriod && now-s.detailAt >= detailInterval
 }
 
-// View returns the newest view; nil before the first step has ended. It neither blocks nor copies.
+// View returns the newest view, or nil before the first step has ended. It neither blocks nor copies.
 func (c *Controller) View() *View { return c.views.current.Load() }
 
-// DetailedView returns the newest view and asks that views carry a Detail for the next seconds, from the next step on.
+// DetailedView returns the newest view and requests a Detail in the views of the next seconds, from the next step on.
 func (c *Controller) DetailedView() *View {
 	c.views.detailRequestedAt.Store(int64(c.now()))
 	return c.views.current.Load()
 }
 
-// storeView ends a step that began at now: it stores the view that readers get from here on.
+// storeView stores the view of a step that began at now.
 func (c *Controller) storeView(now model.Microseconds) {
 	c.views.steps++
 	c.views.longestStep = max(c.views.longestStep, c.now()-now)
@@ -88,7 +87,7 @@
 		At:               now,
 		SafeModeEnded:    c.safeModeEnded,
 		ConnectedProxies: len(c.proxies),
-		ReadyReplicas:    c.endpoints.ready,
+		ReadyReplicas:    c.endpoints.readyCount,
 		ListedReplicas:   len(c.endpoints.byID),
 		EndpointsAt:      c.endpoints.fullListAt,
 		Steps:            c.views.steps,
--- a/internal/lease/fence.go
+++ b/internal/lease/fence.go
@@ -1,11 +1,11 @@
 package lease
 
-// Fence is a proxy's side, for the shard that it is in. The zero Fence has seen nothing.
+// Fence is the proxy's side of the protocol, for the proxy's own shard. The zero Fence has seen no epoch.
 type Fence struct{ Epoch uint64 }
 
-// Accept reports whether a message of an epoch may be obeyed. A newer epoch is the fence from then on: changed is then
-// true, and retry policies fall back to what is safe under every holder until the new one has sent its own.
-func (f *Fence) Accept(epoch uint64) (obey, changed bool) {
+// Accept reports whether a message of an epoch is accepted. A newer epoch becomes the fence: changed is then true, and
+// the proxy falls back to retry policies that are safe under every holder until the new holder has sent its own.
+func (f *Fence) Accept(epoch uint64) (accepted, changed bool) {
 	if epoch < f.Epoch {
 		return false, false
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -2,30 +2,31 @@
 
 import "peppervale/internal/model"
 
-// Lease is the holder's side, for one shard. The zero Lease holds nothing. All times are of the holder's own clock.
+// Lease is the holder's side of the protocol, for one shard. The zero Lease is not held. All times are by the holder's
+// own clock.
 type Lease struct {
-	Epoch       uint64 // of the newest grant
+	Epoch       uint64 // epoch of the newest grant
 	held        bool
 	expiresAt   model.Microseconds
-	requestedAt model.Microseconds // when the newest request was made
-	sequence    uint32             // of the newest request or release
+	requestedAt model.Microseconds // time of the newest request
+	sequence    uint32             // sequence of the newest request or release
 }
 
-// Request notes the time and returns the request, which may leave only after that.
+// Request records the time and returns the request. The time must be recorded before the request is sent.
 func (l *Lease) Request(from Holder, now model.Microseconds) Request {
 	l.sequence++
 	l.requestedAt = now
 	return Request{From: from, Sequence: l.sequence}
 }
 
-// HandleResponse takes a response. One that is not to the newest request changes nothing: the time of its request is
-// not known any more.
+// HandleResponse processes a response. A response to any other than the newest request is ignored, as the time of that
+// request is no longer known.
 func (l *Lease) HandleResponse(config Config, response Response) {
 	if response.Sequence != l.sequence {
 		return
 	}
 	if !response.Granted {
-		l.held = false // another member holds it, or may soon
+		l.held = false // another member holds the lease, or may be granted it soon
 		return
 	}
 	l.Epoch = response.Epoch
@@ -36,7 +37,7 @@
 // IsHeld reports whether the holder may act now.
 func (l *Lease) IsHeld(now model.Microseconds) bool { return l.held && now < l.expiresAt }
 
-// Remaining is for how long the holder may still act without another renewal; 0 if it holds nothing.
+// Remaining returns how long the holder may still act without another renewal; 0 if the lease is not held.
 func (l *Lease) Remaining(now model.Microseconds) model.Microseconds {
 	if !l.IsHeld(now) {
 		return 0
@@ -44,9 +45,9 @@
 	return l.expiresAt - now
 }
 
-// Release gives up what is held and returns the release, which may leave once no message of the holder is in flight any
-// more. Responses to earlier requests mean nothing from then on: without that, the model found a duplicate that gave
-// back what had been released.
+// Release gives up the lease and returns the release, which may be sent once no message of the holder is in flight any
+// more. Responses to earlier requests are ignored from then on. Otherwise a duplicate of a grant would restore the
+// lease after it was released.
 func (l *Lease) Release(from Holder) Request {
 	l.held = false
 	l.sequence++
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -2,20 +2,20 @@
 
 import "peppervale/internal/model"
 
-// Config is what all members of a cluster must have alike.
+// Config holds the settings that must be the same on all members of a cluster.
 type Config struct {
-	Duration      model.Microseconds // of a lease, from when it was requested, by the holder's clock
-	MaxClockDrift model.Microseconds // that a holder's clock may lose against the leader's within Duration
+	Duration      model.Microseconds // duration of a lease, from its request, by the holder's clock
+	MaxClockDrift model.Microseconds // maximum that a holder's clock may lose against the leader's within Duration
 }
 
-// Holder identifies one incarnation of a member. An incarnation that crashed cannot go on with the lease of the one
-// before, as it is not known what that one had sent.
+// Holder identifies one incarnation of a member. An incarnation that starts after a crash cannot use the lease of the
+// previous incarnation, as it does not know which messages that one sent.
 type Holder struct {
-	Member      uint16 `cbor:"Member"` // from 1 on
-	Incarnation uint64 `cbor:"Life"`   // grows with each
+	Member      uint16 `cbor:"Member"` // number of the member, from 1
+	Incarnation uint64 `cbor:"Life"`   // grows with each restart
 }
 
-// Request is a holder's message: it requests a shard's lease, renews it, or releases it.
+// Request is a message of a holder that requests, renews or releases the lease of a shard.
 type Request struct {
 	From     Holder
 	Sequence uint32 // distinguishes the requests of one holder for one shard
@@ -24,14 +24,14 @@
 // Response is the response to a request for a lease.
 type Response struct {
 	To       Holder
-	Sequence uint32 // of the request
+	Sequence uint32 // sequence of the request
 	Granted  bool
-	Epoch    uint64 // of the grant
+	Epoch    uint64 // epoch of the grant
 }
 
-// Observation is the newest renewal of a shard that a member saw before it became the leader.
+// Observation is the newest renewal of a shard's lease that a member saw before it became the leader.
 type Observation struct {
-	Epoch    uint64             // of the shard as the member saw it
-	Sequence uint32             // of the shard as the member saw it
-	Age      model.Microseconds // by the member's own clock; below 0: it saw none
+	Epoch    uint64             // epoch of the shard at that time
+	Sequence uint32             // sequence of the shard at that time
+	Age      model.Microseconds // by the member's own clock; below 0: it saw no renewal
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -10,49 +10,51 @@
 	"peppervale/internal/model"
 )
 
-// The model plays out everything that can happen to the leases of two shards: members request leases, stop and crash,
-// messages are lost, duplicated and late, the leader changes, and clocks run apart. The production code takes each
-// step; a tick stands for half a lease.
+// The model checker explores all possible sequences of events on the leases of two shards: members request leases, stop
+// and crash, messages are lost, duplicated and delayed, the leader changes, and clocks drift apart. The production code
+// executes each step. A tick is half the duration of a lease.
 //
-// A message stays in flight for good: one that is never taken is lost, one that is taken twice is a duplicate, one
-// that is taken after younger ones is late. Fences are not in it: a fence is a comparison, with a test of its own.
+// A message stays in flight forever: one that is never delivered is lost, one that is delivered twice is a duplicate,
+// and one that is delivered after newer ones is late. Fences are not part of the model: a fence is a comparison, with a
+// test of its own.
 const (
 	memberCount = 3
 	shardCount  = 2
 	maxInFlight = 6
-	// An old request that comes again after a release is granted anew, without any effect on a guarantee, as often
-	// as it comes.
+	// An old request that is delivered again after a release is granted again each time, which violates no guarantee.
+	// maxEpoch bounds the number of such grants.
 	maxEpoch = 3
 )
 
-// limits is how much of it an exploration plays out; all at once would be more states than a test can visit.
+// limits bounds the events that an exploration covers. With all events at once there would be more states than a test
+// can visit.
 type limits struct {
-	requests      [shardCount][memberCount]uint32 // of each incarnation of a member
+	requests      [shardCount][memberCount]uint32 // requests by each incarnation of a member
 	crashes       uint8
 	leaderChanges uint8
-	observes      bool  // the next leader sees the first shard before it leads
-	releases      bool  // holders release what they hold
-	lostTicks     uint8 // ticks that a member's clock may lose
+	observes      bool  // the next leader observes the first shard before it leads
+	releases      bool  // holders release their leases
+	lostTicks     uint8 // maximum ticks that a member's clock may lose
 	ticks         model.Microseconds
 }
 
-// world is a state. All of it is values, so that it is its own key.
-type world struct {
-	now           model.Microseconds // of the leader's clock
+// modelState is a state of the model. It contains no pointers, so that states can be compared and hashed.
+type modelState struct {
+	now           model.Microseconds // by the leader's clock
 	shards        [shardCount]Shard
 	leases        [memberCount][shardCount]Lease
 	incarnations  [memberCount]uint64
-	lostTicks     [memberCount]uint8 // that its clock has lost
+	lostTicks     [memberCount]uint8 // ticks that a member's clock has lost
 	requests      [maxInFlight]inFlight[Request]
 	responses     [maxInFlight]inFlight[Response]
-	releases      [memberCount][shardCount]Request // the newest of each
+	releases      [memberCount][shardCount]Request // newest release of each
 	crashes       uint8
 	leaderChanges uint8
-	observation   sighting // of the member that leads next
+	observation   observedRenewal // by the member that leads next
 }
 
-// sighting is what a member that will lead has seen of the first shard, and when.
-type sighting struct {
+// observedRenewal is an observation of the first shard by the member that leads next.
+type observedRenewal struct {
 	epoch    uint64
 	sequence uint32
 	at       model.Microseconds
@@ -64,25 +66,26 @@
 	message T
 }
 
-// visitor takes what happened in a step, and the state after it.
-type visitor func(event string, next world)
+// visitor is called with the event of a step and the state after it.
+type visitor func(event string, next modelState)
 
-func (w *world) clock(member int) model.Microseconds {
-	return w.now - model.Microseconds(w.lostTicks[member])
+func (s *modelState) clock(member int) model.Microseconds {
+	return s.now - model.Microseconds(s.lostTicks[member])
 }
 
-func (w *world) holder(member int) Holder {
-	return Holder{Member: uint16(member + 1), Incarnation: w.incarnations[member]}
+func (s *modelState) holder(member int) Holder {
+	return Holder{Member: uint16(member + 1), Incarnation: s.incarnations[member]}
 }
 
-// send puts a message in flight; false: no more can be. One that is in flight already is as one that is duplicated.
+// send adds a message to those in flight and reports whether there was room. A message that is in flight already needs
+// no second slot, as any message may be delivered several times.
 func send[T comparable](slots *[maxInFlight]T, message T) bool {
-	var none T
+	var empty T
 	for i := range slots {
 		if slots[i] == message {
 			return true
 		}
-		if slots[i] == none {
+		if slots[i] == empty {
 			slots[i] = message
 			return true
 		}
@@ -90,157 +93,160 @@
 	return false
 }
 
-// steps visits each state that may follow.
-func (w world) steps(config Config, bounds limits, visit visitor) {
-	w.tickSteps(bounds, visit)
+// steps visits each possible next state.
+func (s modelState) steps(config Config, bounds limits, visit visitor) {
+	s.tickSteps(bounds, visit)
 	for member := range memberCount {
 		for shard := range shardCount {
-			w.shardSteps(bounds, member, shard, visit)
+			s.shardSteps(bounds, member, shard, visit)
 		}
-		w.crashSteps(bounds, member, visit)
+		s.crashSteps(bounds, member, visit)
 	}
-	w.leaderSteps(bounds, visit)
+	s.leaderSteps(bounds, visit)
 	for i := range maxInFlight {
-		w.requestSteps(config, i, visit)
-		w.responseSteps(config, i, visit)
+		s.requestSteps(config, i, visit)
+		s.responseSteps(config, i, visit)
 	}
 }
 
-// tickSteps lets time pass; any members' clocks may lose the tick.
-func (w world) tickSteps(bounds limits, visit visitor) {
-	if w.now >= bounds.ticks {
+// tickSteps advances the time by a tick, which the clocks of any members may lose.
+func (s modelState) tickSteps(bounds limits, visit visitor) {
+	if s.now >= bounds.ticks {
 		return
 	}
-	for losers := range 1 << memberCount {
-		next := w
+	for lostBy := range 1 << memberCount {
+		next := s
 		next.now++
-		within := true
+		withinBounds := true
 		for member := range memberCount {
-			if losers>>member&1 == 1 {
+			if lostBy>>member&1 == 1 {
 				next.lostTicks[member]++
-				within = within && next.lostTicks[member] <= bounds.lostTicks
+				withinBounds = withinBounds && next.lostTicks[member] <= bounds.lostTicks
 			}
 		}
-		if within {
-			visit(fmt.Sprintf("a tick; clocks that lose it: %03b", losers), next)
+		if withinBounds {
+			visit(fmt.Sprintf("a tick, lost by the clocks %03b", lostBy), next)
 		}
 	}
 }
 
-// shardSteps has a member request or release a shard's lease, and has its newest release committed.
-func (w world) shardSteps(bounds limits, member, shard int, visit visitor) {
-	self := w.holder(member)
-	if w.leases[member][shard].sequence < bounds.requests[shard][member] {
-		next := w
+// shardSteps visits the states after a member requests or releases a shard's lease, and after its newest release is
+// committed.
+func (s modelState) shardSteps(bounds limits, member, shard int, visit visitor) {
+	self := s.holder(member)
+	if s.leases[member][shard].sequence < bounds.requests[shard][member] {
+		next := s
 		request := next.leases[member][shard].Request(self, next.clock(member))
 		if send(&next.requests, inFlight[Request]{uint8(shard), request}) {
-			visit(fmt.Sprintf("%d requests shard %d", member+1, shard), next)
+			visit(fmt.Sprintf("member %d requests shard %d", member+1, shard), next)
 		}
 	}
-	if bounds.releases && w.leases[member][shard].IsHeld(w.clock(member)) {
-		next := w
+	if bounds.releases && s.leases[member][shard].IsHeld(s.clock(member)) {
+		next := s
 		next.releases[member][shard] = next.leases[member][shard].Release(self)
-		visit(fmt.Sprintf("%d releases shard %d", member+1, shard), next)
+		visit(fmt.Sprintf("member %d releases shard %d", member+1, shard), next)
 	}
-	if w.releases[member][shard] != (Request{}) {
-		next := w
-		next.shards[shard].Release(w.releases[member][shard])
-		visit(fmt.Sprintf("the release of shard %d by %d is committed and may come again", shard, member+1), next)
+	if s.releases[member][shard] != (Request{}) {
+		next := s
+		next.shards[shard].Release(s.releases[member][shard])
+		visit(fmt.Sprintf("the release of shard %d by member %d is committed and may be repeated", shard, member+1), next)
 	}
 }
 
-func (w world) crashSteps(bounds limits, member int, visit visitor) {
-	if w.crashes >= bounds.crashes {
+func (s modelState) crashSteps(bounds limits, member int, visit visitor) {
+	if s.crashes >= bounds.crashes {
 		return
 	}
-	next := w
+	next := s
 	next.crashes++
 	next.incarnations[member]++
 	next.leases[member] = [shardCount]Lease{}
-	visit(fmt.Sprintf("%d crashes and is back", member+1), next)
+	visit(fmt.Sprintf("member %d crashes and restarts", member+1), next)
 }
 
-// leaderSteps has another member lead, or has the member that leads next see the first shard.
-func (w world) leaderSteps(bounds limits, visit visitor) {
-	if w.leaderChanges >= bounds.leaderChanges {
+// leaderSteps visits the states after another member becomes the leader, and after the member that leads next observes
+// the first shard.
+func (s modelState) leaderSteps(bounds limits, visit visitor) {
+	if s.leaderChanges >= bounds.leaderChanges {
 		return
 	}
-	next := w
+	next := s
 	next.leaderChanges++
 	for shard := range shardCount {
 		next.shards[shard].LeaderChanged(next.now)
 	}
-	visit("another leader, which has seen nothing", next)
-	if w.observation != (sighting{}) {
-		w.observingLeaderStep(visit)
+	visit("another leader, which saw no renewal", next)
+	if s.observation != (observedRenewal{}) {
+		s.observingLeaderStep(visit)
 	}
-	seen := sighting{w.shards[0].Epoch, w.shards[0].Sequence, w.now}
-	if bounds.observes && w.shards[0].Epoch > 0 && seen != w.observation {
-		next := w
+	seen := observedRenewal{s.shards[0].Epoch, s.shards[0].Sequence, s.now}
+	if bounds.observes && s.shards[0].Epoch > 0 && seen != s.observation {
+		next := s
 		next.observation = seen
-		visit("the member that leads next sees shard 0 as it is", next)
+		visit("the member that leads next observes shard 0", next)
 	}
 }
 
-// observingLeaderStep has a member lead that saw the first shard; of the other one it has seen nothing.
-func (w world) observingLeaderStep(visit visitor) {
-	next := w
+// observingLeaderStep visits the state after the member that observed the first shard becomes the leader. It did not
+// observe the second shard.
+func (s modelState) observingLeaderStep(visit visitor) {
+	next := s
 	next.leaderChanges++
 	seen := next.observation
 	observation := Observation{Epoch: seen.epoch, Sequence: seen.sequence, Age: next.now - seen.at}
 	next.shards[0].LeaderChangedWithObservation(observation, next.now)
 	next.shards[1].LeaderChanged(next.now)
-	visit(fmt.Sprintf("another leader, which saw epoch %d and request %d at tick %d", seen.epoch, seen.sequence, seen.at),
+	visit(fmt.Sprintf("another leader, which observed epoch %d, request %d, tick %d", seen.epoch, seen.sequence, seen.at),
 		next)
 }
 
-// requestSteps has a request in flight committed.
-func (w world) requestSteps(config Config, i int, visit visitor) {
-	request := w.requests[i]
+// requestSteps visits the state after a request in flight is committed.
+func (s modelState) requestSteps(config Config, i int, visit visitor) {
+	request := s.requests[i]
 	if request == (inFlight[Request]{}) {
 		return
 	}
-	next := w
+	next := s
 	response := next.shards[request.shard].HandleRequest(config, request.message, next.now)
 	if next.shards[request.shard].Epoch > maxEpoch {
 		return
 	}
 	send(&next.responses, inFlight[Response]{request.shard, response})
-	visit(fmt.Sprintf("request %d of %d for shard %d is committed (granted: %v, epoch %d) and may come again",
+	visit(fmt.Sprintf("request %d of member %d for shard %d is committed (granted: %v, epoch %d) and may be repeated",
 		request.message.Sequence, request.message.From.Member, request.shard, response.Granted, response.Epoch), next)
 }
 
-// responseSteps has a response in flight arrive; one to an incarnation that crashed is lost.
-func (w world) responseSteps(config Config, i int, visit visitor) {
-	response := w.responses[i]
+// responseSteps visits the state after a response in flight is delivered. A response to a crashed incarnation is lost.
+func (s modelState) responseSteps(config Config, i int, visit visitor) {
+	response := s.responses[i]
 	if response == (inFlight[Response]{}) {
 		return
 	}
-	next := w
+	next := s
 	member := int(response.message.To.Member) - 1
 	if response.message.To.Incarnation != next.incarnations[member] {
 		return
 	}
 	next.leases[member][response.shard].HandleResponse(config, response.message)
-	visit(fmt.Sprintf("%d receives the response to %d for shard %d (granted: %v) and may receive it again",
+	visit(fmt.Sprintf("member %d receives the response to request %d for shard %d (granted: %v) and may receive it again",
 		member+1, response.message.Sequence, response.shard, response.message.Granted), next)
 }
 
-// violation describes the guarantee that a state breaks; "" for none.
-func (w *world) violation() string {
+// violation describes the guarantee that a state violates; it returns "" if there is none.
+func (s *modelState) violation() string {
 	for shard := range shardCount {
 		for member := range memberCount {
-			if !w.leases[member][shard].IsHeld(w.clock(member)) {
+			if !s.leases[member][shard].IsHeld(s.clock(member)) {
 				continue
 			}
-			epoch := w.leases[member][shard].Epoch
-			if epoch > w.shards[shard].Epoch {
-				return fmt.Sprintf("%d holds shard %d in epoch %d, which was never committed", member+1, shard, epoch)
+			epoch := s.leases[member][shard].Epoch
+			if epoch > s.shards[shard].Epoch {
+				return fmt.Sprintf("member %d holds shard %d in epoch %d, which was never committed", member+1, shard, epoch)
 			}
 			for other := range member {
-				if w.leases[other][shard].IsHeld(w.clock(other)) {
-					return fmt.Sprintf("%d and %d may both hold shard %d, in epochs %d and %d",
-						other+1, member+1, shard, w.leases[other][shard].Epoch, epoch)
+				if s.leases[other][shard].IsHeld(s.clock(other)) {
+					return fmt.Sprintf("members %d and %d both hold shard %d, in epochs %d and %d",
+						other+1, member+1, shard, s.leases[other][shard].Epoch, epoch)
 				}
 			}
 		}
@@ -248,37 +254,37 @@
 	return ""
 }
 
-// visit is how an exploration reached a state.
-type visit struct {
-	from int32 // the number of the state before; -1 for the first
-	step int32 // of those that lead on from there
+// visitRecord records how an exploration reached a state.
+type visitRecord struct {
+	previous int32 // number of the previous state; -1 for the initial state
+	step     int32 // index among the steps from the previous state
 }
 
-// exploration visits states in the order of the number of steps to them. Of a state that was left only its hash is
-// kept; two states of one hash, one in some ten thousand runs, would hide one.
+// exploration visits states breadth-first. It keeps only a hash of each visited state. A hash collision would hide a
+// state; one occurs in about one of ten thousand runs.
 type exploration struct {
 	config Config
 	bounds limits
 	seed   maphash.Seed
-	seen   map[uint64]struct{} // hashes of the states visited
-	visits []visit             // by the number of a state
+	seen   map[uint64]struct{} // hashes of the visited states
+	visits []visitRecord       // indexed by the number of the state
 }
 
-// numberedWorld is a state and its number.
-type numberedWorld struct {
-	world
+// numberedState is a state with its number.
+type numberedState struct {
+	modelState
 	number int32
 }
 
-// explore visits maxStates states at most, and gives the shortest trace to one that breaks a guarantee. complete: all
-// states were visited, and none does.
+// explore visits about maxStates states at most, and returns the shortest trace to a state that violates a guarantee.
+// complete reports that all states were visited without a violation.
 func explore(config Config, bounds limits, maxStates int) (trace []string, visited int, complete bool) {
-	search := &exploration{config: config, bounds: bounds, seed: maphash.MakeSeed(), visits: []visit{{from: -1}}}
-	var first world
+	search := &exploration{config: config, bounds: bounds, seed: maphash.MakeSeed(), visits: []visitRecord{{previous: -1}}}
+	var first modelState
 	search.seen = map[uint64]struct{}{maphash.Comparable(search.seed, first): {}}
-	frontier := []numberedWorld{{first, 0}}
+	frontier := []numberedState{{first, 0}}
 	for len(frontier) > 0 {
-		var next []numberedWorld
+		var next []numberedState
 		for _, current := range frontier {
 			if violation := current.violation(); violation != "" {
 				return append(search.trace(current.number), violation), len(search.visits), false
@@ -293,10 +299,10 @@
 	return nil, len(search.visits), true
 }
 
-// expand adds the states that follow a state and were not visited yet.
-func (e *exploration) expand(current numberedWorld, frontier []numberedWorld) []numberedWorld {
+// expand appends the unvisited next states of a state to the frontier.
+func (e *exploration) expand(current numberedState, frontier []numberedState) []numberedState {
 	step := int32(-1)
-	current.steps(e.config, e.bounds, func(event string, next world) {
+	current.steps(e.config, e.bounds, func(event string, next modelState) {
 		step++
 		key := maphash.Comparable(e.seed, next)
 		if _, known := e.seen[key]; known {
@@ -304,28 +310,28 @@
 		}
 		for shard := range shardCount {
 			if next.shards[shard].Epoch < current.shards[shard].Epoch {
-				panic("an epoch went back: " + event)
+				panic("an epoch decreased: " + event)
 			}
 		}
 		e.seen[key] = struct{}{}
-		frontier = append(frontier, numberedWorld{next, int32(len(e.visits))})
-		e.visits = append(e.visits, visit{current.number, step})
+		frontier = append(frontier, numberedState{next, int32(len(e.visits))})
+		e.visits = append(e.visits, visitRecord{current.number, step})
 	})
 	return frontier
 }
 
-// trace returns the steps from the first state to one that was visited.
+// trace returns the events on the path from the initial state to a visited state.
 func (e *exploration) trace(number int32) (events []string) {
 	var path []int32
-	for ; e.visits[number].from >= 0; number = e.visits[number].from {
+	for ; e.visits[number].previous >= 0; number = e.visits[number].previous {
 		path = append(path, e.visits[number].step)
 	}
-	var current world
-	for _, wanted := range slices.Backward(path) {
+	var current modelState
+	for _, wantedStep := range slices.Backward(path) {
 		step := int32(0)
 		from := current
-		from.steps(e.config, e.bounds, func(event string, next world) {
-			if step == wanted {
+		from.steps(e.config, e.bounds, func(event string, next modelState) {
+			if step == wantedStep {
 				events = append(events, event)
 				current = next
 			}
@@ -335,59 +341,59 @@
 	return events
 }
 
-// ofFirstShard has members request the first shard only, as often as given: shards share nothing but the members'
-// clocks and incarnations.
-func ofFirstShard(requests ...uint32) (all [shardCount][memberCount]uint32) {
+// firstShardRequests returns the limits for requests of the first shard only, one for each member. One shard suffices
+// for most explorations, as shards only share the members' clocks and incarnations.
+func firstShardRequests(requests ...uint32) (all [shardCount][memberCount]uint32) {
 	copy(all[0][:], requests)
 	return all
 }
 
-// maxStates bounds a test's time and memory: some seconds and some hundred megabytes.
+// maxStates bounds a test's time and memory to some seconds and some hundred megabytes.
 const maxStates = 2_000_000
 
 var (
-	modelConfig = Config{Duration: 2, MaxClockDrift: 1}
-	twoMembers  = ofFirstShard(1, 1)
-	allMembers  = ofFirstShard(1, 1, 1)
-	bothShards  = [shardCount][memberCount]uint32{{1, 1}, {1}}
+	modelConfig       = Config{Duration: 2, MaxClockDrift: 1}
+	twoMemberRequests = firstShardRequests(1, 1)
+	allMemberRequests = firstShardRequests(1, 1, 1)
+	bothShardRequests = [shardCount][memberCount]uint32{{1, 1}, {1}}
 )
 
-// Within the drift that the configuration allows, nothing that can happen within the limits gives a shard two
-// holders.
-func TestNoTwoHoldersAtOnce(t *testing.T) {
+// While no clock loses more than the configured drift, no sequence of events within the limits gives a shard two
+// holders at once.
+func TestShardHasOneHolderWithinMaxClockDrift(t *testing.T) {
 	for name, bounds := range map[string]limits{
-		"renewals":                 {requests: ofFirstShard(2, 1), lostTicks: 1, ticks: 4},
-		"a crash":                  {requests: twoMembers, crashes: 1, lostTicks: 1, ticks: 4},
-		"another leader":           {requests: twoMembers, leaderChanges: 1, lostTicks: 1, ticks: 6},
-		"a crash and a leader":     {requests: twoMembers, crashes: 1, leaderChanges: 1, ticks: 4},
-		"releases":                 {requests: ofFirstShard(1, 3), releases: true},
-		"a leader that saw":        {requests: ofFirstShard(2, 1), leaderChanges: 1, observes: true, ticks: 4},
-		"three members":            {requests: allMembers, ticks: 4},
-		"two shards":               {requests: bothShards, ticks: 3},
-		"three members with drift": {requests: allMembers, lostTicks: 1, ticks: 3},
-		"three and another leader": {requests: allMembers, leaderChanges: 1, ticks: 4},
+		"renewals":                  {requests: firstShardRequests(2, 1), lostTicks: 1, ticks: 4},
+		"a crash":                   {requests: twoMemberRequests, crashes: 1, lostTicks: 1, ticks: 4},
+		"another leader":            {requests: twoMemberRequests, leaderChanges: 1, lostTicks: 1, ticks: 6},
+		"a crash, another leader":   {requests: twoMemberRequests, crashes: 1, leaderChanges: 1, ticks: 4},
+		"releases":                  {requests: firstShardRequests(1, 3), releases: true},
+		"an observing leader":       {requests: firstShardRequests(2, 1), leaderChanges: 1, observes: true, ticks: 4},
+		"three members":             {requests: allMemberRequests, ticks: 4},
+		"two shards":                {requests: bothShardRequests, ticks: 3},
+		"three members with drift":  {requests: allMemberRequests, lostTicks: 1, ticks: 3},
+		"three members, new leader": {requests: allMemberRequests, leaderChanges: 1, ticks: 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			trace, visited, complete := explore(modelConfig, bounds, maxStates)
 			if trace != nil {
-				t.Fatalf("after:\n  %s", strings.Join(trace, "\n  "))
+				t.Fatalf("a guarantee is violated after:\n  %s", strings.Join(trace, "\n  "))
 			}
 			if !complete {
-				t.Fatalf("%d states, and more are left", visited)
+				t.Fatalf("not all states were explored after %d states", visited)
 			}
-			t.Logf("all %d states", visited)
+			t.Logf("explored all %d states", visited)
 		})
 	}
 }
 
-// With clocks that lose more than the configured drift the model finds two holders at once, with the trace to them:
-// so it would have found them above.
-func TestExceededDriftIsFound(t *testing.T) {
-	bounds := limits{requests: twoMembers, lostTicks: uint8(modelConfig.MaxClockDrift) + 1, ticks: 6}
+// If clocks lose more than the configured drift, the exploration finds two holders at once and the trace to them. This
+// shows that TestShardHasOneHolderWithinMaxClockDrift can detect a violation.
+func TestExplorationFindsTwoHoldersBeyondMaxClockDrift(t *testing.T) {
+	bounds := limits{requests: twoMemberRequests, lostTicks: uint8(modelConfig.MaxClockDrift) + 1, ticks: 6}
 	trace, visited, _ := explore(modelConfig, bounds, maxStates)
 	if trace == nil {
-		t.Fatalf("nothing is found in %d states", visited)
+		t.Fatalf("no violation was found in %d states", visited)
 	}
 	t.Logf("%d states:\n  %s", visited, strings.Join(trace, "\n  "))
 }
--- a/internal/model/endpoint.go
+++ b/internal/model/endpoint.go
@@ -6,17 +6,17 @@
 	ID        ReplicaID      `json:"ID"`
 	Zone      int            `json:"Zone"` // index of its zone in the configuration
 	Status    EndpointStatus `json:"Life"`
-	StartedAt Microseconds   `json:"Since"` // when it last started, by its own wall clock; 0: long ago
+	StartedAt Microseconds   `json:"Since"` // time of its last start, by its own wall clock; 0: long ago
 }
 
-// EndpointStatus is what the endpoint list says of a replica. Its numbers stand in stored data.
+// EndpointStatus is the status of a replica in the endpoint list. Its numbers are used in stored data.
 type EndpointStatus uint8
 
 // The statuses of an endpoint.
 const (
-	EndpointGone     EndpointStatus = iota // removed; appears in changes only
-	EndpointReady                          // takes requests
-	EndpointDraining                       // finishes its requests and takes no new ones
+	EndpointGone     EndpointStatus = iota // removed; occurs in changes only
+	EndpointReady                          // accepts requests
+	EndpointDraining                       // finishes its requests and accepts no new ones
 )
 
 // EndpointUpdate is the kind of an event of endpoint discovery.
@@ -24,8 +24,8 @@
 
 // The kinds of an endpoint event.
 const (
-	FullList       EndpointUpdate = iota // the complete list: a replica that it does not name is gone
-	ChangedEntries                       // entries that have changed; the others stay
-	CachedList                           // the complete list as last known, perhaps out of date
-	PollFailed                           // a call failed or the subscription broke; no entries, and the list stays
+	FullList       EndpointUpdate = iota // the complete list: a replica that is not in it is gone
+	ChangedEntries                       // the changed entries; all other entries stay
+	CachedList                           // the last known complete list, which may be out of date
+	PollFailed                           // a request failed or the subscription broke; the list stays as it is
 )
--- a/internal/model/report.go
+++ b/internal/model/report.go
@@ -1,13 +1,13 @@
 package model
 
-// LoadReport is what the connected proxies of one zone measured at one replica over a window. It is sent as CBOR in
-// hand-overs; its tags are names in sent data and must not change.
+// LoadReport contains the measurements of the connected proxies of one zone at one replica over a window. It is sent as
+// CBOR in handovers; its tags are names in sent data and must not change.
 type LoadReport struct {
-	Zone        int          `cbor:"Zone"` // of the proxies: an index in the configuration
+	Zone        int          `cbor:"Zone"` // zone of the proxies: an index in the configuration
 	Replica     ReplicaID    `cbor:"Replica"`
-	Attempts    int          `cbor:"Tries"`   // that ended within the window
+	Attempts    int          `cbor:"Tries"`   // attempts that ended within the window
 	Errors      int          `cbor:"Errored"` // attempts without a successful response: errors, time-outs, failed connects
 	MeanLatency Microseconds `cbor:"Latency"` // of the successful attempts; 0 if there were none
-	Window      Microseconds `cbor:"Span"`    // that the attempts were counted over
-	Readings    []float64    `cbor:"Report"`  // the newest that the replica gave of itself, in the configured order
+	Window      Microseconds `cbor:"Span"`    // period that the attempts were counted over
+	Readings    []float64    `cbor:"Report"`  // newest readings that the replica reported, in the configured order
 }
--- a/internal/model/stored_test.go
+++ b/internal/model/stored_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestEndpointStoredNames fixes the JSON of a stored endpoint: state stores of earlier versions hold these bytes.
-func TestEndpointStoredNames(t *testing.T) {
+// TestEndpointKeepsStoredJSON fixes the JSON encoding of an endpoint, which state stores of earlier versions contain.
+func TestEndpointKeepsStoredJSON(t *testing.T) {
 	endpoint := Endpoint{
 		ID: ReplicaID{Addr: [4]byte{10, 1, 2, 3}, Port: 8081}, Zone: 4, Status: EndpointDraining, StartedAt: 5_000_006,
 	}
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestStoredNumbers fixes the numbers that stand for named values in stored data and on the wire.
-func TestStoredNumbers(t *testing.T) {
+// TestNamedValuesKeepStoredNumbers fixes the numbers of named values in stored data and on the wire.
+func TestNamedValuesKeepStoredNumbers(t *testing.T) {
 	if EndpointGone != 0 || EndpointReady != 1 || EndpointDraining != 2 {
 		t.Errorf("statuses are stored as gone %d, ready %d, draining %d; want 0, 1, 2",
 			EndpointGone, EndpointReady, EndpointDraining)
--- a/internal/model/time.go
+++ b/internal/model/time.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Microseconds is a point in time or a duration in whole microseconds. Points in time count from 1970 in a running
-// controller and from the start of the clock in a simulation.
+// Microseconds is a point in time or a duration in whole microseconds. Points in time are counted from 1970 in a
+// running controller and from the start of the clock in a simulation.
 type Microseconds int64
 
 // Common durations.
@@ -12,5 +12,5 @@
 	Second                   = 1000 * Millisecond
 )
 
-// Duration returns a duration in the standard library's type.
+// Duration converts a duration to the standard library's type.
 func (m Microseconds) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,29 +1,30 @@
 // Package placement decides which member of a cluster should hold which shard of the fleet. It does no I/O and reads
-// no clock: the cluster's leader calls Planner.Plan with the replicated state and what it knows of the members, and
-// has the migrations replicated in turn. Whether the holder of a shard may publish is decided by package lease, not
-// here: a migration that is late or wrong costs service, but never breaks an invariant.
+// no clock: the cluster's leader calls Planner.Plan with the replicated state and its view of the members, and
+// replicates the resulting migrations. Whether the holder of a shard may publish is decided by package lease, not
+// here: a late or wrong migration degrades the service, but does not break an invariant.
 //
 // Guarantees: no shard is placed on a member that is not alive, is draining or stopping, or lacks the capacity; the
-// loss of a member migrates its own shards and no others; a member that has come back gets no shard before it has
-// been alive for the stabilization period, and then one each move interval; the same input gives the same migrations.
+// loss of a member migrates only its own shards; a member that has returned gets no shard before it has been alive for
+// the stabilization period, and then one each move interval; the same input gives the same migrations.
 //
-// Capacity is counted by the request rates that proxies expect as they connect, not by what they forward. If no
-// member has capacity left, a shard stays without a target, and its proxies go on with the tables that they have.
+// The load of a shard is the sum of the request rates that its proxies expect when they connect, not of the requests
+// that they forward. If no member has capacity left, a shard stays without a target, and its proxies keep using the
+// tables that they have.
 //
-// The decision table follows: for each shard the first rule that applies counts. A shard's target is the member that
+// The decision table follows. For each shard the first rule that applies is used. A shard's target is the member that
 // should hold it.
 //
 //	state of the shard                          migrates to                              when
-//	no target, or one that is no member         a member with capacity                   at once
-//	target not alive                            another with capacity                    at once: nothing is lost
+//	no target, or target is not a member        a member with capacity                   at once
+//	target not alive                            another with capacity                    at once: it serves nothing
 //	its proxies reach another member only       that member                              at once; no return for a minute
-//	target stopping                             another with capacity                    at once: the process waits
+//	target stopping                             another with capacity                    at once: its process waits
 //	target draining                             another with capacity                    one each move interval
 //	pinned by an operator                       -                                        -
 //	target over its capacity                    another with capacity                    one each move interval
 //	target in another zone                      a stable member of its zone              one each move interval
-//	target has more load than others as near    a stable member, if the load evens out   one each move interval
+//	target has more load than another as near   a stable member, if it balances load     one each move interval
 //
-// A stable member has been alive for the stabilization period. The move interval counts for the member that gives the
-// shard up, and in the last two rules also for the one that gets it.
+// A stable member has been alive for the stabilization period. The move interval applies to the member that gives
+// up the shard, and in the last two rules also to the member that gets it.
 package placement
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -4,9 +4,9 @@
 
 // Config holds the settings of a cluster's placement.
 type Config struct {
-	// StabilizationPeriod is how long a member must have been alive before shards migrate to it without need.
+	// StabilizationPeriod is how long a member must have been alive before it gets shards that need not migrate.
 	StabilizationPeriod model.Microseconds
-	// MoveInterval is the least time between two migrations from or to a member that nothing forces at once.
+	// MoveInterval is the minimum time between two migrations from or to a member, unless a migration is due at once.
 	MoveInterval model.Microseconds
 }
 
@@ -16,26 +16,26 @@
 	Zone       string
 	Alive      bool               // it renews its leases, or gossip says that it is alive
 	AliveSince model.Microseconds // when Alive last became true
-	Draining   bool               // an operator asked it to give all shards up
+	Draining   bool               // an operator requested that it give up all shards
 	Stopping   bool               // its process is about to end
-	Capacity   float64            // requests a second that its shards may have together; 0 or less: no limit
+	Capacity   float64            // maximum total load of its shards, in requests per second; 0 or less: no limit
 }
 
-// Shard is one part of the fleet's proxies.
+// Shard is a subset of the fleet's proxies.
 type Shard struct {
 	Number          int
 	Zone            string
-	Load            float64 // requests a second that its proxies expect
-	Target          string  // the member that should hold it; "": none
+	Load            float64 // requests per second that its proxies expect
+	Target          string  // member that should hold it; "": none
 	Pinned          bool    // an operator placed it on Target
-	ReachableMember string  // the member that its proxies connect to while none reaches Target; "": none
+	ReachableMember string  // member that its proxies connect to while none of them reaches Target; "": none
 }
 
-// Migration says which member should hold a shard from now on. It is sent and stored as CBOR; its tags are names in
-// stored data and must not change.
+// Migration changes the member that should hold a shard. It is sent and stored as CBOR; its tags are names in stored
+// data and must not change.
 type Migration struct {
 	Shard  int    `cbor:"Part"`
-	From   string `cbor:"From"` // the target before; "": none
+	From   string `cbor:"From"` // previous target; "": none
 	To     string `cbor:"To"`
 	Reason string `cbor:"Why"`
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -7,26 +7,26 @@
 	"peppervale/internal/model"
 )
 
-// returnDelay is how long a shard does not migrate back without need to a member that its proxies did not reach. While
-// the link stays down, each return leaves them without updates for a lease's duration: a minute between returns keeps
-// that to a few percent of the time.
+// returnDelay is the minimum time before a shard migrates back, without need, to a member that its proxies did not
+// reach. If the link is still down, each return leaves the proxies without updates for the duration of a lease. A
+// minute between returns limits this to a few percent of the time.
 const returnDelay = 60 * model.Second
 
-// Planner remembers its recent migrations. The zero Planner has planned none; a new leader starts with one. It belongs
-// to one goroutine at a time.
+// Planner plans migrations and records the recent ones. The zero Planner has no recorded migrations; a new leader
+// starts with it. A Planner belongs to one goroutine at a time.
 type Planner struct {
-	lastMoveAt    map[string]model.Microseconds // by member: its last rate-limited migration
+	lastMoveAt    map[string]model.Microseconds // time of the last rate-limited migration, by member
 	unreachableAt map[shardOnMember]model.Microseconds
 }
 
-// shardOnMember names a shard that migrated away from a member that its proxies did not reach.
+// shardOnMember identifies a shard and a member that its proxies did not reach.
 type shardOnMember struct {
 	shard  int
 	member string
 }
 
-// Plan returns the migrations that are due. It also enters them in shards: each migrated shard gets its new Target
-// and is no longer pinned or ReachableMember for at another member.
+// Plan returns the migrations that are due. It also applies them to shards: each migrated shard gets its new Target,
+// Pinned is reset to false and ReachableMember to "".
 func (p *Planner) Plan(config Config, now model.Microseconds, members []Member, shards []Shard) []Migration {
 	if p.lastMoveAt == nil {
 		p.lastMoveAt = map[string]model.Microseconds{}
@@ -35,9 +35,9 @@
 	round := newRound(p, config, now, members, shards)
 	heaviestFirst := sortedByLoad(shards)
 	var migrations []Migration
-	for i := range rules { // forced migrations of all shards come first, and may use up the capacity
+	for i := range rules { // forced migrations of all shards come first and may use up the capacity
 		for _, shard := range heaviestFirst {
-			if firstRule(shard, round.target(shard)) != &rules[i] {
+			if firstApplicableRule(shard, round.target(shard)) != &rules[i] {
 				continue
 			}
 			if destination := round.bestMember(&rules[i], shard); destination != nil {
@@ -48,7 +48,8 @@
 	return migrations
 }
 
-// sortedByLoad puts the heaviest shards first, so that those left at the end are small enough to balance the loads.
+// sortedByLoad returns the shards with the highest load first, so that the last ones are small enough to balance the
+// loads of the members.
 func sortedByLoad(shards []Shard) []*Shard {
 	sorted := make([]*Shard, len(shards))
 	for i := range shards {
@@ -60,24 +61,24 @@
 	return sorted
 }
 
-// memberLoad is a member with the load of the shards placed on it so far.
+// memberLoad is a member with the total load and number of the shards placed on it so far.
 type memberLoad struct {
 	*Member
-	load   float64
-	shards int
+	load       float64
+	shardCount int
 }
 
-func (m *memberLoad) add(shard *Shard) {
+func (m *memberLoad) addShard(shard *Shard) {
 	m.load += shard.Load
-	m.shards++
+	m.shardCount++
 }
 
-func (m *memberLoad) remove(shard *Shard) {
+func (m *memberLoad) removeShard(shard *Shard) {
 	m.load -= shard.Load
-	m.shards--
+	m.shardCount--
 }
 
-// accepts reports whether a member may get a shard of some load at all.
+// accepts reports whether a member may get a shard of some load under any rule.
 func (m *memberLoad) accepts(load float64) bool {
 	isLeaving := m.Draining || m.Stopping
 	hasCapacity := m.Capacity <= 0 || m.load+load <= m.Capacity
@@ -92,21 +93,21 @@
 	return 1
 }
 
-// balancesLoad reports whether a migration brings the loads of two members closer together. Shards without load count
-// by their number.
+// balancesLoad reports whether a migration reduces the difference between the loads of two members. For a shard without
+// load the numbers of shards are compared instead.
 func balancesLoad(from, to *memberLoad, shard *Shard) bool {
 	if shard.Load > 0 {
 		return to.load+shard.Load < from.load
 	}
-	return from.load == 0 && to.load == 0 && to.shards+1 < from.shards
+	return from.load == 0 && to.load == 0 && to.shardCount+1 < from.shardCount
 }
 
-// round is one call of Plan.
+// round is the state of one call of Plan.
 type round struct {
 	Config
 	planner *Planner
 	now     model.Microseconds
-	members []*memberLoad // by name
+	members []*memberLoad // sorted by name
 	byName  map[string]*memberLoad
 }
 
@@ -122,17 +123,17 @@
 	slices.SortFunc(result.members, func(a, b *memberLoad) int { return cmp.Compare(a.Name, b.Name) })
 	for i := range shards {
 		if target := result.target(&shards[i]); target != nil {
-			target.add(&shards[i])
+			target.addShard(&shards[i])
 		}
 	}
 	return result
 }
 
-// target returns nil for a shard without target, or with one that is no member.
+// target returns nil if a shard has no target, or its target is not a member.
 func (r *round) target(shard *Shard) *memberLoad { return r.byName[shard.Target] }
 
-// bestMember returns where a rule has a shard migrate to: a member of the shard's zone if one is eligible, and among
-// those the one with the least load. It returns nil if the shard stays.
+// bestMember returns the member that a rule migrates a shard to: an eligible member of the shard's zone if there is
+// one, else any eligible member, and of several the one with the least load. It returns nil if the shard stays.
 func (r *round) bestMember(rule *rule, shard *Shard) *memberLoad {
 	target := r.target(shard)
 	if rule.staysOnTarget || rule.rateLimited && !r.mayMove(target) {
@@ -150,7 +151,7 @@
 	return best
 }
 
-// isEligible reports whether a rule lets a shard migrate to a member other than its target.
+// isEligible reports whether a rule allows a shard to migrate to a member that is not its target.
 func (r *round) isEligible(rule *rule, shard *Shard, member *memberLoad) bool {
 	switch {
 	case !member.accepts(shard.Load):
@@ -168,39 +169,40 @@
 	return true
 }
 
-// isStableFor reports whether a member may get a shard that need not migrate.
+// isStableFor reports whether a member may get a shard under a rule that needs a stable member.
 func (r *round) isStableFor(rule *rule, shard *Shard, member *memberLoad) bool {
 	isStable := r.now-member.AliveSince >= r.StabilizationPeriod
 	mayMove := !rule.rateLimited || r.mayMove(member)
 	return isStable && mayMove && !r.wasUnreachable(shard, member)
 }
 
-// isBetter compares two eligible members for a shard.
+// isBetter reports whether the eligible member a is preferred to b for a shard.
 func isBetter(a, b *memberLoad, shard *Shard) bool {
 	return cmp.Or(
 		cmp.Compare(a.distance(shard), b.distance(shard)),
 		cmp.Compare(a.load, b.load),
-		cmp.Compare(a.shards, b.shards),
+		cmp.Compare(a.shardCount, b.shardCount),
 	) < 0
 }
 
-// wasUnreachable reports whether a shard migrated away from a member recently because its proxies did not reach it.
+// wasUnreachable reports whether a shard migrated away from a member within returnDelay because its proxies did not
+// reach the member.
 func (r *round) wasUnreachable(shard *Shard, member *memberLoad) bool {
 	at, found := r.planner.unreachableAt[shardOnMember{shard.Number, member.Name}]
 	return found && r.now-at < returnDelay
 }
 
-// mayMove reports whether the move interval has passed for a member.
+// mayMove reports whether the move interval has passed since a member's last rate-limited migration.
 func (r *round) mayMove(member *memberLoad) bool {
 	at, found := r.planner.lastMoveAt[member.Name]
 	return !found || r.now-at >= r.MoveInterval
 }
 
-// migrate enters a migration in the round, in the planner and in the shard.
+// migrate applies a migration to the loads of the round, to the planner and to the shard.
 func (r *round) migrate(rule *rule, shard *Shard, destination *memberLoad) Migration {
 	migration := Migration{Shard: shard.Number, From: shard.Target, To: destination.Name, Reason: rule.reason}
 	if from := r.target(shard); from != nil {
-		from.remove(shard)
+		from.removeShard(shard)
 		if rule.rateLimited {
 			r.planner.lastMoveAt[from.Name] = r.now
 		}
@@ -211,7 +213,7 @@
 	if rule.rateLimited && rule.needsStable {
 		r.planner.lastMoveAt[destination.Name] = r.now
 	}
-	destination.add(shard)
+	destination.addShard(shard)
 	shard.Target = destination.Name
 	shard.Pinned = false
 	shard.ReachableMember = ""
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -11,7 +11,7 @@
 
 var testConfig = Config{StabilizationPeriod: 10 * model.Second, MoveInterval: 2 * model.Second}
 
-// testCluster has one member a zone, and shards that belong to each zone.
+// testCluster is a cluster with one member and some shards in each zone.
 type testCluster struct {
 	members []Member
 	shards  []Shard
@@ -31,7 +31,7 @@
 	return cluster
 }
 
-// planAfter lets time pass, then plans and carries the migrations out.
+// planAfter advances the time, then plans and applies migrations.
 func (c *testCluster) planAfter(span model.Microseconds) []Migration {
 	c.now += span
 	return c.planner.Plan(testConfig, c.now, c.members, c.shards)
@@ -57,7 +57,7 @@
 	return load
 }
 
-// member returns nil for a name that is no member's.
+// member returns nil if no member has the name.
 func (c *testCluster) member(name string) *Member {
 	for i := range c.members {
 		if c.members[i].Name == name {
@@ -70,7 +70,7 @@
 func TestShardsArePlacedInTheirZone(t *testing.T) {
 	cluster := newTestCluster(3, 4, 10)
 	if migrations := cluster.planAfter(0); len(migrations) != 12 {
-		t.Fatalf("%d migrations at first", len(migrations))
+		t.Fatalf("got %d migrations at the start, want 12", len(migrations))
 	}
 	for _, shard := range cluster.shards {
 		if shard.Target != "member-"+shard.Zone {
@@ -78,123 +78,124 @@
 		}
 	}
 	if migrations := cluster.planAfter(testConfig.StabilizationPeriod); len(migrations) != 0 {
-		t.Errorf("migrated without need: %v", migrations)
+		t.Errorf("got migrations %v of placed shards, want none", migrations)
 	}
 }
 
-// A member is lost: its shards migrate at once, evenly, and no others do. It is back: nothing for the stabilization
-// period, then one shard at a time.
-func TestLostMemberComesBackSlowly(t *testing.T) {
+// When a member is lost, its own shards migrate at once and evenly. When it has returned, it gets no shard within the
+// stabilization period, then one shard at a time.
+func TestReturnedMemberGetsOneShardEachMoveInterval(t *testing.T) {
 	cluster := newTestCluster(3, 4, 10)
 	cluster.planAfter(0)
 	lost := &cluster.members[0]
 	lost.Alive = false
 	if migrations := cluster.planAfter(model.Second); len(migrations) != 4 {
-		t.Fatalf("%d migrations of 4 shards", len(migrations))
+		t.Fatalf("got %d migrations, want one of each of 4 shards", len(migrations))
 	}
 	if a, b := cluster.shardCount("member-zone1"), cluster.shardCount("member-zone2"); a != 6 || b != 6 {
-		t.Fatalf("%d and %d shards", a, b)
+		t.Fatalf("the remaining members have %d and %d shards, want 6 each", a, b)
 	}
 	lost.Alive, lost.AliveSince = true, cluster.now
 	for cluster.now-lost.AliveSince < testConfig.StabilizationPeriod-model.Second {
 		if migrations := cluster.planAfter(model.Second); len(migrations) != 0 {
-			t.Fatalf("after %v: %v", cluster.now-lost.AliveSince, migrations)
+			t.Fatalf("%v us after the return: got migrations %v, want none", cluster.now-lost.AliveSince, migrations)
 		}
 	}
-	last := model.Microseconds(0)
+	lastMigrationAt := model.Microseconds(0)
 	for cluster.shardCount("member-zone0") < 4 {
 		migrations := cluster.planAfter(100 * model.Millisecond)
-		isTooEarly := last > 0 && cluster.now-last < testConfig.MoveInterval
+		isTooEarly := lastMigrationAt > 0 && cluster.now-lastMigrationAt < testConfig.MoveInterval
 		if len(migrations) > 1 || len(migrations) == 1 && isTooEarly {
-			t.Fatalf("%v, %d us after the one before", migrations, cluster.now-last)
+			t.Fatalf("migrations %v only %d us after the previous one", migrations, cluster.now-lastMigrationAt)
 		}
 		if len(migrations) == 1 {
-			last = cluster.now
+			lastMigrationAt = cluster.now
 		}
 		if cluster.now > 1000*model.Second {
-			t.Fatalf("only %d are back", cluster.shardCount("member-zone0"))
+			t.Fatalf("%d shards have migrated back after 1000 s, want 4", cluster.shardCount("member-zone0"))
 		}
 	}
 }
 
-// Without capacity anywhere a shard stays unplaced; with capacity again it is placed.
+// A shard stays unplaced while no member has capacity for it, and is placed once a member has.
 func TestCapacityIsNotExceeded(t *testing.T) {
 	cluster := newTestCluster(2, 2, 10)
 	cluster.members[0].Capacity, cluster.members[1].Capacity = 20, 30
 	cluster.planAfter(0)
 	cluster.members[0].Alive = false
 	if migrations := cluster.planAfter(model.Second); len(migrations) != 1 {
-		t.Fatalf("%v: there is capacity for one", migrations)
+		t.Fatalf("got migrations %v, want one as there is capacity for one shard", migrations)
 	}
 	cluster.members[1].Capacity = 40
 	migrations := cluster.planAfter(model.Second)
 	if len(migrations) != 1 || cluster.shardCount("member-zone1") != 4 {
-		t.Fatalf("%v with capacity for the last", migrations)
+		t.Fatalf("got migrations %v, want one as there is capacity for the last shard", migrations)
 	}
 }
 
-// A draining member gives up one shard at a time; a pinned shard stays, unless its member drains.
-func TestDrainingMemberAndPinnedShard(t *testing.T) {
+// A pinned shard stays on its member unless the member drains. A draining member gives up one shard at a time.
+func TestPinnedShardStaysUntilMemberDrains(t *testing.T) {
 	cluster := newTestCluster(2, 3, 10)
 	cluster.planAfter(0)
 	cluster.shards[5].Target, cluster.shards[5].Pinned = "member-zone0", true
 	if migrations := cluster.planAfter(model.Second); len(migrations) != 0 {
-		t.Fatalf("a pinned shard: %v", migrations)
+		t.Fatalf("got migrations %v of a pinned shard, want none", migrations)
 	}
 	cluster.members[0].Draining = true
 	for k := range 4 {
 		if migrations := cluster.planAfter(testConfig.MoveInterval); len(migrations) != 1 {
-			t.Fatalf("migration %d of a draining member: %v", k, migrations)
+			t.Fatalf("interval %d of a draining member: got migrations %v, want one", k, migrations)
 		}
 	}
 	if n := cluster.shardCount("member-zone0"); n != 0 {
-		t.Fatalf("%d shards are left", n)
+		t.Fatalf("%d shards are left on the drained member", n)
 	}
 }
 
-// A shard's proxies reach another member and not their own: the other gets it, and it does not return for a while.
-func TestUnreachableMember(t *testing.T) {
+// If a shard's proxies reach another member and not their target, the shard migrates there and does not return before
+// returnDelay has passed.
+func TestShardMigratesToReachableMember(t *testing.T) {
 	cluster := newTestCluster(2, 2, 10)
 	cluster.planAfter(0)
 	cluster.shards[0].ReachableMember = "member-zone1"
 	migrations := cluster.planAfter(model.Second)
 	if len(migrations) != 1 || migrations[0].Shard != 0 || migrations[0].To != "member-zone1" {
-		t.Fatalf("%v", migrations)
+		t.Fatalf("got migrations %v, want shard 0 on the reachable member", migrations)
 	}
 	for span := model.Microseconds(0); span < returnDelay-testConfig.MoveInterval; span += testConfig.MoveInterval {
 		for _, migration := range cluster.planAfter(testConfig.MoveInterval) {
 			if migration.Shard == 0 {
-				t.Fatalf("after %d us: %+v", span, migration)
+				t.Fatalf("shard 0 migrated back after %d us: %+v", span, migration)
 			}
 		}
 	}
 	cluster.planAfter(2 * testConfig.MoveInterval)
 	cluster.planAfter(2 * testConfig.MoveInterval)
 	if cluster.shards[0].Target != "member-zone0" {
-		t.Errorf("it stays on %s", cluster.shards[0].Target)
+		t.Errorf("shard 0 is on %s after returnDelay, want member-zone0", cluster.shards[0].Target)
 	}
 }
 
-// A stopping member gives all shards up at once.
-func TestStoppingMember(t *testing.T) {
+// A stopping member gives up all shards at once.
+func TestStoppingMemberGivesUpAllShards(t *testing.T) {
 	cluster := newTestCluster(3, 4, 10)
 	cluster.planAfter(0)
 	cluster.members[0].Stopping = true
 	if migrations := cluster.planAfter(model.Second); len(migrations) != 4 || cluster.shardCount("member-zone0") != 0 {
-		t.Fatalf("%v", migrations)
+		t.Fatalf("got migrations %v, want all 4 shards", migrations)
 	}
 }
 
-// Whatever happens: no member gets a shard that is lost, draining or at its capacity; no more shards migrate from lost
-// members than they had; and what is not forced comes to an end.
-func TestAnySequenceOfEvents(t *testing.T) {
+// In any sequence of events, no member that is lost, draining or at its capacity gets a shard; no more shards migrate
+// from lost members than they had; and migrations end once no more events occur.
+func TestMigrationsFollowRulesInAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
 		cluster := newTestCluster(zones, rapid.IntRange(1, 6).Draw(t, "shards"), 0)
 		for i := range cluster.shards {
 			cluster.shards[i].Load = float64(rapid.IntRange(0, 30).Draw(t, "load"))
 		}
-		for range rapid.IntRange(0, 3).Draw(t, "more") {
+		for range rapid.IntRange(0, 3).Draw(t, "additional members") {
 			name := fmt.Sprint("more", len(cluster.members))
 			cluster.members = append(cluster.members, Member{Name: name, Zone: "zone0", Alive: true})
 		}
@@ -204,7 +205,7 @@
 			span := model.Microseconds(rapid.IntRange(0, 3).Draw(t, "seconds")) * model.Second
 			forced := cluster.checkMigrations(t, cluster.planAfter(span))
 			if forced > lost {
-				t.Fatalf("%d migrations of %d shards whose members are lost", forced, lost)
+				t.Fatalf("got %d migrations of %d shards whose members are lost", forced, lost)
 			}
 		}
 		for k := 0; ; k++ {
@@ -213,13 +214,13 @@
 				break
 			}
 			if k > 10*len(cluster.shards)+10 {
-				t.Fatalf("it goes on migrating: %v", migrations)
+				t.Fatalf("migrations do not end without events: %v", migrations)
 			}
 		}
 	})
 }
 
-// drawEvent changes a member.
+// drawEvent changes a randomly chosen member, or none.
 func (c *testCluster) drawEvent(t *rapid.T) {
 	member := &c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "member")]
 	switch rapid.IntRange(0, 3).Draw(t, "event") {
@@ -235,7 +236,7 @@
 	}
 }
 
-// lostShards counts those without target or whose target is not alive.
+// lostShards counts the shards that have no target or whose target is not alive.
 func (c *testCluster) lostShards() int {
 	lost := 0
 	for _, shard := range c.shards {
@@ -246,18 +247,18 @@
 	return lost
 }
 
-// checkMigrations checks where shards went and counts those that left a lost member.
+// checkMigrations checks the destinations of migrations and returns the number of migrations from lost members.
 func (c *testCluster) checkMigrations(t *rapid.T, migrations []Migration) int {
-	forced := 0
+	fromLostMembers := 0
 	for _, migration := range migrations {
 		to := c.member(migration.To)
 		isFull := to.Capacity > 0 && c.load(migration.To) > to.Capacity
 		if !to.Alive || to.Draining || isFull {
-			t.Fatalf("%+v to %+v with %v", migration, *to, c.load(migration.To))
+			t.Fatalf("migration %+v to member %+v, which then has load %v", migration, *to, c.load(migration.To))
 		}
 		if migration.Reason == "its member is gone" {
-			forced++
+			fromLostMembers++
 		}
 	}
-	return forced
+	return fromLostMembers
 }
--- a/internal/placement/rapid_test.go
+++ b/internal/placement/rapid_test.go
@@ -2,7 +2,8 @@
 
 import "flag"
 
-// The same draws in every run, so that a failure follows from the change under test; -rapid.seed N draws others.
+// A fixed seed makes every run draw the same values, so that a failure is caused by the change under test. The flag
+// -rapid.seed N selects other values.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -1,6 +1,6 @@
 package placement
 
-// The reasons of migrations. They stand in the replicated state and its records, so they must not change.
+// Reasons of migrations. They are part of the replicated state and its log, so they must not change.
 const (
 	reasonUnplaced     = "with nobody"
 	reasonNotAlive     = "its member is gone"
@@ -19,11 +19,11 @@
 	applies func(shard *Shard, target *memberLoad) bool // target is nil if the shard has none
 
 	staysOnTarget   bool // the shard does not migrate
-	rateLimited     bool // one each move interval
-	needsStable     bool // only to a member that has been alive for the stabilization period
+	rateLimited     bool // one migration each move interval
+	needsStable     bool // only to a member that is alive for the stabilization period
 	sameZone        bool // only to the shard's own zone
 	toReachable     bool // only to the member that the shard's proxies connect to
-	mustBalanceLoad bool // only if the two members' loads are closer together afterwards
+	mustBalanceLoad bool // only if it reduces the difference between the two members' loads
 }
 
 // rules are in the order of precedence.
@@ -36,7 +36,7 @@
 	{reason: reasonPinned, applies: isPinned, staysOnTarget: true},
 	{reason: reasonOverCapacity, applies: isTargetOverCapacity, rateLimited: true},
 	{reason: reasonForeignZone, applies: isInForeignZone, rateLimited: true, needsStable: true, sameZone: true},
-	{reason: reasonUneven, applies: always, rateLimited: true, needsStable: true, mustBalanceLoad: true},
+	{reason: reasonUneven, applies: alwaysApplies, rateLimited: true, needsStable: true, mustBalanceLoad: true},
 }
 
 func isUnplaced(_ *Shard, target *memberLoad) bool       { return target == nil }
@@ -44,7 +44,7 @@
 func isTargetStopping(_ *Shard, target *memberLoad) bool { return target.Stopping }
 func isTargetDraining(_ *Shard, target *memberLoad) bool { return target.Draining }
 func isPinned(shard *Shard, _ *memberLoad) bool          { return shard.Pinned }
-func always(*Shard, *memberLoad) bool                    { return true }
+func alwaysApplies(*Shard, *memberLoad) bool             { return true }
 
 func isTargetUnreachable(shard *Shard, target *memberLoad) bool {
 	return shard.ReachableMember != "" && shard.ReachableMember != target.Name
@@ -56,8 +56,8 @@
 
 func isInForeignZone(shard *Shard, target *memberLoad) bool { return target.Zone != shard.Zone }
 
-// firstRule returns the first rule that applies; the last one always does.
-func firstRule(shard *Shard, target *memberLoad) *rule {
+// firstApplicableRule returns the first rule that applies; the last one always does.
+func firstApplicableRule(shard *Shard, target *memberLoad) *rule {
 	for i := range rules {
 		if rules[i].applies(shard, target) {
 			return &rules[i]
--- a/internal/snapshot/delivery.go
+++ b/internal/snapshot/delivery.go
@@ -8,31 +8,30 @@
 	"peppervale/internal/model"
 )
 
-// Costs beyond the entries of a message, in entries of the send window.
+// Costs of a message in addition to its entries, in entries of the send window.
 const (
 	ackRequestCost = 1
-	bindingCost    = 1 // of each table in a snapshot; one without table is charged for one
+	bindingCost    = 1 // of each table in a snapshot, and of a snapshot without table
 )
 
-// Delivery is a message made for one subscriber. It belongs to the caller of Apply.
+// Delivery is a message for one subscriber. It belongs to the caller of Apply.
 type Delivery struct {
 	Subscriber *Subscriber
 	Message    *pubsubmsg.Message
-	// Readmitted names replicas of a newly bound table that other controllers may have withdrawn.
+	// Readmitted lists replicas of a newly bound table that other controllers may have withdrawn.
 	Readmitted []model.ReplicaID
-	// OperationTables stands in place of the message's entries where the subscriber's tables are for some operations
-	// each.
+	// OperationTables replaces the message's entries if the subscriber has separate tables for separate operations.
 	OperationTables []OperationTable
 }
 
-// OperationTable is what changes in the table for some operations.
+// OperationTable is the change to the table for some operations.
 type OperationTable struct {
 	Operations uint16 // a mask with 1 << index for each
-	Full       bool   // Entries is the complete table, not a change to it
+	Full       bool   // Entries is the complete table; else only the changed entries
 	Entries    []pubsubmsg.Entry
 }
 
-// deliver makes a subscriber's message of a batch that has been applied.
+// deliver returns a subscriber's message for a batch that has been applied.
 func (s *State) deliver(subscriber *Subscriber, batch *Batch) Delivery {
 	changed := subscriber.takeChanges()
 	message := s.message(subscriber, changed)
@@ -50,7 +49,7 @@
 	}
 }
 
-// message makes a snapshot for a newly bound subscriber, else a delta.
+// message returns a snapshot for a newly bound subscriber and a delta for any other.
 func (s *State) message(subscriber *Subscriber, changed *changes) *pubsubmsg.Message {
 	if !changed.bound {
 		return s.delta(subscriber, changed)
@@ -81,8 +80,8 @@
 	return message
 }
 
-// Snapshot makes a message with the complete state that a subscriber should have now. It replaces every message made
-// for the subscriber before.
+// Snapshot returns a message with the complete state that a subscriber should have now. It replaces all earlier
+// messages to the subscriber.
 func (s *State) Snapshot(subscriber *Subscriber) *pubsubmsg.Message {
 	message := &pubsubmsg.Message{
 		Full:            true,
@@ -106,9 +105,10 @@
 	return message
 }
 
-// endedWithdrawals returns the withdrawals that a snapshot has to end. A bound proxy forgets every withdrawal
-// that the snapshot does not name; one on its standing table keeps those of other controllers, and is notified of the
-// end of ours. They are sorted by address, so that the same updates give the same bytes.
+// endedWithdrawals returns the readmissions that a snapshot must contain. On a snapshot, a bound proxy drops every
+// withdrawal that the snapshot does not contain. A proxy on its standing table keeps the withdrawals of other
+// controllers, so it is notified when one of this controller ends. The result is sorted by address, so that the same
+// updates give the same bytes.
 func (s *State) endedWithdrawals(subscriber *Subscriber) []pubsubmsg.Withdrawal {
 	if subscriber.Table != nil {
 		return nil
@@ -125,7 +125,8 @@
 	return ended
 }
 
-// currentWithdrawals returns those that concern a subscriber, in the order in which the replicas were withdrawn.
+// currentWithdrawals returns the withdrawals that concern a subscriber, in the order in which the replicas were
+// withdrawn.
 func (s *State) currentWithdrawals(subscriber *Subscriber) []pubsubmsg.Withdrawal {
 	var current []pubsubmsg.Withdrawal
 	for _, replica := range s.Withdrawn {
@@ -136,13 +137,13 @@
 	return current
 }
 
-// cost returns what a message takes of the send window without binding and acknowledgement request, in entries.
+// cost returns the cost of a message in entries of the send window, without binding and acknowledgement request.
 func (s *State) cost(message *pubsubmsg.Message) int {
 	return s.messageOverhead + len(message.Entries) + len(message.Withdrawals) + len(message.Quotas)
 }
 
-// splitByOperations takes the entries out of a message to a subscriber whose tables are for some operations each, and
-// returns them by table.
+// splitByOperations moves the entries out of a message and returns them by table, if the subscriber's tables are for
+// some operations each. It returns nil for a table for all operations.
 func (s *Subscriber) splitByOperations(changed *changes, message *pubsubmsg.Message) []OperationTable {
 	if s.Operations == 0 {
 		return nil
@@ -171,7 +172,7 @@
 	if table.Full {
 		table.Entries = slices.Clone(s.ZoneLocalTable.Entries)
 	} else {
-		table.Entries = s.ZoneLocalTable.currentEntries(changed.zoneLocal)
+		table.Entries = s.ZoneLocalTable.currentEntries(changed.zoneLocalEntries)
 	}
 	return table
 }
--- a/internal/snapshot/state.go
+++ b/internal/snapshot/state.go
@@ -7,10 +7,10 @@
 	"peppervale/internal/model"
 )
 
-// State is the published state of one controller. Make it with New; its exported fields are to be read only.
+// State is the published state of one controller. Create it with New. Callers must not change its exported fields.
 type State struct {
-	Incarnation uint64 // of the controller
-	Version     uint64 // counts the batches applied
+	Incarnation uint64 // incarnation of the controller
+	Version     uint64 // number of batches applied
 
 	Tables             map[model.TableID]*Table
 	Withdrawn          []model.ReplicaID // withdrawn replicas, in the order of their withdrawal
@@ -18,12 +18,12 @@
 	Subscribers        []*Subscriber     // in the order of their subscription
 	SubscribersByProxy map[model.ProxyID]*Subscriber
 
-	messageOverhead int // cost of a message beyond its entries, in entries
+	messageOverhead int // cost of a message in addition to its entries, in entries
 	isWithdrawn     map[model.ReplicaID]bool
 }
 
-// New makes the empty state of one incarnation of a controller; messageOverhead is what a message costs beyond its
-// entries, in entries.
+// New returns the empty state of one incarnation of a controller; messageOverhead is the cost of a message in addition
+// to its entries, in entries.
 func New(incarnation uint64, messageOverhead int) *State {
 	return &State{
 		Incarnation:        incarnation,
@@ -34,8 +34,8 @@
 	}
 }
 
-// Subscribe adds a proxy, which uses its standing table. If it is subscribed already, the new subscription replaces the
-// old one.
+// Subscribe adds a proxy, which uses its standing table until it is bound. A new subscription of the same proxy
+// replaces the old one.
 func (s *State) Subscribe(proxy model.ProxyID, name string) *Subscriber {
 	s.Unsubscribe(proxy)
 	subscriber := &Subscriber{
@@ -61,7 +61,7 @@
 	subscriber.unbind()
 }
 
-// Apply brings the state up to date and makes one message for each subscriber concerned. An empty batch changes
+// Apply applies a batch to the state and returns one message for each affected subscriber. An empty batch changes
 // nothing, not even the version.
 func (s *State) Apply(batch *Batch) []Delivery {
 	if batch.Empty() {
@@ -107,15 +107,16 @@
 	replica := update.Replica
 	isNew := !table.has(replica)
 	table.setWeight(replica, update.Weight)
-	for _, user := range table.users {
-		pending := user.pendingChanges()
-		if user.ZoneLocalTable == table {
-			pending.zoneLocal = append(pending.zoneLocal, replica)
+	for _, subscriber := range table.subscribers {
+		pending := subscriber.pendingChanges()
+		if subscriber.ZoneLocalTable == table {
+			pending.zoneLocalEntries = append(pending.zoneLocalEntries, replica)
 		} else {
 			pending.entries = append(pending.entries, replica)
 		}
-		// Subscribers without entry for the replica were not sent its withdrawal or readmission: it comes with the entry.
-		if isNew && s.isWithdrawn[replica] != user.IsWithdrawn(replica) {
+		// A subscriber without entry for the replica was not sent its withdrawal or readmission, so it is sent with the
+		// entry.
+		if isNew && s.isWithdrawn[replica] != subscriber.IsWithdrawn(replica) {
 			pending.withdrawals = append(pending.withdrawals, replica)
 		}
 	}
--- a/internal/snapshot/subscriber.go
+++ b/internal/snapshot/subscriber.go
@@ -2,34 +2,34 @@
 
 import "peppervale/internal/model"
 
-// Subscriber is a connected proxy and what it has been sent. It is to be read only.
+// Subscriber is a connected proxy and the state that it has been sent. Callers must not change its fields.
 type Subscriber struct {
 	Proxy model.ProxyID
 	Name  string
 
-	Table               *Table // that it is bound to; nil: it uses its standing table, which is not known here
-	Operations          uint16 // that Table is for: a mask with 1 << index for each; 0: all
-	ZoneLocalTable      *Table // for the operations that stay in the proxy's zone, where they have a table of their own
-	ZoneLocalOperations uint16 // that ZoneLocalTable is for
+	Table               *Table // table that it is bound to; nil: it uses its standing table, which is not known here
+	Operations          uint16 // operations that Table is for: a mask with 1 << index for each; 0: all
+	ZoneLocalTable      *Table // for operations that stay in the proxy's zone; nil: they have no separate table
+	ZoneLocalOperations uint16 // operations that ZoneLocalTable is for
 
-	version     uint64                   // of the newest message made for it
-	ackSequence int                      // the newest that it was asked for, or NoAckSequence
-	withdrawn   map[model.ReplicaID]bool // replicas that it was notified of as withdrawn, and not readmitted since
-	pending     *changes                 // for its next message; nil: nothing changed
+	version     uint64                   // version of the newest message to it
+	ackSequence int                      // newest sequence that it was asked to acknowledge, or NoAckSequence
+	withdrawn   map[model.ReplicaID]bool // replicas that it was sent as withdrawn and not as readmitted since
+	pending     *changes                 // changes for its next message; nil: none
 }
 
-// changes is what a subscriber's next message has to contain. Replicas are in the order of their changes and may be
-// repeated.
+// changes lists what a subscriber's next message must contain. Replicas are in the order of their changes and may occur
+// several times.
 type changes struct {
-	bound       bool              // it was bound anew: the message is a snapshot
-	readmitted  []model.ReplicaID // replicas of its tables that other controllers may have withdrawn
-	entries     []model.ReplicaID // changed in its table
-	zoneLocal   []model.ReplicaID // changed in its zone-local table
-	withdrawals []model.ReplicaID // withdrawn or readmitted
-	quotas      bool
+	bound            bool              // it was newly bound: the message is a snapshot
+	readmitted       []model.ReplicaID // replicas of its tables that other controllers may have withdrawn
+	entries          []model.ReplicaID // changed in its table
+	zoneLocalEntries []model.ReplicaID // changed in its zone-local table
+	withdrawals      []model.ReplicaID // withdrawn or readmitted
+	quotas           bool
 }
 
-// IsWithdrawn reports whether the subscriber was notified that a replica is withdrawn, and not that it is readmitted.
+// IsWithdrawn reports whether the subscriber was sent a replica as withdrawn and not as readmitted since.
 func (s *Subscriber) IsWithdrawn(replica model.ReplicaID) bool { return s.withdrawn[replica] }
 
 func (s *Subscriber) setWithdrawn(replica model.ReplicaID, withdrawn bool) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// pendingChanges returns the changes for the next message, to be added to.
+// pendingChanges returns the changes for the next message; the caller may add to them.
 func (s *Subscriber) pendingChanges() *changes {
 	if s.pending == nil {
 		s.pending = &changes{}
@@ -48,15 +48,15 @@
 	return s.pending
 }
 
-// takeChanges returns the pending changes and begins anew.
+// takeChanges removes and returns the pending changes.
 func (s *Subscriber) takeChanges() *changes {
 	taken := s.pendingChanges()
 	s.pending = nil
 	return taken
 }
 
-// mayUse reports whether a replica's withdrawal concerns the subscriber: it has an entry for the replica, or uses a
-// standing table, whose entries are not known here.
+// mayUse reports whether a replica's withdrawal concerns the subscriber. It does if the subscriber has an entry for the
+// replica, or uses its standing table, whose entries are not known here.
 func (s *Subscriber) mayUse(replica model.ReplicaID) bool {
 	if s.Table == nil {
 		return true
@@ -67,8 +67,8 @@
 	return s.Table.has(replica)
 }
 
-// bind has the subscriber use a table for some operations (0: all). A table for operations that the first one leaves
-// out is used beside it; any other table replaces those before.
+// bind binds the subscriber to a table for some operations (0: all). A table for operations that the current table is
+// not for is used in addition to it. Any other table replaces the current tables.
 func (s *Subscriber) bind(table *Table, operations uint16) {
 	if s.needsZoneLocalTable(operations) {
 		s.ZoneLocalTable = table
@@ -79,21 +79,21 @@
 		s.Operations = operations
 		s.pendingChanges().readmitted = nil
 	}
-	table.users = append(table.users, s)
+	table.subscribers = append(table.subscribers, s)
 }
 
 func (s *Subscriber) needsZoneLocalTable(operations uint16) bool {
-	isBoundForSome := s.Table != nil && s.Operations != 0
-	isForOthers := operations != 0 && s.Operations&operations == 0
-	return isBoundForSome && isForOthers && s.ZoneLocalTable == nil
+	hasTableForSomeOperations := s.Table != nil && s.Operations != 0
+	isForOtherOperations := operations != 0 && s.Operations&operations == 0
+	return hasTableForSomeOperations && isForOtherOperations && s.ZoneLocalTable == nil
 }
 
 func (s *Subscriber) unbind() {
 	if s.Table != nil {
-		s.Table.removeUser(s)
+		s.Table.removeSubscriber(s)
 	}
 	if s.ZoneLocalTable != nil {
-		s.ZoneLocalTable.removeUser(s)
+		s.ZoneLocalTable.removeSubscriber(s)
 	}
 	s.Table = nil
 	s.Operations = 0
--- a/internal/snapshot/table.go
+++ b/internal/snapshot/table.go
@@ -7,13 +7,13 @@
 	"peppervale/internal/model"
 )
 
-// Table is a weight table as published, shared by the proxies that are bound to it. It is to be read only.
+// Table is a published weight table, shared by the proxies that are bound to it. Callers must not change it.
 type Table struct {
 	ID      model.TableID
 	Entries []pubsubmsg.Entry // in the order in which they were added
 
-	index map[model.ReplicaID]int // place in Entries
-	users []*Subscriber
+	index       map[model.ReplicaID]int // positions in Entries
+	subscribers []*Subscriber
 }
 
 func newTable(id model.TableID) *Table {
@@ -22,22 +22,22 @@
 
 // setWeight adds or changes an entry; a weight of 0 or less removes it.
 func (t *Table) setWeight(replica model.ReplicaID, weight float64) {
-	place, isListed := t.index[replica]
+	position, isListed := t.index[replica]
 	switch {
 	case isListed && weight > 0:
-		t.Entries[place].Weight = weight
+		t.Entries[position].Weight = weight
 	case isListed:
-		t.remove(place)
+		t.remove(position)
 	case weight > 0:
 		t.index[replica] = len(t.Entries)
 		t.Entries = append(t.Entries, pubsubmsg.Entry{Replica: replica, Weight: weight})
 	}
 }
 
-func (t *Table) remove(place int) {
-	delete(t.index, t.Entries[place].Replica)
-	t.Entries = slices.Delete(t.Entries, place, place+1)
-	for moved := place; moved < len(t.Entries); moved++ {
+func (t *Table) remove(position int) {
+	delete(t.index, t.Entries[position].Replica)
+	t.Entries = slices.Delete(t.Entries, position, position+1)
+	for moved := position; moved < len(t.Entries); moved++ {
 		t.index[t.Entries[moved].Replica] = moved
 	}
 }
@@ -47,16 +47,16 @@
 	return found
 }
 
-// weight returns 0 for a replica without entry.
+// weight returns a replica's weight, or 0 if it has no entry.
 func (t *Table) weight(replica model.ReplicaID) float64 {
-	if place, found := t.index[replica]; found {
-		return t.Entries[place].Weight
+	if position, found := t.index[replica]; found {
+		return t.Entries[position].Weight
 	}
 	return 0
 }
 
-// currentEntries returns the entries of some replicas as they are now, each once, in the order of first mention; a
-// removed one has weight 0. An unbound subscriber has no table and no changed entries: t may be nil then.
+// currentEntries returns the current entries of some replicas, each once, in the order of first occurrence. A removed
+// entry has weight 0. t may be nil if replicas is empty, as for an unbound subscriber.
 func (t *Table) currentEntries(replicas []model.ReplicaID) []pubsubmsg.Entry {
 	var entries []pubsubmsg.Entry
 	for _, replica := range unique(replicas) {
@@ -65,11 +65,11 @@
 	return entries
 }
 
-func (t *Table) removeUser(subscriber *Subscriber) {
-	t.users = removeSubscriber(t.users, subscriber)
+func (t *Table) removeSubscriber(subscriber *Subscriber) {
+	t.subscribers = removeSubscriber(t.subscribers, subscriber)
 }
 
-// unique returns the replicas without repetitions, in the order of first mention.
+// unique returns the replicas without duplicates, in the order of first occurrence.
 func unique(replicas []model.ReplicaID) []model.ReplicaID {
 	seen := map[model.ReplicaID]bool{}
 	var result []model.ReplicaID
@@ -82,6 +82,6 @@
 	return result
 }
 
-func removeSubscriber(subscribers []*Subscriber, gone *Subscriber) []*Subscriber {
-	return slices.DeleteFunc(subscribers, func(s *Subscriber) bool { return s == gone })
+func removeSubscriber(subscribers []*Subscriber, removed *Subscriber) []*Subscriber {
+	return slices.DeleteFunc(subscribers, func(s *Subscriber) bool { return s == removed })
 }
