--- a/cmd/peppervale/main_test.go
+++ b/cmd/peppervale/main_test.go
@@ -57,7 +57,7 @@
 	if err := os.WriteFile(faulty, []byte("governor \"a\" {\n  listen = 5\n}\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	const wrongType = "bad.hcl:2:12: listen: a text in quotes is wanted"
+	const wrongType = "bad.hcl:2:12: listen: expected a string in quotes"
 	scenarios := "../../scenarios"
 	tests := []struct {
 		name       string
--- a/internal/config/channel.go
+++ b/internal/config/channel.go
@@ -6,22 +6,22 @@
 	"peppervale/internal/model"
 )
 
-// defaultQueueSeconds is how much of the channel's rate its queue holds by default.
+// defaultQueueSeconds is the default size of the channel's queue, in seconds at the channel's rate.
 const defaultQueueSeconds = 2
 
-// PeerLimits are the limits on peers of the publish-subscribe channel. Zero stands for the channel's own default,
-// unless a field says otherwise.
+// PeerLimits are the limits on peers of the publish-subscribe channel. Zero selects the channel's own default, unless
+// the field's comment says otherwise.
 type PeerLimits struct {
 	Connections      int           // open at once
 	Observers        int           // open at once
-	UnsentBytes      int           // bytes that wait for one peer
-	TotalUnsentBytes int           // bytes that wait for all peers together
-	CommandRate      float64       // of one peer, a second
-	CommandBurst     int           // of one peer, at once
+	UnsentBytes      int           // unsent bytes to one peer
+	TotalUnsentBytes int           // unsent bytes to all peers in total
+	CommandRate      float64       // commands per second from one peer
+	CommandBurst     int           // commands from one peer at once
 	GreetingTimeout  time.Duration // within which a peer must join or subscribe
-	JoinRate         float64       // joins a second; 0: no limit
+	JoinRate         float64       // joins per second; 0: no limit
 	JoinBurst        int           // joins at once
-	MaxProxies       int           // joined proxies in all; 0: no limit
+	MaxProxies       int           // joined proxies in total; 0: no limit
 }
 
 // PeerLimits reads the limits on peers from the block channel { }.
@@ -40,8 +40,9 @@
 	}
 }
 
-// ReadChannelConfig reads the settings of the block channel { } that instances and checkers share, into balancer and
-// guarantees. It returns the channel's rate in entries a second and the load reports a second that the balancer takes.
+// ReadChannelConfig reads the settings of the block channel { } that instances and checkers share into balancer and
+// guarantees. It returns the channel's rate in entries per second and the maximum number of load reports per second
+// that the balancer accepts.
 func ReadChannelConfig(block *Block, balancer *model.Config, guarantees *Guarantees) (rate float64, reportLimit int) {
 	rate = block.Float("pace", 3000, 1, maxRate)
 	defaultQueue := int(max(1, min(defaultQueueSeconds*rate, maxCount)))
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -12,18 +12,18 @@
 	maxShards         = 4096
 )
 
-// Limits of a lease. One of 2 s, the default, is four raft heartbeats that may be missed and three renewals; under
-// 300 ms a busy machine loses leases without cause. The default clock drift of 5% of a lease is a thousand times what
-// quartz clocks drift, and leaves room for a machine that was paused for a moment.
+// Limits of a lease. The default of 2 s allows for four missed raft heartbeats and three renewals. With less than 300
+// ms, a busy machine loses leases without a failure. The default clock drift of 5% of a lease is a thousand times the
+// drift of quartz clocks, which also covers a machine that is paused briefly.
 const (
 	defaultLease        = 2 * model.Second
 	minLease            = 300 * model.Millisecond
 	maxLease            = 600 * model.Second
-	defaultDriftDivisor = 20 // the default drift is this part of a lease
+	defaultDriftDivisor = 20 // the default drift is the lease divided by this
 )
 
-// Cluster is the block group { }: the cluster of instances that divide the fleet among them and take over from each
-// other. ShardsPerZone and the durations must be alike at all members.
+// Cluster is the block group { }: the cluster of instances that share the fleet and take over each other's shards.
+// ShardsPerZone and the durations must be the same on all members.
 type Cluster struct {
 	ListenAddress       string // address for raft and commands
 	GossipAddress       string // address for gossip
@@ -31,21 +31,21 @@
 	Join                bool               // join a running cluster rather than form one
 	ShardsPerZone       int                // of the fleet
 	LeaseDuration       model.Microseconds // of a shard's lease
-	MaxClockDrift       model.Microseconds // that a clock may lose against another's within a lease
-	StabilizationPeriod model.Microseconds // that a returned member must have been alive before shards move back to it
-	MoveInterval        model.Microseconds // between two migrations that nothing forces
-	Capacity            float64            // requests a second that this member handles at most; 0: any
+	MaxClockDrift       model.Microseconds // between the clocks of two members during a lease
+	StabilizationPeriod model.Microseconds // time that a returned member must be alive before shards move back to it
+	MoveInterval        model.Microseconds // minimum time between two migrations that are not urgent
+	Capacity            float64            // maximum requests per second that this member handles; 0: no limit
 	Members             []ClusterMember
 }
 
-// ClusterMember is a member as this one reaches it.
+// ClusterMember is the name and the addresses of a member.
 type ClusterMember struct {
 	Name          string
 	Address       string // for raft and commands
 	GossipAddress string // address for gossip
 }
 
-// readCluster reads the block of an instance whose name and zones have been read.
+// readCluster reads the block group { }; server's name and zones must have been read.
 func readCluster(block *Block, server *Server) *Cluster {
 	cluster := &Cluster{
 		ListenAddress: block.Address("listen", false),
@@ -64,7 +64,7 @@
 		block.AddError("drift", "drift: must be shorter than span")
 	}
 	if len(server.Zones)*cluster.ShardsPerZone > maxShards {
-		block.AddError("parts", "parts: %d zones of %d parts; %d parts are handled in all",
+		block.AddError("parts", "parts: %d zones with %d parts each; at most %d parts are supported in total",
 			len(server.Zones), cluster.ShardsPerZone, maxShards)
 	}
 	cluster.readMembers(block, server.Name)
@@ -72,7 +72,7 @@
 	return cluster
 }
 
-// readMembers reads the blocks member "NAME" { }; ownName is the name of the instance itself.
+// readMembers reads the blocks member "NAME" { }; ownName is the name of this instance.
 func (c *Cluster) readMembers(block *Block, ownName string) {
 	for _, memberBlock := range block.Blocks("member", 1) {
 		member := ClusterMember{
@@ -81,17 +81,17 @@
 			GossipAddress: memberBlock.Address("gossip", false),
 		}
 		if slices.ContainsFunc(c.Members, member.conflictsWith) {
-			memberBlock.AddError("", "member %q: its name or address is that of another", member.Name)
+			memberBlock.AddError("", "member %q: another member has the same name or address", member.Name)
 		}
 		memberBlock.RejectUnknown()
 		c.Members = append(c.Members, member)
 	}
 	if len(c.Members) > maxClusterMembers {
-		block.AddError("", "group: %d members; %d are handled, 3 or 5 are usual", len(c.Members), maxClusterMembers)
+		block.AddError("", "group: %d members; at most %d are supported, 3 or 5 are usual", len(c.Members), maxClusterMembers)
 	}
 	hasOwnName := func(member ClusterMember) bool { return member.Name == ownName }
 	if !slices.ContainsFunc(c.Members, hasOwnName) {
-		block.AddError("", "group: no block member %q: each member names itself too", ownName)
+		block.AddError("", "group: a block member %q for this instance itself is missing", ownName)
 	}
 }
 
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// Error is one thing that is wrong with a file.
+// Error is one error of a file.
 type Error struct {
 	File         string
-	Line, Column int    // from 1; 0 in JSON, whose errors are placed by their field
-	Field        string // the setting or the kind of block; "" if it concerns the file or its syntax
-	Text         string // what is wrong and what is accepted, beginning with the field where one is named
+	Line, Column int    // from 1; 0 in JSON, where Field gives the position
+	Field        string // the setting or the kind of block; "" for an error of the file or its syntax
+	Text         string // the problem and the accepted values; begins with Field if there is one
 	Cause        error  // the error of the file system or the decoder; nil if there is none
 }
 
-// Error returns the place and the text.
+// Error returns the position and the text.
 func (e Error) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("%s: %s", e.File, e.Text)
@@ -27,7 +27,7 @@
 // Unwrap returns the cause.
 func (e Error) Unwrap() error { return e.Cause }
 
-// Errors is all that is wrong with a file, in its order; never empty.
+// Errors holds all errors of a file, in file order. It is never empty.
 type Errors []Error
 
 // Error returns a line for each error.
@@ -48,7 +48,7 @@
 	return all
 }
 
-// inFileOrder sorts errors by their places; those of one place keep the order in which they were found.
+// inFileOrder sorts errors by their position; errors at the same position keep their order.
 func inFileOrder(es []Error) {
 	slices.SortStableFunc(es, func(a, b Error) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,23 +7,24 @@
 	"peppervale/internal/model"
 )
 
-// Guarantees are what an instance knows of the fleet for the five invariants; the checker uses the same figures.
+// Guarantees are the properties of the fleet that the five invariants depend on. The invariant checker uses the same
+// values.
 type Guarantees struct {
-	MaxTimeWithoutReplica model.Microseconds // longest time that a proxy may have no replica to pick
-	DrainGracePeriod      model.Microseconds // within which draining and warming replicas must be withdrawn
-	WarmUpPeriod          model.Microseconds // within which a started replica is warm
-	ColdCapacity          float64            // fraction of its capacity that it has at least when it starts
-	OverloadFactor        float64            // a replica fails under this multiple of its capacity...
-	OverloadDuration      model.Microseconds // ...that lasts for so long
-	MaxPollInterval       model.Microseconds // without a subscription, a change is taken as known after this time
-	QueueLimit            int                // entries that may wait in the channel
-	MessageLimit          int                // messages to one proxy within MessageWindow; 0: no limit
+	MaxTimeWithoutReplica model.Microseconds // maximum time that a proxy may have no replica to pick
+	DrainGracePeriod      model.Microseconds // time within which draining and warming replicas must be withdrawn
+	WarmUpPeriod          model.Microseconds // time after which a started replica is warm
+	ColdCapacity          float64            // minimum fraction of its capacity that a replica has when it starts
+	OverloadFactor        float64            // a replica fails under a load of this multiple of its capacity...
+	OverloadDuration      model.Microseconds // ...that lasts for this time
+	MaxPollInterval       model.Microseconds // without a subscription, a change counts as known after this time
+	QueueLimit            int                // maximum number of queued entries in the channel
+	MessageLimit          int                // maximum number of messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow         model.Microseconds
 	FirstAttemptFraction  float64           // fraction of the latency objective that a first attempt waits before a retry
-	DefaultRetryPolicy    model.RetryPolicy // of proxies that were sent no quota
+	DefaultRetryPolicy    model.RetryPolicy // of proxies without a quota
 }
 
-// RetryPolicyNames are the names of the retry policies in files, in the order of model.RetryPolicy.
+// RetryPolicyNames are the names of the retry policies in files, indexed by model.RetryPolicy.
 var RetryPolicyNames = []string{"never", "when-unrun", "any-failure", "two-more"}
 
 // Values of the setting admits.
@@ -32,10 +33,10 @@
 	admitsAll   = "none"
 )
 
-// utilizationReading is the reading of a load report that the balancer uses.
+// utilizationReading is the name of the load report reading that the balancer uses.
 const utilizationReading = "util"
 
-// ReadBalancerConfig reads what an instance knows of the fleet: the blocks fleet { } and rules { }.
+// ReadBalancerConfig reads the configuration of the fleet from the blocks fleet { } and rules { }.
 func ReadBalancerConfig(top *Block, seed uint64, zones []string, operations []Operation) (model.Config, Guarantees) {
 	balancer := model.Config{
 		Seed:                 seed,
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxPlatformFile bounds the platform's file, in bytes.
+	// maxPlatformFile is the maximum size of the platform's file, in bytes.
 	maxPlatformFile = 16 << 20
 
 	bytesPerMegabyte   = 1 << 20
@@ -24,23 +24,24 @@
 	minSockets         = 64
 )
 
-// Platform is what the operators' platform hands to an instance that it starts.
+// Platform is the configuration that the operators' platform passes to an instance that it starts.
 type Platform struct {
 	Name             string
 	Listen           string   // address of the instance
-	Discovery        string   // address of the platform's discovery
-	Zones            []string // names, in the order of Balancer
-	Operations       []string // names, in the order of Balancer
-	LoadReportFields []string // names of a load report's readings, in their order
+	Discovery        string   // address of the platform's discovery service
+	Zones            []string // names, indexed by the zone numbers of Balancer
+	Operations       []string // names, indexed by the operation numbers of Balancer
+	LoadReportFields []string // names of a load report's readings, in their order in the report
 	Balancer         model.Config
-	MemoryLimit      int64                     // bytes that all its processes may use
-	SocketLimit      int                       // descriptors that a process may hold
-	MaxDeliveryDelay model.Microseconds        // the longest that a message takes to a proxy
-	InitialEndpoints *platformmsg.EndpointList // the endpoint list at the start; nil if there is none
+	MemoryLimit      int64                     // bytes that all processes of the instance may use
+	SocketLimit      int                       // file descriptors that a process may use
+	MaxDeliveryDelay model.Microseconds        // maximum time to deliver a message to a proxy
+	InitialEndpoints *platformmsg.EndpointList // endpoint list at startup; nil if there is none
 }
 
-// platformFile is the JSON of the platform's file. Keys are matched without regard to case; the tags in upper case are
-// what a decoding error shows. For its sake, too, these types have no names of their own (they are aliases).
+// platformFile is the JSON content of the platform's file. Keys are matched case-insensitively; decoding errors show
+// the tags, which begin with a capital letter. The types are aliases of unnamed types because decoding errors would
+// show a type name.
 type platformFile = struct {
 	Name      string          `json:"Name"`
 	Listen    string          `json:"Listen"`
@@ -56,7 +57,8 @@
 	Sockets int     `json:"Sockets"`
 }
 
-// platformSettings is what is read here of the simulator's settings; package simulator reads the rest.
+// platformSettings is the part of the simulator's settings that this package reads; package simulator reads the other
+// settings.
 type platformSettings = struct {
 	Zones   []string        `json:"Zones"`
 	Classes []platformClass `json:"Classes"`
@@ -76,14 +78,14 @@
 	MaxDeliveryDelay float64 `json:"push_delay_max"` // milliseconds
 }
 
-// LoadPlatform reads the file that LB_CONFIG names. The error is Errors, or one of the file system.
+// LoadPlatform reads the file that LB_CONFIG names. It returns Errors or an error of the file system.
 func LoadPlatform(path string) (*Platform, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxPlatformFile {
-		return nil, Errors{{File: path, Text: fmt.Sprintf("%d bytes, %d are taken", info.Size(), maxPlatformFile)}}
+		return nil, Errors{{File: path, Text: fmt.Sprintf("file size %d exceeds %d bytes", info.Size(), maxPlatformFile)}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -92,7 +94,7 @@
 	return parsePlatform(path, text)
 }
 
-// parsePlatform decodes the text of a file; path names it in errors, which are Errors.
+// parsePlatform decodes the text of the file at path. It returns Errors that contain the path.
 func parsePlatform(path string, text []byte) (*Platform, error) {
 	platform := &Platform{}
 	err := platform.decode(text)
@@ -107,12 +109,12 @@
 	return nil, Errors{located}
 }
 
-// fieldError is an error of a field of the platform's JSON.
+// fieldError returns an error of a field of the platform's JSON.
 func fieldError(field, format string, args ...any) error {
 	return Error{Field: field, Text: field + ": " + fmt.Sprintf(format, args...)}
 }
 
-// wrapError is an error of a decoder, at a field of the file, or at the field within it that the decoder names.
+// wrapError wraps a decoder error of a field of the file, or of the nested field that the decoder names.
 func wrapError(field, prefix string, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -121,7 +123,7 @@
 	return Error{Field: field, Text: prefix + err.Error(), Cause: err}
 }
 
-// decode reads a file's text; its errors lack the file's name.
+// decode decodes the text of a file; its errors do not contain the file's path.
 func (p *Platform) decode(text []byte) error {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -133,7 +135,7 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return fieldError("seed", "%.40q is no hexadecimal number of 64 bits", file.Seed)
+		return fieldError("seed", "%.40q is not a 64-bit hexadecimal number", file.Seed)
 	}
 	if err := p.setLimits(file.Limits); err != nil {
 		return err
@@ -155,7 +157,7 @@
 	} {
 		address, err := netip.ParseAddrPort(field.address)
 		if err != nil || !address.Addr().Is4() || address.Port() == 0 {
-			return fieldError(field.name, "%.60q is no IPv4 address with a port", field.address)
+			return fieldError(field.name, "%.60q is not an IPv4 address with a port", field.address)
 		}
 	}
 	p.Listen = listen
@@ -167,7 +169,7 @@
 	memoryAccepted := limits.Memory >= minMemoryMegabytes && limits.Memory <= maxMemoryMegabytes
 	socketsAccepted := limits.Sockets >= minSockets && limits.Sockets <= maxCount
 	if !memoryAccepted || !socketsAccepted {
-		return fieldError("limits", "%g MB and %d sockets; %d MB and %d sockets at least are wanted",
+		return fieldError("limits", "%g MB and %d sockets; expected at least %d MB and %d sockets",
 			limits.Memory, limits.Sockets, minMemoryMegabytes, minSockets)
 	}
 	p.MemoryLimit = int64(limits.Memory * bytesPerMegabyte)
@@ -175,7 +177,8 @@
 	return nil
 }
 
-// setNames reads the names and the delay that are in the settings. Reports on sockets use the settings' own names.
+// setNames reads the names and the maximum delivery delay from the settings. Load reports on sockets use the names of
+// the settings.
 func (p *Platform) setNames(text []byte) error {
 	var settings platformSettings
 	if err := json.Unmarshal(text, &settings); err != nil {
@@ -184,7 +187,7 @@
 	p.Zones = settings.Zones
 	p.MaxDeliveryDelay = model.Microseconds(settings.Extra.MaxDeliveryDelay * float64(model.Millisecond))
 	if p.MaxDeliveryDelay < 0 || p.MaxDeliveryDelay > maxDuration {
-		return fieldError("settings", "push_delay_max is %g ms", settings.Extra.MaxDeliveryDelay)
+		return fieldError("settings", "push_delay_max of %g ms is out of range", settings.Extra.MaxDeliveryDelay)
 	}
 	for i, class := range settings.Classes {
 		if class.Name == "" {
--- a/internal/config/platform_golden_test.go
+++ b/internal/config/platform_golden_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/model"
 )
 
-// goldenPlatform is what the golden platform file means, with every field set.
+// goldenPlatform is the expected content of the golden platform file, which sets every field.
 var goldenPlatform = &Platform{
 	Name:             "n3",
 	Listen:           "10.0.0.4:3000",
@@ -53,9 +53,9 @@
 	},
 }
 
-func TestGoldenPlatformFile(t *testing.T) {
+func TestLoadPlatformReadsEveryField(t *testing.T) {
 	got, err := LoadPlatform("testdata/golden/platform.json")
 	if err != nil || !reflect.DeepEqual(got, goldenPlatform) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("LoadPlatform returned %+v, %v", got, err)
 	}
 }
--- a/internal/config/platform_property_test.go
+++ b/internal/config/platform_property_test.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/model"
 )
 
-// discardingPublisher carries nothing out that a balancer decides.
+// discardingPublisher ignores all decisions of a balancer.
 type discardingPublisher struct{}
 
 func (discardingPublisher) SetWeight(model.TableID, model.ReplicaID, float64)                 {}
@@ -24,13 +24,13 @@
 func (discardingPublisher) Subscribe()                                                        {}
 func (discardingPublisher) Log(string)                                                        {}
 
-// TestAnySettings shows that a balancer starts on whatever settings a customer has and runs for half a minute, or
-// that one line says which field cannot be used. A quarter of the settings at least must be usable.
-func TestAnySettings(t *testing.T) {
+// TestBalancerRunsOrErrorNamesFieldForAnySettings checks that for any settings either a balancer starts and runs for
+// half a minute, or a one-line error names the invalid field. At least a quarter of the drawn settings must be valid.
+func TestBalancerRunsOrErrorNamesFieldForAnySettings(t *testing.T) {
 	total, started := 0, 0
 	defer func() {
 		if started*4 < total {
-			t.Errorf("%d of %d started: the others were rejected", started, total)
+			t.Errorf("%d of %d settings were valid, want at least a quarter", started, total)
 		}
 	}()
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,7 +40,7 @@
 			text := err.Error()
 			namesField := strings.Contains(text, "settings") || strings.Contains(text, "json:")
 			if strings.Contains(text, "\n") || !namesField {
-				t.Fatalf("%v", err)
+				t.Fatalf("error has several lines or names no field: %v", err)
 			}
 			return
 		}
@@ -49,12 +49,12 @@
 	})
 }
 
-// drawFigure draws a typical figure or, sometimes, an odd value; nil leaves it out.
-func drawFigure(t *rapid.T, name string, typical float64) any {
+// drawNumber draws the typical value or, sometimes, an unusual one; nil omits the setting.
+func drawNumber(t *rapid.T, name string, typical float64) any {
 	odd := []any{0.0, 1.0, 0.001, 1e9, nil, -1.0, 1e300, "x"}
-	place := rapid.IntRange(0, 99).Draw(t, name) - 50 // draws lean to the ends
-	if place >= 0 && place < len(odd) {
-		return odd[place]
+	index := rapid.IntRange(0, 99).Draw(t, name) - 50 // draws are biased to the ends of the range
+	if index >= 0 && index < len(odd) {
+		return odd[index]
 	}
 	return typical
 }
@@ -83,9 +83,9 @@
 		"classes":         classes,
 		"extra":           extra,
 		"membership_mode": rapid.SampledFrom([]any{"subscribe", "automatic", nil}).Draw(t, "mode"),
-		"guarantees":      map[string]any{"cold": drawFigure(t, "cold", 17000)},
+		"guarantees":      map[string]any{"cold": drawNumber(t, "cold", 17000)},
 		"stats":           rapid.SampledFrom([]any{nil, loadReport, map[string]any{"how": "silent"}}).Draw(t, "stats"),
-		"prices":          map[string]any{"cross_zone": drawFigure(t, "cross_zone", 0.08)},
+		"prices":          map[string]any{"cross_zone": drawNumber(t, "cross_zone", 0.08)},
 	}
 }
 
@@ -95,8 +95,8 @@
 	for i := range rapid.IntRange(1, 4).Draw(t, "classes") {
 		classes = append(classes, map[string]any{
 			"name":    rapid.SampledFrom(names).Draw(t, "name") + fmt.Sprint(i),
-			"on_time": drawFigure(t, "on_time", 500),
-			"credit":  drawFigure(t, "credit", 1),
+			"on_time": drawNumber(t, "on_time", 500),
+			"credit":  drawNumber(t, "credit", 1),
 			"effect":  "at_most_once",
 		})
 	}
@@ -109,7 +109,7 @@
 		"admission":      rapid.SampledFrom([]any{"ratio", "rps", "silent", "?", nil}).Draw(t, "admission"),
 		"class_own_zone": rapid.SampledFrom(ownZone).Draw(t, "own zone"),
 	}
-	for _, figure := range []struct {
+	for _, number := range []struct {
 		name    string
 		typical float64
 	}{
@@ -126,8 +126,8 @@
 		{"smallest_conn_table", 150},
 		{"push_delay_max", 500},
 	} {
-		if value := drawFigure(t, figure.name, figure.typical); value != nil {
-			extra[figure.name] = value
+		if value := drawNumber(t, number.name, number.typical); value != nil {
+			extra[number.name] = value
 		}
 	}
 	return extra
@@ -174,7 +174,8 @@
 	}
 }
 
-// drawEndpoints draws ready endpoints; zones beyond the settings' are not listed, and one may have none.
+// drawEndpoints draws ready endpoints in the zones of the settings. The last zone has no endpoints unless it is the
+// only one.
 func drawEndpoints(t *rapid.T, zoneCount int) []model.Endpoint {
 	var endpoints []model.Endpoint
 	for i := range rapid.IntRange(0, 12).Draw(t, "replicas") {
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -21,7 +21,7 @@
 "push_delay_max":555.0,"push_price":0.02,"reload_span":10000.0,"reloads_max":0,"slices":0,"smallest_conn_table":160.0},
 "guarantees":{"cold":17000.0},"prices":{"cross_zone":0.08},"stats":{"fields":["cpu_share"],"how":"piggyback"}}}`
 
-// loadPlatformText loads a file with a text.
+// loadPlatformText writes text to a file and loads it.
 func loadPlatformText(t *testing.T, text string) (*Platform, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -31,7 +31,7 @@
 	return LoadPlatform(path)
 }
 
-func TestLoadPlatform(t *testing.T) {
+func TestLoadPlatformReadsValidFile(t *testing.T) {
 	platform, err := loadPlatformText(t, validPlatformFile)
 	if err != nil {
 		t.Fatal(err)
@@ -40,16 +40,16 @@
 	balancer := platform.Balancer
 	if balancer.Seed != 0xfe429af2f6dae94c || balancer.UtilizationField != 0 || balancer.ProxyCount != 60 ||
 		balancer.QueueLimit != 6400 || balancer.Zones != 2 || !balancer.SubscriptionRequired {
-		t.Fatalf("%+v", balancer)
+		t.Fatalf("unexpected balancer configuration: %+v", balancer)
 	}
 }
 
-// checkInstanceSettings asserts what the file says beside the balancer's configuration.
+// checkInstanceSettings asserts all values except the balancer's configuration.
 func checkInstanceSettings(t *testing.T, platform *Platform) {
 	t.Helper()
 	if platform.Name != "n3" || platform.Listen != "10.0.0.4:3000" || platform.Discovery != "10.2.0.1:8500" ||
 		platform.MemoryLimit != 48<<20 || platform.SocketLimit != 256 || platform.MaxDeliveryDelay != 555*model.Millisecond {
-		t.Fatalf("%+v", platform)
+		t.Fatalf("unexpected name, address, limit or delay: %+v", platform)
 	}
 	known := &platformmsg.EndpointList{
 		Version:   41,
@@ -59,11 +59,11 @@
 	if !reflect.DeepEqual(platform.Operations, []string{"recipe-read", "batch-log"}) ||
 		!reflect.DeepEqual(platform.LoadReportFields, []string{"cpu_share"}) ||
 		!reflect.DeepEqual(platform.InitialEndpoints, known) {
-		t.Fatalf("%+v", platform)
+		t.Fatalf("unexpected operations, load report fields or endpoints: %+v", platform)
 	}
 }
 
-// TestPlatformErrorsNameField shows that a file that cannot be used is reported by its field.
+// TestPlatformErrorsNameField checks that the error of an invalid file names the invalid field.
 func TestPlatformErrorsNameField(t *testing.T) {
 	for _, tt := range []struct {
 		name, from, to string
@@ -88,18 +88,18 @@
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := loadPlatformText(t, strings.Replace(validPlatformFile, tt.from, tt.to, 1))
 			if err == nil || !strings.Contains(err.Error(), tt.word) {
-				t.Errorf("%s for %s: %v", tt.to, tt.from, err)
+				t.Errorf("%s for %s: error %v does not name the field", tt.to, tt.from, err)
 			}
 			var located Error
 			if !errors.As(err, &located) || located.Field != tt.field || filepath.Base(located.File) != "config.json" {
-				t.Errorf("%s for %s: %+v, want field %s", tt.to, tt.from, located, tt.field)
+				t.Errorf("%s for %s: error %+v, want field %s", tt.to, tt.from, located, tt.field)
 			}
 		})
 	}
 	if _, err := loadPlatformText(t, "{"); err == nil {
-		t.Error("an incomplete file is accepted")
+		t.Error("LoadPlatform accepted an incomplete file")
 	}
 	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a missing file is accepted")
+		t.Error("LoadPlatform accepted a missing file")
 	}
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -11,11 +11,11 @@
 // Reader reads one HCL file and collects its errors.
 type Reader struct {
 	file    string
-	sources map[string][]byte // by file; more than one where a file inherits from another
+	sources map[string][]byte // by path; more than one if the file inherits from another
 	errors  []Error
 }
 
-// Open parses a file. A nil Block means that it could not be parsed at all: see Err.
+// Open parses a file. The Block is nil if the file cannot be parsed; see Err.
 func Open(path string) (*Reader, *Block) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -24,12 +24,12 @@
 	return Parse(path, source)
 }
 
-// unreadable is the error of a file that cannot be read, placed at its start.
+// unreadable returns the error of a file that cannot be read, positioned at its start.
 func unreadable(path string, cause error) Error {
 	return Error{File: path, Line: 1, Column: 1, Text: cause.Error(), Cause: cause}
 }
 
-// Parse is Open for a source that is in memory.
+// Parse is like Open for a source in memory.
 func Parse(path string, source []byte) (*Reader, *Block) {
 	reader := &Reader{file: path, sources: map[string][]byte{path: source}}
 	file, diagnostics := hclsyntax.ParseConfig(source, path, hcl.InitialPos)
@@ -39,11 +39,11 @@
 	if len(reader.errors) > 0 {
 		return reader, nil
 	}
-	body := file.Body.(*hclsyntax.Body) // ParseConfig gives no other
-	return reader, &Block{reader: reader, body: body, at: hcl.Range{Start: hcl.InitialPos}}
+	body := file.Body.(*hclsyntax.Body) // ParseConfig always returns this type
+	return reader, &Block{reader: reader, body: body, location: hcl.Range{Start: hcl.InitialPos}}
 }
 
-// addDiagnostic takes an error of the HCL parser; warnings are left out.
+// addDiagnostic adds an error of the HCL parser; warnings are ignored.
 func (r *Reader) addDiagnostic(diagnostic *hcl.Diagnostic) {
 	if diagnostic.Severity != hcl.DiagError {
 		return
@@ -69,7 +69,7 @@
 	})
 }
 
-// Err returns all errors as Errors, in the file's order, or nil.
+// Err returns all errors as Errors, in file order, or nil.
 func (r *Reader) Err() error {
 	if len(r.errors) == 0 {
 		return nil
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -6,31 +6,31 @@
 	"strings"
 )
 
-// reloadRule says whether a running instance can adopt a change of one part of a file.
+// reloadRule defines whether a running instance can adopt a change of one part of a file.
 type reloadRule struct {
 	name          string
 	value         func(*Server) any
-	restartReason string // why a change needs a restart; "" if it can be adopted
+	restartReason string // why a change requires a restart; "" if it can be adopted at runtime
 }
 
-// Reasons that several parts share.
+// Restart reasons that apply to several parts.
 const (
-	reasonOnWire   = "its numbers are on the wire and in tables that proxies hold"
-	reasonBalancer = "the balancer starts with it, and its statistics depend on it"
-	reasonSocket   = "its socket is open"
+	reasonWireFormat = "its numbers are used on the wire and in the tables of proxies"
+	reasonBalancer   = "the balancer is created with it, and its statistics depend on it"
+	reasonSocket     = "the listening socket is already open"
 )
 
-// reloadRules covers every part of a file; Reload compares no other.
+// reloadRules covers every part of a file; Reload compares only these parts.
 var reloadRules = []reloadRule{
-	{"governor: the name", func(s *Server) any { return s.Name }, "logs, pages and the endpoint list's log carry it"},
+	{"governor: the name", func(s *Server) any { return s.Name }, "logs, console pages and Consul show it"},
 	{"governor: listen", func(s *Server) any { return s.ListenAddress }, reasonSocket},
 	{"governor: state", func(s *Server) any { return s.StateDir }, "the directory is locked and open"},
-	{"governor: seed", func(s *Server) any { return s.Balancer.Seed }, "random numbers are drawn from it since the start"},
+	{"governor: seed", func(s *Server) any { return s.Balancer.Seed }, "random numbers are derived from it since startup"},
 	{"governor: log", func(s *Server) any { return s.LogLevel }, ""},
 	{"governor: farewell", func(s *Server) any { return s.ShutdownGracePeriod }, ""},
-	{"zones", func(s *Server) any { return s.Zones }, reasonOnWire},
-	{"operation", func(s *Server) any { return s.Operations }, reasonOnWire},
-	{"channel: pace", func(s *Server) any { return s.ChannelRate }, "what waits was given its time by it"},
+	{"zones", func(s *Server) any { return s.Zones }, reasonWireFormat},
+	{"operation", func(s *Server) any { return s.Operations }, reasonWireFormat},
+	{"channel: pace", func(s *Server) any { return s.ChannelRate }, "queued updates were scheduled with the old rate"},
 	{"channel: intake", func(s *Server) any { return s.ReportLimit }, ""},
 	{
 		"channel: connections, observers, unsent_bytes, unsent_all_bytes, greeting, commands, joins, joined_most",
@@ -38,7 +38,7 @@
 	},
 	{
 		"group", func(s *Server) any { return s.Cluster },
-		"what the cluster has agreed on depends on it; restart one member after the other",
+		"the replicated state of the cluster depends on it; restart the members one at a time",
 	},
 	{"console: listen", func(s *Server) any { return s.ConsoleAddress }, reasonSocket},
 	{"machine_list", func(s *Server) any { return s.Discovery }, "a poll is in flight"},
@@ -46,7 +46,7 @@
 	{"fleet, rules: what only checkers read", func(s *Server) any { return s.Guarantees }, reasonBalancer},
 }
 
-// remainingBalancerConfig is the balancer's configuration without what other rules cover.
+// remainingBalancerConfig returns the balancer's configuration without the fields that other rules cover.
 func remainingBalancerConfig(s *Server) any {
 	balancer := s.Balancer
 	balancer.Seed = 0
@@ -55,24 +55,24 @@
 	return balancer
 }
 
-// Reload compares the file in force with a new reading of it. The file is adopted completely or not at all: if
-// anything in it cannot change while the instance runs, the error names each such part with its reason, and the old
-// file stays in force. Otherwise changed describes each part that differs.
+// Reload compares the current configuration with the newly read one. The new configuration is adopted completely or not
+// at all: if it changes a part that requires a restart, the error names each such part with the reason, and the current
+// configuration stays in effect. Otherwise changed describes each part that differs.
 func Reload(old, next *Server) (changed []string, err error) {
-	var needRestart []string
+	var restartRequired []string
 	for _, rule := range reloadRules {
 		before, after := rule.value(old), rule.value(next)
 		switch {
 		case reflect.DeepEqual(before, after):
 		case rule.restartReason != "":
-			needRestart = append(needRestart, fmt.Sprintf("%s: %s", rule.name, rule.restartReason))
+			restartRequired = append(restartRequired, fmt.Sprintf("%s: %s", rule.name, rule.restartReason))
 		default:
 			changed = append(changed, fmt.Sprintf("%s: %+v, was %+v", rule.name, after, before))
 		}
 	}
-	if len(needRestart) > 0 {
-		return nil, fmt.Errorf("the old settings stay in force, all of them; these need a restart:\n  %s",
-			strings.Join(needRestart, "\n  "))
+	if len(restartRequired) > 0 {
+		return nil, fmt.Errorf("no setting was changed; changes of these settings require a restart:\n  %s",
+			strings.Join(restartRequired, "\n  "))
 	}
 	return changed, nil
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -11,22 +11,22 @@
 // withSetting adds a setting to the first block of a kind.
 func withSetting(t *testing.T, text, kind, setting string) string {
 	t.Helper()
-	changed := strings.Replace(text, kind+" {", kind+" {\n  "+setting, 1)
-	if changed == text {
-		t.Fatalf("no %s in the example", kind)
+	edited := strings.Replace(text, kind+" {", kind+" {\n  "+setting, 1)
+	if edited == text {
+		t.Fatalf("the example has no block %s", kind)
 	}
-	return changed
+	return edited
 }
 
-// TestReload shows that each edit of the example file is adopted, or refused with its place and reason, and that a file
-// with one of each is refused completely.
-func TestReload(t *testing.T) {
+// TestReloadAdoptsOrRefusesEachChange checks that each edit of the example file is adopted, or refused with its setting
+// and reason, and that a file with both kinds of edits is refused completely.
+func TestReloadAdoptsOrRefusesEachChange(t *testing.T) {
 	file, err := os.ReadFile("../../examples/governor.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	example := string(file)
-	dir := t.TempDir() // one for all, as the state directory is relative to the file
+	dir := t.TempDir() // shared, because the state directory is relative to the file
 	load := func(t *testing.T, text string) *Server {
 		t.Helper()
 		path := filepath.Join(dir, "server.hcl")
@@ -50,15 +50,15 @@
 		{"joins", withJoins, "joins", ""},
 		{"unsent bytes", withSetting(t, example, "channel", "unsent_all_bytes = 100000"), "unsent_all_bytes", ""},
 		{"two settings", withSetting(t, withIntake, "channel", "commands = 9"), "intake: 77, was 500", ""},
-		{"pace", strings.Replace(example, "pace  = 3000", "pace = 77", 1), "", "pace: what waits"},
-		{"cold", withSetting(t, example, "rules", "cold = \"3s\""), "", "the balancer starts with it"},
-		{"joins and cold", withSetting(t, withJoins, "rules", "cold = \"3s\""), "", "the balancer starts with it"},
+		{"pace", strings.Replace(example, "pace  = 3000", "pace = 77", 1), "", "pace: queued updates"},
+		{"cold", withSetting(t, example, "rules", "cold = \"3s\""), "", "the balancer is created with it"},
+		{"joins and cold", withSetting(t, withJoins, "rules", "cold = \"3s\""), "", "the balancer is created with it"},
 		{"zones", strings.Replace(example, "zones", "zones = [\"else\"]\n//", 1), "", "zones: its numbers"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			changed, err := Reload(old, load(t, tt.text))
 			if (err != nil) != (tt.refused != "") || err != nil && !strings.Contains(err.Error(), tt.refused) {
-				t.Errorf("want refusal %q, got %v", tt.refused, err)
+				t.Errorf("want refusal %q, got error %v", tt.refused, err)
 			}
 			all := strings.Join(changed, "; ")
 			if !strings.Contains(all, tt.changed) || tt.changed == "" && all != "" {
@@ -68,20 +68,20 @@
 	}
 }
 
-// TestReloadComparesEverything shows that no part of a file is left out: a change of one that is added and forgotten in
-// the rules would go unnoticed.
-func TestReloadComparesEverything(t *testing.T) {
+// TestReloadComparesEveryField checks that the reload rules cover every field of Server. Reload would ignore a change
+// of a field without a rule.
+func TestReloadComparesEveryField(t *testing.T) {
 	serverType := reflect.TypeFor[Server]()
 	for i := range serverType.NumField() {
 		next := &Server{}
 		setNonZero(reflect.ValueOf(next).Elem().Field(i))
 		if changed, err := Reload(&Server{}, next); err == nil && len(changed) == 0 {
-			t.Errorf("a change of %s is not noticed", serverType.Field(i).Name)
+			t.Errorf("Reload does not detect a change of %s", serverType.Field(i).Name)
 		}
 	}
 }
 
-// setNonZero puts something other than zero into a value; of a struct into its last field.
+// setNonZero sets a value to something other than zero; in a struct it sets the last field.
 func setNonZero(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
--- a/internal/config/server.go
+++ b/internal/config/server.go
@@ -8,11 +8,11 @@
 	"peppervale/internal/model"
 )
 
-// Limits of the file's numbers; generous, they catch a wrong unit or digit.
+// Limits of the file's numbers. They are wide and only detect a wrong unit or an extra digit.
 const (
 	maxDuration         = 3600 * model.Second
 	maxCount            = 1_000_000
-	maxRate             = 1e9 // a second
+	maxRate             = 1e9 // per second
 	maxPriorityWeight   = 1e9
 	maxUnsentBytes      = 1 << 30
 	maxTotalUnsentBytes = 1 << 40
@@ -27,26 +27,26 @@
 	Operations          []Operation
 	Balancer            model.Config
 	Guarantees          Guarantees
-	ReportLimit         int     // load reports a second that the balancer takes
-	ChannelRate         float64 // entries a second that the channel writes
+	ReportLimit         int     // maximum load reports per second that the balancer accepts
+	ChannelRate         float64 // entries per second that the channel writes
 	Discovery           Discovery
 	PeerLimits          PeerLimits
 	ShutdownGracePeriod time.Duration
 	LogLevel            string
 	ConsoleAddress      string   // address of the web console; "" for none
-	Cluster             *Cluster // nil: the instance is alone
+	Cluster             *Cluster // nil: the instance is not part of a cluster
 }
 
-// Discovery says where the endpoint list is.
+// Discovery is the source of the endpoint list.
 type Discovery struct {
 	Kind    string // "consul"
 	Address string
 	Service string
 	Wait    time.Duration // of a blocking query
-	Timeout time.Duration // beyond the wait
+	Timeout time.Duration // after the wait
 }
 
-// LoadServer reads an instance's file; the error is Errors.
+// LoadServer reads the file of an instance. The error has the type Errors.
 func LoadServer(path string) (*Server, error) {
 	reader, top := Open(path)
 	if top == nil {
@@ -56,7 +56,7 @@
 	return server, reader.Err()
 }
 
-// readServer reads a file's top level; dir is the directory of the file.
+// readServer reads the top level of a file in the directory dir.
 func readServer(top *Block, dir string) *Server {
 	server := &Server{}
 	server.readInstance(top.SingleBlock("governor", 1, true), dir)
@@ -104,7 +104,7 @@
 	)
 	discovery := Discovery{Kind: block.Labels[0]}
 	if discovery.Kind != "consul" && discovery.Kind != "" {
-		block.AddError("", "machine_list: %q is none of consul", discovery.Kind)
+		block.AddError("", "machine_list: unknown kind %q; the only supported kind is consul", discovery.Kind)
 	}
 	discovery.Address = block.Address("address", false)
 	discovery.Service = block.String("service", "")
--- a/internal/config/server_test.go
+++ b/internal/config/server_test.go
@@ -46,7 +46,7 @@
 }
 `
 
-// loadServerText loads a file with a text.
+// loadServerText writes text to a file and loads it.
 func loadServerText(t *testing.T, text string) (*Server, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "server.hcl")
@@ -56,60 +56,61 @@
 	return LoadServer(path)
 }
 
-func TestLoadServer(t *testing.T) {
+func TestLoadServerReadsValidFile(t *testing.T) {
 	server, err := loadServerText(t, validServerFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if server.Name != "govan-1" || !filepath.IsAbs(server.StateDir) || server.Discovery.Wait != 10*time.Second {
-		t.Fatalf("%+v", server)
+		t.Fatalf("unexpected name, state directory or discovery wait: %+v", server)
 	}
 	balancer := server.Balancer
 	if balancer.QueueLimit != 6000 || balancer.UtilizationField != 0 || balancer.ReportPeriod != model.Second ||
 		balancer.Operations[1].PriorityWeight != 3 {
-		t.Fatalf("%+v", balancer)
+		t.Fatalf("unexpected balancer configuration: %+v", balancer)
 	}
 	if len(server.Operations) != 2 || server.Operations[1].IdempotencyWindow != 1_200_000 {
-		t.Fatalf("%+v", server.Operations)
+		t.Fatalf("unexpected operations: %+v", server.Operations)
 	}
 }
 
-// TestServerErrorsNamePlaceAndRemedy shows that each error has its place, its field, and what is accepted instead.
-func TestServerErrorsNamePlaceAndRemedy(t *testing.T) {
+// TestServerErrorsNamePositionAndAcceptedValues checks that each error has its position, its field, and the accepted
+// values.
+func TestServerErrorsNamePositionAndAcceptedValues(t *testing.T) {
 	for _, tt := range []struct {
 		name, from, to       string
 		place, field, remedy string
 	}{
 		{
 			"unknown block", "rules {", "rulez {",
-			":22:1", "rulez", `no block "rulez" here; there are channel, console, fleet`,
+			":22:1", "rulez", `unknown block "rulez"; supported here: channel, console, fleet`,
 		},
 		{
 			"unknown setting", "forwarders  = 40", "forwarders  = 40\n  proxys = 1",
-			":20:3", "proxys", `no setting "proxys" here; there are admits`,
+			":20:3", "proxys", `unknown setting "proxys"; supported here: admits`,
 		},
-		{"zone twice", `["govan", "maryhill"]`, `["govan", "govan"]`, ":5:9", "zones", `"govan" stands there twice`},
-		{"time without a unit", `"500ms"`, `500`, ":7:15", "objective", `write "500ms" or "500s"`},
-		{"text that is no time", `"500ms"`, `"soon"`, ":7:15", "objective", `a time with its unit`},
-		{"operation twice", `"batch-log"`, `"recipe-read"`, ":11:1", "operation", `"recipe-read" stands there twice`},
+		{"zone twice", `["govan", "maryhill"]`, `["govan", "govan"]`, ":5:9", "zones", `"govan" is listed twice; remove one`},
+		{"duration without a unit", `"500ms"`, `500`, ":7:15", "objective", `write "500ms" or "500s"`},
+		{"string that is not a duration", `"500ms"`, `"soon"`, ":7:15", "objective", `a duration with a unit`},
+		{"operation twice", `"batch-log"`, `"recipe-read"`, ":11:1", "operation", `"recipe-read" is declared twice`},
 		{
 			"unknown effect", `"idempotent"`, `"safe"`,
-			":9:15", "effect", "none of idempotent, fingerprinted, side-effecting",
+			":9:15", "effect", "not one of idempotent, fingerprinted, side-effecting",
 		},
 		{"window missing", "  window       = \"1200ms\"\n", "", ":11:1", "window", "window is missing"},
-		{"timeout too short", `"1200ms"`, `"100ms"`, ":8:15", "timeout", "ends before the latency objective"},
-		{"address of a name", `"127.0.0.1:7700"`, `"localhost"`, ":2:12", "listen", "as 127.0.0.1:7700"},
-		{"unknown kind of list", `"consul"`, `"zookeeper"`, ":28:1", "machine_list", "none of consul"},
-		{"number out of range", "forwarders  = 40", "forwarders  = 70000", ":19:17", "forwarders", "outside 1 to 65535"},
-		{"fraction", "forwarders  = 40", "forwarders  = 4.5", ":19:17", "forwarders", "a whole number"},
-		{"no HCL", "zones =", "zones", ":5:1", "", "use the equals sign"},
-		{"reference", `"recipe"`, "var.name", ":30:13", "service", "only plain values"},
+		{"timeout too short", `"1200ms"`, `"100ms"`, ":8:15", "timeout", "must not be shorter than objective"},
+		{"host name as an address", `"127.0.0.1:7700"`, `"localhost"`, ":2:12", "listen", "such as 127.0.0.1:7700"},
+		{"unknown kind of discovery", `"consul"`, `"zookeeper"`, ":28:1", "machine_list", "only supported kind is consul"},
+		{"number out of range", "forwarders  = 40", "forwarders  = 70000", ":19:17", "forwarders", "expected 1 to 65535"},
+		{"fraction", "forwarders  = 40", "forwarders  = 4.5", ":19:17", "forwarders", "expected an integer"},
+		{"invalid syntax", "zones =", "zones", ":5:1", "", "use the equals sign"},
+		{"reference", `"recipe"`, "var.name", ":30:13", "service", "expected a literal value"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := loadServerText(t, strings.Replace(validServerFile, tt.from, tt.to, 1))
 			var all Errors
 			if !errors.As(err, &all) {
-				t.Fatalf("accepted: %v", err)
+				t.Fatalf("LoadServer returned %v, want Errors", err)
 			}
 			described := func(e Error) bool {
 				text := e.Error()
@@ -117,7 +118,7 @@
 			}
 			i := slices.IndexFunc(all, described)
 			if i < 0 {
-				t.Fatalf("want %q and %q in\n%s", tt.place, tt.remedy, err)
+				t.Fatalf("no error with %q and %q in\n%s", tt.place, tt.remedy, err)
 			}
 			if all[i].Field != tt.field {
 				t.Fatalf("field %q, want %q", all[i].Field, tt.field)
@@ -126,17 +127,17 @@
 	}
 }
 
-// TestAllServerErrorsAreReported shows that the errors of a file are reported at once and in its order.
+// TestAllServerErrorsAreReported checks that all errors of a file are reported together and in file order.
 func TestAllServerErrorsAreReported(t *testing.T) {
 	edits := strings.NewReplacer(`"500ms"`, "500", "forwarders  = 40", "forwarders = 0")
 	_, err := loadServerText(t, edits.Replace(validServerFile))
 	var all Errors
 	if !errors.As(err, &all) || len(all) != 2 || all[0].Line > all[1].Line {
-		t.Fatalf("two errors are reported as %v", err)
+		t.Fatalf("LoadServer returned %v, want two errors in file order", err)
 	}
 }
 
-func TestMissingServerFile(t *testing.T) {
+func TestLoadServerFailsWhenFileIsMissing(t *testing.T) {
 	_, err := LoadServer("/nowhere/server.hcl")
 	if err == nil || !strings.Contains(err.Error(), "/nowhere/server.hcl") || !errors.Is(err, fs.ErrNotExist) {
 		t.Fatal(err)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// settingList collects settings for display: names and values in their order.
+// settingList collects names and values of settings for display, in order.
 type settingList [][2]string
 
 func (l *settingList) add(name string, value any) {
@@ -16,8 +16,8 @@
 	l.add(name, fmt.Sprintf(format, args...))
 }
 
-// Settings returns the settings as they were read, defaults included, for display: name and value, in the file's order.
-// The console shows the texts, which is why they keep the words of the file format.
+// Settings returns the name and the value of each setting, including defaults, in the order of the file. The console
+// shows these texts, so they use the terms of the file format.
 func (s *Server) Settings() [][2]string {
 	var list settingList
 	list.add("governor", s.Name)
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -13,44 +13,44 @@
 	"peppervale/internal/model"
 )
 
-// value evaluates a setting. ok is false, and the error reported, if it is missing and required or no plain value; it
-// is false without an error if it is missing otherwise.
+// value evaluates a setting. If the setting is not a literal value, or is required and missing, it reports an error and
+// ok is false. If an optional setting is missing, ok is false without an error.
 func (b *Block) value(name string, required bool) (value cty.Value, at hcl.Range, ok bool) {
 	b.attributes = append(b.attributes, name)
 	attribute := b.body.Attributes[name]
 	if attribute == nil {
 		if required {
-			b.reader.addError(b.at, name, "%s is missing", name)
+			b.reader.addError(b.location, name, "%s is missing", name)
 		}
 		return cty.NilVal, hcl.Range{}, false
 	}
 	at = attribute.Expr.Range()
 	value, diagnostics := attribute.Expr.Value(nil)
 	if diagnostics.HasErrors() || value.IsNull() || !value.IsWhollyKnown() {
-		b.reader.addError(at, name, "%s: only plain values are read here", name)
+		b.reader.addError(at, name, "%s: expected a literal value", name)
 		return cty.NilVal, at, false
 	}
 	return value, at, true
 }
 
-// String reads a string; an empty fallback makes it required. With allowed values it must be one of them.
+// String reads a string; an empty fallback makes it required. If allowed values are given, it must be one of them.
 func (b *Block) String(name, fallback string, allowed ...string) string {
 	value, at, ok := b.value(name, fallback == "")
 	if !ok {
 		return fallback
 	}
 	if value.Type() != cty.String {
-		b.reader.addError(at, name, "%s: a text in quotes is wanted", name)
+		b.reader.addError(at, name, "%s: expected a string in quotes", name)
 		return fallback
 	}
 	text := value.AsString()
 	if len(allowed) > 0 && !slices.Contains(allowed, text) {
-		b.reader.addError(at, name, "%s: %q is none of %s", name, text, strings.Join(allowed, ", "))
+		b.reader.addError(at, name, "%s: %q is not one of %s", name, text, strings.Join(allowed, ", "))
 	}
 	return text
 }
 
-// OptionalString reads a string that may be left out; it is "" then.
+// OptionalString reads an optional string; it returns "" if the setting is missing.
 func (b *Block) OptionalString(name string) string {
 	if !b.HasSetting(name) {
 		b.attributes = append(b.attributes, name)
@@ -64,12 +64,12 @@
 	return b.stringList(name, required, true)
 }
 
-// InstanceZones reads the setting governors: a zone for each instance, which may appear more than once.
+// InstanceZones reads the setting governors: the zone of each instance. A zone may appear more than once.
 func (b *Block) InstanceZones() []string {
 	const name = "governors"
 	zones := b.stringList(name, true, false)
 	if b.HasSetting(name) && len(zones) == 0 {
-		b.AddError(name, "governors: a list of zones is wanted, one for each governor")
+		b.AddError(name, "governors: expected a list of zones, one for each governor")
 	}
 	return zones
 }
@@ -91,7 +91,7 @@
 		}
 		text := element.AsString()
 		if unique && slices.Contains(texts, text) {
-			b.reader.addError(position, name, "%s: %q stands there twice; leave one out", name, text)
+			b.reader.addError(position, name, "%s: %q is listed twice; remove one", name, text)
 		}
 		texts = append(texts, text)
 	}
@@ -99,7 +99,7 @@
 }
 
 func (b *Block) addNotAListError(at hcl.Range, name string) {
-	b.reader.addError(at, name, "%s: a list of texts is wanted, [\"a\", \"b\"]", name)
+	b.reader.addError(at, name, "%s: expected a list of strings, such as [\"a\", \"b\"]", name)
 }
 
 // Float reads a number from lowest to highest; NaN as the fallback makes it required.
@@ -109,12 +109,12 @@
 		return fallback
 	}
 	if value.Type() != cty.Number {
-		b.reader.addError(at, name, "%s: a number is wanted", name)
+		b.reader.addError(at, name, "%s: expected a number", name)
 		return fallback
 	}
 	number, _ := value.AsBigFloat().Float64()
 	if number < lowest || number > highest {
-		b.reader.addError(at, name, "%s: %v lies outside %v to %v", name, number, lowest, highest)
+		b.reader.addError(at, name, "%s: %v is out of range, expected %v to %v", name, number, lowest, highest)
 	}
 	return number
 }
@@ -126,8 +126,8 @@
 		numberFallback = math.NaN()
 	}
 	number := b.Float(name, numberFallback, float64(lowest), float64(highest))
-	if number != math.Trunc(number) { // also where it is NaN
-		b.AddError(name, "%s: a whole number is wanted", name)
+	if number != math.Trunc(number) { // also true for NaN
+		b.AddError(name, "%s: expected an integer", name)
 	}
 	if math.IsNaN(number) {
 		return lowest
@@ -142,7 +142,7 @@
 		return fallback
 	}
 	if value.Type() != cty.Bool {
-		b.reader.addError(at, name, "%s: true or false is wanted", name)
+		b.reader.addError(at, name, "%s: expected true or false", name)
 		return fallback
 	}
 	return value.True()
@@ -157,17 +157,17 @@
 	}
 	if value.Type() == cty.Number {
 		number, _ := value.AsBigFloat().Float64()
-		b.reader.addError(position, name, "%s: a time without a unit; write \"%gms\" or \"%gs\"", name, number, number)
+		b.reader.addError(position, name, "%s: the duration has no unit; write \"%gms\" or \"%gs\"", name, number, number)
 		return shortest
 	}
 	duration, ok := parseDuration(value)
 	if !ok {
-		b.reader.addError(position, name, "%s: a time with its unit is wanted, as \"500ms\" or \"2s\"", name)
+		b.reader.addError(position, name, "%s: expected a duration with a unit, such as \"500ms\" or \"2s\"", name)
 		return shortest
 	}
 	microseconds := model.Microseconds(duration / time.Microsecond)
 	if microseconds < shortest || microseconds > longest {
-		b.reader.addError(position, name, "%s: %s lies outside %s to %s",
+		b.reader.addError(position, name, "%s: %s is out of range, expected %s to %s",
 			name, duration, shortest.Duration(), longest.Duration())
 	}
 	return microseconds
@@ -181,7 +181,7 @@
 	return duration, err == nil
 }
 
-// Address reads host:port on IPv4. Port 0, any free one, is accepted only if anyPort is set. It may not be empty.
+// Address reads a required IPv4 address with a port. Port 0 (any free port) is accepted only if anyPort is true.
 func (b *Block) Address(name string, anyPort bool) string {
 	text := b.String(name, "")
 	if text == "" {
@@ -189,9 +189,9 @@
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || !address.Addr().Is4() {
-		b.AddError(name, "%s: %q is no IPv4 address with a port, as 127.0.0.1:7700", name, text)
+		b.AddError(name, "%s: %q is not an IPv4 address with a port, such as 127.0.0.1:7700", name, text)
 	} else if address.Port() == 0 && !anyPort {
-		b.AddError(name, "%s: a port above 0 is wanted", name)
+		b.AddError(name, "%s: expected a port above 0", name)
 	}
 	return text
 }
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -10,17 +10,17 @@
 	"peppervale/internal/model"
 )
 
-// endpointCache is the endpoint list as the last watch left it.
+// endpointCache is the endpoint list as of the last watch event.
 type endpointCache struct {
 	zones   []string
 	names   *platformmsg.ReplicaNames
 	log     zerolog.Logger
 	entries map[string]platformmsg.Endpoint // by name
-	version uint64                          // of the list; 0: ask for the complete one
+	version uint64                          // of the list; 0: request the complete list
 }
 
-// apply merges a watch event: a complete list, or changed entries.
-func (c *endpointCache) apply(list *platformmsg.EndpointList) {
+// applyEvent merges a watch event, which is a complete list or a list of changed entries.
+func (c *endpointCache) merge(list *platformmsg.EndpointList) {
 	if list.Full {
 		clear(c.entries)
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// registerIfUsable registers the replica of an entry, and reports whether the entry can be used: it has a known zone
-// and a name that can be registered.
+// registerIfUsable registers the replica of an entry. It reports whether the entry is usable: its zone is known and its
+// name can be registered.
 func (c *endpointCache) registerIfUsable(endpoint platformmsg.Endpoint) bool {
 	if !slices.Contains(c.zones, endpoint.Zone) {
 		return false
@@ -52,7 +52,7 @@
 	return ok
 }
 
-// endpoints is the cached list, ordered by name.
+// endpoints returns the cached list, ordered by name.
 func (c *endpointCache) endpoints() []model.Endpoint {
 	var endpoints []model.Endpoint
 	for _, name := range slices.Sorted(maps.Keys(c.entries)) {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -12,13 +12,13 @@
 	"peppervale/internal/netpoll"
 )
 
-// statusOK is the only HTTP status whose answer is used.
+// statusOK is the only HTTP status whose response is used.
 const statusOK = 200
 
-// errAnswerComplete stops the parser after the answer to a call.
-var errAnswerComplete = errors.New("the answer is complete")
+// errResponseComplete stops the parser after the response to a call.
+var errResponseComplete = errors.New("the HTTP response is complete")
 
-// httpClient makes calls over connections of an engine of its own.
+// httpClient makes HTTP calls over connections of its own socket engine.
 type httpClient struct {
 	engine *netpoll.Engine
 }
@@ -27,12 +27,12 @@
 	engine, err := netpoll.Start(1, netpoll.Handlers{
 		Data: func(conn *nbio.Conn, data []byte) {
 			if current, ok := conn.Session().(*call); ok {
-				current.receive(data)
+				current.receiveData(data)
 			}
 		},
 		Close: func(conn *nbio.Conn, err error) {
 			if current, ok := conn.Session().(*call); ok {
-				current.finish(nil, fmt.Errorf("connection ended: %w", err))
+				current.finish(nil, fmt.Errorf("connection closed: %w", err))
 			}
 		},
 	})
@@ -42,43 +42,43 @@
 	return &httpClient{engine: engine}, nil
 }
 
-// close ends all connections.
+// close closes all connections.
 func (h *httpClient) close() { h.engine.Stop() }
 
-// newCall prepares a call; send or dial starts it.
+// newCall prepares a call; dial or reuse starts it.
 func (h *httpClient) newCall(request []byte, parser *http1.Parser) *call {
 	return &call{
-		engine:  h.engine,
-		request: request,
-		parser:  parser,
-		began:   time.Now(),
-		ended:   make(chan callResult, 1),
+		engine:    h.engine,
+		request:   request,
+		parser:    parser,
+		startedAt: time.Now(),
+		result:    make(chan callResult, 1),
 	}
 }
 
-// callResult is how a call ended: with an answer or with an error.
+// callResult is the result of a call: a response or an error.
 type callResult struct {
 	message *http1.Message
 	err     error
 }
 
-// call is one HTTP request and its answer. Make it with newCall.
+// call is one HTTP request and its response. Create it with newCall.
 type call struct {
-	engine  *netpoll.Engine
-	request []byte
-	began   time.Time
-	once    sync.Once
-	ended   chan callResult // receives one result
-
-	// mu is held while received bytes are parsed, and so also in the parser's Stream function.
-	mu        sync.Mutex
-	parser    *http1.Parser
-	conn      *nbio.Conn
-	abandoned bool      // nothing that arrives counts any more
-	firstByte time.Time // when the answer began; zero before
+	engine    *netpoll.Engine
+	request   []byte
+	startedAt time.Time
+	once      sync.Once
+	result    chan callResult // receives one result
+
+	// mu is held while received bytes are parsed, and therefore also while the parser's Stream function runs.
+	mu          sync.Mutex
+	parser      *http1.Parser
+	conn        *nbio.Conn
+	abandoned   bool      // received data is ignored
+	firstByteAt time.Time // when the first byte of the response arrived; zero before that
 }
 
-// dial connects and sends the request; the timeout bounds the connecting.
+// dial connects and sends the request; the timeout limits the time to connect.
 func (c *call) dial(address string, timeout time.Duration) {
 	netpoll.Dial(c.engine, address, timeout, c, func(conn *nbio.Conn, err error) {
 		if err != nil {
@@ -89,7 +89,7 @@
 	})
 }
 
-// reuse sends the request over a connection that is open.
+// reuse sends the request over an open connection.
 func (c *call) reuse(conn *nbio.Conn) {
 	conn.SetSession(c)
 	c.send(conn)
@@ -109,39 +109,39 @@
 	}
 }
 
-// receive parses bytes of the answer.
-func (c *call) receive(data []byte) {
+// receiveBody parses bytes of the response.
+func (c *call) receiveData(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.abandoned {
 		return
 	}
-	if c.firstByte.IsZero() {
-		c.firstByte = time.Now()
+	if c.firstByteAt.IsZero() {
+		c.firstByteAt = time.Now()
 	}
 	err := c.parser.Feed(data, func(message *http1.Message) error {
 		c.finish(message, nil)
-		return errAnswerComplete
+		return errResponseComplete
 	})
 	if err != nil {
 		c.abandoned = true
-		c.finish(nil, err) // no effect after a complete answer
+		c.finish(nil, err) // no effect after a complete response
 	}
 }
 
-// finish ends the call; only the first end counts.
+// finish ends the call with a result; only the first result is used.
 func (c *call) finish(message *http1.Message, err error) {
-	c.once.Do(func() { c.ended <- callResult{message: message, err: err} })
+	c.once.Do(func() { c.result <- callResult{message: message, err: err} })
 }
 
-// connection is the call's connection, nil if there is none.
+// connection returns the call's connection, or nil if there is none.
 func (c *call) connection() *nbio.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conn
 }
 
-// abandon gives the call up and ends its connection, also one that is still being dialed.
+// abandon cancels the call and closes its connection, even if the connection is still being dialed.
 func (c *call) abandon() {
 	c.mu.Lock()
 	c.abandoned = true
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -15,45 +15,45 @@
 	"peppervale/internal/model"
 )
 
-// ConsulConfig says which endpoint list is followed.
+// ConsulConfig describes the endpoint list to follow and the limits of its queries.
 type ConsulConfig struct {
 	Address   string        // host:port of the agent
-	Service   string        // its name in the list
-	UserAgent string        // names this instance in the agent's log
-	Zones     []string      // names that an entry's metadata may give
+	Service   string        // name of the service in Consul
+	UserAgent string        // identifies this instance in the agent's log
+	Zones     []string      // zone names that are accepted in an entry's metadata
 	Wait      time.Duration // how long a blocking query may wait for a change
-	Timeout   time.Duration // how long beyond that an answer may take before the poll has failed
+	Timeout   time.Duration // how long after Wait the response may arrive before the poll fails
 	Log       zerolog.Logger
 }
 
 const (
-	// maxConsulAnswer bounds an answer: 10,000 entries of 2 KiB.
-	maxConsulAnswer = 20 << 20
+	// maxConsulResponseBytes is the maximum size of a response in bytes: 10,000 entries of 2 KiB.
+	maxConsulResponseBytes = 20 << 20
 
-	// minPollInterval lies between the starts of two polls, so that a list that changes all the time costs 20 polls a
-	// second at most.
+	// minPollInterval is the minimum time between the starts of two polls, so that a list that changes all the time causes
+	// at most 20 polls per second.
 	minPollInterval = 50 * time.Millisecond
 
-	// waitJitterDivisor: the agent adds a random delay of up to this part of the wait (a sixteenth).
+	// waitJitterDivisor is the divisor of the random delay that the agent adds: up to a sixteenth of the wait.
 	waitJitterDivisor = 16
 
 	consulIndexHeader = "x-consul-index"
 )
 
-// ConsulClient follows the endpoint list of one service. Make it with NewConsulClient.
+// ConsulClient follows the endpoint list of one service. Create it with NewConsulClient.
 type ConsulClient struct {
 	config   ConsulConfig
 	receiver Receiver
 	http     *httpClient
 	poller   *poller
 
-	// Of the subscription, used by the poller's goroutine only.
-	index uint64     // to wait for a change of; 0: request the list as it is
-	body  []byte     // of the last answer
+	// State of the subscription, used only by the poller's goroutine.
+	index uint64     // index that the next query waits to change; 0: request the current list
+	body  []byte     // of the last response
 	conn  *nbio.Conn // kept open for the next poll; nil if there is none
 }
 
-// NewConsulClient starts a client that does nothing until Subscribe. The error is one of the socket engine.
+// NewConsulClient starts a client; it makes no call before Subscribe. An error comes from the socket engine.
 func NewConsulClient(config ConsulConfig, receiver Receiver) (*ConsulClient, error) {
 	client, err := newHTTPClient()
 	if err != nil {
@@ -65,17 +65,17 @@
 	return c, nil
 }
 
-// Subscribe follows the list until a poll fails. It does not wait. A call while subscribed takes effect after the
-// failure.
+// Subscribe follows the list until a poll fails. It does not block. If the client is already subscribed, the new
+// subscription starts after the current one fails.
 func (c *ConsulClient) Subscribe() { c.poller.subscribe() }
 
-// Close ends the client and abandons a poll in flight.
+// Close stops the client and cancels a poll in flight.
 func (c *ConsulClient) Close() {
 	c.poller.close()
 	c.http.close()
 }
 
-func (c *ConsulClient) begin() {
+func (c *ConsulClient) startSubscription() {
 	c.index = 0
 	c.body = nil
 }
@@ -86,10 +86,10 @@
 }
 
 func (c *ConsulClient) poll() (time.Duration, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	message, err := c.query()
 	if err == nil {
-		err = c.handle(message)
+		err = c.handleResponse(message)
 	}
 	if err != nil {
 		c.closeConnection()
@@ -98,20 +98,20 @@
 	if message.Close {
 		c.closeConnection()
 	}
-	return minPollInterval - time.Since(began), nil
+	return minPollInterval - time.Since(startedAt), nil
 }
 
-// query sends one query, over the open connection if there is one, and gives its answer.
+// query sends one query, over the open connection if there is one, and returns the response.
 func (c *ConsulClient) query() (*http1.Message, error) {
 	request := http1.AppendRequest(nil, "GET", c.target(), c.config.Address, nil,
 		"Accept", "application/json", "User-Agent", c.config.UserAgent)
-	current := c.http.newCall(request, http1.NewParser(true, http1.Limits{Body: maxConsulAnswer}))
+	current := c.http.newCall(request, http1.NewParser(true, http1.Limits{Body: maxConsulResponseBytes}))
 	if c.conn != nil {
 		current.reuse(c.conn)
 	} else {
 		current.dial(c.config.Address, c.config.Timeout)
 	}
-	message, err := c.poller.await(current, &fixedTimeout{began: current.began, timeout: c.timeout()})
+	message, err := c.poller.awaitCall(current, &fixedTimeout{startedAt: current.startedAt, timeout: c.timeout()})
 	if err != nil {
 		current.abandon()
 		c.conn = nil
@@ -128,7 +128,7 @@
 	}
 }
 
-// target is the path of the next query: a blocking one unless the list as it is now is requested.
+// target returns the request path of the next query. The query blocks unless it requests the current list.
 func (c *ConsulClient) target() string {
 	path := "/v1/health/service/" + url.PathEscape(c.config.Service)
 	if c.index == 0 {
@@ -140,7 +140,7 @@
 	return path + "?" + parameters.Encode()
 }
 
-// timeout bounds the next query.
+// timeout returns the timeout of the next query.
 func (c *ConsulClient) timeout() time.Duration {
 	if c.index == 0 {
 		return c.config.Timeout
@@ -148,14 +148,14 @@
 	return c.config.Timeout + c.config.Wait + c.config.Wait/waitJitterDivisor
 }
 
-// handle parses an answer and hands its list over if it may have changed.
-func (c *ConsulClient) handle(message *http1.Message) error {
+// handleResponse parses a response and passes its list to the receiver if the list may have changed.
+func (c *ConsulClient) handleResponse(message *http1.Message) error {
 	if message.Status != statusOK {
 		return fmt.Errorf("status %d: %.80q", message.Status, message.Body)
 	}
 	index, err := strconv.ParseUint(message.Header[consulIndexHeader], 10, 64)
 	if err != nil {
-		return fmt.Errorf("no index in the answer: %.40q", message.Header[consulIndexHeader])
+		return fmt.Errorf("invalid index in the response: %.40q, expected a number", message.Header[consulIndexHeader])
 	}
 	endpoints, skipped, err := consulcatalog.Parse(message.Body, c.config.Zones)
 	if err != nil {
@@ -165,8 +165,8 @@
 		c.config.Log.Warn().Int("entries", skipped).
 			Msg("endpoint list entries skipped: no IPv4 address, unknown zone, or duplicate")
 	}
-	// Where an index is wrong (set back, or stuck) the list may change under it, which only a comparison of the
-	// body shows.
+	// If the index is wrong (it went back, or does not advance), the list may change without a new index. Only a
+	// comparison of the body detects this.
 	if index != c.index || c.index == 0 || !bytes.Equal(message.Body, c.body) {
 		c.receiver.EndpointsChanged(model.FullList, endpoints)
 	}
@@ -175,27 +175,28 @@
 	return nil
 }
 
-// nextIndex is the index to wait on after an answer. One that went back starts anew with the list as it is, as Consul's
-// documentation asks, since changes may lie between; 0 would not block.
-func nextIndex(current, answered uint64) uint64 {
+// nextIndex returns the index of the next query after a response. If the index went back, it returns 0 to request the
+// current list, as Consul's documentation requires, because changes may have been missed. A received index of 0
+// becomes 1, because a query with index 0 does not block.
+func nextIndex(current, received uint64) uint64 {
 	switch {
-	case answered < current:
+	case received < current:
 		return 0
-	case answered == 0:
+	case received == 0:
 		return 1
 	default:
-		return answered
+		return received
 	}
 }
 
-// fixedTimeout monitors a call that has one timeout, whatever arrives.
+// fixedTimeout monitors a call whose timeout does not depend on received data.
 type fixedTimeout struct {
-	began   time.Time
-	timeout time.Duration
+	startedAt time.Time
+	timeout   time.Duration
 }
 
 func (f *fixedTimeout) remaining() (time.Duration, error) {
-	return time.Until(f.began.Add(f.timeout)), &noAnswerError{timeout: f.timeout}
+	return time.Until(f.startedAt.Add(f.timeout)), &noResponseError{timeout: f.timeout}
 }
 
 func (f *fixedTimeout) superseded() bool { return false }
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// zones are the zones of all tests here, by number.
+// zones are the zone names in all tests of this package, by zone number.
 var zones = []string{"govan", "maryhill"}
 
 const serviceName = "recipe"
@@ -28,7 +28,7 @@
 	return model.ReplicaID{Addr: [4]byte{127, 0, 0, number}, Port: 80}
 }
 
-// consulFixture is a stand-in registry with a client that follows it.
+// consulFixture is a stand-in registry and a client that follows its list.
 type consulFixture struct {
 	t        *testing.T
 	loop     *standin.Loop
@@ -40,18 +40,18 @@
 	arrived chan struct{} // one token for each update
 }
 
-// initialList describes the list that a fixture begins with.
+// initialList describes the initial list of a fixture.
 const initialList = "list 1/0/1/0 2/1/1/7000"
 
 func newConsulFixture(t *testing.T) *consulFixture {
 	t.Helper()
 	fixture := &consulFixture{t: t, arrived: make(chan struct{}, 1000)}
-	began := time.Now()
+	startedAt := time.Now()
 	fixture.loop = standin.NewLoop(func() model.Microseconds {
-		return model.Microseconds(time.Since(began) / time.Microsecond)
+		return model.Microseconds(time.Since(startedAt) / time.Microsecond)
 	})
 	t.Cleanup(fixture.loop.Stop)
-	fixture.do(func() {
+	fixture.onLoop(func() {
 		var err error
 		fixture.registry, err = registry.New(fixture.loop, "127.0.0.1:0", serviceName, func(invariants.Event) {})
 		if err != nil {
@@ -78,8 +78,8 @@
 	return fixture
 }
 
-// do runs a change of the registry on its loop.
-func (f *consulFixture) do(change func()) { f.loop.Do(change) }
+// onLoop changes the registry on its event loop.
+func (f *consulFixture) onLoop(change func()) { f.loop.Do(change) }
 
 func (f *consulFixture) EndpointsChanged(update model.EndpointUpdate, endpoints []model.Endpoint) {
 	f.mu.Lock()
@@ -107,11 +107,11 @@
 func (f *consulFixture) expect(want string) {
 	f.t.Helper()
 	if got := f.next(time.After(10*time.Second), want); got != want {
-		f.t.Fatalf("%q, want %q", got, want)
+		f.t.Fatalf("update %q, want %q", got, want)
 	}
 }
 
-// expectEventually waits for an update; others, of answers that were on their way, may come first.
+// expectEventually waits for an update; updates from responses that were already in flight may come first.
 func (f *consulFixture) expectEventually(want string) {
 	f.t.Helper()
 	deadline := time.After(10 * time.Second)
@@ -119,36 +119,36 @@
 	}
 }
 
-func TestConsulListIsFollowed(t *testing.T) {
+func TestConsulClientReportsListChanges(t *testing.T) {
 	fixture := newConsulFixture(t)
 	fixture.client.Subscribe()
 	fixture.expect(initialList)
-	fixture.do(func() {
+	fixture.onLoop(func() {
 		fixture.registry.Set(registry.Entry{ID: replicaID(1), Zone: zones[0], Draining: true})
 	})
 	fixture.expect("list 1/0/2/0 2/1/1/7000")
-	fixture.do(func() { fixture.registry.Remove(replicaID(1)) })
+	fixture.onLoop(func() { fixture.registry.Remove(replicaID(1)) })
 	fixture.expect("list 2/1/1/7000")
 }
 
-// TestConsulPollFails shows that whatever goes wrong is reported once as a failed poll, and that a new subscription
-// brings the complete list.
-func TestConsulPollFails(t *testing.T) {
+// TestConsulPollFailureIsReportedOnce checks that each fault is reported once as a failed poll, and that a new
+// subscription returns the complete list.
+func TestConsulPollFailureIsReportedOnce(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		fault registry.Faults
 	}{
 		{"down", registry.Faults{Fails: true}},
 		{"silent", registry.Faults{Silent: true}},
-		{"half a body", registry.Faults{CutsBody: true}},
-		{"later than the timeout", registry.Faults{Delay: 900 * model.Millisecond}},
+		{"truncated body", registry.Faults{CutsBody: true}},
+		{"response after the timeout", registry.Faults{Delay: 900 * model.Millisecond}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			fixture := newConsulFixture(t)
-			fixture.do(func() { fixture.registry.Faults = tt.fault })
+			fixture.onLoop(func() { fixture.registry.Faults = tt.fault })
 			fixture.client.Subscribe()
 			fixture.expect("poll failed")
-			fixture.do(func() { fixture.registry.Faults = registry.Faults{} })
+			fixture.onLoop(func() { fixture.registry.Faults = registry.Faults{} })
 			fixture.client.Subscribe()
 			fixture.expect(initialList)
 		})
@@ -161,12 +161,13 @@
 	})
 }
 
-// TestConsulIndexGoesBack shows that an index that goes back starts anew, and that no update after it is missed.
-func TestConsulIndexGoesBack(t *testing.T) {
+// TestConsulListIsRequestedAgainWhenIndexGoesBack checks that the current list is requested after the index goes back,
+// and that no later update is missed.
+func TestConsulListIsRequestedAgainWhenIndexGoesBack(t *testing.T) {
 	fixture := newConsulFixture(t)
 	fixture.client.Subscribe()
 	fixture.expect(initialList)
-	fixture.do(func() {
+	fixture.onLoop(func() {
 		fixture.registry.Faults = registry.Faults{IndexGoesBack: true}
 		fixture.registry.Remove(replicaID(1))
 	})
@@ -174,21 +175,21 @@
 	entry := registry.Entry{ID: replicaID(2), Zone: zones[1], StartedAt: 7 * model.Second}
 	draining := entry
 	draining.Draining = true
-	// While the index stays where it was set back to, the list changes under it.
-	fixture.do(func() { fixture.registry.Set(draining) })
+	// The index stays at the value that it went back to while the list changes.
+	fixture.onLoop(func() { fixture.registry.Set(draining) })
 	fixture.expectEventually("list 2/1/2/7000")
-	fixture.do(func() {
+	fixture.onLoop(func() {
 		fixture.registry.Faults = registry.Faults{}
 		fixture.registry.Set(entry)
 	})
 	fixture.expectEventually("list 2/1/1/7000")
-	fixture.do(func() { fixture.registry.Remove(replicaID(2)) })
+	fixture.onLoop(func() { fixture.registry.Remove(replicaID(2)) })
 	fixture.expectEventually("list")
 }
 
-// TestStandInSpeaksConsul shows that the stand-in registry is what its protocol says: Consul's own client reads it,
-// blocks on it and sees maintenance.
-func TestStandInSpeaksConsul(t *testing.T) {
+// TestStandInRegistryServesConsulAPIClient checks that the stand-in registry implements the Consul protocol: Consul's
+// own client can read the list, wait in a blocking query, and see maintenance.
+func TestStandInRegistryServesConsulAPIClient(t *testing.T) {
 	fixture := newConsulFixture(t)
 	transport := consul.DefaultConfig().Transport
 	transport.DisableKeepAlives = true
@@ -199,35 +200,35 @@
 	entries, meta, err := client.Health().Service(serviceName, "", false, nil)
 	if err != nil || len(entries) != 2 || entries[0].Service.Meta["zone"] != zones[0] ||
 		entries[0].Checks.AggregatedStatus() != consul.HealthPassing || meta.LastIndex == 0 {
-		t.Fatalf("%v, %v, %v", entries, meta, err)
+		t.Fatalf("entries %v, meta %v, error %v", entries, meta, err)
 	}
-	type answer struct {
+	type queryResult struct {
 		entries []*consul.ServiceEntry
 		meta    *consul.QueryMeta
 		err     error
 	}
-	answers := make(chan answer, 1)
+	results := make(chan queryResult, 1)
 	go func() {
 		options := &consul.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: 20 * time.Second}
 		entries, meta, err := client.Health().Service(serviceName, "", false, options)
-		answers <- answer{entries, meta, err}
+		results <- queryResult{entries, meta, err}
 	}()
-	fixture.do(func() {
+	fixture.onLoop(func() {
 		fixture.registry.Set(registry.Entry{ID: replicaID(2), Zone: zones[1], Draining: true})
 	})
-	changed := <-answers
+	changed := <-results
 	if changed.err != nil || len(changed.entries) != 2 ||
 		changed.entries[1].Checks.AggregatedStatus() != consul.HealthMaint || changed.meta.LastIndex <= meta.LastIndex {
-		t.Fatalf("%v, %v", changed.entries, changed.err)
+		t.Fatalf("changed entries %v, error %v", changed.entries, changed.err)
 	}
 	if none, _, err := client.Health().Service("other", "", false, nil); err != nil || len(none) != 0 {
-		t.Fatalf("a service that is not there: %v, %v", none, err)
+		t.Fatalf("unknown service has entries %v, error %v", none, err)
 	}
 }
 
 func TestUnusableConsulEntriesAreSkipped(t *testing.T) {
 	fixture := newConsulFixture(t)
-	fixture.do(func() {
+	fixture.onLoop(func() {
 		fixture.registry.Set(registry.Entry{ID: replicaID(3), Zone: "leith"})
 		fixture.registry.Set(registry.Entry{ID: replicaID(4), Zone: strings.Repeat("<b>", 300)})
 	})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,22 +1,23 @@
-// Package discovery follows an endpoint list and hands it to a receiver as complete lists, or as a failed poll.
+// Package discovery follows an endpoint list and passes complete lists or poll failures to a receiver.
 //
-// There are two clients: ConsulClient polls Consul's health endpoint with blocking queries, by its published HTTP
-// interface (consul.go); Watcher keeps a watch of the operators' platform open (watch.go). Both are driven by one
-// poller (poller.go) and make their calls through one HTTP client (call.go).
+// There are two clients. ConsulClient polls Consul's health endpoint with blocking queries, using its published HTTP
+// interface (consul.go). Watcher keeps a watch on the operators' platform open (watch.go). Both are built on a
+// poller (poller.go) and an HTTP client (call.go).
 //
-// Guarantees: one call is in flight at a time. A poll that fails, times out, or brings what cannot be parsed is
-// reported once as model.PollFailed and ends the subscription until Subscribe is called again. A list is handed over
-// completely or not at all. The size of an answer is bounded.
+// Guarantees: a client has one call in flight at a time. A poll that fails, times out, or returns data that cannot be
+// parsed is reported once as model.PollFailed and ends the subscription until Subscribe is called again. A list is
+// passed on completely or not at all. The size of a response is limited.
 //
-// Limits: an entry that cannot be used (no IPv4 address, an unknown zone) is skipped and counted in the log; the list
-// does not fail for it.
+// Limits: an unusable entry (without an IPv4 address, or in an unknown zone) is skipped and counted in the log; the
+// rest of the list is used.
 package discovery
 
 import "peppervale/internal/model"
 
-// Receiver takes what a client receives. It is called from the client's goroutines, one call at a time, must not
-// block and must not close the client; the endpoints are the receiver's own.
+// Receiver is notified of endpoint updates. A client calls it from its own goroutines, one call at a time. The receiver
+// must not block and must not close the client; it may keep and change the endpoints.
 type Receiver interface {
-	// EndpointsChanged takes a complete endpoint list (model.FullList), or none with model.PollFailed.
+	// EndpointsChanged reports a complete endpoint list (model.FullList), or a failed poll without a list
+	// (model.PollFailed).
 	EndpointsChanged(update model.EndpointUpdate, endpoints []model.Endpoint)
 }
--- a/internal/discovery/fakeplatform_test.go
+++ b/internal/discovery/fakeplatform_test.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// watchHead begins the answer to a watch.
-	watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	// watchResponseHead is the head of the response to a watch.
+	watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-	// unavailable is the answer of a discovery that is down.
-	unavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	// unavailableResponse is the response of a discovery service that is down.
+	unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-	// oneChunk is a chunk size that no event of these tests exceeds.
+	// oneChunk is a chunk size in bytes that no event of these tests exceeds.
 	oneChunk = 1000
 )
 
-// fakePlatform is a discovery service by hand: the test sees each request and writes what it likes.
+// fakePlatform is a discovery service whose responses the test writes itself.
 type fakePlatform struct {
 	t        *testing.T
 	listener net.Listener
@@ -49,8 +49,8 @@
 	_ = p.listener.(*net.TCPListener).SetDeadline(time.Now().Add(timeout))
 }
 
-// expectRequest waits for a watch that requests the changes since a version, and writes an answer.
-func (p *fakePlatform) expectRequest(since int, answer string) {
+// expectRequest waits for a request for the changes since a version, and writes a response.
+func (p *fakePlatform) expectRequest(since int, response string) {
 	p.t.Helper()
 	p.setAcceptDeadline(20 * time.Second)
 	conn, err := p.listener.Accept()
@@ -61,46 +61,46 @@
 	p.t.Cleanup(func() { _ = conn.Close() })
 	line, _ := bufio.NewReader(conn).ReadString('\n')
 	if want := fmt.Sprintf("GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\n", since); line != want {
-		p.t.Fatalf("%q, want %q", line, want)
+		p.t.Fatalf("request %q, want %q", line, want)
 	}
-	p.write(answer)
+	p.write(response)
 }
 
-// expectNoRequest fails the test if a call arrives within a time.
+// expectNoRequest fails the test if a request arrives within the given time.
 func (p *fakePlatform) expectNoRequest(within time.Duration) {
 	p.t.Helper()
 	p.setAcceptDeadline(within)
 	if conn, err := p.listener.Accept(); err == nil {
 		line, _ := bufio.NewReader(conn).ReadString('\n')
-		p.t.Fatalf("a call: %q", line)
+		p.t.Fatalf("unexpected request %q", line)
 	}
 }
 
-// write sends bytes; the client may have ended the connection.
+// write sends text; errors are ignored because the client may have closed the connection.
 func (p *fakePlatform) write(text string) { _, _ = p.conn.Write([]byte(text)) }
 
-// writeChunks writes content in chunks of so many bytes.
+// writeChunks writes content in chunks of size bytes.
 func (p *fakePlatform) writeChunks(content string, size int) {
 	for part := range slices.Chunk([]byte(content), size) {
 		p.write(fmt.Sprintf("%x\r\n%s\r\n", len(part), part))
 	}
 }
 
-// disconnect ends the connection of the last request.
+// disconnect closes the connection of the last request.
 func (p *fakePlatform) disconnect() { _ = p.conn.Close() }
 
-// eventLine is a line of a watch.
+// eventLine returns a line of a watch.
 func eventLine(version int, full bool, hosts ...string) string {
 	return fmt.Sprintf("{\"seq\":%d,\"whole\":%t,\"hosts\":[%s]}\n", version, full, strings.Join(hosts, ","))
 }
 
-// hostEntry is an entry of an event: s-1 is in zone 1 and started at 1 ms, and so on.
+// hostEntry returns an entry of an event. Replica s-N is in zone N mod 2 and started at N ms.
 func hostEntry(number int, health string) string {
 	return fmt.Sprintf(`{"host":"s-%d","site":"%s","health":"%s","born_ms":%d}`,
 		number, zones[number%2], health, number)
 }
 
-// describe is an update as these tests compare it: "list" or "poll failed", and address/zone/status/start of each
+// describe formats an update for comparison: "list" or "poll failed", followed by address/zone/status/start for each
 // endpoint.
 func describe(update model.EndpointUpdate, endpoints []model.Endpoint) string {
 	text := fmt.Sprint("update ", update)
@@ -117,7 +117,7 @@
 	return text
 }
 
-// updateRecorder is a receiver that keeps what it is given, as described.
+// updateRecorder is a receiver that records the descriptions of its updates.
 type updateRecorder chan string
 
 func (u updateRecorder) EndpointsChanged(update model.EndpointUpdate, endpoints []model.Endpoint) {
@@ -130,14 +130,14 @@
 	select {
 	case got := <-u:
 		if got != want {
-			t.Fatalf("%q, want %q", got, want)
+			t.Fatalf("update %q, want %q", got, want)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatalf("no update, want %q", want)
 	}
 }
 
-// startWatch subscribes to a platform's list.
+// startWatch creates a watcher and subscribes it to a platform's list.
 func startWatch(t *testing.T, platform *fakePlatform, known *platformmsg.EndpointList) (*Watcher, updateRecorder) {
 	t.Helper()
 	watcher, updates := newTestWatcher(t, platform, known)
@@ -145,7 +145,7 @@
 	return watcher, updates
 }
 
-// newTestWatcher makes a watcher that has no subscription yet.
+// newTestWatcher creates a watcher without a subscription.
 func newTestWatcher(t *testing.T, platform *fakePlatform, known *platformmsg.EndpointList) (*Watcher, updateRecorder) {
 	t.Helper()
 	updates := make(updateRecorder, 100)
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -9,24 +9,24 @@
 	"peppervale/internal/codec/http1"
 )
 
-// Ends of a call that are no failures.
+// Errors that end a call without a failure of the poll.
 var (
-	errClosed = errors.New("the client was closed")
-	errMoved  = errors.New("the address changed")
+	errClosed         = errors.New("the client was closed")
+	errAddressChanged = errors.New("the discovery address changed")
 )
 
-// noAnswerError is a call without an answer in time.
-type noAnswerError struct {
+// noResponseError reports that a call received no response within its timeout.
+type noResponseError struct {
 	timeout time.Duration
 }
 
 // Error names the timeout.
-func (e *noAnswerError) Error() string { return fmt.Sprintf("no answer within %s", e.timeout) }
+func (e *noResponseError) Error() string { return fmt.Sprintf("no response within %s", e.timeout) }
 
-// Timeout marks the error as one of time, as those of dials are marked.
-func (e *noAnswerError) Timeout() bool { return true }
+// Timeout reports true, like the timeout errors of package net.
+func (e *noResponseError) Timeout() bool { return true }
 
-// isTimeout reports whether a call ended because no answer, or no connection, came in time.
+// isTimeout reports whether a call ended because it received no response, or got no connection, in time.
 func isTimeout(err error) bool {
 	var timeout interface {
 		error
@@ -35,12 +35,12 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// pollSource is what a poller drives. Its methods are called by the poller's goroutine only.
+// pollSource is a source of endpoint lists that a poller polls. Only the poller's goroutine calls its methods.
 type pollSource interface {
-	// begin starts a subscription.
-	begin()
-	// poll makes one call, waits for its end and hands over what it brought. It returns the delay before the next
-	// call, or why the subscription ends: errClosed, or the failure.
+	// startSubscription starts a subscription.
+	startSubscription()
+	// poll makes one call, waits for its end and passes the received lists on. It returns the delay before the next
+	// call, or the reason that the subscription ends: errClosed or the failure.
 	poll() (delay time.Duration, err error)
 	// pollFailed reports the failure that ended a subscription.
 	pollFailed(err error)
@@ -48,40 +48,40 @@
 
 // callMonitor decides how long a poller waits for a call.
 type callMonitor interface {
-	// remaining is how long the call may still take, and the error that it ends with after that. What arrives
-	// meanwhile may extend it.
+	// remaining returns how long the call may still take, and the error of the call if that time expires. Received
+	// data may extend the time.
 	remaining() (time.Duration, error)
-	// superseded reports whether the call went to an address that is no longer the source's.
+	// superseded reports whether the source's address has changed since the call was made.
 	superseded() bool
 }
 
-// poller subscribes a source on request: it makes one call after the other until one fails, and then waits for the next
-// request. It has one goroutine, and so one call in flight.
+// poller runs the subscriptions of a source: on request it makes one call after another until one fails, and then waits
+// for the next request. It has one goroutine and therefore one call in flight.
 type poller struct {
-	source    pollSource
-	requested chan struct{} // a subscription was requested
-	moved     chan struct{} // the source's address changed
-	done      chan struct{}
-	stopped   chan struct{}
+	source         pollSource
+	requested      chan struct{} // a subscription was requested
+	addressChanges chan struct{} // the source's address changed
+	closing        chan struct{}
+	stopped        chan struct{}
 }
 
 func newPoller(source pollSource) *poller {
 	return &poller{
-		source:    source,
-		requested: make(chan struct{}, 1),
-		moved:     make(chan struct{}, 1),
-		done:      make(chan struct{}),
-		stopped:   make(chan struct{}),
+		source:         source,
+		requested:      make(chan struct{}, 1),
+		addressChanges: make(chan struct{}, 1),
+		closing:        make(chan struct{}),
+		stopped:        make(chan struct{}),
 	}
 }
 
-// subscribe requests a subscription; it does not wait.
+// subscribe requests a subscription; it does not block.
 func (p *poller) subscribe() { signal(p.requested) }
 
-// addressChanged ends a delay, a call that was superseded, or the wait for the next request after a failure.
-func (p *poller) addressChanged() { signal(p.moved) }
+// addressChanged ends a delay, a superseded call, or the wait for the next request after a failure.
+func (p *poller) addressChanged() { signal(p.addressChanges) }
 
-// discardRequest drops a request for a subscription that is still pending.
+// discardRequest drops a pending request for a subscription.
 func (p *poller) discardRequest() {
 	select {
 	case <-p.requested:
@@ -89,9 +89,9 @@
 	}
 }
 
-// close abandons a call in flight and waits for the goroutine to end.
+// close cancels a call in flight and waits until the goroutine has ended.
 func (p *poller) close() {
-	close(p.done)
+	close(p.closing)
 	<-p.stopped
 }
 
@@ -105,26 +105,26 @@
 	}
 }
 
-// awaitRequest waits until a subscription is due; a new address makes one due if there was one before. It returns false
-// once the poller is closed.
+// awaitRequest waits until a subscription is requested. A changed address counts as a request if there was a
+// subscription before. It returns false if the poller is closed.
 func (p *poller) awaitRequest(subscribedBefore bool) bool {
 	for {
 		select {
 		case <-p.requested:
 			return true
-		case <-p.moved:
+		case <-p.addressChanges:
 			if subscribedBefore {
 				return true
 			}
-		case <-p.done:
+		case <-p.closing:
 			return false
 		}
 	}
 }
 
-// pollUntilFailure is one subscription.
+// pollUntilFailure runs one subscription.
 func (p *poller) pollUntilFailure() {
-	p.source.begin()
+	p.source.startSubscription()
 	for {
 		delay, err := p.source.poll()
 		if errors.Is(err, errClosed) {
@@ -140,7 +140,7 @@
 	}
 }
 
-// sleep waits for a delay, or until the address changes. It returns false once the poller is closed.
+// sleep waits for a delay or until the address changes. It returns false if the poller is closed.
 func (p *poller) sleep(delay time.Duration) bool {
 	if delay <= 0 {
 		return true
@@ -150,27 +150,28 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-p.moved:
+	case <-p.addressChanges:
 		return true
-	case <-p.done:
+	case <-p.closing:
 		return false
 	}
 }
 
-// await waits for the end of a call and gives its answer, or an error: its own, the monitor's, errMoved or errClosed.
-func (p *poller) await(c *call, monitor callMonitor) (*http1.Message, error) {
+// awaitCall waits for the end of a call and returns its response or an error: the call's own, the monitor's,
+// errAddressChanged or errClosed.
+func (p *poller) awaitCall(c *call, monitor callMonitor) (*http1.Message, error) {
 	remaining, _ := monitor.remaining()
 	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	for {
 		select {
-		case result := <-c.ended:
+		case result := <-c.result:
 			return result.message, result.err
-		case <-p.moved:
+		case <-p.addressChanges:
 			if monitor.superseded() {
-				return nil, errMoved
+				return nil, errAddressChanged
 			}
-		case <-p.done:
+		case <-p.closing:
 			return nil, errClosed
 		case <-timer.C:
 			remaining, err := monitor.remaining()
@@ -182,7 +183,7 @@
 	}
 }
 
-// signal leaves a token in a channel that holds one, unless one is there already.
+// signal sends a token to a channel with a buffer of one, unless the buffer is full.
 func signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -190,16 +191,17 @@
 	}
 }
 
-// jitter draws delays from a seed, so that instances that lost their connections together do not call in step.
+// jitter draws pseudorandom delays from a seed, so that instances that lose their connections at the same time do not
+// reconnect at the same time.
 type jitter struct {
 	seed  uint64
 	draws int
 }
 
-// next draws a delay below limit.
+// next returns a delay below limit.
 func (j *jitter) next(limit time.Duration) time.Duration {
 	j.draws++
 	hash := fnv.New64a()
-	_, _ = fmt.Fprint(hash, j.seed, " ", j.draws) // a hash takes every write
+	_, _ = fmt.Fprint(hash, j.seed, " ", j.draws) // a hash never returns an error
 	return time.Duration(hash.Sum64() % uint64(limit))
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,42 +14,41 @@
 	"peppervale/internal/model"
 )
 
-// WatchConfig says which endpoint list of the operators' platform is watched.
+// WatchConfig describes the endpoint list of the operators' platform to watch.
 type WatchConfig struct {
 	Address          string // host:port
 	Zones            []string
-	Names            *platformmsg.ReplicaNames // learns each replica that is listed
-	InitialEndpoints *platformmsg.EndpointList // the list that this instance had last; nil: none
-	Seed             uint64                    // of the random retry delays
+	Names            *platformmsg.ReplicaNames // every listed replica is registered here
+	InitialEndpoints *platformmsg.EndpointList // the last known list of this instance; nil: none
+	Seed             uint64                    // of the pseudorandom retry delays
 	Log              zerolog.Logger
 }
 
-// By the platform's protocol a watch event counts as delivered 6 s after it was due, whether it arrived or not. The
-// platform writes an empty line to a watch every 2 s, and ends a call that waits there for longer than a second. So a
-// watch is dead after 3 s without a complete line: a second more than the interval of its signs of life, for the
-// network. With the retry delay (0.25 s at most) and a call (a second, and the network delay) the list is there 4.3 to
-// 4.8 s after the last sign; with a lost call in between (1.5 s, 0.25 s) at about 6 s.
+// In the platform's protocol a watch event counts as delivered 6 s after it was due, even if it did not arrive. The
+// platform writes an empty line to a watch every 2 s, and ends a call that waits for longer than a second. A watch is
+// therefore considered dead after 3 s without a complete line: the interval of the empty lines and a second for the
+// network. With the retry delay (0.25 s at most) and a call (a second and the network delay), the list arrives 4.3 to
+// 4.8 s after the last line, or after about 6 s if a call is lost in between (1.5 s and 0.25 s).
 const (
-	watchSilenceTimeout = 3 * time.Second
-	watchAnswerTimeout  = 1500 * time.Millisecond // connecting included
-	maxWatchRetryDelay  = 250 * time.Millisecond
+	watchIdleTimeout     = 3 * time.Second
+	watchResponseTimeout = 1500 * time.Millisecond // includes the time to connect
+	maxWatchRetryDelay   = 250 * time.Millisecond
 
-	// maxWatchRetries is how many calls at most follow a live watch that ended, while none is answered; then the poll
-	// has failed.
+	// maxWatchRetries is the number of unanswered calls after a live watch ended before the poll fails.
 	maxWatchRetries = 2
 
-	// minLiveWatch is how long a watch must have lasted, by its last sign of life, to have been live.
-	minLiveWatch = watchSilenceTimeout / 2
+	// minLiveDuration is the minimum time from the call to the last progress of its watch for the watch to count as live.
+	minLiveDuration = watchIdleTimeout / 2
 )
 
-// Watcher follows the platform's endpoint list over one open answer. Make it with NewWatcher.
+// Watcher follows the platform's endpoint list in one streamed response. Create it with NewWatcher.
 type Watcher struct {
 	receiver Receiver
 	log      zerolog.Logger
 	http     *httpClient
 	poller   *poller
 
-	// Used by the poller's goroutine only.
+	// Used only by the poller's goroutine.
 	retryDelay  jitter
 	retriesLeft int
 
@@ -58,11 +57,11 @@
 	cache   endpointCache
 }
 
-// NewWatcher starts a client that does nothing until Subscribe. The error is one of the socket engine.
+// NewWatcher starts a client; it makes no call before Subscribe. An error comes from the socket engine.
 func NewWatcher(config WatchConfig, receiver Receiver) (*Watcher, error) {
 	client, err := newHTTPClient()
 	if err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+		return nil, fmt.Errorf("endpoint watch: %w", err)
 	}
 	watcher := &Watcher{
 		receiver:   receiver,
@@ -78,17 +77,18 @@
 		},
 	}
 	if config.InitialEndpoints != nil {
-		watcher.cache.apply(config.InitialEndpoints)
+		watcher.cache.merge(config.InitialEndpoints)
 	}
 	watcher.poller = newPoller(watcher)
 	go watcher.poller.run()
 	return watcher, nil
 }
 
-// Subscribe keeps a watch until a poll fails. It does not wait; while subscribed it has no effect.
+// Subscribe keeps a watch open until a poll fails. It does not block. It has no effect while subscribed.
 func (w *Watcher) Subscribe() { w.poller.subscribe() }
 
-// SetAddress continues at another address, from the cached version; it does not wait for a failure at the one before.
+// SetAddress moves the watch to another address and continues from the cached version. It does not wait for a failure
+// at the previous address.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	unchanged := w.address == address
@@ -99,13 +99,13 @@
 	}
 }
 
-// Close ends the client and its watch.
+// Close stops the client and its watch.
 func (w *Watcher) Close() {
 	w.poller.close()
 	w.http.close()
 }
 
-// Endpoints is the cached list.
+// Endpoints returns the cached list.
 func (w *Watcher) Endpoints() []model.Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,24 +118,25 @@
 	return w.address
 }
 
-func (w *Watcher) begin() { w.retriesLeft = 0 }
+func (w *Watcher) startSubscription() { w.retriesLeft = 0 }
 
-// pollFailed reports the failure; a subscription that was requested before it does not count after it.
+// pollFailed reports the failure and discards a subscription that was requested before it.
 func (w *Watcher) pollFailed(error) {
 	w.poller.discardRequest()
 	w.receiver.EndpointsChanged(model.PollFailed, nil)
 }
 
-// poll makes one call and keeps its watch until it ends. A live watch that ended is no failure: it is made anew.
+// poll makes one call and follows its watch until it ends. The end of a live watch is not a failure: the call is
+// repeated.
 func (w *Watcher) poll() (time.Duration, error) {
 	stream := w.newWatchStream()
 	err := w.follow(stream)
 	switch {
 	case errors.Is(err, errClosed):
 		return 0, err
-	case errors.Is(err, errMoved):
+	case errors.Is(err, errAddressChanged):
 		w.retriesLeft = 0
-		w.log.Info().Msg("endpoint watch moves to the new address")
+		w.log.Info().Msg("endpoint watch reconnects: discovery address changed")
 		return 0, nil
 	case stream.wasLive():
 		w.retriesLeft = maxWatchRetries
@@ -150,7 +151,7 @@
 	return w.retryDelay.next(maxWatchRetryDelay), nil
 }
 
-// newWatchStream prepares a call for what changed since the cached version.
+// newWatchStream prepares a call for the changes since the cached version.
 func (w *Watcher) newWatchStream() *watchStream {
 	w.mu.Lock()
 	address, version := w.address, w.cache.version
@@ -159,31 +160,31 @@
 	request := http1.AppendRequest(nil, "GET", target, address, nil, "Accept", "application/json")
 	stream := &watchStream{watcher: w, address: address}
 	parser := http1.NewParser(true, http1.Limits{})
-	parser.Stream = stream.receive
+	parser.Stream = stream.receiveBody
 	stream.call = w.http.newCall(request, parser)
 	return stream
 }
 
-// follow keeps a watch until it ends, which always has an error.
+// follow follows a watch until it ends and returns the reason, which is never nil.
 func (w *Watcher) follow(stream *watchStream) error {
 	defer stream.call.abandon()
-	stream.call.dial(stream.address, watchAnswerTimeout)
-	message, err := w.poller.await(stream.call, stream)
+	stream.call.dial(stream.address, watchResponseTimeout)
+	message, err := w.poller.awaitCall(stream.call, stream)
 	if err == nil {
-		return fmt.Errorf("status %d, and the answer ended: %.80q", message.Status, message.Body)
+		return fmt.Errorf("watch response ended: status %d, body %.80q", message.Status, message.Body)
 	}
 	return err
 }
 
-// apply merges a watch event into the cache and hands the complete list over.
-func (w *Watcher) apply(list *platformmsg.EndpointList) error {
+// applyEvent merges a watch event into the cache and passes the complete list to the receiver.
+func (w *Watcher) applyEvent(list *platformmsg.EndpointList) error {
 	w.mu.Lock()
-	if !list.Full && list.Version < w.cache.version { // what lies between is not known
+	if !list.Full && list.Version < w.cache.version { // the changes in between are unknown
 		w.cache.version = 0
 		w.mu.Unlock()
-		return fmt.Errorf("the version went back to %d", list.Version)
+		return fmt.Errorf("the endpoint list version went back to %d", list.Version)
 	}
-	w.cache.apply(list)
+	w.cache.merge(list)
 	endpoints := w.cache.endpoints()
 	w.mu.Unlock()
 	w.receiver.EndpointsChanged(model.FullList, endpoints)
--- a/internal/discovery/watch_liveness_test.go
+++ b/internal/discovery/watch_liveness_test.go
@@ -8,23 +8,24 @@
 	"peppervale/internal/codec/platformmsg"
 )
 
-// deliveryDeadline is when a watch event counts as delivered, whether it arrived or not, by the platform's protocol.
+// deliveryDeadline is the time after which the platform's protocol counts a watch event as delivered, even if it did
+// not arrive.
 const deliveryDeadline = 6 * time.Second
 
-// TestSilentCallIsRepeated shows that a call that falls silent before its watch was live, wherever in its answer,
-// fails, and that the next call comes before the delivery deadline of an event.
-func TestSilentCallIsRepeated(t *testing.T) {
+// TestSilentCallFailsAndIsRepeatedInTime checks that a call fails if data stops before the watch is live, at any point
+// of the response, and that the next call comes before the delivery deadline of an event.
+func TestSilentCallFailsAndIsRepeatedInTime(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
 		name    string
-		answer  func(platform *fakePlatform)
-		hasList bool // the answer brings version 8 of the list
+		respond func(platform *fakePlatform)
+		hasList bool // the response has version 8 of the list
 	}{
-		{"no head", func(*fakePlatform) {}, false},
-		{"half a head", func(p *fakePlatform) { p.write("HTTP/1.1 200 OK\r\nTransfer-") }, false},
-		{"after the head", func(p *fakePlatform) { p.write(watchHead) }, false},
+		{"no response head", func(*fakePlatform) {}, false},
+		{"partial response head", func(p *fakePlatform) { p.write("HTTP/1.1 200 OK\r\nTransfer-") }, false},
+		{"after the response head", func(p *fakePlatform) { p.write(watchResponseHead) }, false},
 		{"after the first event", func(p *fakePlatform) {
-			p.write(watchHead)
+			p.write(watchResponseHead)
 			p.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
 		}, true},
 	} {
@@ -33,42 +34,42 @@
 			platform := startPlatform(t)
 			watcher, updates := startWatch(t, platform, &platformmsg.EndpointList{Version: 7, Full: true})
 			platform.expectRequest(7, "")
-			tt.answer(platform)
-			version, want := 7, "list 1/0/1/2" // the first to be listed
+			tt.respond(platform)
+			version, want := 7, "list 1/0/1/2" // the first listed replica
 			if tt.hasList {
 				updates.expect(t, "list 1/1/1/1")
 				version, want = 8, "list 1/1/1/1 2/0/1/2"
 			}
-			silentSince := time.Now()
+			lastDataAt := time.Now()
 			updates.expect(t, "poll failed")
-			time.AfterFunc(1250*time.Millisecond, watcher.Subscribe) // as the balancer does, a little more than 1 s later
-			platform.expectRequest(version, watchHead)
-			checkRepeatedInTime(t, silentSince)
+			time.AfterFunc(1250*time.Millisecond, watcher.Subscribe) // the balancer waits slightly more than 1 s
+			platform.expectRequest(version, watchResponseHead)
+			checkRepeatedInTime(t, lastDataAt)
 			platform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), oneChunk)
 			updates.expect(t, want)
 		})
 	}
 }
 
-// TestSilentWatchIsRepeated shows that a live watch that falls silent, wherever in its lines, is repeated in time
-// without a failed poll.
-func TestSilentWatchIsRepeated(t *testing.T) {
+// TestSilentLiveWatchIsRepeatedWithoutFailure checks that a live watch that stops sending data, at any point of a line,
+// is repeated in time without a failed poll.
+func TestSilentLiveWatchIsRepeatedWithoutFailure(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
 		name  string
 		write func(platform *fakePlatform)
-		then  func(platform *fakePlatform, stop <-chan struct{}) // goes on until stop; nil for none
+		then  func(platform *fakePlatform, stop <-chan struct{}) // continues until stop is closed; nil for none
 	}{
-		{"in a line", func(p *fakePlatform) { p.writeChunks(`{"seq":9,"whole":false,"ho`, oneChunk) }, nil},
-		{"in a chunk", func(p *fakePlatform) { p.write("40\r\n\n\n") }, nil},
-		{"after signs of life", func(*fakePlatform) {}, nil},
-		{"a trickle without line ends", func(*fakePlatform) {}, trickle},
+		{"within a line", func(p *fakePlatform) { p.writeChunks(`{"seq":9,"whole":false,"ho`, oneChunk) }, nil},
+		{"within a chunk", func(p *fakePlatform) { p.write("40\r\n\n\n") }, nil},
+		{"after empty lines", func(*fakePlatform) {}, nil},
+		{"spaces without a line end", func(*fakePlatform) {}, trickle},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			platform := startPlatform(t)
 			_, updates := startWatch(t, platform, &platformmsg.EndpointList{Version: 7, Full: true})
-			platform.expectRequest(7, watchHead)
+			platform.expectRequest(7, watchResponseHead)
 			platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
 			updates.expect(t, "list 1/1/1/1")
 			for range 2 {
@@ -76,21 +77,21 @@
 				platform.writeChunks("\n", 1)
 			}
 			tt.write(platform)
-			silentSince := time.Now()
+			lastDataAt := time.Now()
 			stop := make(chan struct{})
 			defer close(stop)
 			if tt.then != nil {
 				tt.then(platform, stop)
 			}
-			platform.expectRequest(8, watchHead)
-			checkRepeatedInTime(t, silentSince)
+			platform.expectRequest(8, watchResponseHead)
+			checkRepeatedInTime(t, lastDataAt)
 			platform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), oneChunk)
 			updates.expect(t, "list 1/1/1/1 2/0/1/2")
 		})
 	}
 }
 
-// trickle writes a space at a time over the present connection.
+// trickle writes a space every 100 ms over the current connection.
 func trickle(platform *fakePlatform, stop <-chan struct{}) {
 	conn := platform.conn
 	go func() {
@@ -105,80 +106,81 @@
 	}()
 }
 
-func checkRepeatedInTime(t *testing.T, silentSince time.Time) {
+func checkRepeatedInTime(t *testing.T, lastDataAt time.Time) {
 	t.Helper()
-	if took := time.Since(silentSince); took > deliveryDeadline || took < time.Second {
-		t.Errorf("called again after %s", took)
+	if took := time.Since(lastDataAt); took > deliveryDeadline || took < time.Second {
+		t.Errorf("repeated after %s, want 1 s to the delivery deadline", took)
 	}
 }
 
-// TestRetriesAfterLiveWatch shows that calls that vanish after a live watch are repeated at once, twice in all, and
-// then have failed: by then the limit is near, and the balancer may know better. One that is rejected has failed at
-// once.
-func TestRetriesAfterLiveWatch(t *testing.T) {
+// TestPollFailsAfterTwoUnansweredRetriesOfLiveWatch checks that unanswered calls after a live watch are made twice
+// before the poll fails, because the delivery deadline is near by then and the balancer decides when to subscribe
+// again. A rejected call fails the poll immediately.
+func TestPollFailsAfterTwoUnansweredRetriesOfLiveWatch(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
 		name     string
 		rejected bool
 	}{
 		{"rejected", true},
-		{"no answer", false},
+		{"no response", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			platform := startPlatform(t)
 			_, updates := startWatch(t, platform, nil)
-			platform.expectRequest(0, watchHead)
+			platform.expectRequest(0, watchResponseHead)
 			platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
 			updates.expect(t, "list 1/1/1/1")
-			time.Sleep(minLiveWatch + 100*time.Millisecond)
+			time.Sleep(minLiveDuration + 100*time.Millisecond)
 			platform.writeChunks("\n", 1)
 			time.Sleep(50 * time.Millisecond)
 			platform.disconnect()
 			platform.expectRequest(8, "")
 			if tt.rejected {
-				platform.write(unavailable)
+				platform.write(unavailableResponse)
 			} else {
 				platform.expectRequest(8, "")
 			}
 			updates.expect(t, "poll failed")
 			platform.expectNoRequest(300 * time.Millisecond)
 			if len(updates) > 0 {
-				t.Errorf("a further update: %q", <-updates)
+				t.Errorf("unexpected update %q", <-updates)
 			}
 		})
 	}
 }
 
-// TestLongListArrivesSlowly shows that a long list that takes longer than the timeout, but grows, is waited for.
-func TestLongListArrivesSlowly(t *testing.T) {
+// TestSlowLongListIsAccepted checks that a long list is accepted although it takes longer than the timeout, as long as
+// it makes progress.
+func TestSlowLongListIsAccepted(t *testing.T) {
 	t.Parallel()
 	const hostCount = 1500
 	platform := startPlatform(t)
 	_, updates := startWatch(t, platform, nil)
-	platform.expectRequest(0, watchHead)
+	platform.expectRequest(0, watchResponseHead)
 	var hosts []string
 	for number := range hostCount {
 		hosts = append(hosts, hostEntry(number, "ready"))
 	}
 	text := eventLine(3, true, hosts...)
 	for part := range 5 {
-		time.Sleep(900 * time.Millisecond) // 3.6 s in all, and no complete line
+		time.Sleep(900 * time.Millisecond) // 3.6 s in total without a complete line
 		platform.writeChunks(text[part*len(text)/5:(part+1)*len(text)/5], 1<<20)
 	}
 	select {
 	case got := <-updates:
 		if !strings.HasPrefix(got, "list 1/") || strings.Count(got, "/") != 3*hostCount {
-			t.Fatalf("%.80q", got)
+			t.Fatalf("update %.80q, want the complete list", got)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("no update")
 	}
 }
 
-// TestOneCallInFlight shows that there is one call at a time, however often a subscription is requested, and none
-// while a watch is open.
-func TestOneCallInFlight(t *testing.T) {
+// TestRepeatedSubscribeMakesOneCall checks that repeated Subscribe calls make only one call, and no further call while
+// a watch is open.
+func TestRepeatedSubscribeMakesOneCall(t *testing.T) {
 	t.Parallel()
 	platform := startPlatform(t)
 	watcher, updates := startWatch(t, platform, nil)
@@ -190,19 +192,19 @@
 		watcher.Subscribe()
 	}
 	platform.expectNoRequest(200 * time.Millisecond)
-	platform.write(watchHead)
+	platform.write(watchResponseHead)
 	platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
 	updates.expect(t, "list 1/1/1/1")
 	watcher.Subscribe()
 	platform.expectNoRequest(200 * time.Millisecond)
 	platform.disconnect()
 	updates.expect(t, "poll failed")
-	platform.expectNoRequest(200 * time.Millisecond) // what was requested before it failed does not count after it
+	platform.expectNoRequest(200 * time.Millisecond) // the failure discards earlier requests
 	watcher.Subscribe()
-	platform.expectRequest(8, watchHead)
+	platform.expectRequest(8, watchResponseHead)
 }
 
-// TestRetryDelaysDiffer shows that instances that lost their connections together do not call in step.
+// TestRetryDelaysDiffer checks that instances that lose their connections at the same time retry at different times.
 func TestRetryDelaysDiffer(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(20) {
@@ -210,12 +212,12 @@
 		for range 5 {
 			delay := delays.next(maxWatchRetryDelay)
 			if delay < 0 || delay >= maxWatchRetryDelay {
-				t.Fatalf("%s", delay)
+				t.Fatalf("delay %s is out of range", delay)
 			}
 			seen[delay.Round(time.Millisecond)] = true
 		}
 	}
 	if len(seen) < 50 {
-		t.Errorf("100 delays fall on %d milliseconds", len(seen))
+		t.Errorf("100 delays have %d distinct millisecond values, want at least 50", len(seen))
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/model"
 )
 
-// knownList is a complete list of one ready endpoint, s-1.
+// knownList returns a complete list with one ready endpoint, s-1.
 func knownList(version uint64, zone string) *platformmsg.EndpointList {
 	return &platformmsg.EndpointList{
 		Version:   version,
@@ -17,15 +17,15 @@
 	}
 }
 
-// TestWatchMergesChanges shows that changes are merged into the list that was known, however their bytes are cut, and
-// that what is gone leaves it.
+// TestWatchMergesChanges checks that changes are merged into the known list, for any split into chunks, and that
+// endpoints that are gone are removed.
 func TestWatchMergesChanges(t *testing.T) {
 	platform := startPlatform(t)
 	watcher, updates := startWatch(t, platform, knownList(41, zones[1]))
 	if known := watcher.Endpoints(); len(known) != 1 {
-		t.Fatalf("known: %v", known)
+		t.Fatalf("known endpoints %v, want 1", known)
 	}
-	platform.expectRequest(41, watchHead)
+	platform.expectRequest(41, watchResponseHead)
 	platform.writeChunks("\n"+eventLine(42, false, hostEntry(2, "ready"))+"\n\n", 3)
 	updates.expect(t, "list 1/1/1/0 2/0/1/2")
 	platform.writeChunks(eventLine(43, false, hostEntry(1, "draining"))+
@@ -37,70 +37,70 @@
 	updates.expect(t, "list 4/0/1/4")
 }
 
-// TestWatchResumesFromItsVersion shows that a watch that ends is reported once, and that the next one goes on from the
-// cached version.
-func TestWatchResumesFromItsVersion(t *testing.T) {
+// TestWatchResumesFromCachedVersion checks that the end of a watch is reported once, and that the next watch continues
+// from the cached version.
+func TestWatchResumesFromCachedVersion(t *testing.T) {
 	platform := startPlatform(t)
 	watcher, updates := startWatch(t, platform, nil)
-	platform.expectRequest(0, watchHead)
+	platform.expectRequest(0, watchResponseHead)
 	platform.writeChunks(eventLine(7, true, hostEntry(1, "ready")), oneChunk)
 	updates.expect(t, "list 1/1/1/1")
 	platform.disconnect()
 	updates.expect(t, "poll failed")
 	watcher.Subscribe()
-	platform.expectRequest(7, unavailable)
+	platform.expectRequest(7, unavailableResponse)
 	updates.expect(t, "poll failed")
 	watcher.Subscribe()
-	platform.expectRequest(7, watchHead)
+	platform.expectRequest(7, watchResponseHead)
 	platform.writeChunks(eventLine(8, false, hostEntry(2, "ready")), oneChunk)
 	updates.expect(t, "list 1/1/1/1 2/0/1/2")
 }
 
-// TestAnswerThatIsNoWatch shows that what is no list, no HTTP, or a complete answer in place of a watch fails the
-// poll and changes nothing.
-func TestAnswerThatIsNoWatch(t *testing.T) {
+// TestInvalidWatchResponseFailsPoll checks that a response that is not HTTP, has no valid list or ends like an ordinary
+// response fails the poll and does not change the cache.
+func TestInvalidWatchResponseFailsPoll(t *testing.T) {
 	platform := startPlatform(t)
 	watcher, updates := startWatch(t, platform, knownList(3, zones[0]))
-	for i, answer := range []string{
+	for i, response := range []string{
 		"SSH-2.0\r\n",
-		watchHead + "5\r\nno, \n\r\n",
-		watchHead + "3\r\n{}\n\r\n",
+		watchResponseHead + "5\r\nno, \n\r\n",
+		watchResponseHead + "3\r\n{}\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
-		watchHead + "0\r\n\r\n",
+		watchResponseHead + "0\r\n\r\n",
 		"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n",
 	} {
 		if i > 0 {
 			watcher.Subscribe()
 		}
-		platform.expectRequest(3, answer)
+		platform.expectRequest(3, response)
 		updates.expect(t, "poll failed")
 	}
 	if cached := watcher.Endpoints(); len(cached) != 1 {
-		t.Fatalf("cached: %v", cached)
+		t.Fatalf("cached endpoints %v, want 1", cached)
 	}
 }
 
-// TestVersionGoesBack shows that the complete list is requested after a version that went back, as what lies between is
-// not known.
-func TestVersionGoesBack(t *testing.T) {
+// TestFullListIsRequestedWhenVersionGoesBack checks that the complete list is requested after the version went back,
+// because the changes in between are unknown.
+func TestFullListIsRequestedWhenVersionGoesBack(t *testing.T) {
 	platform := startPlatform(t)
 	watcher, updates := startWatch(t, platform, &platformmsg.EndpointList{Version: 41, Full: true})
-	platform.expectRequest(41, watchHead)
+	platform.expectRequest(41, watchResponseHead)
 	platform.writeChunks(eventLine(3, false, hostEntry(1, "ready")), oneChunk)
 	updates.expect(t, "poll failed")
 	watcher.Subscribe()
-	platform.expectRequest(0, watchHead)
+	platform.expectRequest(0, watchResponseHead)
 	platform.writeChunks(eventLine(3, true, hostEntry(2, "ready")), oneChunk)
 	updates.expect(t, "list 1/0/1/2")
 }
 
-// TestFullListAgain shows that an equal complete list loses nothing, that one without an endpoint removes it, and
-// that an older complete one replaces the cache.
-func TestFullListAgain(t *testing.T) {
+// TestFullListReplacesCache checks that a repeated complete list changes nothing, that a complete list without an
+// endpoint removes that endpoint, and that an older complete list replaces the cache.
+func TestFullListReplacesCache(t *testing.T) {
 	t.Parallel()
 	platform := startPlatform(t)
 	_, updates := startWatch(t, platform, nil)
-	platform.expectRequest(0, watchHead)
+	platform.expectRequest(0, watchResponseHead)
 	for range 2 {
 		platform.writeChunks(eventLine(8, true, hostEntry(1, "ready"), hostEntry(2, "draining")), 7)
 		updates.expect(t, "list 1/1/1/1 2/0/2/2")
@@ -113,10 +113,10 @@
 	updates.expect(t, "list 1/1/1/1 3/1/1/3")
 }
 
-// TestCloseInEachState shows that closing the client ends a call in each of its states, and that no update follows.
-func TestCloseInEachState(t *testing.T) {
+// TestCloseReturnsInEachState checks that Close returns in each state of the client, and that no update follows.
+func TestCloseReturnsInEachState(t *testing.T) {
 	t.Parallel()
-	for _, state := range []string{"idle", "dialing", "waiting for an answer", "watching"} {
+	for _, state := range []string{"idle", "dialing", "waiting for a response", "watching"} {
 		t.Run(state, func(t *testing.T) {
 			platform := startPlatform(t)
 			updates := make(updateRecorder, 100)
@@ -128,10 +128,10 @@
 				watcher.Subscribe()
 			}
 			switch state {
-			case "waiting for an answer":
+			case "waiting for a response":
 				platform.expectRequest(0, "")
 			case "watching":
-				platform.expectRequest(0, watchHead)
+				platform.expectRequest(0, watchResponseHead)
 				platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
 				updates.expect(t, "list 1/1/1/1")
 			}
@@ -143,10 +143,10 @@
 			select {
 			case <-closed:
 			case <-time.After(700 * time.Millisecond):
-				t.Fatal("Close does not return")
+				t.Fatal("Close did not return")
 			}
 			if len(updates) > 0 {
-				t.Errorf("an update: %q", <-updates)
+				t.Errorf("unexpected update %q after Close", <-updates)
 			}
 		})
 	}
--- a/internal/discovery/watchstream.go
+++ b/internal/discovery/watchstream.go
@@ -10,81 +10,85 @@
 )
 
 const (
-	// maxEventSize bounds one line of a watch, in bytes.
-	maxEventSize = 2 << 20
+	// maxEventBytes is the maximum size of one line of a watch, in bytes.
+	maxEventBytes = 2 << 20
 
-	// progressSize is how many bytes of an incomplete line are a sign of life too: a list may be long.
-	progressSize = 16 << 10
+	// progressStepBytes is the number of received bytes that counts as progress within an incomplete line, because a list
+	// may be long.
+	progressStepBytes = 16 << 10
 )
 
-// silenceError is a watch without a sign of life for too long.
-type silenceError struct {
+// idleTimeoutError reports a watch that made no progress within its timeout.
+type idleTimeoutError struct {
 	timeout time.Duration
 }
 
 // Error names the timeout.
-func (e *silenceError) Error() string { return fmt.Sprintf("nothing came for %s", e.timeout) }
+func (e *idleTimeoutError) Error() string {
+	return fmt.Sprintf("no progress of the watch for %s", e.timeout)
+}
 
-// watchStream is one call for a watch and the answer that it leads to. What it receives is guarded by the call's lock.
+// watchStream is one call for a watch and its streamed response. The call's mu guards line, progress and progressAt.
 type watchStream struct {
 	watcher *Watcher
 	address string
 	call    *call
 
-	line       []byte    // incomplete so far
-	progress   int       // of the incomplete line, in units of progressSize
-	progressAt time.Time // when a line was completed or grew by progressSize; zero before
+	line          []byte    // received bytes of the incomplete line
+	progressSteps int       // size of the incomplete line in units of progressStepBytes
+	progressAt    time.Time // when a line was completed or grew by progressStepBytes; zero before that
 }
 
-// superseded reports whether the watcher's address changed since the call; one that changed there and back did not.
+// superseded reports whether the watcher's address differs from the address of the call. An address that changed and
+// changed back does not differ.
 func (s *watchStream) superseded() bool {
 	return s.watcher.currentAddress() != s.address
 }
 
-// remaining is how long the watch may go on without a further sign of life.
+// remaining returns how long the watch may continue without further progress.
 func (s *watchStream) remaining() (time.Duration, error) {
 	s.call.mu.Lock()
 	defer s.call.mu.Unlock()
-	if s.call.firstByte.IsZero() {
-		deadline := s.call.began.Add(watchAnswerTimeout)
-		return time.Until(deadline), &noAnswerError{timeout: watchAnswerTimeout}
+	if s.call.firstByteAt.IsZero() {
+		deadline := s.call.startedAt.Add(watchResponseTimeout)
+		return time.Until(deadline), &noResponseError{timeout: watchResponseTimeout}
 	}
-	deadline := s.lastSign().Add(watchSilenceTimeout)
-	return time.Until(deadline), &silenceError{timeout: watchSilenceTimeout}
+	deadline := s.lastProgressAt().Add(watchIdleTimeout)
+	return time.Until(deadline), &idleTimeoutError{timeout: watchIdleTimeout}
 }
 
-// wasLive reports whether the watch went on for a while, by its signs of life.
+// wasLive reports whether at least minLiveDuration passed between the call and the last progress of its watch.
 func (s *watchStream) wasLive() bool {
 	s.call.mu.Lock()
 	defer s.call.mu.Unlock()
-	return !s.call.firstByte.IsZero() && s.lastSign().Sub(s.call.began) >= minLiveWatch
+	return !s.call.firstByteAt.IsZero() && s.lastProgressAt().Sub(s.call.startedAt) >= minLiveDuration
 }
 
-// lastSign is the last sign of life of an answer that has begun; the caller holds the call's lock.
-func (s *watchStream) lastSign() time.Time {
+// lastProgressAt returns the time of the last progress of a response that has begun; the caller holds the call's mu.
+func (s *watchStream) lastProgressAt() time.Time {
 	if s.progressAt.IsZero() {
-		return s.call.firstByte
+		return s.call.firstByteAt
 	}
 	return s.progressAt
 }
 
-// receive takes a part of the answer's content and applies the events that it completes. It is called with the call's
-// lock held.
-func (s *watchStream) receive(message *http1.Message, part []byte) error {
+// receiveBody processes a part of the response body and applies the events that it completes. The caller holds the
+// call's mu.
+func (s *watchStream) receiveBody(message *http1.Message, part []byte) error {
 	if message.Status != statusOK {
-		return fmt.Errorf("status %d", message.Status)
+		return fmt.Errorf("watch response has status %d", message.Status)
 	}
 	for len(part) > 0 {
 		text, rest, complete := bytes.Cut(part, []byte("\n"))
-		if len(s.line)+len(text) > maxEventSize {
-			return fmt.Errorf("an object of over %d bytes", maxEventSize)
+		if len(s.line)+len(text) > maxEventBytes {
+			return fmt.Errorf("watch event exceeds %d bytes", maxEventBytes)
 		}
 		s.line = append(s.line, text...)
 		if !complete {
-			s.noteProgress()
+			s.recordProgress()
 			return nil
 		}
-		if err := s.completeLine(); err != nil {
+		if err := s.applyLine(); err != nil {
 			return err
 		}
 		part = rest
@@ -92,18 +96,18 @@
 	return nil
 }
 
-// noteProgress counts an incomplete line as a sign of life each time that it has grown enough.
-func (s *watchStream) noteProgress() {
-	progress := len(s.line) / progressSize
-	if progress > s.progress {
-		s.progress = progress
+// recordProgress records progress each time that an incomplete line has grown by another progressStepBytes.
+func (s *watchStream) recordProgress() {
+	steps := len(s.line) / progressStepBytes
+	if steps > s.progressSteps {
+		s.progressSteps = steps
 		s.progressAt = time.Now()
 	}
 }
 
-// completeLine applies the event of a complete line; an empty line is a sign of life only.
-func (s *watchStream) completeLine() error {
-	s.progress = 0
+// applyLine applies the event of a complete line; an empty line only counts as progress.
+func (s *watchStream) applyLine() error {
+	s.progressSteps = 0
 	s.progressAt = time.Now()
 	event := bytes.TrimSpace(s.line)
 	s.line = s.line[:0]
@@ -114,5 +118,5 @@
 	if err != nil {
 		return err
 	}
-	return s.watcher.apply(list)
+	return s.watcher.applyEvent(list)
 }
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -12,7 +12,7 @@
 		{"a setting that can change", "intake = 77", "intake: 77, was 500", "77 sums a second"},
 		{
 			"one that cannot change", "intake = 88\n  pace = 5",
-			"what waits was given its time by it", "77 sums a second",
+			"queued updates were scheduled with the old rate", "77 sums a second",
 		},
 		{"a broken file", "intake = ", "the file cannot be read", "77 sums a second"},
 		{"a setting that can change, after those", "intake = 99", "intake: 99, was 77", "99 sums a second"},
--- a/internal/statestore/decisionlog.go
+++ b/internal/statestore/decisionlog.go
@@ -6,31 +6,31 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Limits of the decision log: at some 400 bytes an entry and one entry a second it reaches back more than five hours.
-// A start copies all of it, and proxies wait for that: 24 MiB took 0.47 s, 8 MiB 0.15 s (BenchmarkStart, an ordinary
-// disk).
+// Limits of the decision log. With about 400 bytes per entry and one entry per second it covers more than five hours.
+// Open copies the whole log while proxies wait: 24 MiB take 0.47 s and 8 MiB take 0.15 s on an ordinary disk
+// (BenchmarkStart).
 const (
 	maxDecisions     = 20_000
 	maxDecisionBytes = 8 << 20
 )
 
-// decisionFillPercent is how full bbolt fills the log's pages: high, as entries arrive in the order of their keys.
+// decisionFillPercent is the fill level of the log's bbolt pages. It is high because entries are appended in key order.
 const decisionFillPercent = 0.95
 
 // DecisionRecord is an entry of the decision log.
 type DecisionRecord struct {
-	Incarnation uint64 // of the instance that decided
-	Number      uint64 // of the decision, within the incarnation
-	Body        []byte // the caller's own encoding
+	Incarnation uint64 // of the instance that made the decision
+	Number      uint64 // sequence number of the decision within the incarnation
+	Body        []byte // in the caller's encoding
 }
 
 // logSize is the size of the decision log.
 type logSize struct {
 	entries int
-	bytes   int // of the bodies
+	bytes   int // total size of the bodies
 }
 
-func (s *logSize) add(record DecisionRecord) {
+func (s *logSize) addRecord(record DecisionRecord) {
 	s.entries++
 	s.bytes += len(record.Body)
 }
@@ -43,7 +43,7 @@
 func appendDecisions(bucket *bolt.Bucket, records []DecisionRecord, size *logSize) error {
 	bucket.FillPercent = decisionFillPercent
 	for _, record := range records {
-		size.add(record)
+		size.addRecord(record)
 		key := decisionKey(record.Incarnation, record.Number)
 		if err := bucket.Put(key, withChecksum(record.Body)); err != nil {
 			return err
@@ -68,9 +68,9 @@
 	return nil
 }
 
-// Decisions returns the log entries before (incarnation, number) that match, newest first, up to limit. The record
-// passed to match is valid during that call only. Damaged entries are left out. It neither waits for writes nor delays
-// them. The error is one of the database.
+// Decisions returns up to limit log entries before (incarnation, number) for which match returns true, newest first.
+// The record passed to match is valid during that call only. Damaged entries are skipped. Decisions does not wait for
+// writes and does not delay them. An error comes from the database.
 func (s *Store) Decisions(
 	incarnation, number uint64, limit int, match func(DecisionRecord) bool,
 ) ([]DecisionRecord, error) {
@@ -92,8 +92,8 @@
 }
 
 // seekBefore moves a cursor to the last entry before a key.
-func seekBefore(cursor *bolt.Cursor, before []byte) (key, stored []byte) {
-	if next, _ := cursor.Seek(before); next == nil {
+func seekBefore(cursor *bolt.Cursor, bound []byte) (key, stored []byte) {
+	if next, _ := cursor.Seek(bound); next == nil {
 		return cursor.Last()
 	}
 	return cursor.Prev()
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -8,22 +8,22 @@
 // Errors that callers match with errors.Is. Open returns ErrLocked and ErrNewer; each entry of Recovered.Damage matches
 // ErrDamaged.
 var (
-	ErrDamaged = errors.New("damaged")                   // a value or a file that fails its checks
-	ErrLocked  = errors.New("in use by another process") // the state directory
-	ErrNewer   = errors.New("of a newer form")           // the state file, written by a later version
+	ErrDamaged = errors.New("damaged")                   // a value or a file failed its checks
+	ErrLocked  = errors.New("in use by another process") // another process holds the lock of the state directory
+	ErrNewer   = errors.New("of a newer form")           // a later program version wrote the state file
 )
 
-// Causes of damage that are no error of the disk or of bbolt.
+// Causes of damage that are not errors of the disk or of bbolt.
 var (
-	errChecksum      = errors.New("its checksum does not match")
-	errMissing       = errors.New("it is missing")
-	errMissingBucket = errors.New("a bucket is missing")
+	errChecksum           = errors.New("its checksum does not match")
+	errMissingIncarnation = errors.New("the incarnation number is missing")
+	errMissingBucket      = errors.New("a bucket is missing")
 )
 
-// DamageError names what cannot be used of the stored state. It matches ErrDamaged and its Cause.
+// DamageError describes an unusable part of the stored state. It matches ErrDamaged and its Cause.
 type DamageError struct {
 	Location string // file, or file and key
-	Cause    error  // why it cannot be used; nil if there is no more to say than that it is damaged
+	Cause    error  // reason that it cannot be used; nil if no more is known
 }
 
 // Error names the location and the cause.
@@ -42,12 +42,12 @@
 	return []error{ErrDamaged, e.Cause}
 }
 
-// LockedError says that another process uses the state directory. It matches ErrLocked.
+// LockedError reports that another process uses the state directory. It matches ErrLocked.
 type LockedError struct {
 	Dir string
 }
 
-// Error names the directory and the remedy.
+// Error names the directory and suggests a remedy.
 func (e *LockedError) Error() string {
 	return fmt.Sprintf("state directory %s: %s; end that one, or name another directory", e.Dir, ErrLocked)
 }
@@ -55,13 +55,13 @@
 // Unwrap returns ErrLocked.
 func (e *LockedError) Unwrap() error { return ErrLocked }
 
-// NewerSchemaError says that the state file was written by a later version of the program. It matches ErrNewer.
+// NewerSchemaError reports that a later version of the program wrote the state file. It matches ErrNewer.
 type NewerSchemaError struct {
 	Stored    uint64 // schema version of the file
 	Supported uint64 // latest schema version that this program reads
 }
 
-// Error names both versions and the remedy.
+// Error names both versions and suggests a remedy.
 func (e *NewerSchemaError) Error() string {
 	return fmt.Sprintf("%s: %s: schema version %d, and this program reads up to %d; "+
 		"start the later version, or name another directory", stateFile, ErrNewer, e.Stored, e.Supported)
--- a/internal/statestore/migrate.go
+++ b/internal/statestore/migrate.go
@@ -10,9 +10,9 @@
 	"path/filepath"
 )
 
-// The first schema version: one file for the incarnation and one for the endpoint list, each a line with a checksum
-// and a line of JSON. They stay where they are after the migration, so that the earlier version of the program still
-// starts.
+// The first schema version has one file for the incarnation and one for the endpoint list. Each file has a header line
+// with a checksum and a line of JSON. The migration leaves the files in place so that the earlier version of the
+// program can still start.
 const (
 	firstVersion         = 1
 	firstVersionHeader   = "peppervale-state-1"
@@ -20,38 +20,39 @@
 	firstEndpointsFile   = "list"
 )
 
-// firstIncarnation is the JSON of the incarnation's file.
+// firstIncarnation is the JSON content of the incarnation file.
 type firstIncarnation struct {
 	Incarnation uint64 `json:"life"`
 }
 
-// firstEndpoints is the JSON of the endpoint list's file.
+// firstEndpoints is the JSON content of the endpoint list file.
 type firstEndpoints struct {
-	Incarnation uint64          `json:"life"` // that wrote the list
+	Incarnation uint64          `json:"life"` // of the instance that wrote the list
 	Entries     json.RawMessage `json:"entries"`
 }
 
-// readFirstVersion returns what a directory of the first schema version holds, nil if it is none.
+// readFirstVersion returns the state in a directory of the first schema version, or nil if the directory has none of
+// its files.
 func readFirstVersion(dir string) *storedState {
 	var incarnation firstIncarnation
 	var list firstEndpoints
 	incarnationErr := readFirstVersionFile(dir, firstIncarnationFile, &incarnation)
 	listErr := readFirstVersionFile(dir, firstEndpointsFile, &list)
-	noList := errors.Is(listErr, os.ErrNotExist)
-	if errors.Is(incarnationErr, os.ErrNotExist) && noList {
+	listMissing := errors.Is(listErr, os.ErrNotExist)
+	if errors.Is(incarnationErr, os.ErrNotExist) && listMissing {
 		return nil
 	}
 	stored := newStoredState()
 	if incarnationErr != nil {
 		stored.damage = append(stored.damage, incarnationErr)
 	}
-	if listErr != nil && !noList { // an incarnation without a list ended before it received one
+	if listErr != nil && !listMissing { // an instance may end before it receives a list
 		stored.damage = append(stored.damage, listErr)
 	}
-	// Without the incarnation's file the number is lost: the one in the list may be long past.
-	last := max(incarnation.Incarnation, list.Incarnation)
-	if incarnationErr == nil && last > 0 {
-		stored.values[string(incarnationKey)] = encodeUint64(last)
+	// Without the incarnation file the number is lost: the number in the list file may be much older.
+	lastIncarnation := max(incarnation.Incarnation, list.Incarnation)
+	if incarnationErr == nil && lastIncarnation > 0 {
+		stored.values[string(incarnationKey)] = encodeUint64(lastIncarnation)
 	}
 	if listErr == nil {
 		stored.values[string(endpointsKey)] = list.Entries
@@ -59,8 +60,8 @@
 	return stored
 }
 
-// readFirstVersionFile decodes one file. Errors: those of the disk, and ErrDamaged.
-func readFirstVersionFile(dir, name string, into any) error {
+// readFirstVersionFile decodes one file. It returns a disk error or an error that matches ErrDamaged.
+func readFirstVersionFile(dir, name string, target any) error {
 	location := "state " + name
 	text, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
@@ -68,11 +69,11 @@
 	}
 	header, rest, _ := bytes.Cut(text, []byte("\n"))
 	body, complete := bytes.CutSuffix(rest, []byte("\n"))
-	wantHeader := fmt.Sprintf("%s %08x", firstVersionHeader, crc32.ChecksumIEEE(body))
-	if !complete || string(header) != wantHeader {
+	expectedHeader := fmt.Sprintf("%s %08x", firstVersionHeader, crc32.ChecksumIEEE(body))
+	if !complete || string(header) != expectedHeader {
 		return &DamageError{Location: location, Cause: errChecksum}
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, target); err != nil {
 		return &DamageError{Location: location, Cause: err}
 	}
 	return nil
--- a/internal/statestore/migrate_test.go
+++ b/internal/statestore/migrate_test.go
@@ -13,9 +13,9 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// TestFirstVersionIsMigrated shows that the first schema version, a file for each value, is migrated and that damage to
-// one of its files is reported.
-func TestFirstVersionIsMigrated(t *testing.T) {
+// TestOpenMigratesFirstSchemaVersion checks that a directory of the first schema version, which has a file for each
+// value, is migrated and that damage to one of its files is reported.
+func TestOpenMigratesFirstSchemaVersion(t *testing.T) {
 	file := func(body string) []byte {
 		return fmt.Appendf(nil, "%s %08x\n%s\n", firstVersionHeader, crc32.ChecksumIEEE([]byte(body)), body)
 	}
@@ -30,8 +30,8 @@
 		wantList        bool
 	}{
 		{"both files", incarnation, list, 7, 0, true},
-		{"no list", incarnation, nil, 7, 0, false},
-		{"no incarnation", nil, list, 900, 1, true},
+		{"missing list", incarnation, nil, 7, 0, false},
+		{"missing incarnation", nil, list, 900, 1, true},
 		{"damaged incarnation", []byte("nonsense"), list, 900, 1, true},
 		{"truncated list", incarnation, list[:60], 7, 1, false},
 	} {
@@ -42,20 +42,20 @@
 			_, recovered := openStore(t, dir, 900)
 			if recovered.Incarnation != tt.wantIncarnation || len(recovered.Damage) != tt.wantDamage ||
 				recovered.MigratedFrom != 1 || (recovered.Endpoints != nil) != tt.wantList {
-				t.Fatalf("%+v", recovered)
+				t.Fatalf("recovered %+v", recovered)
 			}
 			if !tt.wantList {
 				return
 			}
 			endpoints := recovered.Endpoints
 			if len(endpoints) != 1 || endpoints[0].ID.Port != 3 || endpoints[0].Zone != 2 {
-				t.Errorf("%+v", endpoints)
+				t.Errorf("endpoints %+v, want one on port 3 in zone 2", endpoints)
 			}
 		})
 	}
 }
 
-// writeFirstVersionFile writes a file of the first schema version; none if text is nil.
+// writeFirstVersionFile writes a file of the first schema version, or no file if text is nil.
 func writeFirstVersionFile(t *testing.T, dir, name string, text []byte) {
 	t.Helper()
 	if text == nil {
@@ -66,8 +66,9 @@
 	}
 }
 
-// TestNewerSchemaIsRefused shows that a later version's state file is refused with the remedy and not written to.
-func TestNewerSchemaIsRefused(t *testing.T) {
+// TestOpenRefusesNewerSchemaVersion checks that Open refuses a state file of a later schema version with an error that
+// suggests a remedy, and that it does not write to the file.
+func TestOpenRefusesNewerSchemaVersion(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := openStore(t, dir, 0)
 	err := store.db.Update(func(tx *bolt.Tx) error {
@@ -82,6 +83,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(before, stateImage(t, dir)) {
-		t.Fatal("the newer state file was written to")
+		t.Fatal("Open changed the newer state file")
 	}
 }
--- a/internal/statestore/records.go
+++ b/internal/statestore/records.go
@@ -7,21 +7,21 @@
 
 // Sizes of stored data, in bytes. All numbers are big-endian.
 const (
-	checksumSize    = 4 // before each value
+	checksumSize    = 4 // the checksum precedes each value
 	numberSize      = 8
 	decisionKeySize = 2 * numberSize // incarnation and number
 )
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// withChecksum returns a value as it is stored: its checksum, then its bytes.
+// withChecksum returns the stored form of a value: its checksum followed by its bytes.
 func withChecksum(value []byte) []byte {
 	stored := make([]byte, 0, checksumSize+len(value))
 	stored = binary.BigEndian.AppendUint32(stored, crc32.Checksum(value, castagnoliTable))
 	return append(stored, value...)
 }
 
-// verifyChecksum returns the value within stored bytes, which it shares, and whether its checksum matches.
+// verifyChecksum returns the value part of stored bytes, without a copy, and whether its checksum matches.
 func verifyChecksum(stored []byte) (value []byte, ok bool) {
 	if len(stored) < checksumSize {
 		return nil, false
@@ -34,7 +34,7 @@
 	return binary.BigEndian.AppendUint64(nil, number)
 }
 
-// decodeUint64 reads a stored number; 0 if it is missing or of another length.
+// decodeUint64 decodes a stored number; it returns 0 if the number is missing or has another length.
 func decodeUint64(value []byte) uint64 {
 	if len(value) != numberSize {
 		return 0
@@ -42,13 +42,13 @@
 	return binary.BigEndian.Uint64(value)
 }
 
-// decisionKey orders the decision log by incarnation, then by number.
+// decisionKey returns the key of a log entry; keys sort by incarnation, then by number.
 func decisionKey(incarnation, number uint64) []byte {
 	return binary.BigEndian.AppendUint64(encodeUint64(incarnation), number)
 }
 
-// parseDecision reads an entry of the decision log; its body shares the stored bytes. ok is false if the entry is
-// damaged.
+// parseDecision decodes an entry of the decision log; the body is not copied from the stored bytes. ok is false if the
+// entry is damaged.
 func parseDecision(key, stored []byte) (record DecisionRecord, ok bool) {
 	body, ok := verifyChecksum(stored)
 	if !ok || len(key) != decisionKeySize {
--- a/internal/statestore/recovery.go
+++ b/internal/statestore/recovery.go
@@ -15,23 +15,23 @@
 	"peppervale/internal/model"
 )
 
-// databaseTimeout bounds the wait for bbolt's own lock on a file.
+// databaseTimeout limits the wait for bbolt's own file lock.
 const databaseTimeout = time.Second
 
-// Recovered is what Open found.
+// Recovered is the state that Open found.
 type Recovered struct {
-	Incarnation         uint64           // of this start, from 1
+	Incarnation         uint64           // of this start; the first is 1
 	Endpoints           []model.Endpoint // the last complete list; nil if none is usable
 	Published           []byte           // the tables last published, in the caller's encoding; nil if none are usable
-	PreviousIncarnation uint64           // that was stored; 0 if none was usable
+	PreviousIncarnation uint64           // the stored number; 0 if none was usable
 	Empty               bool             // nothing was stored
-	MigratedFrom        int              // the schema version that was migrated; 0 if it was the present one
-	Damage              []error          // what is not usable, each a *DamageError, or one of the disk
+	MigratedFrom        int              // the migrated schema version; 0 if the state had the current one
+	Damage              []error          // one *DamageError or disk error for each unusable part
 }
 
-// storedState is what a state directory holds, read completely.
+// storedState is the complete content of a state directory.
 type storedState struct {
-	values    map[string][]byte // of the state bucket, by key; verified
+	values    map[string][]byte // of the state bucket, by key; checksums verified
 	decisions []DecisionRecord  // in the order of their keys
 	damage    []error
 }
@@ -44,13 +44,13 @@
 	st.damage = append(st.damage, &DamageError{Location: location, Cause: cause})
 }
 
-// incarnation is the stored incarnation, 0 if there is none.
+// incarnation returns the stored incarnation, or 0 if there is none.
 func (st *storedState) incarnation() uint64 {
 	return decodeUint64(st.values[string(incarnationKey)])
 }
 
-// nextIncarnation is the incarnation of a start whose predecessor's number is lost: at least floor, and above each
-// incarnation of the decision log.
+// nextIncarnation returns the next incarnation when the previous number is lost: at least floor, and above every
+// incarnation in the decision log.
 func (st *storedState) nextIncarnation(floor uint64) uint64 {
 	next := max(floor, 1)
 	if len(st.decisions) > 0 {
@@ -60,10 +60,10 @@
 	return next
 }
 
-// recoverState reads what the directory holds and replaces the state file by one for the next incarnation.
+// recoverState reads the stored state and replaces the state file with one for the next incarnation.
 func (s *Store) recoverState(floor uint64) (*Recovered, error) {
-	leftover := filepath.Join(s.dir, newFile) // of a start that was interrupted
-	if err := os.Remove(leftover); err != nil && !errors.Is(err, os.ErrNotExist) {
+	interruptedFile := filepath.Join(s.dir, newFile) // from an interrupted start
+	if err := os.Remove(interruptedFile); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
 	recovered := &Recovered{}
@@ -90,8 +90,8 @@
 	return recovered, nil
 }
 
-// readStored reads the state file, or the first schema version's files if there is none, and notes in recovered which
-// it was.
+// readStored reads the state file, or the files of the first schema version if there is no state file. It sets Empty or
+// MigratedFrom of recovered accordingly.
 func (s *Store) readStored(recovered *Recovered) (*storedState, error) {
 	stored, err := readStateFile(filepath.Join(s.dir, stateFile))
 	if !errors.Is(err, os.ErrNotExist) {
@@ -106,8 +106,8 @@
 	return stored, nil
 }
 
-// readStateFile returns what is usable of a state file. A page that is missing or makes no sense ends in a panic or a
-// memory fault in bbolt; both are taken here as damage, in the goroutine that reads.
+// readStateFile returns the usable part of a state file. A missing or invalid page causes a panic or a memory fault in
+// bbolt; both are recovered in the reading goroutine and reported as damage.
 func readStateFile(path string) (stored *storedState, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
@@ -115,8 +115,8 @@
 	stored = newStoredState()
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if reason := recover(); reason != nil {
-			stored.addDamage(stateFile, fmt.Errorf("%v", reason))
+		if panicValue := recover(); panicValue != nil {
+			stored.addDamage(stateFile, fmt.Errorf("%v", panicValue))
 			err = nil
 		}
 	}()
@@ -137,7 +137,8 @@
 	return stored, nil
 }
 
-// load reads what a transaction sees. Its only error is ErrNewer; the rest is damage.
+// load reads the buckets of a transaction. The only error it returns matches ErrNewer; other problems are added as
+// damage.
 func (st *storedState) load(tx *bolt.Tx) error {
 	state, decisions := tx.Bucket(stateBucket), tx.Bucket(decisionsBucket)
 	if state == nil || decisions == nil {
@@ -149,7 +150,7 @@
 		return &NewerSchemaError{Stored: version, Supported: schemaVersion}
 	}
 	if st.incarnation() == 0 && len(st.damage) == 0 {
-		st.addDamage(stateFile+": incarnation", errMissing)
+		st.addDamage(stateFile+": incarnation", errMissingIncarnation)
 	}
 	st.loadDecisions(decisions)
 	return nil
@@ -175,7 +176,7 @@
 	cursor := bucket.Cursor()
 	for key, stored := cursor.First(); key != nil; key, stored = cursor.Next() {
 		record, ok := parseDecision(key, stored)
-		if !ok || len(st.decisions) >= 2*maxDecisions { // a damaged page may lead the cursor in a circle
+		if !ok || len(st.decisions) >= 2*maxDecisions { // a damaged page may make the cursor loop
 			damaged++
 			continue
 		}
@@ -187,12 +188,12 @@
 	}
 }
 
-// replaceFile writes the recovered state into a new file and puts that in the old one's place. The store goes on with
-// the new file.
+// replaceFile writes the recovered state to a new file and renames it over the old one. The store then uses the new
+// file.
 func (s *Store) replaceFile(stored *storedState, recovered *Recovered) error {
-	current, fresh := filepath.Join(s.dir, stateFile), filepath.Join(s.dir, newFile)
+	currentPath, newPath := filepath.Join(s.dir, stateFile), filepath.Join(s.dir, newFile)
 	options := &bolt.Options{Timeout: databaseTimeout, FreelistType: bolt.FreelistMapType}
-	database, err := bolt.Open(fresh, 0o644, options)
+	database, err := bolt.Open(newPath, 0o644, options)
 	if err != nil {
 		return err
 	}
@@ -200,9 +201,9 @@
 		return errors.Join(err, database.Close())
 	}
 	if len(stored.damage) > 0 && recovered.MigratedFrom == 0 {
-		keepDamagedFile(current, filepath.Join(s.dir, damagedFile))
+		keepDamagedFile(currentPath, filepath.Join(s.dir, damagedFile))
 	}
-	if err := os.Rename(fresh, current); err != nil {
+	if err := os.Rename(newPath, currentPath); err != nil {
 		return errors.Join(err, database.Close())
 	}
 	if err := syncDirectory(s.dir); err != nil {
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// writeRecovered fills a new state file.
+// writeRecovered writes the recovered state to a new state file.
 func (s *Store) writeRecovered(db *bolt.DB, stored *storedState, recovered *Recovered) error {
 	return db.Update(func(tx *bolt.Tx) error {
 		state, err := tx.CreateBucketIfNotExists(stateBucket)
@@ -230,7 +231,7 @@
 	})
 }
 
-// putRecovered stores the single values of the recovered state.
+// putRecovered stores the values of the state bucket.
 func putRecovered(bucket *bolt.Bucket, stored *storedState, recovered *Recovered) error {
 	if err := bucket.Put(schemaVersionKey, withChecksum(encodeUint64(schemaVersion))); err != nil {
 		return err
@@ -250,12 +251,12 @@
 	return nil
 }
 
-// keepDamagedFile gives a damaged state file a second name, by which it outlives its replacement. It is a link rather
-// than a rename, so that a crash before the replacement does not leave a directory that looks empty. A file system
-// without links keeps no copy.
-func keepDamagedFile(current, kept string) {
-	_ = os.Remove(kept)
-	_ = os.Link(current, kept)
+// keepDamagedFile keeps a damaged state file under a second name before it is replaced. It makes a hard link instead of
+// a rename, so that a crash before the replacement does not leave a directory that looks empty. On a file system
+// without hard links the damaged file is not kept.
+func keepDamagedFile(current, linkPath string) {
+	_ = os.Remove(linkPath)
+	_ = os.Link(current, linkPath)
 }
 
 func syncDirectory(dir string) error {
--- a/internal/statestore/recovery_test.go
+++ b/internal/statestore/recovery_test.go
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-// raceDetectorEnabled is set by the race detector's build. Its checks of pointers end the process where a damaged page
-// leads bbolt astray, which is what the tests of damage cause; they run without it.
+// raceDetectorEnabled is set in builds with the race detector. Its pointer checks abort the process when a damaged page
+// makes bbolt follow an invalid pointer, so the tests that damage pages are skipped in these builds.
 var raceDetectorEnabled bool
 
 func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if raceDetectorEnabled {
-		t.Skip("damaged pages cannot be read under the race detector")
+		t.Skip("the race detector aborts when bbolt reads a damaged page")
 	}
 }
 
-// openImage writes an image into a state file and opens that for single bytes to be changed.
+// openImage writes an image to a state file and opens the file so that single bytes can be changed.
 func openImage(t *testing.T, image []byte) (path string, file *os.File) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), stateFile)
@@ -43,8 +43,8 @@
 	}
 }
 
-// changedBytes returns the offsets at which two images differ, in the order in which bbolt writes them: the data pages,
-// then one of the two meta pages at the start.
+// changedBytes returns the offsets at which two images differ, in the order in which bbolt writes them: first the data
+// pages, then one of the two meta pages at the start of the file.
 func changedBytes(before, after []byte) []int {
 	metaEnd := 2 * os.Getpagesize()
 	var offsets []int
@@ -58,10 +58,10 @@
 	return offsets
 }
 
-// TestWriteInterruptedAtEveryByte plays a crash at each byte of a write: the pages with the new state are on disk in
-// part, or all of them are and so is a part of the page that makes them valid. A reader then finds the previous state
-// completely, or the new one.
-func TestWriteInterruptedAtEveryByte(t *testing.T) {
+// TestInterruptedWriteLeavesOldOrNewState simulates a crash at each byte of a write: the data pages are written partly,
+// or they are complete and the meta page that makes them valid is written partly. A reader must find the complete
+// previous state or the complete new state.
+func TestInterruptedWriteLeavesOldOrNewState(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := openStore(t, dir, 0)
 	older := Change{Endpoints: endpointList(1), Published: []byte("older"), Decisions: decisionRecords(1, 1, 20)}
@@ -69,7 +69,7 @@
 	if err := store.Write(&older); err != nil {
 		t.Fatal(err)
 	}
-	before := stateImage(t, dir) // a written transaction is in the file, synced
+	before := stateImage(t, dir) // Write returns after the sync
 	if err := store.Write(&newer); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 
 	path, file := openImage(t, before)
 	wantDecisions := map[string]int{"older": 19, "newer": 39}
-	seen := map[string]int{}
+	statesFound := map[string]int{}
 	offsets := changedBytes(before, after)
 	for _, offset := range offsets {
 		writeByte(t, file, offset, after[offset])
@@ -92,16 +92,16 @@
 			t.Fatalf("interrupted after byte %d: %q with %d decisions, incarnation %d",
 				offset, published, len(stored.decisions), stored.incarnation())
 		}
-		seen[published]++
+		statesFound[published]++
 	}
-	if seen["older"] < 500 || seen["newer"] == 0 {
-		t.Fatalf("of %d interruptions: %v", len(offsets), seen)
+	if statesFound["older"] < 500 || statesFound["newer"] == 0 {
+		t.Fatalf("%d interruptions found the states %v; want at least 500 older and 1 newer", len(offsets), statesFound)
 	}
 }
 
-// TestDamageAtEveryByte shows that a byte that changed anywhere never yields another state: each value is read as it
-// was written or not at all, and what was lost is reported.
-func TestDamageAtEveryByte(t *testing.T) {
+// TestDamagedByteNeverAltersValues checks that a changed byte anywhere in the file never yields a different state: each
+// value is read as it was written or not at all, and lost values are reported as damage.
+func TestDamagedByteNeverAltersValues(t *testing.T) {
 	skipUnderRaceDetector(t)
 	dir := t.TempDir()
 	store, _ := openStore(t, dir, 0)
@@ -112,13 +112,13 @@
 	closeStore(t, store)
 	image := stateImage(t, dir)
 	path, file := openImage(t, image)
-	sound, err := readStateFile(path)
-	if err != nil || len(sound.values) != 4 || len(sound.decisions) != 9 {
-		t.Fatalf("%+v, %v", sound, err)
+	undamaged, err := readStateFile(path)
+	if err != nil || len(undamaged.values) != 4 || len(undamaged.decisions) != 9 {
+		t.Fatalf("undamaged file read as %+v, %v; want 4 values and 9 decisions", undamaged, err)
 	}
 	reported := 0
 	for offset, original := range image {
-		if original == 0 && offset%16 != 0 { // most of a page is empty; a sample of that will do
+		if original == 0 && offset%16 != 0 { // pages are mostly empty; test a sample of the empty bytes
 			continue
 		}
 		writeByte(t, file, offset, original^0x21)
@@ -127,7 +127,7 @@
 			t.Fatalf("byte %d: %v", offset, err)
 		}
 		writeByte(t, file, offset, original)
-		checkPartOf(t, offset, stored, sound)
+		checkUnaltered(t, offset, stored, undamaged)
 		if len(stored.damage) > 0 {
 			reported++
 		} else if len(stored.values) < 4 && stored.incarnation() != 1 {
@@ -135,28 +135,28 @@
 		}
 	}
 	if reported < 100 {
-		t.Fatalf("only %d of the changed bytes were reported", reported)
+		t.Fatalf("%d changed bytes were reported as damage, want at least 100", reported)
 	}
 }
 
-// checkPartOf asserts that what was read after a byte changed was written so.
-func checkPartOf(t *testing.T, offset int, stored, sound *storedState) {
+// checkUnaltered asserts that each value and decision read after a byte changed equals one that was written.
+func checkUnaltered(t *testing.T, offset int, stored, undamaged *storedState) {
 	t.Helper()
 	for key, value := range stored.values {
-		if !bytes.Equal(value, sound.values[key]) {
+		if !bytes.Equal(value, undamaged.values[key]) {
 			t.Fatalf("byte %d: %s is read as %q", offset, key, value)
 		}
 	}
 	for _, record := range stored.decisions {
 		if !strings.HasPrefix(string(record.Body), "step ") {
-			t.Fatalf("byte %d: a decision is read as %q", offset, record.Body)
+			t.Fatalf("byte %d: a decision is read as %q, want prefix \"step \"", offset, record.Body)
 		}
 	}
 }
 
-// TestDamagedFileIsKept shows that a file that is truncated or no state file at all is reported, kept aside and not
-// used; the next incarnation is above the clock's figure, and what is written after it is stored.
-func TestDamagedFileIsKept(t *testing.T) {
+// TestOpenReportsAndKeepsDamagedFile checks that a truncated file or a file of another format is reported, kept under
+// another name and not used, that the next incarnation is at least floor, and that later writes are stored.
+func TestOpenReportsAndKeepsDamagedFile(t *testing.T) {
 	skipUnderRaceDetector(t)
 	metaSize := 2 * os.Getpagesize()
 	for _, tt := range []struct {
@@ -166,7 +166,7 @@
 		{"truncated", func(image []byte) []byte { return image[:3*os.Getpagesize()+100] }},
 		{"empty", func([]byte) []byte { return nil }},
 		{"another format", func([]byte) []byte { return bytes.Repeat([]byte("not a store\n"), 5000) }},
-		{"both metas zero", func(image []byte) []byte { return append(make([]byte, metaSize), image[metaSize:]...) }},
+		{"both meta pages zero", func(image []byte) []byte { return append(make([]byte, metaSize), image[metaSize:]...) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -176,22 +176,22 @@
 				t.Fatal(err)
 			}
 			closeStore(t, store)
-			damaged := tt.damage(stateImage(t, dir))
-			if err := os.WriteFile(filepath.Join(dir, stateFile), damaged, 0o644); err != nil {
+			damagedImage := tt.damage(stateImage(t, dir))
+			if err := os.WriteFile(filepath.Join(dir, stateFile), damagedImage, 0o644); err != nil {
 				t.Fatal(err)
 			}
-			checkDamagedFile(t, dir, damaged)
+			checkDamagedFile(t, dir, damagedImage)
 		})
 	}
 }
 
-// checkDamagedFile opens a directory whose state file is damaged, writes, and opens it again.
+// checkDamagedFile opens a directory with a damaged state file, writes to the store, and opens the directory again.
 func checkDamagedFile(t *testing.T, dir string, damaged []byte) {
 	t.Helper()
 	store, recovered := openStore(t, dir, 900)
 	if len(recovered.Damage) == 0 || !errors.Is(recovered.Damage[0], ErrDamaged) || recovered.Empty ||
 		recovered.Incarnation < 900 && recovered.Incarnation != 2 {
-		t.Fatalf("%+v", recovered)
+		t.Fatalf("recovered %+v, want damage and incarnation 2 or at least 900", recovered)
 	}
 	if kept, _ := os.ReadFile(filepath.Join(dir, damagedFile)); !bytes.Equal(kept, damaged) {
 		t.Error("the damaged file was not kept")
@@ -200,9 +200,9 @@
 		t.Fatal(err)
 	}
 	closeStore(t, store)
-	_, again := openStore(t, dir, 0)
-	if again.Incarnation != recovered.Incarnation+1 || len(again.Damage) > 0 ||
-		!reflect.DeepEqual(again.Endpoints, endpointList(7)) {
-		t.Fatalf("afterwards: %+v", again)
+	_, afterRestart := openStore(t, dir, 0)
+	if afterRestart.Incarnation != recovered.Incarnation+1 || len(afterRestart.Damage) > 0 ||
+		!reflect.DeepEqual(afterRestart.Endpoints, endpointList(7)) {
+		t.Fatalf("second start recovered %+v, want the next incarnation and the endpoint list written before", afterRestart)
 	}
 }
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -13,7 +13,7 @@
 	"peppervale/internal/model"
 )
 
-// schemaVersion is the number of the layout that this program writes. Version 1 was a file for each value.
+// schemaVersion is the version of the layout that this program writes. Version 1 had a file for each value.
 const schemaVersion = 2
 
 // Files in the state directory.
@@ -24,7 +24,7 @@
 	lockFile    = "lock"
 )
 
-// Names in the state file; stored files hold them.
+// Bucket names and keys of the state file. They are part of the stored format.
 var (
 	stateBucket     = []byte("state")
 	decisionsBucket = []byte("causes")
@@ -35,20 +35,20 @@
 	publishedKey     = []byte("published")
 )
 
-// Store is an open state directory, locked for this process. Make it with Open and end it with Close. Write is called
-// by one goroutine at a time; Decisions by any.
+// Store is an open state directory, locked for this process. Create it with Open and release it with Close. Only one
+// goroutine may call Write at a time; any goroutine may call Decisions.
 type Store struct {
 	dir  string
 	lock *os.File
 	db   *bolt.DB
 
-	logSize logSize // owned by the goroutine that writes
+	logSize logSize // used only by the goroutine that calls Write
 }
 
-// Open makes the directory if it is missing, locks it, recovers what it holds and counts an incarnation. If the
-// number of the last incarnation is not known, the next one is at least floor (say the clock's seconds), as it is
-// not known how far the lost number had come. Errors: ErrLocked, ErrNewer, and those of the disk. Damage is no error,
-// see Recovered.Damage.
+// Open creates the directory if it is missing, locks it, recovers the stored state and increments the incarnation. If
+// the last incarnation number is lost, the next one is at least floor (for example the clock's seconds), because the
+// lost number is unknown. Open returns an error that matches ErrLocked or ErrNewer, or a disk error. Damage is not an
+// error; see Recovered.Damage.
 func Open(dir string, floor uint64) (*Store, *Recovered, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, nil, fmt.Errorf("state directory: %w", err)
@@ -76,7 +76,7 @@
 	return lock, nil
 }
 
-// Close closes the state file and releases the directory.
+// Close closes the state file and unlocks the directory.
 func (s *Store) Close() error {
 	var err error
 	if s.db != nil {
@@ -85,7 +85,7 @@
 	return errors.Join(err, s.lock.Close())
 }
 
-// Change is what one write stores together.
+// Change is the data that one write stores atomically.
 type Change struct {
 	Endpoints []model.Endpoint // nil: unchanged
 	Published []byte           // nil: unchanged
@@ -96,8 +96,8 @@
 	return c.Endpoints == nil && c.Published == nil && len(c.Decisions) == 0
 }
 
-// Write stores a change durably, completely or not at all. The oldest decisions beyond the log's limits are deleted
-// with it. The error is one of the disk or the database.
+// Write stores a change durably, completely or not at all. It also deletes the oldest decisions beyond the log's
+// limits. An error comes from the disk or the database.
 func (s *Store) Write(change *Change) error {
 	size := s.logSize
 	err := s.db.Update(func(tx *bolt.Tx) error {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// putState stores the single values of a change.
+// putState stores the endpoint list and the published tables of a change.
 func putState(bucket *bolt.Bucket, change *Change) error {
 	if change.Endpoints != nil {
 		body, err := json.Marshal(change.Endpoints)
--- a/internal/statestore/store_bench_test.go
+++ b/internal/statestore/store_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// openBenchStore opens an empty directory for a benchmark.
+// openBenchStore opens a store in an empty directory.
 func openBenchStore(b *testing.B) *Store {
 	b.Helper()
 	store, _, err := Open(b.TempDir(), 0)
@@ -16,8 +16,8 @@
 	return store
 }
 
-// BenchmarkWrite writes what a busy quarter of a second brings: ten decisions of a kilobyte, and each time a list of
-// 2,000 endpoints.
+// BenchmarkWrite measures a write under high load: ten decisions of 1 kB, as many as arrive in a quarter of a second,
+// and a list of 2,000 endpoints.
 func BenchmarkWrite(b *testing.B) {
 	store := openBenchStore(b)
 	list := endpointList(1)
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkStart opens a directory whose decision log is full.
+// BenchmarkStart measures Open with a full decision log.
 func BenchmarkStart(b *testing.B) {
 	dir := b.TempDir()
 	store, _, err := Open(dir, 0)
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkSearch searches a full decision log for what is not in it.
+// BenchmarkSearch measures a search of a full decision log that finds no match.
 func BenchmarkSearch(b *testing.B) {
 	store := openBenchStore(b)
 	if err := store.Write(&Change{Decisions: decisionRecords(1, 0, maxDecisions)}); err != nil {
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -25,18 +25,18 @@
 	goleak.VerifyTestMain(m)
 }
 
-// openStore opens a directory; the store is closed at the end of the test unless that was done before.
+// openStore opens a directory; the store is closed at the end of the test unless the test closed it.
 func openStore(t *testing.T, dir string, floor uint64) (*Store, *Recovered) {
 	t.Helper()
 	store, recovered, err := Open(dir, floor)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = store.Close() }) // fails if the test closed it
+	t.Cleanup(func() { _ = store.Close() }) // returns an error if the test already closed it
 	return store, recovered
 }
 
-// closeStore closes a store whose file a test goes on with.
+// closeStore closes a store so that the test can use its file.
 func closeStore(tb testing.TB, store *Store) {
 	tb.Helper()
 	if err := store.Close(); err != nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// stateImage is the content of a directory's state file.
+// stateImage returns the content of a directory's state file.
 func stateImage(t *testing.T, dir string) []byte {
 	t.Helper()
 	image, err := os.ReadFile(filepath.Join(dir, stateFile))
@@ -54,7 +54,7 @@
 	return image
 }
 
-// endpointList is a list of one endpoint at a port.
+// endpointList returns a list of one endpoint with the given port.
 func endpointList(port uint16) []model.Endpoint {
 	return []model.Endpoint{{
 		ID:        model.ReplicaID{Addr: [4]byte{127, 0, 0, 1}, Port: port},
@@ -64,7 +64,7 @@
 	}}
 }
 
-// decisionRecords are the records with the numbers [from, to).
+// decisionRecords returns records with the numbers [from, to).
 func decisionRecords(incarnation uint64, from, to int) []DecisionRecord {
 	var records []DecisionRecord
 	for number := from; number < to; number++ {
@@ -74,8 +74,8 @@
 	return records
 }
 
-// TestStateSurvivesRestarts shows that each start finds what the one before wrote.
-func TestStateSurvivesRestarts(t *testing.T) {
+// TestOpenRecoversStateOfPreviousStart checks that each start recovers the state that the previous start wrote.
+func TestOpenRecoversStateOfPreviousStart(t *testing.T) {
 	dir := t.TempDir()
 	for incarnation := uint64(1); incarnation < 4; incarnation++ {
 		store, recovered := openStore(t, dir, 1000)
@@ -104,7 +104,7 @@
 	}
 	want := []string{"3/2 step 2", "2/4 step 4", "2/3 step 3", "2/2 step 2"}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("decisions %q, %v", got, err)
 	}
 }
 
@@ -116,8 +116,9 @@
 	}
 }
 
-// TestDecisionLogIsBounded shows that the oldest entries are deleted beyond the limits of count and size.
-func TestDecisionLogIsBounded(t *testing.T) {
+// TestWriteTrimsDecisionLogToItsLimits checks that the oldest entries are deleted when the log exceeds its count or
+// size limit.
+func TestWriteTrimsDecisionLogToItsLimits(t *testing.T) {
 	store, _ := openStore(t, t.TempDir(), 0)
 	if err := store.Write(&Change{Decisions: decisionRecords(1, 0, maxDecisions+500)}); err != nil {
 		t.Fatal(err)
@@ -136,18 +137,18 @@
 				t.Fatal(err)
 			}
 			var found logSize
-			countAll := func(r DecisionRecord) bool { found.add(r); return false }
+			countAll := func(r DecisionRecord) bool { found.addRecord(r); return false }
 			if _, err := store.Decisions(2, 0, maxDecisions*2, countAll); err != nil {
 				t.Fatal(err)
 			}
 			if found != store.logSize || found.exceedsLimits() || found.entries < tt.minEntries {
-				t.Fatalf("found %+v; counted %+v", found, store.logSize)
+				t.Fatalf("the log has size %+v; the store recorded %+v", found, store.logSize)
 			}
 		})
 	}
 }
 
-func TestDirectoryIsLocked(t *testing.T) {
+func TestOpenFailsWhenDirectoryIsLocked(t *testing.T) {
 	dir := t.TempDir()
 	openStore(t, dir, 0)
 	if _, _, err := Open(dir, 0); !errors.Is(err, ErrLocked) {
--- a/internal/statestore/stored_format_test.go
+++ b/internal/statestore/stored_format_test.go
@@ -12,10 +12,10 @@
 	"peppervale/internal/statestore"
 )
 
-// The fixtures in testdata were written by the program: go test ./internal/server -run TestArchiveReadsStoredState
-// -update rewrites them, which is for a change of the schema version only.
+// The program wrote the fixtures in testdata: go test ./internal/server -run StoredState -update
+// rewrites them, which is only allowed with a change of the schema version.
 
-// openFixture opens a copy of a fixture, as Open writes to the directory.
+// openFixture opens a copy of a fixture, because Open writes to the directory.
 func openFixture(t *testing.T, names ...string) (*statestore.Store, *statestore.Recovered) {
 	t.Helper()
 	dir := t.TempDir()
@@ -40,7 +40,7 @@
 	return store, recovered
 }
 
-// checkEndpoints asserts the endpoint list of the fixtures, field by field.
+// checkEndpoints asserts every field of the fixtures' endpoint list.
 func checkEndpoints(t *testing.T, endpoints []model.Endpoint) {
 	t.Helper()
 	want := []struct {
@@ -66,7 +66,7 @@
 	}
 }
 
-// The bytes of the fixture's published state and of its decision log, newest first.
+// The bytes of the fixture's published state and of its decision log entries, newest first.
 const storedPublished = `{"kind":"snapshot","life":2,"version":34,` +
 	`"tables":{"5":[{"replica":"10.1.2.3:8081","weight":0.25},{"replica":"10.4.5.6:8082","weight":0.75}]},` +
 	`"withdrawn":["10.7.8.9:8083"],"levels":[{"operations":3,"share":0.5,"way":2}],"forwarders":{"till-1":"5"}}`
@@ -87,8 +87,8 @@
 		`"Said":["gate open"],"Orders":["forwarder 1 on table 2"],"Cut":7}`},
 }
 
-// TestStoredStateIsRead opens a state file that an earlier version wrote.
-func TestStoredStateIsRead(t *testing.T) {
+// TestOpenReadsStoredState checks that a state file of an earlier program version is read completely.
+func TestOpenReadsStoredState(t *testing.T) {
 	store, recovered := openFixture(t, "state.db")
 	if recovered.Incarnation != 3 || recovered.PreviousIncarnation != 2 || recovered.Empty ||
 		recovered.MigratedFrom != 0 || len(recovered.Damage) > 0 {
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestFirstSchemaVersionIsRead opens a directory of the first schema version.
-func TestFirstSchemaVersionIsRead(t *testing.T) {
+// TestOpenReadsFirstSchemaVersion checks that a directory of the first schema version is read completely.
+func TestOpenReadsFirstSchemaVersion(t *testing.T) {
 	_, recovered := openFixture(t, "first/life", "first/list")
 	if recovered.Incarnation != 7 || recovered.PreviousIncarnation != 6 || recovered.Empty ||
 		recovered.MigratedFrom != 1 || len(recovered.Damage) > 0 || recovered.Published != nil {
@@ -133,14 +133,15 @@
 	checkEndpoints(t, recovered.Endpoints)
 }
 
-// TestEndpointListEncoding asserts that an endpoint list is written with the bytes that earlier versions read.
-func TestEndpointListEncoding(t *testing.T) {
+// TestEndpointListKeepsStoredEncoding checks that an endpoint list is encoded with the bytes that earlier versions can
+// read.
+func TestEndpointListKeepsStoredEncoding(t *testing.T) {
 	_, recovered := openFixture(t, "state.db")
 	body, err := json.Marshal(recovered.Endpoints)
 	const want = `[{"ID":{"Addr":[10,1,2,3],"Port":8081},"Zone":1,"Life":1,"Since":1700000000000001},` +
 		`{"ID":{"Addr":[10,4,5,6],"Port":8082},"Zone":2,"Life":2,"Since":1700000000000002},` +
 		`{"ID":{"Addr":[10,7,8,9],"Port":8083},"Zone":3,"Life":0,"Since":1700000000000003}]`
 	if err != nil || string(body) != want {
-		t.Errorf("written as %s, %v; want %s", body, err, want)
+		t.Errorf("endpoint list encoded as %s, %v; want %s", body, err, want)
 	}
 }
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// batchDelay is how long changes are gathered into one write: a sync takes some milliseconds, and a restart that lacks
-	// the last quarter of a second of decisions has lost little.
+	// batchDelay is how long changes are collected into one write. A sync takes some milliseconds, and losing the last
+	// quarter of a second of decisions in a restart is acceptable.
 	batchDelay = 250 * time.Millisecond
 
-	// initialRetryDelay and maxRetryDelay bound the delay between attempts on a disk that fails.
+	// initialRetryDelay and maxRetryDelay limit the delay between write attempts while the disk fails.
 	initialRetryDelay = time.Second
 	maxRetryDelay     = 30 * time.Second
 
-	// maxPendingDecisions bounds the decisions that wait in memory.
+	// maxPendingDecisions limits the decisions that are queued in memory.
 	maxPendingDecisions = 4096
 )
 
-// Writer stores changes in the background: its callers never wait for the disk, and a slow or full disk costs memory
-// only up to a limit. Of the endpoint list and the published tables only the newest is kept; decisions queue, and the
-// oldest beyond the limit are dropped and counted.
+// Writer stores changes in the background. Its callers never wait for the disk, and a slow or full disk uses a limited
+// amount of memory. Only the newest endpoint list and the newest published tables are pending; decisions are queued,
+// and the oldest ones beyond the limit are dropped and counted.
 //
 //	state     event             next state  effect
-//	idle      a change arrives  gathering   wait for batchDelay
-//	gathering delay is over     writing     write everything pending
-//	writing   success           idle        report recovery if the write before failed
+//	idle      a change arrives  gathering   start batchDelay
+//	gathering delay expires     writing     write all pending changes
+//	writing   success           idle        report recovery if the previous write failed
 //	writing   failure           waiting     keep the change unless a newer one replaces it; report the first failure
-//	waiting   delay is over     writing     double the next delay, up to maxRetryDelay
+//	waiting   delay expires     writing     double the next delay, up to maxRetryDelay
 type Writer struct {
 	store   *Store
 	report  func(err error, dropped uint64)
@@ -42,8 +42,8 @@
 	dropped uint64
 }
 
-// NewWriter starts a writer to an open store. report is called from the writer's goroutine with the error when writing
-// starts to fail, and with nil when it works again; dropped is the number of decisions dropped so far.
+// NewWriter starts a writer for an open store. The writer's goroutine calls report with the error when writes start to
+// fail, and with nil when they succeed again; dropped is the number of decisions dropped so far.
 func NewWriter(store *Store, report func(err error, dropped uint64)) *Writer {
 	w := &Writer{
 		store:   store,
@@ -52,42 +52,42 @@
 		stop:    make(chan struct{}),
 		stopped: make(chan struct{}),
 	}
-	go w.run()
+	go w.writeLoop()
 	return w
 }
 
-// SetEndpoints stores a complete endpoint list. The writer owns the slice from then on.
+// SetEndpoints stores a complete endpoint list. The writer takes ownership of the slice.
 func (w *Writer) SetEndpoints(endpoints []model.Endpoint) {
 	if endpoints == nil {
 		endpoints = []model.Endpoint{}
 	}
-	w.add(func(pending *Change) { pending.Endpoints = endpoints })
+	w.enqueue(func(pending *Change) { pending.Endpoints = endpoints })
 }
 
-// SetPublished stores the published tables. The writer owns the slice from then on.
+// SetPublished stores the published tables. The writer takes ownership of the slice.
 func (w *Writer) SetPublished(body []byte) {
-	w.add(func(pending *Change) { pending.Published = body })
+	w.enqueue(func(pending *Change) { pending.Published = body })
 }
 
-// AddDecision stores an entry of the decision log. The writer owns its body from then on.
+// AddDecision stores an entry of the decision log. The writer takes ownership of its body.
 func (w *Writer) AddDecision(record DecisionRecord) {
-	w.add(func(pending *Change) { pending.Decisions = append(pending.Decisions, record) })
+	w.enqueue(func(pending *Change) { pending.Decisions = append(pending.Decisions, record) })
 }
 
-// Dropped is the number of decisions that were dropped because too many were pending.
+// Dropped returns the number of decisions that were dropped because too many were pending.
 func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Close writes what is pending, in one attempt, and ends the writer. It does not close the store.
+// Close makes one attempt to write the pending changes and stops the writer. It does not close the store.
 func (w *Writer) Close() {
 	close(w.stop)
 	<-w.stopped
 }
 
-func (w *Writer) add(update func(pending *Change)) {
+func (w *Writer) enqueue(update func(pending *Change)) {
 	w.mu.Lock()
 	update(&w.pending)
 	w.dropOldest()
@@ -95,7 +95,7 @@
 	w.signal()
 }
 
-// signal wakes the goroutine to write what is pending; it does not wait.
+// signal wakes the writer's goroutine; it does not block.
 func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -103,7 +103,7 @@
 	}
 }
 
-// dropOldest keeps the pending decisions within their limit; the caller holds the lock.
+// dropOldest drops the oldest pending decisions beyond the limit; the caller holds w.mu.
 func (w *Writer) dropOldest() {
 	excess := len(w.pending.Decisions) - maxPendingDecisions
 	if excess <= 0 {
@@ -113,7 +113,7 @@
 	w.pending.Decisions = append([]DecisionRecord(nil), w.pending.Decisions[excess:]...)
 }
 
-func (w *Writer) run() {
+func (w *Writer) writeLoop() {
 	defer close(w.stopped)
 	failing := false
 	retryDelay := initialRetryDelay
@@ -122,8 +122,8 @@
 		if failing {
 			delay = retryDelay
 		}
-		if !w.waitForWork(delay) {
-			_ = w.flush() // the writer ends: a failure is not reported any more
+		if !w.waitForChange(delay) {
+			_ = w.flush() // the writer stops: a failure is no longer reported
 			return
 		}
 		err := w.flush()
@@ -141,9 +141,9 @@
 	}
 }
 
-// waitForWork waits until something is pending and the delay after that is over. It returns false if the writer is
-// closed meanwhile.
-func (w *Writer) waitForWork(delay time.Duration) bool {
+// waitForChange waits until a change is pending and then for the delay. It returns false if the writer is closed before
+// that.
+func (w *Writer) waitForChange(delay time.Duration) bool {
 	select {
 	case <-w.wake:
 	case <-w.stop:
@@ -157,7 +157,7 @@
 	}
 }
 
-// flush writes what is pending; what could not be written becomes pending again, unless something newer replaced it.
+// flush writes the pending changes. If the write fails, they become pending again unless newer values replaced them.
 func (w *Writer) flush() error {
 	w.mu.Lock()
 	change := w.pending
@@ -168,14 +168,14 @@
 	}
 	err := w.store.Write(&change)
 	if err != nil {
-		w.restore(&change)
+		w.requeue(&change)
 		w.signal()
 	}
 	return err
 }
 
-// restore makes a change pending again that could not be written.
-func (w *Writer) restore(failed *Change) {
+// requeue makes a change pending again after its write failed.
+func (w *Writer) requeue(failed *Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.pending.Endpoints == nil {
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -12,12 +12,14 @@
 	"time"
 )
 
-// fullDiskEnv names the directory in the environment of the process that TestWriterOnFullDisk starts.
+// fullDiskEnv is the environment variable that passes the directory to the process that TestWriterRecoversFromFullDisk
+// starts.
 const fullDiskEnv = "STORE_ON_A_FULL_DISK"
 
-// TestWriterOnFullDisk shows that the state on a full disk stays, that the failure is reported once, that what arrived
-// meanwhile is written once there is space, and that no more is kept in memory than the limit.
-func TestWriterOnFullDisk(t *testing.T) {
+// TestWriterRecoversFromFullDisk checks that a full disk does not change the stored state, that the failure is reported
+// once, that pending changes are written when space is available again, and that the pending decisions stay within
+// their limit.
+func TestWriterRecoversFromFullDisk(t *testing.T) {
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), fullDiskEnv+"="+t.TempDir())
 	if out, err := command.CombinedOutput(); err != nil {
@@ -25,8 +27,8 @@
 	}
 }
 
-// runOnFullDisk runs in a process of its own: the limit on a file's size, which stands in for a full disk, is a
-// process's.
+// runOnFullDisk runs in a separate process, because the file size limit that simulates a full disk applies to the whole
+// process.
 func runOnFullDisk(dir string) error {
 	store, _, err := Open(dir, 0)
 	if err != nil {
@@ -41,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	if err := writeOnFullDisk(store, writer, reports); err != nil {
+	if err := checkWritesOnFullDisk(store, writer, reports); err != nil {
 		return err
 	}
 	if err := restoreLimit(); err != nil {
@@ -62,7 +64,7 @@
 	return checkAfterFullDisk(dir)
 }
 
-// forbidFileGrowth sets the limit on a file's size so low that no file grows, and gives a function that restores it.
+// forbidFileGrowth sets the file size limit so low that no file can grow, and returns a function that restores it.
 func forbidFileGrowth() (restore func() error, err error) {
 	var original syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &original); err != nil {
@@ -76,8 +78,8 @@
 	return func() error { return syscall.Setrlimit(syscall.RLIMIT_FSIZE, &original) }, nil
 }
 
-// writeOnFullDisk gives the writer more than it may keep and waits for its report.
-func writeOnFullDisk(store *Store, writer *Writer, reports <-chan error) error {
+// checkWritesOnFullDisk gives the writer more decisions than it may queue and waits for its report.
+func checkWritesOnFullDisk(store *Store, writer *Writer, reports <-chan error) error {
 	body := bytes.Repeat([]byte("x"), 500)
 	for number := range maxPendingDecisions + 100 {
 		writer.AddDecision(DecisionRecord{Incarnation: 1, Number: uint64(number), Body: body})
@@ -92,12 +94,12 @@
 		return errors.New("no failure was reported")
 	}
 	if dropped := writer.Dropped(); dropped < 100 {
-		return fmt.Errorf("%d decisions were dropped, and at least 100 exceed the limit", dropped)
+		return fmt.Errorf("%d decisions were dropped, want at least 100", dropped)
 	}
 	stored := newStoredState()
 	err := store.db.View(stored.load)
 	if err != nil || string(stored.values["published"]) != "before" || len(stored.damage) > 0 {
-		return fmt.Errorf("on the full disk: %w, %+v", err, stored)
+		return fmt.Errorf("stored state on the full disk: %w, %+v; want it unchanged", err, stored)
 	}
 	return nil
 }
@@ -108,7 +110,7 @@
 		return err
 	}
 	if !reflect.DeepEqual(recovered.Endpoints, endpointList(2)) || string(recovered.Published) != "before" {
-		return fmt.Errorf("after the full disk: %+v", recovered)
+		return fmt.Errorf("state after space was available again: %+v", recovered)
 	}
 	return store.Close()
 }
