--- a/internal/cluster/apply.go
+++ b/internal/cluster/apply.go
@@ -5,18 +5,19 @@
 	"peppervale/internal/model"
 )
 
-// reasonNewIncarnation is the reason of a Takeover that has no other. The replicated state holds its text, so it must
-// stay the same in every version.
+// reasonNewIncarnation is the reason of a takeover by a new incarnation of the previous holder. The replicated state
+// holds its text, so it must stay the same in every version.
 const reasonNewIncarnation = "a new life of the same member"
 
-// ShardResponse is the response to one shard of a RenewLeases.
+// ShardResponse is the response to the request for one shard in a RenewLeases.
 type ShardResponse struct {
 	Shard int
 	lease.Response
 }
 
-// Apply carries out an entry that was committed in a raft term, and returns the responses to a RenewLeases. An entry of
-// a term whose leader has not announced itself has no effect: its stamp is of a clock that leases are not counted by.
+// Apply applies an entry that was committed in the given raft term, and returns the responses to a RenewLeases. An
+// entry has no effect while the leader of its term has not announced itself: leases are not measured by that leader's
+// clock.
 func (s *State) Apply(entry LogEntry, term uint64) []ShardResponse {
 	if s.NewerSchemaVersion == 0 && entry.SchemaVersion > s.supportedVersion {
 		s.NewerSchemaVersion = entry.SchemaVersion
@@ -57,7 +58,7 @@
 		member = &MemberState{Name: c.Member}
 		state.Members = append(state.Members, member)
 	}
-	if c.Incarnation < member.Incarnation { // it is late, or of a second process under the same name
+	if c.Incarnation < member.Incarnation { // a delayed command, or one of another process with the same name
 		return nil
 	}
 	if c.Incarnation > member.Incarnation {
@@ -108,7 +109,7 @@
 	return response
 }
 
-// recordTakeover remembers a grant in a new epoch.
+// recordTakeover records a grant in a new epoch, and drops the oldest takeover beyond maxEvents.
 func (s *State) recordTakeover(shard *ShardState, previous lease.Holder, holder string, stamp model.Microseconds) {
 	event := Takeover{
 		At:      stamp,
@@ -178,8 +179,9 @@
 
 func (unknownCommand) apply(*State, model.Microseconds) []ShardResponse { return nil }
 
-// lags reports whether a member sends requests but does not follow the log: its disk is full, or a link is open one
-// way only. It would not learn that a shard was granted to it, and would keep others from holding that shard.
+// lags reports whether a member sends commands but has not applied recent log entries: its disk is full, or a link
+// works in one direction only. Such a member would not learn that a lease was granted to it, and would keep other
+// members from holding that shard.
 func (s *State) lags(stamp, followedAt model.Microseconds) bool {
 	return stamp-followedAt > s.LeaseDuration
 }
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -12,22 +12,22 @@
 // errorPrefix begins each error reply.
 const errorPrefix = "ERR "
 
-// client sends requests to one address, over a connection that it keeps. It is for one goroutine at a time.
+// client sends requests to one address over a persistent connection. It is not safe for concurrent use.
 type client struct {
 	dial   func(timeout time.Duration) (net.Conn, error)
-	conn   net.Conn // nil: to be dialled
+	conn   net.Conn // nil: the next request dials
 	reader *resp.Reader
 }
 
-// newClient makes a client of a member's cluster port; the connection is dialled at the first request.
+// newClient returns a client of a member's cluster port. The first request dials the connection.
 func (c *Config) newClient(name, address string) *client {
 	return &client{dial: func(timeout time.Duration) (net.Conn, error) {
 		return c.dial(name, address, connectionForRequests, timeout)
 	}}
 }
 
-// request sends a request and waits for its reply. An error reply is a RemoteError, after which the connection goes
-// on.
+// request sends a request and waits for its reply. An error reply is returned as a RemoteError; the connection stays
+// open.
 func (c *client) request(timeout time.Duration, words ...string) (string, error) {
 	if c.conn == nil {
 		conn, err := c.dial(timeout)
@@ -83,12 +83,12 @@
 }
 
 // Request sends one request to a member's cluster port, as operators do: STATUS; MOVE shard member; LEAVE member
-// on|off; STRIKE member; ADD member address. Any member takes it and forwards it to the leader if need be. An error
-// of the member is a RemoteError.
+// on|off; STRIKE member; ADD member address. Any member accepts a request and forwards it to the leader if necessary.
+// An error reply is returned as a RemoteError.
 func Request(address string, timeout time.Duration, words ...string) (string, error) {
-	operator := (&Config{}).newClient("", address)
-	defer operator.close()
-	text, err := operator.request(timeout, words...)
+	operatorClient := (&Config{}).newClient("", address)
+	defer operatorClient.close()
+	text, err := operatorClient.request(timeout, words...)
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", address, err)
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -12,53 +12,54 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Timing of a member, in parts of a lease's duration.
+// Timing of a member, as fractions of the lease duration: 4 per lease is a quarter of it.
 const (
 	ticksPerLease        = 100
 	ticksPerLoadReading  = 10
-	requestsPerLease     = 4 // a request to another member may take this part of a lease
-	gossipLeavesPerLease = 8 // leaving the gossip may take this part of a lease
+	requestsPerLease     = 4 // timeout of a request to another member
+	gossipLeavesPerLease = 8 // timeout of leaving the gossip
 )
 
-// leadershipTransferInterval is between two attempts of a leader with other settings than the cluster's to have
-// another member lead.
+// leadershipTransferInterval is the time between two attempts to transfer leadership from a leader whose settings
+// differ from the cluster's.
 const leadershipTransferInterval = 10 * time.Second
 
-// proposalQueueLength bounds the proposals that wait for the leader; further ones are dropped.
+// proposalQueueLength bounds the proposals that wait to be sent to the leader; further ones are dropped.
 const proposalQueueLength = 16
 
-// Cluster is one running member. Make it with Open and end it with Close. Its methods may be called concurrently.
+// Cluster is one running member. Create it with Open and stop it with Close. Its methods are safe for concurrent use.
 type Cluster struct {
 	config    *Config
-	events    LeaseListener
+	listener  LeaseListener
 	server    *portServer
 	node      *raftNode
 	gossip    *gossip
-	wake      chan struct{} // an entry was applied
+	wake      chan struct{} // signals that an entry was applied
 	proposals chan Command
 	done      chan struct{}
 	wait      sync.WaitGroup
 
 	mu          sync.Mutex
 	member      *Member
-	storeError  error  // votes cannot be written
+	storeError  error  // why votes cannot be written; nil while they can
 	loggedFault string // the fault that was logged last
 	shardLoads  map[int]float64
 	misrouted   []MisroutedProxies
 
-	// leadershipTransferredAt is when it last had another member lead, as its settings are not the cluster's.
+	// leadershipTransferredAt is when this member last transferred leadership because its settings differ from the
+	// cluster's.
 	leadershipTransferredAt time.Time
 }
 
-// Open starts a member. Errors are those of its addresses and its directory; that other members cannot be reached is
-// none.
-func Open(config Config, events LeaseListener) (*Cluster, error) {
+// Open starts a member. It fails if its addresses or its directory cannot be used, but not if other members cannot be
+// reached.
+func Open(config Config, listener LeaseListener) (*Cluster, error) {
 	if err := os.MkdirAll(config.Directory, 0o755); err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
 	cluster := &Cluster{
 		config:    &config,
-		events:    events,
+		listener:  listener,
 		wake:      make(chan struct{}, 1),
 		proposals: make(chan Command, proposalQueueLength),
 		done:      make(chan struct{}),
@@ -70,7 +71,7 @@
 	}
 	close(started)
 	cluster.wait.Add(2)
-	go cluster.run()
+	go cluster.runTicks()
 	go cluster.runProposals()
 	return cluster, nil
 }
@@ -87,7 +88,7 @@
 		if load, known := c.shardLoads[shard]; known {
 			return load
 		}
-		return -1 // not known: its proxies have not connected yet
+		return -1 // unknown: its proxies have not connected yet
 	}
 	member := NewMember(config.Name, config.Incarnation, record, config.Settings, loadOf)
 	member.misroutedProxies = func() []MisroutedProxies { return c.misrouted }
@@ -97,8 +98,8 @@
 	return member
 }
 
-// openComponents opens the port, raft and gossip, in this order, or none of them. Requests are refused until started is
-// closed.
+// openComponents opens the port, raft and gossip, in this order. If one fails, it closes those that are open. Requests
+// are refused until started is closed.
 func (c *Cluster) openComponents(started <-chan struct{}) (err error) {
 	answer := func(words []string) ([]byte, error) {
 		select {
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// Close ends this member. For the others it is as a crash, except that gossip is notified: its leases expire. To give
-// its shards away first, call TransferLeases.
+// Close stops this member. Its leases are not released but expire, as after a crash; only its gossip peers are
+// notified. To move its shards to other members first, call TransferLeases.
 func (c *Cluster) Close() {
 	close(c.done)
 	c.wait.Wait()
@@ -141,11 +142,11 @@
 
 func (c *Cluster) leaseDuration() time.Duration { return c.config.Settings.Lease.Duration.Duration() }
 
-// requestTimeout is how long a request to another member may take.
+// requestTimeout is the timeout of a request to another member.
 func (c *Cluster) requestTimeout() time.Duration { return c.leaseDuration() / requestsPerLease }
 
-// run ticks each time that an entry was applied, and regularly.
-func (c *Cluster) run() {
+// runTicks calls tick after each applied entry, and at a fixed interval.
+func (c *Cluster) runTicks() {
 	defer c.wait.Done()
 	interval := c.leaseDuration() / ticksPerLease
 	ticker := time.NewTicker(max(interval, time.Millisecond))
@@ -162,22 +163,22 @@
 	}
 }
 
-// loadReadings is what the hooks of the configuration gave last. They are called outside of the cluster's lock,
-// as a hook may itself wait for IsLeaseHolder.
+// loadReadings holds the latest results of Config.ShardLoads and Config.MisroutedProxies. Both are called without the
+// cluster's lock, as they may call IsLeaseHolder, which takes it.
 type loadReadings struct {
 	config     *Config
 	interval   time.Duration
-	at         time.Time
+	readAt     time.Time
 	shardLoads map[int]float64
 	misrouted  []MisroutedProxies
 }
 
 func (r *loadReadings) refresh() {
 	now := time.Now()
-	if r.config.ShardLoads == nil || now.Sub(r.at) <= r.interval {
+	if r.config.ShardLoads == nil || now.Sub(r.readAt) <= r.interval {
 		return
 	}
-	r.at = now
+	r.readAt = now
 	r.shardLoads = r.config.ShardLoads()
 	r.misrouted = sortedMisrouted(r.config.MisroutedProxies)
 }
@@ -193,8 +194,8 @@
 	return sorted
 }
 
-// tick has the member decide, notifies the LeaseListener of the leases that changed, and only then proposes what it
-// decided.
+// tick asks the member for its decisions, notifies the listener of the changed leases, and only then queues the
+// commands to propose.
 func (c *Cluster) tick(readings *loadReadings) {
 	var alive map[string]bool
 	leads := c.node.isLeader()
@@ -212,12 +213,12 @@
 	for _, proposal := range proposals {
 		select {
 		case c.proposals <- proposal:
-		default: // renewals and placements are made again; a lost release costs a lease's duration
+		default: // later ticks repeat renewals and placements; a lease that is not released expires
 		}
 	}
 }
 
-// decide is the part of a tick under the lock. transfer: another member is to lead.
+// decide is the part of a tick that needs the lock. transfer reports whether to transfer leadership to another member.
 func (c *Cluster) decide(readings *loadReadings, leads bool, alive map[string]bool) (
 	changes []LeaseChange, proposals []Command, transfer bool,
 ) {
@@ -239,45 +240,45 @@
 func (c *Cluster) notify(change LeaseChange) {
 	if change.Epoch == 0 {
 		c.config.Log.Info().Int("shard", change.Shard).Msg("lease lost or released")
-		c.events.LeaseLost(change.Shard)
+		c.listener.LeaseLost(change.Shard)
 		return
 	}
 	c.config.Log.Info().Int("shard", change.Shard).Uint64("epoch", change.Epoch).Msg("lease gained")
-	c.events.LeaseGained(change.Shard, change.Epoch)
+	c.listener.LeaseGained(change.Shard, change.Epoch)
 }
 
-// IsLeaseHolder tells whether this member holds a shard's lease now, and in which epoch.
+// IsLeaseHolder reports whether this member holds a shard's lease now, and in which epoch.
 func (c *Cluster) IsLeaseHolder(shard int) (epoch uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.member.IsLeaseHolder(shard, c.config.Now())
 }
 
-// TargetChannel returns the channel address of the member that a shard is placed on; "" if that is this one, or no
-// member that is alive.
+// TargetChannel returns the channel address of the member that a shard is placed on. It returns "" if the shard is
+// placed on this member, or on no member that is alive.
 func (c *Cluster) TargetChannel(shard int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.member.TargetChannel(shard, c.config.Now())
 }
 
-// TransferLeases has this member's shards moved to others in planned moves, and waits until it holds none or the time
-// is over.
-func (c *Cluster) TransferLeases(within time.Duration) {
+// TransferLeases requests that this member's shards are moved to other members in planned moves, and waits until it
+// holds none or the timeout has passed.
+func (c *Cluster) TransferLeases(timeout time.Duration) {
 	const (
-		maxRequests = 20  // attempts to have the request committed, spread over the time
-		maxChecks   = 100 // of the leases, spread over the time
+		maxRequests = 20  // attempts to commit the request, spread over the timeout
+		maxChecks   = 100 // checks of the leases, spread over the timeout
 	)
-	end := time.Now().Add(within)
+	end := time.Now().Add(timeout)
 	words := []string{requestLeave, c.config.Name, leaveStopping}
 	for time.Now().Before(end) {
 		if _, err := c.answerRequest(words); err == nil {
 			break
 		}
-		time.Sleep(within / maxRequests)
+		time.Sleep(timeout / maxRequests)
 	}
 	for time.Now().Before(end) && c.holdsAnyLease() {
-		time.Sleep(within / maxChecks)
+		time.Sleep(timeout / maxChecks)
 	}
 }
 
@@ -292,9 +293,9 @@
 	return false
 }
 
-// The methods of stateMachine, which the raft node drives.
+// The following methods implement stateMachine, which the raft node calls.
 
-func (c *Cluster) applied(entry LogEntry, term uint64) {
+func (c *Cluster) applyEntry(entry LogEntry, term uint64) {
 	c.mu.Lock()
 	c.member.ApplyEntry(entry, term, c.config.Now())
 	c.mu.Unlock()
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// A member is killed and comes back: its shards go to the others and, slowly, home again.
-func TestMemberIsLostAndComesBack(t *testing.T) {
+// A member is killed and restarted: its shards move to the other members, and back one by one.
+func TestShardsMoveWhenMemberStopsAndReturnWhenItRestarts(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
 	cluster.stop(2)
 	cluster.awaitHeld(3, 3, 0)
 	cluster.start(2)
 	cluster.awaitHeld(2, 2, 2)
-	cluster.await("m0 has applied all ten grants, and reports no fault", func() bool {
+	cluster.await("m0 has applied ten grants and reports no fault", func() bool {
 		status := cluster.members[0].Status()
 		return len(status.Takeovers) >= 10 && status.Fault == ""
 	})
 }
 
-func TestClusterOfOne(t *testing.T) {
+func TestSingleMemberHoldsAllShardsWhenItRestarts(t *testing.T) {
 	cluster := newTestCluster(t, 1)
 	cluster.awaitHeld(6)
 	cluster.stop(0)
@@ -29,49 +29,49 @@
 	cluster.awaitHeld(6)
 }
 
-// The leader is partitioned and goes on believing for a while that it leads: the others take over, and no shard has
-// two holders.
-func TestPartitionedLeader(t *testing.T) {
+// The leader is partitioned and, for a while, still considers itself the leader: the other members take over its
+// shards, and no shard has two holders.
+func TestOtherMembersTakeOverWhenLeaderIsPartitioned(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
 	name, _ := cluster.members[0].node.leader()
-	old, known := cluster.leaderOf(0)
+	oldLeader, known := cluster.leaderOf(0)
 	if !known {
-		t.Fatalf("the leader is %q", name)
+		t.Fatalf("leader known to m0 is %q, want a member", name)
 	}
 	cluster.isolate(true, name)
 	want := []int{3, 3, 3}
-	want[old] = 0
+	want[oldLeader] = 0
 	cluster.awaitHeld(want...)
-	cluster.await("it reports the fault", func() bool {
-		return strings.Contains(cluster.members[old].Status().Fault, "majority")
+	cluster.await("the partitioned leader reports the fault", func() bool {
+		return strings.Contains(cluster.members[oldLeader].Status().Fault, "majority")
 	})
 	cluster.isolate(false, name)
 	cluster.awaitHeld(2, 2, 2)
 }
 
-// Links are cut one way only: what a member receives it may not answer. Whatever happens, a shard has one holder, and
-// all are held.
-func TestLinksCutOneWay(t *testing.T) {
+// The links of a member are cut in one direction: it receives messages but cannot send any. Each shard still has
+// exactly one holder.
+func TestOtherMembersTakeOverWhenMemberCannotSend(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
-	cluster.links.set(true, "m1", "m0")
-	cluster.links.set(true, "m1", "m2")
+	cluster.links.setCut(true, "m1", "m0")
+	cluster.links.setCut(true, "m1", "m2")
 	cluster.awaitHeld(3, 0, 3)
-	cluster.links.set(false, "m1", "m0")
-	cluster.links.set(false, "m1", "m2")
+	cluster.links.setCut(false, "m1", "m0")
+	cluster.links.setCut(false, "m1", "m2")
 	cluster.awaitHeld(2, 2, 2)
 }
 
-// Two of three are gone: the third holds its leases until they expire, and says why. The whole cluster goes down and
-// starts again.
-func TestWholeClusterDown(t *testing.T) {
+// Two of three members stop: the third holds its leases until they expire, and reports the fault. Then all members
+// stop and restart.
+func TestShardsAreHeldAgainWhenWholeClusterRestarts(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
 	cluster.stop(0)
 	cluster.stop(1)
 	cluster.awaitHeld(0, 0, 0)
-	cluster.await("it reports the fault", func() bool {
+	cluster.await("the remaining member reports the fault", func() bool {
 		return strings.Contains(cluster.members[2].Status().Fault, "majority")
 	})
 	cluster.stop(2)
@@ -81,15 +81,15 @@
 	cluster.awaitHeld(2, 2, 2)
 }
 
-// A member stops gracefully: its shards go to the others in planned moves, and come back to its next incarnation.
-func TestMemberTransfersItsLeases(t *testing.T) {
+// A member stops gracefully: its shards move to the other members in planned moves, and back to its next incarnation.
+func TestShardsMoveAsPlannedWhenMemberTransfersItsLeases(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
 	cluster.members[1].TransferLeases(10 * time.Second)
 	cluster.awaitHeld(3, 0, 3)
-	for _, e := range cluster.members[0].Status().Takeovers[6:] {
-		if !e.Planned || e.From != "m1" {
-			t.Errorf("%+v", e)
+	for _, takeover := range cluster.members[0].Status().Takeovers[6:] {
+		if !takeover.Planned || takeover.From != "m1" {
+			t.Errorf("takeover %+v, want a planned move from m1", takeover)
 		}
 	}
 	cluster.stop(1)
@@ -97,8 +97,8 @@
 	cluster.awaitHeld(2, 2, 2)
 }
 
-// Two more members ask at once to be added, and shards come to them.
-func TestTwoMembersJoinAtOnce(t *testing.T) {
+// Two members request at the same time to join, and receive shards.
+func TestMembersReceiveShardsWhenTwoJoinAtOnce(t *testing.T) {
 	cluster := newTestCluster(t, 1)
 	cluster.awaitHeld(6)
 	founder := cluster.configs[0].Peers[0]
@@ -120,14 +120,14 @@
 	cluster.awaitHeld(2, 2, 2)
 }
 
-// The log is truncated to a snapshot: a member that restarts begins with it, and one that was away for longer than
-// the log reaches back is sent it.
-func TestSnapshots(t *testing.T) {
+// The log is truncated after a snapshot: a member that restarts loads the snapshot, and a member that was down for
+// longer than the log covers receives it from the leader.
+func TestMemberLoadsSnapshotWhenLogIsTruncated(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
 	cluster.stop(2)
 	cluster.awaitHeld(3, 3, 0)
-	for n := range 2 * trailingEntries { // more than the log keeps behind a snapshot
+	for n := range 2 * trailingEntries { // more than the log keeps from before a snapshot
 		cluster.mustRequest(0, "LEAVE", "m0", []string{"off", "on"}[n%2])
 	}
 	cluster.mustRequest(0, "LEAVE", "m0", "off")
@@ -139,7 +139,7 @@
 	cluster.start(2)
 	cluster.awaitHeld(2, 2, 2)
 	if from := cluster.members[2].node.raft.Stats()["last_snapshot_index"]; from == "0" {
-		t.Error("the member that was away was sent no snapshot")
+		t.Error("the restarted member received no snapshot")
 	}
 	for k := range 3 {
 		cluster.stop(k)
@@ -147,12 +147,13 @@
 		cluster.awaitHeld(2, 2, 2)
 	}
 	if n := len(cluster.members[0].Status().Takeovers); n < 8 {
-		t.Errorf("%d takeovers are remembered", n)
+		t.Errorf("m0 has %d takeovers in its status, want at least 8", n)
 	}
 }
 
-// Two members run a newer program and commit what the third does not support: it holds nothing any more and says why.
-func TestNewerSchemaVersionOverSockets(t *testing.T) {
+// Two members run a newer program and commit an entry that the third does not support: the third holds no lease from
+// then on, and reports the reason.
+func TestMemberHoldsNothingWhenOthersCommitNewerSchemaVersion(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
 	for k := range 2 {
@@ -162,7 +163,7 @@
 		cluster.awaitHeld(2, 2, 2)
 	}
 	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
-	cluster.await("one of the newer members leads and proposes", func() bool {
+	cluster.await("a member of the newer version leads and commits an entry", func() bool {
 		k, known := cluster.leaderOf(2)
 		if !known {
 			return false
@@ -174,7 +175,7 @@
 		return cluster.members[k].node.propose(newer) == nil
 	})
 	cluster.awaitHeld(3, 3, 0)
-	if why := cluster.members[2].Status().Fault; !strings.Contains(why, "update it") {
-		t.Errorf("its fault is %q", why)
+	if fault := cluster.members[2].Status().Fault; !strings.Contains(fault, "update it") {
+		t.Errorf("fault of m2 is %q, want one with \"update it\"", fault)
 	}
 }
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -5,36 +5,36 @@
 	"peppervale/internal/placement"
 )
 
-// schemaVersion is that of log entries and snapshots. A program stops acting on data of a higher version: it cannot
-// know what the other members have agreed on.
+// schemaVersion is the version of the format of log entries and snapshots. A member that reads a higher version stops
+// holding leases: it cannot know what the other members have committed.
 const schemaVersion = 1
 
 // Command is one change of the replicated state. Its types are LeaderElected, RegisterMember, RenewLeases,
 // ReleaseLeases, SetPlacement, DrainMember and RemoveMember.
 type Command interface {
 	kind() commandKind
-	// apply carries the command out. stamp is the leader's time; only RenewLeases gives responses.
+	// apply changes the state. stamp is the entry's time by the leader's clock; only RenewLeases returns responses.
 	apply(state *State, stamp model.Microseconds) []ShardResponse
-	// store fills in the fields of the stored form that the command uses.
+	// store sets the fields of the stored form that the command uses.
 	store(record *commandRecord)
 }
 
-// LogEntry is a command as the raft log holds it.
+// LogEntry is an entry of the raft log.
 type LogEntry struct {
 	SchemaVersion uint8
-	At            model.Microseconds // the leader's clock as it put the entry on the log
+	At            model.Microseconds // the leader's clock when it appended the entry
 	Command       Command
 }
 
-// LeaderElected announces a new leader: from now on leases are counted by its clock.
+// LeaderElected announces a new leader: from now on leases are measured by its clock.
 type LeaderElected struct {
 	Leader         string
 	SettingsDigest uint64
-	Observations   []ShardObservation            // of each shard, by its number
-	RenewalAges    map[string]model.Microseconds // by member: how long ago it renewed
+	Observations   []ShardObservation            // indexed by shard number
+	RenewalAges    map[string]model.Microseconds // by member name: time since its newest renewal
 }
 
-// RegisterMember describes a member, once in each of its incarnations.
+// RegisterMember registers an incarnation of a member with its description.
 type RegisterMember struct {
 	Member      string
 	Incarnation uint64
@@ -42,8 +42,8 @@
 	FollowedAt  model.Microseconds // stamp of the newest entry of this term that the member has applied
 }
 
-// RenewLeases is a member's heartbeat. It requests the leases of shards and renews those that it holds; it may name
-// none.
+// RenewLeases is a member's heartbeat. It requests the leases of shards and renews those that it holds; Requests may be
+// empty.
 type RenewLeases struct {
 	Member           string
 	Incarnation      uint64
@@ -52,39 +52,39 @@
 	MisroutedProxies []MisroutedProxies
 }
 
-// ReleaseLeases says that a member has stopped acting for shards.
+// ReleaseLeases releases the leases of shards that a member has stopped acting for.
 type ReleaseLeases struct {
 	Member      string
 	Incarnation uint64
 	Requests    []ShardRequest
 }
 
-// SetPlacement says which member shards are placed on, by the leader's planning or an operator's request.
+// SetPlacement places shards on members, as planned by the leader or requested by an operator.
 type SetPlacement struct {
 	Leader     string
 	Migrations []placement.Migration
 	ByOperator bool
 }
 
-// DrainMember has a member give all its shards away, or accept shards again. It comes from an operator, or from a
-// member whose process is about to stop.
+// DrainMember starts or ends a drain: a drained member's shards are moved to other members. It is sent by an operator,
+// or by a member whose process is about to stop.
 type DrainMember struct {
 	Member     string
 	Drain      bool
 	ByOperator bool
 }
 
-// RemoveMember is an operator's removal of a member that does not come back.
+// RemoveMember is an operator's removal of a member that will not return.
 type RemoveMember struct {
 	Member string
 }
 
-// unknownCommand is a command of a kind that this program does not know.
+// unknownCommand is a command of a kind that this program does not support.
 type unknownCommand struct {
 	storedKind commandKind
 }
 
-// ShardRequest is one shard of a RenewLeases or ReleaseLeases.
+// ShardRequest is the request for one shard in a RenewLeases or ReleaseLeases.
 type ShardRequest struct {
 	Shard    int     `cbor:"Part"`
 	Sequence uint32  `cbor:"Number"`
@@ -97,11 +97,11 @@
 	Proxies int `cbor:"Forwarders"`
 }
 
-// ShardObservation is the newest renewal of a shard that a new leader saw before it was elected.
+// ShardObservation is the newest renewal of a shard that a new leader applied before its election.
 type ShardObservation struct {
 	Epoch    uint64             `cbor:"Epoch"`
 	Sequence uint32             `cbor:"Number"`
-	Age      model.Microseconds `cbor:"Age"` // by the leader's own clock; below 0: it saw none in this incarnation
+	Age      model.Microseconds `cbor:"Age"` // by the leader's own clock; below 0: it applied none in this incarnation
 }
 
 // MemberRecord is a member's description of itself.
--- a/internal/cluster/commands_test.go
+++ b/internal/cluster/commands_test.go
@@ -11,8 +11,8 @@
 	"peppervale/internal/placement"
 )
 
-// Every command, with all its fields set, comes back from its stored form.
-func TestCommandsSurviveTheirStoredForm(t *testing.T) {
+// Every command, with all its fields set, is decoded from its stored form without change.
+func TestCommandsAreUnchangedWhenEncodedAndDecoded(t *testing.T) {
 	record := &MemberRecord{Zone: "govan", Channel: "c:1", RequestAddress: "r:1", Capacity: 2.5, Digest: 7}
 	requests := []ShardRequest{{Shard: 3, Sequence: 4, Load: -1}}
 	commands := map[commandKind]Command{
@@ -41,7 +41,7 @@
 		if value := reflect.ValueOf(command); kind != 99 {
 			for i := range value.NumField() {
 				if value.Field(i).IsZero() {
-					t.Errorf("%T: the test leaves %s unset", command, value.Type().Field(i).Name)
+					t.Errorf("%T: field %s is zero in the test data", command, value.Type().Field(i).Name)
 				}
 			}
 		}
@@ -62,23 +62,23 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(got, entry) {
-			t.Errorf("%T is read as\n%+v, want\n%+v", command, got, entry)
+			t.Errorf("%T is decoded as\n%+v, want\n%+v", command, got, entry)
 		}
 	}
 }
 
-// An entry that is not even a record counts as one of a newer program: the member holds nothing from then on.
-func TestUndecodableEntryExcludesMember(t *testing.T) {
+// An entry that cannot be decoded counts as one of a newer program: the member holds no lease from then on.
+func TestMemberHoldsNothingWhenEntryIsUndecodable(t *testing.T) {
 	if _, err := DecodeLogEntry([]byte("no entry")); err == nil {
-		t.Error("bytes that are no entry are read as one")
+		t.Error("bytes that are not an encoded entry were decoded without error")
 	}
 	sim := newSimulation(t, 3)
-	sim.run(5 * model.Second)
+	sim.runFor(5 * model.Second)
 	undecodable := LogEntry{SchemaVersion: undecodableVersion, Command: unknownCommand{}}
 	sim.members[1].ApplyEntry(undecodable, sim.term, sim.now)
 	sim.wantHeld(2, 0, 2)
 	var newer *NewerSchemaError
 	if _, err := sim.members[1].State().Encode(); !errors.As(err, &newer) || newer.Version != undecodableVersion {
-		t.Errorf("a snapshot after it: %v", err)
+		t.Errorf("snapshot after an undecodable entry: error %v, want a NewerSchemaError of undecodableVersion", err)
 	}
 }
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -6,10 +6,10 @@
 	"peppervale/internal/model"
 )
 
-// Peer is a member as a configuration file names it.
+// Peer is a member as listed in the configuration file.
 type Peer struct {
 	Name          string
-	Address       string // of its cluster port, as this member reaches it
+	Address       string // of its cluster port, as this member connects to it
 	GossipAddress string // its gossip address, host:port
 }
 
@@ -20,23 +20,23 @@
 	ChannelAddress string // address at which proxies connect to this member
 	ListenAddress  string // address of the cluster port: raft and requests
 	GossipAddress  string // host:port, TCP and UDP
-	Directory      string // of raft's log and snapshots
-	Incarnation    uint64 // grows with each start
+	Directory      string // for raft's log and snapshots
+	Incarnation    uint64 // increases with each start
 	Join           bool   // ask the peers to be added; otherwise, with an empty log, bootstrap the cluster with Peers
-	Peers          []Peer // this member among them
+	Peers          []Peer // including this member
 	Settings       Settings
-	Capacity       float64 // requests a second that this member controls at most; 0: unlimited
+	Capacity       float64 // most requests a second of the shards placed on this member; 0: unlimited
 
-	// ShardLoads gives the reported requests a second of the connected proxies, by shard; nil: not known.
+	// ShardLoads returns the reported requests a second of the connected proxies, by shard; nil: not known.
 	ShardLoads func() map[int]float64
-	// Now is this member's clock. It must go on while the process runs or is stopped.
+	// Now reads this member's clock, which must also advance while the process is suspended.
 	Now func() model.Microseconds
 	// MisroutedProxies counts, by shard, the proxies that connect repeatedly to this member for a shard it does not
 	// hold; nil: not known.
 	MisroutedProxies func() map[int]int
 	// Links lets tests and benchmarks cut links between members; nil: all are open.
 	Links Links
-	// Handover connects planned moves to the controller.
+	// Handover passes the controller's measurements on at planned moves.
 	Handover HandoverCallbacks
 	Log      zerolog.Logger
 
@@ -44,7 +44,7 @@
 	supportedVersion uint8        // set by tests: newest supported schema version; 0: schemaVersion
 }
 
-// addressOf returns the address of a member by this member's own file, or the fallback if the file does not name it.
+// addressOf returns the address of a member from this member's configuration, or the fallback if it is not listed.
 func (c *Config) addressOf(name, fallback string) string {
 	for _, peer := range c.Peers {
 		if peer.Name == name {
@@ -54,7 +54,7 @@
 	return fallback
 }
 
-// nameAt returns the peer with a cluster address; "" for none.
+// nameAt returns the name of the peer with this cluster address; "" for none.
 func (c *Config) nameAt(address string) string {
 	for _, peer := range c.Peers {
 		if peer.Address == address {
@@ -66,9 +66,10 @@
 
 // LeaseListener is notified, from one goroutine, of the leases that this member gains and loses.
 type LeaseListener interface {
-	// LeaseGained says that this member holds a shard's lease from now on. A lease that was lost because its renewal
-	// came back late may be gained again in the same epoch: no other member held it meanwhile.
+	// LeaseGained is called when this member gains a shard's lease. A lease that was lost because the response to its
+	// renewal was late may be gained again in the same epoch: no other member held it meanwhile.
 	LeaseGained(shard int, epoch uint64)
-	// LeaseLost returns once no message of this member for the shard is in flight any more.
+	// LeaseLost is called when this member loses a shard's lease. It must not return before all messages of this
+	// member for the shard have been delivered or dropped.
 	LeaseLost(shard int)
 }
--- a/internal/cluster/errors.go
+++ b/internal/cluster/errors.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Errors without details.
+// Errors without parameters.
 var (
-	// ErrNotLeader answers a proposal that reached a member which does not lead.
+	// ErrNotLeader rejects a proposal to a member that is not the leader.
 	ErrNotLeader = errors.New("this member does not lead")
-	// ErrNoLeader answers a request that only a leader can carry out, while none is known.
+	// ErrNoLeader rejects a request that only the leader can execute while no leader is known.
 	ErrNoLeader = errors.New("nobody leads the group: a majority of its members is not there, or they are choosing; " +
 		"try again in some seconds")
 
 	errStarting         = errors.New("this member starts")
 	errLinkCut          = errors.New("the link is cut")
 	errMalformedRequest = errors.New("a request is an array that begins with its name")
-	errEmptyLogStore    = errors.New("it is empty")
+	errEmptyLogStore    = errors.New("the file is empty")
 )
 
-// UnknownMemberError is a request that names a member which is not registered.
+// UnknownMemberError rejects a request that names a member which is not registered.
 type UnknownMemberError struct {
 	Name  string
 	Known []string
@@ -30,12 +30,12 @@
 	return fmt.Sprintf("no member %.60q; there are %s", e.Name, strings.Join(e.Known, ", "))
 }
 
-// AbsentMemberError is a request that needs a member which does not renew at present.
+// AbsentMemberError rejects a request that needs a member which is not renewing its leases.
 type AbsentMemberError struct{ Name string }
 
 func (e *AbsentMemberError) Error() string { return e.Name + " is not here" }
 
-// InvalidRequestError is a request that cannot be carried out whatever the state of the cluster is.
+// InvalidRequestError rejects a request that is invalid in every state of the cluster.
 type InvalidRequestError struct{ Reason string }
 
 func (e *InvalidRequestError) Error() string { return e.Reason }
@@ -44,14 +44,14 @@
 	return &InvalidRequestError{Reason: fmt.Sprintf(format, values...)}
 }
 
-// RemoteError is the error that another member answered a request with.
+// RemoteError is the error reply of another member.
 type RemoteError struct{ Message string }
 
 func (e *RemoteError) Error() string { return e.Message }
 
-// NewerSchemaError says that stored data is of a newer schema version than this program supports.
+// NewerSchemaError reports stored data of a newer schema version than this program supports.
 type NewerSchemaError struct {
-	Found     string // what is newer
+	Found     string // the data of the newer version
 	Version   uint8
 	Supported uint8
 }
@@ -61,38 +61,38 @@
 		e.Found, e.Version, e.Supported)
 }
 
-// DamagedLogError says that the log store of a member cannot be read. The member must come back under another name.
+// DamagedLogError reports that the log store of a member cannot be read. The member must rejoin under another name.
 type DamagedLogError struct {
 	Path      string // of the log store
-	Directory string // of all that the member has stored
+	Directory string // of all stored data of the member
 	Cause     error
 }
 
 func (e *DamagedLogError) Error() string {
-	return fmt.Sprintf("cluster: %s is damaged (%v); its votes and log are lost, so it must come back as another member: "+
+	return fmt.Sprintf("cluster: log store %s is damaged (%v); its votes and log are lost, so the member must rejoin: "+
 		"remove it from the cluster ('peppervale group strike NAME'), move %s away and start it under a new name "+
 		"with join = true",
 		e.Path, e.Cause, e.Directory)
 }
 
-// Unwrap returns what is wrong with the file.
+// Unwrap returns the error found in the file.
 func (e *DamagedLogError) Unwrap() error { return e.Cause }
 
-// noAddressError is a raft peer that this member's file does not name.
+// noAddressError reports a raft peer that this member's configuration file does not list.
 type noAddressError struct{ name string }
 
 func (e *noAddressError) Error() string {
-	return fmt.Sprintf("no address of %s in this member's file", e.name)
+	return fmt.Sprintf("member %s has no address in this member's configuration file", e.name)
 }
 
-// pageFaultError is a fault of memory while a mapped file was read.
+// pageFaultError reports a memory fault while a mapped file was read.
 type pageFaultError struct{ fault any }
 
 func (e *pageFaultError) Error() string { return fmt.Sprint(e.fault) }
 
-// truncatedError is a file that is shorter than its first pages say.
+// truncatedError reports a file that is shorter than its first pages state.
 type truncatedError struct{ want, got int64 }
 
 func (e *truncatedError) Error() string {
-	return fmt.Sprintf("it should have %d bytes and has %d", e.want, e.got)
+	return fmt.Sprintf("the file should have %d bytes but has %d", e.want, e.got)
 }
--- a/internal/cluster/fault.go
+++ b/internal/cluster/fault.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// fault describes what keeps this member from holding leases, and what to do about it; "" for nothing. The caller
-// holds c.mu.
+// fault describes what prevents this member from holding leases, and the remedy; "" if nothing does. The caller holds
+// c.mu.
 func (c *Cluster) fault() string {
 	member := c.member
 	state := member.state
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// logFault logs a fault each time that it changes. The caller holds c.mu.
+// logFault logs the fault whenever it changes. The caller holds c.mu.
 func (c *Cluster) logFault() {
 	fault := c.fault()
 	if fault == c.loggedFault {
--- a/internal/cluster/fsm.go
+++ b/internal/cluster/fsm.go
@@ -12,20 +12,20 @@
 // maxSnapshotBytes bounds a snapshot that another member sends.
 const maxSnapshotBytes = 64 << 20
 
-// fsm hands raft's log to the state machine.
+// fsm passes raft's committed entries and snapshots to the state machine.
 type fsm struct{ machine stateMachine }
 
-// Apply takes a committed entry.
+// Apply applies a committed entry.
 func (f fsm) Apply(committed *raft.Log) any {
 	entry, err := DecodeLogEntry(committed.Data)
 	if err != nil { // another program wrote it
 		entry = LogEntry{SchemaVersion: undecodableVersion, Command: unknownCommand{}}
 	}
-	f.machine.applied(entry, committed.Term)
+	f.machine.applyEntry(entry, committed.Term)
 	return nil
 }
 
-// Snapshot returns the state as it is now.
+// Snapshot returns the current state.
 func (f fsm) Snapshot() (raft.FSMSnapshot, error) {
 	snapshot, err := f.machine.snapshot()
 	return encodedSnapshot(snapshot), err
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// encodedSnapshot is a state that raft writes when it likes to.
+// encodedSnapshot is an encoded state that raft writes to disk later.
 type encodedSnapshot []byte
 
 // Persist writes the snapshot.
@@ -61,30 +61,30 @@
 // Release does nothing: the snapshot holds no resources.
 func (s encodedSnapshot) Release() {}
 
-// raft's log is bounded to some lines an interval, as raft repeats itself while a member is away.
+// Raft's log lines are limited per interval, as raft repeats the same lines while a member is unreachable.
 const (
 	raftLinesPerInterval = 10
 	raftLogInterval      = 10 * time.Second
 )
 
-// raftLog takes raft's log lines.
+// raftLog is the output of raft's logger.
 type raftLog struct {
-	log       zerolog.Logger
-	mu        sync.Mutex
-	remaining int
-	since     time.Time
+	log            zerolog.Logger
+	mu             sync.Mutex
+	remainingLines int
+	intervalStart  time.Time
 }
 
-// Write logs a line, unless too many were logged in this interval.
+// Write logs a line unless the limit of the interval is reached.
 func (l *raftLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.since) > raftLogInterval {
-		l.since = time.Now()
-		l.remaining = raftLinesPerInterval
+	if time.Since(l.intervalStart) > raftLogInterval {
+		l.intervalStart = time.Now()
+		l.remainingLines = raftLinesPerInterval
 	}
-	if l.remaining > 0 {
-		l.remaining--
+	if l.remainingLines > 0 {
+		l.remainingLines--
 		withoutNewline := line[:max(0, len(line)-1)]
 		l.log.Debug().Str("from", "raft").Msg(string(withoutNewline))
 	}
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -12,26 +12,27 @@
 	"peppervale/internal/model"
 )
 
-// Timing of gossip, in parts of a lease's duration, and the same in leases. It is fit to the lease: a member that
-// died is to seem dead when its lease expires, not much before (it would be given up for a pause) and not after (its
-// shards would wait). At the default lease of 2 s: a probe each 250 ms, suspicion for about a second.
+// Timing of gossip, as fractions (PerLease) or multiples (leases) of the lease duration. Gossip should report a failed
+// member about when its lease expires: much earlier, it would report a member that only paused; later, the member's
+// shards would wait for a new holder. At the default lease of 2 s, a probe is sent every 250 ms and suspicion lasts
+// about a second.
 const (
-	probesPerLease           = 8
-	probeTimeoutsPerLease    = 16
-	gossipsPerLease          = 20
-	gossipTimeoutsPerLease   = 4
-	leasesPerFullExchange    = 4
-	suspicionMultiplier      = 3
-	leasesUntilNameIsFree    = 1 // a member may come back under another address
-	leasesPerGossipRejoining = 1
+	probesPerLease         = 8
+	probeTimeoutsPerLease  = 16
+	gossipsPerLease        = 20
+	gossipTimeoutsPerLease = 4
+	leasesPerFullExchange  = 4
+	suspicionMultiplier    = 3
+	leasesUntilNameReclaim = 1 // a member may then return under another address
+	leasesPerRejoin        = 1
 )
 
-// gossip detects by memberlist which members seem alive.
+// gossip detects with memberlist which members seem alive.
 type gossip struct {
-	list  *memberlist.Memberlist
-	peers []string // gossip addresses of the other members
-	done  chan struct{}
-	ended chan struct{}
+	list         *memberlist.Memberlist
+	peers        []string // gossip addresses of the other members
+	done         chan struct{}
+	joinLoopDone chan struct{}
 }
 
 func memberlistConfig(lease model.Microseconds) *memberlist.Config {
@@ -43,7 +44,7 @@
 	config.GossipInterval = duration / gossipsPerLease
 	config.TCPTimeout = duration / gossipTimeoutsPerLease
 	config.PushPullInterval = leasesPerFullExchange * duration
-	config.DeadNodeReclaimTime = leasesUntilNameIsFree * duration
+	config.DeadNodeReclaimTime = leasesUntilNameReclaim * duration
 	return config
 }
 
@@ -74,20 +75,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("cluster: gossip on %s: %w", config.GossipAddress, err)
 	}
-	g := &gossip{list: list, done: make(chan struct{}), ended: make(chan struct{})}
+	g := &gossip{list: list, done: make(chan struct{}), joinLoopDone: make(chan struct{})}
 	for _, peer := range config.Peers {
 		if peer.Name != config.Name && peer.GossipAddress != "" {
 			g.peers = append(g.peers, peer.GossipAddress)
 		}
 	}
-	go g.run(leasesPerGossipRejoining * config.Settings.Lease.Duration.Duration())
+	go g.joinLoop(leasesPerRejoin * config.Settings.Lease.Duration.Duration())
 	return g, nil
 }
 
-// run joins, and joins again as long as fewer members are seen than are configured: both sides of a partition forget
-// each other after a while.
-func (g *gossip) run(interval time.Duration) {
-	defer close(g.ended)
+// joinLoop joins the peers, and joins again whenever fewer members are visible than configured: in a long partition
+// each side removes the members of the other side.
+func (g *gossip) joinLoop(interval time.Duration) {
+	defer close(g.joinLoopDone)
 	for {
 		if g.list.NumMembers() <= len(g.peers) && len(g.peers) > 0 {
 			_, _ = g.list.Join(g.peers)
@@ -111,7 +112,7 @@
 
 func (g *gossip) close(timeout time.Duration) {
 	close(g.done)
-	<-g.ended
+	<-g.joinLoopDone
 	_ = g.list.Leave(timeout)
 	_ = g.list.Shutdown()
 }
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -9,27 +9,27 @@
 	"peppervale/internal/model"
 )
 
-// Handover is what a lease holder passes on to the next one with the shards that it gives away: what it has measured,
-// not what is to be done. After an unplanned takeover there is none. Its CBOR names are pinned, as members of other
-// versions have them.
+// Handover carries the measurements of a lease holder to the next holder of the shards that it releases. It holds no
+// instructions. An unplanned takeover has no Handover. Its CBOR names must not change, as members of other versions use
+// them.
 type Handover struct {
-	From           string             `cbor:"From"` // the member that gives the shards away
+	From           string             `cbor:"From"` // the member that releases the shards
 	Shards         []int              `cbor:"Parts"`
-	LoadReports    []model.LoadReport `cbor:"Sums"`           // the newest of each replica and zone
-	Withdrawn      []string           `cbor:"Withdrawn"`      // replicas, by address
+	LoadReports    []model.LoadReport `cbor:"Sums"`           // the newest report of each replica and zone
+	Withdrawn      []string           `cbor:"Withdrawn"`      // addresses of withdrawn replicas
 	UnackedEntries int                `cbor:"Unacknowledged"` // entries that proxies have not acknowledged
 }
 
-// maxHandoverReports bounds a Handover: an endpoint list of 2,000 replicas in eight zones.
+// maxHandoverReports bounds the load reports of a Handover: it covers 2,000 replicas in eight zones.
 const maxHandoverReports = 16_384
 
 // maxLoggedReplicas bounds the withdrawn replicas that a log line names.
 const maxLoggedReplicas = 20
 
-// HandoverCallbacks are called at planned moves. A callback that is nil is left out.
+// HandoverCallbacks are called at planned moves; nil ones are skipped.
 type HandoverCallbacks struct {
-	Export func() Handover // gives what this member knows; From and Shards are filled in
-	Import func(Handover)  // takes what another member knew
+	Export func() Handover // returns this member's measurements; the cluster sets From and Shards
+	Import func(Handover)  // receives the measurements of another member
 }
 
 // handoverTarget is a member that is to hold released shards.
@@ -39,8 +39,8 @@
 	shards  []int
 }
 
-// sendHandovers sends each member that is to hold released shards what this one knows of them. The release does not
-// depend on it: an error is only logged.
+// sendHandovers sends a Handover to each member that is to hold released shards. The release does not depend on it, so
+// an error is only logged.
 func (c *Cluster) sendHandovers(release ReleaseLeases, timeout time.Duration) {
 	if c.config.Handover.Export == nil {
 		return
@@ -86,13 +86,13 @@
 	if err != nil {
 		return err
 	}
-	receiver := c.config.newClient(target.name, target.address)
-	defer receiver.close()
-	_, err = receiver.request(timeout, requestHandover, string(data))
+	targetClient := c.config.newClient(target.name, target.address)
+	defer targetClient.close()
+	_, err = targetClient.request(timeout, requestHandover, string(data))
 	return err
 }
 
-// acceptHandover takes the handover of a registered member.
+// acceptHandover checks the handover of a registered member and imports it.
 func (c *Cluster) acceptHandover(body string) error {
 	var handover Handover
 	if err := cbor.Unmarshal([]byte(body), &handover); err != nil {
--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -7,13 +7,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Links says which member reaches which; tests and benchmarks cut them, one way or both. nil: all are open.
+// Links reports which links between members are open. Tests and benchmarks cut links in one or both directions; nil:
+// all are open.
 type Links interface {
 	Open(from, to string) bool
 }
 
-// linkedConn is a connection to a member over a link that may be cut. A stream needs both ways: a write over a cut
-// link is an error, as after a time-out, and what comes over one is not read.
+// linkedConn is a connection to a member over a link that may be cut. A stream needs both directions: a write over a
+// cut link fails, as after a timeout, and data received over a cut link is discarded.
 type linkedConn struct {
 	net.Conn
 	links    Links
@@ -39,8 +40,8 @@
 	return n, err
 }
 
-// linked puts a connection to a member on its link.
-func (c *Config) linked(conn net.Conn, to string) net.Conn {
+// wrapConn wraps a connection to a member so that it fails while its link is cut.
+func (c *Config) wrapConn(conn net.Conn, to string) net.Conn {
 	if c.Links == nil {
 		return conn
 	}
--- a/internal/cluster/logstore.go
+++ b/internal/cluster/logstore.go
@@ -12,14 +12,14 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// logFile holds raft's log and votes; the snapshots lie beside it.
+// logFile holds raft's log and votes; the snapshots are in the same directory.
 const logFile = "agreed.db"
 
-// lockTimeout is how long another process may keep the log file locked.
+// lockTimeout is how long to wait for another process to unlock the log file.
 const lockTimeout = time.Second
 
-// openLogStore opens raft's store after a check of its pages. A damaged one is refused with a DamagedLogError and
-// left as it is: a member that forgot its vote could vote twice, so nothing is repaired here.
+// openLogStore opens raft's store after a check of its pages. It refuses a damaged store with a DamagedLogError and
+// does not repair it: a member that has lost its vote could vote twice.
 func openLogStore(directory string) (*boltraft.BoltStore, error) {
 	path := filepath.Join(directory, logFile)
 	if _, err := os.Stat(path); err == nil {
@@ -34,8 +34,8 @@
 	return store, nil
 }
 
-// checkPages reads every page. bbolt maps the file: one that was truncated shows as a memory fault, which becomes an
-// error here.
+// checkPages reads every page. bbolt maps the file into memory: reading a truncated file causes a memory fault, which
+// is returned as an error.
 func checkPages(path string) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -59,14 +59,14 @@
 		if tx.Size() > info.Size() {
 			return &truncatedError{want: tx.Size(), got: info.Size()}
 		}
-		// bbolt's own Check reads in a goroutine of its own, where a damaged page would end the process.
+		// bbolt's Check reads in a separate goroutine, where a damaged page would end the process.
 		return tx.ForEach(func(_ []byte, bucket *bolt.Bucket) error {
 			return bucket.ForEach(func(_, _ []byte) error { return nil })
 		})
 	})
 }
 
-// faultyStore is a store whose disk tests make fail.
+// faultyStore is a store with disk faults that tests inject.
 type faultyStore struct {
 	*boltraft.BoltStore
 	diskFault func() error // nil while the disk is writable
@@ -99,14 +99,14 @@
 	return s.BoltStore.SetUint64(key, value)
 }
 
-// retryingStore keeps votes and terms. raft ends the process if they cannot be written; this store retries until they
-// can, so that the controller goes on until its leases expire, its console shows the fault, and it recovers with the
-// disk.
+// retryingStore stores votes and terms. Raft ends the process if they cannot be written; this store retries until the
+// write succeeds, so that the controller acts until its leases expire, its console shows the fault, and it recovers
+// once the disk is writable.
 type retryingStore struct {
 	raft.StableStore
-	interval time.Duration
-	changed  func(error) // takes each failure, and nil once it is over
-	done     <-chan struct{}
+	interval    time.Duration
+	reportState func(error) // called with each error, and with nil after recovery
+	done        <-chan struct{}
 }
 
 func (s *retryingStore) retry(write func() error) error {
@@ -115,12 +115,12 @@
 		err := write()
 		if err == nil {
 			if failed {
-				s.changed(nil)
+				s.reportState(nil)
 			}
 			return nil
 		}
 		failed = true
-		s.changed(err)
+		s.reportState(err)
 		select {
 		case <-time.After(s.interval):
 		case <-s.done:
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -8,22 +8,22 @@
 	"peppervale/internal/placement"
 )
 
-// Member is what one incarnation of a member decides: which leases it requests and releases, when it holds them, and,
-// while it leads, where shards are placed. It is free of I/O and not safe for concurrent use; its caller carries
-// commands to the log and entries back from it, and calls Tick.
+// Member makes the decisions of one incarnation of a member: which leases it requests and releases, when it holds them,
+// and, while it leads, where shards are placed. It does no I/O and is not safe for concurrent use; its caller proposes
+// its commands, passes it the committed entries, and calls Tick.
 //
 //	shard      input                            next       effect
-//	not held   placed here                      requested  by RenewLeases, each Duration/3; Duration/10 after a refusal
-//	requested  granted                          held       gained, once
-//	held       renewal granted                  held       for another Duration from the request
-//	held       renewal of a member that lags    held       not counted: the lease expires
-//	held       placed on another member         released   lost, then a ReleaseLeases
-//	held       the lease expires                not held   lost
-//	not held   a renewal of it is granted late  held       gained again, in the same epoch: it had no other holder
-//	held       newer schema, or other settings  not held   lost, no ReleaseLeases: its effect is not known
+//	not held   placed here                      requested  RenewLeases every Duration/3; Duration/10 after a refusal
+//	requested  granted                          held       gain is reported once
+//	held       renewal granted                  held       valid for Duration from the request
+//	held       renewal while the member lags    held       renewal has no effect: the lease expires
+//	held       placed on another member         released   loss is reported, then a ReleaseLeases sent
+//	held       the lease expires                not held   loss is reported
+//	not held   its renewal is granted late      held       gain is reported in the same epoch: it had no other holder
+//	held       newer schema, or other settings  not held   loss is reported, no ReleaseLeases: effect unknown
 type Member struct {
 	Name        string
-	Incarnation uint64 // grows with each start, and differs between two processes that run under one name
+	Incarnation uint64 // increases with each start, and differs between two processes that run under one name
 	Record      MemberRecord
 
 	settings Settings
@@ -31,7 +31,7 @@
 	leases   []lease.Lease // by shard
 	notified []uint64      // by shard: the epoch that Tick reported last; 0: not held
 
-	loadOf           func(shard int) float64   // of a shard that is held; below 0: not known
+	loadOf           func(shard int) float64   // load of a held shard; below 0: not known
 	misroutedProxies func() []MisroutedProxies // nil: not known
 
 	heartbeat heartbeat
@@ -41,8 +41,8 @@
 	memberSeenAt   map[string]model.Microseconds // by member, by this clock: when its newest heartbeat was applied
 }
 
-// NewMember makes a member that has applied no entry yet. loadOf gives the requests a second of a shard that it holds,
-// below 0 where they are not known.
+// NewMember returns a member that has applied no entry yet. loadOf returns the requests a second of a shard that the
+// member holds, below 0 if they are not known.
 func NewMember(name string, incarnation uint64, record MemberRecord, settings Settings,
 	loadOf func(shard int) float64,
 ) *Member {
@@ -63,19 +63,19 @@
 	}
 }
 
-// Restore takes the state from a snapshot. Leases that are held go on: they were granted to this incarnation,
-// whatever was committed since.
+// Restore replaces the state by a snapshot. Held leases stay valid: they were granted to this incarnation, and entries
+// committed since do not revoke them.
 func (m *Member) Restore(state *State) { m.state = state }
 
-// State is what the member knows to be committed; it is to be read under the caller's lock.
+// State returns the state after the newest applied entry. The caller must hold its lock while it reads the state.
 func (m *Member) State() *State { return m.state }
 
-// ApplyEntry takes a committed entry of the log.
+// ApplyEntry applies a committed log entry.
 func (m *Member) ApplyEntry(entry LogEntry, term uint64, now model.Microseconds) {
 	_, announces := entry.Command.(LeaderElected)
 	if announces && entry.SchemaVersion <= m.state.supportedVersion {
 		m.state.Term = term
-		m.heartbeat.restart(now) // a request to the previous leader is lost, or its response is here already
+		m.heartbeat.restart(now) // a request to the previous leader is lost or already answered
 	}
 	if term == m.state.Term {
 		m.heartbeat.followedAt = entry.At
@@ -85,15 +85,15 @@
 	case RegisterMember:
 		m.memberSeenAt[command.Member] = now
 	case RenewLeases:
-		m.renewalApplied(command, responses, now)
+		m.handleAppliedRenewal(command, responses, now)
 	case ReleaseLeases:
-		m.releaseApplied(command, now)
+		m.handleAppliedRelease(command, now)
 	case SetPlacement:
-		m.placementApplied(command, now)
+		m.handleAppliedPlacement(command, now)
 	}
 }
 
-func (m *Member) renewalApplied(command RenewLeases, responses []ShardResponse, now model.Microseconds) {
+func (m *Member) handleAppliedRenewal(command RenewLeases, responses []ShardResponse, now model.Microseconds) {
 	own := command.Member == m.Name && command.Incarnation == m.Incarnation
 	for _, response := range responses {
 		if response.Granted && response.Shard < len(m.shardRenewedAt) {
@@ -101,16 +101,16 @@
 		}
 		if own && response.Shard < len(m.leases) {
 			m.leases[response.Shard].HandleResponse(m.settings.Lease, response.Response)
-			m.heartbeat.responded(response.Granted)
+			m.heartbeat.recordResponse(response.Granted)
 		}
 	}
 	m.memberSeenAt[command.Member] = now
 	if own {
-		m.heartbeat.applied(len(command.Requests), now)
+		m.heartbeat.recordApplied(len(command.Requests), now)
 	}
 }
 
-func (m *Member) releaseApplied(command ReleaseLeases, now model.Microseconds) {
+func (m *Member) handleAppliedRelease(command ReleaseLeases, now model.Microseconds) {
 	if command.Member == m.Name {
 		return
 	}
@@ -121,7 +121,7 @@
 	}
 }
 
-func (m *Member) placementApplied(command SetPlacement, now model.Microseconds) {
+func (m *Member) handleAppliedPlacement(command SetPlacement, now model.Microseconds) {
 	m.planning.proposedAt = 0
 	placedHere := func(migration placement.Migration) bool { return migration.To == m.Name }
 	if slices.ContainsFunc(command.Migrations, placedHere) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// IsLeaseHolder reports whether this member holds a shard's lease now, and in which epoch. It needs the caller's lock
-// and may be called often.
+// IsLeaseHolder reports whether this member holds a shard's lease now, and in which epoch. The caller must hold its
+// lock. The call is cheap.
 func (m *Member) IsLeaseHolder(shard int, now model.Microseconds) (epoch uint64, ok bool) {
 	if shard < 0 || shard >= len(m.leases) || m.isExcluded() || !m.leases[shard].IsHeld(now) {
 		return 0, false
@@ -138,7 +138,8 @@
 	return m.leases[shard].Epoch, true
 }
 
-// isExcluded reports whether this member may hold nothing: it does not understand the log, or would count other shards.
+// isExcluded reports whether this member may hold no lease: it does not support the schema version of the log, or
+// its settings differ from the cluster's, so that its shards are different ones.
 func (m *Member) isExcluded() bool { return m.state.NewerSchemaVersion > 0 || m.HasOtherSettings() }
 
 // HasOtherSettings reports whether the cluster was started with settings that differ from this member's.
@@ -152,7 +153,7 @@
 	return registered != nil && registered.Incarnation > m.Incarnation
 }
 
-// isRegistered reports whether this incarnation is registered as it describes itself.
+// isRegistered reports whether this incarnation is registered with its current record.
 func (m *Member) isRegistered() bool {
 	registered := m.state.Member(m.Name)
 	if registered == nil || registered.Removed {
@@ -161,7 +162,7 @@
 	return registered.Incarnation == m.Incarnation && registered.Record == m.Record
 }
 
-// Announcement returns the command with which this member begins to lead.
+// Announcement returns the first command that this member commits as a new leader.
 func (m *Member) Announcement(now model.Microseconds) Command {
 	command := LeaderElected{
 		Leader:         m.Name,
@@ -169,11 +170,11 @@
 		RenewalAges:    map[string]model.Microseconds{},
 	}
 	for i, shard := range m.state.Shards {
-		seen := ShardObservation{Epoch: shard.Lease.Epoch, Sequence: shard.Lease.Sequence, Age: -1}
+		observation := ShardObservation{Epoch: shard.Lease.Epoch, Sequence: shard.Lease.Sequence, Age: -1}
 		if i < len(m.shardRenewedAt) && m.shardRenewedAt[i] > 0 {
-			seen.Age = now - m.shardRenewedAt[i]
+			observation.Age = now - m.shardRenewedAt[i]
 		}
-		command.Observations = append(command.Observations, seen)
+		command.Observations = append(command.Observations, observation)
 	}
 	for name, at := range m.memberSeenAt {
 		command.RenewalAges[name] = now - at
@@ -181,15 +182,15 @@
 	return command
 }
 
-// LeaseChange is a lease that a member holds from now on, or no longer (Epoch 0).
+// LeaseChange is the gain of a lease, or its loss (Epoch 0).
 type LeaseChange struct {
 	Shard int
 	Epoch uint64
 }
 
-// Tick returns the leases that changed since the last one, and the commands to propose once the changes are carried
-// out: a ReleaseLeases may leave only when no message for the shard is in flight any more. alive reports
-// whether a member seems alive by gossip; nil: all do.
+// Tick returns the lease changes since the previous call, and the commands to propose after the caller has handled the
+// changes: a ReleaseLeases may be sent only when no message for the shard is in flight. alive reports whether a member
+// seems alive by gossip; nil: all members do.
 func (m *Member) Tick(now model.Microseconds, leads bool, alive func(name string) bool) ([]LeaseChange, []Command) {
 	changes, releases := m.updateLeases(now)
 	if m.isExcluded() {
@@ -215,7 +216,8 @@
 	return changes, proposals
 }
 
-// updateLeases releases the shards that are placed elsewhere, and compares what is held with what Tick reported last.
+// updateLeases releases the shards that are placed on other members, and returns the lease changes since the previous
+// Tick.
 func (m *Member) updateLeases(now model.Microseconds) (changes []LeaseChange, releases []ShardRequest) {
 	for shard := range m.leases {
 		if _, held := m.IsLeaseHolder(shard, now); held && m.state.Shards[shard].Target != m.Name {
@@ -231,9 +233,9 @@
 	return changes, releases
 }
 
-// TargetChannel returns the channel address of the member that a shard is placed on. It is "" if that is this one,
-// none, or a member without a recent heartbeat: a proxy redirected there would most likely find no listener, and lose
-// the time.
+// TargetChannel returns the channel address of the member that a shard is placed on. It returns "" if the shard is
+// placed on this member, on no member, or on a member without a recent heartbeat: a proxy redirected there would most
+// likely find no listener, and lose time.
 func (m *Member) TargetChannel(number int, now model.Microseconds) string {
 	shard := m.state.shard(number)
 	if shard == nil || shard.Target == m.Name {
--- a/internal/cluster/planning.go
+++ b/internal/cluster/planning.go
@@ -10,21 +10,21 @@
 // placementTimeout is how long a leader waits for its own SetPlacement to be applied before it plans again.
 const placementTimeout = model.Second
 
-// Timing of a leader, in parts of a lease's duration.
+// Timing of a leader, as fractions of the lease duration.
 const (
-	registrationTimesPerLease = 2 // a new cluster's members have this long to register
-	recentHeartbeatsPerLease  = 2 // a member whose heartbeat is younger is alive, whatever gossip believes
+	registrationTimesPerLease = 2 // time for the members of a new cluster to register
+	recentHeartbeatsPerLease  = 2 // a member with a younger heartbeat is alive, even if gossip reports a failure
 )
 
-// planning is what a leader remembers while it plans the placement; each term begins it anew, as a new leader has
-// not seen any member yet.
+// planning is a leader's state for planning the placement. It is reset in each term, as a new leader has not observed
+// any member yet.
 type planning struct {
 	planner          placement.Planner
 	term             uint64
 	startedAt        model.Microseconds            // when this term's planning began
-	proposedAt       model.Microseconds            // when the SetPlacement that is awaited left; 0: none is
+	proposedAt       model.Microseconds            // when the pending SetPlacement was proposed; 0: none is pending
 	aliveSince       map[string]model.Microseconds // by member
-	unreachableSince map[int]model.Microseconds    // by shard whose proxies connect to another member than the holder
+	unreachableSince map[int]model.Microseconds    // by shard whose proxies cannot connect to the holder
 }
 
 func newPlanning(term uint64, now model.Microseconds) planning {
@@ -36,7 +36,7 @@
 	}
 }
 
-// plan returns the leader's migrations, if there are any now.
+// plan returns a SetPlacement with the leader's migrations, if there are any.
 func (m *Member) plan(now model.Microseconds, leads bool, alive func(string) bool) (command Command, due bool) {
 	if !leads || m.state.Leader != m.Name {
 		return nil, false
@@ -57,9 +57,9 @@
 	return SetPlacement{Leader: m.Name, Migrations: migrations}, true
 }
 
-// waitsForFirstMembers reports whether a new cluster's leader still gives members time to register. Members that start
-// together register within some round trips; a placement made at once gave all shards to the first of them, to be
-// moved one by one after.
+// waitsForFirstMembers reports whether a new cluster's leader still waits for members to register. Members that start
+// together register within some round trips; without the wait, the first member would get all shards, which would then
+// be moved one by one.
 func (m *Member) waitsForFirstMembers(now model.Microseconds) bool {
 	neverHeld := func(shard *ShardState) bool { return shard.Lease.Epoch == 0 }
 	registrationTime := m.settings.Lease.Duration / registrationTimesPerLease
@@ -70,10 +70,10 @@
 	return m.planning.proposedAt > 0 && now-m.planning.proposedAt < placementTimeout
 }
 
-// placementMembers describes the members to the planner.
+// placementMembers returns the members as input of the planner.
 func (m *Member) placementMembers(now model.Microseconds, alive func(string) bool) (members []placement.Member) {
 	for _, member := range m.state.Members {
-		described := placement.Member{
+		plannerMember := placement.Member{
 			Name:     member.Name,
 			Zone:     member.Record.Zone,
 			Capacity: member.Record.Capacity,
@@ -81,15 +81,15 @@
 			Stopping: member.Stopping,
 			Alive:    m.isAlive(member, now, alive),
 		}
-		described.AliveSince = m.planning.noteAlive(member.Name, described.Alive, now)
-		members = append(members, described)
+		plannerMember.AliveSince = m.planning.recordAlive(member.Name, plannerMember.Alive, now)
+		members = append(members, plannerMember)
 	}
 	return members
 }
 
-// noteAlive remembers since when a member is alive without a break, and gives that time. Of one that is not alive now
-// it gives the time of before, and forgets it.
-func (p *planning) noteAlive(name string, alive bool, now model.Microseconds) (since model.Microseconds) {
+// recordAlive records since when a member has been alive without interruption, and returns that time. For a member that
+// is not alive now it returns the recorded time and deletes it.
+func (p *planning) recordAlive(name string, alive bool, now model.Microseconds) (since model.Microseconds) {
 	since, wasAlive := p.aliveSince[name]
 	switch {
 	case !alive:
@@ -101,7 +101,7 @@
 	return since
 }
 
-// placementShards describes the shards to the planner.
+// placementShards returns the shards as input of the planner.
 func (m *Member) placementShards(now model.Microseconds) (shards []placement.Shard) {
 	for _, shard := range m.state.Shards {
 		shards = append(shards, placement.Shard{
@@ -110,17 +110,17 @@
 			Load:            shard.Load,
 			Target:          shard.Target,
 			Pinned:          shard.Pinned,
-			ReachableMember: m.reachableInstead(shard, now),
+			ReachableMember: m.reachableMember(shard, now),
 		})
 	}
 	return shards
 }
 
-// reachableInstead returns the member that most of a shard's proxies keep connecting to while none of them is
-// connected to the holder, for a lease's duration already: their link to the holder is cut, though the cluster's is
-// not. "" for none.
-func (m *Member) reachableInstead(shard *ShardState, now model.Microseconds) string {
-	name := m.mostMisrouted(shard)
+// reachableMember returns the member that most of a shard's proxies connect to, if none of them has been connected to
+// the holder for a lease duration: their network path to the holder is broken, though the other members reach it. It
+// returns "" if there is no such member.
+func (m *Member) reachableMember(shard *ShardState, now model.Microseconds) string {
+	name := m.mostMisroutedMember(shard)
 	if !shard.NoProxies || name == "" || m.state.Holder(shard) != shard.Target {
 		delete(m.planning.unreachableSince, shard.Number)
 		return ""
@@ -136,9 +136,9 @@
 	return name
 }
 
-// mostMisrouted returns the member, other than a shard's target, that most of its proxies connect to in vain; "" for
-// none.
-func (m *Member) mostMisrouted(shard *ShardState) (name string) {
+// mostMisroutedMember returns the member, other than a shard's target, to which most of the shard's proxies connect
+// although it does not hold the shard; "" for none.
+func (m *Member) mostMisroutedMember(shard *ShardState) (name string) {
 	most := 0
 	for _, member := range m.state.Members {
 		if member.Name == shard.Target {
@@ -154,14 +154,15 @@
 	return name
 }
 
-// isAlive reports whether the leader counts on a member. Heartbeats are the proof; gossip only shortens the wait: it
-// may say that a member is gone whose heartbeat is due anyway, and never that one is alive that does not renew.
+// isAlive reports whether the leader regards a member as alive. Heartbeats decide; gossip only shortens failure
+// detection: it can mark a member without a recent heartbeat as failed, but never keeps a member alive whose heartbeats
+// have stopped for a lease duration.
 func (m *Member) isAlive(member *MemberState, now model.Microseconds, alive func(string) bool) bool {
-	silence := now - member.RenewedAt
+	sinceRenewal := now - member.RenewedAt
 	duration := m.settings.Lease.Duration
-	expired := silence >= duration+m.settings.Lease.MaxClockDrift
+	expired := sinceRenewal >= duration+m.settings.Lease.MaxClockDrift
 	if member.Removed || member.Record.Digest != m.state.Digest || expired {
 		return false
 	}
-	return alive == nil || silence < duration/recentHeartbeatsPerLease || alive(member.Name)
+	return alive == nil || sinceRenewal < duration/recentHeartbeatsPerLease || alive(member.Name)
 }
--- a/internal/cluster/proposals.go
+++ b/internal/cluster/proposals.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// proposalSender carries commands of this member to the leader, one after the other.
+// proposalSender sends commands of this member to the leader, one at a time.
 type proposalSender struct {
 	cluster *Cluster
 	timeout time.Duration
@@ -10,8 +10,8 @@
 	address string
 }
 
-// runProposals sends what the tick loop proposes. A proposal that fails is not repeated here: a
-// later tick proposes registrations, renewals and placements again; a lost release costs a lease's duration.
+// runProposals sends the commands that the tick loop proposes. A failed proposal is not retried here: a later tick
+// repeats registrations, renewals and placements, and a lease that is not released expires.
 func (c *Cluster) runProposals() {
 	defer c.wait.Done()
 	sender := &proposalSender{cluster: c, timeout: c.requestTimeout(), client: &client{}}
@@ -65,7 +65,7 @@
 	c.member.ProposalFailed(command, c.config.Now())
 }
 
-// requestJoin asks the peers, until one agrees, to add this member to the cluster.
+// requestJoin asks one peer after another, until one succeeds, to add this member to the cluster.
 func (c *Cluster) requestJoin(timeout time.Duration) {
 	ownAddress := c.config.addressOf(c.config.Name, c.config.ListenAddress)
 	for _, peer := range c.config.Peers {
--- a/internal/cluster/race_test.go
+++ b/internal/cluster/race_test.go
@@ -2,4 +2,4 @@
 
 package cluster
 
-func init() { underRace = true }
+func init() { raceEnabled = true }
--- a/internal/cluster/raftnode.go
+++ b/internal/cluster/raftnode.go
@@ -11,17 +11,17 @@
 	boltraft "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// The log and its snapshots stay small: an entry has some hundred bytes and a member makes three a lease, so a
-// thousand of them are some minutes of three members.
+// The log and its snapshots are small: an entry has some hundred bytes and a member commits three entries per lease, so
+// a thousand entries cover some minutes of a cluster of three members.
 const (
 	snapshotThreshold = 1024 // entries
 	snapshotInterval  = 30 * time.Second
-	trailingEntries   = 256 // kept behind a snapshot
+	trailingEntries   = 256 // that the log keeps from before a snapshot
 	retainedSnapshots = 2
 )
 
-// Timing of raft, in parts of a lease's duration. A leader that is gone is to be replaced while the others' leases
-// are valid, with time for two elections: a third of a second each at the default lease of 2 s.
+// Timing of raft; PerLease is a fraction of the lease duration. A failed leader must be replaced while the leases of
+// the other members are valid. The timing allows two elections: a third of a second each at the default lease of 2 s.
 const (
 	heartbeatsPerLease    = 6
 	leaderLeasesPerLease  = 8
@@ -31,24 +31,24 @@
 	configurationTimeout  = 5 * time.Second
 	leadershipQueueLength = 16
 	raftConnectionPool    = 2
-	// raftRequestsInFlight: one request at a time switches raft's replication pipeline off. In raft 1.7.3 the pipeline
-	// may block for good once a follower refuses an entry (its disk is full), and the end of raft with it.
+	// raftRequestsInFlight of one request disables raft's replication pipeline. In raft 1.7.3 the pipeline may block
+	// forever after a follower refuses an entry (its disk is full), and raft's shutdown then blocks too.
 	raftRequestsInFlight = 1
 )
 
-// stateMachine is what the raft node drives.
+// stateMachine is the replicated state machine that the raft node calls.
 type stateMachine interface {
-	// applied takes a committed entry.
-	applied(entry LogEntry, term uint64)
-	// announcement returns the command to begin a leadership with.
+	// applyEntry applies a committed entry.
+	applyEntry(entry LogEntry, term uint64)
+	// announcement returns the first command that this member commits as a new leader.
 	announcement() Command
 	snapshot() ([]byte, error)
 	restore(state *State)
-	// storeChanged takes each failure to write votes, and nil once they can be written again.
+	// storeChanged is called with each failure to write votes, and with nil once a write succeeds again.
 	storeChanged(err error)
 }
 
-// raftNode carries entries to every member's state in one order.
+// raftNode replicates entries to every member's state in one order.
 type raftNode struct {
 	config     *Config
 	machine    stateMachine
@@ -57,13 +57,13 @@
 	transport  *raft.NetworkTransport
 	leadership chan bool
 	done       chan struct{}
-	watched    chan struct{} // closed once the watch of leadership has ended
+	watchDone  chan struct{} // closed when watchLeadership has ended
 
 	mu        sync.Mutex
-	announced bool // this member leads, and its announcement is in the log before whatever it proposes now
+	announced bool // this member leads, and its announcement precedes its other entries in the log
 }
 
-// raftStores are the places where raft keeps what must survive a restart.
+// raftStores are raft's persistent stores.
 type raftStores struct {
 	logs      raft.LogStore
 	stable    raft.StableStore
@@ -78,7 +78,7 @@
 		machine:    machine,
 		leadership: make(chan bool, leadershipQueueLength),
 		done:       make(chan struct{}),
-		watched:    make(chan struct{}),
+		watchDone:  make(chan struct{}),
 	}
 	defer func() {
 		if err != nil {
@@ -129,7 +129,7 @@
 	stores.stable = &retryingStore{
 		StableStore: votes,
 		interval:    n.leaseDuration() / storeRetriesPerLease,
-		changed:     n.machine.storeChanged,
+		reportState: n.machine.storeChanged,
 		done:        n.done,
 	}
 	return stores, nil
@@ -156,19 +156,19 @@
 	if n.config.Join {
 		return nil
 	}
-	known, err := raft.HasExistingState(stores.logs, stores.stable, stores.snapshots)
+	hasState, err := raft.HasExistingState(stores.logs, stores.stable, stores.snapshots)
 	if err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
-	if known {
+	if hasState {
 		return nil
 	}
-	var founders raft.Configuration
+	var initialMembers raft.Configuration
 	for _, peer := range n.config.Peers {
-		founder := raft.Server{ID: raft.ServerID(peer.Name), Address: raft.ServerAddress(peer.Address)}
-		founders.Servers = append(founders.Servers, founder)
+		initialMember := raft.Server{ID: raft.ServerID(peer.Name), Address: raft.ServerAddress(peer.Address)}
+		initialMembers.Servers = append(initialMembers.Servers, initialMember)
 	}
-	err = raft.BootstrapCluster(settings, stores.logs, stores.stable, stores.snapshots, n.transport, founders)
+	err = raft.BootstrapCluster(settings, stores.logs, stores.stable, stores.snapshots, n.transport, initialMembers)
 	if err != nil {
 		return fmt.Errorf("cluster: bootstrap: %w", err)
 	}
@@ -177,9 +177,9 @@
 
 func (n *raftNode) leaseDuration() time.Duration { return n.config.Settings.Lease.Duration.Duration() }
 
-// watchLeadership announces this member in the log each time that it is elected.
+// watchLeadership commits an announcement each time that this member is elected leader.
 func (n *raftNode) watchLeadership() {
-	defer close(n.watched)
+	defer close(n.watchDone)
 	for {
 		select {
 		case <-n.done:
@@ -195,7 +195,7 @@
 	}
 }
 
-// append stamps an entry and puts it on the log, in the order of the stamps. It needs the lock.
+// append stamps an entry and appends it to the log, in the order of the stamps. The caller holds n.mu.
 func (n *raftNode) append(entry LogEntry) raft.ApplyFuture {
 	entry.At = n.config.Now()
 	data, err := entry.Encode()
@@ -205,7 +205,7 @@
 	return n.raft.Apply(data, n.leaseDuration()/transportsPerLease)
 }
 
-// propose puts an entry on the log, if this member leads, and waits until it is applied. Otherwise it fails with
+// propose appends an entry to the log, if this member leads, and waits until it is applied. Otherwise it fails with
 // ErrNotLeader.
 func (n *raftNode) propose(entry LogEntry) error {
 	n.mu.Lock()
@@ -224,7 +224,7 @@
 	return n.announced
 }
 
-// leader returns the member that leads, as far as this one knows; "" for none.
+// leader returns the leader that this member knows; "" for none.
 func (n *raftNode) leader() (name, address string) {
 	knownAddress, id := n.raft.LeaderWithID()
 	if id == "" {
@@ -255,13 +255,13 @@
 	return n.raft.RemoveServer(raft.ServerID(name), 0, configurationTimeout).Error()
 }
 
-// transferLeadership has another member lead. It waits for raft; a failure is followed by another attempt later.
+// transferLeadership transfers leadership to another member, and waits for raft. After a failure a later tick retries.
 func (n *raftNode) transferLeadership() { _ = n.raft.LeadershipTransfer().Error() }
 
 func (n *raftNode) close() {
 	close(n.done)
 	_ = n.raft.Shutdown().Error()
-	<-n.watched
+	<-n.watchDone
 	n.closeResources()
 }
 
@@ -274,7 +274,7 @@
 	}
 }
 
-// peerAddresses lets each member's own file say how it reaches the others.
+// peerAddresses resolves members' names by this member's own configuration file.
 type peerAddresses struct{ config *Config }
 
 // ServerAddr returns the address of a member by its name.
--- a/internal/cluster/record.go
+++ b/internal/cluster/record.go
@@ -22,11 +22,12 @@
 	kindRemoveMember
 )
 
-// undecodableVersion is the schema version of an entry that is not even an encoded record: another program wrote it.
+// undecodableVersion is the schema version given to an entry that is not an encoded commandRecord: another program
+// wrote it.
 const undecodableVersion = 255
 
-// commandRecord is the stored form of every command, in the raft log and between members. Its CBOR names are pinned:
-// logs, snapshots and members of other versions have them.
+// commandRecord is the stored form of every command, in the raft log and between members. Its CBOR names must not
+// change: logs, snapshots and members of other versions use them.
 type commandRecord struct {
 	SchemaVersion    uint8                         `cbor:"Form"`
 	Kind             commandKind                   `cbor:"Kind"`
@@ -53,7 +54,7 @@
 	return data, nil
 }
 
-// DecodeLogEntry reads the stored form of an entry. A kind that this program does not know is no error.
+// DecodeLogEntry reads the stored form of an entry. An unknown command kind is not an error.
 func DecodeLogEntry(data []byte) (LogEntry, error) {
 	var record commandRecord
 	if err := cbor.Unmarshal(data, &record); err != nil {
--- a/internal/cluster/renewal.go
+++ b/internal/cluster/renewal.go
@@ -5,7 +5,7 @@
 	"peppervale/internal/model"
 )
 
-// When a member renews, in parts of a lease's duration.
+// Timing of renewals, as fractions of the lease duration.
 const (
 	responseTimeoutsPerLease = 2 // a request without a response for this long is sent again
 	renewalsPerLease         = 3
@@ -13,33 +13,34 @@
 	failedRetriesPerLease    = 20 // after a renewal that could not be proposed
 )
 
-// heartbeat is when a member sends what to the leader. All times but followedAt are of the member's own clock.
+// heartbeat schedules the registrations and renewals of a member. All times except followedAt are of the member's own
+// clock.
 type heartbeat struct {
 	nextAt      model.Microseconds // of the next RenewLeases
-	sentAt      model.Microseconds // of the newest one
-	pending     bool               // its response is awaited
-	refused     bool               // a shard was refused since it was sent
+	sentAt      model.Microseconds // of the newest RenewLeases
+	pending     bool               // the newest RenewLeases has no response yet
+	refused     bool               // a shard was refused since the newest RenewLeases was sent
 	registerAt  model.Microseconds // of the next RegisterMember
 	confirmedAt model.Microseconds // when the newest RenewLeases of this incarnation was applied; 0: never
-	followedAt  model.Microseconds // the leader's stamp of the entry that was applied last, in its term
+	followedAt  model.Microseconds // the leader's stamp of the newest applied entry of its term
 }
 
-// restart has the next RenewLeases sent at once, whether or not one is pending.
+// restart makes the next RenewLeases due at once, even if one is pending.
 func (h *heartbeat) restart(now model.Microseconds) {
 	h.nextAt = now
 	h.pending = false
 }
 
-// responded takes the response for one shard of this member's newest RenewLeases.
-func (h *heartbeat) responded(granted bool) {
+// recordResponse records the response for one shard of this member's newest RenewLeases.
+func (h *heartbeat) recordResponse(granted bool) {
 	h.pending = false
 	if !granted {
 		h.refused = true
 	}
 }
 
-// applied notes that a RenewLeases of this incarnation was applied.
-func (h *heartbeat) applied(requests int, now model.Microseconds) {
+// recordApplied records that a RenewLeases of this incarnation was applied.
+func (h *heartbeat) recordApplied(requests int, now model.Microseconds) {
 	h.confirmedAt = now
 	if requests == 0 {
 		h.pending = false
@@ -49,7 +50,7 @@
 // isDue reports whether the next RenewLeases is to be sent.
 func (h *heartbeat) isDue(now, duration model.Microseconds) bool {
 	responseMayCome := h.pending && now-h.sentAt < duration/responseTimeoutsPerLease
-	if responseMayCome { // another request would make this response worthless
+	if responseMayCome { // another request would invalidate this response
 		return false
 	}
 	if h.refused && !h.pending {
@@ -58,16 +59,16 @@
 	return now >= h.nextAt
 }
 
-// sent notes that a RenewLeases leaves now.
-func (h *heartbeat) sent(now, duration model.Microseconds) {
+// recordSent records that a RenewLeases is sent now.
+func (h *heartbeat) recordSent(now, duration model.Microseconds) {
 	h.sentAt = now
 	h.nextAt = now + duration/renewalsPerLease
 	h.pending = true
 	h.refused = false
 }
 
-// ProposalFailed notes that a command was not committed, as far as its sender knows. A RenewLeases that is committed
-// all the same brings a response that comes too late to count.
+// ProposalFailed records that the sender could not confirm the commit of a command. If a RenewLeases was committed
+// nevertheless, its response is too late to have an effect.
 func (m *Member) ProposalFailed(command Command, now model.Microseconds) {
 	if _, renews := command.(RenewLeases); renews && m.heartbeat.pending {
 		m.heartbeat.pending = false
@@ -75,8 +76,8 @@
 	}
 }
 
-// register describes this member, if it is time to. Where a later incarnation is registered, another process runs
-// under this name: this one holds nothing any more once its leases expire.
+// register returns the command that registers this member, if it is due. It is never due once a later incarnation is
+// registered: another process runs under this name, and this one lets its leases expire.
 func (m *Member) register(now model.Microseconds) (command Command, due bool) {
 	if now < m.heartbeat.registerAt || m.IsSuperseded() {
 		return nil, false
@@ -91,13 +92,13 @@
 	}, true
 }
 
-// renew requests the leases of all shards that are placed here, if it is time to.
+// renew returns the command that requests the leases of all shards that are placed on this member, if it is due.
 func (m *Member) renew(now model.Microseconds) (command Command, due bool) {
 	duration := m.settings.Lease.Duration
 	if !m.heartbeat.isDue(now, duration) {
 		return nil, false
 	}
-	m.heartbeat.sent(now, duration)
+	m.heartbeat.recordSent(now, duration)
 	renewal := RenewLeases{Member: m.Name, Incarnation: m.Incarnation, FollowedAt: m.heartbeat.followedAt}
 	if m.misroutedProxies != nil {
 		renewal.MisroutedProxies = m.misroutedProxies()
@@ -120,8 +121,8 @@
 	return ShardRequest{Shard: shard, Sequence: request.Sequence, Load: load}
 }
 
-// isUnconfirmed reports whether no heartbeat of this incarnation was applied for a lease's duration, though one was
-// before.
+// isUnconfirmed reports whether heartbeats of this incarnation were applied before, but none within the last lease
+// duration.
 func (m *Member) isUnconfirmed(now model.Microseconds) bool {
 	return m.heartbeat.confirmedAt > 0 && now-m.heartbeat.confirmedAt > m.settings.Lease.Duration
 }
--- a/internal/cluster/requests.go
+++ b/internal/cluster/requests.go
@@ -10,9 +10,9 @@
 	"peppervale/internal/placement"
 )
 
-// The requests, by their names on the wire.
+// Names of the requests on the wire.
 const (
-	requestStatus   = "STATUS"  // what this member knows, as JSON
+	requestStatus   = "STATUS"  // returns this member's Status as JSON
 	requestHandover = "HAND"    // an encoded Handover of another member
 	requestPropose  = "PROPOSE" // an encoded LogEntry of another member
 	requestMove     = "MOVE"    // shard, member
@@ -20,12 +20,12 @@
 	requestRemove   = "STRIKE"  // member
 	requestAdd      = "ADD"     // member, address
 
-	// requestForwarded begins a request that a member forwarded to the leader, so that two members that
-	// each consider the other one the leader do not forward it for ever.
+	// requestForwarded precedes a request that a member forwards to the leader, so that two members that each
+	// consider the other one the leader do not forward it forever.
 	requestForwarded = "HANDED"
 )
 
-// The last word of a requestLeave.
+// Last word of a requestLeave.
 const (
 	leaveOn       = "on"
 	leaveOff      = "off"
@@ -35,13 +35,13 @@
 // reasonMovedByOperator is the reason of a MOVE request. The replicated state holds its text.
 const reasonMovedByOperator = "moved by hand"
 
-// forwardTimeout is how long the leader may take for a forwarded request.
+// forwardTimeout is the timeout of a request that is forwarded to the leader.
 const forwardTimeout = 5 * time.Second
 
-// leaderRequest is a request that only the leader carries out.
+// leaderRequest is a request that only the leader executes.
 type leaderRequest struct {
-	words int // that follow its name
-	run   func(c *Cluster, words []string) error
+	argumentCount int // number of words after its name
+	execute       func(c *Cluster, words []string) error
 }
 
 var leaderRequests = map[string]leaderRequest{
@@ -69,11 +69,11 @@
 	if !known {
 		return nil, invalidRequest("unknown request %.40q; known are STATUS, MOVE, LEAVE, STRIKE, ADD", words[0])
 	}
-	if len(words)-1 != request.words {
-		return nil, invalidRequest("%s takes %d words", name, request.words)
+	if len(words)-1 != request.argumentCount {
+		return nil, invalidRequest("%s takes %d words", name, request.argumentCount)
 	}
 	if c.node.isLeader() {
-		return nil, request.run(c, words[1:])
+		return nil, request.execute(c, words[1:])
 	}
 	if forwarded || name == requestPropose {
 		return nil, ErrNotLeader
@@ -86,18 +86,18 @@
 	if address == "" {
 		return nil, ErrNoLeader
 	}
-	leader := c.config.newClient(name, address)
-	defer leader.close()
-	text, err := leader.request(forwardTimeout, append([]string{requestForwarded}, words...)...)
+	leaderClient := c.config.newClient(name, address)
+	defer leaderClient.close()
+	text, err := leaderClient.request(forwardTimeout, append([]string{requestForwarded}, words...)...)
 	return []byte(text), err
 }
 
-// propose has a command of this member committed.
+// propose commits a command of this member.
 func (c *Cluster) propose(command Command) error {
 	return c.node.propose(LogEntry{SchemaVersion: schemaVersion, Command: command})
 }
 
-// proposeForMember has a command of another member committed, in the schema version that the member gave it.
+// proposeForMember commits a command of another member, in the schema version that it was sent with.
 func (c *Cluster) proposeForMember(words []string) error {
 	entry, err := DecodeLogEntry([]byte(words[0]))
 	if err != nil {
--- a/internal/cluster/requests_test.go
+++ b/internal/cluster/requests_test.go
@@ -7,36 +7,36 @@
 	"testing"
 )
 
-// Operators move a shard, drain a member and remove it, by requests to any member; an invalid request is rejected.
-func TestOperatorRequests(t *testing.T) {
+// Operators move a shard, drain a member and remove it by requests to any member. Invalid requests are rejected.
+func TestOperatorRequestsSucceedAtAnyMember(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
-	wrong := [][]string{
-		{"MOVE", "6", "m1"}, {"MOVE", "0", "nobody"}, {"LEAVE", "m1", "perhaps"}, {"STRIKE"}, {"DANCE"}, {"PROPOSE", "x"},
+	invalid := [][]string{
+		{"MOVE", "6", "m1"}, {"MOVE", "0", "nobody"}, {"LEAVE", "m1", "perhaps"}, {"STRIKE"}, {"UNKNOWN"}, {"PROPOSE", "x"},
 	}
-	for _, words := range wrong {
+	for _, words := range invalid {
 		var refusal *RemoteError
 		if err := cluster.request(1, words...); !errors.As(err, &refusal) {
-			t.Errorf("%v is not refused: %v", words, err)
+			t.Errorf("request %v: error %v, want a RemoteError", words, err)
 		}
 	}
 	for k := range 3 {
 		cluster.mustRequest(k, "MOVE", "0", fmt.Sprint("m", k))
-		cluster.await("the shard is moved", func() bool {
+		cluster.await("shard 0 is moved", func() bool {
 			_, ok := cluster.members[k].IsLeaseHolder(0)
 			return ok
 		})
 	}
-	leaving := 0
+	drained := 0
 	if leader, _ := cluster.members[0].node.leader(); leader == "m0" {
-		leaving = 1
+		drained = 1
 	}
-	name := fmt.Sprint("m", leaving)
+	name := fmt.Sprint("m", drained)
 	cluster.mustRequest(2, "LEAVE", name, "on")
-	cluster.await("it has given all shards away", func() bool { return cluster.held()[leaving] == 0 })
-	cluster.stop(leaving)
+	cluster.await("the drained member holds no shard", func() bool { return cluster.held()[drained] == 0 })
+	cluster.stop(drained)
 	cluster.mustRequest(2, "STRIKE", name)
-	cluster.await("it is removed", func() bool {
+	cluster.await("the member is removed", func() bool {
 		for _, member := range cluster.members[2].Status().Members {
 			if member.Name == name {
 				return member.Removed && !member.Voter
@@ -46,8 +46,8 @@
 	})
 }
 
-// A malformed request ends its connection and nothing else.
-func TestMalformedConnections(t *testing.T) {
+// A malformed request ends its connection; the port still answers requests on other connections.
+func TestPortAnswersWhenOtherConnectionsAreMalformed(t *testing.T) {
 	cluster := newTestCluster(t, 1)
 	cluster.awaitHeld(6)
 	malformed := []string{
--- a/internal/cluster/settings.go
+++ b/internal/cluster/settings.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/placement"
 )
 
-// Settings are the settings that must be alike at all members of a cluster.
+// Settings are the settings that must be the same at all members of a cluster.
 type Settings struct {
 	Lease         lease.Config
 	Placement     placement.Config
@@ -29,7 +29,7 @@
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	mixed := hash.Sum32()
-	mixed ^= mixed >> 16 // names that differ in the last digit only fall on few of the low bits
+	mixed ^= mixed >> 16 // names that differ only in the last digit differ in few low bits of the hash
 	mixed *= multiplier
 	mixed ^= mixed >> 16
 	return zone*s.ShardsPerZone + int(mixed%uint32(s.ShardsPerZone))
--- a/internal/cluster/simulation_test.go
+++ b/internal/cluster/simulation_test.go
@@ -16,11 +16,11 @@
 	ShardsPerZone: 2,
 }
 
-// simulationTick is the time that passes in a step.
+// simulationTick is the simulated time of a step.
 const simulationTick = 20 * model.Millisecond
 
-// simulation is a cluster on a log in memory: an entry is committed at once and carried to each member unless it is
-// cut off or down.
+// simulation is a cluster on a log in memory: an entry is committed at once and delivered to each member that is up and
+// not cut off.
 type simulation struct {
 	t       testing.TB
 	now     model.Microseconds
@@ -35,18 +35,18 @@
 	term  uint64
 }
 
-// simulatedMember is a member with what a log and a network would be to it.
+// simulatedMember is a member with its simulated process, network and clock.
 type simulatedMember struct {
 	*Member
-	up, cut      bool
-	deaf         bool // no entry reaches it, but its proposals reach the leader
-	applied      int  // entries that it has applied
-	clockLoss    model.Microseconds
-	incarnations uint64
-	changes      []LeaseChange // that its ticks reported
+	up, cut           bool
+	receivesNoEntries bool // it receives no entries, but its proposals reach the leader
+	appliedEntries    int  // number of entries that it has applied
+	clockLoss         model.Microseconds
+	incarnations      uint64
+	changes           []LeaseChange // that its ticks reported
 }
 
-func (m *simulatedMember) clock(s *simulation) model.Microseconds { return s.now - m.clockLoss }
+func (m *simulatedMember) localTime(s *simulation) model.Microseconds { return s.now - m.clockLoss }
 
 func newSimulation(t testing.TB, size int) *simulation {
 	sim := &simulation{t: t, now: 1000 * model.Second}
@@ -67,25 +67,25 @@
 	}
 	m.Member = NewMember(fmt.Sprint("m", k), m.incarnations, record, simulationSettings, constantLoad(10))
 	m.up = true
-	m.applied = 0
+	m.appliedEntries = 0
 }
 
 func constantLoad(load float64) func(shard int) float64 {
 	return func(int) float64 { return load }
 }
 
-// commit puts a command on the log, stamped by a clock.
+// commit appends a command to the log, stamped with a clock reading.
 func (s *simulation) commit(command Command, at model.Microseconds) {
 	entry := LogEntry{SchemaVersion: schemaVersion, At: at, Command: command}
 	s.log = append(s.log, committedEntry{entry, s.term})
 }
 
-// elect has a member lead from now on.
+// elect makes a member the leader.
 func (s *simulation) elect(k int) {
 	s.term++
 	s.leader = k
 	elected := s.members[k]
-	s.commit(elected.Announcement(elected.clock(s)), elected.clock(s))
+	s.commit(elected.Announcement(elected.localTime(s)), elected.localTime(s))
 }
 
 // hasQuorum reports whether anything can be committed.
@@ -100,8 +100,8 @@
 	return 2*connected > len(s.members) && leader.up && !leader.cut
 }
 
-// step lets time pass and every member do what it does; it checks who holds leases after each.
-func (s *simulation) step() {
+// runTick advances the time by a tick and runs each member that is up. It checks the lease holders after each member.
+func (s *simulation) runTick() {
 	s.now += simulationTick
 	s.electIfLeaderIsLost()
 	for k, m := range s.members {
@@ -110,11 +110,11 @@
 		}
 		s.deliver(m)
 		leads := k == s.leader && !m.cut
-		changes, proposals := m.Tick(m.clock(s), leads, s.seemsAlive)
+		changes, proposals := m.Tick(m.localTime(s), leads, s.seemsAlive)
 		m.changes = append(m.changes, changes...)
 		for _, command := range proposals {
 			if !m.cut && s.hasQuorum() {
-				s.commit(command, s.members[s.leader].clock(s))
+				s.commit(command, s.members[s.leader].localTime(s))
 			}
 		}
 		s.checkHolders()
@@ -141,11 +141,11 @@
 	return s.members[k].up && !s.members[k].cut
 }
 
-// deliver has a member apply what it has not yet.
+// deliver makes a member apply the entries that it has not applied yet.
 func (s *simulation) deliver(m *simulatedMember) {
-	for ; !m.cut && !m.deaf && s.hasQuorum() && m.applied < len(s.log); m.applied++ {
-		committed := s.log[m.applied]
-		m.ApplyEntry(committed.entry, committed.term, m.clock(s))
+	for ; !m.cut && !m.receivesNoEntries && s.hasQuorum() && m.appliedEntries < len(s.log); m.appliedEntries++ {
+		committed := s.log[m.appliedEntries]
+		m.ApplyEntry(committed.entry, committed.term, m.localTime(s))
 	}
 }
 
@@ -157,12 +157,12 @@
 			if !m.up {
 				continue
 			}
-			epoch, ok := m.IsLeaseHolder(shard, m.clock(s))
+			epoch, ok := m.IsLeaseHolder(shard, m.localTime(s))
 			if !ok {
 				continue
 			}
 			if holder >= 0 {
-				s.t.Fatalf("at %d: m%d and m%d hold shard %d, in epochs %d and %d",
+				s.t.Fatalf("at %d us: m%d and m%d both hold shard %d, in epochs %d and %d",
 					s.now, holder, k, shard, heldEpoch, epoch)
 			}
 			holder, heldEpoch = k, epoch
@@ -170,29 +170,29 @@
 	}
 }
 
-func (s *simulation) run(duration model.Microseconds) {
+func (s *simulation) runFor(duration model.Microseconds) {
 	for end := s.now + duration; s.now < end; {
-		s.step()
+		s.runTick()
 	}
 }
 
-// held counts the shards that a member holds.
-func (s *simulation) held(k int) (count int) {
+// heldShards counts the shards that a member holds.
+func (s *simulation) heldShards(k int) (count int) {
 	m := s.members[k]
 	for shard := range m.state.Shards {
-		if _, ok := m.IsLeaseHolder(shard, m.clock(s)); ok && m.up {
+		if _, ok := m.IsLeaseHolder(shard, m.localTime(s)); ok && m.up {
 			count++
 		}
 	}
 	return count
 }
 
-// wantHeld fails the test unless the members, from the first on, hold so many shards.
+// wantHeld fails the test unless each member, beginning with the first, holds its number of shards in counts.
 func (s *simulation) wantHeld(counts ...int) {
 	s.t.Helper()
 	for k, count := range counts {
-		if got := s.held(k); got != count {
-			s.t.Fatalf("m%d holds %d shards, wanted %v", k, got, counts)
+		if got := s.heldShards(k); got != count {
+			s.t.Fatalf("m%d holds %d shards, want counts %v", k, got, counts)
 		}
 	}
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -15,10 +15,10 @@
 	Incarnation      uint64             `cbor:"Life"`
 	Record           MemberRecord       `cbor:"Record"`
 	RenewedAt        model.Microseconds `cbor:"Heard"`   // its newest heartbeat, by the leader's clock
-	Draining         bool               `cbor:"Leaving"` // an operator has it give all its shards away
-	Stopping         bool               `cbor:"Ending"`  // its process is about to stop; its next incarnation is not
+	Draining         bool               `cbor:"Leaving"` // an operator moves all its shards to other members
+	Stopping         bool               `cbor:"Ending"`  // its process is about to stop; its next incarnation resets this
 	MisroutedProxies []MisroutedProxies `cbor:"Strays"`
-	Removed          bool               `cbor:"Struck"` // its position, its number in leases, is never given again
+	Removed          bool               `cbor:"Struck"` // its index, which identifies it in leases, is never reused
 }
 
 // ShardState is a shard in the replicated state.
@@ -33,8 +33,8 @@
 	NoProxies  bool        `cbor:"Empty"`  // it is held, and none of its proxies is connected to the holder
 }
 
-// Takeover is a grant to another holder than before, or to another incarnation of it. Status gives it as JSON; its
-// tags are names that others read and must not change.
+// Takeover is one takeover: a grant to a new holder, or to a new incarnation of the previous one. Status returns it as
+// JSON; other programs read the tags' names, which must not change.
 type Takeover struct {
 	At      model.Microseconds `cbor:"At" json:"At"` // the leader's clock
 	Leader  string             `cbor:"Leader" json:"Leader"`
@@ -46,14 +46,13 @@
 	Reason  string             `cbor:"Why" json:"Why"`
 }
 
-// maxEvents bounds the takeovers that are remembered: some ten kilobytes of a snapshot.
+// maxEvents bounds the takeovers in the state; they take some ten kilobytes of a snapshot.
 const maxEvents = 200
 
-// State is what the members have agreed on. It is free of I/O: the same entries in the same order give the same
-// state.
+// State is the replicated state of a cluster. It does no I/O: the same entries in the same order give the same state.
 type State struct {
 	SchemaVersion uint8              `cbor:"Form"`
-	Digest        uint64             `cbor:"Digest"` // of the first leader's settings; a member with others holds no lease
+	Digest        uint64             `cbor:"Digest"` // of the first leader's settings; a member with others is excluded
 	LeaseDuration model.Microseconds `cbor:"Span"`
 	MaxClockDrift model.Microseconds `cbor:"Drift"`
 	Leader        string             `cbor:"Leader"`
@@ -63,13 +62,13 @@
 	Events        []Takeover         `cbor:"Events"`
 	// WaitReasons are the reasons of the newest placements that have not led to a grant yet, by shard.
 	WaitReasons map[int]string `cbor:"Whys"`
-	// NewerSchemaVersion is that of an entry which this program does not support; nothing after it is applied.
+	// NewerSchemaVersion is the schema version of an entry that this program does not support; no later entry is applied.
 	NewerSchemaVersion uint8 `cbor:"Newer"`
 
-	supportedVersion uint8 // the newest schema version that this program understands
+	supportedVersion uint8 // the newest schema version that this program supports
 }
 
-// NewState is the state of a cluster that has committed nothing.
+// NewState returns the state of a cluster that has committed no entry.
 func NewState(settings Settings) *State {
 	state := &State{
 		SchemaVersion:    schemaVersion,
@@ -86,7 +85,7 @@
 	return state
 }
 
-// DecodeState reads a snapshot. It fails with a NewerSchemaError for one of a newer program.
+// DecodeState reads a snapshot. It fails with a NewerSchemaError for a newer schema version.
 func DecodeState(snapshot []byte) (*State, error) {
 	state := &State{supportedVersion: schemaVersion}
 	if err := cbor.Unmarshal(snapshot, state); err != nil {
@@ -101,8 +100,8 @@
 	return state, nil
 }
 
-// Encode returns the state as a snapshot has it. It fails with a NewerSchemaError after an entry that this program does
-// not support.
+// Encode returns the state as a snapshot. It fails with a NewerSchemaError after an entry that this program does not
+// support.
 func (s *State) Encode() ([]byte, error) {
 	if s.NewerSchemaVersion > 0 {
 		return nil, &NewerSchemaError{
@@ -128,7 +127,7 @@
 	return nil
 }
 
-// Holder is the member that a shard's lease names; "" for none. The lease may have expired.
+// Holder returns the holder of a shard's lease in the replicated state; "" for none. The lease may have expired.
 func (s *State) Holder(shard *ShardState) string {
 	number := int(shard.Lease.Holder.Member)
 	if number > 0 && number <= len(s.Members) {
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -20,25 +20,25 @@
 	"peppervale/internal/placement"
 )
 
-// update rewrites testdata. The files there were written before any stored field was renamed: they are to be
-// rewritten only together with a new form of commands, and the literals of state_want_test.go with them.
+// update rewrites testdata. The files there were written before any Go field of a stored struct was renamed. Rewrite
+// them only together with a new schema version of commands, and update the literals of state_want_test.go with them.
 var update = flag.Bool("update", false, "rewrite the stored state in testdata")
 
 const (
 	fixtureMembers      = 3
-	fixtureIncarnations = 3 // that the members of the fixture had had
+	fixtureIncarnations = 3 // number of incarnations of all members in the fixture
 )
 
-// goldens are the values of testdata/golden: a command of each kind, a handover and a state. Maps have one entry, as
-// their order is free.
+// goldens returns the values of testdata/golden: a command of each kind, a handover and a state. Maps have one entry,
+// as the order of their entries is not defined.
 func goldens() map[string]any {
 	record := &MemberRecord{
 		Zone: "govan", Channel: "127.0.0.1:7700", RequestAddress: "127.0.0.1:7800",
 		Capacity: 1500.5, Digest: 0xfeedfacecafebeef,
 	}
-	head := commandRecord{SchemaVersion: 1, At: 1_234_567, FollowedAt: 1_200_000, Member: "m0", Incarnation: 17}
+	common := commandRecord{SchemaVersion: 1, At: 1_234_567, FollowedAt: 1_200_000, Member: "m0", Incarnation: 17}
 	command := func(kind commandKind, fill func(c *commandRecord)) commandRecord {
-		c := head
+		c := common
 		c.Kind = kind
 		fill(&c)
 		return c
@@ -89,8 +89,8 @@
 	}
 }
 
-// Every stored value is written as the bytes that were written before, and read from them completely.
-func TestStoredValuesKeepTheirBytes(t *testing.T) {
+// Every value is encoded as the bytes of its golden file, and decoded from them completely.
+func TestEncodedBytesAreUnchangedWhenValuesAreStored(t *testing.T) {
 	for name, value := range goldens() {
 		written, err := cbor.Marshal(value)
 		if err != nil {
@@ -114,20 +114,20 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(written, before) {
-			t.Errorf("%s is written as\n%x, stored is\n%x", name, written, before)
+			t.Errorf("%s is encoded as\n%x, want\n%x", name, written, before)
 		}
 		read := reflect.New(reflect.TypeOf(value))
 		if err := cbor.Unmarshal(before, read.Interface()); err != nil {
 			t.Fatal(err)
 		}
 		if got := read.Elem().Interface(); !reflect.DeepEqual(got, value) {
-			t.Errorf("%s is read as\n%s, want\n%s", name, describe(got), describe(value))
+			t.Errorf("%s is decoded as\n%s, want\n%s", name, describe(got), describe(value))
 		}
 	}
 }
 
-// Each exported field of a stored struct has its name in CBOR by a tag.
-func TestStoredNamesArePinned(t *testing.T) {
+// Each exported field of a stored struct has a tag with its CBOR name.
+func TestStoredFieldsHavePinnedNames(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var walk func(stored reflect.Type)
 	walk = func(stored reflect.Type) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// The status request and the console give takeovers as JSON.
-func TestEventAsJSON(t *testing.T) {
+// The status request and the console return takeovers as JSON; the keys must not change.
+func TestTakeoverJSONHasPinnedKeys(t *testing.T) {
 	event := Takeover{At: 1, Leader: "m1", Shard: 4, Epoch: 3, From: "m2", To: "m0", Planned: true, Reason: "evener"}
 	text, err := json.Marshal(event)
 	if err != nil {
@@ -168,18 +168,18 @@
 	}
 	want := `{"At":1,"Leader":"m1","Part":4,"Epoch":3,"From":"m2","To":"m0","Planned":true,"Why":"evener"}`
 	if string(text) != want {
-		t.Errorf("written as %s, want %s", text, want)
+		t.Errorf("takeover is encoded as %s, want %s", text, want)
 	}
 }
 
-// A member with another digest holds nothing: the same settings must give the same digest in every version.
+// A member with another digest holds no lease: the same settings must have the same digest in every version.
 func TestDigestIsPinned(t *testing.T) {
 	if got := testSettings.Digest(); got != 5410384689389861377 {
-		t.Errorf("digest %d", got)
+		t.Errorf("settings digest is %d, want 5410384689389861377", got)
 	}
 }
 
-// The directories that an earlier program wrote are read with every value.
+// Every value is read from the directories that an earlier program wrote.
 func TestStoredDirectoriesAreRead(t *testing.T) {
 	if *update {
 		writeDirectories(t)
@@ -198,22 +198,22 @@
 			t.Fatal(err)
 		}
 		if !sameCBOR(t, again, read.snapshot) {
-			t.Errorf("%s: the snapshot is not written as it was stored", name)
+			t.Errorf("%s: the snapshot is encoded differently from the stored one", name)
 		}
 		meta := fmt.Sprintf("index %d term %d%s", read.meta.Index, read.meta.Term, describeServers(read.meta.Configuration))
 		if *update {
 			logWant(t, name, read, meta, state)
 			continue
 		}
-		check(t, name+" votes", read.votes, wantVotes)
-		check(t, name+" log", describeLog(t, read.entries), wantLog)
-		check(t, name+" place of the snapshot", meta, wantMeta)
-		check(t, name+" snapshot", describeState(state), wantSnapshot)
-		check(t, name+" snapshot and log", describeState(replay(t, read)), wantReplayed)
+		checkText(t, name+" votes", read.votes, wantVotes)
+		checkText(t, name+" log", describeLog(t, read.entries), wantLog)
+		checkText(t, name+" snapshot metadata", meta, wantMeta)
+		checkText(t, name+" snapshot", describeState(state), wantSnapshot)
+		checkText(t, name+" state after snapshot and log", describeState(replay(t, read)), wantReplayed)
 	}
 }
 
-// A member that starts alone has exactly what its snapshot says, as nothing more can be committed.
+// A member that starts without the others has exactly the state of its snapshot, as no entry can be committed.
 func TestMemberStartsFromStoredDirectory(t *testing.T) {
 	for k := range fixtureMembers {
 		cluster := prepareTestCluster(t, fixtureMembers)
@@ -224,13 +224,12 @@
 		member.mu.Lock()
 		got := describeState(member.member.state)
 		member.mu.Unlock()
-		check(t, cluster.configs[k].Name, got, wantSnapshot)
+		checkText(t, cluster.configs[k].Name, got, wantSnapshot)
 		cluster.stop(k)
 	}
 }
 
-// A cluster that starts from stored directories goes on from all that was committed: takeovers, the drained member,
-// and epochs.
+// A cluster that starts from stored directories keeps all committed state: takeovers, the drained member, and epochs.
 func TestClusterStartsFromStoredDirectories(t *testing.T) {
 	cluster := prepareTestCluster(t, fixtureMembers)
 	cluster.incarnations = fixtureIncarnations
@@ -238,7 +237,7 @@
 	for k := range fixtureMembers {
 		cluster.start(k)
 	}
-	cluster.await("new incarnations hold all shards, the drained member none, and all know it", func() bool {
+	cluster.await("all members have applied that new incarnations hold all shards, and the drained one none", func() bool {
 		held := cluster.held()
 		if held[1] != 0 || held[0]+held[2] != 6 {
 			return false
@@ -251,11 +250,11 @@
 		t.Fatalf("%d takeovers were stored, want %d", len(stored.Events), wantEvents)
 	}
 	for k, member := range cluster.members {
-		checkGoesOnFrom(t, fmt.Sprint("m", k), member.Status(), stored)
+		checkContinuesFrom(t, fmt.Sprint("m", k), member.Status(), stored)
 	}
 }
 
-// unpackNewestState unpacks the stored directories of all members, and gives the newest state in them.
+// unpackNewestState unpacks the stored directories of all members, and returns the newest state in them.
 func unpackNewestState(t *testing.T, cluster *testCluster) (newest *State) {
 	t.Helper()
 	for _, config := range cluster.configs {
@@ -268,8 +267,8 @@
 	return newest
 }
 
-// hasTakenOver reports whether a member knows all members by new incarnations, and all shards by newer epochs than
-// stored.
+// hasTakenOver reports whether, in a member's status, all members have new incarnations and all shards have newer
+// epochs than the stored ones.
 func hasTakenOver(status Status, stored *State) bool {
 	isOld := func(member MemberStatus) bool { return member.Incarnation <= fixtureIncarnations }
 	if len(status.Members) != fixtureMembers || slices.ContainsFunc(status.Members, isOld) {
@@ -283,26 +282,26 @@
 	return true
 }
 
-// checkGoesOnFrom checks that a member's status has all that was stored, and goes on from there.
-func checkGoesOnFrom(t *testing.T, name string, status Status, stored *State) {
+// checkContinuesFrom checks that a member's status has all stored takeovers, newer epochs and newer incarnations.
+func checkContinuesFrom(t *testing.T, name string, status Status, stored *State) {
 	t.Helper()
 	if len(status.Takeovers) < len(stored.Events) {
-		t.Fatalf("%s: %d takeovers, %d were stored", name, len(status.Takeovers), len(stored.Events))
+		t.Fatalf("%s: %d takeovers in the status, want the %d stored ones", name, len(status.Takeovers), len(stored.Events))
 	}
 	for i, event := range stored.Events {
-		check(t, fmt.Sprintf("%s takeover %d", name, i), describe(status.Takeovers[i]), describe(event))
+		checkText(t, fmt.Sprintf("%s takeover %d", name, i), describe(status.Takeovers[i]), describe(event))
 	}
 	for i, shard := range status.Shards {
 		if before := stored.Shards[i].Lease.Epoch; before != wantEpochs[i] || shard.Epoch <= before {
-			t.Errorf("%s: shard %d is in epoch %d, before it was in %d, want %d then",
+			t.Errorf("%s: shard %d is in epoch %d, stored epoch is %d; want a newer one than %d",
 				name, i, shard.Epoch, before, wantEpochs[i])
 		}
 	}
 	for i, member := range status.Members {
 		isDrained := member.Name == "m1"
-		goesOn := member.Name == stored.Members[i].Name && member.Draining == isDrained
-		if !goesOn || member.Incarnation <= fixtureIncarnations || !member.Voter {
-			t.Errorf("%s: %+v", name, member)
+		sameMember := member.Name == stored.Members[i].Name && member.Draining == isDrained
+		if !sameMember || member.Incarnation <= fixtureIncarnations || !member.Voter {
+			t.Errorf("%s: member %+v, want a new incarnation of a voter, and only m1 drained", name, member)
 		}
 	}
 }
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -6,21 +6,22 @@
 	"peppervale/internal/model"
 )
 
-// Status is what a member knows of its cluster, for commands and pages. Its JSON keys are names that others read.
+// Status is a member's view of its cluster, for commands and pages. Other programs read its JSON keys, which must not
+// change.
 type Status struct {
 	Member        string             `json:"member"`
 	Leader        string             `json:"leader"`
 	Term          uint64             `json:"term"`
 	AppliedIndex  uint64             `json:"agreed"`            // of the newest log entry that this member has applied
-	Fault         string             `json:"trouble,omitempty"` // what keeps this member from holding leases
+	Fault         string             `json:"trouble,omitempty"` // what prevents this member from holding leases
 	LeaseDuration model.Microseconds `json:"span_us"`
 	MaxClockDrift model.Microseconds `json:"drift_us"`
 	Members       []MemberStatus     `json:"members"`
 	Shards        []ShardStatus      `json:"parts"`
-	Takeovers     []Takeover         `json:"takeovers"` // newest last; At is of the clock of the leader at that time
+	Takeovers     []Takeover         `json:"takeovers"` // newest last; At is by the clock of the leader at that time
 }
 
-// MemberStatus is one member.
+// MemberStatus is the status of one member.
 type MemberStatus struct {
 	Name        string  `json:"name"`
 	Zone        string  `json:"zone"`
@@ -31,11 +32,11 @@
 	Draining    bool    `json:"leaving,omitempty"`
 	Removed     bool    `json:"struck,omitempty"`
 	Incarnation uint64  `json:"life"`
-	Shards      int     `json:"parts"` // that it holds
+	Shards      int     `json:"parts"` // number of shards that it holds
 	Load        float64 `json:"load"`  // requests a second of these shards, as reported
 }
 
-// ShardStatus is one shard.
+// ShardStatus is the status of one shard.
 type ShardStatus struct {
 	Number         int                `json:"number"`
 	Zone           string             `json:"zone"`
@@ -49,7 +50,7 @@
 	WaitReason     string             `json:"waits_for,omitempty"`
 }
 
-// Status returns what this member knows now, without a request to any other member.
+// Status returns this member's current view, without a request to any other member.
 func (c *Cluster) Status() Status {
 	voters := c.node.voters()
 	alive := c.gossip.alive()
@@ -114,7 +115,7 @@
 	return status
 }
 
-// countShard adds a shard to what its holder holds.
+// countShard adds a shard and its load to those of its holder.
 func (s *Status) countShard(shard ShardStatus) {
 	for i := range s.Members {
 		if holder := &s.Members[i]; holder.Name == shard.Holder {
@@ -125,7 +126,7 @@
 	}
 }
 
-// waitReason says why a shard is not held by the member that it is placed on; "" if it is.
+// waitReason returns why a shard is not held by the member that it is placed on; "" if it is.
 func (m *Member) waitReason(shard *ShardState) string {
 	target := m.state.Member(shard.Target)
 	holder := m.state.Holder(shard)
--- a/internal/cluster/status_golden_test.go
+++ b/internal/cluster/status_golden_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
-var updateStatus = flag.Bool("update-status", false, "write the golden status in testdata anew")
+var updateStatus = flag.Bool("update-status", false, "rewrite the golden status in testdata")
 
-// TestStatusAsJSON compares the answer to STATUS with the bytes that programs read today: its keys must not change.
-func TestStatusAsJSON(t *testing.T) {
+// TestStatusJSONHasPinnedKeys compares the reply to STATUS with the golden file. Other programs read its keys, which
+// must not change.
+func TestStatusJSONHasPinnedKeys(t *testing.T) {
 	const file = "testdata/status.json"
 	status := Status{
 		Member: "govan-1", Leader: "partick-1", Term: 4, AppliedIndex: 5, Fault: "no majority",
@@ -51,10 +52,10 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+		t.Errorf("%s: status is encoded as\n%s\nwant\n%s", file, got, want)
 	}
 	var decoded Status
 	if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, status) {
-		t.Errorf("%s: read back as %+v, %v; want %+v", file, decoded, err, status)
+		t.Errorf("%s: decoded as %+v, error %v; want %+v", file, decoded, err, status)
 	}
 }
--- a/internal/cluster/storedstate_test.go
+++ b/internal/cluster/storedstate_test.go
@@ -18,7 +18,7 @@
 	boltraft "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// describe renders a stored value with every exported field, zero or not, each under the name that its bytes have.
+// describe renders a stored value with every exported field, zero or not, each under its CBOR name.
 func describe(v any) string { return describeValue(reflect.ValueOf(v)) }
 
 func describeValue(value reflect.Value) string {
@@ -57,7 +57,7 @@
 	return fmt.Sprint(value.Interface())
 }
 
-// storedName is the name of a field in CBOR.
+// storedName returns the CBOR name of a field.
 func storedName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("cbor"), ",")
 	if name == "" {
@@ -66,7 +66,7 @@
 	return name
 }
 
-// describeState has a line for each member, shard and event.
+// describeState renders a state with a line for each member, shard and takeover.
 func describeState(state *State) string {
 	top := *state
 	top.Members, top.Shards, top.Events = nil, nil, nil
@@ -83,8 +83,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// differs names the first line that is not as wanted; "" for none.
-func differs(got, want string) string {
+// firstDifference describes the first line that differs from the wanted one; "" for none.
+func firstDifference(got, want string) string {
 	if got == want {
 		return ""
 	}
@@ -97,28 +97,28 @@
 	return fmt.Sprintf("%d lines, want %d\n got:\n%s", len(gotLines), len(wantLines), got)
 }
 
-func check(t *testing.T, what, got, want string) {
+func checkText(t *testing.T, subject, got, want string) {
 	t.Helper()
-	if d := differs(got, want); d != "" {
-		t.Errorf("%s: %s", what, d)
+	if d := firstDifference(got, want); d != "" {
+		t.Errorf("%s: %s", subject, d)
 	}
 }
 
-// sameCBOR reports whether two encodings carry the same names and values; the order within maps is free.
+// sameCBOR reports whether two encodings have the same names and values, in any order of map entries.
 func sameCBOR(t *testing.T, a, b []byte) bool {
 	t.Helper()
-	var one, other any
-	if err := cbor.Unmarshal(a, &one); err != nil {
+	var first, second any
+	if err := cbor.Unmarshal(a, &first); err != nil {
 		t.Fatal(err)
 	}
-	if err := cbor.Unmarshal(b, &other); err != nil {
+	if err := cbor.Unmarshal(b, &second); err != nil {
 		t.Fatal(err)
 	}
-	return reflect.DeepEqual(one, other)
+	return reflect.DeepEqual(first, second)
 }
 
-// writeDirectories runs a cluster and leaves its directories in testdata: leases of several epochs, a snapshot, and
-// entries after it.
+// writeDirectories runs a cluster and writes its directories to testdata, with leases of several epochs, a snapshot,
+// and entries after the snapshot.
 func writeDirectories(t *testing.T) {
 	cluster := newTestCluster(t, fixtureMembers)
 	cluster.awaitHeld(2, 2, 2)
@@ -135,7 +135,7 @@
 	}
 	move(0, "m1")
 	move(0, "m2")
-	cluster.await("all have carried that out", func() bool {
+	cluster.await("all members have applied both moves", func() bool {
 		for _, member := range cluster.members {
 			if member.Status().Shards[0].Epoch != 3 {
 				return false
@@ -157,7 +157,7 @@
 	}
 }
 
-// packDirectory copies a member's directory; its log is compressed, as bbolt allocates more than it fills.
+// packDirectory copies a member's directory. It compresses the log, as bbolt allocates more space than it uses.
 func packDirectory(t *testing.T, from, to string) {
 	if err := os.RemoveAll(to); err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 	})
 }
 
-// unpackDirectory copies a member's directory out of testdata.
+// unpackDirectory copies a member's directory from testdata.
 func unpackDirectory(t *testing.T, name, to string) {
 	t.Helper()
 	copyTree(t, filepath.Join("testdata", "folders", name), to, func(name string, content []byte) (string, []byte) {
@@ -207,34 +207,34 @@
 		if err != nil {
 			return err
 		}
-		below, err := filepath.Rel(source, path)
+		relativePath, err := filepath.Rel(source, path)
 		if err != nil {
 			return err
 		}
 		if entry.IsDir() {
-			return os.MkdirAll(filepath.Join(target, below), 0o755)
+			return os.MkdirAll(filepath.Join(target, relativePath), 0o755)
 		}
 		content, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
 		name, content := convert(entry.Name(), content)
-		return os.WriteFile(filepath.Join(target, filepath.Dir(below), name), content, 0o644)
+		return os.WriteFile(filepath.Join(target, filepath.Dir(relativePath), name), content, 0o644)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// stored is what a member's directory holds.
-type stored struct {
+// storedDirectory is the content of a member's directory.
+type storedDirectory struct {
 	votes    string
 	entries  []raft.Log
 	meta     *raft.SnapshotMeta
 	snapshot []byte
 }
 
-func readDirectory(t *testing.T, directory string) (read stored) {
+func readDirectory(t *testing.T, directory string) (read storedDirectory) {
 	t.Helper()
 	store, err := openLogStore(directory)
 	if err != nil {
@@ -292,7 +292,7 @@
 	}
 	all, err := snapshots.List()
 	if err != nil || len(all) != 1 {
-		t.Fatalf("%d snapshots, %v", len(all), err)
+		t.Fatalf("%d snapshots listed, error %v; want 1", len(all), err)
 	}
 	meta, source, err := snapshots.Open(all[0].ID)
 	if err != nil {
@@ -300,7 +300,7 @@
 	}
 	defer func() { _ = source.Close() }()
 	if meta == nil {
-		t.Fatal("a snapshot without its description")
+		t.Fatal("the snapshot has no metadata")
 	}
 	snapshot, err := io.ReadAll(source)
 	if err != nil {
@@ -316,7 +316,7 @@
 	return text
 }
 
-// describeLog has a line for each entry, with its command decoded.
+// describeLog renders each entry as a line, with its command decoded.
 func describeLog(t *testing.T, entries []raft.Log) string {
 	t.Helper()
 	var lines []string
@@ -335,7 +335,7 @@
 				t.Fatal(err)
 			}
 			if !sameCBOR(t, again, entry.Data) {
-				t.Errorf("entry %d is not written as it was stored", entry.Index)
+				t.Errorf("entry %d is encoded differently from the stored one", entry.Index)
 			}
 			checkTypedEntry(t, entry)
 			line += " " + describe(record)
@@ -345,7 +345,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// checkTypedEntry decodes a stored entry into its command type and encodes it again.
+// checkTypedEntry checks that a stored entry, decoded into its command type, is encoded again without change.
 func checkTypedEntry(t *testing.T, entry raft.Log) {
 	t.Helper()
 	typed, err := DecodeLogEntry(entry.Data)
@@ -357,12 +357,12 @@
 		t.Fatal(err)
 	}
 	if !sameCBOR(t, again, entry.Data) {
-		t.Errorf("entry %d loses something in its command type %T", entry.Index, typed.Command)
+		t.Errorf("entry %d is encoded differently from its command type %T", entry.Index, typed.Command)
 	}
 }
 
-// replay returns the state after the entries behind a snapshot.
-func replay(t *testing.T, directory stored) *State {
+// replay returns the state after the snapshot of a directory and the entries that follow it.
+func replay(t *testing.T, directory storedDirectory) *State {
 	t.Helper()
 	state, err := DecodeState(directory.snapshot)
 	if err != nil {
@@ -377,7 +377,7 @@
 			t.Fatal(err)
 		}
 		if record.Kind == kindLeaderElected {
-			state.Term = entry.Term // as Member.ApplyEntry has it
+			state.Term = entry.Term // as Member.ApplyEntry does
 		}
 		state.Apply(record.entry(), entry.Term)
 	}
@@ -385,7 +385,7 @@
 }
 
 // logWant prints the literals for state_want_test.go.
-func logWant(t *testing.T, name string, directory stored, meta string, snapshot *State) {
+func logWant(t *testing.T, name string, directory storedDirectory, meta string, snapshot *State) {
 	for _, want := range [][2]string{
 		{"wantVotes", directory.votes},
 		{"wantLog", describeLog(t, directory.entries)},
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testSettings are settings for tests over sockets: a lease of a second.
+// testSettings are the settings of tests over sockets, with a lease of a second.
 var testSettings = Settings{
 	Lease:         lease.Config{Duration: model.Second, MaxClockDrift: 50 * model.Millisecond},
 	Placement:     placement.Config{StabilizationPeriod: 2 * model.Second, MoveInterval: 200 * model.Millisecond},
@@ -29,9 +29,9 @@
 	ShardsPerZone: 2,
 }
 
-// leaseRecorder records the lease events of all members. It fails the test where a shard's epoch goes back, or where
-// an epoch has two holders, judged as the events come. A member that lost a lease may gain it again in the same
-// epoch, in the same incarnation: its renewal was committed late, and no other member was granted the lease meanwhile.
+// leaseRecorder records the lease events of all members in the order of arrival. It fails the test if a shard's epoch
+// decreases or an epoch has two holders. A member that lost a lease may gain it again in the same epoch and the same
+// incarnation: its renewal was committed late, and no other member was granted the lease meanwhile.
 type leaseRecorder struct {
 	t      *testing.T
 	mu     sync.Mutex
@@ -39,19 +39,19 @@
 }
 
 type recordedLease struct {
-	holder memberEvents // in the newest epoch
+	holder memberListener // of the newest epoch
 	epoch  uint64
 	held   bool
 }
 
-// memberEvents are the events of one incarnation of a member.
-type memberEvents struct {
+// memberListener records the lease events of one incarnation of a member.
+type memberListener struct {
 	recorder    *leaseRecorder
 	name        string
 	incarnation uint64
 }
 
-func (e memberEvents) LeaseGained(shard int, epoch uint64) {
+func (e memberListener) LeaseGained(shard int, epoch uint64) {
 	recorder := e.recorder
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
@@ -59,18 +59,18 @@
 	switch {
 	case epoch > newest.epoch:
 	case epoch < newest.epoch:
-		recorder.t.Errorf("%s gains shard %d in epoch %d, after %d", e.name, shard, epoch, newest.epoch)
+		recorder.t.Errorf("%s gains shard %d in epoch %d, want an epoch of at least %d", e.name, shard, epoch, newest.epoch)
 		return
 	case newest.holder != e:
-		recorder.t.Errorf("%s, incarnation %d, gains shard %d in epoch %d, which is of %s, incarnation %d",
+		recorder.t.Errorf("%s, incarnation %d, gains shard %d in epoch %d, which %s, incarnation %d, held",
 			e.name, e.incarnation, shard, epoch, newest.holder.name, newest.holder.incarnation)
 	case newest.held:
-		recorder.t.Errorf("%s gains shard %d in epoch %d twice", e.name, shard, epoch)
+		recorder.t.Errorf("%s gains shard %d in epoch %d twice without a loss", e.name, shard, epoch)
 	}
 	recorder.newest[shard] = recordedLease{holder: e, epoch: epoch, held: true}
 }
 
-func (e memberEvents) LeaseLost(shard int) {
+func (e memberListener) LeaseLost(shard int) {
 	recorder := e.recorder
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// testLinks are links that are cut by their ends.
+// testLinks are links that tests cut, by the names of sender and receiver.
 type testLinks struct {
 	mu  sync.Mutex
 	cut map[[2]string]bool
@@ -92,7 +92,7 @@
 	return !l.cut[[2]string{from, to}]
 }
 
-func (l *testLinks) set(cut bool, from, to string) {
+func (l *testLinks) setCut(cut bool, from, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut[[2]string{from, to}] = cut
@@ -110,7 +110,7 @@
 	incarnations uint64
 }
 
-// newTestPeer names a member and gives it addresses that stay free while it is stopped.
+// newTestPeer returns a member with addresses that no other process takes while the member is stopped.
 func newTestPeer(t *testing.T, k int) Peer {
 	t.Helper()
 	return Peer{Name: fmt.Sprint("m", k), Address: testaddr.Address(t), GossipAddress: testaddr.Address(t)}
@@ -125,7 +125,7 @@
 	return cluster
 }
 
-// prepareTestCluster makes a cluster of which no member is started yet.
+// prepareTestCluster returns a cluster with no member started.
 func prepareTestCluster(t *testing.T, size int) *testCluster {
 	t.Helper()
 	start := time.Now()
@@ -181,7 +181,7 @@
 	c.t.Helper()
 	c.incarnations++
 	c.configs[k].Incarnation = c.incarnations
-	member, err := Open(c.configs[k], c.events(k))
+	member, err := Open(c.configs[k], c.listener(k))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -197,9 +197,9 @@
 	member.Close()
 }
 
-// events records the lease events of the next incarnation of a member.
-func (c *testCluster) events(k int) memberEvents {
-	return memberEvents{recorder: c.leases, name: c.configs[k].Name, incarnation: c.configs[k].Incarnation}
+// listener returns a listener for the newest incarnation of a member.
+func (c *testCluster) listener(k int) memberListener {
+	return memberListener{recorder: c.leases, name: c.configs[k].Name, incarnation: c.configs[k].Incarnation}
 }
 
 func (c *testCluster) stopAll() {
@@ -217,12 +217,12 @@
 // isolate cuts, or restores, all links of a member.
 func (c *testCluster) isolate(cut bool, name string) {
 	for _, config := range c.configs {
-		c.links.set(cut, name, config.Name)
-		c.links.set(cut, config.Name, name)
+		c.links.setCut(cut, name, config.Name)
+		c.links.setCut(cut, config.Name, name)
 	}
 }
 
-// leaderOf returns the number of the leader that a member knows; false for none.
+// leaderOf returns the number of the leader that a member knows; known is false if there is none.
 func (c *testCluster) leaderOf(k int) (leader int, known bool) {
 	name, _ := c.members[k].node.leader()
 	_, err := fmt.Sscanf(name, "m%d", &leader)
@@ -243,8 +243,8 @@
 	}
 }
 
-// await waits until a condition is true.
-func (c *testCluster) await(what string, condition func() bool) {
+// await waits until a condition is true, and fails the test after a timeout.
+func (c *testCluster) await(description string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -253,7 +253,7 @@
 					c.t.Logf("%+v", member.Status())
 				}
 			}
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
@@ -276,5 +276,5 @@
 
 func (c *testCluster) awaitHeld(counts ...int) {
 	c.t.Helper()
-	c.await(fmt.Sprint("held as ", counts), func() bool { return slices.Equal(c.held(), counts) })
+	c.await(fmt.Sprint("members hold this many shards: ", counts), func() bool { return slices.Equal(c.held(), counts) })
 }
--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -13,29 +13,29 @@
 	"peppervale/internal/codec/resp"
 )
 
-// The first byte of a connection says what it is for. The dialling member's name follows, its length first; operators
-// have none.
+// The first byte of a connection states its purpose. The length and the name of the dialling member follow; operators
+// send an empty name.
 const (
 	connectionForRaft     = 'R'
 	connectionForRequests = 'Q'
 )
 
-// Bounds of the port.
+// Limits of the port.
 const (
-	maxConnections  = 256
-	handshakeWithin = 2 * time.Second
-	replyWithin     = 2 * time.Second
-	maxIdle         = time.Minute
-	acceptRetry     = 10 * time.Millisecond // after a failed accept: a descriptor may be free then
-	maxRequestBytes = 4 << 20
-	maxRequestWords = 64
-	readBufferBytes = 16 << 10
+	maxConnections   = 256
+	handshakeTimeout = 2 * time.Second
+	replyTimeout     = 2 * time.Second
+	idleTimeout      = time.Minute
+	acceptRetryDelay = 10 * time.Millisecond // after a failed accept: a file descriptor may be free then
+	maxRequestBytes  = 4 << 20
+	maxRequestWords  = 64
+	readBufferBytes  = 16 << 10
 )
 
 // answerFunc answers one request, which has at least one word.
 type answerFunc func(words []string) ([]byte, error)
 
-// portServer accepts connections to the cluster port: it answers requests, and hands raft its own connections.
+// portServer accepts connections to the cluster port: it answers requests, and passes raft's connections to raft.
 type portServer struct {
 	config   *Config
 	listener net.Listener
@@ -80,7 +80,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
@@ -89,16 +89,16 @@
 			_ = conn.Close()
 			continue
 		}
-		if !s.register(conn) {
+		if !s.trackConnection(conn) {
 			_ = conn.Close()
 			return
 		}
-		go s.handle(conn)
+		go s.handleConnection(conn)
 	}
 }
 
-// register counts a connection as open; false: the server is closed.
-func (s *portServer) register(conn net.Conn) bool {
+// trackConnection adds an open connection; it returns false if the server is closed.
+func (s *portServer) trackConnection(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -109,55 +109,55 @@
 	return true
 }
 
-func (s *portServer) handle(conn net.Conn) {
+func (s *portServer) handleConnection(conn net.Conn) {
 	defer s.wait.Done()
-	counted := &countedConn{Conn: conn, closed: func() {
+	counted := &countedConn{Conn: conn, onClose: func() {
 		s.mu.Lock()
 		delete(s.open, conn)
 		s.mu.Unlock()
 		<-s.slots
 	}}
-	if !s.serve(counted) {
+	if !s.serveConnection(counted) {
 		_ = counted.Close()
 	}
 }
 
-// countedConn is a connection that occupies its slot until its owner closes it: raft does not return those that it was
-// handed.
+// countedConn is a connection that occupies its slot until its owner closes it: raft does not return the connections
+// that it accepted.
 type countedConn struct {
 	net.Conn
-	once   sync.Once
-	closed func()
+	closeOnce sync.Once
+	onClose   func()
 }
 
 // Close closes the connection and frees its slot, once.
 func (c *countedConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.closed)
+	c.closeOnce.Do(c.onClose)
 	return err
 }
 
-// serve reads what a connection is for and does it; true: raft owns the connection now.
-func (s *portServer) serve(conn net.Conn) (handedToRaft bool) {
+// serveConnection reads the purpose of a connection and serves it. It returns true if raft owns the connection now.
+func (s *portServer) serveConnection(conn net.Conn) (handedToRaft bool) {
 	purpose, name, err := readHandshake(conn)
 	if err != nil {
 		return false
 	}
-	linked := conn
-	if name != "" { // operators' connections are no links between members
-		linked = s.config.linked(conn, name)
+	wrapped := conn
+	if name != "" { // operators' connections are not links between members
+		wrapped = s.config.wrapConn(conn, name)
 	}
 	switch purpose {
 	case connectionForRaft:
-		return s.streams.hand(linked)
+		return s.streams.passToRaft(wrapped)
 	case connectionForRequests:
-		s.serveRequests(linked)
+		s.serveRequests(wrapped)
 	}
 	return false
 }
 
 func readHandshake(conn net.Conn) (purpose byte, name string, err error) {
-	_ = conn.SetDeadline(time.Now().Add(handshakeWithin))
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	head := make([]byte, 2)
 	if _, err := io.ReadFull(conn, head); err != nil {
 		return 0, "", err
@@ -170,7 +170,7 @@
 	return head[0], string(nameBytes), nil
 }
 
-// dial connects to a member's port and sends what the connection is for and the name of this member.
+// dial connects to a member's port and sends the purpose of the connection and the name of this member.
 func (c *Config) dial(to, address string, purpose byte, timeout time.Duration) (net.Conn, error) {
 	if c.Links != nil && !c.Links.Open(c.Name, to) {
 		return nil, errLinkCut
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := c.linked(plain, to)
+	conn := c.wrapConn(plain, to)
 	handshake := append([]byte{purpose, byte(len(c.Name))}, c.Name...)
 	_ = conn.SetWriteDeadline(time.Now().Add(timeout))
 	if _, err := conn.Write(handshake); err != nil {
@@ -190,7 +190,7 @@
 	return conn, nil
 }
 
-// serveRequests answers the requests of a connection, one after the other, until it ends.
+// serveRequests answers the requests of a connection, one at a time, until the connection ends.
 func (s *portServer) serveRequests(conn net.Conn) {
 	reader := resp.NewReader(resp.Limits{
 		MessageBytes: maxRequestBytes,
@@ -199,7 +199,7 @@
 	})
 	buffer := make([]byte, readBufferBytes)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(maxIdle))
+		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		n, err := conn.Read(buffer)
 		if err != nil {
 			return
@@ -225,7 +225,7 @@
 	if err != nil {
 		reply = resp.AppendLine(nil, resp.SimpleError, errorPrefix+err.Error())
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(replyWithin))
+	_ = conn.SetWriteDeadline(time.Now().Add(replyTimeout))
 	_, err = conn.Write(reply)
 	return err
 }
@@ -234,7 +234,7 @@
 	s.mu.Lock()
 	s.closed = true
 	for conn := range s.open {
-		_ = conn.Close() // its reader then closes it too, and frees its slot
+		_ = conn.Close() // its reader then closes it too, which frees its slot
 	}
 	s.mu.Unlock()
 	_ = s.streams.Close()
@@ -244,17 +244,17 @@
 
 // raftStreams is raft's side of the port: the connections whose first byte is connectionForRaft.
 type raftStreams struct {
-	config   *Config
-	address  net.Addr
-	accepted chan net.Conn
-	done     chan struct{}
-	once     sync.Once
+	config    *Config
+	address   net.Addr
+	accepted  chan net.Conn
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 var _ raft.StreamLayer = (*raftStreams)(nil)
 
-// hand passes a connection to raft; false: raft takes no more.
-func (s *raftStreams) hand(conn net.Conn) bool {
+// passToRaft passes a connection to raft; it returns false if raft is closed.
+func (s *raftStreams) passToRaft(conn net.Conn) bool {
 	select {
 	case s.accepted <- conn:
 		return true
@@ -275,7 +275,7 @@
 
 // Close ends Accept.
 func (s *raftStreams) Close() error {
-	s.once.Do(func() { close(s.done) })
+	s.closeOnce.Do(func() { close(s.done) })
 	return nil
 }
 
