--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -140,7 +140,7 @@
 	}{
 		{"down", registry.Faults{Fails: true}},
 		{"silent", registry.Faults{Silent: true}},
-		{"truncated body", registry.Faults{CutsBody: true}},
+		{"truncated body", registry.Faults{TruncatesBody: true}},
 		{"response after the timeout", registry.Faults{Delay: 900 * model.Millisecond}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/invariants/result.go
+++ b/internal/invariants/result.go
@@ -19,11 +19,11 @@
 // invariantNames are all invariants in the order of their results.
 var invariantNames = []string{EmptyTable, RepeatedEffect, LateDrain, ColdOverload, LongQueue, SharedEpoch}
 
-// Result is the result of one invariant. Nearest is how near the run came to the limit, as a share of it, and Where
+// Result is the result of one invariant. MaxRatio is how near the run came to the limit, as a share of it, and Where
 // describes that observation.
 type Result struct {
 	Invariant  string   `json:"rule"`
-	Nearest    float64  `json:"nearest"`
+	MaxRatio   float64  `json:"nearest"`
 	Where      string   `json:"where,omitempty"`
 	Violations []string `json:"breaks,omitempty"`
 }
@@ -36,8 +36,8 @@
 
 // record records how near the limit an observation came, and a violation if share is above 1.
 func (r *Result) record(share float64, format string, args ...any) {
-	if share > r.Nearest {
-		r.Nearest = share
+	if share > r.MaxRatio {
+		r.MaxRatio = share
 		r.Where = fmt.Sprintf(format, args...)
 	}
 	if share <= 1 {
