--- a/internal/codec/consulcatalog/doc.go
+++ b/internal/codec/consulcatalog/doc.go
@@ -1,3 +1,3 @@
-// Package consulcatalog parses the answer of Consul's health endpoint, as documented for its HTTP API, into an
-// endpoint list. Nothing in this package does I/O.
+// Package consulcatalog parses the response of the health endpoint of Consul's HTTP API into an endpoint list.
+// Nothing in this package does I/O.
 package consulcatalog
--- a/internal/codec/consulcatalog/entry.go
+++ b/internal/codec/consulcatalog/entry.go
@@ -1,6 +1,6 @@
 package consulcatalog
 
-// ServiceEntry is one element of the answer of /v1/health/service/NAME, as far as it is used.
+// ServiceEntry is one element of the response of /v1/health/service/NAME. Keys that are not used are omitted.
 type ServiceEntry struct {
 	Node    Node    `json:"Node"`
 	Service Service `json:"Service"`
@@ -13,7 +13,7 @@
 	Address string `json:"Address"`
 }
 
-// Service is an instance of the service. An empty Address means that of the node.
+// Service is an instance of the service. An empty Address means the address of the node.
 type Service struct {
 	ID      string            `json:"ID"`
 	Service string            `json:"Service"`
--- a/internal/codec/consulcatalog/golden_test.go
+++ b/internal/codec/consulcatalog/golden_test.go
@@ -29,11 +29,11 @@
 	goldentest.Check(t, "entry.json", append(text, '\n'))
 	var got ServiceEntry
 	if err := json.Unmarshal(goldentest.Read(t, "entry.json"), &got); err != nil || !reflect.DeepEqual(got, goldenEntry) {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-// TestGoldenList parses an entry in each status, one by its node's address, and three that are skipped.
+// TestGoldenList parses an entry of each status, one of them with its node's address, and three invalid entries.
 func TestGoldenList(t *testing.T) {
 	id := func(n byte) model.ReplicaID {
 		return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 7601}
@@ -46,7 +46,7 @@
 	}
 	got, skipped, err := Parse(goldentest.Read(t, "list.json"), []string{"govan", zonePartick})
 	if err != nil || skipped != 3 || !reflect.DeepEqual(got, want) {
-		t.Errorf("parsed as %+v, %d skipped, %v", got, skipped, err)
+		t.Errorf("parsed as %+v, %d skipped, error %v", got, skipped, err)
 	}
 }
 
@@ -56,10 +56,10 @@
 		return err
 	}
 	goldentest.CheckJSONErrors(t, "errors.txt", map[string]error{
-		"nothing":        parse(""),
-		"no list":        parse("{}"),
-		"a text as port": parse(`[{"Service":{"Port":"x"}}]`),
-		"a number as ID": parse(`[{"Checks":[{"CheckID":1}]}]`),
-		"too many":       parse("[" + strings.Repeat("{},", maxEntries) + "{}]"),
+		"empty body":             parse(""),
+		"object instead of list": parse("{}"),
+		"string as port":         parse(`[{"Service":{"Port":"x"}}]`),
+		"number as check ID":     parse(`[{"Checks":[{"CheckID":1}]}]`),
+		"too many entries":       parse("[" + strings.Repeat("{},", maxEntries) + "{}]"),
 	})
 }
--- a/internal/codec/consulcatalog/parse.go
+++ b/internal/codec/consulcatalog/parse.go
@@ -21,7 +21,7 @@
 	metaStartedAt = "started" // RFC 3339, or milliseconds since 1970
 )
 
-// Check ids by which Consul marks what is in maintenance.
+// Ids of the checks by which Consul marks nodes and services in maintenance.
 const (
 	checkNodeMaintenance          = "_node_maintenance"
 	checkServiceMaintenancePrefix = "_service_maintenance"
@@ -29,16 +29,16 @@
 
 const statusCritical = "critical"
 
-// Parse parses the body of an answer. Zones are identified by their place in zones. An instance in maintenance is
+// Parse parses the body of a response. A zone is identified by its index in zones. An instance in maintenance is
 // draining; one with any other critical check is gone. Instances without a usable address, in an unknown zone or
 // listed twice are skipped and counted.
 func Parse(body []byte, zones []string) (endpoints []model.Endpoint, skipped int, err error) {
 	var entries []ServiceEntry
 	if err := json.Unmarshal(body, &entries); err != nil {
-		return nil, 0, fmt.Errorf("machine list: %w", err)
+		return nil, 0, fmt.Errorf("health endpoint response: %w", err)
 	}
 	if len(entries) > maxEntries {
-		return nil, 0, fmt.Errorf("machine list: %d entries, %d are taken", len(entries), maxEntries)
+		return nil, 0, fmt.Errorf("health endpoint response: %d entries; at most %d are accepted", len(entries), maxEntries)
 	}
 	seen := map[model.ReplicaID]bool{}
 	for i := range entries {
@@ -53,7 +53,7 @@
 	return endpoints, skipped, nil
 }
 
-// endpoint converts an entry; ok is false if it cannot be used.
+// endpoint converts an entry; ok is false if its address or zone is invalid.
 func (e *ServiceEntry) endpoint(zones []string) (endpoint model.Endpoint, ok bool) {
 	id, err := pubsubmsg.ParseAddress(e.address() + ":" + strconv.Itoa(e.Service.Port))
 	zone := slices.Index(zones, e.Service.Meta[metaZone])
--- a/internal/codec/consulcatalog/parse_test.go
+++ b/internal/codec/consulcatalog/parse_test.go
@@ -15,12 +15,12 @@
 		checks []Check
 		want   model.EndpointStatus
 	}{
-		"no checks":                            {nil, model.EndpointReady},
-		"passing":                              {[]Check{passing}, model.EndpointReady},
-		"one critical of two":                  {[]Check{critical, passing}, model.EndpointGone},
-		"a node in maintenance":                {[]Check{passing, nodeMaintenance}, model.EndpointDraining},
-		"a critical service, then maintenance": {[]Check{critical, serviceMaintenance}, model.EndpointDraining},
-		"maintenance, then a critical service": {[]Check{serviceMaintenance, critical}, model.EndpointDraining},
+		"no checks":                         {nil, model.EndpointReady},
+		"passing check":                     {[]Check{passing}, model.EndpointReady},
+		"one critical check of two":         {[]Check{critical, passing}, model.EndpointGone},
+		"node in maintenance":               {[]Check{passing, nodeMaintenance}, model.EndpointDraining},
+		"critical check before maintenance": {[]Check{critical, serviceMaintenance}, model.EndpointDraining},
+		"critical check after maintenance":  {[]Check{serviceMaintenance, critical}, model.EndpointDraining},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/codec/goldentest/golden.go
+++ b/internal/codec/goldentest/golden.go
@@ -1,5 +1,5 @@
-// Package goldentest compares encoded bytes and the texts of errors with golden files, in tests. A golden file is read
-// only and pins what is on the wire: a test that differs from it has found a change of the protocol.
+// Package goldentest compares encoded bytes and the texts of errors with golden files, in tests. Tests only read the
+// golden files. The files pin the bytes on the wire: a difference means that the protocol has changed.
 package goldentest
 
 import (
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// Read returns the bytes of a file in testdata/golden of the package under test. The test fails if there is none.
+// Read returns the bytes of a file in testdata/golden of the package under test. The test fails if the file does not
+// exist.
 func Read(tb testing.TB, name string) []byte {
 	tb.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -23,7 +24,7 @@
 	return want
 }
 
-// Check reports bytes that differ from the golden file.
+// Check fails the test if the bytes differ from the golden file.
 func Check(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	if want := Read(tb, name); !bytes.Equal(got, want) {
@@ -31,15 +32,15 @@
 	}
 }
 
-// CheckErrors compares the texts of errors, one line each, sorted by their keys, with the golden file. It reports an
-// error that is nil.
+// CheckErrors compares the texts of errors, one line each, sorted by their keys, with the golden file. It also fails
+// the test for each nil error.
 func CheckErrors(tb testing.TB, name string, errs map[string]error) {
 	tb.Helper()
 	checkErrors(tb, name, errs, func(err error) string { return fmt.Sprint(err) })
 }
 
-// CheckJSONErrors is CheckErrors for errors of encoding/json. They name Go types, which are internal, at the end of
-// their texts; that part is left out.
+// CheckJSONErrors is CheckErrors for errors of encoding/json. Their texts end with names of Go types, which are
+// internal; that part is omitted.
 func CheckJSONErrors(tb testing.TB, name string, errs map[string]error) {
 	tb.Helper()
 	checkErrors(tb, name, errs, func(err error) string {
@@ -53,7 +54,7 @@
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(errs)) {
 		if errs[key] == nil {
-			tb.Errorf("%s: accepted, want an error", key)
+			tb.Errorf("%s: got no error, want one", key)
 		}
 		fmt.Fprintf(&text, "%s: %s\n", key, textOf(errs[key]))
 	}
--- a/internal/codec/http1/append.go
+++ b/internal/codec/http1/append.go
@@ -19,13 +19,14 @@
 	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
 }
 
-// AppendRequest appends a request. Names and values alternate in fields. All methods but GET carry a length.
+// AppendRequest appends a request. Names and values alternate in fields. Requests of all methods except GET have a
+// Content-Length field.
 func AppendRequest(dst []byte, method, target, host string, body []byte, fields ...string) []byte {
 	dst = append(dst, method+" "+target+" HTTP/1.1\r\nHost: "+host+lineEnd...)
 	return appendFieldsAndBody(dst, body, method != http.MethodGet, fields)
 }
 
-// AppendResponse appends a response with its length. Names and values alternate in fields.
+// AppendResponse appends a response with a Content-Length field. Names and values alternate in fields.
 func AppendResponse(dst []byte, status int, body []byte, fields ...string) []byte {
 	dst = append(dst, "HTTP/1.1 "+strconv.Itoa(status)+" "+reasonPhrases[status]+lineEnd...)
 	return appendFieldsAndBody(dst, body, true, fields)
--- a/internal/codec/http1/doc.go
+++ b/internal/codec/http1/doc.go
@@ -1,9 +1,9 @@
 // Package http1 parses and encodes HTTP/1.1 messages (RFC 9112), requests and responses.
 //
-// A Parser takes a stream in chunks of any size and examines each byte once. A head or a body beyond its Limits,
-// contradictory lengths, a length beside a chunked body, and bytes that are not HTTP end in a *ProtocolError with
-// the status that a server responds with. Nothing in this package does I/O.
+// A Parser accepts a stream in chunks of any size and examines each byte once. It returns a *ProtocolError, with the
+// status code for a server's response, if the bytes are not HTTP, if a head or a body exceeds its Limits, if lengths
+// contradict each other, or if a chunked message has a Content-Length field. Nothing in this package does I/O.
 //
 // Limitations: bodies are delivered complete, except where Parser.Stream is set. Trailers are parsed and dropped.
-// Upgrades, CONNECT and responses that end with their connection are rejected.
+// Upgrades, CONNECT and responses whose body is delimited by the end of the connection are rejected.
 package http1
--- a/internal/codec/http1/golden_test.go
+++ b/internal/codec/http1/golden_test.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/codec/goldentest"
 )
 
-// goldenMessage is a message in bytes and as it is parsed.
+// goldenMessage is a message in encoded and in parsed form.
 type goldenMessage struct {
 	response bool
 	encoded  []byte // nil: this package never encodes such a message
@@ -69,12 +69,12 @@
 		}
 		got, err := parse(string(goldentest.Read(t, file)), message.response, 1)
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(*got[0], message.parsed) {
-			t.Errorf("%s: parsed as %+v, %v", file, got, err)
+			t.Errorf("%s: parsed as %+v, error %v", file, got, err)
 		}
 	}
 }
 
-// TestGoldenReasonPhrases encodes a response of each status that has a reason phrase, and of one that has none.
+// TestGoldenReasonPhrases encodes a response for each status code that has a reason phrase, and for one without.
 func TestGoldenReasonPhrases(t *testing.T) {
 	var all []byte
 	for _, status := range []int{200, 400, 404, 413, 429, 431, 500, 501, 503, 505, 418} {
@@ -83,33 +83,34 @@
 	goldentest.Check(t, "reasons.http", all)
 }
 
-// malformedStreams holds a stream for each reason of a ProtocolError; "answer" in a name marks responses.
+// malformedStreams holds a stream for each reason of a ProtocolError. The key of a stream of responses contains
+// "response".
 var malformedStreams = map[string]string{
-	"a first byte":               "\x16\x03",
-	"a head too long":            "GET / HTTP/1.1\r\nX: " + strings.Repeat("y", 500),
-	"a request line":             "GET /\r\n",
-	"a status line of an answer": "HTTP/1.1\r\n",
-	"a status of an answer":      "HTTP/1.1 99 No\r\n",
-	"another version":            "GET / HTTP/2.0\r\n",
-	"a header line":              "GET / HTTP/1.1\r\nX : 1\r\n",
-	"two lengths":                "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-	"a length beside chunks":     "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-	"a transfer coding":          "POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
-	"no length in an answer":     "HTTP/1.1 200 OK\r\n\r\n",
-	"a length below nothing":     "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
-	"a body too long":            "POST / HTTP/1.1\r\nContent-Length: 2001\r\n\r\n",
-	"a chunk size":               "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
-	"a chunk too long":           "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7d1\r\n",
-	"a chunk past its size":      "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc",
+	"invalid first byte":                  "\x16\x03",
+	"head exceeds limit":                  "GET / HTTP/1.1\r\nX: " + strings.Repeat("y", 500),
+	"malformed request line":              "GET /\r\n",
+	"malformed status line of a response": "HTTP/1.1\r\n",
+	"invalid status code of a response":   "HTTP/1.1 99 No\r\n",
+	"unsupported version":                 "GET / HTTP/2.0\r\n",
+	"malformed header field":              "GET / HTTP/1.1\r\nX : 1\r\n",
+	"contradictory lengths":               "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+	"length and chunked coding":           "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+	"unsupported transfer coding":         "POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
+	"missing length of a response":        "HTTP/1.1 200 OK\r\n\r\n",
+	"negative length":                     "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+	"body exceeds limit":                  "POST / HTTP/1.1\r\nContent-Length: 2001\r\n\r\n",
+	"invalid chunk size":                  "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
+	"chunk exceeds body limit":            "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7d1\r\n",
+	"chunk longer than its size":          "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc",
 }
 
 func TestGoldenProtocolErrors(t *testing.T) {
 	errs := map[string]error{}
 	for name, stream := range malformedStreams {
-		_, err := parse(stream, strings.Contains(name, "answer"), len(stream))
+		_, err := parse(stream, strings.Contains(name, "response"), len(stream))
 		var protocolError *ProtocolError
 		if !errors.As(err, &protocolError) {
-			t.Errorf("%s: %v is no ProtocolError", name, err)
+			t.Errorf("%s: error %v, want a ProtocolError", name, err)
 			continue
 		}
 		errs[name] = fmt.Errorf("%w (%d)", err, protocolError.Status)
--- a/internal/codec/http1/head.go
+++ b/internal/codec/http1/head.go
@@ -10,11 +10,11 @@
 	minStatus = 100
 	maxStatus = 999
 
-	// lengthBits bounds lengths and chunk sizes to values that an int holds with room for a line end.
+	// lengthBits bounds lengths and chunk sizes: an int holds the largest one plus a line end.
 	lengthBits = 62
 )
 
-// parseLine parses a line without its line end, by the state of the parser.
+// parseLine parses a line without its line end. The state of the parser determines the kind of the line.
 func (p *Parser) parseLine(text string, take func(*Message) error) error {
 	switch {
 	case p.state == inChunkSize:
@@ -43,17 +43,17 @@
 	var version string
 	if p.responses {
 		if len(words) < 2 {
-			return p.fail(http.StatusBadRequest, "no status line: %.40q", text)
+			return p.fail(http.StatusBadRequest, "malformed status line: %.40q", text)
 		}
 		status, err := strconv.Atoi(words[1])
 		if err != nil || status < minStatus || status > maxStatus {
-			return p.fail(http.StatusBadRequest, "no status: %.40q", text)
+			return p.fail(http.StatusBadRequest, "invalid status code: %.40q", text)
 		}
 		version = words[0]
 		message.Status = status
 	} else {
 		if len(words) != 3 || words[0] == "" || words[1] == "" {
-			return p.fail(http.StatusBadRequest, "no request line: %.40q", text)
+			return p.fail(http.StatusBadRequest, "malformed request line: %.40q", text)
 		}
 		message.Method = words[0]
 		message.Target = words[1]
@@ -64,7 +64,7 @@
 	case "HTTP/1.0":
 		message.Close = true
 	default:
-		return p.fail(http.StatusHTTPVersionNotSupported, "not HTTP/1.1: %.40q", text)
+		return p.fail(http.StatusHTTPVersionNotSupported, "unsupported HTTP version: %.40q", text)
 	}
 	p.message = message
 	return nil
@@ -74,14 +74,14 @@
 func (p *Parser) parseField(text string) error {
 	name, value, found := strings.Cut(text, ":")
 	if !found || name == "" || strings.ContainsAny(name, " \t") {
-		return p.fail(http.StatusBadRequest, "no header line: %.40q", text)
+		return p.fail(http.StatusBadRequest, "malformed header field: %.40q", text)
 	}
 	name = strings.ToLower(name)
 	value = strings.Trim(value, " \t")
 	previous, repeated := p.message.Header[name]
 	switch {
 	case repeated && name == headerContentLength && previous != value:
-		return p.fail(http.StatusBadRequest, "two lengths that differ")
+		return p.fail(http.StatusBadRequest, "Content-Length fields have different values")
 	case repeated && name != headerContentLength:
 		value = previous + ", " + value
 	}
@@ -100,16 +100,16 @@
 	case p.responses && statusHasNoBody(message.Status):
 		return p.deliver(take)
 	case hasCoding && hasLength:
-		return p.fail(http.StatusBadRequest, "a length beside a chunked body")
+		return p.fail(http.StatusBadRequest, "both Content-Length and Transfer-Encoding are present")
 	case hasCoding && !strings.EqualFold(coding, "chunked"):
-		return p.fail(http.StatusNotImplemented, "transfer coding %.40q is not read", coding)
+		return p.fail(http.StatusNotImplemented, "unsupported transfer coding %.40q", coding)
 	case hasCoding:
 		p.state = inChunkSize
 		return nil
 	case hasLength:
 		return p.beginBody(length)
 	case p.responses:
-		return p.fail(http.StatusBadRequest, "an answer that ends with its connection is not read")
+		return p.fail(http.StatusBadRequest, "response has neither Content-Length nor Transfer-Encoding")
 	default:
 		return p.deliver(take)
 	}
@@ -124,10 +124,10 @@
 func (p *Parser) beginBody(text string) error {
 	length, err := strconv.ParseUint(text, 10, lengthBits)
 	if err != nil {
-		return p.fail(http.StatusBadRequest, "%.40q is no length", text)
+		return p.fail(http.StatusBadRequest, "invalid Content-Length %.40q", text)
 	}
 	if length > uint64(p.limits.Body) {
-		return p.fail(http.StatusRequestEntityTooLarge, "a body of %d bytes, %d are taken", length, p.limits.Body)
+		return p.fail(http.StatusRequestEntityTooLarge, "body has %d bytes; at most %d are accepted", length, p.limits.Body)
 	}
 	p.state = inBody
 	p.missing = int(length)
@@ -140,10 +140,10 @@
 	sizeText, _, _ := strings.Cut(text, ";")
 	size, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, lengthBits)
 	if err != nil {
-		return p.fail(http.StatusBadRequest, "%.40q is no chunk size", text)
+		return p.fail(http.StatusBadRequest, "invalid chunk size %.40q", text)
 	}
 	if size > uint64(p.limits.Body-len(p.message.Body)) {
-		return p.fail(http.StatusRequestEntityTooLarge, "a body of over %d bytes", p.limits.Body)
+		return p.fail(http.StatusRequestEntityTooLarge, "body exceeds %d bytes", p.limits.Body)
 	}
 	if size == 0 {
 		p.state = inTrailer
--- a/internal/codec/http1/message.go
+++ b/internal/codec/http1/message.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Names of header fields, as Message.Header has them.
+// Names of header fields, in lower case as in Message.Header.
 const (
 	headerConnection       = "connection"
 	headerContentLength    = "content-length"
@@ -16,7 +16,7 @@
 	Status int
 	// Header holds the fields by their names in lower case. Repeated fields are joined by a comma.
 	Header map[string]string
-	// Body belongs to the receiver of the message.
+	// Body is owned by the receiver of the message.
 	Body []byte
 	// Close means that the sender closes its connection after this message.
 	Close bool
--- a/internal/codec/http1/parser.go
+++ b/internal/codec/http1/parser.go
@@ -38,18 +38,18 @@
 
 	state     parserState
 	line      []byte // the start of an unfinished line
-	lineBytes int    // bytes of the lines of the head, of a chunk size or of the trailer
-	missing   int    // bytes of the body or the chunk still to come
+	lineBytes int    // bytes received of the head, of a chunk size line or of the trailer
+	missing   int    // bytes of the body or the chunk that have not arrived
 	message   *Message
 	failure   error
 
-	// Stream, where set, receives the content of chunked bodies as it arrives, for responses without end. Such a
-	// body is neither collected nor limited. Stream is given the message as far as its head and a part of the
-	// content that belongs to the parser and is valid during the call.
+	// Stream, if set, receives the content of chunked bodies as it arrives, for responses without an end. Such a
+	// body is neither collected nor limited. The message m has its start line and header; part is a piece of the
+	// content and is valid only during the call.
 	Stream func(m *Message, part []byte) error
 }
 
-// NewParser returns a Parser of responses, or of requests.
+// NewParser returns a Parser of responses if responses is true, and of requests otherwise.
 func NewParser(responses bool, limits Limits) *Parser {
 	if limits.Head <= 0 {
 		limits.Head = defaultHeadLimit
@@ -65,8 +65,8 @@
 	return p.failure == nil && p.message == nil && len(p.line) == 0
 }
 
-// Feed parses the next bytes of the stream and passes each complete message to take. It stops at the first error
-// of take or Stream and returns it. A *ProtocolError is returned at once and by every later call.
+// Feed parses the next bytes of the stream and passes each complete message to receive. It stops at the first error
+// of receive or Stream and returns it. A *ProtocolError is returned at once and by every later call.
 func (p *Parser) Feed(data []byte, take func(*Message) error) error {
 	for len(data) > 0 || p.atEmptyBody() {
 		if p.failure != nil {
@@ -86,7 +86,7 @@
 	return p.failure
 }
 
-// atEmptyBody reports whether the message is complete without further bytes.
+// atEmptyBody reports whether the message has an empty body, so that it is complete without further bytes.
 func (p *Parser) atEmptyBody() bool {
 	return p.state == inBody && p.missing == 0
 }
@@ -94,7 +94,7 @@
 // feedContent consumes bytes of a body of known length, or of a chunk with its line end. It returns the bytes that
 // follow.
 func (p *Parser) feedContent(data []byte, take func(*Message) error) ([]byte, error) {
-	// The line end of a streamed chunk is collected like that of any other.
+	// The line end of a streamed chunk is collected like the line end of any other chunk.
 	if p.state == inChunk && p.Stream != nil && p.missing > len(lineEnd) {
 		n := min(p.missing-len(lineEnd), len(data))
 		p.missing -= n
@@ -112,7 +112,7 @@
 	}
 	body, terminated := bytes.CutSuffix(p.message.Body, []byte(lineEnd))
 	if !terminated {
-		return nil, p.fail(http.StatusBadRequest, "a chunk runs on past its size")
+		return nil, p.fail(http.StatusBadRequest, "chunk is longer than its size")
 	}
 	p.message.Body = body
 	p.state = inChunkSize
@@ -130,16 +130,16 @@
 	}
 	p.lineBytes += n
 	if p.lineBytes > p.limits.Head {
-		return nil, p.fail(http.StatusRequestHeaderFieldsTooLarge, "a head of over %d bytes", p.limits.Head)
+		return nil, p.fail(http.StatusRequestHeaderFieldsTooLarge, "head or trailer exceeds %d bytes", p.limits.Head)
 	}
 	line := data[:n]
 	if len(p.line) > 0 || !complete {
 		p.line = append(p.line, line...)
 		line = p.line
 	}
-	// An invalid first byte is reported at once: such a peer may never send a line end.
+	// An invalid first byte is reported at once: the peer may never send a line end.
 	if p.state == inHead && p.message == nil && !canStartMessage(line[0]) {
-		return nil, p.fail(http.StatusBadRequest, "no HTTP: the first byte is %#x", line[0])
+		return nil, p.fail(http.StatusBadRequest, "not HTTP: the first byte is %#x", line[0])
 	}
 	if !complete {
 		return nil, nil
@@ -154,7 +154,7 @@
 	return char > ' ' || char == '\r' || char == '\n'
 }
 
-// deliver passes the complete message on and prepares for the next one.
+// deliver passes the complete message to receive and resets the state for the next message.
 func (p *Parser) deliver(take func(*Message) error) error {
 	message := p.message
 	p.message = nil
--- a/internal/codec/http1/parser_test.go
+++ b/internal/codec/http1/parser_test.go
@@ -42,11 +42,11 @@
 	for _, chunkSize := range []int{1, 3, len(stream)} {
 		got, err := parse(stream, false, chunkSize)
 		if err != nil || len(got) != 4 {
-			t.Fatalf("in chunks of %d: %d messages, %v", chunkSize, len(got), err)
+			t.Fatalf("in chunks of %d bytes: %d messages, error %v; want 4 messages", chunkSize, len(got), err)
 		}
 		if string(got[0].Body) != "hello" || got[0].Header["x-a"] != "1, 2" || got[0].Target != "/a?b" ||
 			!got[1].Close || string(got[2].Body) != "abc0123456789" || got[3].Method != "POST" {
-			t.Fatalf("in chunks of %d: %+v %+v %+v %+v", chunkSize, got[0], got[1], got[2], got[3])
+			t.Fatalf("in chunks of %d bytes: wrong messages: %+v %+v %+v %+v", chunkSize, got[0], got[1], got[2], got[3])
 		}
 	}
 }
@@ -58,8 +58,8 @@
 		responses bool
 		status    int
 	}{
-		"no HTTP": {stream: "\x16\x03\x01", status: 400},
-		"a head without end": {
+		"bytes that are not HTTP": {stream: "\x16\x03\x01", status: 400},
+		"a head without an end": {
 			stream: "GET / HTTP/1.1\r\nX: " + strings.Repeat("y", 500),
 			status: 431,
 		},
@@ -72,7 +72,7 @@
 			stream: "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 			status: 400,
 		},
-		"a length beside chunks": {
+		"a length and chunked coding": {
 			stream: "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
 			status: 400,
 		},
@@ -92,14 +92,15 @@
 				_, err := parse(test.stream, test.responses, chunkSize)
 				var protocolError *ProtocolError
 				if !errors.As(err, &protocolError) || protocolError.Status != test.status {
-					t.Fatalf("in chunks of %d: %v", chunkSize, err)
+					t.Fatalf("in chunks of %d bytes: got error %v", chunkSize, err)
 				}
 			}
 		})
 	}
 }
 
-// FuzzAgainstNetHTTP shows that a request with a body has the same body for package net/http.
+// FuzzAgainstNetHTTP checks that messages do not depend on the chunk size, and that package net/http parses the same
+// body.
 func FuzzAgainstNetHTTP(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi")
 	f.Add("PUT / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
@@ -108,7 +109,8 @@
 		whole, wholeErr := parse(stream, false, max(len(stream), 1))
 		single, singleErr := parse(stream, false, 1)
 		if (wholeErr == nil) != (singleErr == nil) || len(whole) != len(single) {
-			t.Fatalf("whole %d %v, in single bytes %d %v", len(whole), wholeErr, len(single), singleErr)
+			t.Fatalf("in one chunk: %d messages, error %v; in single bytes: %d messages, error %v",
+				len(whole), wholeErr, len(single), singleErr)
 		}
 		if len(whole) == 0 {
 			return
@@ -119,12 +121,12 @@
 		}
 		body, err := io.ReadAll(request.Body)
 		if err == nil && request.Method == whole[0].Method && !bytes.Equal(body, whole[0].Body) {
-			t.Fatalf("body %q, by net/http %q", whole[0].Body, body)
+			t.Fatalf("body %q, want %q as parsed by net/http", whole[0].Body, body)
 		}
 	})
 }
 
-// TestStreamedBodyIsNotCollected shows that content is passed on as it arrives, whatever its length.
+// TestStreamedBodyIsNotCollected checks that Stream receives content as it arrives, even beyond the body limit.
 func TestStreamedBodyIsNotCollected(t *testing.T) {
 	content := strings.Repeat("x", 1500)
 	stream := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -134,7 +136,7 @@
 		parser := NewParser(true, testLimits)
 		parser.Stream = func(message *Message, part []byte) error {
 			if message.Status != 200 || len(message.Body) > len(lineEnd) {
-				t.Fatalf("%+v", message)
+				t.Fatalf("a message was collected or has a wrong status: %+v", message)
 			}
 			streamed.Write(part)
 			return nil
@@ -145,10 +147,10 @@
 			return nil
 		})
 		if err != nil {
-			t.Fatalf("in chunks of %d: %v", chunkSize, err)
+			t.Fatalf("in chunks of %d bytes: got error %v", chunkSize, err)
 		}
 		if streamed.String() != strings.Repeat(content, 3)+"!" || completed != 1 {
-			t.Fatalf("in chunks of %d: %d bytes, %d messages", chunkSize, streamed.Len(), completed)
+			t.Fatalf("in chunks of %d bytes: wrong content: %d bytes, %d messages", chunkSize, streamed.Len(), completed)
 		}
 	}
 }
--- a/internal/codec/platformmsg/append.go
+++ b/internal/codec/platformmsg/append.go
@@ -20,26 +20,27 @@
 	// weightDecimals is the number of decimals of weights and shares.
 	weightDecimals = 5
 
-	// minWeight is the text of the smallest weight above 0. It stands for smaller ones too, as weight 0 removes an
-	// entry.
+	// minWeight is the text of the smallest weight above 0. Smaller positive weights are rounded up to it, because
+	// weight 0 removes an entry.
 	minWeight = "0.00001"
 )
 
-// AppendPong appends the answer to a ping.
+// AppendPong appends the response to a ping.
 func AppendPong(dst []byte) []byte {
 	return resp.AppendCommand(dst, string(kindPong))
 }
 
-// AppendRejection appends the answer to a client that is rejected. The reason is truncated to 40 bytes.
+// AppendRejection appends the response to a client that is rejected. The reason is truncated to 40 bytes.
 func AppendRejection(dst []byte, reason string) []byte {
 	return resp.AppendCommand(dst, string(kindRejected), "why", truncate(reason))
 }
 
-// Append appends an update in as many parts as its tables and quotas need: a quota applies to the operations of its
-// part, and so does a table. It returns an error and appends nothing if a list is too long.
+// Append appends an update as several parts: one for all operations, and one for each operation table and each quota,
+// since tables and quotas apply to the operations of their part. It returns an error and appends nothing if a list is
+// too long.
 func (u *Update) Append(dst []byte) ([]byte, error) {
 	if !u.fits() {
-		return dst, fmt.Errorf("update: %d lines, %d out, %d back and %d levels do not fit a message",
+		return dst, fmt.Errorf("update exceeds the limits of a message: %d entries, %d withdrawn, %d readmitted, %d quotas",
 			len(u.Entries), len(u.Withdrawn), len(u.Readmitted), len(u.Quotas))
 	}
 	parts := u.parts()
@@ -63,8 +64,8 @@
 		!slices.ContainsFunc(u.OperationTables, tooLong)
 }
 
-// parts returns the fields of each part: the common one if it has any fields, the tables of some operations, the
-// quotas. There is at least one part; the last one has the acknowledgement sequence.
+// parts returns the fields of each part: the part for all operations if it has any fields, then the operation tables,
+// then the quotas. There is at least one part; the last one has the acknowledgement sequence.
 func (u *Update) parts() [][]string {
 	var parts [][]string
 	if common := u.commonFields(); len(common) > 0 {
--- a/internal/codec/platformmsg/append_test.go
+++ b/internal/codec/platformmsg/append_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/codec/resp"
 )
 
-// encodeParts returns an update as it is encoded, each part as its words joined by spaces.
+// encodeParts encodes an update and returns the words of each part, joined by spaces.
 func encodeParts(t *testing.T, update Update) []string {
 	t.Helper()
 	encoded, err := update.Append(nil)
@@ -35,19 +35,19 @@
 		update Update
 		want   []string
 	}{
-		"weights in five decimals": {
+		"weights are rounded to five decimals": {
 			Update{Full: true, AckSequence: -1, Entries: []Entry{{"s-1", 1.5}, {"s-2", 1e-9}, {"s-3", 0}}},
 			[]string{"update whole 1 lines s-1:1.5,s-2:0.00001,s-3:0"},
 		},
-		"withdrawn and readmitted": {
+		"withdrawn and readmitted replicas": {
 			Update{AckSequence: 905, Withdrawn: []string{"s-1", "s-2"}, Readmitted: []string{"s-3"}},
 			[]string{"update out s-1,s-2 back s-3 ticket 905"},
 		},
-		"nothing but an acknowledgement sequence": {
+		"only an acknowledgement sequence": {
 			Update{AckSequence: 0},
 			[]string{"update ticket 0"},
 		},
-		"a quota a part": {
+		"one part for each quota": {
 			Update{Full: true, AckSequence: 7, Quotas: []Quota{{"read", 0.123456789, 0}, {"", 1, 1}}},
 			[]string{
 				"update whole 1 more 1",
@@ -59,7 +59,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			if got := encodeParts(t, test.update); !reflect.DeepEqual(got, test.want) {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("parts %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/codec/platformmsg/doc.go
+++ b/internal/codec/platformmsg/doc.go
@@ -4,7 +4,7 @@
 //
 // A message is a RESP2 array of bulk strings: its kind, then names and values that alternate. A field that is
 // absent, of another type or out of range makes the message invalid; the *ParseError names the field. Fields with
-// unknown names are ignored, so that the platform can add some.
+// unknown names are ignored, so that the platform can add fields.
 //
-// Whether a zone, a replica or a proxy of a name exists is for the caller to decide; see ReplicaNames.
+// The caller has to check that a named zone, replica or proxy exists; see ReplicaNames.
 package platformmsg
--- a/internal/codec/platformmsg/endpoint_list.go
+++ b/internal/codec/platformmsg/endpoint_list.go
@@ -19,12 +19,12 @@
 	maxStartMilliseconds = 1e14
 )
 
-// EndpointList is the answer of discovery, or one object of a watch.
+// EndpointList is a response of discovery, or one object of an endpoint watch.
 type EndpointList struct {
 	Version   uint64
-	Full      bool // all endpoints, as opposed to those that changed
+	Full      bool // Endpoints has all endpoints, not only the changed ones
 	Endpoints []Endpoint
-	Skipped   int // entries that could not be used
+	Skipped   int // number of invalid entries
 }
 
 // Endpoint is a replica in an endpoint list.
@@ -32,7 +32,7 @@
 	Name      string
 	Zone      string
 	Status    model.EndpointStatus
-	StartedAt model.Microseconds // when it last started, since 1970; 0: long ago
+	StartedAt model.Microseconds // time of the last start, since 1970; 0: long ago
 }
 
 var endpointStatuses = map[string]model.EndpointStatus{
@@ -49,7 +49,7 @@
 	Hosts   []hostObject `json:"hosts"`
 }
 
-// hostObject is an entry of a list. Keys match in any case; errors of decoding show them as they are written here.
+// hostObject is an entry of a list. Keys match in any case; decoding errors show them as they are written here.
 type hostObject struct {
 	Name                string  `json:"Host"`
 	Zone                string  `json:"Site"`
@@ -57,8 +57,8 @@
 	StartedMilliseconds float64 `json:"born_ms"`
 }
 
-// ParseEndpointList parses the JSON of discovery. Entries without a usable name or status are skipped; the list is
-// valid all the same.
+// ParseEndpointList parses the JSON of discovery. Invalid entries are skipped and counted; they do not make the list
+// invalid.
 func ParseEndpointList(text []byte) (*EndpointList, error) {
 	var object listObject
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -68,7 +68,7 @@
 		return nil, errNoVersion
 	}
 	if len(object.Hosts) > maxEndpoints {
-		return nil, fmt.Errorf("list: %d entries, %d are taken", len(object.Hosts), maxEndpoints)
+		return nil, fmt.Errorf("list: %d entries; at most %d are accepted", len(object.Hosts), maxEndpoints)
 	}
 	list := &EndpointList{Version: *object.Version, Full: object.Full}
 	for _, host := range object.Hosts {
@@ -82,7 +82,7 @@
 	return list, nil
 }
 
-// endpoint converts an entry; ok is false if it cannot be used.
+// endpoint converts an entry; ok is false if the entry is invalid.
 func (h hostObject) endpoint() (endpoint Endpoint, ok bool) {
 	status, known := endpointStatuses[h.Status]
 	nameOK := h.Name != "" && len(h.Name) <= maxEndpointNameLength
--- a/internal/codec/platformmsg/endpoint_list_test.go
+++ b/internal/codec/platformmsg/endpoint_list_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/model"
 )
 
-// listTooLong has one entry too many.
+// listTooLong has one entry more than maxEndpoints.
 var listTooLong = `{"seq":1,"hosts":[` + strings.Repeat("{},", maxEndpoints) + `{}]}`
 
 func TestEndpointListSkipsUnusableEntries(t *testing.T) {
@@ -28,7 +28,7 @@
 		Skipped: 3,
 	}
 	if err != nil || !reflect.DeepEqual(list, want) {
-		t.Fatalf("%+v, %v", list, err)
+		t.Fatalf("parsed as %+v, error %v", list, err)
 	}
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// FuzzParseEndpointList shows that a list has no entry that the rest of the program cannot use.
+// FuzzParseEndpointList checks that all endpoints of a parsed list are valid.
 func FuzzParseEndpointList(f *testing.F) {
 	f.Add([]byte(`{"seq":43,"whole":true,"hosts":[{"host":"s-1","site":"a","health":"ready","born_ms":0}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -51,7 +51,7 @@
 		for _, endpoint := range list.Endpoints {
 			nameOK := endpoint.Name != "" && len(endpoint.Name) <= maxEndpointNameLength
 			if !nameOK || endpoint.StartedAt < 0 || endpoint.Status > model.EndpointDraining {
-				t.Fatalf("%+v", endpoint)
+				t.Fatalf("invalid endpoint: %+v", endpoint)
 			}
 		}
 	})
--- a/internal/codec/platformmsg/errors.go
+++ b/internal/codec/platformmsg/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// ParseError reports a message that cannot be used. Its text is sent to a client that has not joined.
+// ParseError reports an invalid message. Its text is sent to the client if the client has not joined.
 type ParseError struct {
-	// Kind and Field say what is malformed. Both are empty where it is the message itself.
+	// Kind and Field name the malformed field. Both are empty if the message as a whole is malformed.
 	Kind   Kind
 	Field  string
 	Reason string
 }
 
-// Error states the kind, the field and the reason.
+// Error returns the kind, the field and the reason.
 func (e *ParseError) Error() string {
 	if e.Kind == "" {
 		return e.Reason
--- a/internal/codec/platformmsg/fields.go
+++ b/internal/codec/platformmsg/fields.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 )
 
-// Bounds of the fields' values. Values beyond them are errors of the sender, whatever the size of the fleet.
+// Bounds of the values of fields. They exceed the values of any real fleet, so larger values are errors of the sender.
 const (
 	maxAttempts     = 100_000_000
 	maxExpectedRate = 1e9 // requests per second
@@ -18,15 +18,15 @@
 	maxReadings     = 16
 )
 
-// fieldParser parses the fields of one message and keeps the first error. After an error its methods return zero
-// values or what they could parse.
+// fieldParser parses the fields of one message and keeps the first error. After an error, its methods return the values
+// of valid fields and zero values for invalid ones.
 type fieldParser struct {
 	kind   Kind
 	values map[string]string
 	err    *ParseError
 }
 
-// newFieldParser takes the names and values that follow the kind of a message.
+// newFieldParser returns a parser of the names and values that follow the kind of a message.
 func newFieldParser(kind Kind, items []resp.Value) *fieldParser {
 	parser := &fieldParser{kind: kind, values: make(map[string]string, len(items)/2)}
 	for i := 0; i+1 < len(items); i += 2 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// text returns a field that must not be empty.
+// text returns the text of a field that must not be empty.
 func (p *fieldParser) text(name string) string {
 	text := p.values[name]
 	if text == "" {
@@ -58,7 +58,7 @@
 	return text
 }
 
-// number returns a number from 0 to a bound.
+// number returns the value of a field that must be a number from 0 to a bound.
 func (p *fieldParser) number(name string, bound float64) float64 {
 	text := p.text(name)
 	number, err := strconv.ParseFloat(text, 64)
@@ -69,7 +69,7 @@
 	return number
 }
 
-// integer returns an integer from 0 to a bound.
+// integer returns the value of a field that must be an integer from 0 to a bound.
 func (p *fieldParser) integer(name string, bound int) int {
 	text := p.text(name)
 	number, err := strconv.Atoi(text)
@@ -80,18 +80,18 @@
 	return number
 }
 
-// flag returns whether a field that must be 0 or 1 is 1.
+// flag reports whether a field that must be 0 or 1 is 1.
 func (p *fieldParser) flag(name string) bool {
 	return p.integer(name, 1) == 1
 }
 
-// duration returns a field in milliseconds, which may have decimals.
+// duration returns the value of a field in milliseconds, which may have decimals.
 func (p *fieldParser) duration(name string) model.Microseconds {
 	milliseconds := p.number(name, float64(maxDuration/model.Millisecond))
 	return model.Microseconds(math.Round(milliseconds * float64(model.Millisecond)))
 }
 
-// readings returns an optional field of the form name:value,name:value.
+// readings returns the values of an optional field of the form name:value,name:value.
 func (p *fieldParser) readings(name string) []Reading {
 	text := p.values[name]
 	if text == "" {
--- a/internal/codec/platformmsg/golden_test.go
+++ b/internal/codec/platformmsg/golden_test.go
@@ -11,7 +11,7 @@
 	"peppervale/internal/model"
 )
 
-// goldenMessages holds a message of each kind that a controller receives, by its golden file.
+// goldenMessages holds a message of each kind that a controller receives, by the name of its golden file.
 var goldenMessages = map[string]Message{
 	"ping.resp":      {Kind: KindPing},
 	"collector.resp": {Kind: KindCollector, Zone: "govan"},
@@ -30,10 +30,10 @@
 	for file, want := range goldenMessages {
 		values, err := decode(t, goldentest.Read(t, file), MessageLimits)
 		if err != nil || len(values) != 1 {
-			t.Fatalf("%s: %d values, %v", file, len(values), err)
+			t.Fatalf("%s: decoded %d values, error %v", file, len(values), err)
 		}
 		if got, err := Parse(values[0]); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: parsed as %+v, %v", file, got, err)
+			t.Errorf("%s: parsed as %+v, error %v", file, got, err)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 		{Name: "s-3", Zone: "govan", Status: model.EndpointGone},
 	}}
 	if got, err := ParseEndpointList(goldentest.Read(t, "list.json")); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
--- a/internal/codec/platformmsg/message.go
+++ b/internal/codec/platformmsg/message.go
@@ -24,31 +24,31 @@
 	kindRejected Kind = "refused"
 )
 
-// MessageLimits bounds one message that a controller receives: the longest legitimate one is a load report of some
+// MessageLimits bounds one message that a controller receives. The longest valid message is a load report of a few
 // hundred bytes.
 var MessageLimits = resp.Limits{Depth: 1, Items: 64, StringBytes: 2 << 10, MessageBytes: 8 << 10}
 
-// Message is a message that a controller received. Its kind determines which other fields are set; they are listed by
-// the words for the kinds on the wire.
+// Message is a message that a controller received. Its kind determines which other fields are set; the comments
+// name the kinds by their words on the wire.
 type Message struct {
 	Kind            Kind
 	Proxy           int     // joined, applied, usage
 	Zone            string  // collector, joined, heard
 	ExpectedRate    float64 // joined: requests per second, roughly
-	OnStandingTable bool    // joined: the proxy holds no table of a controller
+	OnStandingTable bool    // joined: the proxy has no table of a controller
 	AckSequence     uint32  // applied
 	Replica         string  // heard
 	Operation       string  // usage
 	Attempts        int     // heard: attempts that ended; usage: requests that arrived
-	// Errors counts, for heard, the attempts that failed. For usage it counts requests that were admitted and not
-	// served, in this window or an earlier one.
+	// Errors is the number of failed attempts for heard. For usage it is the number of requests that were admitted, in
+	// this window or an earlier one, and not served.
 	Errors      int
 	MeanLatency model.Microseconds // heard
 	Window      model.Microseconds // heard, usage
-	Readings    []Reading          // heard: the newest ones of the replica
+	Readings    []Reading          // heard: the newest readings of the replica
 }
 
-// Reading is one figure that a replica reports about its load.
+// Reading is one value that a replica reports about its load.
 type Reading struct {
 	Name  string
 	Value float64
--- a/internal/codec/platformmsg/parse.go
+++ b/internal/codec/platformmsg/parse.go
@@ -7,11 +7,11 @@
 	"peppervale/internal/codec/resp"
 )
 
-// maxQuotedLength bounds the bytes of outside text that an answer or an error repeats.
+// maxQuotedLength bounds the bytes of received text that a response or an error quotes.
 const maxQuotedLength = 40
 
-// Parse parses a message. Its error is a *ParseError; where it has a field, the other fields of the Message that
-// could be parsed are set all the same.
+// Parse parses a message. Its error is a *ParseError. If the error names a field, the Message still has the valid
+// fields set.
 func Parse(value resp.Value) (Message, error) {
 	if value.Kind != resp.Array || len(value.Items) == 0 {
 		return Message{}, &ParseError{Reason: "a message is an array that begins with its kind"}
--- a/internal/codec/platformmsg/parse_test.go
+++ b/internal/codec/platformmsg/parse_test.go
@@ -11,7 +11,7 @@
 	"peppervale/internal/model"
 )
 
-// decode returns the RESP values that some bytes hold before the first error.
+// decode returns the RESP values that precede the first error in encoded.
 func decode(t testing.TB, encoded []byte, limits resp.Limits) (values []resp.Value, err error) {
 	t.Helper()
 	collect := func(value resp.Value) error {
@@ -22,12 +22,12 @@
 	return values, err
 }
 
-// parseLine parses a message that is given as its words, separated by spaces.
+// parseLine parses a message from a line with its words separated by spaces.
 func parseLine(t *testing.T, line string) (Message, error) {
 	t.Helper()
 	values, err := decode(t, resp.AppendCommand(nil, strings.Fields(line)...), MessageLimits)
 	if err != nil || len(values) != 1 {
-		t.Fatalf("%q: %v", line, err)
+		t.Fatalf("%q: not decoded as one value: %v", line, err)
 	}
 	return Parse(values[0])
 }
@@ -52,14 +52,14 @@
 		"usage id 17 lane lookup count 0 fail 1 over 1000.0": {
 			Kind: KindUsage, Proxy: 17, Operation: "lookup", Errors: 1, Window: model.Second,
 		},
-		// Fields that this version does not know are ignored.
+		// Unknown fields are ignored.
 		"collector site a since 1": {Kind: KindCollector, Zone: "a"},
 		"heard site a target s-1 count 1 fail 1 mean 0 over 1 zone b": {
 			Kind: KindLoadReport, Zone: "a", Replica: "s-1", Attempts: 1, Errors: 1, Window: model.Millisecond,
 		},
 	} {
 		if got, err := parseLine(t, line); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %+v, %v", line, got, err)
+			t.Errorf("%q: parsed as %+v, error %v", line, got, err)
 		}
 	}
 }
@@ -93,11 +93,11 @@
 		_, err := parseLine(t, line)
 		var parseError *ParseError
 		if !errors.As(err, &parseError) || parseError.Field != field {
-			t.Errorf("%q: %v, want a ParseError of field %s", line, err, field)
+			t.Errorf("%q: error %v, want a ParseError of field %s", line, err, field)
 			continue
 		}
 		if !strings.Contains(err.Error(), ": "+field+":") {
-			t.Errorf("%q: %v, want a text that names %s", line, err, field)
+			t.Errorf("%q: error %v, want a text that names %s", line, err, field)
 		}
 	}
 }
@@ -110,16 +110,16 @@
 	}
 }
 
-// TestOtherFieldsOfAnInvalidMessage shows that a proxy can be identified although its acknowledgement is malformed.
+// TestOtherFieldsOfAnInvalidMessage checks that a malformed acknowledgement still identifies the proxy.
 func TestOtherFieldsOfAnInvalidMessage(t *testing.T) {
 	got, err := parseLine(t, "applied id 17 seq 905 ms x")
 	want := Message{Kind: KindAcknowledgement, Proxy: 17, AckSequence: 905}
 	if err == nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-// FuzzParse shows that a message that is accepted is within its bounds.
+// FuzzParse checks that the fields of accepted messages are within their bounds.
 func FuzzParse(f *testing.F) {
 	for _, line := range []string{
 		"ping",
@@ -136,7 +136,7 @@
 		for _, value := range values {
 			message, err := Parse(value)
 			if err == nil && !withinBounds(message) {
-				t.Fatalf("%+v", message)
+				t.Fatalf("a field of the message is out of bounds: %+v", message)
 			}
 		}
 	})
--- a/internal/codec/platformmsg/replica_names.go
+++ b/internal/codec/platformmsg/replica_names.go
@@ -7,12 +7,12 @@
 	"peppervale/internal/model"
 )
 
-// maxReplicaNames bounds the names in one incarnation of a controller: a fleet that replaces one replica a second
-// reaches it after 18 hours.
+// maxReplicaNames bounds the names in one incarnation of a controller: a fleet that replaces one replica per second
+// reaches the bound after 18 hours.
 const maxReplicaNames = 65_536
 
-// ReplicaNames maps the names by which the platform knows replicas to the ids that the rest of the program uses. A
-// name keeps its id for good, since tables may still contain a replica that is gone. It is safe for concurrent use.
+// ReplicaNames maps the platform's names of replicas to the ids that other packages use. A name is never removed and
+// keeps its id, since tables may still contain a replica that is gone. ReplicaNames is safe for concurrent use.
 type ReplicaNames struct {
 	mu    sync.RWMutex
 	ids   map[string]model.ReplicaID
@@ -32,7 +32,8 @@
 	return id, ok
 }
 
-// Register returns the id of a name and assigns one if it has none; ok is false once there are too many names.
+// Register returns the id of a name and assigns one to a new name; ok is false if a new name would exceed
+// maxReplicaNames.
 func (n *ReplicaNames) Register(name string) (id model.ReplicaID, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/codec/platformmsg/update.go
+++ b/internal/codec/platformmsg/update.go
@@ -2,15 +2,15 @@
 
 import "peppervale/internal/model"
 
-// Update is one message to a proxy. It counts as one in the send window, whatever its number of parts.
+// Update is one message to a proxy. It counts as one message in the send window, regardless of its number of parts.
 type Update struct {
-	Full            bool // Entries are the complete table, and earlier quotas no longer apply
+	Full            bool // Entries is the complete table, and earlier quotas no longer apply
 	Entries         []Entry
 	OperationTables []OperationTable
 	Quotas          []Quota
 	Withdrawn       []string
 	Readmitted      []string
-	AckSequence     int // to be acknowledged; -1: no acknowledgement is requested
+	AckSequence     int // sequence for the proxy to acknowledge; -1: no acknowledgement is requested
 }
 
 // Entry is a replica's weight in a table; weight 0 removes the replica from the table.
@@ -19,7 +19,7 @@
 	Weight  float64
 }
 
-// OperationTable is a table, or a change of one, that applies to some operations.
+// OperationTable is a table, or a change to a table, that applies to some operations.
 type OperationTable struct {
 	Operations []string
 	Full       bool
--- a/internal/codec/pubsubmsg/doc.go
+++ b/internal/codec/pubsubmsg/doc.go
@@ -3,8 +3,8 @@
 // LoadReports). Nothing in this package does I/O.
 //
 // A Message carries the controller's version and the version of the message sent to the same proxy before it. A
-// proxy that does not hold the previous version has missed a message and asks for a snapshot (RESYNC). The
-// incarnation grows with each start of the controller; a message of an earlier incarnation is obsolete.
+// proxy that does not have the previous version has missed a message and requests a snapshot (RESYNC). The
+// incarnation increases with each start of the controller; a message of an earlier incarnation is obsolete.
 //
 // docs/channel.md describes the protocol for authors of proxies.
 package pubsubmsg
--- a/internal/codec/pubsubmsg/errors.go
+++ b/internal/codec/pubsubmsg/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// ParseError reports a message or a command that cannot be used.
+// ParseError reports an invalid message or command.
 type ParseError struct {
-	// Field names what is malformed, e.g. "epoch". It is empty where the number of values is wrong.
+	// Field is the name of the malformed value, e.g. "epoch". It is empty if the number of values is wrong.
 	Field string
 	// Reason is the complete text of the error. It is sent to the proxy that sent the command.
 	Reason string
--- a/internal/codec/pubsubmsg/golden_test.go
+++ b/internal/codec/pubsubmsg/golden_test.go
@@ -55,7 +55,7 @@
 		goldentest.Check(t, file, Append(nil, &message))
 		got, err := Parse(decodeOne(t, goldentest.Read(t, file)))
 		if err != nil || !reflect.DeepEqual(*got, message) {
-			t.Errorf("%s: parsed as %+v, %v", file, got, err)
+			t.Errorf("%s: parsed as %+v, error %v", file, got, err)
 		}
 	}
 }
@@ -64,19 +64,19 @@
 	goldentest.Check(t, "join.resp", AppendJoin(nil, goldenJoin))
 	words := decodeOne(t, goldentest.Read(t, "join.resp")).Items[1:]
 	if got, err := ParseJoin(words); err != nil || got != goldenJoin {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 	want := goldenJoin
 	want.Epoch = 0
 	if got, err := ParseJoin(words[:6]); err != nil || got != want {
-		t.Errorf("without an epoch: parsed as %+v, %v", got, err)
+		t.Errorf("without an epoch: parsed as %+v, error %v", got, err)
 	}
 }
 
 func TestGoldenAck(t *testing.T) {
 	goldentest.Check(t, "ack.resp", AppendAck(nil, goldenAck))
 	if got, err := ParseAck(decodeOne(t, goldentest.Read(t, "ack.resp")).Items[1:]); err != nil || got != goldenAck {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
@@ -84,11 +84,11 @@
 	goldentest.Check(t, "sums.resp", AppendLoadReports(nil, goldenLoadReports))
 	got, err := ParseLoadReports(decodeOne(t, goldentest.Read(t, "sums.resp")).Items[1:])
 	if err != nil || !reflect.DeepEqual(got, goldenLoadReports) {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-// parseEdited parses the golden change after an edit.
+// parseEdited applies an edit to the golden change and parses the result.
 func parseEdited(t *testing.T, edit func(items []resp.Value)) error {
 	t.Helper()
 	value := decodeOne(t, Append(nil, &goldenChange))
@@ -99,14 +99,14 @@
 func TestGoldenErrorsOfMessages(t *testing.T) {
 	short := resp.Value{Kind: resp.Push, Items: arguments("change", "1")}
 	goldentest.CheckErrors(t, "table-errors.txt", map[string]error{
-		"cut short":          errorOf(Parse(short)),
-		"no number":          parseEdited(t, func(items []resp.Value) { items[3].Kind = resp.BulkString }),
-		"uneven lists":       parseEdited(t, func(items []resp.Value) { items[9].Items = items[9].Items[:1] }),
-		"a line's address":   parseEdited(t, func(items []resp.Value) { items[9].Items[0].Text = "localhost:1" }),
-		"a line's weight":    parseEdited(t, func(items []resp.Value) { items[9].Items[1].Float = -0.5 }),
-		"a replica shut out": parseEdited(t, func(items []resp.Value) { items[10].Items[0].Text = "127.0.0.1:0" }),
-		"a level's share":    parseEdited(t, func(items []resp.Value) { items[11].Items[1].Float = math.NaN() }),
-		"a level's way":      parseEdited(t, func(items []resp.Value) { items[11].Items[2].Int = 4 }),
+		"missing values":           errorOf(Parse(short)),
+		"string instead of number": parseEdited(t, func(items []resp.Value) { items[3].Kind = resp.BulkString }),
+		"incomplete list":          parseEdited(t, func(items []resp.Value) { items[9].Items = items[9].Items[:1] }),
+		"address of an entry":      parseEdited(t, func(items []resp.Value) { items[9].Items[0].Text = "localhost:1" }),
+		"weight of an entry":       parseEdited(t, func(items []resp.Value) { items[9].Items[1].Float = -0.5 }),
+		"address of a withdrawal":  parseEdited(t, func(items []resp.Value) { items[10].Items[0].Text = "127.0.0.1:0" }),
+		"share of a quota":         parseEdited(t, func(items []resp.Value) { items[11].Items[1].Float = math.NaN() }),
+		"retry policy of a quota":  parseEdited(t, func(items []resp.Value) { items[11].Items[2].Int = 4 }),
 	})
 }
 
--- a/internal/codec/pubsubmsg/message.go
+++ b/internal/codec/pubsubmsg/message.go
@@ -5,13 +5,13 @@
 	"peppervale/internal/model"
 )
 
-// The first value of a push states what kind of message it is.
+// The kinds of messages. The kind is the first value of a push.
 const (
 	kindSnapshot = "snapshot"
 	kindChange   = "change"
 )
 
-// The places of the values in a push.
+// The indices of the values in a push.
 const (
 	valueKind = iota
 	valueIncarnation
@@ -29,23 +29,23 @@
 	messageLength
 )
 
-// The numbers of values that one element of a list in a push takes.
+// The numbers of values in one element of each list of a push.
 const (
 	entryLength      = 2
 	withdrawalLength = 2
 	quotaLength      = 3
 )
 
-// Message is one push: a change of what the proxy holds or, where Full is set, a snapshot that replaces all of it.
+// Message is one push: a change to the state of the proxy or, if Full is set, a snapshot that replaces the state.
 type Message struct {
 	Full            bool
 	Incarnation     uint64
 	PreviousVersion uint64
 	Version         uint64
-	UpdatedAt       model.Microseconds // when the controller decided it, since 1970 by the controller's clock
-	Cost            int                // entries that it counts against the send window
-	AckSequence     int                // to be acknowledged; -1: no acknowledgement is requested
-	Bound           bool               // Full only: the proxy uses a table of the controller's, not its standing table
+	UpdatedAt       model.Microseconds // time of the controller's decision, since 1970 by the controller's clock
+	Cost            int                // number of entries that the message uses of the send window
+	AckSequence     int                // sequence for the proxy to acknowledge; -1: no acknowledgement is requested
+	Bound           bool               // snapshots only: the proxy uses a table of the controller, not its standing table
 	Table           model.TableID
 	Entries         []Entry
 	Withdrawals     []Withdrawal
--- a/internal/codec/pubsubmsg/parse_command.go
+++ b/internal/codec/pubsubmsg/parse_command.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// Arguments of JOIN without and with the epoch.
+	// Numbers of arguments of JOIN without and with the epoch.
 	joinLengthWithoutEpoch = 6
 	joinLength             = 7
 
 	ackLength = 3
 
-	// Arguments of SUMS before the reports, and of each report.
+	// Numbers of arguments of SUMS before the reports, and of each report.
 	loadReportsHeaderLength = 2
 	loadReportLength        = 5
 
@@ -127,13 +127,13 @@
 	return reportValues >= 0 && reportValues%loadReportLength == 0
 }
 
-// loadReportParser parses the numbers of SUMS and keeps an error until all reports are parsed: that of the last
-// malformed number, else that of the first report whose numbers contradict each other.
+// loadReportParser parses the numbers of SUMS and keeps an error until all reports are parsed: the error of the last
+// malformed number or, if there is none, of the first report whose numbers contradict each other.
 type loadReportParser struct {
 	err *ParseError
 }
 
-// number returns an integer. A malformed one replaces the kept error.
+// number returns an integer. The error of a malformed integer replaces the kept error.
 func (p *loadReportParser) number(field string, value resp.Value) int64 {
 	if value.Kind == resp.Number {
 		return value.Int
@@ -145,7 +145,7 @@
 	return number
 }
 
-// report returns the report of one replica. The errors that it returns go before the kept one.
+// report returns the report of one replica. An error that it returns takes precedence over the kept error.
 func (p *loadReportParser) report(values []resp.Value) (model.LoadReport, error) {
 	address := values[0].ArgumentText()
 	replica, err := ParseAddress(address)
--- a/internal/codec/pubsubmsg/parse_message.go
+++ b/internal/codec/pubsubmsg/parse_message.go
@@ -7,19 +7,19 @@
 	"peppervale/internal/model"
 )
 
-// Parse parses a push for which IsMessage holds. Its error is a *ParseError.
+// Parse parses a push for which IsMessage returns true. Its error is a *ParseError.
 func Parse(value resp.Value) (*Message, error) {
 	values := value.Items
 	if !IsMessage(value) || len(values) != messageLength || values[valueEpoch].Int < 0 {
-		return nil, parseErrorf("", "a table message has %d values, this push %d", messageLength, len(values))
+		return nil, parseErrorf("", "a table message has %d values, this push has %d", messageLength, len(values))
 	}
 	for i := valueIncarnation; i <= valueAckSequence; i++ {
 		if values[i].Kind != resp.Number || values[i].Int < -1 {
-			return nil, parseErrorf(fieldNames[i], "value %d of a table message is no number from 0", i)
+			return nil, parseErrorf(fieldNames[i], "value %d of a table message must be a number of at least -1", i)
 		}
 	}
 	if !listsAreComplete(values) {
-		return nil, parseErrorf("lists", "lines, shuts or levels of a table message do not come in twos and threes")
+		return nil, parseErrorf("lists", "an entry, withdrawal or quota of a table message is incomplete")
 	}
 	entries, err := parseEntries(values[valueEntries].Items)
 	if err != nil {
@@ -50,7 +50,7 @@
 	}, nil
 }
 
-// fieldNames names the numbers of a push for ParseError.
+// fieldNames holds the names of the numeric values of a push, for ParseError.
 var fieldNames = map[int]string{
 	valueIncarnation:     "incarnation",
 	valuePreviousVersion: "previous version",
@@ -60,7 +60,7 @@
 	valueAckSequence:     "acknowledgement sequence",
 }
 
-// listsAreComplete reports whether no element of a list is cut short.
+// listsAreComplete reports whether each element of the lists has all its values.
 func listsAreComplete(values []resp.Value) bool {
 	return len(values[valueEntries].Items)%entryLength == 0 &&
 		len(values[valueWithdrawals].Items)%withdrawalLength == 0 &&
@@ -73,7 +73,8 @@
 		replica, err := ParseAddress(values[i].Text)
 		weight := values[i+1].Float
 		if err != nil || !isFiniteWeight(weight) {
-			return nil, parseErrorf("entry", "line %d of a table: %v, weight %v", i/entryLength, err, weight)
+			return nil, parseErrorf("entry", "entry %d of a table message: address error %v, weight %v",
+				i/entryLength, err, weight)
 		}
 		entries = append(entries, Entry{Replica: replica, Weight: weight})
 	}
@@ -105,7 +106,8 @@
 			RetryPolicy: model.RetryPolicy(values[i+2].Int),
 		}
 		if !(quota.Share >= 0) || quota.RetryPolicy > model.RetryTwiceOnAnyFailure {
-			return nil, parseErrorf("quota", "level %d: share %v, way %d", i/quotaLength, quota.Share, quota.RetryPolicy)
+			return nil, parseErrorf("quota", "quota %d of a table message: share %v, retry policy %d",
+				i/quotaLength, quota.Share, quota.RetryPolicy)
 		}
 		quotas = append(quotas, quota)
 	}
--- a/internal/codec/pubsubmsg/parse_test.go
+++ b/internal/codec/pubsubmsg/parse_test.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 )
 
-// decodeOne decodes bytes that hold exactly one RESP value.
+// decodeOne decodes bytes that contain exactly one RESP value.
 func decodeOne(t *testing.T, encoded []byte) resp.Value {
 	t.Helper()
 	var values []resp.Value
@@ -20,7 +20,7 @@
 	}
 	err := resp.NewReader(resp.Limits{}).Feed(encoded, collect)
 	if err != nil || len(values) != 1 {
-		t.Fatalf("%d values: %v", len(values), err)
+		t.Fatalf("decoded %d values, error %v; want one value", len(values), err)
 	}
 	return values[0]
 }
@@ -39,7 +39,7 @@
 	return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 5000}
 }
 
-// errorOf drops the result of a parse function.
+// errorOf returns the error of a parse function and discards the result.
 func errorOf[T any](_ T, err error) error {
 	return err
 }
@@ -53,7 +53,7 @@
 		Quotas:      []Quota{{1, 0.25, model.RetryIfNotExecuted}, {2, math.MaxFloat32, model.RetryNever}},
 	}
 	if got, err := Parse(decodeOne(t, Append(nil, want))); err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("parsed as %+v, error %v", got, err)
 	}
 }
 
@@ -63,14 +63,14 @@
 		Incarnation: 4, Version: 5, Epoch: 6,
 	}
 	if got, err := ParseJoin(decodeOne(t, AppendJoin(nil, want)).Items[1:]); err != nil || got != want {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("parsed as %+v, error %v", got, err)
 	}
 }
 
 func TestAckSurvivesEncoding(t *testing.T) {
 	want := Ack{Incarnation: 4, Version: 5, Sequence: -1}
 	if got, err := ParseAck(decodeOne(t, AppendAck(nil, want)).Items[1:]); err != nil || got != want {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("parsed as %+v, error %v", got, err)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}}
 	got, err := ParseLoadReports(decodeOne(t, AppendLoadReports(nil, want)).Items[1:])
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("parsed as %+v, error %v", got, err)
 	}
 }
 
@@ -102,16 +102,16 @@
 		err   error
 		field string
 	}{
-		"a join without a name":        {errorOf(ParseJoin(arguments("", "govan", "1", "1", "0", "0"))), "name"},
+		"JOIN without a name":          {errorOf(ParseJoin(arguments("", "govan", "1", "1", "0", "0"))), "name"},
 		"a rate that is no number":     {errorOf(ParseJoin(arguments("a", "govan", "NaN", "1", "0", "0"))), "rate"},
-		"a join cut short":             {errorOf(ParseJoin(arguments("a", "govan"))), ""},
+		"JOIN with missing arguments":  {errorOf(ParseJoin(arguments("a", "govan"))), ""},
 		"a negative incarnation":       {errorOf(ParseAck(arguments("-1", "0", "0"))), "incarnation"},
-		"a load report cut short":      {errorOf(ParseLoadReports(arguments("1", "1000", "127.0.0.1:1", "1"))), ""},
+		"SUMS with missing arguments":  {errorOf(ParseLoadReports(arguments("1", "1000", "127.0.0.1:1", "1"))), ""},
 		"more errors than attempts":    {report("1", "1000", "127.0.0.1:1", "1", "2", "0"), "report"},
 		"a replica without a port":     {report("1", "1000", "127.0.0.1", "1", "0", "0"), "replica"},
 		"an empty window":              {errorOf(ParseLoadReports(arguments("1", "0"))), "window"},
 		"a push of another kind":       {push("message", "tables", "{}"), ""},
-		"a message cut short":          {push("change", "1"), ""},
+		"a message with one value":     {push("change", "1"), ""},
 		"a negative weight":            {parseEncoded(t, &Message{Entries: []Entry{{replicaID(1), -1}}}), "entry"},
 		"an unknown retry policy":      {parseEncoded(t, &Message{Quotas: []Quota{{1, 1, 9}}}), "quota"},
 		"a share that is not a number": {parseEncoded(t, &Message{Quotas: []Quota{{1, math.NaN(), 1}}}), "quota"},
@@ -119,17 +119,17 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			if test.err == nil {
-				t.Fatal("accepted, want an error")
+				t.Fatal("got no error, want one")
 			}
 			var parseError *ParseError
 			if !errors.As(test.err, &parseError) || parseError.Field != test.field {
-				t.Errorf("%#v, want a ParseError of field %q", test.err, test.field)
+				t.Errorf("error %#v, want a ParseError of field %q", test.err, test.field)
 			}
 		})
 	}
 }
 
-// TestErrorPrecedenceOfLoadReports shows which of several errors is sent to a proxy.
+// TestErrorPrecedenceOfLoadReports checks which of several errors is sent to a proxy.
 func TestErrorPrecedenceOfLoadReports(t *testing.T) {
 	tests := map[string]struct {
 		arguments []string
@@ -148,13 +148,14 @@
 			_, err := ParseLoadReports(arguments(test.arguments...))
 			var parseError *ParseError
 			if !errors.As(err, &parseError) || parseError.Field != test.field {
-				t.Errorf("%v, want an error of field %q", err, test.field)
+				t.Errorf("error %v, want a ParseError of field %q", err, test.field)
 			}
 		})
 	}
 }
 
-// FuzzParse shows that a message that is parsed survives another round, and that commands never panic.
+// FuzzParse checks that a parsed message keeps its version and its number of entries when it is encoded and parsed
+// again, and that parsing a command never panics.
 func FuzzParse(f *testing.F) {
 	f.Add(AppendLoadReports(nil, LoadReports{Sequence: 1, Window: 1, Reports: []model.LoadReport{
 		{Replica: replicaID(1), Attempts: 1, Readings: []float64{1}},
@@ -170,14 +171,15 @@
 			_, _ = ParseJoin(value.Items[1:])
 			_, _ = ParseAck(value.Items[1:])
 			if reports, err := ParseLoadReports(value.Items[1:]); err == nil && reports.Window <= 0 {
-				t.Fatal("load reports of an empty window are accepted")
+				t.Fatal("load reports with a window of 0 or less are accepted")
 			}
 			return nil
 		})
 	})
 }
 
-// checkMessageSurvives encodes and parses a value again if it is a message.
+// checkMessageSurvives parses a value. If the value is a message, it checks that the message keeps its version and its
+// number of entries when it is encoded and parsed again.
 func checkMessageSurvives(t *testing.T, value resp.Value) {
 	t.Helper()
 	message, err := Parse(value)
@@ -186,6 +188,6 @@
 	}
 	again, err := Parse(decodeOne(t, Append(nil, message)))
 	if err != nil || again.Version != message.Version || len(again.Entries) != len(message.Entries) {
-		t.Fatalf("%+v came back as %+v, %v", message, again, err)
+		t.Fatalf("%+v after encoding and parsing: %+v, error %v", message, again, err)
 	}
 }
--- a/internal/codec/resp/decode.go
+++ b/internal/codec/resp/decode.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// maxPreallocatedItems bounds the memory reserved for an aggregate when its header arrives. A header costs the
-	// peer a few bytes only, so the announced count is not reserved in full.
+	// maxPreallocatedItems bounds the items that are preallocated when the header of an aggregate arrives. A peer could
+	// otherwise reserve much memory with a header of a few bytes.
 	maxPreallocatedItems = 64
 
-	// maxQuotedLength bounds the bytes of malformed input that an error repeats.
+	// maxQuotedLength bounds the bytes of malformed input that an error quotes.
 	maxQuotedLength = 40
 
-	// nullLength is the length by which RESP2 encodes a null string or a null array.
+	// nullLength is the length of a null string or a null array in RESP2.
 	nullLength = -1
 )
 
 // aggregate is an array, map, set, push or attribute whose items have not all arrived.
 type aggregate struct {
 	kind    Kind
-	missing int // items still to come
+	missing int // number of items that have not arrived
 	items   []Value
 }
 
--- a/internal/codec/resp/doc.go
+++ b/internal/codec/resp/doc.go
@@ -1,8 +1,8 @@
 // Package resp encodes and decodes RESP3, the serialization protocol of Redis, for clients and servers alike.
 //
-// A Reader decodes a stream that arrives in chunks of any size. The work it does is proportional to the bytes it
-// was given, and it buffers no more of them than its Limits allow. A malformed stream, or one beyond a limit, ends
-// in a *ProtocolError that states the offset and the reason; the Reader accepts nothing after that. The Append
+// A Reader decodes a stream that arrives in chunks of any size. Its work is proportional to the number of bytes, and it
+// buffers no more bytes than its Limits allow. For a malformed stream, or a stream that exceeds a limit, it returns a
+// *ProtocolError with the offset and the reason; the Reader accepts no further data after that. The Append
 // functions encode values. Nothing in this package does I/O.
 //
 // Limitations: streamed strings and aggregates (a length of '?') and inline commands are rejected. Attributes are
--- a/internal/codec/resp/errors.go
+++ b/internal/codec/resp/errors.go
@@ -10,7 +10,7 @@
 	Reason string
 }
 
-// Error states the offset and the reason.
+// Error returns the offset and the reason.
 func (e *ProtocolError) Error() string {
 	return fmt.Sprintf("protocol error at byte %d: %s", e.Offset, e.Reason)
 }
--- a/internal/codec/resp/golden_test.go
+++ b/internal/codec/resp/golden_test.go
@@ -40,17 +40,17 @@
 		goldentest.Check(t, file, Append(nil, value))
 		got, err := decode(string(goldentest.Read(t, file)), 1, Limits{})
 		if err != nil || !reflect.DeepEqual(got, []Value{value}) {
-			t.Errorf("%s: decoded as %+v, %v", name, got, err)
+			t.Errorf("%s: decoded as %+v, error %v", name, got, err)
 		}
 	}
 }
 
-// TestGoldenNaN stands apart because NaN does not equal itself.
+// TestGoldenNaN is a separate test because NaN does not equal itself.
 func TestGoldenNaN(t *testing.T) {
 	goldentest.Check(t, "nan.resp", AppendDouble(nil, math.NaN()))
 	got, err := decode(string(goldentest.Read(t, "nan.resp")), 1, Limits{})
 	if err != nil || len(got) != 1 || got[0].Kind != Double || !math.IsNaN(got[0].Float) {
-		t.Errorf("decoded as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, error %v", got, err)
 	}
 }
 
@@ -63,7 +63,7 @@
 		{Kind: BulkString},
 	}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, error %v", got, err)
 	}
 }
 
@@ -71,7 +71,7 @@
 	goldentest.Check(t, "line-ends.resp", AppendLine(nil, SimpleError, "ERR one\r\ntwo"))
 }
 
-// TestDecodeOnlyForms decodes forms that peers may send and this package never encodes.
+// TestDecodeOnlyForms decodes forms that peers may send but this package never encodes.
 func TestDecodeOnlyForms(t *testing.T) {
 	for stream, want := range map[string]Value{
 		"$-1\r\n":                    {Kind: Null},
@@ -80,7 +80,7 @@
 	} {
 		got, err := decode(stream, 1, Limits{})
 		if err != nil || !reflect.DeepEqual(got, []Value{want}) {
-			t.Errorf("%q: decoded as %+v, %v", stream, got, err)
+			t.Errorf("%q: decoded as %+v, error %v", stream, got, err)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		_, err := decode(stream, len(stream), Limits{Depth: 2, Items: 5, StringBytes: 50, MessageBytes: 80})
 		var protocolError *ProtocolError
 		if !errors.As(err, &protocolError) {
-			t.Errorf("%s: %v is no ProtocolError", name, err)
+			t.Errorf("%s: error %v, want a ProtocolError", name, err)
 		}
 		errs[name] = err
 	}
--- a/internal/codec/resp/limits.go
+++ b/internal/codec/resp/limits.go
@@ -3,12 +3,13 @@
 // Limits bounds what one message may contain. A zero or negative field takes its value from DefaultLimits.
 type Limits struct {
 	Depth        int // nesting depth of aggregates
-	Items        int // values in one message, nested ones included
+	Items        int // values in one message, including nested ones
 	StringBytes  int // bytes of one string
 	MessageBytes int // bytes of one message
 }
 
-// DefaultLimits suits peers that send commands and load reports: a table of 2,000 entries fits many times over.
+// DefaultLimits suits peers that send commands and load reports. A message within it has room for several tables of
+// 2,000 entries.
 var DefaultLimits = Limits{Depth: 8, Items: 100_000, StringBytes: 1 << 20, MessageBytes: 4 << 20}
 
 // withDefaults replaces the fields that are not set.
--- a/internal/codec/resp/reader.go
+++ b/internal/codec/resp/reader.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxLineLength bounds one line (a header, a number, a simple string) in bytes, its line end included. The
-	// longest legitimate line is the text of an error.
+	// maxLineLength bounds one line (a header, a number, a simple string) in bytes, including its line end. The
+	// longest valid line is the text of an error.
 	maxLineLength = 4096
 
 	// maxRetainedPayload is the capacity in bytes beyond which the payload buffer is released after use.
@@ -26,13 +26,13 @@
 
 	line           []byte // the start of an unfinished line
 	payload        []byte // the start of an unfinished string
-	payloadMissing int    // bytes of payload still to come, line end included; 0 while no string is open
+	payloadMissing int    // bytes of payload that have not arrived, including the line end; 0 if no string is open
 	payloadKind    Kind
 
 	aggregates   []aggregate // open aggregates, the outermost first
 	valueCount   int         // values in the current message
 	messageBytes int         // bytes of the current message
-	offset       int64       // bytes of the stream that were consumed
+	offset       int64       // number of consumed bytes of the stream
 	failure      *ProtocolError
 }
 
@@ -46,8 +46,8 @@
 	return r.failure == nil && len(r.line) == 0 && r.payloadMissing == 0 && len(r.aggregates) == 0
 }
 
-// Feed decodes the next bytes of the stream and passes each complete message to take. It stops at the first error
-// of take and returns it. A *ProtocolError is returned at once and by every later call with data.
+// Feed decodes the next bytes of the stream and passes each complete message to receive. It stops at the first
+// error of receive and returns it. A *ProtocolError is returned at once and by every later call with data.
 func (r *Reader) Feed(data []byte, take func(Value) error) error {
 	for len(data) > 0 {
 		if r.failure != nil {
@@ -106,7 +106,7 @@
 		r.line = append(r.line, line...)
 		line = r.line
 	}
-	// An invalid first byte is reported at once: such a peer may never send a line end.
+	// An invalid first byte is reported at once: the peer may never send a line end.
 	if !isKindMarker(line[0]) {
 		return nil, r.fail(fmt.Sprintf("%q opens no value", line[0]))
 	}
--- a/internal/codec/resp/reader_test.go
+++ b/internal/codec/resp/reader_test.go
@@ -22,7 +22,7 @@
 	return messages, err
 }
 
-// appendAll encodes messages one after the other.
+// appendAll encodes messages in order.
 func appendAll(messages []Value) []byte {
 	var encoded []byte
 	for _, message := range messages {
@@ -55,7 +55,7 @@
 	for _, chunkSize := range []int{1, 2, 3, 7, len(stream)} {
 		got, err := decode(string(stream), chunkSize, Limits{})
 		if err != nil || !reflect.DeepEqual(got, messages) {
-			t.Fatalf("in chunks of %d: %v, %v", chunkSize, got, err)
+			t.Fatalf("in chunks of %d bytes: decoded as %v, error %v", chunkSize, got, err)
 		}
 	}
 }
@@ -65,21 +65,21 @@
 		stream string
 		reason string
 	}{
-		"no RESP at all":                  {"GET / HTTP/1.1\r\n", "opens no value"},
-		"no RESP and no line end":         {"\x00", "opens no value"},
+		"bytes that are not RESP":         {"GET / HTTP/1.1\r\n", "opens no value"},
+		"a byte that is not RESP":         {"\x00", "opens no value"},
 		"a length of 2^62":                {"$4611686018427387904\r\n", "a string of 4611686018427387904 bytes"},
 		"a count of 2^62":                 {"*4611686018427387904\r\n", "an aggregate of"},
 		"a negative length":               {"$-2\r\n", "is no length"},
 		"nesting a thousand deep":         {strings.Repeat("*1\r\n", 1000), "nesting deeper"},
 		"a string longer than its length": {"$3\r\nabcd\r\n", "runs on past its length"},
-		"a line without end":              {"+" + strings.Repeat("x", maxLineLength), "a line of over"},
+		"a line without an end":           {"+" + strings.Repeat("x", maxLineLength), "a line of over"},
 		"a megabyte in one message": {
 			"*90000\r\n" + strings.Repeat("$10\r\n0123456789\r\n", 90000),
 			"a message of over",
 		},
 		"streamed strings":        {"$?\r\n", "is no length"},
 		"a bare line feed":        {":1\n", "without its"},
-		"aggregates inside items": {strings.Repeat("*9\r\n:1\r\n", 3), "nesting deeper"},
+		"aggregates within items": {strings.Repeat("*9\r\n:1\r\n", 3), "nesting deeper"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 				_, err := decode(test.stream, chunkSize, Limits{Depth: 2, MessageBytes: 1 << 20})
 				var protocolError *ProtocolError
 				if !errors.As(err, &protocolError) || !strings.Contains(protocolError.Reason, test.reason) {
-					t.Fatalf("in chunks of %d: %v", chunkSize, err)
+					t.Fatalf("in chunks of %d bytes: got error %v", chunkSize, err)
 				}
 			}
 		})
@@ -99,7 +99,7 @@
 	first := reader.Feed([]byte("?"), nil)
 	again := reader.Feed([]byte(":1\r\n"), nil)
 	if first == nil || again != first { //nolint:errorlint // the same error is wanted, not one that wraps it
-		t.Fatal("the stream is decoded after its protocol error: ", again)
+		t.Fatal("after a protocol error, Feed does not return the same error: ", again)
 	}
 }
 
@@ -107,12 +107,12 @@
 	got, err := decode("|1\r\n+ttl\r\n:3600\r\n*2\r\n:1\r\n|1\r\n+k\r\n+v\r\n:2\r\n", 1, Limits{})
 	want := []Value{{Kind: Array, Items: []Value{{Kind: Number, Int: 1}, {Kind: Number, Int: 2}}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%v, %v", got, err)
+		t.Fatalf("decoded as %v, error %v", got, err)
 	}
 }
 
-// FuzzReader shows that a stream decodes alike as a whole and in single bytes, and that decoded messages survive
-// another round of encoding and decoding.
+// FuzzReader checks that a stream in one chunk and in single bytes decodes to the same messages, and that encoded
+// messages decode to messages with the same encoding.
 func FuzzReader(f *testing.F) {
 	for _, seed := range []string{
 		"*2\r\n$3\r\nACK\r\n:1\r\n",
@@ -133,14 +133,15 @@
 		whole, wholeErr := decode(stream, max(len(stream), 1), limits)
 		single, singleErr := decode(stream, 1, limits)
 		if (wholeErr == nil) != (singleErr == nil) || len(whole) != len(single) {
-			t.Fatalf("whole %v %v, in single bytes %v %v", whole, wholeErr, single, singleErr)
+			t.Fatalf("in one chunk: messages %v, error %v; in single bytes: messages %v, error %v",
+				whole, wholeErr, single, singleErr)
 		}
 		encoded := appendAll(whole)
 		limits.MessageBytes = 100_000
 		again, err := decode(string(encoded), max(len(encoded), 1), limits)
 		encodedAgain := appendAll(again)
 		if err != nil || string(encoded) != string(encodedAgain) {
-			t.Fatalf("%q comes back as %q: %v", encoded, encodedAgain, err)
+			t.Fatalf("%q after decoding and encoding: %q, error %v", encoded, encodedAgain, err)
 		}
 	})
 }
--- a/internal/codec/simulator/event.go
+++ b/internal/codec/simulator/event.go
@@ -6,26 +6,26 @@
 	"peppervale/internal/model"
 )
 
-// Codes of the events that are used here.
+// Codes of the events that this package decodes. The comments give the names of the simulator's protocol first.
 const (
-	CodeTargetInstance = 2  // the following events are for this instance
-	CodeHello          = 3  // an instance starts
-	CodeRoundup        = 6  // a load report
-	CodeRosterChange   = 7  // the endpoint list, or a change to it
-	CodeTookEffect     = 8  // an acknowledgement
-	CodeBell           = 9  // a timer
-	CodeKill           = 12 // the instance has been killed
-	CodeDialledIn      = 13 // a proxy has connected
-	CodeDisconnected   = 14 // a proxy has disconnected
+	CodeTargetInstance    = 2  // TargetInstance: the following events are for this instance
+	CodeInstanceStarted   = 3  // Hello: an instance starts
+	CodeLoadReport        = 6  // Roundup: a load report
+	CodeEndpointsChanged  = 7  // RosterChange: the endpoint list, or a change to it
+	CodeAcknowledged      = 8  // TookEffect: an acknowledgement
+	CodeTimer             = 9  // Bell: a timer has expired
+	CodeInstanceKilled    = 12 // Kill: the instance has been killed
+	CodeProxyConnected    = 13 // DialledIn: a proxy has connected
+	CodeProxyDisconnected = 14 // Disconnected: a proxy has disconnected
 )
 
-// maxReadings is how many values a load report has room for.
+// maxReadings is the number of readings that fit into the record of a load report.
 const maxReadings = 4
 
-// maxExpectedRate bounds the request rate of a proxy, in requests a second.
+// maxExpectedRate bounds the request rate of a proxy, in requests per second.
 const maxExpectedRate = 1e9
 
-// Event is one record of a batch. Each method but Code is for events of one code.
+// Event is one record of a batch. Each method except Code decodes events of one code.
 type Event struct{ record, tail []byte }
 
 // Code returns the event's code.
@@ -34,8 +34,8 @@
 // fields returns a reader of the fields after the code.
 func (e Event) fields() fieldReader { return fieldReader{e.record[1:]} }
 
-// tailSection returns the section of the tail to which the next two fields point, an offset and a length; the length
-// counts units of unit bytes.
+// tailSection returns a section of the tail. The next two fields of the record are its offset in bytes and its length
+// in units of unitSize bytes.
 func (e Event) tailSection(fields *fieldReader, unit int) ([]byte, error) {
 	offset := uint64(fields.uint32())
 	size := uint64(fields.uint32()) * uint64(unit)
@@ -45,26 +45,26 @@
 	return e.tail[offset : offset+size], nil
 }
 
-// TargetInstance returns the instance that a TargetInstance names.
+// TargetInstance returns the number of the instance that the following events are for.
 func (e Event) TargetInstance() uint16 {
 	fields := e.fields()
 	return fields.uint16()
 }
 
-// Hello returns the instance's seed and its settings as JSON text, for ParseSettings.
-func (e Event) Hello() (seed uint64, settings []byte, err error) {
+// InstanceStarted returns the instance's seed and its settings as JSON text, for ParseSettings.
+func (e Event) InstanceStarted() (seed uint64, settings []byte, err error) {
 	fields := e.fields()
 	seed = fields.uint64()
 	settings, err = e.tailSection(&fields, 1)
 	return seed, settings, err
 }
 
-// endpointUpdates are the kinds of a RosterChange by their numbers.
+// endpointUpdates holds the kinds of updates of the endpoint list by their numbers in the protocol.
 var endpointUpdates = []model.EndpointUpdate{
 	model.FullList, model.ChangedEntries, model.CachedList, model.PollFailed,
 }
 
-// EndpointsChanged returns what a RosterChange reports of the endpoint list.
+// EndpointsChanged returns the kind of an update of the endpoint list and the endpoints in it.
 func (e Event) EndpointsChanged() (model.EndpointUpdate, []model.Endpoint, error) {
 	fields := e.fields()
 	update := int(fields.uint8())
@@ -84,20 +84,20 @@
 	fields := fieldReader{entry}
 	endpoint := model.Endpoint{ID: fields.replica(), Zone: int(fields.uint16())}
 	fields.skip(3)                                         // kind of machine, cell
-	endpoint.Status = model.EndpointStatus(fields.uint8()) // the numbers are the same
+	endpoint.Status = model.EndpointStatus(fields.uint8()) // the protocol uses the numbers of package model
 	fields.skip(4)                                         // size
 	endpoint.StartedAt = fields.milliseconds()
 	return endpoint
 }
 
-// Acknowledged returns the proxy and the acknowledgement sequence of a TookEffect.
+// Acknowledged returns the proxy and the acknowledgement sequence that it acknowledges.
 func (e Event) Acknowledged() (proxy model.ProxyID, sequence uint32) {
 	fields := e.fields()
 	return model.ProxyID(fields.uint16()), fields.uint32()
 }
 
-// ProxyConnected returns the proxy of a DialledIn, the index of its zone, and its expected requests a second; 0 stands
-// for a rate that is no number from 0 up to maxExpectedRate.
+// ProxyConnected returns the proxy that connected, the index of its zone, and its expected requests per second. The
+// rate is 0 if the record's value is not a number from 0 up to maxExpectedRate.
 func (e Event) ProxyConnected() (proxy model.ProxyID, zone int, expectedRate float64) {
 	fields := e.fields()
 	zone = int(fields.uint16())
@@ -110,13 +110,13 @@
 	return model.ProxyID(fields.uint16()), zone, expectedRate
 }
 
-// ProxyDisconnected returns the proxy of a Disconnected.
+// ProxyDisconnected returns the proxy that disconnected.
 func (e Event) ProxyDisconnected() model.ProxyID {
 	fields := e.fields()
 	return model.ProxyID(fields.uint16())
 }
 
-// LoadReport returns what a Roundup reports: what the proxies of a zone measured at a replica.
+// LoadReport returns the measurements of one replica by the proxies of a zone.
 func (e Event) LoadReport() model.LoadReport {
 	fields := e.fields()
 	report := model.LoadReport{
--- a/internal/codec/simulator/fields.go
+++ b/internal/codec/simulator/fields.go
@@ -7,7 +7,7 @@
 	"peppervale/internal/model"
 )
 
-// fieldReader reads a record's fields one after the other. The record must be long enough.
+// fieldReader decodes the fields of a record in order. The record must be long enough.
 type fieldReader struct{ rest []byte }
 
 func (f *fieldReader) bytes(size int) []byte {
@@ -23,10 +23,11 @@
 func (f *fieldReader) uint64() uint64   { return binary.LittleEndian.Uint64(f.bytes(8)) }
 func (f *fieldReader) float32() float64 { return float64(math.Float32frombits(f.uint32())) }
 
-// maxTime bounds the times that are read, in microseconds: some thirty years.
+// maxTime bounds the absolute value of decoded times, in microseconds: about thirty years.
 const maxTime = 1e15
 
-// milliseconds reads a time in fractional milliseconds. A value that is not finite, or not within maxTime, reads as 0.
+// milliseconds decodes a time in fractional milliseconds. The result is 0 if the value is not finite or not below
+// maxTime.
 func (f *fieldReader) milliseconds() model.Microseconds {
 	microseconds := math.Float64frombits(f.uint64()) * float64(model.Millisecond)
 	isUsable := math.Abs(microseconds) < maxTime
@@ -43,7 +44,7 @@
 	return id
 }
 
-// fieldWriter sets a record's fields one after the other. The record must be long enough.
+// fieldWriter encodes the fields of a record in order. The record must be long enough.
 type fieldWriter struct{ rest []byte }
 
 func (f *fieldWriter) bytes(size int) []byte {
--- a/internal/codec/simulator/frame.go
+++ b/internal/codec/simulator/frame.go
@@ -24,14 +24,14 @@
 
 // Batch is one frame of events.
 type Batch struct {
-	Clock   model.Microseconds // the only time that the instances know
-	Number  uint32             // that the reply has to name
+	Clock   model.Microseconds // simulated time, the only clock of the instances
+	Number  uint32             // of the batch; the reply repeats it
 	records []byte
 	tail    []byte
 }
 
-// Read reads one frame. It returns io.EOF if the input ends between frames, and another error if it ends within one or
-// if the header is wrong.
+// Read reads one frame. It returns io.EOF if the input ends between frames, and another error if the input ends within
+// a frame or the header is invalid.
 func Read(input *bufio.Reader) (*Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(input, header[:]); err != nil {
@@ -66,7 +66,7 @@
 	return events
 }
 
-// Frame returns the reply to the batch of a number as bytes to be sent.
+// Frame encodes the reply to the batch with the given number.
 func (r *Reply) Frame(number uint32) []byte {
 	length := replyHeaderSize + len(r.records) + len(r.tail)
 	frame := make([]byte, 0, length)
--- a/internal/codec/simulator/frame_test.go
+++ b/internal/codec/simulator/frame_test.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/model"
 )
 
-// testFrame returns a batch of records, each padded, at 250 ms with number 9.
+// testFrame encodes batch number 9 at 250 ms. It pads each record to its full size.
 func testFrame(tail []byte, records ...[]byte) []byte {
 	var frame []byte
 	frame = binary.LittleEndian.AppendUint32(frame, uint32(len(records)))
@@ -28,7 +28,7 @@
 
 func read(b []byte) (*Batch, error) { return Read(bufio.NewReader(bytes.NewReader(b))) }
 
-// readEvent reads a frame of one event.
+// readEvent decodes a frame with one event.
 func readEvent(t *testing.T, frame []byte) Event {
 	t.Helper()
 	batch, err := read(frame)
@@ -39,23 +39,23 @@
 }
 
 func TestReadHeader(t *testing.T) {
-	batch, err := read(testFrame(nil, []byte{CodeBell}))
+	batch, err := read(testFrame(nil, []byte{CodeTimer}))
 	if err != nil || batch.Clock != 250*model.Millisecond || batch.Number != 9 {
-		t.Fatalf("%+v, %v", batch, err)
+		t.Fatalf("got batch %+v, error %v", batch, err)
 	}
 }
 
 func TestReadRejectsWrongFrames(t *testing.T) {
-	complete := testFrame(nil, []byte{CodeBell})
+	complete := testFrame(nil, []byte{CodeTimer})
 	for name, frame := range map[string][]byte{
-		"header cut":        complete[:7],
-		"body cut":          complete[:len(complete)-1],
-		"too many records":  append([]byte{9, 0, 0, 0}, complete[4:]...),
-		"length under head": append([]byte{0, 0, 0, 0, 3, 0, 0, 0}, complete[8:]...),
+		"truncated header": complete[:7],
+		"truncated body":   complete[:len(complete)-1],
+		"too many records": append([]byte{9, 0, 0, 0}, complete[4:]...),
+		"length too small": append([]byte{0, 0, 0, 0, 3, 0, 0, 0}, complete[8:]...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := read(frame); err == nil || errors.Is(err, io.EOF) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got error %v, want an error other than EOF", err)
 			}
 		})
 	}
@@ -63,6 +63,6 @@
 
 func TestReadEndsBetweenFrames(t *testing.T) {
 	if _, err := read(nil); !errors.Is(err, io.EOF) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want EOF", err)
 	}
 }
--- a/internal/codec/simulator/golden_test.go
+++ b/internal/codec/simulator/golden_test.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/model"
 )
 
-// hexText shows bytes as lines of hexadecimal digits, a record of 24 bytes each.
+// hexText formats bytes as lines of hexadecimal digits with a record of 24 bytes each.
 func hexText(b []byte) []byte {
 	var text strings.Builder
 	for record := range slices.Chunk(b, actionSize) {
@@ -24,7 +24,7 @@
 	return []byte(text.String())
 }
 
-// readGoldenHex returns the bytes that a golden file shows as hexadecimal digits.
+// readGoldenHex returns the bytes of a golden file in hexadecimal digits.
 func readGoldenHex(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(string(goldentest.Read(t, name)), "\n", ""))
@@ -38,7 +38,7 @@
 	return model.ReplicaID{Addr: [4]byte{10, 1, 2, n}, Port: 5000 + uint16(n)}
 }
 
-// goldenBatch reads the golden frame: a record of each code, with a start text and two list entries in its tail.
+// goldenBatch reads the golden frame. It has a record of each code; its tail has settings and two endpoints.
 func goldenBatch(t *testing.T) []Event {
 	t.Helper()
 	batch, err := read(readGoldenHex(t, "batch.hex"))
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if batch.Clock != 1_234_567 || batch.Number != 0xfedcba98 {
-		t.Errorf("clock %d, number %d", batch.Clock, batch.Number)
+		t.Errorf("wrong header: clock %d, number %d", batch.Clock, batch.Number)
 	}
 	events := batch.Events()
 	codes := make([]byte, 0, len(events))
@@ -61,9 +61,9 @@
 
 func TestGoldenEvents(t *testing.T) {
 	events := goldenBatch(t)
-	seed, text, err := events[0].Hello()
+	seed, text, err := events[0].InstanceStarted()
 	if seed != 0xfe429af2f6dae94c || string(text) != `{"zones":["a"]}` || err != nil {
-		t.Errorf("hello: %x, %q, %v", seed, text, err)
+		t.Errorf("instance started: seed %x, settings %q, error %v", seed, text, err)
 	}
 	update, endpoints, err := events[1].EndpointsChanged()
 	want := []model.Endpoint{
@@ -71,13 +71,13 @@
 		{ID: replicaID(2), Zone: 3, Status: model.EndpointDraining, StartedAt: 7_000},
 	}
 	if update != model.ChangedEntries || !reflect.DeepEqual(endpoints, want) || err != nil {
-		t.Errorf("endpoint list: %v, %+v, %v", update, endpoints, err)
+		t.Errorf("endpoints changed: update %v, endpoints %+v, error %v", update, endpoints, err)
 	}
 	if proxy, sequence := events[2].Acknowledged(); proxy != 65534 || sequence != 0x01020304 {
-		t.Errorf("acknowledged: %d, %d", proxy, sequence)
+		t.Errorf("acknowledged: proxy %d, sequence %d", proxy, sequence)
 	}
 	if proxy, zone, rate := events[3].ProxyConnected(); proxy != 513 || zone != 4 || rate != 21.5 {
-		t.Errorf("connected: %d, %d, %v", proxy, zone, rate)
+		t.Errorf("proxy connected: proxy %d, zone %d, rate %v", proxy, zone, rate)
 	}
 	report := model.LoadReport{
 		Zone: 2, Replica: replicaID(3), Attempts: 1 << 31, Errors: 70_000, MeanLatency: 12_500, Window: model.Second,
@@ -87,11 +87,11 @@
 		t.Errorf("load report: %+v", got)
 	}
 	if proxy, target := events[5].ProxyDisconnected(), events[8].TargetInstance(); proxy != 772 || target != 9 {
-		t.Errorf("disconnected %d, target %d", proxy, target)
+		t.Errorf("disconnected proxy %d, target instance %d", proxy, target)
 	}
 }
 
-// goldenEvent pads a record.
+// goldenEvent encodes a record and pads it to its full size.
 func goldenEvent(code byte, fields ...any) []byte {
 	record := []byte{code}
 	for _, field := range fields {
@@ -100,14 +100,14 @@
 	return append(record, make([]byte, eventSize-len(record))...)
 }
 
-// goldenEndpoint is an entry of a list.
+// goldenEndpoint encodes an endpoint.
 func goldenEndpoint(id model.ReplicaID, zone uint16, status byte, startedAt float64) []byte {
 	entry, _ := binary.Append(id.Addr[:], binary.LittleEndian, []uint16{id.Port, zone})
 	entry = append(entry, 0, 0, 0, status, 0, 0, 0, 0)
 	return binary.LittleEndian.AppendUint64(entry, math.Float64bits(startedAt))
 }
 
-// TestGoldenFrame builds the golden frame from its values, so that the file can be read by its source.
+// TestGoldenFrame encodes the golden frame from its values, so that the source documents the content of the file.
 func TestGoldenFrame(t *testing.T) {
 	hello := `{"zones":["a"]}`
 	tail := append([]byte(hello), goldenEndpoint(replicaID(1), 258, 1, 1500.25)...)
@@ -127,7 +127,7 @@
 	goldentest.Check(t, "batch.hex", hexText(slices.Concat(head, records, tail)))
 }
 
-// TestGoldenReply writes each action once, some of them appended from another reply.
+// TestGoldenReply encodes each action, some of them appended from another reply.
 func TestGoldenReply(t *testing.T) {
 	first, second := &Reply{}, &Reply{}
 	first.Log("first")
@@ -147,7 +147,7 @@
 }
 
 func TestGoldenErrorsOfFrames(t *testing.T) {
-	whole := testFrame(nil, []byte{CodeBell})
+	whole := testFrame(nil, []byte{CodeTimer})
 	readError := func(b []byte) error {
 		_, err := read(b)
 		return err
@@ -165,12 +165,12 @@
 		"header cut":       readError(whole[:7]),
 		"body cut":         readError(whole[:len(whole)-1]),
 		"too many records": readError(append([]byte{9, 0, 0, 0}, whole[4:]...)),
-		"scope":            listError([]byte{CodeRosterChange, 4}),
-		"offset":           listError([]byte{CodeRosterChange, 0, 0, 0, 0, 0, 5, 0, 0, 0, 1}),
+		"scope":            listError([]byte{CodeEndpointsChanged, 4}),
+		"offset":           listError([]byte{CodeEndpointsChanged, 0, 0, 0, 0, 0, 5, 0, 0, 0, 1}),
 	})
 }
 
-// goldenConfig is what the golden settings mean.
+// goldenConfig is the configuration of the golden settings.
 var goldenConfig = model.Config{
 	Seed: 0xfe429af2f6dae94c, Zones: 2, SubscriptionRequired: true, AdmissionControl: true, FullQuota: 1,
 	ProxiesAvoidFailing: true, StandingTableSize: 7,
@@ -186,11 +186,11 @@
 func TestGoldenSettings(t *testing.T) {
 	got, err := ParseSettings(0xfe429af2f6dae94c, goldentest.Read(t, "settings.json"))
 	if err != nil || !reflect.DeepEqual(got, goldenConfig) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-// goldenMistakes are edits of the golden settings, each with one error.
+// goldenMistakes holds edits of the golden settings. Each edit makes one setting invalid.
 var goldenMistakes = map[string][2]string{
 	"no object":           {"{", "["},
 	"another type":        {`"period": 1000.25`, `"period": "x"`},
@@ -221,7 +221,7 @@
 	for name, edit := range goldenMistakes {
 		text := strings.Replace(settings, edit[0], edit[1], 1)
 		if text == settings {
-			t.Fatalf("%s: nothing to edit", name)
+			t.Fatalf("%s: the text to edit is not in the settings", name)
 		}
 		_, errs[name] = ParseSettings(1, []byte(text))
 	}
--- a/internal/codec/simulator/reply.go
+++ b/internal/codec/simulator/reply.go
@@ -6,30 +6,30 @@
 	"peppervale/internal/model"
 )
 
-// Codes of the actions that are used here.
+// Codes of the actions that this package encodes. The comments give the names of the simulator's protocol.
 const (
-	actionAssign     = 1
-	actionSayLog     = 5
-	actionAskReceipt = 6
-	actionLevel      = 7
-	actionFollow     = 9
-	actionException  = 10
-	actionWithdraw   = 11
-	actionOnBehalf   = 12
-	actionWakeAt     = 13
-	actionInstall    = 14
+	actionAssign     = 1  // Assign
+	actionSayLog     = 5  // SayLog
+	actionAskReceipt = 6  // AskReceipt
+	actionLevel      = 7  // Level
+	actionFollow     = 9  // Follow
+	actionException  = 10 // Exception
+	actionWithdraw   = 11 // Withdraw
+	actionOnBehalf   = 12 // OnBehalf
+	actionWakeAt     = 13 // WakeAt
+	actionInstall    = 14 // Install
 )
 
-// allTables stands for a table in a Level that is for all connected proxies.
+// allTables is the table number of a quota that applies to all connected proxies.
 const allTables = 65535
 
-// Reply gathers the actions that answer a batch. It is the publisher of the instances' balancers. The zero Reply is
-// empty.
+// Reply collects the actions that respond to a batch. It is the publisher of the instances' balancers. The zero Reply
+// is empty and ready to use.
 type Reply struct{ records, tail []byte }
 
 var _ model.Publisher = (*Reply)(nil)
 
-// action adds a record and returns a writer of the fields after its code.
+// action appends a record and returns a writer of the fields after its code.
 func (r *Reply) action(code byte) fieldWriter {
 	start := len(r.records)
 	r.records = append(r.records, make([]byte, actionSize)...)
@@ -37,7 +37,7 @@
 	return fieldWriter{r.records[start+1:]}
 }
 
-// textAction adds a record with a text, which goes into the tail.
+// textAction appends a record and puts its text into the tail.
 func (r *Reply) textAction(code byte, text string) {
 	fields := r.action(code)
 	fields.uint32(uint32(len(r.tail)))
@@ -54,7 +54,7 @@
 	fields.uint16(instance)
 }
 
-// Exception reports that an instance has failed; the simulation ends with this text.
+// Exception reports that an instance has failed; the simulation ends and shows the message.
 func (r *Reply) Exception(message string) { r.textAction(actionException, message) }
 
 // Log implements model.Publisher.
@@ -74,8 +74,8 @@
 	fields.replica(replica)
 }
 
-// BindProxy implements model.Publisher. The simulator's proxies forget the withdrawals of other controllers as they are
-// bound, so they are not notified of readmitted replicas.
+// BindProxy implements model.Publisher. The simulator's proxies drop the withdrawals of other controllers when they are
+// bound, so the readmitted replicas are not sent.
 func (r *Reply) BindProxy(proxy model.ProxyID, table model.TableID, operations uint16, _ []model.ReplicaID) {
 	fields := r.action(actionInstall)
 	fields.uint16(uint16(proxy))
@@ -112,8 +112,8 @@
 	fields.milliseconds(delay)
 }
 
-// Append adds another reply's actions, which stays as it is. Their text offsets are moved behind the texts of this
-// reply.
+// Append appends the actions of another reply and does not modify it. The texts of the other reply follow the texts of
+// this one.
 func (r *Reply) Append(other *Reply) {
 	start := len(r.records)
 	r.records = append(r.records, other.records...)
--- a/internal/codec/simulator/reply_test.go
+++ b/internal/codec/simulator/reply_test.go
@@ -13,7 +13,7 @@
 	reply := &Reply{}
 	reply.BindProxy(258, 3, 6, nil)
 	if record := reply.Frame(1)[replyHeaderSize:]; !bytes.Equal(record[:7], []byte{14, 2, 1, 3, 0, 6, 0}) {
-		t.Fatalf("% x", record[:7])
+		t.Fatalf("wrong record: % x", record[:7])
 	}
 }
 
@@ -26,14 +26,14 @@
 	all.Append(one)
 	frame := all.Frame(12)
 	if binary.LittleEndian.Uint32(frame) != uint32(len(frame)-4) || frame[4] != 4 || frame[8] != 12 {
-		t.Fatalf("header % x", frame[:12])
+		t.Fatalf("wrong header: % x", frame[:12])
 	}
 	weight := frame[12+2*actionSize:]
 	if want := []byte{1, 7, 0, 0, 0, 0, 0x3f, 1, 2, 3, 4, 5, 0}; !bytes.Equal(weight[:13], want) {
-		t.Fatalf("weight % x", weight[:13])
+		t.Fatalf("wrong weight: % x", weight[:13])
 	}
 	text := frame[12+3*actionSize:]
 	if text[1] != 5 || text[5] != 2 || !strings.HasSuffix(string(frame), "firsthi") {
-		t.Fatal("the second text is not moved behind the first")
+		t.Fatal("the text of the other reply does not follow the text of this reply")
 	}
 }
--- a/internal/codec/simulator/settings.go
+++ b/internal/codec/simulator/settings.go
@@ -10,8 +10,8 @@
 	"peppervale/internal/model"
 )
 
-// options are the settings as the simulator sends them; times are in milliseconds. The text of a decoding error
-// contains the name of this type and shows that the nested ones have none, so neither may change.
+// options holds the settings as the simulator sends them, with times in milliseconds. Decoding errors are sent to the
+// simulator and contain the name of this type. The name must not change, and the nested types must stay unnamed.
 type options struct {
 	Zones      []string `json:"zones"`
 	Membership string   `json:"membership_mode"`
@@ -50,18 +50,18 @@
 const (
 	membershipSubscribe = "subscribe" // the endpoint list is sent only to subscribers
 	admissionFraction   = "ratio"     // quotas are fractions
-	admissionRate       = "rps"       // quotas are requests a second
+	admissionRate       = "rps"       // quotas are requests per second
 	statsInReports      = "piggyback" // load reports carry the replicas' readings
 	fieldUtilization    = "cpu_share"
 )
 
-// maxFigure bounds every number: a duration of 11 days, or as many entries. A number beyond it is a mistake, and sums
-// of such numbers would not fit their types.
+// maxFigure bounds every number of the settings: a count, or a duration in milliseconds (11 days). Larger values are
+// mistakes, and their sums could overflow.
 const maxFigure = 1e9
 
 func isInRange(figure float64) bool { return figure >= 0 && figure <= maxFigure }
 
-// ParseSettings decodes an instance's settings. Unknown keys are skipped. The error says which setting is wrong.
+// ParseSettings decodes an instance's settings. Unknown keys are ignored. The error names the invalid setting.
 func ParseSettings(seed uint64, text []byte) (model.Config, error) {
 	var decoded options
 	err := json.Unmarshal(text, &decoded)
@@ -85,7 +85,8 @@
 	return o.checkClasses()
 }
 
-// checkRequired returns an error if a required setting is missing, or if settings contradict each other.
+// checkRequired returns an error if a required setting is missing or not supported, or if settings contradict each
+// other.
 func (o *options) checkRequired() error {
 	extra := &o.Extra
 	switch {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// config converts settings that check has passed.
+// config converts settings for which check returned no error.
 func (o *options) config(seed uint64) model.Config {
 	config := model.Config{
 		Seed:                  seed,
@@ -177,7 +178,7 @@
 	return config
 }
 
-// zoneLocalOperations returns the mask of the classes that stay in the proxy's zone.
+// zoneLocalOperations returns the operations whose requests stay in the proxy's zone: bit n is set for operation n.
 func (o *options) zoneLocalOperations() uint16 {
 	mask := uint16(0)
 	for i, isZoneLocal := range o.Extra.ZoneLocal {
@@ -188,7 +189,8 @@
 	return mask
 }
 
-// utilizationField returns -1 if load reports do not contain the CPU utilization.
+// utilizationField returns the index of the CPU utilization among the readings of a load report, or -1 if load reports
+// do not contain it.
 func (o *options) utilizationField() int {
 	if o.Stats.How != statsInReports {
 		return -1
