--- a/internal/invariants/result.go
+++ b/internal/invariants/result.go
@@ -19,7 +19,7 @@
 // invariantNames are all invariants in the order of their results.
 var invariantNames = []string{EmptyTable, RepeatedEffect, LateDrain, ColdOverload, LongQueue, SharedEpoch}
 
-// Result is the result of one invariant. Nearest is how near the run came to the limit, as a share of it, and Where
+// Result is the result of one invariant. MaxRatio is how near the run came to the limit, as a share of it, and Where
 // describes that observation.
 type Result struct {
 	Invariant  string   `json:"rule"`
