--- a/internal/codec/consulcatalog/golden_test.go
+++ b/internal/codec/consulcatalog/golden_test.go
@@ -21,7 +21,7 @@
 	Checks: []Check{{Node: "node-1", CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"}},
 }
 
-func TestGoldenEntry(t *testing.T) {
+func TestEntryMatchesGoldenFile(t *testing.T) {
 	text, err := json.MarshalIndent(goldenEntry, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -33,8 +33,9 @@
 	}
 }
 
-// TestGoldenList parses an entry of each status, one of them with its node's address, and three invalid entries.
-func TestGoldenList(t *testing.T) {
+// TestParsedListMatchesGoldenFile parses an entry of each status, one of them with its node's address, and three
+// invalid entries.
+func TestParsedListMatchesGoldenFile(t *testing.T) {
 	id := func(n byte) model.ReplicaID {
 		return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 7601}
 	}
@@ -50,7 +51,7 @@
 	}
 }
 
-func TestGoldenErrors(t *testing.T) {
+func TestErrorsMatchGoldenFile(t *testing.T) {
 	parse := func(text string) error {
 		_, _, err := Parse([]byte(text), []string{"govan"})
 		return err
--- a/internal/codec/consulcatalog/parse_test.go
+++ b/internal/codec/consulcatalog/parse_test.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/model"
 )
 
-func TestStatusOfChecks(t *testing.T) {
+func TestMaintenanceOutranksCriticalChecks(t *testing.T) {
 	passing := Check{CheckID: "serfHealth", Status: "passing"}
 	critical := Check{CheckID: "serfHealth", Status: "critical"}
 	nodeMaintenance := Check{CheckID: "_node_maintenance", Status: "critical"}
--- a/internal/codec/http1/golden_test.go
+++ b/internal/codec/http1/golden_test.go
@@ -62,7 +62,7 @@
 	},
 }
 
-func TestGoldenMessages(t *testing.T) {
+func TestMessagesMatchGoldenFiles(t *testing.T) {
 	for file, message := range goldenMessages {
 		if message.encoded != nil {
 			goldentest.Check(t, file, message.encoded)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestGoldenReasonPhrases encodes a response for each status code that has a reason phrase, and for one without.
-func TestGoldenReasonPhrases(t *testing.T) {
+// TestReasonPhrasesMatchGoldenFile encodes a response for each status code with a reason phrase and for one without.
+func TestReasonPhrasesMatchGoldenFile(t *testing.T) {
 	var all []byte
 	for _, status := range []int{200, 400, 404, 413, 429, 431, 500, 501, 503, 505, 418} {
 		all = AppendResponse(all, status, nil)
@@ -104,7 +104,7 @@
 	"chunk longer than its size":          "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc",
 }
 
-func TestGoldenProtocolErrors(t *testing.T) {
+func TestProtocolErrorsMatchGoldenFile(t *testing.T) {
 	errs := map[string]error{}
 	for name, stream := range malformedStreams {
 		_, err := parse(stream, strings.Contains(name, "response"), len(stream))
--- a/internal/codec/http1/head.go
+++ b/internal/codec/http1/head.go
@@ -15,13 +15,13 @@
 )
 
 // parseLine parses a line without its line end. The state of the parser determines the kind of the line.
-func (p *Parser) parseLine(text string, take func(*Message) error) error {
+func (p *Parser) parseLine(text string, receive func(*Message) error) error {
 	switch {
 	case p.state == inChunkSize:
 		return p.parseChunkSize(text)
 	case p.state == inTrailer:
 		if text == "" {
-			return p.deliver(take)
+			return p.deliver(receive)
 		}
 		return nil
 	case p.message == nil:
@@ -30,7 +30,7 @@
 		}
 		return p.parseStartLine(text)
 	case text == "":
-		return p.endHead(take)
+		return p.endHead(receive)
 	default:
 		return p.parseField(text)
 	}
@@ -90,7 +90,7 @@
 }
 
 // endHead decides by the header how the body is delimited. A message without a body is complete.
-func (p *Parser) endHead(take func(*Message) error) error {
+func (p *Parser) endHead(receive func(*Message) error) error {
 	message := p.message
 	message.applyConnectionHeader()
 	length, hasLength := message.Header[headerContentLength]
@@ -98,7 +98,7 @@
 	p.lineBytes = 0
 	switch {
 	case p.responses && statusHasNoBody(message.Status):
-		return p.deliver(take)
+		return p.deliver(receive)
 	case hasCoding && hasLength:
 		return p.fail(http.StatusBadRequest, "both Content-Length and Transfer-Encoding are present")
 	case hasCoding && !strings.EqualFold(coding, "chunked"):
@@ -111,7 +111,7 @@
 	case p.responses:
 		return p.fail(http.StatusBadRequest, "response has neither Content-Length nor Transfer-Encoding")
 	default:
-		return p.deliver(take)
+		return p.deliver(receive)
 	}
 }
 
@@ -130,7 +130,7 @@
 		return p.fail(http.StatusRequestEntityTooLarge, "body has %d bytes; at most %d are accepted", length, p.limits.Body)
 	}
 	p.state = inBody
-	p.missing = int(length)
+	p.remaining = int(length)
 	return nil
 }
 
@@ -150,7 +150,7 @@
 		p.lineBytes = 0
 		return nil
 	}
-	p.state = inChunk
-	p.missing = int(size) + len(lineEnd)
+	p.state = inChunkData
+	p.remaining = int(size) + len(lineEnd)
 	return nil
 }
--- a/internal/codec/http1/parser.go
+++ b/internal/codec/http1/parser.go
@@ -27,8 +27,8 @@
 	inHead parserState = iota
 	inBody
 	inChunkSize
-	inChunk   // a chunk and its line end
-	inTrailer // lines after the last chunk
+	inChunkData // a chunk and its line end
+	inTrailer   // lines after the last chunk
 )
 
 // Parser parses one direction of a connection. It is created by NewParser and is not safe for concurrent use.
@@ -39,7 +39,7 @@
 	state     parserState
 	line      []byte // the start of an unfinished line
 	lineBytes int    // bytes received of the head, of a chunk size line or of the trailer
-	missing   int    // bytes of the body or the chunk that have not arrived
+	remaining int    // bytes of the body or the chunk that have not arrived
 	message   *Message
 	failure   error
 
@@ -67,17 +67,17 @@
 
 // Feed parses the next bytes of the stream and passes each complete message to receive. It stops at the first error
 // of receive or Stream and returns it. A *ProtocolError is returned at once and by every later call.
-func (p *Parser) Feed(data []byte, take func(*Message) error) error {
+func (p *Parser) Feed(data []byte, receive func(*Message) error) error {
 	for len(data) > 0 || p.atEmptyBody() {
 		if p.failure != nil {
 			return p.failure
 		}
 		var err error
 		switch p.state {
-		case inBody, inChunk:
-			data, err = p.feedContent(data, take)
+		case inBody, inChunkData:
+			data, err = p.feedContent(data, receive)
 		default:
-			data, err = p.feedLine(data, take)
+			data, err = p.feedLine(data, receive)
 		}
 		if err != nil {
 			return err
@@ -88,27 +88,27 @@
 
 // atEmptyBody reports whether the message has an empty body, so that it is complete without further bytes.
 func (p *Parser) atEmptyBody() bool {
-	return p.state == inBody && p.missing == 0
+	return p.state == inBody && p.remaining == 0
 }
 
 // feedContent consumes bytes of a body of known length, or of a chunk with its line end. It returns the bytes that
 // follow.
-func (p *Parser) feedContent(data []byte, take func(*Message) error) ([]byte, error) {
+func (p *Parser) feedContent(data []byte, receive func(*Message) error) ([]byte, error) {
 	// The line end of a streamed chunk is collected like the line end of any other chunk.
-	if p.state == inChunk && p.Stream != nil && p.missing > len(lineEnd) {
-		n := min(p.missing-len(lineEnd), len(data))
-		p.missing -= n
+	if p.state == inChunkData && p.Stream != nil && p.remaining > len(lineEnd) {
+		n := min(p.remaining-len(lineEnd), len(data))
+		p.remaining -= n
 		return data[n:], p.Stream(p.message, data[:n])
 	}
-	n := min(p.missing, len(data))
+	n := min(p.remaining, len(data))
 	p.message.Body = append(p.message.Body, data[:n]...)
-	p.missing -= n
+	p.remaining -= n
 	rest := data[n:]
-	if p.missing > 0 {
+	if p.remaining > 0 {
 		return rest, nil
 	}
 	if p.state == inBody {
-		return rest, p.deliver(take)
+		return rest, p.deliver(receive)
 	}
 	body, terminated := bytes.CutSuffix(p.message.Body, []byte(lineEnd))
 	if !terminated {
@@ -121,7 +121,7 @@
 }
 
 // feedLine consumes bytes up to the end of a line and parses the line. It returns the bytes that follow.
-func (p *Parser) feedLine(data []byte, take func(*Message) error) ([]byte, error) {
+func (p *Parser) feedLine(data []byte, receive func(*Message) error) ([]byte, error) {
 	n := len(data)
 	newline := bytes.IndexByte(data, '\n')
 	complete := newline >= 0
@@ -146,7 +146,7 @@
 	}
 	text := string(bytes.TrimSuffix(line[:len(line)-1], []byte("\r")))
 	p.line = p.line[:0]
-	return data[n:], p.parseLine(text, take)
+	return data[n:], p.parseLine(text, receive)
 }
 
 // canStartMessage reports whether a message or one of the empty lines before it may start with the byte.
@@ -155,13 +155,13 @@
 }
 
 // deliver passes the complete message to receive and resets the state for the next message.
-func (p *Parser) deliver(take func(*Message) error) error {
+func (p *Parser) deliver(receive func(*Message) error) error {
 	message := p.message
 	p.message = nil
 	p.state = inHead
 	p.lineBytes = 0
-	p.missing = 0
-	return take(message)
+	p.remaining = 0
+	return receive(message)
 }
 
 // fail puts the Parser into its final state and returns the error.
--- a/internal/codec/http1/parser_test.go
+++ b/internal/codec/http1/parser_test.go
@@ -13,10 +13,10 @@
 var testLimits = Limits{Head: 400, Body: 2000}
 
 // feedInChunks feeds a stream to the parser in chunks of one size until the first error.
-func feedInChunks(parser *Parser, stream string, chunkSize int, take func(*Message) error) error {
+func feedInChunks(parser *Parser, stream string, chunkSize int, receive func(*Message) error) error {
 	for len(stream) > 0 {
 		n := min(chunkSize, len(stream))
-		if err := parser.Feed([]byte(stream[:n]), take); err != nil {
+		if err := parser.Feed([]byte(stream[:n]), receive); err != nil {
 			return err
 		}
 		stream = stream[n:]
@@ -34,7 +34,7 @@
 	return messages, err
 }
 
-func TestChunkSizeDoesNotMatter(t *testing.T) {
+func TestParsedMessagesAreTheSameForAnyChunkSize(t *testing.T) {
 	stream := "\r\nPOST /a?b HTTP/1.1\r\nHost: x\r\nX-A: 1\r\nx-a:  2\r\nContent-Length: 5\r\n\r\nhello" +
 		"GET / HTTP/1.1\r\nConnection: close\r\n\r\n" +
 		"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: 1\r\n\r\n" +
@@ -106,13 +106,13 @@
 	f.Add("PUT / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
 	f.Add("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	f.Fuzz(func(t *testing.T, stream string) {
-		whole, wholeErr := parse(stream, false, max(len(stream), 1))
-		single, singleErr := parse(stream, false, 1)
-		if (wholeErr == nil) != (singleErr == nil) || len(whole) != len(single) {
+		fromOneChunk, oneChunkErr := parse(stream, false, max(len(stream), 1))
+		fromSingleBytes, singleBytesErr := parse(stream, false, 1)
+		if (oneChunkErr == nil) != (singleBytesErr == nil) || len(fromOneChunk) != len(fromSingleBytes) {
 			t.Fatalf("in one chunk: %d messages, error %v; in single bytes: %d messages, error %v",
-				len(whole), wholeErr, len(single), singleErr)
+				len(fromOneChunk), oneChunkErr, len(fromSingleBytes), singleBytesErr)
 		}
-		if len(whole) == 0 {
+		if len(fromOneChunk) == 0 {
 			return
 		}
 		request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(stream)))
@@ -120,14 +120,15 @@
 			return // net/http is stricter about targets and hosts
 		}
 		body, err := io.ReadAll(request.Body)
-		if err == nil && request.Method == whole[0].Method && !bytes.Equal(body, whole[0].Body) {
-			t.Fatalf("body %q, want %q as parsed by net/http", whole[0].Body, body)
+		if err == nil && request.Method == fromOneChunk[0].Method && !bytes.Equal(body, fromOneChunk[0].Body) {
+			t.Fatalf("body %q, want %q as parsed by net/http", fromOneChunk[0].Body, body)
 		}
 	})
 }
 
-// TestStreamedBodyIsNotCollected checks that Stream receives content as it arrives, even beyond the body limit.
-func TestStreamedBodyIsNotCollected(t *testing.T) {
+// TestStreamReceivesContentBeyondBodyLimit checks that Stream receives content as it arrives, and that the content is
+// not collected.
+func TestStreamReceivesContentBeyondBodyLimit(t *testing.T) {
 	content := strings.Repeat("x", 1500)
 	stream := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		strings.Repeat("5dc\r\n"+content+"\r\n", 3) + "1\r\n!\r\n0\r\n\r\n"
--- a/internal/codec/platformmsg/append_test.go
+++ b/internal/codec/platformmsg/append_test.go
@@ -30,7 +30,7 @@
 	return parts
 }
 
-func TestUpdateParts(t *testing.T) {
+func TestAppendSplitsUpdateIntoParts(t *testing.T) {
 	tests := map[string]struct {
 		update Update
 		want   []string
--- a/internal/codec/platformmsg/golden_test.go
+++ b/internal/codec/platformmsg/golden_test.go
@@ -26,7 +26,7 @@
 	"usage.resp": {Kind: KindUsage, Proxy: 17, Operation: "lookup", Attempts: 19, Errors: 2, Window: 1_000_500},
 }
 
-func TestGoldenMessages(t *testing.T) {
+func TestParsedMessagesMatchGoldenFiles(t *testing.T) {
 	for file, want := range goldenMessages {
 		values, err := decode(t, goldentest.Read(t, file), MessageLimits)
 		if err != nil || len(values) != 1 {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestGoldenAnswers(t *testing.T) {
+func TestResponsesMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, "pong.resp", AppendPong(nil))
 	goldentest.Check(t, "refused.resp", AppendRejection(nil, "a reason longer than the forty bytes that are told"))
 }
@@ -60,7 +60,7 @@
 	AckSequence: 905,
 }
 
-func TestGoldenUpdates(t *testing.T) {
+func TestUpdatesMatchGoldenFiles(t *testing.T) {
 	for file, update := range map[string]Update{"update.resp": goldenUpdate, "empty-update.resp": {AckSequence: -1}} {
 		got, err := update.Append(nil)
 		if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestGoldenList(t *testing.T) {
+func TestParsedEndpointListMatchesGoldenFile(t *testing.T) {
 	want := &EndpointList{Version: math.MaxUint64, Full: true, Skipped: 1, Endpoints: []Endpoint{
 		{Name: "s-1", Zone: "govan", Status: model.EndpointDraining, StartedAt: 1_796_152_905_047_500},
 		{Name: "s-2", Zone: "partick", Status: model.EndpointReady, StartedAt: 1000},
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestGoldenErrorsOfMessages(t *testing.T) {
+func TestMessageErrorsMatchGoldenFile(t *testing.T) {
 	errs := map[string]error{}
 	for _, line := range []string{
 		"collector",
@@ -109,7 +109,7 @@
 	goldentest.CheckJSONErrors(t, "message-errors.txt", errs)
 }
 
-func TestGoldenErrorsOfLists(t *testing.T) {
+func TestEndpointListErrorsMatchGoldenFile(t *testing.T) {
 	errs := map[string]error{}
 	for _, text := range []string{
 		"",
--- a/internal/codec/platformmsg/parse.go
+++ b/internal/codec/platformmsg/parse.go
@@ -29,11 +29,11 @@
 	case KindCollector:
 		message.Zone = fields.text("site")
 	case KindProxyJoined:
-		parseJoined(fields, &message)
+		parseProxyJoined(fields, &message)
 	case KindAcknowledgement:
-		parseApplied(fields, &message)
+		parseAcknowledgement(fields, &message)
 	case KindLoadReport:
-		parseHeard(fields, &message)
+		parseLoadReport(fields, &message)
 	case KindUsage:
 		parseUsage(fields, &message)
 	default:
@@ -46,20 +46,20 @@
 	return message, nil
 }
 
-func parseJoined(fields *fieldParser, message *Message) {
+func parseProxyJoined(fields *fieldParser, message *Message) {
 	message.Proxy = fields.integer("id", math.MaxUint16)
 	message.Zone = fields.text("site")
 	message.ExpectedRate = fields.number("rps", maxExpectedRate)
 	message.OnStandingTable = fields.flag("new")
 }
 
-func parseApplied(fields *fieldParser, message *Message) {
+func parseAcknowledgement(fields *fieldParser, message *Message) {
 	message.Proxy = fields.integer("id", math.MaxUint16)
 	message.AckSequence = uint32(fields.integer("seq", math.MaxUint16))
 	fields.duration("ms") // validated only
 }
 
-func parseHeard(fields *fieldParser, message *Message) {
+func parseLoadReport(fields *fieldParser, message *Message) {
 	message.Zone = fields.text("site")
 	message.Replica = fields.text("target")
 	message.MeanLatency = fields.duration("mean")
--- a/internal/codec/platformmsg/parse_test.go
+++ b/internal/codec/platformmsg/parse_test.go
@@ -32,8 +32,8 @@
 	return Parse(values[0])
 }
 
-// TestMessages parses the examples of the platform's documentation, and messages that are unusual but valid.
-func TestMessages(t *testing.T) {
+// TestParseReturnsValidMessages parses the examples of the platform's documentation and unusual but valid messages.
+func TestParseReturnsValidMessages(t *testing.T) {
 	for line, want := range map[string]Message{
 		"ping":             {Kind: KindPing},
 		"collector site a": {Kind: KindCollector, Zone: "a"},
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestMalformedFieldIsNamed(t *testing.T) {
+func TestParseErrorNamesMalformedField(t *testing.T) {
 	for line, field := range map[string]string{
 		"joined id 17 site a rps 21.5":                                     "new",
 		"joined id -1 site a rps 21.5 new 1":                               "id",
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestOtherFieldsOfAnInvalidMessage checks that a malformed acknowledgement still identifies the proxy.
-func TestOtherFieldsOfAnInvalidMessage(t *testing.T) {
+// TestParseKeepsValidFieldsOfInvalidMessage checks that a malformed acknowledgement still identifies the proxy.
+func TestParseKeepsValidFieldsOfInvalidMessage(t *testing.T) {
 	got, err := parseLine(t, "applied id 17 seq 905 ms x")
 	want := Message{Kind: KindAcknowledgement, Proxy: 17, AckSequence: 905}
 	if err == nil || !reflect.DeepEqual(got, want) {
--- a/internal/codec/pubsubmsg/golden_test.go
+++ b/internal/codec/pubsubmsg/golden_test.go
@@ -50,7 +50,7 @@
 	{Replica: replicaID(2), Attempts: 1, Errors: 1, MeanLatency: 2, Readings: []float64{7}},
 }}
 
-func TestGoldenMessages(t *testing.T) {
+func TestMessagesMatchGoldenFiles(t *testing.T) {
 	for file, message := range map[string]Message{"snapshot.resp": goldenSnapshot, "change.resp": goldenChange} {
 		goldentest.Check(t, file, Append(nil, &message))
 		got, err := Parse(decodeOne(t, goldentest.Read(t, file)))
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestGoldenJoin(t *testing.T) {
+func TestJoinMatchesGoldenFile(t *testing.T) {
 	goldentest.Check(t, "join.resp", AppendJoin(nil, goldenJoin))
 	words := decodeOne(t, goldentest.Read(t, "join.resp")).Items[1:]
 	if got, err := ParseJoin(words); err != nil || got != goldenJoin {
@@ -73,14 +73,14 @@
 	}
 }
 
-func TestGoldenAck(t *testing.T) {
+func TestAckMatchesGoldenFile(t *testing.T) {
 	goldentest.Check(t, "ack.resp", AppendAck(nil, goldenAck))
 	if got, err := ParseAck(decodeOne(t, goldentest.Read(t, "ack.resp")).Items[1:]); err != nil || got != goldenAck {
 		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-func TestGoldenLoadReports(t *testing.T) {
+func TestLoadReportsMatchGoldenFile(t *testing.T) {
 	goldentest.Check(t, "sums.resp", AppendLoadReports(nil, goldenLoadReports))
 	got, err := ParseLoadReports(decodeOne(t, goldentest.Read(t, "sums.resp")).Items[1:])
 	if err != nil || !reflect.DeepEqual(got, goldenLoadReports) {
@@ -96,7 +96,7 @@
 	return errorOf(Parse(value))
 }
 
-func TestGoldenErrorsOfMessages(t *testing.T) {
+func TestMessageErrorsMatchGoldenFile(t *testing.T) {
 	short := resp.Value{Kind: resp.Push, Items: arguments("change", "1")}
 	goldentest.CheckErrors(t, "table-errors.txt", map[string]error{
 		"missing values":           errorOf(Parse(short)),
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestGoldenErrorsOfCommands(t *testing.T) {
+func TestCommandErrorsMatchGoldenFile(t *testing.T) {
 	sums := func(readings int, texts ...string) error {
 		values := append(arguments(texts...), resp.Value{Items: make([]resp.Value, readings)})
 		return errorOf(ParseLoadReports(values))
--- a/internal/codec/pubsubmsg/parse_test.go
+++ b/internal/codec/pubsubmsg/parse_test.go
@@ -44,7 +44,7 @@
 	return err
 }
 
-func TestMessageSurvivesEncoding(t *testing.T) {
+func TestMessageIsUnchangedAfterEncodingAndParsing(t *testing.T) {
 	want := &Message{
 		Full: true, Incarnation: 3, PreviousVersion: 7, Version: 9, UpdatedAt: 1_790_000_000_000_000, Cost: 14,
 		AckSequence: 65535, Bound: true, Table: 65534, Epoch: 1 << 40,
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestJoinSurvivesEncoding(t *testing.T) {
+func TestJoinIsUnchangedAfterEncodingAndParsing(t *testing.T) {
 	want := Join{
 		Name: "till 7", Zone: "govan", ExpectedRate: 3.25, OnStandingTable: true,
 		Incarnation: 4, Version: 5, Epoch: 6,
@@ -67,14 +67,14 @@
 	}
 }
 
-func TestAckSurvivesEncoding(t *testing.T) {
+func TestAckIsUnchangedAfterEncodingAndParsing(t *testing.T) {
 	want := Ack{Incarnation: 4, Version: 5, Sequence: -1}
 	if got, err := ParseAck(decodeOne(t, AppendAck(nil, want)).Items[1:]); err != nil || got != want {
 		t.Fatalf("parsed as %+v, error %v", got, err)
 	}
 }
 
-func TestLoadReportsSurviveEncoding(t *testing.T) {
+func TestLoadReportsAreUnchangedAfterEncodingAndParsing(t *testing.T) {
 	want := LoadReports{Sequence: 2, Window: model.Second, Reports: []model.LoadReport{
 		{Replica: replicaID(1), Attempts: 4, Errors: 1, MeanLatency: 1500, Readings: []float64{0.5}},
 		{Replica: replicaID(2), Attempts: 1},
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestErrorPrecedenceOfLoadReports checks which of several errors is sent to a proxy.
-func TestErrorPrecedenceOfLoadReports(t *testing.T) {
+// TestParseLoadReportsReturnsErrorOfHighestPrecedence checks which of several errors is sent to a proxy.
+func TestParseLoadReportsReturnsErrorOfHighestPrecedence(t *testing.T) {
 	tests := map[string]struct {
 		arguments []string
 		field     string
@@ -164,7 +164,7 @@
 	f.Add(Append(nil, &Message{Entries: []Entry{{replicaID(1), 1}}}))
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		_ = resp.NewReader(resp.Limits{}).Feed(encoded, func(value resp.Value) error {
-			checkMessageSurvives(t, value)
+			checkRoundTrip(t, value)
 			if len(value.Items) == 0 {
 				return nil
 			}
@@ -178,16 +178,16 @@
 	})
 }
 
-// checkMessageSurvives parses a value. If the value is a message, it checks that the message keeps its version and its
+// checkRoundTrip parses a value. If the value is a message, it checks that the message keeps its version and its
 // number of entries when it is encoded and parsed again.
-func checkMessageSurvives(t *testing.T, value resp.Value) {
+func checkRoundTrip(t *testing.T, value resp.Value) {
 	t.Helper()
 	message, err := Parse(value)
 	if err != nil {
 		return
 	}
-	again, err := Parse(decodeOne(t, Append(nil, message)))
-	if err != nil || again.Version != message.Version || len(again.Entries) != len(message.Entries) {
-		t.Fatalf("%+v after encoding and parsing: %+v, error %v", message, again, err)
+	decodedAgain, err := Parse(decodeOne(t, Append(nil, message)))
+	if err != nil || decodedAgain.Version != message.Version || len(decodedAgain.Entries) != len(message.Entries) {
+		t.Fatalf("%+v after encoding and parsing: %+v, error %v", message, decodedAgain, err)
 	}
 }
--- a/internal/codec/resp/decode.go
+++ b/internal/codec/resp/decode.go
@@ -20,25 +20,25 @@
 
 // aggregate is an array, map, set, push or attribute whose items have not all arrived.
 type aggregate struct {
-	kind    Kind
-	missing int // number of items that have not arrived
-	items   []Value
+	kind      Kind
+	remaining int // number of items that have not arrived
+	items     []Value
 }
 
 // decodeLine decodes a line without its kind marker and line end: a scalar, or the header of a string or an
 // aggregate.
-func (r *Reader) decodeLine(kind Kind, content []byte, take func(Value) error) error {
+func (r *Reader) decodeLine(kind Kind, content []byte, receive func(Value) error) error {
 	switch kind {
 	case BulkString, BlobError, VerbatimString:
-		return r.openString(kind, content, take)
+		return r.openString(kind, content, receive)
 	case Array, Map, Set, Push, attribute:
-		return r.openAggregate(kind, content, take)
+		return r.openAggregate(kind, content, receive)
 	}
 	value := Value{Kind: kind}
 	if err := value.decodeScalar(content); err != nil {
 		return r.fail(err.Error())
 	}
-	return r.add(value, take)
+	return r.addValue(value, receive)
 }
 
 // decodeScalar decodes a value that is one line, by its kind. The error is the reason of a ProtocolError.
@@ -71,10 +71,10 @@
 }
 
 // openString decodes the length of a string; the string itself follows as the payload.
-func (r *Reader) openString(kind Kind, content []byte, take func(Value) error) error {
+func (r *Reader) openString(kind Kind, content []byte, receive func(Value) error) error {
 	length, err := strconv.Atoi(string(content))
 	if err == nil && length == nullLength && kind == BulkString {
-		return r.add(Value{Kind: Null}, take)
+		return r.addValue(Value{Kind: Null}, receive)
 	}
 	if err != nil || length < 0 {
 		return r.fail(fmt.Sprintf("%q is no length", truncate(content)))
@@ -83,15 +83,15 @@
 		return r.fail(fmt.Sprintf("a string of %d bytes, %d are taken", length, r.limits.StringBytes))
 	}
 	r.payloadKind = kind
-	r.payloadMissing = length + len(lineEnd)
+	r.payloadRemaining = length + len(lineEnd)
 	return nil
 }
 
 // openAggregate decodes the item count of an aggregate; the items follow as values.
-func (r *Reader) openAggregate(kind Kind, content []byte, take func(Value) error) error {
+func (r *Reader) openAggregate(kind Kind, content []byte, receive func(Value) error) error {
 	count, err := strconv.Atoi(string(content))
 	if err == nil && count == nullLength && kind == Array {
-		return r.add(Value{Kind: Null}, take)
+		return r.addValue(Value{Kind: Null}, receive)
 	}
 	if err != nil || count < 0 {
 		return r.fail(fmt.Sprintf("%q is no count", truncate(content)))
@@ -107,18 +107,18 @@
 	}
 	if count > 0 {
 		items := make([]Value, 0, min(count, maxPreallocatedItems))
-		r.aggregates = append(r.aggregates, aggregate{kind: kind, missing: count, items: items})
+		r.aggregates = append(r.aggregates, aggregate{kind: kind, remaining: count, items: items})
 		return nil
 	}
 	if kind == attribute {
 		return nil
 	}
-	return r.add(Value{Kind: kind}, take)
+	return r.addValue(Value{Kind: kind}, receive)
 }
 
-// add appends a value to the innermost open aggregate and closes each aggregate that becomes complete. A value
+// addValue appends a value to the innermost open aggregate and closes each aggregate that becomes complete. A value
 // outside all aggregates is a complete message.
-func (r *Reader) add(value Value, take func(Value) error) error {
+func (r *Reader) addValue(value Value, receive func(Value) error) error {
 	for {
 		r.valueCount++
 		if r.valueCount > r.limits.Items {
@@ -127,12 +127,12 @@
 		if len(r.aggregates) == 0 {
 			r.valueCount = 0
 			r.messageBytes = 0
-			return take(value)
+			return receive(value)
 		}
 		innermost := &r.aggregates[len(r.aggregates)-1]
 		innermost.items = append(innermost.items, value)
-		innermost.missing--
-		if innermost.missing > 0 {
+		innermost.remaining--
+		if innermost.remaining > 0 {
 			return nil
 		}
 		value = Value{Kind: innermost.kind, Items: innermost.items}
--- a/internal/codec/resp/golden_test.go
+++ b/internal/codec/resp/golden_test.go
@@ -34,7 +34,7 @@
 	"push":         {Kind: Push, Items: []Value{{Kind: BulkString, Text: "change"}, {Kind: Bool, Bool: true}}},
 }
 
-func TestGoldenValues(t *testing.T) {
+func TestValuesMatchGoldenFiles(t *testing.T) {
 	for name, value := range goldenValues {
 		file := name + ".resp"
 		goldentest.Check(t, file, Append(nil, value))
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestGoldenNaN is a separate test because NaN does not equal itself.
-func TestGoldenNaN(t *testing.T) {
+// TestNaNMatchesGoldenFile is a separate test because NaN does not equal itself.
+func TestNaNMatchesGoldenFile(t *testing.T) {
 	goldentest.Check(t, "nan.resp", AppendDouble(nil, math.NaN()))
 	got, err := decode(string(goldentest.Read(t, "nan.resp")), 1, Limits{})
 	if err != nil || len(got) != 1 || got[0].Kind != Double || !math.IsNaN(got[0].Float) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestGoldenCommand(t *testing.T) {
+func TestCommandMatchesGoldenFile(t *testing.T) {
 	goldentest.Check(t, "command.resp", AppendCommand(nil, "JOIN", "till 7", ""))
 	got, err := decode(string(goldentest.Read(t, "command.resp")), 1, Limits{})
 	want := []Value{{Kind: Array, Items: []Value{
@@ -67,12 +67,12 @@
 	}
 }
 
-func TestGoldenLineEndsBecomeSpaces(t *testing.T) {
+func TestAppendLineReplacesLineEndsBySpaces(t *testing.T) {
 	goldentest.Check(t, "line-ends.resp", AppendLine(nil, SimpleError, "ERR one\r\ntwo"))
 }
 
-// TestDecodeOnlyForms decodes forms that peers may send but this package never encodes.
-func TestDecodeOnlyForms(t *testing.T) {
+// TestReaderDecodesFormsThatAreNeverEncoded decodes forms that peers may send but this package never encodes.
+func TestReaderDecodesFormsThatAreNeverEncoded(t *testing.T) {
 	for stream, want := range map[string]Value{
 		"$-1\r\n":                    {Kind: Null},
 		"*-1\r\n":                    {Kind: Null},
@@ -104,7 +104,7 @@
 	"too many values":          "*3\r\n*3\r\n:1\r\n:1\r\n:1\r\n:1\r\n:1\r\n",
 }
 
-func TestGoldenProtocolErrors(t *testing.T) {
+func TestProtocolErrorsMatchGoldenFile(t *testing.T) {
 	errs := map[string]error{}
 	for name, stream := range malformedStreams {
 		_, err := decode(stream, len(stream), Limits{Depth: 2, Items: 5, StringBytes: 50, MessageBytes: 80})
--- a/internal/codec/resp/reader.go
+++ b/internal/codec/resp/reader.go
@@ -24,10 +24,10 @@
 type Reader struct {
 	limits Limits
 
-	line           []byte // the start of an unfinished line
-	payload        []byte // the start of an unfinished string
-	payloadMissing int    // bytes of payload that have not arrived, including the line end; 0 if no string is open
-	payloadKind    Kind
+	line             []byte // the start of an unfinished line
+	payload          []byte // the start of an unfinished string
+	payloadRemaining int    // bytes of payload that have not arrived, including the line end; 0 if no string is open
+	payloadKind      Kind
 
 	aggregates   []aggregate // open aggregates, the outermost first
 	valueCount   int         // values in the current message
@@ -43,21 +43,21 @@
 
 // Idle reports whether the stream is between two messages.
 func (r *Reader) Idle() bool {
-	return r.failure == nil && len(r.line) == 0 && r.payloadMissing == 0 && len(r.aggregates) == 0
+	return r.failure == nil && len(r.line) == 0 && r.payloadRemaining == 0 && len(r.aggregates) == 0
 }
 
 // Feed decodes the next bytes of the stream and passes each complete message to receive. It stops at the first
 // error of receive and returns it. A *ProtocolError is returned at once and by every later call with data.
-func (r *Reader) Feed(data []byte, take func(Value) error) error {
+func (r *Reader) Feed(data []byte, receive func(Value) error) error {
 	for len(data) > 0 {
 		if r.failure != nil {
 			return r.failure
 		}
 		var err error
-		if r.payloadMissing > 0 {
-			data, err = r.feedPayload(data, take)
+		if r.payloadRemaining > 0 {
+			data, err = r.feedPayload(data, receive)
 		} else {
-			data, err = r.feedLine(data, take)
+			data, err = r.feedLine(data, receive)
 		}
 		if err != nil {
 			return err
@@ -67,15 +67,15 @@
 }
 
 // feedPayload consumes bytes of the open string and its line end. It returns the bytes that follow.
-func (r *Reader) feedPayload(data []byte, take func(Value) error) ([]byte, error) {
-	n := min(r.payloadMissing, len(data))
+func (r *Reader) feedPayload(data []byte, receive func(Value) error) ([]byte, error) {
+	n := min(r.payloadRemaining, len(data))
 	r.payload = append(r.payload, data[:n]...)
-	r.payloadMissing -= n
+	r.payloadRemaining -= n
 	if err := r.consume(n); err != nil {
 		return nil, err
 	}
 	rest := data[n:]
-	if r.payloadMissing > 0 {
+	if r.payloadRemaining > 0 {
 		return rest, nil
 	}
 	text, terminated := bytes.CutSuffix(r.payload, []byte(lineEnd))
@@ -87,11 +87,11 @@
 	if cap(r.payload) > maxRetainedPayload {
 		r.payload = nil
 	}
-	return rest, r.add(value, take)
+	return rest, r.addValue(value, receive)
 }
 
 // feedLine consumes bytes up to the end of a line and decodes the line. It returns the bytes that follow.
-func (r *Reader) feedLine(data []byte, take func(Value) error) ([]byte, error) {
+func (r *Reader) feedLine(data []byte, receive func(Value) error) ([]byte, error) {
 	n := len(data)
 	newline := bytes.IndexByte(data, '\n')
 	complete := newline >= 0
@@ -121,7 +121,7 @@
 	if !terminated {
 		return nil, r.fail("a line without its \\r\\n")
 	}
-	err := r.decodeLine(Kind(line[0]), content, take)
+	err := r.decodeLine(Kind(line[0]), content, receive)
 	r.line = r.line[:0]
 	return rest, err
 }
--- a/internal/codec/resp/reader_test.go
+++ b/internal/codec/resp/reader_test.go
@@ -31,7 +31,7 @@
 	return encoded
 }
 
-func TestChunkSizeDoesNotMatter(t *testing.T) {
+func TestDecodedMessagesAreTheSameForAnyChunkSize(t *testing.T) {
 	messages := []Value{
 		{Kind: Push, Items: []Value{
 			{Kind: BulkString, Text: "change\r\n"},
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestProtocolErrorIsFinal(t *testing.T) {
+func TestFeedReturnsSameErrorAfterProtocolError(t *testing.T) {
 	reader := NewReader(Limits{})
 	first := reader.Feed([]byte("?"), nil)
 	again := reader.Feed([]byte(":1\r\n"), nil)
@@ -130,16 +130,16 @@
 	}
 	f.Fuzz(func(t *testing.T, stream string) {
 		limits := Limits{Depth: 4, Items: 100, StringBytes: 100, MessageBytes: 1000}
-		whole, wholeErr := decode(stream, max(len(stream), 1), limits)
-		single, singleErr := decode(stream, 1, limits)
-		if (wholeErr == nil) != (singleErr == nil) || len(whole) != len(single) {
+		fromOneChunk, oneChunkErr := decode(stream, max(len(stream), 1), limits)
+		fromSingleBytes, singleBytesErr := decode(stream, 1, limits)
+		if (oneChunkErr == nil) != (singleBytesErr == nil) || len(fromOneChunk) != len(fromSingleBytes) {
 			t.Fatalf("in one chunk: messages %v, error %v; in single bytes: messages %v, error %v",
-				whole, wholeErr, single, singleErr)
+				fromOneChunk, oneChunkErr, fromSingleBytes, singleBytesErr)
 		}
-		encoded := appendAll(whole)
+		encoded := appendAll(fromOneChunk)
 		limits.MessageBytes = 100_000
-		again, err := decode(string(encoded), max(len(encoded), 1), limits)
-		encodedAgain := appendAll(again)
+		decodedAgain, err := decode(string(encoded), max(len(encoded), 1), limits)
+		encodedAgain := appendAll(decodedAgain)
 		if err != nil || string(encoded) != string(encodedAgain) {
 			t.Fatalf("%q after decoding and encoding: %q, error %v", encoded, encodedAgain, err)
 		}
--- a/internal/codec/simulator/event.go
+++ b/internal/codec/simulator/event.go
@@ -36,9 +36,9 @@
 
 // tailSection returns a section of the tail. The next two fields of the record are its offset in bytes and its length
 // in units of unitSize bytes.
-func (e Event) tailSection(fields *fieldReader, unit int) ([]byte, error) {
+func (e Event) tailSection(fields *fieldReader, unitSize int) ([]byte, error) {
 	offset := uint64(fields.uint32())
-	size := uint64(fields.uint32()) * uint64(unit)
+	size := uint64(fields.uint32()) * uint64(unitSize)
 	if offset+size > uint64(len(e.tail)) {
 		return nil, fmt.Errorf("record %d points at %d+%d in a tail of %d bytes", e.Code(), offset, size, len(e.tail))
 	}
--- a/internal/codec/simulator/event_test.go
+++ b/internal/codec/simulator/event_test.go
@@ -9,7 +9,7 @@
 	"peppervale/internal/model"
 )
 
-func TestLoadReport(t *testing.T) {
+func TestLoadReportDecodesAllFields(t *testing.T) {
 	record := []byte{CodeLoadReport, 2, 0, 10, 1, 2, 3, 0x88, 0x13, 7, 0, 0, 0, 3, 0, 0, 0}
 	record = binary.LittleEndian.AppendUint64(record, math.Float64bits(12.5))
 	record = binary.LittleEndian.AppendUint64(record, math.Float64bits(1000))
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestEndpointStartTimeThatIsNoNumber(t *testing.T) {
+func TestEndpointStartTimeIsZeroWhenNotANumber(t *testing.T) {
 	entry := make([]byte, endpointSize)
 	copy(entry, []byte{10, 0, 0, 1, 1, 0, 3, 0, 0, 4, 0, 1})
 	binary.LittleEndian.PutUint64(entry[16:], math.Float64bits(math.NaN()))
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestTailOffsetThatDoesNotFit(t *testing.T) {
+func TestEndpointsChangedRejectsSectionBeyondTail(t *testing.T) {
 	event := readEvent(t, testFrame(nil, []byte{CodeEndpointsChanged, 0, 0, 0, 0, 0, 5, 0, 0, 0, 1}))
 	if _, _, err := event.EndpointsChanged(); err == nil {
 		t.Fatal("a section beyond the tail is accepted")
--- a/internal/codec/simulator/fields.go
+++ b/internal/codec/simulator/fields.go
@@ -23,14 +23,14 @@
 func (f *fieldReader) uint64() uint64   { return binary.LittleEndian.Uint64(f.bytes(8)) }
 func (f *fieldReader) float32() float64 { return float64(math.Float32frombits(f.uint32())) }
 
-// maxTime bounds the absolute value of decoded times, in microseconds: about thirty years.
-const maxTime = 1e15
+// maxMicroseconds bounds the absolute value of decoded times, in microseconds: about thirty years.
+const maxMicroseconds = 1e15
 
 // milliseconds decodes a time in fractional milliseconds. The result is 0 if the value is not finite or not below
-// maxTime.
+// maxMicroseconds.
 func (f *fieldReader) milliseconds() model.Microseconds {
 	microseconds := math.Float64frombits(f.uint64()) * float64(model.Millisecond)
-	isUsable := math.Abs(microseconds) < maxTime
+	isUsable := math.Abs(microseconds) < maxMicroseconds
 	if !isUsable {
 		return 0
 	}
--- a/internal/codec/simulator/frame_test.go
+++ b/internal/codec/simulator/frame_test.go
@@ -38,14 +38,14 @@
 	return batch.Events()[0]
 }
 
-func TestReadHeader(t *testing.T) {
+func TestReadDecodesHeader(t *testing.T) {
 	batch, err := read(testFrame(nil, []byte{CodeTimer}))
 	if err != nil || batch.Clock != 250*model.Millisecond || batch.Number != 9 {
 		t.Fatalf("got batch %+v, error %v", batch, err)
 	}
 }
 
-func TestReadRejectsWrongFrames(t *testing.T) {
+func TestReadRejectsMalformedFrames(t *testing.T) {
 	complete := testFrame(nil, []byte{CodeTimer})
 	for name, frame := range map[string][]byte{
 		"truncated header": complete[:7],
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestReadEndsBetweenFrames(t *testing.T) {
+func TestReadReturnsEOFBetweenFrames(t *testing.T) {
 	if _, err := read(nil); !errors.Is(err, io.EOF) {
 		t.Fatalf("got error %v, want EOF", err)
 	}
--- a/internal/codec/simulator/golden_test.go
+++ b/internal/codec/simulator/golden_test.go
@@ -59,7 +59,7 @@
 	return events
 }
 
-func TestGoldenEvents(t *testing.T) {
+func TestEventsMatchGoldenFile(t *testing.T) {
 	events := goldenBatch(t)
 	seed, text, err := events[0].InstanceStarted()
 	if seed != 0xfe429af2f6dae94c || string(text) != `{"zones":["a"]}` || err != nil {
@@ -107,8 +107,9 @@
 	return binary.LittleEndian.AppendUint64(entry, math.Float64bits(startedAt))
 }
 
-// TestGoldenFrame encodes the golden frame from its values, so that the source documents the content of the file.
-func TestGoldenFrame(t *testing.T) {
+// TestEncodedFrameMatchesGoldenFile encodes the golden frame from its values, so that the source documents the content
+// of the file.
+func TestEncodedFrameMatchesGoldenFile(t *testing.T) {
 	hello := `{"zones":["a"]}`
 	tail := append([]byte(hello), goldenEndpoint(replicaID(1), 258, 1, 1500.25)...)
 	tail = append(tail, goldenEndpoint(replicaID(2), 3, 2, 7)...)
@@ -127,8 +128,8 @@
 	goldentest.Check(t, "batch.hex", hexText(slices.Concat(head, records, tail)))
 }
 
-// TestGoldenReply encodes each action, some of them appended from another reply.
-func TestGoldenReply(t *testing.T) {
+// TestReplyMatchesGoldenFile encodes each action, some of them appended from another reply.
+func TestReplyMatchesGoldenFile(t *testing.T) {
 	first, second := &Reply{}, &Reply{}
 	first.Log("first")
 	first.SetWeight(65534, replicaID(1), 0.1+0.2)
@@ -146,8 +147,8 @@
 	goldentest.Check(t, "reply.hex", hexText(first.Frame(0xfedcba98)))
 }
 
-func TestGoldenErrorsOfFrames(t *testing.T) {
-	whole := testFrame(nil, []byte{CodeTimer})
+func TestFrameErrorsMatchGoldenFile(t *testing.T) {
+	complete := testFrame(nil, []byte{CodeTimer})
 	readError := func(b []byte) error {
 		_, err := read(b)
 		return err
@@ -162,9 +163,9 @@
 	}
 	goldentest.CheckErrors(t, "frame-errors.txt", map[string]error{
 		"end":              readError(nil),
-		"header cut":       readError(whole[:7]),
-		"body cut":         readError(whole[:len(whole)-1]),
-		"too many records": readError(append([]byte{9, 0, 0, 0}, whole[4:]...)),
+		"header cut":       readError(complete[:7]),
+		"body cut":         readError(complete[:len(complete)-1]),
+		"too many records": readError(append([]byte{9, 0, 0, 0}, complete[4:]...)),
 		"scope":            listError([]byte{CodeEndpointsChanged, 4}),
 		"offset":           listError([]byte{CodeEndpointsChanged, 0, 0, 0, 0, 0, 5, 0, 0, 0, 1}),
 	})
@@ -183,15 +184,15 @@
 	UtilizationField: 1, WarmUpPeriod: 17_000_000, ProxyCount: 60, MinReplicaConnections: 160, ZoneLocalOperations: 2,
 }
 
-func TestGoldenSettings(t *testing.T) {
+func TestParseSettingsReturnsGoldenConfig(t *testing.T) {
 	got, err := ParseSettings(0xfe429af2f6dae94c, goldentest.Read(t, "settings.json"))
 	if err != nil || !reflect.DeepEqual(got, goldenConfig) {
 		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-// goldenMistakes holds edits of the golden settings. Each edit makes one setting invalid.
-var goldenMistakes = map[string][2]string{
+// invalidSettings holds edits of the golden settings. Each edit makes one setting invalid.
+var invalidSettings = map[string][2]string{
 	"no object":           {"{", "["},
 	"another type":        {`"period": 1000.25`, `"period": "x"`},
 	"no classes":          {`"classes"`, `"lasses"`},
@@ -216,9 +217,9 @@
 	"credit":              {`"credit": 3`, `"credit": -1`},
 }
 
-func TestGoldenErrorsOfSettings(t *testing.T) {
+func TestSettingsErrorsMatchGoldenFile(t *testing.T) {
 	settings, errs := string(goldentest.Read(t, "settings.json")), map[string]error{}
-	for name, edit := range goldenMistakes {
+	for name, edit := range invalidSettings {
 		text := strings.Replace(settings, edit[0], edit[1], 1)
 		if text == settings {
 			t.Fatalf("%s: the text to edit is not in the settings", name)
--- a/internal/codec/simulator/reply.go
+++ b/internal/codec/simulator/reply.go
@@ -8,16 +8,16 @@
 
 // Codes of the actions that this package encodes. The comments give the names of the simulator's protocol.
 const (
-	actionAssign     = 1  // Assign
-	actionSayLog     = 5  // SayLog
-	actionAskReceipt = 6  // AskReceipt
-	actionLevel      = 7  // Level
-	actionFollow     = 9  // Follow
-	actionException  = 10 // Exception
-	actionWithdraw   = 11 // Withdraw
-	actionOnBehalf   = 12 // OnBehalf
-	actionWakeAt     = 13 // WakeAt
-	actionInstall    = 14 // Install
+	actionSetWeight    = 1  // Assign
+	actionLog          = 5  // SayLog
+	actionRequestAck   = 6  // AskReceipt
+	actionSetQuota     = 7  // Level
+	actionSubscribe    = 9  // Follow
+	actionException    = 10 // Exception
+	actionSetWithdrawn = 11 // Withdraw
+	actionOnBehalf     = 12 // OnBehalf
+	actionSetTimer     = 13 // WakeAt
+	actionBindProxy    = 14 // Install
 )
 
 // allTables is the table number of a quota that applies to all connected proxies.
@@ -29,17 +29,17 @@
 
 var _ model.Publisher = (*Reply)(nil)
 
-// action appends a record and returns a writer of the fields after its code.
-func (r *Reply) action(code byte) fieldWriter {
+// appendAction appends a record and returns a writer of the fields after its code.
+func (r *Reply) appendAction(code byte) fieldWriter {
 	start := len(r.records)
 	r.records = append(r.records, make([]byte, actionSize)...)
 	r.records[start] = code
 	return fieldWriter{r.records[start+1:]}
 }
 
-// textAction appends a record and puts its text into the tail.
-func (r *Reply) textAction(code byte, text string) {
-	fields := r.action(code)
+// appendTextAction appends a record and puts its text into the tail.
+func (r *Reply) appendTextAction(code byte, text string) {
+	fields := r.appendAction(code)
 	fields.uint32(uint32(len(r.tail)))
 	fields.uint32(uint32(len(text)))
 	r.tail = append(r.tail, text...)
@@ -50,25 +50,25 @@
 
 // OnBehalf attributes the actions that follow to an instance.
 func (r *Reply) OnBehalf(instance uint16) {
-	fields := r.action(actionOnBehalf)
+	fields := r.appendAction(actionOnBehalf)
 	fields.uint16(instance)
 }
 
 // Exception reports that an instance has failed; the simulation ends and shows the message.
-func (r *Reply) Exception(message string) { r.textAction(actionException, message) }
+func (r *Reply) Exception(message string) { r.appendTextAction(actionException, message) }
 
 // Log implements model.Publisher.
-func (r *Reply) Log(message string) { r.textAction(actionSayLog, message) }
+func (r *Reply) Log(message string) { r.appendTextAction(actionLog, message) }
 
 // Subscribe implements model.Publisher.
 func (r *Reply) Subscribe() {
-	fields := r.action(actionFollow)
+	fields := r.appendAction(actionSubscribe)
 	fields.bool(true)
 }
 
 // SetWeight implements model.Publisher.
 func (r *Reply) SetWeight(table model.TableID, replica model.ReplicaID, weight float64) {
-	fields := r.action(actionAssign)
+	fields := r.appendAction(actionSetWeight)
 	fields.uint16(uint16(table))
 	fields.float32(weight)
 	fields.replica(replica)
@@ -77,7 +77,7 @@
 // BindProxy implements model.Publisher. The simulator's proxies drop the withdrawals of other controllers when they are
 // bound, so the readmitted replicas are not sent.
 func (r *Reply) BindProxy(proxy model.ProxyID, table model.TableID, operations uint16, _ []model.ReplicaID) {
-	fields := r.action(actionInstall)
+	fields := r.appendAction(actionBindProxy)
 	fields.uint16(uint16(proxy))
 	fields.uint16(uint16(table))
 	fields.uint16(operations)
@@ -85,14 +85,14 @@
 
 // SetWithdrawn implements model.Publisher.
 func (r *Reply) SetWithdrawn(replica model.ReplicaID, withdrawn bool) {
-	fields := r.action(actionWithdraw)
+	fields := r.appendAction(actionSetWithdrawn)
 	fields.replica(replica)
 	fields.bool(withdrawn)
 }
 
 // SetQuota implements model.Publisher.
 func (r *Reply) SetQuota(operations uint16, quota float64, policy model.RetryPolicy) {
-	fields := r.action(actionLevel)
+	fields := r.appendAction(actionSetQuota)
 	fields.uint16(allTables)
 	fields.uint16(operations)
 	fields.float32(quota)
@@ -101,14 +101,14 @@
 
 // RequestAck implements model.Publisher.
 func (r *Reply) RequestAck(sequence uint32, fromAll bool) {
-	fields := r.action(actionAskReceipt)
+	fields := r.appendAction(actionRequestAck)
 	fields.bool(fromAll)
 	fields.uint32(sequence)
 }
 
 // SetTimer implements model.Publisher.
 func (r *Reply) SetTimer(delay model.Microseconds) {
-	fields := r.action(actionWakeAt)
+	fields := r.appendAction(actionSetTimer)
 	fields.milliseconds(delay)
 }
 
@@ -127,4 +127,4 @@
 	r.tail = append(r.tail, other.tail...)
 }
 
-func hasText(code byte) bool { return code == actionSayLog || code == actionException }
+func hasText(code byte) bool { return code == actionLog || code == actionException }
--- a/internal/codec/simulator/reply_test.go
+++ b/internal/codec/simulator/reply_test.go
@@ -9,7 +9,7 @@
 	"peppervale/internal/model"
 )
 
-func TestReplyBindsForSomeOperations(t *testing.T) {
+func TestBindProxyEncodesOperations(t *testing.T) {
 	reply := &Reply{}
 	reply.BindProxy(258, 3, 6, nil)
 	if record := reply.Frame(1)[replyHeaderSize:]; !bytes.Equal(record[:7], []byte{14, 2, 1, 3, 0, 6, 0}) {
@@ -17,14 +17,14 @@
 	}
 }
 
-func TestReplyAppendsAnother(t *testing.T) {
-	one, all := &Reply{}, &Reply{}
-	one.SetWeight(7, model.ReplicaID{Addr: [4]byte{1, 2, 3, 4}, Port: 5}, 0.5)
-	one.Log("hi")
-	all.Log("first")
-	all.OnBehalf(3)
-	all.Append(one)
-	frame := all.Frame(12)
+func TestAppendMovesTextsOfOtherReply(t *testing.T) {
+	other, reply := &Reply{}, &Reply{}
+	other.SetWeight(7, model.ReplicaID{Addr: [4]byte{1, 2, 3, 4}, Port: 5}, 0.5)
+	other.Log("hi")
+	reply.Log("first")
+	reply.OnBehalf(3)
+	reply.Append(other)
+	frame := reply.Frame(12)
 	if binary.LittleEndian.Uint32(frame) != uint32(len(frame)-4) || frame[4] != 4 || frame[8] != 12 {
 		t.Fatalf("wrong header: % x", frame[:12])
 	}
--- a/internal/codec/simulator/settings.go
+++ b/internal/codec/simulator/settings.go
@@ -55,11 +55,11 @@
 	fieldUtilization    = "cpu_share"
 )
 
-// maxFigure bounds every number of the settings: a count, or a duration in milliseconds (11 days). Larger values are
-// mistakes, and their sums could overflow.
-const maxFigure = 1e9
+// maxSettingValue bounds every number of the settings: a count, or a duration in milliseconds (11 days). Larger values
+// are mistakes, and their sums could overflow.
+const maxSettingValue = 1e9
 
-func isInRange(figure float64) bool { return figure >= 0 && figure <= maxFigure }
+func isInRange(value float64) bool { return value >= 0 && value <= maxSettingValue }
 
 // ParseSettings decodes an instance's settings. Unknown keys are ignored. The error names the invalid setting.
 func ParseSettings(seed uint64, text []byte) (model.Config, error) {
@@ -108,11 +108,11 @@
 	return nil
 }
 
-// checkRanges returns an error if a number is not within 0 and maxFigure.
+// checkRanges returns an error if a number is not within 0 and maxSettingValue.
 func (o *options) checkRanges() error {
 	for _, setting := range []struct {
-		key    string
-		figure float64
+		key   string
+		value float64
 	}{
 		{"extra.period", o.Extra.ReportPeriod},
 		{"extra.pending_max", o.Extra.QueueLimit},
@@ -126,8 +126,8 @@
 		{"extra.default_size", o.Extra.StandingTableSize},
 		{"extra.reloads_max", o.Extra.MessageLimit},
 	} {
-		if !isInRange(setting.figure) {
-			return fmt.Errorf("%s is %g, 0 to %g is handled", setting.key, setting.figure, maxFigure)
+		if !isInRange(setting.value) {
+			return fmt.Errorf("%s is %g, 0 to %g is handled", setting.key, setting.value, maxSettingValue)
 		}
 	}
 	return nil
@@ -135,9 +135,9 @@
 
 func (o *options) checkClasses() error {
 	for i, class := range o.Classes {
-		hasObjective := class.LatencyObjective > 0 && class.LatencyObjective <= maxFigure
+		hasObjective := class.LatencyObjective > 0 && class.LatencyObjective <= maxSettingValue
 		if !hasObjective || !isInRange(class.PriorityWeight) {
-			return fmt.Errorf("class %d has no on_time above 0, or a credit below; %g at most", i, maxFigure)
+			return fmt.Errorf("class %d has no on_time above 0, or a credit below; %g at most", i, maxSettingValue)
 		}
 	}
 	return nil
--- a/internal/codec/simulator/settings_test.go
+++ b/internal/codec/simulator/settings_test.go
@@ -18,7 +18,7 @@
 	return []byte(strings.Replace(testSettings, old, replacement, 1))
 }
 
-func TestSettings(t *testing.T) {
+func TestParseSettingsReturnsConfig(t *testing.T) {
 	config, err := ParseSettings(1, []byte(testSettings))
 	if err != nil || config.Zones != 2 || !config.AdmissionControl || !config.SubscriptionRequired ||
 		config.UtilizationField != 1 || config.Operations[0].LatencyObjective != 500000 ||
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestWrongSettings(t *testing.T) {
+func TestParseSettingsRejectsInvalidSettings(t *testing.T) {
 	for name, edit := range map[string][2]string{
 		"more zone flags than classes": {`"unknown":[1]`, `"class_own_zone":[false,true]`},
 		"a period of years":            {`"period":1000`, `"period":1e300`},
