--- a/internal/codec/consulcatalog/golden_test.go
+++ b/internal/codec/consulcatalog/golden_test.go
@@ -21,7 +21,7 @@
 	Checks: []Check{{Node: "node-1", CheckID: "serfHealth", Name: "Serf Health Status", Status: "passing"}},
 }
 
-func TestGoldenEntry(t *testing.T) {
+func TestEntryMatchesGoldenFile(t *testing.T) {
 	text, err := json.MarshalIndent(goldenEntry, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -29,12 +29,13 @@
 	goldentest.Check(t, "entry.json", append(text, '\n'))
 	var got ServiceEntry
 	if err := json.Unmarshal(goldentest.Read(t, "entry.json"), &got); err != nil || !reflect.DeepEqual(got, goldenEntry) {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-// TestGoldenList parses an entry in each status, one by its node's address, and three that are skipped.
-func TestGoldenList(t *testing.T) {
+// TestParsedListMatchesGoldenFile parses an entry of each status, one of them with its node's address, and three
+// invalid entries.
+func TestParsedListMatchesGoldenFile(t *testing.T) {
 	id := func(n byte) model.ReplicaID {
 		return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 7601}
 	}
@@ -46,20 +47,20 @@
 	}
 	got, skipped, err := Parse(goldentest.Read(t, "list.json"), []string{"govan", zonePartick})
 	if err != nil || skipped != 3 || !reflect.DeepEqual(got, want) {
-		t.Errorf("parsed as %+v, %d skipped, %v", got, skipped, err)
+		t.Errorf("parsed as %+v, %d skipped, error %v", got, skipped, err)
 	}
 }
 
-func TestGoldenErrors(t *testing.T) {
+func TestErrorsMatchGoldenFile(t *testing.T) {
 	parse := func(text string) error {
 		_, _, err := Parse([]byte(text), []string{"govan"})
 		return err
 	}
 	goldentest.CheckJSONErrors(t, "errors.txt", map[string]error{
-		"nothing":        parse(""),
-		"no list":        parse("{}"),
-		"a text as port": parse(`[{"Service":{"Port":"x"}}]`),
-		"a number as ID": parse(`[{"Checks":[{"CheckID":1}]}]`),
-		"too many":       parse("[" + strings.Repeat("{},", maxEntries) + "{}]"),
+		"empty body":             parse(""),
+		"object instead of list": parse("{}"),
+		"string as port":         parse(`[{"Service":{"Port":"x"}}]`),
+		"number as check ID":     parse(`[{"Checks":[{"CheckID":1}]}]`),
+		"too many entries":       parse("[" + strings.Repeat("{},", maxEntries) + "{}]"),
 	})
 }
--- a/internal/codec/platformmsg/parse.go
+++ b/internal/codec/platformmsg/parse.go
@@ -7,11 +7,11 @@
 	"peppervale/internal/codec/resp"
 )
 
-// maxQuotedLength bounds the bytes of outside text that an answer or an error repeats.
+// maxQuotedLength bounds the bytes of received text that a response or an error quotes.
 const maxQuotedLength = 40
 
-// Parse parses a message. Its error is a *ParseError; where it has a field, the other fields of the Message that
-// could be parsed are set all the same.
+// Parse parses a message. Its error is a *ParseError. If the error names a field, the Message still has the valid
+// fields set.
 func Parse(value resp.Value) (Message, error) {
 	if value.Kind != resp.Array || len(value.Items) == 0 {
 		return Message{}, &ParseError{Reason: "a message is an array that begins with its kind"}
@@ -29,11 +29,11 @@
 	case KindCollector:
 		message.Zone = fields.text("site")
 	case KindProxyJoined:
-		parseJoined(fields, &message)
+		parseProxyJoined(fields, &message)
 	case KindAcknowledgement:
-		parseApplied(fields, &message)
+		parseAcknowledgement(fields, &message)
 	case KindLoadReport:
-		parseHeard(fields, &message)
+		parseLoadReport(fields, &message)
 	case KindUsage:
 		parseUsage(fields, &message)
 	default:
@@ -46,20 +46,20 @@
 	return message, nil
 }
 
-func parseJoined(fields *fieldParser, message *Message) {
+func parseProxyJoined(fields *fieldParser, message *Message) {
 	message.Proxy = fields.integer("id", math.MaxUint16)
 	message.Zone = fields.text("site")
 	message.ExpectedRate = fields.number("rps", maxExpectedRate)
 	message.OnStandingTable = fields.flag("new")
 }
 
-func parseApplied(fields *fieldParser, message *Message) {
+func parseAcknowledgement(fields *fieldParser, message *Message) {
 	message.Proxy = fields.integer("id", math.MaxUint16)
 	message.AckSequence = uint32(fields.integer("seq", math.MaxUint16))
 	fields.duration("ms") // validated only
 }
 
-func parseHeard(fields *fieldParser, message *Message) {
+func parseLoadReport(fields *fieldParser, message *Message) {
 	message.Zone = fields.text("site")
 	message.Replica = fields.text("target")
 	message.MeanLatency = fields.duration("mean")
--- a/internal/codec/pubsubmsg/golden_test.go
+++ b/internal/codec/pubsubmsg/golden_test.go
@@ -50,45 +50,45 @@
 	{Replica: replicaID(2), Attempts: 1, Errors: 1, MeanLatency: 2, Readings: []float64{7}},
 }}
 
-func TestGoldenMessages(t *testing.T) {
+func TestMessagesMatchGoldenFiles(t *testing.T) {
 	for file, message := range map[string]Message{"snapshot.resp": goldenSnapshot, "change.resp": goldenChange} {
 		goldentest.Check(t, file, Append(nil, &message))
 		got, err := Parse(decodeOne(t, goldentest.Read(t, file)))
 		if err != nil || !reflect.DeepEqual(*got, message) {
-			t.Errorf("%s: parsed as %+v, %v", file, got, err)
+			t.Errorf("%s: parsed as %+v, error %v", file, got, err)
 		}
 	}
 }
 
-func TestGoldenJoin(t *testing.T) {
+func TestJoinMatchesGoldenFile(t *testing.T) {
 	goldentest.Check(t, "join.resp", AppendJoin(nil, goldenJoin))
 	words := decodeOne(t, goldentest.Read(t, "join.resp")).Items[1:]
 	if got, err := ParseJoin(words); err != nil || got != goldenJoin {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 	want := goldenJoin
 	want.Epoch = 0
 	if got, err := ParseJoin(words[:6]); err != nil || got != want {
-		t.Errorf("without an epoch: parsed as %+v, %v", got, err)
+		t.Errorf("without an epoch: parsed as %+v, error %v", got, err)
 	}
 }
 
-func TestGoldenAck(t *testing.T) {
+func TestAckMatchesGoldenFile(t *testing.T) {
 	goldentest.Check(t, "ack.resp", AppendAck(nil, goldenAck))
 	if got, err := ParseAck(decodeOne(t, goldentest.Read(t, "ack.resp")).Items[1:]); err != nil || got != goldenAck {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-func TestGoldenLoadReports(t *testing.T) {
+func TestLoadReportsMatchGoldenFile(t *testing.T) {
 	goldentest.Check(t, "sums.resp", AppendLoadReports(nil, goldenLoadReports))
 	got, err := ParseLoadReports(decodeOne(t, goldentest.Read(t, "sums.resp")).Items[1:])
 	if err != nil || !reflect.DeepEqual(got, goldenLoadReports) {
-		t.Errorf("parsed as %+v, %v", got, err)
+		t.Errorf("parsed as %+v, error %v", got, err)
 	}
 }
 
-// parseEdited parses the golden change after an edit.
+// parseEdited applies an edit to the golden change and parses the result.
 func parseEdited(t *testing.T, edit func(items []resp.Value)) error {
 	t.Helper()
 	value := decodeOne(t, Append(nil, &goldenChange))
@@ -96,21 +96,21 @@
 	return errorOf(Parse(value))
 }
 
-func TestGoldenErrorsOfMessages(t *testing.T) {
+func TestMessageErrorsMatchGoldenFile(t *testing.T) {
 	short := resp.Value{Kind: resp.Push, Items: arguments("change", "1")}
 	goldentest.CheckErrors(t, "table-errors.txt", map[string]error{
-		"cut short":          errorOf(Parse(short)),
-		"no number":          parseEdited(t, func(items []resp.Value) { items[3].Kind = resp.BulkString }),
-		"uneven lists":       parseEdited(t, func(items []resp.Value) { items[9].Items = items[9].Items[:1] }),
-		"a line's address":   parseEdited(t, func(items []resp.Value) { items[9].Items[0].Text = "localhost:1" }),
-		"a line's weight":    parseEdited(t, func(items []resp.Value) { items[9].Items[1].Float = -0.5 }),
-		"a replica shut out": parseEdited(t, func(items []resp.Value) { items[10].Items[0].Text = "127.0.0.1:0" }),
-		"a level's share":    parseEdited(t, func(items []resp.Value) { items[11].Items[1].Float = math.NaN() }),
-		"a level's way":      parseEdited(t, func(items []resp.Value) { items[11].Items[2].Int = 4 }),
+		"missing values":           errorOf(Parse(short)),
+		"string instead of number": parseEdited(t, func(items []resp.Value) { items[3].Kind = resp.BulkString }),
+		"incomplete list":          parseEdited(t, func(items []resp.Value) { items[9].Items = items[9].Items[:1] }),
+		"address of an entry":      parseEdited(t, func(items []resp.Value) { items[9].Items[0].Text = "localhost:1" }),
+		"weight of an entry":       parseEdited(t, func(items []resp.Value) { items[9].Items[1].Float = -0.5 }),
+		"address of a withdrawal":  parseEdited(t, func(items []resp.Value) { items[10].Items[0].Text = "127.0.0.1:0" }),
+		"share of a quota":         parseEdited(t, func(items []resp.Value) { items[11].Items[1].Float = math.NaN() }),
+		"retry policy of a quota":  parseEdited(t, func(items []resp.Value) { items[11].Items[2].Int = 4 }),
 	})
 }
 
-func TestGoldenErrorsOfCommands(t *testing.T) {
+func TestCommandErrorsMatchGoldenFile(t *testing.T) {
 	sums := func(readings int, texts ...string) error {
 		values := append(arguments(texts...), resp.Value{Items: make([]resp.Value, readings)})
 		return errorOf(ParseLoadReports(values))
--- a/internal/codec/resp/golden_test.go
+++ b/internal/codec/resp/golden_test.go
@@ -34,27 +34,27 @@
 	"push":         {Kind: Push, Items: []Value{{Kind: BulkString, Text: "change"}, {Kind: Bool, Bool: true}}},
 }
 
-func TestGoldenValues(t *testing.T) {
+func TestValuesMatchGoldenFiles(t *testing.T) {
 	for name, value := range goldenValues {
 		file := name + ".resp"
 		goldentest.Check(t, file, Append(nil, value))
 		got, err := decode(string(goldentest.Read(t, file)), 1, Limits{})
 		if err != nil || !reflect.DeepEqual(got, []Value{value}) {
-			t.Errorf("%s: decoded as %+v, %v", name, got, err)
+			t.Errorf("%s: decoded as %+v, error %v", name, got, err)
 		}
 	}
 }
 
-// TestGoldenNaN stands apart because NaN does not equal itself.
-func TestGoldenNaN(t *testing.T) {
+// TestNaNMatchesGoldenFile is a separate test because NaN does not equal itself.
+func TestNaNMatchesGoldenFile(t *testing.T) {
 	goldentest.Check(t, "nan.resp", AppendDouble(nil, math.NaN()))
 	got, err := decode(string(goldentest.Read(t, "nan.resp")), 1, Limits{})
 	if err != nil || len(got) != 1 || got[0].Kind != Double || !math.IsNaN(got[0].Float) {
-		t.Errorf("decoded as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, error %v", got, err)
 	}
 }
 
-func TestGoldenCommand(t *testing.T) {
+func TestCommandMatchesGoldenFile(t *testing.T) {
 	goldentest.Check(t, "command.resp", AppendCommand(nil, "JOIN", "till 7", ""))
 	got, err := decode(string(goldentest.Read(t, "command.resp")), 1, Limits{})
 	want := []Value{{Kind: Array, Items: []Value{
@@ -63,16 +63,16 @@
 		{Kind: BulkString},
 	}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, error %v", got, err)
 	}
 }
 
-func TestGoldenLineEndsBecomeSpaces(t *testing.T) {
+func TestAppendLineReplacesLineEndsBySpaces(t *testing.T) {
 	goldentest.Check(t, "line-ends.resp", AppendLine(nil, SimpleError, "ERR one\r\ntwo"))
 }
 
-// TestDecodeOnlyForms decodes forms that peers may send and this package never encodes.
-func TestDecodeOnlyForms(t *testing.T) {
+// TestReaderDecodesFormsThatAreNeverEncoded decodes forms that peers may send but this package never encodes.
+func TestReaderDecodesFormsThatAreNeverEncoded(t *testing.T) {
 	for stream, want := range map[string]Value{
 		"$-1\r\n":                    {Kind: Null},
 		"*-1\r\n":                    {Kind: Null},
@@ -80,7 +80,7 @@
 	} {
 		got, err := decode(stream, 1, Limits{})
 		if err != nil || !reflect.DeepEqual(got, []Value{want}) {
-			t.Errorf("%q: decoded as %+v, %v", stream, got, err)
+			t.Errorf("%q: decoded as %+v, error %v", stream, got, err)
 		}
 	}
 }
@@ -104,13 +104,13 @@
 	"too many values":          "*3\r\n*3\r\n:1\r\n:1\r\n:1\r\n:1\r\n:1\r\n",
 }
 
-func TestGoldenProtocolErrors(t *testing.T) {
+func TestProtocolErrorsMatchGoldenFile(t *testing.T) {
 	errs := map[string]error{}
 	for name, stream := range malformedStreams {
 		_, err := decode(stream, len(stream), Limits{Depth: 2, Items: 5, StringBytes: 50, MessageBytes: 80})
 		var protocolError *ProtocolError
 		if !errors.As(err, &protocolError) {
-			t.Errorf("%s: %v is no ProtocolError", name, err)
+			t.Errorf("%s: error %v, want a ProtocolError", name, err)
 		}
 		errs[name] = err
 	}
