--- a/internal/console/browser_test.go
+++ b/internal/console/browser_test.go
@@ -17,7 +17,7 @@
 	phoneHeight = 800
 )
 
-// browser is a real browser that views a fixture's console.
+// browser is a Chromium process that views a fixture's console.
 type browser struct {
 	t   *testing.T
 	ctx context.Context
@@ -53,12 +53,13 @@
 	b.t.Helper()
 	text, err := chromedp.Run(b.ctx, chromedp.Text(selector))
 	if err != nil {
-		b.t.Fatalf("%s: %v", selector, err)
+		b.t.Fatalf("text of %s: %v", selector, err)
 	}
 	return text
 }
 
-// TestInABrowser views every page, follows a link, and receives a live line. It is skipped without a browser.
+// TestInABrowser views every page, follows a link, and receives a line of the live stream. It is skipped if Chromium is
+// not installed.
 func TestInABrowser(t *testing.T) {
 	if _, err := os.Stat(browserPath); err != nil {
 		t.Skip("no browser at " + browserPath + " (Debian package chromium)")
@@ -69,23 +70,23 @@
 	for _, path := range sections {
 		browser.do(chromedp.Navigate(url + path))
 		if browser.text("h1") == "" || !strings.Contains(browser.text("main"), "state as of") {
-			t.Fatalf("%s cannot be read", path)
+			t.Fatalf("%s: want a heading and the age of the view", path)
 		}
 	}
 	browser.do(chromedp.Navigate(url+"/replicas"), chromedp.WaitVisible("#live:not(:empty)"))
 	if live := browser.text("#live"); !strings.HasPrefix(live, "Now: 3 forwarders") {
-		t.Fatalf("live line %q", live)
+		t.Fatalf("line of the live stream on the page: %q", live)
 	}
 	if _, err := chromedp.RunResponse(browser.ctx, chromedp.Click("tbody a")); err != nil {
 		t.Fatal(err)
 	}
 	if followed := browser.text("h1"); !strings.HasPrefix(followed, "Replica 127.0.0.") {
-		t.Fatalf("a link leads to %q", followed)
+		t.Fatalf("the link to a replica leads to the page %q", followed)
 	}
-	// At a phone's width nothing but tables scrolls sideways.
+	// At a phone's width, only tables scroll horizontally.
 	browser.do(chromedp.EmulateViewport(phoneWidth, phoneHeight), chromedp.Navigate(url+"/forwarders"))
 	wider := chromedp.Evaluate[bool]("document.documentElement.scrollWidth > 380")
 	if isWider, err := chromedp.Run(browser.ctx, wider); err != nil || isWider {
-		t.Fatalf("wider than a phone: %v, %v", isWider, err)
+		t.Fatalf("page is wider than a phone: %v, error %v", isWider, err)
 	}
 }
--- a/internal/console/cluster.go
+++ b/internal/console/cluster.go
@@ -7,7 +7,7 @@
 	"peppervale/internal/cluster"
 )
 
-// clusterBody is who holds which shard, as far as this member knows.
+// clusterBody is the cluster's status, as far as this member knows it.
 type clusterBody struct {
 	Alone bool `json:"alone,omitempty"` // this controller is not a member of a cluster
 	cluster.Status
@@ -19,6 +19,6 @@
 	}
 	body := clusterBody{Status: s.instance.Cluster()}
 	body.Takeovers = slices.Clone(body.Takeovers)
-	slices.Reverse(body.Takeovers) // the newest first
+	slices.Reverse(body.Takeovers) // newest first
 	return body
 }
--- a/internal/console/cluster_test.go
+++ b/internal/console/cluster_test.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/pubsub"
 )
 
-// standbySource is the Source of a cluster member that has not begun to step: it holds no shard.
+// standbySource is the Source of a cluster member that holds no shard. Its event loop has not started.
 type standbySource struct{}
 
 func (standbySource) View() *controller.View         { return nil }
@@ -39,7 +39,7 @@
 	}
 }
 
-// startStandbyConsole returns the URL of the console of a cluster member that holds nothing.
+// startStandbyConsole starts the console of a cluster member that holds no shard, and returns its URL.
 func startStandbyConsole(t *testing.T) string {
 	t.Helper()
 	console, err := Listen("127.0.0.1:0", Instance{
@@ -56,8 +56,8 @@
 	return "http://" + console.Addr()
 }
 
-// TestClusterPageOnStandby shows that a member on standby shows why it holds nothing, who holds what, and how that
-// came about.
+// TestClusterPageOnStandby shows that a member on standby shows its fault, the holders of the shards, and the
+// takeovers.
 func TestClusterPageOnStandby(t *testing.T) {
 	url := startStandbyConsole(t)
 	status, text := httpGet(t, url+"/group")
@@ -72,23 +72,23 @@
 		"</html>",
 	} {
 		if status != 200 || !strings.Contains(text, want) {
-			t.Errorf("%d, without %q:\n%s", status, want, text)
+			t.Errorf("status %d, want 200 and %q:\n%s", status, want, text)
 		}
 	}
 	newest, oldest := strings.Index(text, "its member is gone"), strings.Index(text, "with nobody")
 	if newest > oldest {
-		t.Error("the newest takeover is not the first")
+		t.Error("want the newest takeover first")
 	}
 	if status, text := httpGet(t, url+"/group?as=json"); status != 200 || !strings.Contains(text, `"epoch": 7`) {
-		t.Errorf("%d\n%s", status, text)
+		t.Errorf("cluster page as JSON: want status 200 and epoch 7, got %d\n%s", status, text)
 	}
 }
 
-// TestOtherPagesOnStandby shows that the other pages refer to that of the cluster.
+// TestOtherPagesOnStandby shows that a page that needs a view explains why it is unavailable.
 func TestOtherPagesOnStandby(t *testing.T) {
 	url := startStandbyConsole(t)
 	if status, text := httpGet(t, url+"/"); status != 503 || !strings.Contains(text, "on standby") {
-		t.Errorf("the overview: %d, %s", status, text)
+		t.Errorf("overview on standby: want status 503, got %d, %s", status, text)
 	}
 }
 
@@ -96,6 +96,6 @@
 	f := startFixture(t, 2, 0)
 	status, text, _ := f.get("/group")
 	if status != 200 || !strings.Contains(text, "not a member of a cluster") || strings.Contains(text, `href="/group"`) {
-		t.Errorf("%d\n%s", status, text)
+		t.Errorf("want status 200 and no link to the cluster page, got %d\n%s", status, text)
 	}
 }
--- a/internal/console/comparison/controllers.go
+++ b/internal/console/comparison/controllers.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// compareControllers returns the disagreements about controllers themselves: those whose incarnation has decreased, and
-// those of one name.
+// compareControllers returns the disagreements about the controllers themselves: decreased incarnations and duplicate
+// names.
 func (t *tracker) compareControllers(controllers []polledController) []disagreement {
 	return append(t.decreasedIncarnations(controllers), duplicateNames(controllers)...)
 }
 
-// decreasedIncarnations returns the controllers that report an earlier incarnation than before, and remembers the
-// highest one of each.
+// decreasedIncarnations returns the controllers that report an earlier incarnation than before, and records the highest
+// incarnation of each controller.
 func (t *tracker) decreasedIncarnations(controllers []polledController) []disagreement {
 	var found []disagreement
 	for _, controller := range controllers {
@@ -29,7 +29,7 @@
 	return found
 }
 
-// duplicateNames returns the names that several controllers have.
+// duplicateNames returns a disagreement for each name that several controllers share.
 func duplicateNames(controllers []polledController) []disagreement {
 	byName := map[string][]side{}
 	for _, controller := range controllers {
--- a/internal/console/comparison/disagreement.go
+++ b/internal/console/comparison/disagreement.go
@@ -8,19 +8,21 @@
 	"peppervale/internal/model"
 )
 
-// settlingTime is how long disagreements usually last with nothing wrong: a change of the endpoint list reaches
-// controllers within a blocking query and its slack.
+// settlingTime is how long a disagreement usually lasts without a fault: a change of the endpoint list reaches all
+// controllers within the time of a blocking query and its slack.
 const settlingTime = 4 * model.Second
 
 // disagreementKind is what a disagreement is about. Its values are served as JSON.
 type disagreementKind string
 
 const (
-	// sendsToLeaving: the endpoint list of one controller has a replica as draining or gone, another sends to it.
+	// sendsToLeaving: one controller's endpoint list has a replica as draining or gone, and another controller sends
+	// requests to it.
 	sendsToLeaving disagreementKind = "sends to what another was told is leaving"
 	// listDiffers: a replica is ready in one endpoint list, and draining, gone or missing in another.
 	listDiffers disagreementKind = "the list differs"
-	// stateDiffers: one controller has withdrawn a replica and another sends to it, though both list it as ready.
+	// stateDiffers: one controller has withdrawn a replica and another sends requests to it, though both endpoint lists
+	// have it as ready.
 	stateDiffers disagreementKind = "out here, in there"
 	// connectedTwice: a proxy is connected to several controllers.
 	connectedTwice disagreementKind = "joined at two"
@@ -43,7 +45,7 @@
 	Report     string `json:"says"`
 }
 
-// disagreement is a disagreement that has lasted since a time without a break.
+// disagreement is a difference between the reports of controllers. Every comparison since Since has found it.
 type disagreement struct {
 	Kind    disagreementKind   `json:"kind"`
 	Subject string             `json:"about"` // a replica's address, or the name of a proxy or a controller
@@ -51,17 +53,18 @@
 	Since   model.Microseconds `json:"since_us"`
 }
 
-// isStanding reports whether a disagreement has lasted longer than usual.
+// isStanding reports whether a disagreement has lasted for settlingTime or longer.
 func (d *disagreement) isStanding(now model.Microseconds) bool {
 	return now-d.Since >= settlingTime
 }
 
-// key identifies a disagreement from one comparison to the next.
+// key identifies a disagreement across comparisons.
 func (d *disagreement) key() string {
 	return string(d.Kind) + " " + d.Subject
 }
 
-// sortDisagreements puts standing disagreements first, and of these and the others the most severe and oldest ones.
+// sortDisagreements sorts standing disagreements first. Within each group, the most severe and then the oldest
+// disagreements come first.
 func sortDisagreements(disagreements []disagreement, now model.Microseconds) {
 	slices.SortFunc(disagreements, func(a, b disagreement) int {
 		return cmp.Or(
--- a/internal/console/comparison/json_golden_test.go
+++ b/internal/console/comparison/json_golden_test.go
@@ -14,9 +14,10 @@
 	"peppervale/internal/model"
 )
 
-var update = flag.Bool("update", false, "write the golden pages in testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden pages in testdata")
 
-// consolePage returns a page that the golden tests of package console pin, so that both packages agree on every key.
+// consolePage returns a golden page of package console. Both packages are tested with it, so that they agree on every
+// key.
 func consolePage(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "testdata", name))
@@ -39,7 +40,7 @@
 	return view
 }
 
-// TestConsolePagesAreParsed asserts every value that is taken from a controller's console.
+// TestConsolePagesAreParsed checks every value that is read from a controller's console.
 func TestConsolePagesAreParsed(t *testing.T) {
 	want := &reportedView{
 		name: "govan-1", incarnation: 26, version: 4, at: 99_500_000, safeMode: "shut", unreportedReplicas: 1,
@@ -72,7 +73,7 @@
 	}
 }
 
-// goldenServer returns a server of one controller, with a number of disagreements.
+// goldenServer returns a server of one controller with the given number of disagreements.
 func goldenServer(t *testing.T, disagreements int) *Server {
 	t.Helper()
 	controllers := []polledController{{
@@ -91,7 +92,7 @@
 	return serverOf(200*model.Second, controllers, found)
 }
 
-// TestPagesAsJSON compares each page's JSON with the bytes that programs parse today: its keys must not change.
+// TestPagesAsJSON guards the JSON that programs parse: a changed key or value would break them.
 func TestPagesAsJSON(t *testing.T) {
 	server := goldenServer(t, 1)
 	for _, test := range []struct {
@@ -108,28 +109,29 @@
 	}
 }
 
-// TestPagesAsHTML shows that each page's template fits its view model, with and without omitted rows.
+// TestPagesAsHTML guards against templates that use a field that the page's body does not have, with and without
+// omitted rows.
 func TestPagesAsHTML(t *testing.T) {
 	for _, server := range []*Server{goldenServer(t, 1), goldenServer(t, maxShownDisagreements+1), serverOf(0, nil, nil)} {
 		for _, path := range []string{"/", "/replicas", "/forwarders"} {
 			response := httptest.NewRecorder()
 			server.serve(response, httptest.NewRequest(http.MethodGet, path, nil))
 			if text := response.Body.String(); response.Code != http.StatusOK || !strings.Contains(text, "</html>") {
-				t.Errorf("%s: %d %s", path, response.Code, text)
+				t.Errorf("%s: want a whole page with status 200, got %d %s", path, response.Code, text)
 			}
 		}
 	}
 }
 
-// TestOmittedDisagreementsAsJSON asserts the key that is absent where all disagreements are shown.
+// TestOmittedDisagreementsAsJSON checks the key that is absent if all disagreements are shown.
 func TestOmittedDisagreementsAsJSON(t *testing.T) {
 	text := pageAsJSON(t, goldenServer(t, maxShownDisagreements+1), "/")
 	if !bytes.Contains(text, []byte(`"disagreements_left_out": 1,`)) {
-		t.Errorf("an overview with one disagreement too many does not say so: %.600s", text)
+		t.Errorf("the overview does not count the disagreement beyond the limit: %.600s", text)
 	}
 }
 
-// TestOmittedRowsAsJSON asserts the key that is absent where all rows are shown.
+// TestOmittedRowsAsJSON checks the key that is absent if all rows are shown.
 func TestOmittedRowsAsJSON(t *testing.T) {
 	view := &reportedView{name: "govan-1", proxies: map[string]reportedProxy{}}
 	for n := range maxRows + 2 {
@@ -139,7 +141,7 @@
 		address: "http://127.0.0.1:7780", view: view, receivedAt: model.Second,
 	}}, nil)
 	if text := pageAsJSON(t, server, "/forwarders"); !bytes.Contains(text, []byte(`"rows_left_out": 2`)) {
-		t.Errorf("a table with two rows too many does not say so: %.600s", text)
+		t.Errorf("the matrix does not count the two rows beyond the limit: %.600s", text)
 	}
 }
 
@@ -150,12 +152,12 @@
 	response := httptest.NewRecorder()
 	server.serve(response, request)
 	if response.Code != http.StatusOK || response.Header().Get("Content-Type") != "application/json" {
-		t.Fatalf("%s: %d %s", path, response.Code, response.Body)
+		t.Fatalf("%s: want JSON with status 200, got %d %s", path, response.Code, response.Body)
 	}
 	return response.Body.Bytes()
 }
 
-// checkGolden reports bytes that differ from the golden file. With -update it writes them to the file before.
+// checkGolden reports bytes that differ from the golden file. With -update it first writes them to the file.
 func checkGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	if *update {
@@ -168,6 +170,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+		t.Errorf("%s: got\n%s\nwant the golden file\n%s", file, got, want)
 	}
 }
--- a/internal/console/comparison/matrix.go
+++ b/internal/console/comparison/matrix.go
@@ -20,17 +20,18 @@
 
 type matrixRow struct {
 	Subject string       `json:"about"`
-	Cells   []matrixCell `json:"cells"` // by the places of the controllers
+	Cells   []matrixCell `json:"cells"` // in the order of the controllers
 }
 
-// matrixCell is what one controller reports about the subject of a row. Report is empty if it does not know it.
+// matrixCell is what one controller reports about the subject of a row. Report is empty if the controller does not know
+// the subject.
 type matrixCell struct {
 	Report string `json:"says"`
 	Link   string `json:"link"` // to the controller's own page
 	Recent bool   `json:"fresh"`
 }
 
-// rowSource is where the rows of a matrix come from.
+// rowSource reads the rows of a matrix from the controllers' views.
 type rowSource struct {
 	path     string // of the controllers' own pages
 	subjects func(view *reportedView) iter.Seq[string]
@@ -76,7 +77,7 @@
 	return body
 }
 
-// columnHeading returns the name of a controller, with the age of its view if that is not recent.
+// columnHeading returns the name of a controller, with the age of its view if the view is not recent.
 func columnHeading(now model.Microseconds, controller *polledController) string {
 	switch {
 	case controller.view == nil:
--- a/internal/console/comparison/overview.go
+++ b/internal/console/comparison/overview.go
@@ -11,11 +11,11 @@
 	// maxShownDisagreements bounds the disagreements on the overview.
 	maxShownDisagreements = 500
 
-	// shownPrecision is the precision of the time that a disagreement has lasted.
+	// shownPrecision is the precision of a disagreement's duration on the overview.
 	shownPrecision = 100 * time.Millisecond
 )
 
-// overviewBody is the controllers and their disagreements.
+// overviewBody lists the controllers and their disagreements.
 type overviewBody struct {
 	Controllers          []controllerRow   `json:"governors"`
 	Compared             int               `json:"compared"`
@@ -24,7 +24,7 @@
 	Disagreements        []disagreementRow `json:"disagreements"`
 }
 
-// controllerRow is a controller by its newest view.
+// controllerRow shows a controller's newest view.
 type controllerRow struct {
 	Address            string  `json:"address"` // URL of its console
 	Name               string  `json:"governor"`
@@ -44,7 +44,7 @@
 	QueueLimit         int     `json:"queue_limit"`
 }
 
-// safeModeEnded is the value of a console's JSON after safe mode.
+// safeModeEnded is the value of a console's JSON once safe mode has ended.
 const safeModeEnded = "open"
 
 // SafeModeEnded reports whether weights follow load reports.
@@ -52,8 +52,8 @@
 	return r.SafeMode == safeModeEnded
 }
 
-// SafeModeLabel returns for readers whether the controller awaits load reports before weights follow them; it is empty
-// if the controller never answered.
+// SafeModeLabel returns the state of safe mode as text for the overview. It is empty if the controller never
+// responded.
 func (r controllerRow) SafeModeLabel() string {
 	switch {
 	case r.SafeMode == "":
@@ -65,7 +65,7 @@
 	}
 }
 
-// disagreementRow is a disagreement and how long it has lasted.
+// disagreementRow is a disagreement and its duration.
 type disagreementRow struct {
 	disagreement
 	Duration string `json:"stands_for"`
--- a/internal/console/comparison/poller.go
+++ b/internal/console/comparison/poller.go
@@ -17,7 +17,7 @@
 	pollInterval = time.Second
 	pollTimeout  = 3 * time.Second
 
-	// maxPageBytes bounds one page. The largest one of a console, of 5,000 proxies, has about 2 MB.
+	// maxPageBytes bounds one page. A console's largest page, that of 5,000 proxies, has about 2 MB.
 	maxPageBytes = 16 << 20
 
 	// maxConnections bounds the connections to one console.
@@ -26,10 +26,10 @@
 	idleTimeout = 30 * time.Second
 )
 
-// polledController is what is known of one controller.
+// polledController is the newest view of one controller and the results of its polls.
 type polledController struct {
 	address    string             // URL of its console
-	view       *reportedView      // the newest one; nil: it never answered
+	view       *reportedView      // the newest view; nil if no poll has succeeded
 	receivedAt model.Microseconds // when the view was received, by the clock of this program
 	lastError  string             // of the newest poll; empty if it succeeded
 	polls      uint64
@@ -41,8 +41,8 @@
 	return c.view != nil && now-c.receivedAt <= maxViewAge
 }
 
-// poller polls the consoles of controllers, each in a goroutine of its own, so that a console that hangs delays no
-// other. It is created by startPoller.
+// poller polls the consoles of controllers, each in a goroutine of its own, so that a console that hangs does not delay
+// the polls of other consoles. It is created by startPoller.
 type poller struct {
 	now    func() model.Microseconds
 	client *http.Client
@@ -53,7 +53,7 @@
 	controllers []polledController
 }
 
-// startPoller begins to poll the consoles at the addresses: host:port, or whole URLs.
+// startPoller starts to poll the consoles at the addresses. Each address is host:port or a URL.
 func startPoller(addresses []string, now func() model.Microseconds) *poller {
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := &http.Transport{MaxConnsPerHost: maxConnections, IdleConnTimeout: idleTimeout}
@@ -79,14 +79,14 @@
 	return strings.TrimSuffix(address, "/")
 }
 
-// close ends the polling.
+// close stops the polling and waits for polls in progress.
 func (p *poller) close() {
 	p.cancel()
 	p.polls.Wait()
 	p.client.CloseIdleConnections()
 }
 
-// snapshot returns what is known now, in the order of the addresses.
+// snapshot returns the current state of all controllers, in the order of their addresses.
 func (p *poller) snapshot() []polledController {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// poll polls one console. The newest view is kept if it fails.
+// poll polls one console once. A failed poll keeps the view of the last successful one.
 func (p *poller) poll(ctx context.Context, place int) {
 	p.mu.Lock()
 	address := p.controllers[place].address
@@ -155,7 +155,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // the page was read, or its error is returned
+	defer func() { _ = response.Body.Close() }() // the body was read, or the read error is returned
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes+1))
 	switch {
 	case err != nil:
--- a/internal/console/comparison/proxies.go
+++ b/internal/console/comparison/proxies.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// maxMissingTime is how long a proxy that is connected nowhere is reported; then it was taken down or renamed.
+	// maxMissingTime is how long a proxy that is connected nowhere is reported. A proxy that is missing for longer was
+	// removed or renamed.
 	maxMissingTime = 120 * model.Second
 
-	// maxKnownProxies bounds the proxies that are remembered.
+	// maxKnownProxies bounds the proxies whose last connection is recorded.
 	maxKnownProxies = 20_000
 )
 
-// compareProxies returns the disagreements about where proxies are connected. That a proxy is connected nowhere can
-// be told only if the views of all controllers are recent.
+// compareProxies returns the disagreements about the controllers that proxies are connected to. A proxy is reported as
+// connected nowhere only if the views of all controllers are recent.
 func (t *tracker) compareProxies(
 	now model.Microseconds, controllers []polledController, allRecent bool,
 ) []disagreement {
@@ -36,7 +37,8 @@
 	return found
 }
 
-// connections returns the controllers that each proxy is connected to, by the proxy's name, and remembers the proxies.
+// connections returns the controllers that each proxy is connected to, by the proxy's name, and records the time of the
+// proxies' last connections.
 func (t *tracker) connections(now model.Microseconds, controllers []polledController) map[string][]side {
 	connections := map[string][]side{}
 	for _, controller := range controllers {
@@ -52,7 +54,7 @@
 	return connections
 }
 
-// tableName returns the name of the table that the proxy uses, or standing for tables of its own.
+// tableName returns the name of the table that the proxy uses, or standing if it uses tables of its own.
 func (p reportedProxy) tableName(standing string) string {
 	if p.Table < 0 {
 		return standing
--- a/internal/console/comparison/replicas.go
+++ b/internal/console/comparison/replicas.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Values of a console's JSON.
+// Values of the JSON of a console.
 const (
 	listedReady = "ready"
 	stateAbsent = "away"
 )
 
-// receivesRequests reports whether proxies of the reporting controller may send to the replica.
+// receivesRequests reports whether proxies of the reporting controller may send requests to the replica.
 func (r *reportedReplica) receivesRequests() bool {
 	return !r.Withdrawn && r.State != stateAbsent && r.SlowStartFactor > 0
 }
 
-// describe returns what a controller reports about the replica. It is served as JSON.
+// describe returns the reported state of the replica as text. The text is served as JSON.
 func (r *reportedReplica) describe() string {
 	description := fmt.Sprintf("%s, listed %s", r.State, r.ListedStatus)
 	if r.Withdrawn {
@@ -88,8 +88,8 @@
 	c.unlisted++
 }
 
-// kind classifies the disagreement, if there is one. A controller that never knew of a replica that has left another
-// one's list does not disagree.
+// kind classifies the disagreement, if there is one. It is no disagreement if one controller's list has a replica as
+// draining or gone and another controller never listed it.
 func (c *replicaComparison) kind() (kind disagreementKind, disagree bool) {
 	switch {
 	case c.listedLeaving > 0 && c.receivingReady > 0:
--- a/internal/console/comparison/server.go
+++ b/internal/console/comparison/server.go
@@ -12,8 +12,8 @@
 	"peppervale/internal/model"
 )
 
-// compareInterval is the time between two comparisons. They go on without viewers, since only who follows a
-// disagreement knows how long it has lasted.
+// compareInterval is the time between two comparisons. Comparisons run without viewers too, as the duration of a
+// disagreement is known only if it is tracked from its start.
 const compareInterval = pollInterval / 2
 
 //go:embed templates/*.html
@@ -23,7 +23,7 @@
 	"style": func() template.CSS { return console.Style },
 }).ParseFS(templateFiles, "templates/*.html"))
 
-// Server serves the console of several controllers. It is created by Listen.
+// Server serves the comparison of several controllers. It is created by Listen.
 type Server struct {
 	poller    *poller
 	http      *httpserver.Server
@@ -36,8 +36,8 @@
 	compared      int // controllers in the newest comparison
 }
 
-// Listen opens the address, begins to poll the controllers' consoles, and serves until Close. Errors are those of
-// the address.
+// Listen listens on the address, polls the controllers' consoles, and serves until Close. It fails only if it cannot
+// listen on the address.
 func Listen(address string, consoles []string, now func() model.Microseconds) (*Server, error) {
 	server, err := httpserver.Listen(address)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return s.http.Addr()
 }
 
-// Close ends the server and the polling.
+// Close stops the server and the polling.
 func (s *Server) Close() {
 	s.http.Close()
 	s.poller.close()
@@ -75,7 +75,7 @@
 	s.disagreements, s.compared = s.tracker.compare(now, controllers)
 }
 
-// pageModel is what the template "page" is given, and what is shown as JSON.
+// pageModel is the data of the template "page". It is also served as JSON.
 type pageModel struct {
 	Title    string             `json:"title"`
 	Heading  string             `json:"-"`
--- a/internal/console/comparison/server_test.go
+++ b/internal/console/comparison/server_test.go
@@ -22,11 +22,11 @@
 	// overviewDeadline bounds the wait for an overview.
 	overviewDeadline = 20 * time.Second
 
-	// maxReportTime bounds the time until a failure is reported.
+	// maxReportTime bounds the time until the overview shows a failure.
 	maxReportTime = 15 * time.Second
 )
 
-// failure is what a stub console does wrong.
+// failure is how a stub console fails.
 type failure string
 
 const (
@@ -37,12 +37,12 @@
 	unavailable failure = "unavailable"
 )
 
-// stubConsole substitutes a controller's console, of one replica and one proxy.
+// stubConsole is a substitute for the console of a controller with one replica and one proxy.
 type stubConsole struct {
 	name    string
 	state   string        // of the replica
 	failure atomic.Value  // a failure
-	release chan struct{} // closed at the end of the test, for requests that hang
+	release chan struct{} // closed at the end of the test, to end requests that hang
 }
 
 func newStubConsole(t *testing.T, name, state string) (console *stubConsole, url string) {
@@ -55,7 +55,7 @@
 	return console, server.URL
 }
 
-// ServeHTTP responds with a page of the console, or fails as is set.
+// ServeHTTP responds with a page of the console, or fails in the selected way.
 func (c *stubConsole) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch c.failure.Load() {
 	case hangs:
@@ -74,7 +74,7 @@
 	}
 }
 
-// respond writes a text, unless the poller has given the page up.
+// respond writes a text. It ignores errors, as the poller may have cancelled the request.
 func respond(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 }
@@ -110,7 +110,7 @@
 	return response.StatusCode, string(body)
 }
 
-// awaitOverview waits until the overview fulfils a condition, and returns it.
+// awaitOverview waits until the overview meets a condition, and returns the overview.
 func awaitOverview(t *testing.T, server *Server, what string, condition func(overviewBody) bool) overviewBody {
 	t.Helper()
 	var text string
@@ -121,7 +121,7 @@
 			return page.Body
 		}
 	}
-	t.Fatalf("%s is not reached:\n%s", what, text)
+	t.Fatalf("the overview does not show %s within overviewDeadline:\n%s", what, text)
 	return overviewBody{}
 }
 
@@ -129,8 +129,8 @@
 	return overview.Compared == 2
 }
 
-// startComparison starts a server of two stub consoles and an address without one. The first controller sends to a
-// replica that the second one has ejected.
+// startComparison starts a server of two stub consoles and an address without a console. The first controller sends
+// requests to a replica that the second controller has ejected.
 func startComparison(t *testing.T) (server *Server, second *stubConsole) {
 	t.Helper()
 	_, firstURL := newStubConsole(t, "govan-1", "serving")
@@ -152,10 +152,10 @@
 	})
 	found := overview.Disagreements[0]
 	if found.Kind != stateDiffers || found.Subject != "127.0.0.1:80" {
-		t.Errorf("%+v", found)
+		t.Errorf("want stateDiffers about 127.0.0.1:80, got %+v", found)
 	}
 	if silent := overview.Controllers[2]; silent.ViewAge != "never" || silent.Error == "" {
-		t.Errorf("%+v", silent)
+		t.Errorf("controller that never responded: want no view and an error, got %+v", silent)
 	}
 }
 
@@ -166,22 +166,23 @@
 		status, text := get(t, server, path)
 		wantHTML := !strings.Contains(path, "as=")
 		if status != 200 || strings.Contains(text, "<b>govan") || wantHTML != strings.Contains(text, "</html>") {
-			t.Errorf("%s: %d %s", path, status, text)
+			t.Errorf("%s: want a page with escaped names and status 200, got %d %s", path, status, text)
 		}
 	}
 	_, text := get(t, server, "/replicas?as=json")
 	if !strings.Contains(text, "resting, listed ready, withdrawn") || !strings.Contains(text, "serving, listed ready") {
-		t.Errorf("replicas: %s", text)
+		t.Errorf("replicas do not show both reported states: %s", text)
 	}
 	for path, want := range map[string]int{"/nope": 404, "/replicas/x": 404, "/" + strings.Repeat("x", 2000): 414} {
 		if status, _ := get(t, server, path); status != want {
-			t.Errorf("%s: %d", path, status)
+			t.Errorf("%s: unexpected status %d", path, status)
 		}
 	}
 }
 
-// TestFailingConsole has the second console fail in every way in turn: its last view is shown with its age and the
-// reason, the first controller's view is recent all the while, and no page waits.
+// TestFailingConsole guards against failures of one console that delay the pages or the views of other controllers. The
+// second console fails in every way in turn. Its last view is shown with the age and the error, and the first
+// controller's view stays recent.
 func TestFailingConsole(t *testing.T) {
 	server, second := startComparison(t)
 	awaitOverview(t, server, "a comparison of two", bothCompared)
@@ -198,13 +199,13 @@
 		})
 		failed := overview.Controllers[1]
 		if failed.Name != "partick-1" || failed.Incarnation != 3 || failed.ViewAge == "never" {
-			t.Errorf("%s: %+v", failure, failed)
+			t.Errorf("failure %q: want the last view of the failed console, got %+v", failure, failed)
 		}
 		if !overview.Controllers[0].Recent {
-			t.Errorf("%s: %+v", failure, overview.Controllers[0])
+			t.Errorf("failure %q: the view of the other controller is not recent: %+v", failure, overview.Controllers[0])
 		}
 		if took := time.Since(start); took > maxReportTime {
-			t.Errorf("%s: reported after %s", failure, took)
+			t.Errorf("failure %q: shown after %s, over maxReportTime", failure, took)
 		}
 	}
 	awaitOverview(t, server, "an old view", func(overview overviewBody) bool {
--- a/internal/console/comparison/tracker.go
+++ b/internal/console/comparison/tracker.go
@@ -5,19 +5,20 @@
 // maxViewAge is the age beyond which a view is not compared: five poll intervals.
 const maxViewAge = 5 * model.Second
 
-// tracker finds disagreements and follows them over time. It is created by newTracker and is not safe for concurrent
+// tracker finds disagreements and tracks their duration. It is created by newTracker and is not safe for concurrent
 // use.
 //
-//	state    found again       next      effect
-//	-        yes               new       it lasts since now
-//	new      yes               new       until settlingTime has passed
-//	new      no                -         forgotten: it has passed
-//	new      settlingTime      standing  reported first
-//	standing no                -         forgotten
+//	state     event                 next      effect
+//	-         found                 new       its start is recorded
+//	new       found                 new       none
+//	new       not found             -         its start is deleted
+//	new       settlingTime passed   standing  it is sorted first
+//	standing  found                 standing  none
+//	standing  not found             -         its start is deleted
 type tracker struct {
-	since        map[string]model.Microseconds // when a disagreement began, by its key
-	connectedAt  map[string]model.Microseconds // when a proxy was last connected, by its name
-	incarnations map[string]uint64             // the highest one of a controller, by its address
+	since        map[string]model.Microseconds // the start of each disagreement, by its key
+	connectedAt  map[string]model.Microseconds // the time of each proxy's last connection, by its name
+	incarnations map[string]uint64             // the highest incarnation of each controller, by its address
 }
 
 func newTracker() *tracker {
@@ -28,8 +29,8 @@
 	}
 }
 
-// compare returns the disagreements between the recent views of the controllers, the standing and severe ones first,
-// and the number of controllers that were compared.
+// compare returns the sorted disagreements between the recent views of the controllers, and the number of controllers
+// that were compared.
 func (t *tracker) compare(
 	now model.Microseconds, controllers []polledController,
 ) (found []disagreement, compared int) {
@@ -48,7 +49,7 @@
 	return found, len(recent)
 }
 
-// follow sets since when each disagreement lasts, and forgets those that were not found.
+// follow sets the start of each disagreement that was found, and deletes the recorded starts of all others.
 func (t *tracker) follow(now model.Microseconds, found []disagreement) {
 	since := make(map[string]model.Microseconds, len(found))
 	for i := range found {
--- a/internal/console/comparison/tracker_test.go
+++ b/internal/console/comparison/tracker_test.go
@@ -10,26 +10,26 @@
 	"peppervale/internal/model"
 )
 
-// testView is a controller's view in short.
+// testView describes a controller's view.
 type testView struct {
 	name        string
 	incarnation uint64
-	replicas    map[string]string // by address: a key of testReplicas
+	replicas    map[string]string // by address; the values are keys of testReplicas
 	proxies     []string
 	age         model.Microseconds
 }
 
-// testReplicas are reports about a replica.
+// testReplicas are possible reports about a replica.
 var testReplicas = map[string]reportedReplica{
 	"serving":  {State: "serving", ListedStatus: "ready", SlowStartFactor: 1},
 	"ejected":  {State: "resting", ListedStatus: "ready", SlowStartFactor: 1, Withdrawn: true},
 	"draining": {State: "away", ListedStatus: "draining", Withdrawn: true},
 	"gone":     {State: "away", ListedStatus: "gone", Withdrawn: true},
-	// Listed as gone, and not withdrawn yet.
+	// Listed as gone, but not withdrawn yet.
 	"not withdrawn": {State: "serving", ListedStatus: "gone", SlowStartFactor: 1},
 }
 
-// poll returns controllers with these views, each at an address of its own.
+// poll returns polled controllers with the given views, each at an address of its own.
 func poll(now model.Microseconds, views ...testView) []polledController {
 	var controllers []polledController
 	for i, view := range views {
@@ -55,8 +55,8 @@
 	return controllers
 }
 
-// TestKindsOfReplicaDisagreements shows that each pair of reports about one replica is one kind of disagreement, or
-// none.
+// TestKindsOfReplicaDisagreements shows which kind of disagreement, if any, each pair of reports about one replica
+// causes.
 func TestKindsOfReplicaDisagreements(t *testing.T) {
 	for _, test := range []struct {
 		first  string
@@ -82,17 +82,17 @@
 			}
 			found, compared := newTracker().compare(0, poll(0, first, second))
 			if compared != 2 || (len(found) == 0) != (test.want == "") {
-				t.Fatalf("%d compared, %+v", compared, found)
+				t.Fatalf("%d controllers compared, want 2; disagreements: %+v", compared, found)
 			}
 			if len(found) > 0 && (found[0].Kind != test.want || len(found[0].Sides) != 2) {
-				t.Errorf("%+v", found)
+				t.Errorf("unexpected kind or sides: %+v", found)
 			}
 		})
 	}
 }
 
-// TestPassingAndStandingDisagreements shows that a disagreement passes when a list arrives late, and stands and is
-// reported first when it never arrives.
+// TestPassingAndStandingDisagreements shows that a disagreement ends when a delayed endpoint list arrives, and becomes
+// standing and is reported first if the list never arrives.
 func TestPassingAndStandingDisagreements(t *testing.T) {
 	tracker := newTracker()
 	complete := testView{name: "a", replicas: map[string]string{"late": "gone", "never": "gone"}}
@@ -106,24 +106,25 @@
 	now := 2 * model.Second
 	found := compare(now, "gone", "serving")
 	if len(found) != 1 || found[0].Subject != "never" || found[0].isStanding(now) {
-		t.Fatalf("%+v", found)
+		t.Fatalf("want one disagreement that is not standing yet, got %+v", found)
 	}
 
 	now = 5 * model.Second
 	found = compare(now, "serving", "serving")
 	if len(found) != 2 || found[0].Subject != "never" || !found[0].isStanding(now) || found[0].Since != 0 {
-		t.Fatalf("%+v", found)
+		t.Fatalf("want the standing disagreement first of two, got %+v", found)
 	}
 	if found[1].isStanding(now) || found[1].Since != now {
-		t.Fatalf("%+v", found)
+		t.Fatalf("want a new start for the disagreement that had ended, got %+v", found)
 	}
 
 	if found = compare(6*model.Second, "gone", "gone"); len(found) != 0 {
-		t.Fatalf("%+v", found)
+		t.Fatalf("the lists are the same again, got %+v", found)
 	}
 }
 
-// TestOldViewsAreNotCompared shows also that proxies are missed only while the views of all controllers are recent.
+// TestOldViewsAreNotCompared also shows that a proxy is reported as connected nowhere only if the views of all
+// controllers are recent.
 func TestOldViewsAreNotCompared(t *testing.T) {
 	tracker := newTracker()
 	tracker.compare(0, poll(0,
@@ -137,19 +138,19 @@
 		testView{name: "b", proxies: []string{"bar"}, replicas: map[string]string{"r": "gone"}, age: 6 * model.Second},
 	))
 	if compared != 1 || len(found) != 0 {
-		t.Fatalf("%d compared, %+v", compared, found)
+		t.Fatalf("%d controllers compared, want 1 and no disagreement: %+v", compared, found)
 	}
 
 	withoutBar := []testView{{name: "a", proxies: []string{"till"}}, {name: "b"}}
 	now = 7 * model.Second
 	found, _ = tracker.compare(now, poll(now, withoutBar...))
 	if len(found) != 1 || found[0].Kind != connectedNowhere || found[0].Subject != "bar" {
-		t.Fatalf("%+v", found)
+		t.Fatalf("want proxy bar connected nowhere, got %+v", found)
 	}
 
 	now = 300 * model.Second
 	if found, _ = tracker.compare(now, poll(now, withoutBar...)); len(found) != 0 {
-		t.Fatalf("missed long after it has gone: %+v", found)
+		t.Fatalf("a proxy is still reported after maxMissingTime: %+v", found)
 	}
 }
 
@@ -165,12 +166,12 @@
 		kinds = append(kinds, disagreement.Kind)
 	}
 	if !slices.Equal(kinds, []disagreementKind{incarnationDecreased, duplicateName, connectedTwice}) {
-		t.Fatalf("%+v", found)
+		t.Fatalf("want three disagreements by severity, got %+v", found)
 	}
 }
 
-// TestCompareProperties shows, for any views: controllers that report the same do not disagree about replicas; the
-// order of the controllers does not matter; and no disagreement began in the future.
+// TestCompareProperties shows for random views: controllers with the same reports do not disagree about replicas, the
+// order of the controllers does not matter, and no disagreement starts in the future.
 func TestCompareProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		forward, backward := newTracker(), newTracker()
@@ -188,7 +189,7 @@
 	})
 }
 
-// drawViews draws the views of three controllers of two replicas.
+// drawViews draws the views that three controllers have of two replicas.
 func drawViews(t *rapid.T) []testView {
 	reports := []string{"", "serving", "ejected", "draining", "gone", "not withdrawn"}
 	var views []testView
@@ -209,7 +210,7 @@
 	return views
 }
 
-// checkAgreement fails if controllers disagree that all report what the first one does.
+// checkAgreement fails if there is a disagreement when all controllers report the replicas as the first one does.
 func checkAgreement(t *rapid.T, now model.Microseconds, views []testView) {
 	t.Helper()
 	same := slices.Clone(views)
@@ -217,20 +218,20 @@
 		same[i].replicas = views[0].replicas
 	}
 	if found, _ := newTracker().compare(now, poll(now, same...)); len(found) != 0 {
-		t.Fatalf("the reports are the same: %+v", found)
+		t.Fatalf("disagreements although all reports are the same: %+v", found)
 	}
 }
 
 func checkSameDisagreements(t *rapid.T, now model.Microseconds, found, reversed []disagreement) {
 	t.Helper()
 	if len(found) != len(reversed) {
-		t.Fatalf("%+v\n%+v", found, reversed)
+		t.Fatalf("numbers of disagreements depend on the order of controllers:\n%+v\n%+v", found, reversed)
 	}
 	for i, first := range found {
 		second := reversed[i]
 		same := first.Kind == second.Kind && first.Subject == second.Subject && first.Since == second.Since
 		if !same || first.Since > now {
-			t.Fatalf("%+v\n%+v", first, second)
+			t.Fatalf("disagreements differ by the order of controllers, or start in the future:\n%+v\n%+v", first, second)
 		}
 	}
 }
--- a/internal/console/comparison/view.go
+++ b/internal/console/comparison/view.go
@@ -8,20 +8,20 @@
 	"peppervale/internal/model"
 )
 
-// maxRows bounds the rows that are taken from one page of a console; a console sends no more.
+// maxRows bounds the rows that are read from one page of a console. A console sends no more.
 const maxRows = 5000
 
-// errNoConsole is returned for pages that are JSON but not those of a console.
+// errNoConsole is returned for pages that are valid JSON but not the pages of a console.
 var errNoConsole = errors.New("its overview names no governor or no gate; is it a peppervale console?")
 
-// reportedView is what one controller's console reported at a time. It is immutable.
+// reportedView is the state of one controller, as its console reported it. It is immutable.
 type reportedView struct {
 	name               string
 	incarnation        uint64
 	version            uint64
 	at                 model.Microseconds // by the controller's clock
-	safeMode           string             // "open" after safe mode, "shut" in it
-	unreportedReplicas int                // replicas whose load reports safe mode awaits
+	safeMode           string             // "shut" in safe mode, "open" after it
+	unreportedReplicas int                // replicas that safe mode waits for load reports from
 	connectedProxies   int
 	boundProxies       int
 	readyReplicas      int // listed as ready
@@ -49,7 +49,7 @@
 type reportedProxy struct {
 	Name  string `json:"name"`
 	Zone  string `json:"zone"`
-	Table int    `json:"table"` // -1: on tables of its own
+	Table int    `json:"table"` // -1: the proxy uses tables of its own
 }
 
 type overviewObject struct {
@@ -80,14 +80,14 @@
 	Body []reportedProxy `json:"body"`
 }
 
-// consolePages are the pages of a console that a view is made from, in JSON.
+// consolePages are the JSON pages of a console that a view is parsed from.
 type consolePages struct {
 	overview []byte
 	replicas []byte
 	proxies  []byte
 }
 
-// parseView makes a view from the pages of a console.
+// parseView parses the pages of a console.
 func parseView(pages consolePages) (*reportedView, error) {
 	var overview overviewObject
 	if err := parsePage("overview", pages.overview, &overview); err != nil {
--- a/internal/console/decisions.go
+++ b/internal/console/decisions.go
@@ -14,7 +14,7 @@
 	// maxDetailDecisions bounds the decisions on the page of one replica or proxy.
 	maxDetailDecisions = 50
 
-	// maxFilterLength bounds the text that decisions are filtered by, in bytes.
+	// maxFilterLength bounds the filter text of decisions, in bytes.
 	maxFilterLength = 200
 )
 
@@ -24,10 +24,10 @@
 	Decisions []decisionRow `json:"causes"`
 }
 
-// decisionRow is a step of the event loop: its inputs, the balancer's reasons and the updates that followed.
+// decisionRow is a step of the event loop: its inputs, the balancer's reasons, and the updates that were published.
 type decisionRow struct {
 	Number         uint64   `json:"number"`
-	Incarnation    uint64   `json:"life,omitempty"` // of an earlier one; 0: the present one
+	Incarnation    uint64   `json:"life,omitempty"` // of an earlier incarnation; 0: the present one
 	Age            string   `json:"at"`
 	Inputs         []string `json:"came"`
 	Reasons        []string `json:"said"`
--- a/internal/console/fixture_test.go
+++ b/internal/console/fixture_test.go
@@ -23,7 +23,7 @@
 	// hostileName is markup that must be shown as text.
 	hostileName = `<script>alert(1)</script>&"'`
 
-	// previousSnapshot is what the previous incarnation published.
+	// previousSnapshot is the last snapshot of the previous incarnation, as it is stored.
 	previousSnapshot = `{"life":2,"version":9,"withdrawn":["127.0.0.9:80"],` +
 		`"forwarders":{"till":"0","<script>alert(2)</script>":""},` +
 		`"tables":{"0":[{"replica":"127.0.0.1:80","weight":0.5}]}}`
@@ -39,7 +39,7 @@
 
 var longName = strings.Repeat("long", 32)
 
-// sections are the paths of pages of every kind.
+// sections are the paths of pages, at least one of every kind.
 var sections = []string{
 	"/", "/zones", "/replicas", "/replicas/127.0.0.1:80", "/forwarders", "/forwarders/till", "/tables", "/tables/0",
 	"/orders", "/orders?about=table", "/settings", "/before",
@@ -50,7 +50,7 @@
 	t            *testing.T
 	controller   *controller.Controller
 	console      *Server
-	publishDelay time.Duration // that each batch takes the channel
+	publishDelay time.Duration // of each batch on the channel
 }
 
 // AdmitProxy implements controller.ProxyServer.
@@ -81,7 +81,7 @@
 	*consoleFixture
 }
 
-// replicaID returns the id of the nth replica of a fixture.
+// replicaID returns the ID of the nth replica of a fixture.
 func replicaID(n int) model.ReplicaID {
 	return model.ReplicaID{Addr: [4]byte{127, 0, byte(n / 200), byte(n%200 + 1)}, Port: 80}
 }
@@ -103,8 +103,8 @@
 	}
 }
 
-// startFixture starts a controller with replicas in two zones and three proxies, one of a hostile name and one of a
-// long one, and waits until safe mode has ended.
+// startFixture starts a controller with replicas in two zones and three proxies, and waits until safe mode has ended.
+// The name of one proxy is markup, and that of another is long.
 func startFixture(t *testing.T, replicas int, publishDelay time.Duration) *consoleFixture {
 	t.Helper()
 	now := controller.NewClock()
@@ -155,10 +155,10 @@
 			return
 		}
 	}
-	f.t.Fatal("safe mode does not end")
+	f.t.Fatal("safe mode has not ended, or proxies are not connected, within startDeadline")
 }
 
-// get returns a page's status and text, and the time that it took.
+// get returns the status and text of a page, and the duration of the request.
 func (f *consoleFixture) get(path string) (status int, text string, took time.Duration) {
 	f.t.Helper()
 	start := time.Now()
--- a/internal/console/format.go
+++ b/internal/console/format.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// Ages below maxPreciseAge have tenths of a second, those below maxSecondsAge seconds.
+	// Ages below maxPreciseAge are shown in tenths of a second, ages below maxSecondsAge in seconds.
 	maxPreciseAge = 10 * time.Second
 	maxSecondsAge = 2 * time.Hour
 )
 
-// FormatAge returns how long ago a time was, for readers. A time of 0 never was.
+// FormatAge returns the age of a time as text. A time of 0 means "never".
 func FormatAge(now, at model.Microseconds) string {
 	if at == 0 {
 		return "never"
@@ -44,7 +44,7 @@
 	return float64(duration) / float64(model.Second)
 }
 
-// nameOf returns the name at a place, or the place as a number if there is none.
+// nameOf returns the name at an index, or the index as text if there is no such name.
 func nameOf(names []string, place int) string {
 	if place >= 0 && place < len(names) {
 		return names[place]
--- a/internal/console/httpserver/respond.go
+++ b/internal/console/httpserver/respond.go
@@ -22,11 +22,11 @@
 func WriteText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", contentTypeText)
 	w.WriteHeader(status)
-	_, _ = fmt.Fprintln(w, text) // the viewer may be gone
+	_, _ = fmt.Fprintln(w, text) // the viewer may have disconnected
 }
 
-// WritePage responds with a page: HTML by the template "page", or JSON if the request asks for it. The page is
-// complete before the first byte is sent, so that an error is a response of its own.
+// WritePage responds with a page: HTML from the template "page", or JSON if the request asks for it. The page is
+// rendered before the first byte is sent, so that an error gets a response of its own.
 func WritePage(w http.ResponseWriter, r *http.Request, templates *template.Template, page any) {
 	var body bytes.Buffer
 	var err error
@@ -43,7 +43,7 @@
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Cache-Control", "no-store")
-	_, _ = w.Write(body.Bytes()) // the viewer may be gone
+	_, _ = w.Write(body.Bytes()) // the viewer may have disconnected
 }
 
 func wantsJSON(r *http.Request) bool {
--- a/internal/console/httpserver/server.go
+++ b/internal/console/httpserver/server.go
@@ -1,8 +1,8 @@
-// Package httpserver serves read-only pages over HTTP with bounds on what viewers may cost: the pages that are made
-// at the same time, the length of paths, and the time that a viewer may take to read. Each page is HTML, or JSON
-// under the same path.
+// Package httpserver serves read-only pages over HTTP with limits on requests: the pages that are rendered at the same
+// time, the length of paths, and the time that a viewer may take to read a response. Each page is available as HTML and
+// as JSON under the same path.
 //
-// There is no login. A server that listens beyond loopback shows its pages to all who can reach it.
+// There is no authentication. A server that listens beyond loopback shows its pages to every client that can reach it.
 package httpserver
 
 import (
@@ -18,14 +18,15 @@
 const WriteTimeout = 5 * time.Second
 
 const (
-	// maxConcurrentPages bounds the pages that are made at the same time; further viewers get a Retry-After.
+	// maxConcurrentPages bounds the pages that are rendered at the same time. Further requests get status 503 with a
+	// Retry-After header.
 	maxConcurrentPages = 64
 
 	maxPathLength  = 1024
 	maxHeaderBytes = 16 << 10
 	idleTimeout    = time.Minute
 
-	// streamPath is the path that streams are served at.
+	// streamPath is the path of streams.
 	streamPath = "/live"
 
 	contentSecurityPolicy = "default-src 'none'; style-src 'unsafe-inline'; img-src 'self'; " +
@@ -40,7 +41,7 @@
 	serving  sync.WaitGroup
 }
 
-// Listen opens the address. The server serves from Serve until Close. Errors are those of the address.
+// Listen listens on the address. The server accepts requests from the call of Serve until Close.
 func Listen(address string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -49,8 +50,8 @@
 	return &Server{listener: listener, done: make(chan struct{})}, nil
 }
 
-// Serve begins to serve, and returns at once; it is called once. The page handler makes a page. The stream handler,
-// if any, serves /live and is not bounded in time; it must return when Done is closed.
+// Serve starts to serve and returns at once. It is called once. The page handler responds with a page. The stream
+// handler, if any, serves /live and may take any time; it must return when Done is closed.
 func (s *Server) Serve(page, stream http.HandlerFunc) {
 	s.http = &http.Server{
 		Handler:           boundedHandler(page, stream),
@@ -61,7 +62,7 @@
 	s.serving.Add(1)
 	go func() {
 		defer s.serving.Done()
-		_ = s.http.Serve(s.listener) // it always ends with an error, that of Close
+		_ = s.http.Serve(s.listener) // Serve always returns an error; after Close it says that the server is closed
 	}()
 }
 
@@ -75,7 +76,7 @@
 	return s.done
 }
 
-// RunEvery calls do once each interval until Close is called. The caller runs it on a goroutine of its own.
+// RunEvery calls do once per interval and returns when Close is called. The caller runs it on a goroutine of its own.
 func (s *Server) RunEvery(interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -95,12 +96,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), WriteTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
-		_ = s.http.Close() // the connections are closed either way
+		_ = s.http.Close() // connections are closed even if it returns an error
 	}
 	s.serving.Wait()
 }
 
-// boundedHandler enforces the bounds on viewers around the handlers.
+// boundedHandler wraps the handlers and enforces the limits on requests.
 func boundedHandler(page, stream http.HandlerFunc) http.HandlerFunc {
 	slots := make(chan struct{}, maxConcurrentPages)
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/console/httpserver/server_test.go
+++ b/internal/console/httpserver/server_test.go
@@ -25,11 +25,11 @@
 		status int
 		text   string
 	}{
-		"a page":                {http.MethodGet, "/", stream, http.StatusOK, "a page"},
-		"the head of a page":    {http.MethodHead, "/", stream, http.StatusOK, ""},
-		"a stream":              {http.MethodGet, "/live", stream, http.StatusOK, "a stream"},
-		"a server of no stream": {http.MethodGet, "/live", nil, http.StatusOK, "a page"},
-		"a change":              {http.MethodPost, "/", stream, http.StatusMethodNotAllowed, "read only"},
+		"a page":                    {http.MethodGet, "/", stream, http.StatusOK, "a page"},
+		"the head of a page":        {http.MethodHead, "/", stream, http.StatusOK, ""},
+		"a stream":                  {http.MethodGet, "/live", stream, http.StatusOK, "a stream"},
+		"a server without a stream": {http.MethodGet, "/live", nil, http.StatusOK, "a page"},
+		"a POST request":            {http.MethodPost, "/", stream, http.StatusMethodNotAllowed, "read only"},
 		"the longest path": {
 			http.MethodGet, "/" + strings.Repeat("x", maxPathLength-1), stream, http.StatusOK, "a page",
 		},
@@ -41,10 +41,10 @@
 		t.Run(name, func(t *testing.T) {
 			response := respond(boundedHandler(page, test.stream), test.method, test.target)
 			if response.Code != test.status || !strings.Contains(response.Body.String(), test.text) {
-				t.Errorf("%d %s, want %d %s", response.Code, response.Body, test.status, test.text)
+				t.Errorf("response %d %s, want %d %s", response.Code, response.Body, test.status, test.text)
 			}
 			if response.Header().Get("Content-Security-Policy") != contentSecurityPolicy {
-				t.Errorf("content security policy %q", response.Header().Get("Content-Security-Policy"))
+				t.Errorf("unexpected content security policy %q", response.Header().Get("Content-Security-Policy"))
 			}
 		})
 	}
@@ -66,12 +66,13 @@
 	}
 	response := respond(handler, http.MethodGet, "/")
 	if response.Code != http.StatusServiceUnavailable || response.Header().Get("Retry-After") != "1" {
-		t.Errorf("%d, Retry-After %q", response.Code, response.Header().Get("Retry-After"))
+		t.Errorf("page beyond the limit: want status 503 and Retry-After 1, got %d, Retry-After %q",
+			response.Code, response.Header().Get("Retry-After"))
 	}
 	close(release)
 	for range maxConcurrentPages {
 		if status := <-finished; status != http.StatusOK {
-			t.Errorf("a page within the bound: %d", status)
+			t.Errorf("a page within the limit gets status %d, want 200", status)
 		}
 	}
 }
@@ -98,7 +99,7 @@
 			response := httptest.NewRecorder()
 			WritePage(response, request, templates, page)
 			if response.Code != http.StatusOK || response.Body.String() != test.body {
-				t.Errorf("%d %s", response.Code, response.Body)
+				t.Errorf("response %d %s, want the page with status 200", response.Code, response.Body)
 			}
 			if got := response.Header().Get("Content-Type"); got != test.contentType {
 				t.Errorf("content type %q, want %q", got, test.contentType)
@@ -112,7 +113,7 @@
 	response := httptest.NewRecorder()
 	WritePage(response, httptest.NewRequest(http.MethodGet, "/", nil), templates, struct{}{})
 	if response.Code != http.StatusInternalServerError || strings.Contains(response.Body.String(), "<p>") {
-		t.Errorf("%d %s", response.Code, response.Body)
+		t.Errorf("want status 500 and no part of the page, got %d %s", response.Code, response.Body)
 	}
 }
 
@@ -122,7 +123,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Listen(server.Addr()); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("an address in use: %v", err)
+		t.Errorf("listening on an address in use: want an error that names another process, got %v", err)
 	}
 	streamed := make(chan struct{})
 	server.Serve(
@@ -143,7 +144,7 @@
 	<-streamed
 	server.Close()
 	if err := <-streamEnded; err != nil {
-		t.Errorf("the stream: %v", err)
+		t.Errorf("reading the stream until Close: %v", err)
 	}
 	if _, err := http.Get("http://" + server.Addr() + "/"); err == nil {
 		t.Error("a page is served after Close")
--- a/internal/console/json_golden_test.go
+++ b/internal/console/json_golden_test.go
@@ -17,9 +17,10 @@
 	"peppervale/internal/pubsub"
 )
 
-var update = flag.Bool("update", false, "write the golden pages in testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden pages in testdata")
 
-// fixedSource is a Source that never changes. Its values differ, so that each page shows where a value comes from.
+// fixedSource is a Source that never changes. All its values differ, so that a golden page shows which field each value
+// comes from.
 type fixedSource struct{ view *controller.View }
 
 func (s fixedSource) View() *controller.View         { return s.view }
@@ -143,13 +144,13 @@
 	}
 }
 
-// fixedPreviousSnapshot is what the previous incarnation published, as it is stored.
+// fixedPreviousSnapshot is the last snapshot of the previous incarnation, as it is stored.
 const fixedPreviousSnapshot = `{"kind":"snapshot","life":24,"version":25,` +
 	`"tables":{"6":[{"replica":"10.0.0.1:81","weight":0.26}]},"withdrawn":["10.0.0.2:82"],` +
 	`"levels":[{"operations":3,"share":0.27,"way":2}],"forwarders":{"till-1":"6","till-2":""}}`
 
-// fixedServers returns servers with every value set, without and in safe mode, and one that has neither a cluster
-// nor a previous incarnation.
+// fixedServers returns a server after safe mode and one in safe mode, both with every value set, and one that has
+// neither a cluster nor a previous incarnation.
 func fixedServers() (started, inSafeMode, alone *Server) {
 	instance := Instance{
 		Name:             "govan-1",
@@ -170,7 +171,7 @@
 	return started, inSafeMode, alone
 }
 
-// TestPagesAsJSON compares each page's JSON with the bytes that programs parse today: its keys must not change.
+// TestPagesAsJSON guards the JSON that programs parse: a changed key or value would break them.
 func TestPagesAsJSON(t *testing.T) {
 	started, inSafeMode, alone := fixedServers()
 	for _, test := range []struct {
@@ -201,35 +202,36 @@
 			response := httptest.NewRecorder()
 			test.server.serve(response, request)
 			if response.Code != http.StatusOK || response.Header().Get("Content-Type") != "application/json" {
-				t.Fatalf("%s: %d %s", test.path, response.Code, response.Body)
+				t.Fatalf("%s: want JSON with status 200, got %d %s", test.path, response.Code, response.Body)
 			}
 			checkGolden(t, filepath.Join("testdata", test.file), response.Body.Bytes())
 		})
 	}
 }
 
-// TestPagesAsHTML shows that each page's template fits its view model, with every field set and with none.
+// TestPagesAsHTML guards against templates that use a field or a value that the page's body does not have. Such a
+// template fails only when the page is rendered.
 func TestPagesAsHTML(t *testing.T) {
 	started, inSafeMode, alone := fixedServers()
 	paths := []string{
 		"/", "/zones", "/replicas", "/replicas/10.0.0.1:81", "/forwarders", "/forwarders/till-1", "/tables", "/tables/6",
 		"/orders", "/settings", "/before", "/group",
 	}
-	for name, server := range map[string]*Server{"started": started, "in safe mode": inSafeMode, "alone": alone} {
+	for name, server := range map[string]*Server{"after safe mode": started, "in safe mode": inSafeMode, "alone": alone} {
 		for _, path := range paths {
 			t.Run(name+path, func(t *testing.T) {
 				response := httptest.NewRecorder()
 				server.serve(response, httptest.NewRequest(http.MethodGet, path, nil))
 				text := response.Body.String()
 				if response.Code != http.StatusOK || !strings.Contains(text, "</html>") {
-					t.Errorf("%d %s", response.Code, text)
+					t.Errorf("want a whole page with status 200, got %d %s", response.Code, text)
 				}
 			})
 		}
 	}
 }
 
-// checkGolden reports bytes that differ from the golden file. With -update it writes them to the file before.
+// checkGolden reports bytes that differ from the golden file. With -update it first writes them to the file.
 func checkGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	if *update {
@@ -240,7 +242,7 @@
 	checkPinned(t, file, got)
 }
 
-// checkPinned reports bytes that differ from a golden file that is never written anew.
+// checkPinned reports bytes that differ from a golden file. It never rewrites the file.
 func checkPinned(t *testing.T, file string, got []byte) {
 	t.Helper()
 	want, err := os.ReadFile(file)
@@ -248,6 +250,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+		t.Errorf("%s: got\n%s\nwant the golden file\n%s", file, got, want)
 	}
 }
--- a/internal/console/live.go
+++ b/internal/console/live.go
@@ -16,8 +16,8 @@
 	streamInterval = time.Second
 )
 
-// serveLive streams a short line every second as server-sent events. A viewer that does not read is disconnected at
-// the write deadline.
+// serveLive streams a line about the current state every second, as server-sent events. A viewer that does not read is
+// disconnected at the write deadline.
 func (s *Server) serveLive(w http.ResponseWriter, r *http.Request) {
 	if !s.openStream() {
 		w.Header().Set("Retry-After", "5")
@@ -49,7 +49,7 @@
 	}
 }
 
-// openStream reports whether another stream may be open, and counts it.
+// openStream counts another open stream. It reports false if maxStreams streams are open.
 func (s *Server) openStream() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	s.streams--
 }
 
-// liveLine describes the present state. Its words are served to programs too and stay as they are.
+// liveLine describes the current state in one line. Programs read it, so its words must not change.
 func (s *Server) liveLine() string {
 	stats := s.source.Stats()
 	now := s.instance.Now()
--- a/internal/console/live_test.go
+++ b/internal/console/live_test.go
@@ -17,7 +17,7 @@
 	n, err := response.Body.Read(buffer)
 	want := "data: 3 forwarders, version 7, 12 lines wait, gate open, 6 of 6 replicas ready"
 	if err != nil || !strings.HasPrefix(string(buffer[:n]), want) {
-		t.Fatalf("%q, %v", buffer[:n], err)
+		t.Fatalf("first line of the live stream: %q, error %v", buffer[:n], err)
 	}
 }
 
@@ -27,6 +27,6 @@
 	f.console.streams = maxStreams
 	f.console.mu.Unlock()
 	if status, text, _ := f.get("/live"); status != 503 || !strings.Contains(text, "reload by hand") {
-		t.Fatalf("%d %s", status, text)
+		t.Fatalf("stream beyond maxStreams: want status 503, got %d %s", status, text)
 	}
 }
--- a/internal/console/metrics.go
+++ b/internal/console/metrics.go
@@ -17,14 +17,15 @@
 	metricsTimeout = 2 * time.Second
 )
 
-// metricsState is what the metrics of one scrape are read from.
+// metricsState is the state that the metrics of one scrape are read from.
 type metricsState struct {
 	stats pubsub.Stats
 	view  *controller.View
 	now   model.Microseconds
 }
 
-// metric is a metric without labels of its own. Its name, type and help text are an interface and stay as they are.
+// metric is a metric without labels of its own. Monitoring relies on its name, type and help text: they must not
+// change.
 type metric struct {
 	name  string
 	help  string
@@ -90,7 +91,7 @@
 	return 0
 }
 
-// endpointListAge returns the seconds since a full endpoint list was received, or -1 if none was.
+// endpointListAge returns the seconds since a full endpoint list was received, or -1 if none has been received.
 func endpointListAge(state metricsState) float64 {
 	if state.view.EndpointsAt == 0 {
 		return -1
@@ -103,7 +104,7 @@
 	instance     Instance
 	source       Source
 	metrics      []metric
-	descriptions []*prometheus.Desc // by the place of their metrics
+	descriptions []*prometheus.Desc // in the order of metrics
 }
 
 func newMetricsHandler(instance Instance, source Source) http.Handler {
@@ -127,7 +128,7 @@
 	}
 }
 
-// Collect implements prometheus.Collector. It does not ask for a detailed view.
+// Collect implements prometheus.Collector. It does not request a detailed view.
 func (c *metricsCollector) Collect(values chan<- prometheus.Metric) {
 	state := metricsState{stats: c.source.Stats(), view: c.source.View(), now: c.instance.Now()}
 	if state.view == nil {
--- a/internal/console/overload_test.go
+++ b/internal/console/overload_test.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// overloadViewers is the number of viewers who open a live stream and do not read it.
+	// overloadViewers is the number of viewers that open a live stream and do not read it.
 	overloadViewers = 200
 
 	maxPageTime = 3 * time.Second
 )
 
-// TestPagesWhileOverloaded shows that pages stay right and quick while the controller is given ten times the load
-// reports and joins that it can process, each batch takes the channel 50 ms, and most of 200 viewers do not read.
+// TestPagesWhileOverloaded guards against pages that wait for an overloaded event loop: the controller receives ten
+// times the load reports and joins that it can process, the channel takes 50 ms for each batch, and 200 viewers do not
+// read their live streams.
 func TestPagesWhileOverloaded(t *testing.T) {
 	fixture := startFixture(t, 300, 50*time.Millisecond)
 	stop := make(chan struct{})
@@ -40,18 +41,18 @@
 		for _, path := range sections {
 			status, text, took := fixture.get(path)
 			if status != 200 || !strings.Contains(text, "state as of") {
-				t.Fatalf("%s: %d\n%.300s", path, status, text)
+				t.Fatalf("%s while overloaded: want a page with status 200, got %d\n%.300s", path, status, text)
 			}
 			slowest = max(slowest, took)
 		}
 	}
 	t.Logf("slowest page %s; %d load reports were merged", slowest, fixture.controller.View().MergedReports)
 	if slowest > maxPageTime {
-		t.Fatalf("a page took %s", slowest)
+		t.Fatalf("the slowest page took %s, over maxPageTime", slowest)
 	}
 }
 
-// flood reports on all replicas and has a proxy join every millisecond, until stop is closed.
+// flood sends load reports of all replicas and the join of a proxy every millisecond, until stop is closed.
 func (f *consoleFixture) flood(stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -72,7 +73,7 @@
 	}
 }
 
-// openUnreadStream opens a live stream that is never read, until the test ends.
+// openUnreadStream opens a live stream that is never read. The test's cleanup closes it.
 func (f *consoleFixture) openUnreadStream() {
 	f.t.Helper()
 	connection, err := net.Dial("tcp", f.console.Addr())
--- a/internal/console/overview.go
+++ b/internal/console/overview.go
@@ -16,19 +16,19 @@
 	maxOverviewDecisions = 12
 )
 
-// Values of the JSON for safe mode.
+// JSON values of the state of safe mode.
 const (
 	safeModeEnded = "open"
 	safeModeOn    = "shut"
 )
 
-// Replica states that the overview tells apart, as the balancer names them.
+// Replica states that the overview distinguishes, as the balancer names them.
 const (
 	stateServing = "serving"
 	stateAbsent  = "away"
 )
 
-// overviewBody shows whether all is well, and if not, where to look.
+// overviewBody summarizes the controller's health and lists the replicas that are not serving.
 type overviewBody struct {
 	SafeMode           string         `json:"gate"`
 	UnreportedReplicas []string       `json:"gate_waits_for"`
@@ -49,7 +49,7 @@
 	RecentDecisions    []decisionRow  `json:"lately"`
 }
 
-// InSafeMode reports whether load reports are awaited before weights follow them.
+// InSafeMode reports whether the controller waits for load reports before weights follow them.
 func (o overviewBody) InSafeMode() bool {
 	return o.SafeMode != safeModeEnded
 }
@@ -60,7 +60,7 @@
 	Share     float64 `json:"share"`
 }
 
-// safeModeValue returns the JSON's value for safe mode.
+// safeModeValue returns the JSON value of the state of safe mode.
 func safeModeValue(ended bool) string {
 	if ended {
 		return safeModeEnded
@@ -100,7 +100,7 @@
 	return body
 }
 
-// unreportedAddresses returns the replicas whose load reports safe mode awaits.
+// unreportedAddresses returns the addresses of the replicas that safe mode waits for load reports from.
 func unreportedAddresses(view *balancer.View) []string {
 	if view.SafeModeEnded {
 		return nil
@@ -112,7 +112,7 @@
 	return addresses
 }
 
-// countBound counts the proxies that use a table of this controller's.
+// countBound returns the number of proxies that use a table of this controller.
 func countBound(proxies []balancer.ProxyView) int {
 	bound := 0
 	for _, proxy := range proxies {
--- a/internal/console/page.go
+++ b/internal/console/page.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// A page waits up to maxDetailPolls times detailPollInterval for a view with recent details. The event loop adds
-	// them five times a second while pages ask for them.
+	// A page waits up to maxDetailPolls times detailPollInterval for a view with recent details. While pages request
+	// details, the event loop adds them to its views five times a second.
 	maxDetailPolls     = 10
 	detailPollInterval = 50 * time.Millisecond
 
-	// maxDetailAge is the age beyond which details are awaited anew.
+	// maxDetailAge is the age of details beyond which a page waits for newer ones.
 	maxDetailAge = model.Second
 )
 
 //go:embed templates/*.html
 var templateFiles embed.FS
 
-// Style is the style sheet of all consoles' pages.
+// Style is the style sheet of the pages of all consoles.
 //
 //go:embed style.css
 var Style template.CSS
@@ -41,10 +41,10 @@
 	"seconds": toSeconds,
 }).ParseFS(templateFiles, "templates/*.html"))
 
-// errNotFound is wrapped by the errors of pages about something that does not exist.
+// errNotFound is wrapped by the errors of pages about items that do not exist.
 var errNotFound = errors.New("not found")
 
-// pageModel is what the template "page" is given, and what is shown as JSON.
+// pageModel is the data of the template "page". It is also served as JSON.
 type pageModel struct {
 	Title       string             `json:"title"`
 	Heading     string             `json:"-"`
@@ -53,7 +53,7 @@
 	Name        string             `json:"governor"`
 	Incarnation uint64             `json:"life"`
 	ViewAt      model.Microseconds `json:"at_us"`
-	ViewAge     string             `json:"age"` // when the page was made
+	ViewAge     string             `json:"age"` // at the time of the request
 	Now         model.Microseconds `json:"now_us"`
 	View        *controller.View   `json:"-"`
 	Stats       pubsub.Stats       `json:"channel"`
@@ -65,20 +65,21 @@
 	return p.Stats.Version
 }
 
-// route is a page, and the pages below it that are about one thing each.
+// route is the page of a section, and the pages about single items of the section.
 type route struct {
-	title    string // a value of the JSON; it stays as it is
+	title    string // served as JSON; must not change
 	heading  string
 	template string
 	list     func(s *Server, page *pageModel, query url.Values) any
-	// detail makes the page of one thing by its name, and sets what differs in the page. Nil: there are none.
+	// detail returns the body of the page of one item, and sets that page's title, heading and template. It is nil if
+	// items have no pages.
 	detail func(s *Server, page *pageModel, name string) (any, error)
 }
 
-// clusterSection is the page that needs no view.
+// clusterSection is the section whose page needs no view.
 const clusterSection = "group"
 
-// routes are the pages by the first part of their path.
+// routes are the sections by the first segment of their paths.
 var routes = map[string]route{
 	"": {
 		title: "Overview", heading: "Overview", template: "overview",
@@ -118,7 +119,7 @@
 	},
 }
 
-// servePage serves the page of a section, or of one thing in it if a name is given.
+// servePage serves the page of a section, or of one item in it if a name is given.
 func (s *Server) servePage(w http.ResponseWriter, r *http.Request, section, name string) {
 	route, known := routes[section]
 	if !known {
@@ -128,7 +129,7 @@
 	}
 	view, err := s.viewOf(r.Context(), section)
 	if err != nil {
-		return // the viewer is gone
+		return // the viewer has disconnected
 	}
 	if !hasDetail(view) {
 		w.Header().Set("Retry-After", "1")
@@ -145,9 +146,9 @@
 	httpserver.WritePage(w, r, templates, page)
 }
 
-// viewOf returns the view that the page of a section is made from: one with recent details or, if none comes in time,
-// the newest one, which may be nil. The page of the cluster needs none, as a controller on standby has not begun to
-// step. The error is the context's.
+// viewOf returns the view that the page of a section is rendered from: one with recent details or, if none arrives in
+// time, the newest one, which may be nil. The page of the cluster needs no view, as the event loop of a controller on
+// standby has not started. The error is that of the context.
 func (s *Server) viewOf(ctx context.Context, section string) (*controller.View, error) {
 	view := s.source.DetailedView()
 	if section != clusterSection {
@@ -163,8 +164,8 @@
 	return view != nil && view.Detail != nil
 }
 
-// awaitDetail returns a view with recent details or, if none comes in time, the newest view. Its error is the
-// context's.
+// awaitDetail returns a view with recent details or, if none arrives in time, the newest view. The error is that of
+// the context.
 func (s *Server) awaitDetail(ctx context.Context, view *controller.View) (*controller.View, error) {
 	for range maxDetailPolls {
 		if hasDetail(view) && s.instance.Now()-view.Detail.At <= maxDetailAge {
@@ -180,7 +181,7 @@
 	return view, nil
 }
 
-// noViewReason explains to a viewer why there is nothing to show.
+// noViewReason returns a message that explains why no page can be shown.
 func (s *Server) noViewReason(view *controller.View) string {
 	if view == nil && s.instance.Cluster != nil {
 		return "this controller is on standby: it holds no shard yet; see /group"
--- a/internal/console/pages_test.go
+++ b/internal/console/pages_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// asJSON returns the path of a page in JSON.
+// asJSON returns the path of a page's JSON.
 func asJSON(path string) string {
 	if strings.Contains(path, "?") {
 		return path + "&as=json"
@@ -16,13 +16,13 @@
 	return path + "?as=json"
 }
 
-// TestPagesInBothFormats shows that every page is HTML and JSON, and states the age of its view.
+// TestPagesInBothFormats shows that every page is available as HTML and as JSON, and states the age of its view.
 func TestPagesInBothFormats(t *testing.T) {
 	f := startFixture(t, 6, 0)
 	for _, path := range sections {
 		status, text, _ := f.get(path)
 		if status != 200 || !strings.Contains(text, "state as of") || !strings.Contains(text, "</html>") {
-			t.Errorf("%s: %d\n%s", path, status, text)
+			t.Errorf("%s as HTML: want a page with status 200, got %d\n%s", path, status, text)
 		}
 		status, text, _ = f.get(asJSON(path))
 		var page struct {
@@ -32,7 +32,7 @@
 		}
 		err := json.Unmarshal([]byte(text), &page)
 		if status != 200 || err != nil || page.Name != "govan-1" || page.Incarnation != 3 || page.Body == nil {
-			t.Errorf("%s as JSON: %d, %v\n%s", path, status, err, text)
+			t.Errorf("%s as JSON: status %d, error %v\n%s", path, status, err, text)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 	f := startFixture(t, 6, 0)
 	for name := range plots {
 		if status, text, _ := f.get("/plot/" + name); status != 200 || !strings.Contains(text, "<svg") {
-			t.Errorf("plot %s: %d", name, status)
+			t.Errorf("plot %s: want SVG with status 200, got %d", name, status)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	f := startFixture(t, 6, 0)
 	status, text, _ := f.get("/replicas?as=json")
 	if status != 200 || strings.Count(text, `"state": "serving"`) != 6 {
-		t.Errorf("replicas: %s", text)
+		t.Errorf("want 6 serving replicas: %s", text)
 	}
 }
 
@@ -58,11 +58,11 @@
 	f := startFixture(t, 6, 0)
 	status, text, _ := f.get("/forwarders/till?as=json")
 	if status != 200 || !strings.Contains(text, "on table") || !strings.Contains(text, "joined till") {
-		t.Errorf("decisions that led to the proxy's table: %s", text)
+		t.Errorf("the decisions do not mention the proxy's join and its table: %s", text)
 	}
 }
 
-// TestHostileNames shows that names from outside are shown as text, whatever they contain.
+// TestHostileNames guards against script injection: a proxy's name or a filter may contain markup.
 func TestHostileNames(t *testing.T) {
 	f := startFixture(t, 6, 0)
 	hostilePaths := []string{
@@ -72,12 +72,12 @@
 	for _, path := range append(hostilePaths, sections...) {
 		_, text, _ := f.get(path)
 		if strings.Contains(text, "<script>alert") || strings.Contains(text, `value="<script>`) {
-			t.Errorf("%s contains markup from outside", path)
+			t.Errorf("%s contains unescaped markup of a name or filter", path)
 		}
 	}
 	status, text, _ := f.get("/forwarders")
 	if status != 200 || !strings.Contains(text, "&lt;script&gt;") || !strings.Contains(text, longName) {
-		t.Errorf("a name is missing: %s", text)
+		t.Errorf("want the escaped name and the long name: %s", text)
 	}
 }
 
@@ -94,7 +94,7 @@
 		"/" + strings.Repeat("x", 2000): 414,
 	} {
 		if status, text, _ := f.get(path); status != want || strings.Contains(text, "<html") {
-			t.Errorf("%s: %d %s", path, status, text)
+			t.Errorf("%s: want an error status without a page, got %d %s", path, status, text)
 		}
 	}
 }
@@ -107,36 +107,36 @@
 	}
 	defer closeBody(t, response)
 	if response.StatusCode != http.StatusMethodNotAllowed {
-		t.Fatalf("a change is accepted: %d", response.StatusCode)
+		t.Fatalf("a POST request gets status %d, want 405", response.StatusCode)
 	}
 }
 
-// TestDetailsAreCopiedForPagesOnly shows that neither samples nor readiness checks ask for detailed views.
+// TestDetailsAreCopiedForPagesOnly shows that samples and readiness checks do not request detailed views.
 func TestDetailsAreCopiedForPagesOnly(t *testing.T) {
 	f := startFixture(t, 6, 0)
 	for range 3 {
 		f.console.takeSample()
 		// No full endpoint list was received in this incarnation.
 		if status, _, _ := f.get("/ready"); status != 503 {
-			t.Fatalf("ready responds %d", status)
+			t.Fatalf("/ready responds with status %d, want 503", status)
 		}
 	}
 	f.awaitSteps(5)
 	if f.controller.View().Detail != nil {
-		t.Fatal("details are copied although nobody views a page")
+		t.Fatal("details are copied although no page was requested")
 	}
 	if status, _, _ := f.get("/"); status != 200 || f.controller.View().Detail == nil {
-		t.Fatal("a page does not ask for details")
+		t.Fatal("details are not copied although a page was requested")
 	}
 }
 
-// awaitSteps waits until the event loop has taken a number of further steps.
+// awaitSteps waits for a number of further steps of the event loop.
 func (f *consoleFixture) awaitSteps(steps uint64) {
 	f.t.Helper()
 	target := f.controller.View().Steps + steps
 	for deadline := time.Now().Add(10 * time.Second); f.controller.View().Steps < target; {
 		if time.Now().After(deadline) {
-			f.t.Fatal("the event loop takes no steps")
+			f.t.Fatal("the event loop has not taken enough steps within 10 s")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/console/paths_golden_test.go
+++ b/internal/console/paths_golden_test.go
@@ -14,7 +14,7 @@
 	return filepath.Join("testdata", "golden", name)
 }
 
-// goldenPaths are the console's paths as they were first published.
+// goldenPaths are the paths of the console that clients rely on, and one that does not exist.
 var goldenPaths = []string{
 	"/", "/zones", "/replicas", "/replicas/127.0.0.1:80", "/forwarders", "/forwarders/till",
 	"/tables", "/tables/0", "/orders", "/orders?about=table", "/settings", "/before", "/group",
@@ -24,7 +24,8 @@
 
 var titleElement = regexp.MustCompile(`<title>(.*)</title>`)
 
-// describeResponse returns a path's status, content type and title. It reads only the header of the endless stream.
+// describeResponse returns a path's status, content type and title. It reads only the header of the live stream, which
+// does not end.
 func describeResponse(t *testing.T, f *consoleFixture, path string) string {
 	t.Helper()
 	response, err := http.Get("http://" + f.console.Addr() + path)
@@ -52,7 +53,8 @@
 	checkPinned(t, goldenFile("paths.txt"), []byte(text.String()))
 }
 
-// TestGoldenMetrics pins the names, types, help texts and labels of /metrics; the figures change from run to run.
+// TestGoldenMetrics guards the names, types, help texts and labels of /metrics. It ignores the values, as they change
+// from run to run.
 func TestGoldenMetrics(t *testing.T) {
 	f := startFixture(t, 6, 0)
 	_, text, _ := f.get("/metrics")
--- a/internal/console/plots.go
+++ b/internal/console/plots.go
@@ -28,7 +28,7 @@
 	value func(previous, current sample) float64
 }
 
-// plots are the time series by the names of their files.
+// plots are the time series by file name.
 var plots = map[string]timeSeries{
 	"joined.svg":   {"proxies connected", connectedProxies},
 	"ready.svg":    {"replicas listed as ready", readyReplicas},
@@ -79,10 +79,10 @@
 	}
 	w.Header().Set("Content-Type", "image/svg+xml")
 	w.Header().Set("Cache-Control", "no-store")
-	_, _ = w.Write(image) // the viewer may be gone
+	_, _ = w.Write(image) // the viewer may have disconnected
 }
 
-// plotPoints returns a time series in seconds before its last sample.
+// plotPoints returns the points of a time series. Their x values are seconds relative to the last sample.
 func (s *Server) plotPoints(series timeSeries) plotter.XYs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/console/previous.go
+++ b/internal/console/previous.go
@@ -10,13 +10,14 @@
 	"peppervale/internal/pubsub"
 )
 
-// previousBody is what the previous incarnation published last. Proxies that have not been bound since still use it.
+// previousBody is the last snapshot that the previous incarnation published. Proxies that have not been bound since
+// then still use its tables.
 type previousBody struct {
 	Known          bool            `json:"known"`
 	Incarnation    uint64          `json:"life"`
 	Version        uint64          `json:"version"`
 	Withdrawn      []string        `json:"withdrawn"`
-	ProxiesByTable map[string]int  `json:"forwarders_by_table"` // by an empty name: on tables of their own
+	ProxiesByTable map[string]int  `json:"forwarders_by_table"` // by table name; empty: on tables of their own
 	Tables         []previousTable `json:"tables"`
 }
 
@@ -31,7 +32,7 @@
 	}
 	var snapshot pubsub.Snapshot
 	if err := json.Unmarshal(s.instance.PreviousSnapshot, &snapshot); err != nil {
-		return previousBody{} // it is shown as unknown
+		return previousBody{} // the previous incarnation is shown as unknown
 	}
 	body := previousBody{
 		Known:          true,
@@ -50,7 +51,7 @@
 	return body
 }
 
-// compareTableNumbers orders tables by their numbers, which are given as text.
+// compareTableNumbers orders tables by number. The numbers are decimal text.
 func compareTableNumbers(a, b previousTable) int {
 	return cmp.Or(cmp.Compare(len(a.Table), len(b.Table)), strings.Compare(a.Table, b.Table))
 }
--- a/internal/console/proxies.go
+++ b/internal/console/proxies.go
@@ -15,7 +15,7 @@
 	Name            string  `json:"name"`
 	Number          int     `json:"number"`
 	Zone            string  `json:"zone"`
-	Table           int     `json:"table"` // -1: its standing table, or that of another controller
+	Table           int     `json:"table"` // -1: its standing table, or a table of another controller
 	ExpectedRate    float64 `json:"usual_rate"`
 	ConnectedAge    string  `json:"joined"`
 	UnackedMessages int     `json:"unacknowledged_messages"`
@@ -69,7 +69,7 @@
 	page.Heading = "Proxy " + name
 	page.Template = "proxy"
 	body := proxyBody{proxyRow: s.proxyRow(page, proxy)}
-	// The texts by which the decision log mentions the proxy and its table.
+	// The decision log mentions the proxy and its table in these texts.
 	mentions := []string{fmt.Sprintf("forwarder %d on", proxy.ID), "joined " + name, "left " + name}
 	for _, table := range detail.Balancer.Tables {
 		if int(table.ID) == proxy.Table {
--- a/internal/console/replicas.go
+++ b/internal/console/replicas.go
@@ -34,14 +34,14 @@
 	StartAge          string  `json:"started"`
 }
 
-// replicaBody is one replica: what is known of it, the entries that name it, and the decisions about it.
+// replicaBody is one replica: its state, the table entries that name it, and the decisions about it.
 type replicaBody struct {
 	replicaRow
 	Entries   []entryRow    `json:"tables"`
 	Decisions []decisionRow `json:"causes"`
 }
 
-// statusNames are the values of the JSON for what the endpoint list says of a replica.
+// statusNames are the JSON values of a replica's status in the endpoint list.
 var statusNames = map[model.EndpointStatus]string{
 	model.EndpointReady:    "ready",
 	model.EndpointDraining: "draining",
@@ -111,7 +111,7 @@
 			}
 		}
 	}
-	// The balancer's reasons name a replica by its id.
+	// The balancer's reasons identify a replica by its ID.
 	id := fmt.Sprintf("%v:%d", replica.ID.Addr, replica.ID.Port)
 	mentionsReplica := func(decision *controller.Decision) bool {
 		return decision.Mentions(address) || decision.Mentions(id)
--- a/internal/console/samples.go
+++ b/internal/console/samples.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/model"
 )
 
-// maxSamples bounds the time series: 15 minutes of a sample a second.
+// maxSamples bounds the time series: 15 minutes of one sample a second.
 const maxSamples = 900
 
 // sample is a point of the time series.
@@ -15,7 +15,7 @@
 	proxies       int
 	readyReplicas int
 	queuedEntries int
-	messages      uint64 // counters since the start
+	messages      uint64 // counters since the controller started
 	entries       uint64
 	mergedReports uint64
 }
@@ -26,7 +26,7 @@
 	s.http.RunEvery(sampleInterval, s.takeSample)
 }
 
-// takeSample appends a sample. It reads counters only and does not ask for a detailed view.
+// takeSample appends a sample. It reads only counters and does not request a detailed view.
 func (s *Server) takeSample() {
 	stats := s.source.Stats()
 	current := sample{
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -21,18 +21,18 @@
 	sampleInterval = time.Second
 )
 
-// Source is what the console shows; the server provides it from the controller and the channel.
+// Source provides the state of the controller and the channel that the console shows.
 type Source interface {
-	// View returns the newest view at no cost. It is nil before the first step of the event loop.
+	// View returns the newest view without any work of the event loop. It is nil before the event loop's first step.
 	View() *controller.View
-	// DetailedView is View and has the event loop include the details in its next views.
+	// DetailedView returns the newest view, and requests that the event loop adds details to its next views.
 	DetailedView() *controller.View
-	// Decisions returns up to limit decisions that match, the newest first.
+	// Decisions returns up to limit decisions that match, newest first.
 	Decisions(limit int, match func(*controller.Decision) bool) []controller.Decision
 	Stats() pubsub.Stats
 }
 
-// Instance is what does not change while a controller runs.
+// Instance holds the properties of a controller that do not change while it runs.
 type Instance struct {
 	Name        string
 	Incarnation uint64
@@ -40,7 +40,7 @@
 	Operations  []string
 	// Settings returns the names and values of the settings in force, in the order of the configuration file.
 	Settings func() [][2]string
-	// PreviousSnapshot is what the previous incarnation published last, a pubsub.Snapshot as JSON; nil if unknown.
+	// PreviousSnapshot is the last pubsub.Snapshot of the previous incarnation, as JSON; nil if unknown.
 	PreviousSnapshot []byte
 	QueueLimit       int // entries
 	Now              func() model.Microseconds
@@ -61,7 +61,7 @@
 	streams int // open live streams
 }
 
-// Listen opens the address and serves until Close. Errors are those of the address.
+// Listen listens on the address and serves until Close. It fails only if it cannot listen on the address.
 func Listen(address string, instance Instance, source Source) (*Server, error) {
 	server, err := httpserver.Listen(address)
 	if err != nil {
@@ -79,13 +79,13 @@
 	return s.http.Addr()
 }
 
-// Close ends the server and its live streams.
+// Close stops the server and ends its live streams.
 func (s *Server) Close() {
 	s.http.Close()
 	s.sampling.Wait()
 }
 
-// serve serves everything but the live stream.
+// serve serves every path except that of the live stream.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	section, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -25,7 +25,7 @@
 	Zone      string  `json:"zone"`
 	Replica   string  `json:"replica"`
 	Weight    float64 `json:"weight"`
-	Share     float64 `json:"share"` // of the weights of the table's replicas that are not withdrawn
+	Share     float64 `json:"share"` // of the total weight of the table's replicas that are not withdrawn
 	State     string  `json:"state"`
 	Withdrawn bool    `json:"withdrawn"`
 }
@@ -39,7 +39,7 @@
 	return rows[:min(len(rows), maxRows)]
 }
 
-// tablePage shows one table, as the only row.
+// tablePage shows one table, as a list of one row.
 func (s *Server) tablePage(page *pageModel, number string) (any, error) {
 	view := page.View.Detail.Balancer
 	var rows []tableRow
--- a/internal/console/zones.go
+++ b/internal/console/zones.go
@@ -7,13 +7,14 @@
 	"peppervale/internal/codec/pubsubmsg"
 )
 
-// zoneRow is a zone: its proxies and replicas, and the zones that its tables send to.
+// zoneRow is a zone: its proxies and replicas, and the zones that its tables send requests to.
 type zoneRow struct {
 	Zone            string         `json:"zone"`
 	Proxies         int            `json:"forwarders"`
 	ExpectedRate    float64        `json:"usual_rate"`
 	ReplicasByState map[string]int `json:"replicas_by_state"`
-	// WeightShares are by the weights of the tables' entries and the expected rates of the tables' proxies.
+	// WeightShares are the shares of each target zone, by the weights of the tables' entries and the expected rates of
+	// the tables' proxies.
 	WeightShares map[string]float64 `json:"weight_share_by_zone"`
 }
 
@@ -38,7 +39,7 @@
 	return rows
 }
 
-// addWeightShares sets the zones that each zone's tables send to.
+// addWeightShares sets the weight shares of the zones that each zone's tables send requests to.
 func (s *Server) addWeightShares(rows []zoneRow, view *balancer.View) {
 	zoneOf := map[string]string{}
 	for _, replica := range view.Replicas {
