--- a/internal/pubsub/join.go
+++ b/internal/pubsub/join.go
@@ -11,12 +11,12 @@
 	"peppervale/internal/model"
 )
 
-// maxProxyNames bounds the names that may join in one incarnation: model.ProxyID has 16 bits.
+// maxProxyNames bounds the proxy names in one incarnation: model.ProxyID has 16 bits.
 const maxProxyNames = 65535
 
-// joinProxy makes the connection a proxy's stream and reports it, outside the lock.
+// joinProxy registers the connection as a proxy's stream and reports it, without holding the lock.
 func (c *connection) joinProxy(args []resp.Value) error {
-	if !c.saidHello {
+	if !c.receivedHello {
 		return errHelloFirst
 	}
 	join, err := pubsubmsg.ParseJoin(args)
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// registerStream makes a connection a proxy's stream and answers its JOIN. A stream of the same name that is still here
-// is replaced: its connection is the older one. The proxy is not joined if it was deferred or redirected.
+// registerStream registers a connection as a proxy's stream and answers its JOIN. It ends an older stream of the same
+// name. joined is false if the proxy was deferred or redirected.
 func (s *Server) registerStream(conn *connection, join pubsubmsg.Join, zone int) (joined bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,10 +47,11 @@
 	conn.stream.join = join
 	if s.isShuttingDown() {
 		s.endWithError(conn, fmt.Sprintf(
-			errorEnding+" this governor ends: join another, or here again in %d milliseconds; keep what you hold", s.backIn()))
+			errorEnding+" this governor ends: join another, or here again in %d milliseconds; keep what you hold",
+			s.restartDelayMilliseconds()))
 		return false, nil
 	}
-	epoch, isHolder := s.leaseFor(conn, zone)
+	epoch, isHolder := s.lookUpLease(conn, zone)
 	if !isHolder {
 		s.redirect(conn)
 		return false, nil
@@ -72,14 +73,14 @@
 	conn.stream.proxy = proxy
 	conn.stream.id = s.lastID
 	s.streams[proxy] = conn
-	conn.stayOpen()
+	conn.clearReadDeadline()
 	s.answerJoin(conn, epoch)
 	return true, nil
 }
 
-// leaseFor notes a proxy's shard and reports whether this controller holds its lease, in no older epoch than the proxy
-// has seen; s.mu is held. Without leases it holds all in epoch 0.
-func (s *Server) leaseFor(conn *connection, zone int) (epoch uint64, isHolder bool) {
+// lookUpLease stores a proxy's shard and reports whether this controller holds its lease, in an epoch that is not older
+// than the newest one the proxy has seen; s.mu is held. Without leases, the controller holds all shards in epoch 0.
+func (s *Server) lookUpLease(conn *connection, zone int) (epoch uint64, isHolder bool) {
 	if s.config.Leases == nil {
 		return 0, true
 	}
@@ -89,19 +90,19 @@
 	return epoch, isHolder && epoch >= join.Epoch
 }
 
-// admitJoin reports whether a proxy may join now; s.mu is held. One that may not is sent a Retry-After, and ended so
-// that it holds no place among the connections.
+// admitJoin reports whether a proxy may join now; s.mu is held. Otherwise it sends the proxy a retry delay and ends its
+// connection, so that the connection does not count towards the limit.
 func (s *Server) admitJoin(conn *connection) bool {
-	decision, after := s.joins.Decide(s.config.Now(), conn.stream.join.Name, len(s.streams))
+	decision, retryAfter := s.joins.Decide(s.config.Now(), conn.stream.join.Name, len(s.streams))
 	if decision == admission.Admit {
 		return true
 	}
 	s.endWithError(conn, fmt.Sprintf(
-		errorLater+" %d milliseconds, then join again; keep what you hold", after/model.Millisecond+1))
+		errorLater+" %d milliseconds, then join again; keep what you hold", retryAfter/model.Millisecond+1))
 	return false
 }
 
-// proxyID is the number of a name, the same throughout an incarnation; s.mu is held.
+// proxyID returns the number of a name, which stays the same throughout an incarnation; s.mu is held.
 func (s *Server) proxyID(name string) (model.ProxyID, error) {
 	if proxy, known := s.proxyIDs[name]; known {
 		return proxy, nil
@@ -114,7 +115,7 @@
 	return proxy, nil
 }
 
-// answerJoin sends a proxy what it needs to know of this controller; s.mu is held.
+// answerJoin sends a proxy the incarnation, version, report period and epoch; s.mu is held.
 func (s *Server) answerJoin(conn *connection, epoch uint64) {
 	encoded := resp.AppendHeader(nil, resp.Map, 4)
 	encoded = appendNumber(encoded, "life", int64(s.published.Incarnation))
