--- a/internal/console/browser_test.go
+++ b/internal/console/browser_test.go
@@ -42,7 +42,7 @@
 	return &browser{t: t, ctx: ctx}
 }
 
-func (b *browser) do(actions ...chromedp.Action[chromedp.Void]) {
+func (b *browser) perform(actions ...chromedp.Action[chromedp.Void]) {
 	b.t.Helper()
 	if err := chromedp.Do(b.ctx, actions...); err != nil {
 		b.t.Fatal(err)
@@ -58,35 +58,35 @@
 	return text
 }
 
-// TestInABrowser views every page, follows a link, and receives a line of the live stream. It is skipped if Chromium is
-// not installed.
-func TestInABrowser(t *testing.T) {
+// TestEachPageRendersInABrowser views every page, follows a link, and receives a line of the live stream. It is skipped
+// if Chromium is not installed.
+func TestEachPageRendersInABrowser(t *testing.T) {
 	if _, err := os.Stat(browserPath); err != nil {
 		t.Skip("no browser at " + browserPath + " (Debian package chromium)")
 	}
-	f := startFixture(t, 6, 0)
+	fixture := startFixture(t, 6, 0)
 	browser := startBrowser(t)
-	url := "http://" + f.console.Addr()
-	for _, path := range sections {
-		browser.do(chromedp.Navigate(url + path))
+	url := "http://" + fixture.console.Addr()
+	for _, path := range pagePaths {
+		browser.perform(chromedp.Navigate(url + path))
 		if browser.text("h1") == "" || !strings.Contains(browser.text("main"), "state as of") {
 			t.Fatalf("%s: want a heading and the age of the view", path)
 		}
 	}
-	browser.do(chromedp.Navigate(url+"/replicas"), chromedp.WaitVisible("#live:not(:empty)"))
+	browser.perform(chromedp.Navigate(url+"/replicas"), chromedp.WaitVisible("#live:not(:empty)"))
 	if live := browser.text("#live"); !strings.HasPrefix(live, "Now: 3 forwarders") {
 		t.Fatalf("line of the live stream on the page: %q", live)
 	}
 	if _, err := chromedp.RunResponse(browser.ctx, chromedp.Click("tbody a")); err != nil {
 		t.Fatal(err)
 	}
-	if followed := browser.text("h1"); !strings.HasPrefix(followed, "Replica 127.0.0.") {
-		t.Fatalf("the link to a replica leads to the page %q", followed)
+	if linkedHeading := browser.text("h1"); !strings.HasPrefix(linkedHeading, "Replica 127.0.0.") {
+		t.Fatalf("the link to a replica leads to the page %q", linkedHeading)
 	}
 	// At a phone's width, only tables scroll horizontally.
-	browser.do(chromedp.EmulateViewport(phoneWidth, phoneHeight), chromedp.Navigate(url+"/forwarders"))
-	wider := chromedp.Evaluate[bool]("document.documentElement.scrollWidth > 380")
-	if isWider, err := chromedp.Run(browser.ctx, wider); err != nil || isWider {
-		t.Fatalf("page is wider than a phone: %v, error %v", isWider, err)
+	browser.perform(chromedp.EmulateViewport(phoneWidth, phoneHeight), chromedp.Navigate(url+"/forwarders"))
+	compareWidth := chromedp.Evaluate[bool]("document.documentElement.scrollWidth > 380")
+	if isTooWide, err := chromedp.Run(browser.ctx, compareWidth); err != nil || isTooWide {
+		t.Fatalf("page is wider than a phone: %v, error %v", isTooWide, err)
 	}
 }
--- a/internal/console/cluster_test.go
+++ b/internal/console/cluster_test.go
@@ -56,9 +56,9 @@
 	return "http://" + console.Addr()
 }
 
-// TestClusterPageOnStandby shows that a member on standby shows its fault, the holders of the shards, and the
-// takeovers.
-func TestClusterPageOnStandby(t *testing.T) {
+// TestClusterPageOnStandbyShowsFaultHoldersAndTakeovers shows that a member on standby shows its fault, the holders of
+// the shards, and the takeovers.
+func TestClusterPageOnStandbyShowsFaultHoldersAndTakeovers(t *testing.T) {
 	url := startStandbyConsole(t)
 	status, text := httpGet(t, url+"/group")
 	for _, want := range []string{
@@ -84,17 +84,17 @@
 	}
 }
 
-// TestOtherPagesOnStandby shows that a page that needs a view explains why it is unavailable.
-func TestOtherPagesOnStandby(t *testing.T) {
+// TestOverviewOnStandbyIsUnavailable shows that a page that needs a view explains why it is unavailable.
+func TestOverviewOnStandbyIsUnavailable(t *testing.T) {
 	url := startStandbyConsole(t)
 	if status, text := httpGet(t, url+"/"); status != 503 || !strings.Contains(text, "on standby") {
 		t.Errorf("overview on standby: want status 503, got %d, %s", status, text)
 	}
 }
 
-func TestClusterPageWithoutCluster(t *testing.T) {
-	f := startFixture(t, 2, 0)
-	status, text, _ := f.get("/group")
+func TestClusterPageSaysSoWithoutCluster(t *testing.T) {
+	fixture := startFixture(t, 2, 0)
+	status, text, _ := fixture.get("/group")
 	if status != 200 || !strings.Contains(text, "not a member of a cluster") || strings.Contains(text, `href="/group"`) {
 		t.Errorf("want status 200 and no link to the cluster page, got %d\n%s", status, text)
 	}
--- a/internal/console/comparison/json_golden_test.go
+++ b/internal/console/comparison/json_golden_test.go
@@ -40,8 +40,8 @@
 	return view
 }
 
-// TestConsolePagesAreParsed checks every value that is read from a controller's console.
-func TestConsolePagesAreParsed(t *testing.T) {
+// TestEachValueOfConsolePagesIsParsed checks every value that is read from a controller's console.
+func TestEachValueOfConsolePagesIsParsed(t *testing.T) {
 	want := &reportedView{
 		name: "govan-1", incarnation: 26, version: 4, at: 99_500_000, safeMode: "shut", unreportedReplicas: 1,
 		connectedProxies: 1, boundProxies: 1, readyReplicas: 82, endpointListAge: "13s ago", saturation: 0.31,
@@ -63,8 +63,8 @@
 	}
 }
 
-// serverOf returns a server that neither polls nor listens.
-func serverOf(now model.Microseconds, controllers []polledController, disagreements []disagreement) *Server {
+// newIdleServer returns a server that neither polls nor listens.
+func newIdleServer(now model.Microseconds, controllers []polledController, disagreements []disagreement) *Server {
 	return &Server{
 		now:           func() model.Microseconds { return now },
 		poller:        &poller{controllers: controllers},
@@ -89,11 +89,11 @@
 			Since:   150 * model.Second,
 		}
 	}
-	return serverOf(200*model.Second, controllers, found)
+	return newIdleServer(200*model.Second, controllers, found)
 }
 
-// TestPagesAsJSON guards the JSON that programs parse: a changed key or value would break them.
-func TestPagesAsJSON(t *testing.T) {
+// TestEachPageMatchesItsGoldenJSON guards the JSON that programs parse: a changed key or value would break them.
+func TestEachPageMatchesItsGoldenJSON(t *testing.T) {
 	server := goldenServer(t, 1)
 	for _, test := range []struct {
 		file string
@@ -109,10 +109,12 @@
 	}
 }
 
-// TestPagesAsHTML guards against templates that use a field that the page's body does not have, with and without
-// omitted rows.
-func TestPagesAsHTML(t *testing.T) {
-	for _, server := range []*Server{goldenServer(t, 1), goldenServer(t, maxShownDisagreements+1), serverOf(0, nil, nil)} {
+// TestEachPageRendersAsHTML guards against templates that use a field that the page's body does not have, with and
+// without omitted rows.
+func TestEachPageRendersAsHTML(t *testing.T) {
+	for _, server := range []*Server{
+		goldenServer(t, 1), goldenServer(t, maxShownDisagreements+1), newIdleServer(0, nil, nil),
+	} {
 		for _, path := range []string{"/", "/replicas", "/forwarders"} {
 			response := httptest.NewRecorder()
 			server.serve(response, httptest.NewRequest(http.MethodGet, path, nil))
@@ -123,21 +125,21 @@
 	}
 }
 
-// TestOmittedDisagreementsAsJSON checks the key that is absent if all disagreements are shown.
-func TestOmittedDisagreementsAsJSON(t *testing.T) {
+// TestOverviewJSONCountsOmittedDisagreements checks the key that is absent if all disagreements are shown.
+func TestOverviewJSONCountsOmittedDisagreements(t *testing.T) {
 	text := pageAsJSON(t, goldenServer(t, maxShownDisagreements+1), "/")
 	if !bytes.Contains(text, []byte(`"disagreements_left_out": 1,`)) {
 		t.Errorf("the overview does not count the disagreement beyond the limit: %.600s", text)
 	}
 }
 
-// TestOmittedRowsAsJSON checks the key that is absent if all rows are shown.
-func TestOmittedRowsAsJSON(t *testing.T) {
+// TestMatrixJSONCountsOmittedRows checks the key that is absent if all rows are shown.
+func TestMatrixJSONCountsOmittedRows(t *testing.T) {
 	view := &reportedView{name: "govan-1", proxies: map[string]reportedProxy{}}
 	for n := range maxRows + 2 {
 		view.proxies[string(rune(0x4e00+n))] = reportedProxy{}
 	}
-	server := serverOf(model.Second, []polledController{{
+	server := newIdleServer(model.Second, []polledController{{
 		address: "http://127.0.0.1:7780", view: view, receivedAt: model.Second,
 	}}, nil)
 	if text := pageAsJSON(t, server, "/forwarders"); !bytes.Contains(text, []byte(`"rows_left_out": 2`)) {
--- a/internal/console/comparison/overview.go
+++ b/internal/console/comparison/overview.go
@@ -11,8 +11,8 @@
 	// maxShownDisagreements bounds the disagreements on the overview.
 	maxShownDisagreements = 500
 
-	// shownPrecision is the precision of a disagreement's duration on the overview.
-	shownPrecision = 100 * time.Millisecond
+	// durationPrecision is the precision of a disagreement's duration on the overview.
+	durationPrecision = 100 * time.Millisecond
 )
 
 // overviewBody lists the controllers and their disagreements.
@@ -125,7 +125,7 @@
 func newDisagreementRow(now model.Microseconds, found disagreement) disagreementRow {
 	return disagreementRow{
 		disagreement: found,
-		Duration:     (now - found.Since).Duration().Round(shownPrecision).String(),
+		Duration:     (now - found.Since).Duration().Round(durationPrecision).String(),
 		Standing:     found.isStanding(now),
 	}
 }
--- a/internal/console/comparison/poller.go
+++ b/internal/console/comparison/poller.go
@@ -44,10 +44,10 @@
 // poller polls the consoles of controllers, each in a goroutine of its own, so that a console that hangs does not delay
 // the polls of other consoles. It is created by startPoller.
 type poller struct {
-	now    func() model.Microseconds
-	client *http.Client
-	cancel context.CancelFunc
-	polls  sync.WaitGroup
+	now     func() model.Microseconds
+	client  *http.Client
+	cancel  context.CancelFunc
+	polling sync.WaitGroup
 
 	mu          sync.Mutex
 	controllers []polledController
@@ -66,7 +66,7 @@
 		p.controllers = append(p.controllers, polledController{address: consoleURL(address)})
 	}
 	for i := range addresses {
-		p.polls.Add(1)
+		p.polling.Add(1)
 		go p.pollRepeatedly(ctx, i)
 	}
 	return p
@@ -82,7 +82,7 @@
 // close stops the polling and waits for polls in progress.
 func (p *poller) close() {
 	p.cancel()
-	p.polls.Wait()
+	p.polling.Wait()
 	p.client.CloseIdleConnections()
 }
 
@@ -93,12 +93,12 @@
 	return slices.Clone(p.controllers)
 }
 
-func (p *poller) pollRepeatedly(ctx context.Context, place int) {
-	defer p.polls.Done()
+func (p *poller) pollRepeatedly(ctx context.Context, index int) {
+	defer p.polling.Done()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		p.poll(ctx, place)
+		p.poll(ctx, index)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -108,9 +108,9 @@
 }
 
 // poll polls one console once. A failed poll keeps the view of the last successful one.
-func (p *poller) poll(ctx context.Context, place int) {
+func (p *poller) poll(ctx context.Context, index int) {
 	p.mu.Lock()
-	address := p.controllers[place].address
+	address := p.controllers[index].address
 	p.mu.Unlock()
 	view, err := p.fetchView(ctx, address)
 	if ctx.Err() != nil {
@@ -118,7 +118,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	controller := &p.controllers[place]
+	controller := &p.controllers[index]
 	controller.polls++
 	if err != nil {
 		controller.failures++
--- a/internal/console/comparison/proxies.go
+++ b/internal/console/comparison/proxies.go
@@ -54,10 +54,10 @@
 	return connections
 }
 
-// tableName returns the name of the table that the proxy uses, or standing if it uses tables of its own.
-func (p reportedProxy) tableName(standing string) string {
+// tableName returns the name of the table that the proxy uses, or ownTables if it uses tables of its own.
+func (p reportedProxy) tableName(ownTables string) string {
 	if p.Table < 0 {
-		return standing
+		return ownTables
 	}
 	return fmt.Sprintf("table %d", p.Table)
 }
--- a/internal/console/comparison/replicas.go
+++ b/internal/console/comparison/replicas.go
@@ -4,7 +4,7 @@
 
 // Values of the JSON of a console.
 const (
-	listedReady = "ready"
+	statusReady = "ready"
 	stateAbsent = "away"
 )
 
@@ -56,7 +56,7 @@
 	for _, controller := range controllers {
 		replica, known := controller.view.replicas[address]
 		if known {
-			comparison.add(controller.view.name, &replica)
+			comparison.addListed(controller.view.name, &replica)
 		} else {
 			comparison.addUnlisted(controller.view.name)
 		}
@@ -64,9 +64,9 @@
 	return comparison
 }
 
-func (c *replicaComparison) add(controller string, replica *reportedReplica) {
+func (c *replicaComparison) addListed(controller string, replica *reportedReplica) {
 	c.sides = append(c.sides, side{Controller: controller, Report: replica.describe()})
-	ready := replica.ListedStatus == listedReady
+	ready := replica.ListedStatus == statusReady
 	if ready {
 		c.listedReady++
 	} else {
--- a/internal/console/comparison/server_test.go
+++ b/internal/console/comparison/server_test.go
@@ -145,7 +145,7 @@
 	return server, second
 }
 
-func TestDisagreementIsShown(t *testing.T) {
+func TestOverviewShowsDisagreementAndUnreachableConsole(t *testing.T) {
 	server, _ := startComparison(t)
 	overview := awaitOverview(t, server, "a disagreement", func(overview overviewBody) bool {
 		return bothCompared(overview) && len(overview.Disagreements) == 1
@@ -159,9 +159,9 @@
 	}
 }
 
-func TestPages(t *testing.T) {
+func TestPagesAreServedWithNamesEscaped(t *testing.T) {
 	server, _ := startComparison(t)
-	awaitOverview(t, server, "a comparison of two", bothCompared)
+	awaitOverview(t, server, "a comparison of two controllers", bothCompared)
 	for _, path := range []string{"/", "/replicas", "/forwarders", "/replicas?about=127", "/forwarders?as=json"} {
 		status, text := get(t, server, path)
 		wantHTML := !strings.Contains(path, "as=")
@@ -180,12 +180,12 @@
 	}
 }
 
-// TestFailingConsole guards against failures of one console that delay the pages or the views of other controllers. The
-// second console fails in every way in turn. Its last view is shown with the age and the error, and the first
-// controller's view stays recent.
-func TestFailingConsole(t *testing.T) {
+// TestLastViewOfFailingConsoleIsShown guards against failures of one console that delay the pages or the views of other
+// controllers. The second console fails in every way in turn. Its last view is shown with the age and the error, and
+// the first controller's view stays recent.
+func TestLastViewOfFailingConsoleIsShown(t *testing.T) {
 	server, second := startComparison(t)
-	awaitOverview(t, server, "a comparison of two", bothCompared)
+	awaitOverview(t, server, "a comparison of two controllers", bothCompared)
 	for failure, reason := range map[failure]string{
 		garbage:     "is not a peppervale console's",
 		tooLarge:    "more than",
@@ -208,11 +208,11 @@
 			t.Errorf("failure %q: shown after %s, over maxReportTime", failure, took)
 		}
 	}
-	awaitOverview(t, server, "an old view", func(overview overviewBody) bool {
+	awaitOverview(t, server, "an old view that is not compared", func(overview overviewBody) bool {
 		return !overview.Controllers[1].Recent && overview.Compared == 1 && len(overview.Disagreements) == 0
 	})
 	second.failure.Store(noFailure)
-	awaitOverview(t, server, "a recovery", func(overview overviewBody) bool {
+	awaitOverview(t, server, "a recent view after the failures", func(overview overviewBody) bool {
 		return overview.Controllers[1].Recent && bothCompared(overview)
 	})
 }
--- a/internal/console/comparison/tracker.go
+++ b/internal/console/comparison/tracker.go
@@ -16,14 +16,14 @@
 //	standing  found                 standing  none
 //	standing  not found             -         its start is deleted
 type tracker struct {
-	since        map[string]model.Microseconds // the start of each disagreement, by its key
+	starts       map[string]model.Microseconds // the start of each disagreement, by its key
 	connectedAt  map[string]model.Microseconds // the time of each proxy's last connection, by its name
 	incarnations map[string]uint64             // the highest incarnation of each controller, by its address
 }
 
 func newTracker() *tracker {
 	return &tracker{
-		since:        map[string]model.Microseconds{},
+		starts:       map[string]model.Microseconds{},
 		connectedAt:  map[string]model.Microseconds{},
 		incarnations: map[string]uint64{},
 	}
@@ -44,22 +44,22 @@
 	found = append(found, compareReplicas(recent)...)
 	found = append(found, t.compareProxies(now, recent, allRecent)...)
 	found = append(found, t.compareControllers(recent)...)
-	t.follow(now, found)
+	t.recordStarts(now, found)
 	sortDisagreements(found, now)
 	return found, len(recent)
 }
 
-// follow sets the start of each disagreement that was found, and deletes the recorded starts of all others.
-func (t *tracker) follow(now model.Microseconds, found []disagreement) {
-	since := make(map[string]model.Microseconds, len(found))
+// recordStarts sets the start of each disagreement that was found, and deletes the recorded starts of all others.
+func (t *tracker) recordStarts(now model.Microseconds, found []disagreement) {
+	starts := make(map[string]model.Microseconds, len(found))
 	for i := range found {
 		key := found[i].key()
-		began, known := t.since[key]
+		start, known := t.starts[key]
 		if !known {
-			began = now
+			start = now
 		}
-		since[key] = began
-		found[i].Since = began
+		starts[key] = start
+		found[i].Since = start
 	}
-	t.since = since
+	t.starts = starts
 }
--- a/internal/console/comparison/tracker_test.go
+++ b/internal/console/comparison/tracker_test.go
@@ -29,8 +29,8 @@
 	"not withdrawn": {State: "serving", ListedStatus: "gone", SlowStartFactor: 1},
 }
 
-// poll returns polled controllers with the given views, each at an address of its own.
-func poll(now model.Microseconds, views ...testView) []polledController {
+// polledControllers returns polled controllers with the given views, each at an address of its own.
+func polledControllers(now model.Microseconds, views ...testView) []polledController {
 	var controllers []polledController
 	for i, view := range views {
 		reported := &reportedView{
@@ -55,9 +55,9 @@
 	return controllers
 }
 
-// TestKindsOfReplicaDisagreements shows which kind of disagreement, if any, each pair of reports about one replica
-// causes.
-func TestKindsOfReplicaDisagreements(t *testing.T) {
+// TestReplicaReportsDetermineKindOfDisagreement shows which kind of disagreement, if any, each pair of reports about
+// one replica causes.
+func TestReplicaReportsDetermineKindOfDisagreement(t *testing.T) {
 	for _, test := range []struct {
 		first  string
 		second string // empty: the replica is unknown
@@ -80,7 +80,7 @@
 			if test.second != "" {
 				second.replicas["r"] = test.second
 			}
-			found, compared := newTracker().compare(0, poll(0, first, second))
+			found, compared := newTracker().compare(0, polledControllers(0, first, second))
 			if compared != 2 || (len(found) == 0) != (test.want == "") {
 				t.Fatalf("%d controllers compared, want 2; disagreements: %+v", compared, found)
 			}
@@ -91,14 +91,14 @@
 	}
 }
 
-// TestPassingAndStandingDisagreements shows that a disagreement ends when a delayed endpoint list arrives, and becomes
-// standing and is reported first if the list never arrives.
-func TestPassingAndStandingDisagreements(t *testing.T) {
+// TestDisagreementBecomesStandingOnlyIfItLasts shows that a disagreement ends when a delayed endpoint list arrives, and
+// becomes standing and is reported first if the list never arrives.
+func TestDisagreementBecomesStandingOnlyIfItLasts(t *testing.T) {
 	tracker := newTracker()
 	complete := testView{name: "a", replicas: map[string]string{"late": "gone", "never": "gone"}}
 	compare := func(now model.Microseconds, late, never string) []disagreement {
 		other := testView{name: "b", replicas: map[string]string{"late": late, "never": never}}
-		found, _ := tracker.compare(now, poll(now, complete, other))
+		found, _ := tracker.compare(now, polledControllers(now, complete, other))
 		return found
 	}
 	compare(0, "serving", "serving")
@@ -127,13 +127,13 @@
 // controllers are recent.
 func TestOldViewsAreNotCompared(t *testing.T) {
 	tracker := newTracker()
-	tracker.compare(0, poll(0,
+	tracker.compare(0, polledControllers(0,
 		testView{name: "a", proxies: []string{"till"}},
 		testView{name: "b", proxies: []string{"bar"}},
 	))
 
 	now := 6 * model.Second
-	found, compared := tracker.compare(now, poll(now,
+	found, compared := tracker.compare(now, polledControllers(now,
 		testView{name: "a", proxies: []string{"till"}, replicas: map[string]string{"r": "serving"}},
 		testView{name: "b", proxies: []string{"bar"}, replicas: map[string]string{"r": "gone"}, age: 6 * model.Second},
 	))
@@ -143,21 +143,21 @@
 
 	withoutBar := []testView{{name: "a", proxies: []string{"till"}}, {name: "b"}}
 	now = 7 * model.Second
-	found, _ = tracker.compare(now, poll(now, withoutBar...))
+	found, _ = tracker.compare(now, polledControllers(now, withoutBar...))
 	if len(found) != 1 || found[0].Kind != connectedNowhere || found[0].Subject != "bar" {
 		t.Fatalf("want proxy bar connected nowhere, got %+v", found)
 	}
 
 	now = 300 * model.Second
-	if found, _ = tracker.compare(now, poll(now, withoutBar...)); len(found) != 0 {
+	if found, _ = tracker.compare(now, polledControllers(now, withoutBar...)); len(found) != 0 {
 		t.Fatalf("a proxy is still reported after maxMissingTime: %+v", found)
 	}
 }
 
-func TestDisagreementsOfControllersThemselves(t *testing.T) {
+func TestDecreasedIncarnationAndDuplicateNameAreReported(t *testing.T) {
 	tracker := newTracker()
-	tracker.compare(0, poll(0, testView{name: "a", incarnation: 7}, testView{name: "b", incarnation: 3}))
-	found, _ := tracker.compare(model.Second, poll(model.Second,
+	tracker.compare(0, polledControllers(0, testView{name: "a", incarnation: 7}, testView{name: "b", incarnation: 3}))
+	found, _ := tracker.compare(model.Second, polledControllers(model.Second,
 		testView{name: "a", incarnation: 6, proxies: []string{"till"}},
 		testView{name: "a", incarnation: 4, proxies: []string{"till"}},
 	))
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestCompareProperties shows for random views: controllers with the same reports do not disagree about replicas, the
-// order of the controllers does not matter, and no disagreement starts in the future.
-func TestCompareProperties(t *testing.T) {
+// TestComparisonIgnoresOrderAndAcceptsEqualReports shows for random views: controllers with the same reports do not
+// disagree about replicas, the order of the controllers does not matter, and no disagreement starts in the future.
+func TestComparisonIgnoresOrderAndAcceptsEqualReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		forward, backward := newTracker(), newTracker()
 		var now model.Microseconds
@@ -180,7 +180,7 @@
 			now += model.Microseconds(rapid.IntRange(0, 6).Draw(t, "pause")) * model.Second
 			views := drawViews(t)
 			checkAgreement(t, now, views)
-			controllers := poll(now, views...)
+			controllers := polledControllers(now, views...)
 			found, _ := forward.compare(now, controllers)
 			slices.Reverse(controllers)
 			reversed, _ := backward.compare(now, controllers)
@@ -217,7 +217,7 @@
 	for i := range same {
 		same[i].replicas = views[0].replicas
 	}
-	if found, _ := newTracker().compare(now, poll(now, same...)); len(found) != 0 {
+	if found, _ := newTracker().compare(now, polledControllers(now, same...)); len(found) != 0 {
 		t.Fatalf("disagreements although all reports are the same: %+v", found)
 	}
 }
--- a/internal/console/comparison/view.go
+++ b/internal/console/comparison/view.go
@@ -11,8 +11,8 @@
 // maxRows bounds the rows that are read from one page of a console. A console sends no more.
 const maxRows = 5000
 
-// errNoConsole is returned for pages that are valid JSON but not the pages of a console.
-var errNoConsole = errors.New("its overview names no governor or no gate; is it a peppervale console?")
+// errNotAConsole is returned for pages that are valid JSON but not the pages of a console.
+var errNotAConsole = errors.New("its overview names no governor or no gate; is it a peppervale console?")
 
 // reportedView is the state of one controller, as its console reported it. It is immutable.
 type reportedView struct {
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	if overview.Name == "" || overview.Body.SafeMode == "" {
-		return nil, errNoConsole
+		return nil, errNotAConsole
 	}
 	if len(replicas.Body) > maxRows || len(proxies.Body) > maxRows {
 		return nil, fmt.Errorf("%d replicas and %d forwarders on its pages; %d of each are taken",
--- a/internal/console/fixture_test.go
+++ b/internal/console/fixture_test.go
@@ -20,8 +20,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	// hostileName is markup that must be shown as text.
-	hostileName = `<script>alert(1)</script>&"'`
+	// markupName is markup that must be shown as text.
+	markupName = `<script>alert(1)</script>&"'`
 
 	// previousSnapshot is the last snapshot of the previous incarnation, as it is stored.
 	previousSnapshot = `{"life":2,"version":9,"withdrawn":["127.0.0.9:80"],` +
@@ -39,8 +39,8 @@
 
 var longName = strings.Repeat("long", 32)
 
-// sections are the paths of pages, at least one of every kind.
-var sections = []string{
+// pagePaths are the paths of pages, at least one of every kind.
+var pagePaths = []string{
 	"/", "/zones", "/replicas", "/replicas/127.0.0.1:80", "/forwarders", "/forwarders/till", "/tables", "/tables/0",
 	"/orders", "/orders?about=table", "/settings", "/before",
 }
@@ -75,8 +75,8 @@
 	return pubsub.Stats{Proxies: fixtureProxies, Version: 7, QueuedEntries: 12}
 }
 
-// source is a Source of a fixture's controller and channel.
-type source struct {
+// fixtureSource is a Source of a fixture's controller and channel.
+type fixtureSource struct {
 	*controller.Controller
 	*consoleFixture
 }
@@ -120,7 +120,7 @@
 	}
 	go fixture.controller.Run(fixture, fixture, endpoints)
 	t.Cleanup(fixture.controller.Stop)
-	for proxy, name := range []string{"till", hostileName, longName} {
+	for proxy, name := range []string{"till", markupName, longName} {
 		join := pubsubmsg.Join{Name: name, ExpectedRate: 5}
 		fixture.controller.ProxyConnected(model.ProxyID(proxy), uint64(proxy)+1, join, proxy%2)
 	}
@@ -128,15 +128,15 @@
 	instance := Instance{
 		Name:             "govan-1",
 		Incarnation:      3,
-		Zones:            []string{"govan", hostileName},
+		Zones:            []string{"govan", markupName},
 		Operations:       []string{"recipe-read"},
-		Settings:         func() [][2]string { return [][2]string{{"state", hostileName}} },
+		Settings:         func() [][2]string { return [][2]string{{"state", markupName}} },
 		PreviousSnapshot: []byte(previousSnapshot),
 		QueueLimit:       100,
 		Now:              now,
 	}
 	var err error
-	fixture.console, err = Listen("127.0.0.1:0", instance, source{fixture.controller, fixture})
+	fixture.console, err = Listen("127.0.0.1:0", instance, fixtureSource{fixture.controller, fixture})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/console/format.go
+++ b/internal/console/format.go
@@ -44,10 +44,10 @@
 	return float64(duration) / float64(model.Second)
 }
 
-// nameOf returns the name at an index, or the index as text if there is no such name.
-func nameOf(names []string, place int) string {
-	if place >= 0 && place < len(names) {
-		return names[place]
+// nameOrIndex returns the name at an index, or the index as text if there is no such name.
+func nameOrIndex(names []string, index int) string {
+	if index >= 0 && index < len(names) {
+		return names[index]
 	}
-	return strconv.Itoa(place)
+	return strconv.Itoa(index)
 }
--- a/internal/console/httpserver/server.go
+++ b/internal/console/httpserver/server.go
@@ -76,8 +76,8 @@
 	return s.done
 }
 
-// RunEvery calls do once per interval and returns when Close is called. The caller runs it on a goroutine of its own.
-func (s *Server) RunEvery(interval time.Duration, do func()) {
+// RunEvery calls task once per interval and returns when Close is called. The caller runs it on a goroutine of its own.
+func (s *Server) RunEvery(interval time.Duration, task func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -85,7 +85,7 @@
 		case <-s.done:
 			return
 		case <-ticker.C:
-			do()
+			task()
 		}
 	}
 }
--- a/internal/console/httpserver/server_test.go
+++ b/internal/console/httpserver/server_test.go
@@ -15,7 +15,7 @@
 	return recorder
 }
 
-func TestBounds(t *testing.T) {
+func TestRequestsAreServedWithinLimitsOnly(t *testing.T) {
 	page := func(w http.ResponseWriter, _ *http.Request) { WriteText(w, http.StatusOK, "a page") }
 	stream := func(w http.ResponseWriter, _ *http.Request) { WriteText(w, http.StatusOK, "a stream") }
 	tests := map[string]struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestConcurrentPagesAreBounded(t *testing.T) {
+func TestPageBeyondConcurrencyLimitIsRejected(t *testing.T) {
 	started := make(chan struct{})
 	release := make(chan struct{})
 	handler := boundedHandler(func(http.ResponseWriter, *http.Request) {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestPageFormats(t *testing.T) {
+func TestPageFormatFollowsQueryAndAcceptHeader(t *testing.T) {
 	templates := template.Must(template.New("page").Parse("<p>{{.Name}}</p>"))
 	page := struct {
 		Name string `json:"name"`
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestPageThatCannotBeMade(t *testing.T) {
+func TestTemplateErrorIsAnInternalServerError(t *testing.T) {
 	templates := template.Must(template.New("page").Parse("<p>{{.Missing}}</p>"))
 	response := httptest.NewRecorder()
 	WritePage(response, httptest.NewRequest(http.MethodGet, "/", nil), templates, struct{}{})
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestServeUntilClose(t *testing.T) {
+func TestCloseEndsStreamsAndStopsServing(t *testing.T) {
 	server, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/console/json_golden_test.go
+++ b/internal/console/json_golden_test.go
@@ -151,7 +151,7 @@
 
 // fixedServers returns a server after safe mode and one in safe mode, both with every value set, and one that has
 // neither a cluster nor a previous incarnation.
-func fixedServers() (started, inSafeMode, alone *Server) {
+func fixedServers() (afterSafeMode, inSafeMode, alone *Server) {
 	instance := Instance{
 		Name:             "govan-1",
 		Incarnation:      26,
@@ -163,37 +163,37 @@
 		Now:              func() model.Microseconds { return 100 * model.Second },
 		Cluster:          fixedClusterStatus,
 	}
-	started = &Server{instance: instance, source: fixedSource{fixedView(true)}}
+	afterSafeMode = &Server{instance: instance, source: fixedSource{fixedView(true)}}
 	inSafeMode = &Server{instance: instance, source: fixedSource{fixedView(false)}}
 	instance.Cluster = nil
 	instance.PreviousSnapshot = nil
 	alone = &Server{instance: instance, source: fixedSource{fixedView(true)}}
-	return started, inSafeMode, alone
+	return afterSafeMode, inSafeMode, alone
 }
 
-// TestPagesAsJSON guards the JSON that programs parse: a changed key or value would break them.
-func TestPagesAsJSON(t *testing.T) {
-	started, inSafeMode, alone := fixedServers()
+// TestEachPageMatchesItsGoldenJSON guards the JSON that programs parse: a changed key or value would break them.
+func TestEachPageMatchesItsGoldenJSON(t *testing.T) {
+	afterSafeMode, inSafeMode, alone := fixedServers()
 	for _, test := range []struct {
 		file   string
 		server *Server
 		path   string
 	}{
 		{"overview.json", inSafeMode, "/"},
-		{"overview_open.json", started, "/"},
-		{"zones.json", started, "/zones"},
-		{"replicas.json", started, "/replicas"},
-		{"replica.json", started, "/replicas/10.0.0.1:81"},
-		{"forwarders.json", started, "/forwarders"},
-		{"forwarder.json", started, "/forwarders/till-1"},
-		{"tables.json", started, "/tables"},
-		{"table.json", started, "/tables/6"},
-		{"orders.json", started, "/orders"},
-		{"orders_about.json", started, "/orders?about=gate"},
-		{"settings.json", started, "/settings"},
-		{"before.json", started, "/before"},
+		{"overview_open.json", afterSafeMode, "/"},
+		{"zones.json", afterSafeMode, "/zones"},
+		{"replicas.json", afterSafeMode, "/replicas"},
+		{"replica.json", afterSafeMode, "/replicas/10.0.0.1:81"},
+		{"forwarders.json", afterSafeMode, "/forwarders"},
+		{"forwarder.json", afterSafeMode, "/forwarders/till-1"},
+		{"tables.json", afterSafeMode, "/tables"},
+		{"table.json", afterSafeMode, "/tables/6"},
+		{"orders.json", afterSafeMode, "/orders"},
+		{"orders_about.json", afterSafeMode, "/orders?about=gate"},
+		{"settings.json", afterSafeMode, "/settings"},
+		{"before.json", afterSafeMode, "/before"},
 		{"before_unknown.json", alone, "/before"},
-		{"group.json", started, "/group"},
+		{"group.json", afterSafeMode, "/group"},
 		{"group_alone.json", alone, "/group"},
 	} {
 		t.Run(test.file, func(t *testing.T) {
@@ -209,15 +209,17 @@
 	}
 }
 
-// TestPagesAsHTML guards against templates that use a field or a value that the page's body does not have. Such a
-// template fails only when the page is rendered.
-func TestPagesAsHTML(t *testing.T) {
-	started, inSafeMode, alone := fixedServers()
+// TestEachPageRendersAsHTML guards against templates that use a field or a value that the page's body does not have.
+// Such a template fails only when the page is rendered.
+func TestEachPageRendersAsHTML(t *testing.T) {
+	afterSafeMode, inSafeMode, alone := fixedServers()
 	paths := []string{
 		"/", "/zones", "/replicas", "/replicas/10.0.0.1:81", "/forwarders", "/forwarders/till-1", "/tables", "/tables/6",
 		"/orders", "/settings", "/before", "/group",
 	}
-	for name, server := range map[string]*Server{"after safe mode": started, "in safe mode": inSafeMode, "alone": alone} {
+	for name, server := range map[string]*Server{
+		"after safe mode": afterSafeMode, "in safe mode": inSafeMode, "alone": alone,
+	} {
 		for _, path := range paths {
 			t.Run(name+path, func(t *testing.T) {
 				response := httptest.NewRecorder()
@@ -239,11 +241,11 @@
 			t.Fatal(err)
 		}
 	}
-	checkPinned(t, file, got)
+	compareGolden(t, file, got)
 }
 
-// checkPinned reports bytes that differ from a golden file. It never rewrites the file.
-func checkPinned(t *testing.T, file string, got []byte) {
+// compareGolden reports bytes that differ from a golden file. It never rewrites the file.
+func compareGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	want, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/console/live.go
+++ b/internal/console/live.go
@@ -19,7 +19,7 @@
 // serveLive streams a line about the current state every second, as server-sent events. A viewer that does not read is
 // disconnected at the write deadline.
 func (s *Server) serveLive(w http.ResponseWriter, r *http.Request) {
-	if !s.openStream() {
+	if !s.tryOpenStream() {
 		w.Header().Set("Retry-After", "5")
 		httpserver.WriteText(w, http.StatusServiceUnavailable, "many viewers hold live streams; reload by hand")
 		return
@@ -27,16 +27,16 @@
 	defer s.closeStream()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
-	control := http.NewResponseController(w)
+	responseController := http.NewResponseController(w)
 	ticker := time.NewTicker(streamInterval)
 	defer ticker.Stop()
 	for {
 		// A connection that supports no deadlines is served without one.
-		_ = control.SetWriteDeadline(time.Now().Add(httpserver.WriteTimeout))
+		_ = responseController.SetWriteDeadline(time.Now().Add(httpserver.WriteTimeout))
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", s.liveLine()); err != nil {
 			return
 		}
-		if err := control.Flush(); err != nil {
+		if err := responseController.Flush(); err != nil {
 			return
 		}
 		select {
@@ -49,8 +49,8 @@
 	}
 }
 
-// openStream counts another open stream. It reports false if maxStreams streams are open.
-func (s *Server) openStream() bool {
+// tryOpenStream counts another open stream. It reports false if maxStreams streams are open.
+func (s *Server) tryOpenStream() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.streams >= maxStreams {
--- a/internal/console/live_test.go
+++ b/internal/console/live_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-func TestLiveStream(t *testing.T) {
-	f := startFixture(t, 6, 0)
-	response, err := http.Get("http://" + f.console.Addr() + "/live")
+func TestLiveStreamStartsWithCurrentState(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
+	response, err := http.Get("http://" + fixture.console.Addr() + "/live")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,12 +21,12 @@
 	}
 }
 
-func TestLiveStreamsAreBounded(t *testing.T) {
-	f := startFixture(t, 6, 0)
-	f.console.mu.Lock()
-	f.console.streams = maxStreams
-	f.console.mu.Unlock()
-	if status, text, _ := f.get("/live"); status != 503 || !strings.Contains(text, "reload by hand") {
+func TestLiveStreamBeyondLimitIsRejected(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
+	fixture.console.mu.Lock()
+	fixture.console.streams = maxStreams
+	fixture.console.mu.Unlock()
+	if status, text, _ := fixture.get("/live"); status != 503 || !strings.Contains(text, "reload by hand") {
 		t.Fatalf("stream beyond maxStreams: want status 503, got %d %s", status, text)
 	}
 }
--- a/internal/console/overload_test.go
+++ b/internal/console/overload_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// overloadViewers is the number of viewers that open a live stream and do not read it.
-	overloadViewers = 200
+	// unreadStreams is the number of viewers that open a live stream and do not read it.
+	unreadStreams = 200
 
 	maxPageTime = 3 * time.Second
 )
 
-// TestPagesWhileOverloaded guards against pages that wait for an overloaded event loop: the controller receives ten
-// times the load reports and joins that it can process, the channel takes 50 ms for each batch, and 200 viewers do not
-// read their live streams.
-func TestPagesWhileOverloaded(t *testing.T) {
+// TestPagesStayFastWhileControllerIsOverloaded guards against pages that wait for an overloaded event loop: the
+// controller receives ten times the load reports and joins that it can process, the channel takes 50 ms for each batch,
+// and 200 viewers do not read their live streams.
+func TestPagesStayFastWhileControllerIsOverloaded(t *testing.T) {
 	fixture := startFixture(t, 300, 50*time.Millisecond)
 	stop := make(chan struct{})
 	stopped := make(chan struct{})
@@ -33,12 +33,12 @@
 		close(stop)
 		<-stopped
 	}()
-	for range overloadViewers {
+	for range unreadStreams {
 		fixture.openUnreadStream()
 	}
 	var slowest time.Duration
 	for range 3 {
-		for _, path := range sections {
+		for _, path := range pagePaths {
 			status, text, took := fixture.get(path)
 			if status != 200 || !strings.Contains(text, "state as of") {
 				t.Fatalf("%s while overloaded: want a page with status 200, got %d\n%.300s", path, status, text)
--- a/internal/console/pages_test.go
+++ b/internal/console/pages_test.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// asJSON returns the path of a page's JSON.
-func asJSON(path string) string {
+// jsonPath returns the path of a page's JSON.
+func jsonPath(path string) string {
 	if strings.Contains(path, "?") {
 		return path + "&as=json"
 	}
 	return path + "?as=json"
 }
 
-// TestPagesInBothFormats shows that every page is available as HTML and as JSON, and states the age of its view.
-func TestPagesInBothFormats(t *testing.T) {
-	f := startFixture(t, 6, 0)
-	for _, path := range sections {
-		status, text, _ := f.get(path)
+// TestEachPageIsServedAsHTMLAndJSON shows that every page is available as HTML and as JSON, and states the age of its
+// view.
+func TestEachPageIsServedAsHTMLAndJSON(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
+	for _, path := range pagePaths {
+		status, text, _ := fixture.get(path)
 		if status != 200 || !strings.Contains(text, "state as of") || !strings.Contains(text, "</html>") {
 			t.Errorf("%s as HTML: want a page with status 200, got %d\n%s", path, status, text)
 		}
-		status, text, _ = f.get(asJSON(path))
+		status, text, _ = fixture.get(jsonPath(path))
 		var page struct {
 			Name        string `json:"governor"`
 			Incarnation int    `json:"life"`
@@ -37,52 +38,52 @@
 	}
 }
 
-func TestPlots(t *testing.T) {
-	f := startFixture(t, 6, 0)
+func TestEachPlotIsServedAsSVG(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
 	for name := range plots {
-		if status, text, _ := f.get("/plot/" + name); status != 200 || !strings.Contains(text, "<svg") {
+		if status, text, _ := fixture.get("/plot/" + name); status != 200 || !strings.Contains(text, "<svg") {
 			t.Errorf("plot %s: want SVG with status 200, got %d", name, status)
 		}
 	}
 }
 
-func TestReplicasShowTheirStates(t *testing.T) {
-	f := startFixture(t, 6, 0)
-	status, text, _ := f.get("/replicas?as=json")
+func TestReplicaListShowsStates(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
+	status, text, _ := fixture.get("/replicas?as=json")
 	if status != 200 || strings.Count(text, `"state": "serving"`) != 6 {
 		t.Errorf("want 6 serving replicas: %s", text)
 	}
 }
 
-func TestProxyShowsDecisionsAboutItsTable(t *testing.T) {
-	f := startFixture(t, 6, 0)
-	status, text, _ := f.get("/forwarders/till?as=json")
+func TestProxyPageShowsDecisionsAboutItsTable(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
+	status, text, _ := fixture.get("/forwarders/till?as=json")
 	if status != 200 || !strings.Contains(text, "on table") || !strings.Contains(text, "joined till") {
 		t.Errorf("the decisions do not mention the proxy's join and its table: %s", text)
 	}
 }
 
-// TestHostileNames guards against script injection: a proxy's name or a filter may contain markup.
-func TestHostileNames(t *testing.T) {
-	f := startFixture(t, 6, 0)
-	hostilePaths := []string{
+// TestMarkupInNamesAndFiltersIsEscaped guards against script injection: a proxy's name or a filter may contain markup.
+func TestMarkupInNamesAndFiltersIsEscaped(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
+	markupPaths := []string{
 		"/forwarders/" + "%3Cscript%3Ealert(1)%3C%2Fscript%3E&%22'",
 		"/orders?about=%3Cscript%3E",
 	}
-	for _, path := range append(hostilePaths, sections...) {
-		_, text, _ := f.get(path)
+	for _, path := range append(markupPaths, pagePaths...) {
+		_, text, _ := fixture.get(path)
 		if strings.Contains(text, "<script>alert") || strings.Contains(text, `value="<script>`) {
 			t.Errorf("%s contains unescaped markup of a name or filter", path)
 		}
 	}
-	status, text, _ := f.get("/forwarders")
+	status, text, _ := fixture.get("/forwarders")
 	if status != 200 || !strings.Contains(text, "&lt;script&gt;") || !strings.Contains(text, longName) {
 		t.Errorf("want the escaped name and the long name: %s", text)
 	}
 }
 
-func TestPathsThatDoNotExist(t *testing.T) {
-	f := startFixture(t, 6, 0)
+func TestUnknownAndOverlongPathsAreRejected(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
 	for path, want := range map[string]int{
 		"/nope":                         404,
 		"/replicas/127.0.0.99:80":       404,
@@ -93,15 +94,15 @@
 		"/zones/govan":                  404,
 		"/" + strings.Repeat("x", 2000): 414,
 	} {
-		if status, text, _ := f.get(path); status != want || strings.Contains(text, "<html") {
+		if status, text, _ := fixture.get(path); status != want || strings.Contains(text, "<html") {
 			t.Errorf("%s: want an error status without a page, got %d %s", path, status, text)
 		}
 	}
 }
 
-func TestChangesAreRejected(t *testing.T) {
-	f := startFixture(t, 6, 0)
-	response, err := http.Post("http://"+f.console.Addr()+"/", "text/plain", strings.NewReader("x"))
+func TestPostRequestIsRejected(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
+	response, err := http.Post("http://"+fixture.console.Addr()+"/", "text/plain", strings.NewReader("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,21 +112,21 @@
 	}
 }
 
-// TestDetailsAreCopiedForPagesOnly shows that samples and readiness checks do not request detailed views.
-func TestDetailsAreCopiedForPagesOnly(t *testing.T) {
-	f := startFixture(t, 6, 0)
+// TestDetailsAreCopiedOnlyForPages shows that samples and readiness checks do not request detailed views.
+func TestDetailsAreCopiedOnlyForPages(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
 	for range 3 {
-		f.console.takeSample()
+		fixture.console.takeSample()
 		// No full endpoint list was received in this incarnation.
-		if status, _, _ := f.get("/ready"); status != 503 {
+		if status, _, _ := fixture.get("/ready"); status != 503 {
 			t.Fatalf("/ready responds with status %d, want 503", status)
 		}
 	}
-	f.awaitSteps(5)
-	if f.controller.View().Detail != nil {
+	fixture.awaitSteps(5)
+	if fixture.controller.View().Detail != nil {
 		t.Fatal("details are copied although no page was requested")
 	}
-	if status, _, _ := f.get("/"); status != 200 || f.controller.View().Detail == nil {
+	if status, _, _ := fixture.get("/"); status != 200 || fixture.controller.View().Detail == nil {
 		t.Fatal("details are not copied although a page was requested")
 	}
 }
--- a/internal/console/paths_golden_test.go
+++ b/internal/console/paths_golden_test.go
@@ -26,9 +26,9 @@
 
 // describeResponse returns a path's status, content type and title. It reads only the header of the live stream, which
 // does not end.
-func describeResponse(t *testing.T, f *consoleFixture, path string) string {
+func describeResponse(t *testing.T, fixture *consoleFixture, path string) string {
 	t.Helper()
-	response, err := http.Get("http://" + f.console.Addr() + path)
+	response, err := http.Get("http://" + fixture.console.Addr() + path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,27 +37,27 @@
 	if path == "/live" {
 		return line
 	}
-	_, text, _ := f.get(path)
+	_, text, _ := fixture.get(path)
 	if title := titleElement.FindStringSubmatch(text); title != nil {
 		line += " " + title[1]
 	}
 	return line
 }
 
-func TestGoldenPaths(t *testing.T) {
-	f := startFixture(t, 6, 0)
+func TestResponsesOfPathsMatchGoldenFile(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
 	var text strings.Builder
 	for _, path := range goldenPaths {
-		fmt.Fprintln(&text, describeResponse(t, f, path))
+		fmt.Fprintln(&text, describeResponse(t, fixture, path))
 	}
-	checkPinned(t, goldenFile("paths.txt"), []byte(text.String()))
+	compareGolden(t, goldenFile("paths.txt"), []byte(text.String()))
 }
 
-// TestGoldenMetrics guards the names, types, help texts and labels of /metrics. It ignores the values, as they change
-// from run to run.
-func TestGoldenMetrics(t *testing.T) {
-	f := startFixture(t, 6, 0)
-	_, text, _ := f.get("/metrics")
+// TestMetricsMatchGoldenFile guards the names, types, help texts and labels of /metrics. It ignores the values, as they
+// change from run to run.
+func TestMetricsMatchGoldenFile(t *testing.T) {
+	fixture := startFixture(t, 6, 0)
+	_, text, _ := fixture.get("/metrics")
 	var lines []string
 	for line := range strings.Lines(text) {
 		if !strings.HasPrefix(line, "#") {
@@ -66,5 +66,5 @@
 		lines = append(lines, line)
 	}
 	slices.Sort(lines)
-	checkPinned(t, goldenFile("metrics.txt"), []byte(strings.Join(lines, "")))
+	compareGolden(t, goldenFile("metrics.txt"), []byte(strings.Join(lines, "")))
 }
--- a/internal/console/proxies.go
+++ b/internal/console/proxies.go
@@ -58,13 +58,13 @@
 
 func (s *Server) proxyPage(page *pageModel, name string) (any, error) {
 	detail := page.View.Detail
-	place := slices.IndexFunc(detail.Balancer.Proxies, func(proxy balancer.ProxyView) bool {
+	index := slices.IndexFunc(detail.Balancer.Proxies, func(proxy balancer.ProxyView) bool {
 		return detail.Proxies[proxy.ID].Name == name
 	})
-	if place < 0 {
+	if index < 0 {
 		return nil, fmt.Errorf("proxy %.60q: %w among the connected ones", name, errNotFound)
 	}
-	proxy := &detail.Balancer.Proxies[place]
+	proxy := &detail.Balancer.Proxies[index]
 	page.Title = "Forwarder " + name
 	page.Heading = "Proxy " + name
 	page.Template = "proxy"
--- a/internal/console/replicas.go
+++ b/internal/console/replicas.go
@@ -93,13 +93,13 @@
 
 func (s *Server) replicaPage(page *pageModel, address string) (any, error) {
 	view := page.View.Detail.Balancer
-	place := slices.IndexFunc(view.Replicas, func(replica balancer.ReplicaView) bool {
+	index := slices.IndexFunc(view.Replicas, func(replica balancer.ReplicaView) bool {
 		return pubsubmsg.FormatAddress(replica.ID) == address
 	})
-	if place < 0 {
+	if index < 0 {
 		return nil, fmt.Errorf("replica %.60q: %w in this incarnation", address, errNotFound)
 	}
-	replica := &view.Replicas[place]
+	replica := &view.Replicas[index]
 	page.Title = "Replica " + address
 	page.Heading = page.Title
 	page.Template = "replica"
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -115,5 +115,5 @@
 
 // zoneName returns the name of a zone, or its number if it has none.
 func (s *Server) zoneName(zone int) string {
-	return nameOf(s.instance.Zones, zone)
+	return nameOrIndex(s.instance.Zones, zone)
 }
