--- a/internal/console/httpserver/server_test.go
+++ b/internal/console/httpserver/server_test.go
@@ -15,7 +15,7 @@
 	return recorder
 }
 
-func TestBounds(t *testing.T) {
+func TestRequestsAreServedWithinLimitsOnly(t *testing.T) {
 	page := func(w http.ResponseWriter, _ *http.Request) { WriteText(w, http.StatusOK, "a page") }
 	stream := func(w http.ResponseWriter, _ *http.Request) { WriteText(w, http.StatusOK, "a stream") }
 	tests := map[string]struct {
@@ -25,11 +25,11 @@
 		status int
 		text   string
 	}{
-		"a page":                {http.MethodGet, "/", stream, http.StatusOK, "a page"},
-		"the head of a page":    {http.MethodHead, "/", stream, http.StatusOK, ""},
-		"a stream":              {http.MethodGet, "/live", stream, http.StatusOK, "a stream"},
-		"a server of no stream": {http.MethodGet, "/live", nil, http.StatusOK, "a page"},
-		"a change":              {http.MethodPost, "/", stream, http.StatusMethodNotAllowed, "read only"},
+		"a page":                    {http.MethodGet, "/", stream, http.StatusOK, "a page"},
+		"the head of a page":        {http.MethodHead, "/", stream, http.StatusOK, ""},
+		"a stream":                  {http.MethodGet, "/live", stream, http.StatusOK, "a stream"},
+		"a server without a stream": {http.MethodGet, "/live", nil, http.StatusOK, "a page"},
+		"a POST request":            {http.MethodPost, "/", stream, http.StatusMethodNotAllowed, "read only"},
 		"the longest path": {
 			http.MethodGet, "/" + strings.Repeat("x", maxPathLength-1), stream, http.StatusOK, "a page",
 		},
@@ -41,16 +41,16 @@
 		t.Run(name, func(t *testing.T) {
 			response := respond(boundedHandler(page, test.stream), test.method, test.target)
 			if response.Code != test.status || !strings.Contains(response.Body.String(), test.text) {
-				t.Errorf("%d %s, want %d %s", response.Code, response.Body, test.status, test.text)
+				t.Errorf("response %d %s, want %d %s", response.Code, response.Body, test.status, test.text)
 			}
 			if response.Header().Get("Content-Security-Policy") != contentSecurityPolicy {
-				t.Errorf("content security policy %q", response.Header().Get("Content-Security-Policy"))
+				t.Errorf("unexpected content security policy %q", response.Header().Get("Content-Security-Policy"))
 			}
 		})
 	}
 }
 
-func TestConcurrentPagesAreBounded(t *testing.T) {
+func TestPageBeyondConcurrencyLimitIsRejected(t *testing.T) {
 	started := make(chan struct{})
 	release := make(chan struct{})
 	handler := boundedHandler(func(http.ResponseWriter, *http.Request) {
@@ -66,17 +66,18 @@
 	}
 	response := respond(handler, http.MethodGet, "/")
 	if response.Code != http.StatusServiceUnavailable || response.Header().Get("Retry-After") != "1" {
-		t.Errorf("%d, Retry-After %q", response.Code, response.Header().Get("Retry-After"))
+		t.Errorf("page beyond the limit: want status 503 and Retry-After 1, got %d, Retry-After %q",
+			response.Code, response.Header().Get("Retry-After"))
 	}
 	close(release)
 	for range maxConcurrentPages {
 		if status := <-finished; status != http.StatusOK {
-			t.Errorf("a page within the bound: %d", status)
+			t.Errorf("a page within the limit gets status %d, want 200", status)
 		}
 	}
 }
 
-func TestPageFormats(t *testing.T) {
+func TestPageFormatFollowsQueryAndAcceptHeader(t *testing.T) {
 	templates := template.Must(template.New("page").Parse("<p>{{.Name}}</p>"))
 	page := struct {
 		Name string `json:"name"`
@@ -98,7 +99,7 @@
 			response := httptest.NewRecorder()
 			WritePage(response, request, templates, page)
 			if response.Code != http.StatusOK || response.Body.String() != test.body {
-				t.Errorf("%d %s", response.Code, response.Body)
+				t.Errorf("response %d %s, want the page with status 200", response.Code, response.Body)
 			}
 			if got := response.Header().Get("Content-Type"); got != test.contentType {
 				t.Errorf("content type %q, want %q", got, test.contentType)
@@ -107,22 +108,22 @@
 	}
 }
 
-func TestPageThatCannotBeMade(t *testing.T) {
+func TestTemplateErrorIsAnInternalServerError(t *testing.T) {
 	templates := template.Must(template.New("page").Parse("<p>{{.Missing}}</p>"))
 	response := httptest.NewRecorder()
 	WritePage(response, httptest.NewRequest(http.MethodGet, "/", nil), templates, struct{}{})
 	if response.Code != http.StatusInternalServerError || strings.Contains(response.Body.String(), "<p>") {
-		t.Errorf("%d %s", response.Code, response.Body)
+		t.Errorf("want status 500 and no part of the page, got %d %s", response.Code, response.Body)
 	}
 }
 
-func TestServeUntilClose(t *testing.T) {
+func TestCloseEndsStreamsAndStopsServing(t *testing.T) {
 	server, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Listen(server.Addr()); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("an address in use: %v", err)
+		t.Errorf("listening on an address in use: want an error that names another process, got %v", err)
 	}
 	streamed := make(chan struct{})
 	server.Serve(
@@ -143,7 +144,7 @@
 	<-streamed
 	server.Close()
 	if err := <-streamEnded; err != nil {
-		t.Errorf("the stream: %v", err)
+		t.Errorf("reading the stream until Close: %v", err)
 	}
 	if _, err := http.Get("http://" + server.Addr() + "/"); err == nil {
 		t.Error("a page is served after Close")
--- a/internal/console/json_golden_test.go
+++ b/internal/console/json_golden_test.go
@@ -17,9 +17,10 @@
 	"peppervale/internal/pubsub"
 )
 
-var update = flag.Bool("update", false, "write the golden pages in testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden pages in testdata")
 
-// fixedSource is a Source that never changes. Its values differ, so that each page shows where a value comes from.
+// fixedSource is a Source that never changes. All its values differ, so that a golden page shows which field each value
+// comes from.
 type fixedSource struct{ view *controller.View }
 
 func (s fixedSource) View() *controller.View         { return s.view }
@@ -143,14 +144,14 @@
 	}
 }
 
-// fixedPreviousSnapshot is what the previous incarnation published, as it is stored.
+// fixedPreviousSnapshot is the last snapshot of the previous incarnation, as it is stored.
 const fixedPreviousSnapshot = `{"kind":"snapshot","life":24,"version":25,` +
 	`"tables":{"6":[{"replica":"10.0.0.1:81","weight":0.26}]},"withdrawn":["10.0.0.2:82"],` +
 	`"levels":[{"operations":3,"share":0.27,"way":2}],"forwarders":{"till-1":"6","till-2":""}}`
 
-// fixedServers returns servers with every value set, without and in safe mode, and one that has neither a cluster
-// nor a previous incarnation.
-func fixedServers() (started, inSafeMode, alone *Server) {
+// fixedServers returns a server after safe mode and one in safe mode, both with every value set, and one that has
+// neither a cluster nor a previous incarnation.
+func fixedServers() (afterSafeMode, inSafeMode, alone *Server) {
 	instance := Instance{
 		Name:             "govan-1",
 		Incarnation:      26,
@@ -162,37 +163,37 @@
 		Now:              func() model.Microseconds { return 100 * model.Second },
 		Cluster:          fixedClusterStatus,
 	}
-	started = &Server{instance: instance, source: fixedSource{fixedView(true)}}
+	afterSafeMode = &Server{instance: instance, source: fixedSource{fixedView(true)}}
 	inSafeMode = &Server{instance: instance, source: fixedSource{fixedView(false)}}
 	instance.Cluster = nil
 	instance.PreviousSnapshot = nil
 	alone = &Server{instance: instance, source: fixedSource{fixedView(true)}}
-	return started, inSafeMode, alone
+	return afterSafeMode, inSafeMode, alone
 }
 
-// TestPagesAsJSON compares each page's JSON with the bytes that programs parse today: its keys must not change.
-func TestPagesAsJSON(t *testing.T) {
-	started, inSafeMode, alone := fixedServers()
+// TestEachPageMatchesItsGoldenJSON guards the JSON that programs parse: a changed key or value would break them.
+func TestEachPageMatchesItsGoldenJSON(t *testing.T) {
+	afterSafeMode, inSafeMode, alone := fixedServers()
 	for _, test := range []struct {
 		file   string
 		server *Server
 		path   string
 	}{
 		{"overview.json", inSafeMode, "/"},
-		{"overview_open.json", started, "/"},
-		{"zones.json", started, "/zones"},
-		{"replicas.json", started, "/replicas"},
-		{"replica.json", started, "/replicas/10.0.0.1:81"},
-		{"forwarders.json", started, "/forwarders"},
-		{"forwarder.json", started, "/forwarders/till-1"},
-		{"tables.json", started, "/tables"},
-		{"table.json", started, "/tables/6"},
-		{"orders.json", started, "/orders"},
-		{"orders_about.json", started, "/orders?about=gate"},
-		{"settings.json", started, "/settings"},
-		{"before.json", started, "/before"},
+		{"overview_open.json", afterSafeMode, "/"},
+		{"zones.json", afterSafeMode, "/zones"},
+		{"replicas.json", afterSafeMode, "/replicas"},
+		{"replica.json", afterSafeMode, "/replicas/10.0.0.1:81"},
+		{"forwarders.json", afterSafeMode, "/forwarders"},
+		{"forwarder.json", afterSafeMode, "/forwarders/till-1"},
+		{"tables.json", afterSafeMode, "/tables"},
+		{"table.json", afterSafeMode, "/tables/6"},
+		{"orders.json", afterSafeMode, "/orders"},
+		{"orders_about.json", afterSafeMode, "/orders?about=gate"},
+		{"settings.json", afterSafeMode, "/settings"},
+		{"before.json", afterSafeMode, "/before"},
 		{"before_unknown.json", alone, "/before"},
-		{"group.json", started, "/group"},
+		{"group.json", afterSafeMode, "/group"},
 		{"group_alone.json", alone, "/group"},
 	} {
 		t.Run(test.file, func(t *testing.T) {
@@ -201,35 +202,38 @@
 			response := httptest.NewRecorder()
 			test.server.serve(response, request)
 			if response.Code != http.StatusOK || response.Header().Get("Content-Type") != "application/json" {
-				t.Fatalf("%s: %d %s", test.path, response.Code, response.Body)
+				t.Fatalf("%s: want JSON with status 200, got %d %s", test.path, response.Code, response.Body)
 			}
 			checkGolden(t, filepath.Join("testdata", test.file), response.Body.Bytes())
 		})
 	}
 }
 
-// TestPagesAsHTML shows that each page's template fits its view model, with every field set and with none.
-func TestPagesAsHTML(t *testing.T) {
-	started, inSafeMode, alone := fixedServers()
+// TestEachPageRendersAsHTML guards against templates that use a field or a value that the page's body does not have.
+// Such a template fails only when the page is rendered.
+func TestEachPageRendersAsHTML(t *testing.T) {
+	afterSafeMode, inSafeMode, alone := fixedServers()
 	paths := []string{
 		"/", "/zones", "/replicas", "/replicas/10.0.0.1:81", "/forwarders", "/forwarders/till-1", "/tables", "/tables/6",
 		"/orders", "/settings", "/before", "/group",
 	}
-	for name, server := range map[string]*Server{"started": started, "in safe mode": inSafeMode, "alone": alone} {
+	for name, server := range map[string]*Server{
+		"after safe mode": afterSafeMode, "in safe mode": inSafeMode, "alone": alone,
+	} {
 		for _, path := range paths {
 			t.Run(name+path, func(t *testing.T) {
 				response := httptest.NewRecorder()
 				server.serve(response, httptest.NewRequest(http.MethodGet, path, nil))
 				text := response.Body.String()
 				if response.Code != http.StatusOK || !strings.Contains(text, "</html>") {
-					t.Errorf("%d %s", response.Code, text)
+					t.Errorf("want a whole page with status 200, got %d %s", response.Code, text)
 				}
 			})
 		}
 	}
 }
 
-// checkGolden reports bytes that differ from the golden file. With -update it writes them to the file before.
+// checkGolden reports bytes that differ from the golden file. With -update it first writes them to the file.
 func checkGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	if *update {
@@ -237,17 +241,17 @@
 			t.Fatal(err)
 		}
 	}
-	checkPinned(t, file, got)
+	compareGolden(t, file, got)
 }
 
-// checkPinned reports bytes that differ from a golden file that is never written anew.
-func checkPinned(t *testing.T, file string, got []byte) {
+// compareGolden reports bytes that differ from a golden file. It never rewrites the file.
+func compareGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	want, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+		t.Errorf("%s: got\n%s\nwant the golden file\n%s", file, got, want)
 	}
 }
--- a/internal/console/proxies.go
+++ b/internal/console/proxies.go
@@ -15,7 +15,7 @@
 	Name            string  `json:"name"`
 	Number          int     `json:"number"`
 	Zone            string  `json:"zone"`
-	Table           int     `json:"table"` // -1: its standing table, or that of another controller
+	Table           int     `json:"table"` // -1: its standing table, or a table of another controller
 	ExpectedRate    float64 `json:"usual_rate"`
 	ConnectedAge    string  `json:"joined"`
 	UnackedMessages int     `json:"unacknowledged_messages"`
@@ -58,18 +58,18 @@
 
 func (s *Server) proxyPage(page *pageModel, name string) (any, error) {
 	detail := page.View.Detail
-	place := slices.IndexFunc(detail.Balancer.Proxies, func(proxy balancer.ProxyView) bool {
+	index := slices.IndexFunc(detail.Balancer.Proxies, func(proxy balancer.ProxyView) bool {
 		return detail.Proxies[proxy.ID].Name == name
 	})
-	if place < 0 {
+	if index < 0 {
 		return nil, fmt.Errorf("proxy %.60q: %w among the connected ones", name, errNotFound)
 	}
-	proxy := &detail.Balancer.Proxies[place]
+	proxy := &detail.Balancer.Proxies[index]
 	page.Title = "Forwarder " + name
 	page.Heading = "Proxy " + name
 	page.Template = "proxy"
 	body := proxyBody{proxyRow: s.proxyRow(page, proxy)}
-	// The texts by which the decision log mentions the proxy and its table.
+	// The decision log mentions the proxy and its table in these texts.
 	mentions := []string{fmt.Sprintf("forwarder %d on", proxy.ID), "joined " + name, "left " + name}
 	for _, table := range detail.Balancer.Tables {
 		if int(table.ID) == proxy.Table {
