--- a/examples/governor.hcl
+++ b/examples/governor.hcl
@@ -1,4 +1,4 @@
-# An instance to try by hand with the stand-ins of the other files here; see docs/running.md.
+# An instance for manual tests with the stand-ins in this folder; see docs/running.md.
 governor "govan-1" {
   listen = "127.0.0.1:7700"
   state  = "/tmp/peppervale-govan-1"
--- a/internal/benchmark/channel.go
+++ b/internal/benchmark/channel.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	unlimitedRate      = 1e12
+	unlimitedRate      = 1e12    // entries a second
 	maxUnsent          = 4 << 20 // bytes
 	spareConnections   = 10
 	channelJoinTimeout = 30 * time.Second
 	channelTable       = model.TableID(1)
 )
 
-// ChannelResult is the result of Channel for one size. Times are from the call of Publish to the last proxy's
+// ChannelResult is the result of Channel for one size. A round lasts from the call of Publish to the last proxy's
 // acknowledgement.
 type ChannelResult struct {
 	Proxies             int
-	Entries             int // changed in a round
+	Entries             int // changed in each round
 	Rounds              int
 	Median              time.Duration
 	P99                 time.Duration
-	EntriesPerSecond    float64 // of all proxies, message overhead not counted
+	EntriesPerSecond    float64 // delivered to all proxies, without message overhead
 	BytesPerRound       int
-	CPUPerMessage       time.Duration // of both ends, system time included
-	MemoryPerConnection int           // bytes of heap and stacks, of both ends
-	Raw                 RawCost       // of the same bytes over plain sockets
+	CPUPerMessage       time.Duration // of sender and receiver, including system time
+	MemoryPerConnection int           // bytes of heap and stacks, of sender and receiver
+	Raw                 RawCost       // of the same number of bytes over plain sockets
 }
 
-// Channel publishes changes of so many entries to proxies, round after round and without a rate limit.
+// Channel publishes changes of the given number of entries to proxies in each round, without a rate limit.
 func Channel(proxies, entries, rounds int) (*ChannelResult, error) {
 	memoryBefore := memoryInUse()
 	bed, err := newTestbed()
@@ -64,7 +64,7 @@
 	return result, err
 }
 
-// bindProxies puts all proxies on one table and gives the updates of its entries.
+// bindProxies binds all proxies to one table and returns the updates of the table's entries.
 func (p *publisher) bindProxies(bed *testbed, proxies, entries int) ([]snapshot.Update, error) {
 	var updates []snapshot.Update
 	for k := range entries {
@@ -88,7 +88,7 @@
 	return updates[:entries], nil
 }
 
-// measureRounds changes the weight of all entries in each round.
+// measureRounds runs the rounds, each of which changes the weights of all entries, and records their cost.
 func (r *ChannelResult) measureRounds(
 	source *publisher, updates []snapshot.Update, now func() model.Microseconds,
 ) error {
--- a/internal/benchmark/channel_test.go
+++ b/internal/benchmark/channel_test.go
@@ -8,10 +8,10 @@
 		t.Fatal(err)
 	}
 	if result.Proxies != 5 || result.Entries != 3 || result.Rounds != 4 {
-		t.Errorf("%+v is not of the size asked for", result)
+		t.Errorf("%+v does not have the requested sizes", result)
 	}
 	if result.BytesPerRound <= 0 || result.Median <= 0 || result.P99 < result.Median || result.Raw.Median <= 0 {
-		t.Errorf("%+v lacks a measurement", result)
+		t.Errorf("%+v: a measurement is missing or not plausible", result)
 	}
 }
 
@@ -21,9 +21,9 @@
 		t.Fatal(err)
 	}
 	if result.Deferrals != 0 || result.MaxDeferrals != 0 {
-		t.Errorf("%d proxies deferred without an admission rate", result.Deferrals)
+		t.Errorf("%d joins deferred without an admission rate", result.Deferrals)
 	}
 	if result.PeakJoins < 1 || result.PeakJoins > 20 {
-		t.Errorf("%d of 20 proxies joined in the busiest second", result.PeakJoins)
+		t.Errorf("%d joins of 20 proxies in the peak second", result.PeakJoins)
 	}
 }
--- a/internal/benchmark/doc.go
+++ b/internal/benchmark/doc.go
@@ -1,5 +1,5 @@
-// Package benchmark runs timed experiments at stated sizes, where possible beside a raw cost that is measured in the
-// same run. Absolute figures hold for one machine only; the ratios are what to keep.
+// Package benchmark runs timed experiments of given sizes. Where possible, the same run also measures the cost over
+// plain sockets. Absolute figures hold for one machine only; the ratios can be compared between machines.
 //
-// Every experiment ends what it starts and listens on loopback addresses only.
+// Every experiment stops all processes and servers that it starts, and listens on loopback addresses only.
 package benchmark
--- a/internal/benchmark/idle.go
+++ b/internal/benchmark/idle.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	clockDriftDivisor = 20 // of the lease duration
+	clockDriftDivisor = 20 // the maximum clock drift is the lease duration divided by this
 	raftLogFile       = "agreed.db"
 	addressesOfMember = 2 // raft and gossip
 	unusedAddress     = "127.0.0.1:1"
@@ -30,13 +30,13 @@
 	Members           int
 	Shards            int
 	LeaseDuration     time.Duration
-	MessagesPerSecond float64 // writes to sockets and datagrams of all members together
-	EntriesPerSecond  float64 // of the raft log
+	MessagesPerSecond float64 // stream writes and datagrams of all members together
+	EntriesPerSecond  float64 // appended to the raft log
 	LogBytes          int64   // size of one member's raft log at the end
 }
 
-// IdleCluster runs the members of a cluster in this process and counts what they send within a duration while nothing
-// happens.
+// IdleCluster runs the members of a cluster in this process and counts their messages and raft log entries within a
+// duration while no proxies are connected.
 func IdleCluster(
 	ctx context.Context, members, shardsPerZone int, leaseDuration, duration time.Duration,
 ) (*IdleClusterResult, error) {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// close ends the members, the last one first.
+// close closes the members in reverse order.
 func (c *idleCluster) close() {
 	for k := len(c.members) - 1; k >= 0; k-- {
 		c.members[k].Close()
@@ -152,7 +152,7 @@
 	return held == c.shards()
 }
 
-// measure counts what is sent and agreed on for a while.
+// measure counts the messages that are sent and the raft log entries that are applied within a duration.
 func (c *idleCluster) measure(duration time.Duration) *IdleClusterResult {
 	sentBefore := c.messagesSent()
 	indexBefore := c.members[0].Status().AppliedIndex
@@ -179,13 +179,13 @@
 	return total
 }
 
-// sendCounter counts what one member sends. It lets everything pass.
+// sendCounter counts the messages that one member sends. It lets all messages pass.
 type sendCounter struct {
 	name string
 	sent atomic.Int64
 }
 
-// Open is called for each message.
+// Open is called for each message and counts it if this member sends it.
 func (c *sendCounter) Open(from, _ string) bool {
 	if from == c.name {
 		c.sent.Add(1)
@@ -193,7 +193,7 @@
 	return true
 }
 
-// ignoreLeases is for clusters without a controller.
+// ignoreLeases ignores changes of leases; the cluster has no controller.
 type ignoreLeases struct{}
 
 func (ignoreLeases) LeaseGained(int, uint64) {}
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -11,19 +11,19 @@
 	"peppervale/internal/model"
 )
 
-// medianAndP99 sorts the durations and gives their median and 99th percentile.
+// medianAndP99 sorts the durations and returns their median and 99th percentile.
 func medianAndP99(durations []time.Duration) (median, p99 time.Duration) {
 	slices.Sort(durations)
 	count := len(durations)
 	return durations[count/2], durations[min(count-1, count*99/100)]
 }
 
-// quantile gives a quantile of sorted durations.
+// quantile returns a quantile of sorted durations.
 func quantile(sorted []model.Microseconds, fraction float64) time.Duration {
 	return sorted[int(fraction*float64(len(sorted)-1))].Duration()
 }
 
-// cpuTime is the CPU time of this process, system time included.
+// cpuTime returns the CPU time of this process, including system time.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -32,7 +32,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// memoryInUse is the memory of heap and stacks in bytes, after a garbage collection.
+// memoryInUse returns the memory of heap and stacks in bytes, after a garbage collection.
 func memoryInUse() int {
 	runtime.GC()
 	var statistics runtime.MemStats
@@ -40,7 +40,7 @@
 	return int(statistics.HeapInuse + statistics.StackInuse)
 }
 
-// printf writes a part of a table. Errors of the writer are ignored: the tables go to a terminal.
+// printf writes a part of a table. It ignores the writer's errors, as the tables are written to a terminal.
 func printf(out io.Writer, format string, arguments ...any) {
 	_, _ = fmt.Fprintf(out, format, arguments...)
 }
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -13,22 +13,22 @@
 
 const (
 	startTimeout  = 20 * time.Second
-	servingRecord = `"message":"serving"` // in the log line that an instance writes once it serves
+	servingRecord = `"message":"serving"` // part of the log line that an instance writes when it is ready
 )
 
-// listenFDCommand hands a listening socket over as systemd does. Only the process itself knows its number before it
-// begins.
+// listenFDCommand passes a listening socket to the program as systemd does. The shell sets LISTEN_PID because the
+// process ID is not known before the process is started.
 const listenFDCommand = `LISTEN_FDS=1 LISTEN_PID=$$ exec "$0" "$@"`
 
-// instanceProcess is an instance of the control plane in a process of its own.
+// instanceProcess is an instance of the control plane that runs in a separate process.
 type instanceProcess struct {
 	program    []string // the command line up to the subcommand
 	configPath string
-	socket     *os.File  // a listening socket that is handed to each process; nil: none
-	command    *exec.Cmd // nil: it does not run
+	socket     *os.File  // a listening socket that is passed to each process; nil: none
+	command    *exec.Cmd // nil: the process is not running
 }
 
-// start starts the process and returns once its log says that it serves.
+// start starts the process and returns when it logs that it is serving.
 func (p *instanceProcess) start(ctx context.Context) error {
 	arguments := append(slices.Clone(p.program), instanceCommand, "--config", p.configPath)
 	if p.socket != nil {
@@ -50,11 +50,11 @@
 		return nil
 	case <-time.After(startTimeout):
 		p.end(syscall.SIGKILL)
-		return &TimeoutError{Condition: "the instance serves"}
+		return &TimeoutError{Condition: "the instance is serving"}
 	}
 }
 
-// end sends a signal that ends the process and waits for it.
+// end sends the process a signal that ends it, and waits for it to exit.
 func (p *instanceProcess) end(signal syscall.Signal) {
 	if p.command == nil {
 		return
@@ -64,7 +64,7 @@
 	p.command = nil
 }
 
-// textWatcher closes a channel once a text is written to it, in one write.
+// textWatcher closes a channel when a text is written to it within a single write.
 type textWatcher struct {
 	text  []byte
 	found chan struct{}
--- a/internal/benchmark/publisher.go
+++ b/internal/benchmark/publisher.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	noReportPeriod  = 3600 * model.Second // longer than an experiment
-	messageOverhead = 6
+	noReportPeriod  = 3600 * model.Second // longer than any experiment
+	messageOverhead = 6                   // entries that cost as much as a message without entries
 	roundTimeout    = 30 * time.Second
 )
 
-// publisher is a publish-subscribe server that admits every proxy and waits for acknowledgements.
+// publisher is a publish-subscribe server that admits every proxy and collects acknowledgements.
 type publisher struct {
 	server       *pubsub.Server
 	connected    func() // called for each proxy before it is admitted; nil: none
@@ -27,10 +27,10 @@
 	acknowledged chan uint32
 }
 
-// publisherSettings is what differs between the experiments.
+// publisherSettings are the settings that differ between the experiments.
 type publisherSettings struct {
 	proxies   int
-	rate      float64 // entries a second
+	rate      float64 // limit in entries a second
 	limits    pubsub.Limits
 	admission admission.Limits
 	connected func()
@@ -61,7 +61,8 @@
 	return created, nil
 }
 
-// ProxyConnected admits the proxy on a goroutine of its own, as the server holds the connection's turn meanwhile.
+// ProxyConnected admits the proxy on a separate goroutine, because the server handles the connection's next event only
+// after ProxyConnected returns.
 func (p *publisher) ProxyConnected(proxy model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
 	if p.connected != nil {
 		p.connected()
@@ -72,18 +73,19 @@
 	}()
 }
 
-// ProxyDisconnected is ignored.
+// ProxyDisconnected ignores the event.
 func (p *publisher) ProxyDisconnected(model.ProxyID, uint64) {}
 
-// Acknowledged counts for the round that waits.
+// Acknowledged passes the acknowledgement to publishRound.
 func (p *publisher) Acknowledged(_ model.ProxyID, _ uint64, sequence uint32) {
 	p.acknowledged <- sequence
 }
 
-// LoadReported is ignored.
+// LoadReported ignores the event.
 func (p *publisher) LoadReported(int, []model.LoadReport) {}
 
-// awaitProxies waits until so many proxies were admitted, each within the timeout, and gives them.
+// awaitProxies waits until the given number of proxies is admitted and returns them. The timeout applies to each
+// proxy.
 func (p *publisher) awaitProxies(count int, timeout time.Duration) ([]model.ProxyID, error) {
 	var proxies []model.ProxyID
 	for range count {
@@ -97,7 +99,7 @@
 	return proxies, nil
 }
 
-// publishRound publishes updates and gives the time until each of the proxies has acknowledged them.
+// publishRound publishes updates and returns the time until all proxies have acknowledged them.
 func (p *publisher) publishRound(
 	updates []snapshot.Update, sequence, proxies int, now func() model.Microseconds,
 ) (time.Duration, error) {
@@ -111,7 +113,7 @@
 				received++
 			}
 		case <-timeout:
-			condition := fmt.Sprintf("round %d acknowledged by %d proxies, is by %d", sequence, proxies, received)
+			condition := fmt.Sprintf("round %d acknowledged by %d proxies; %d have acknowledged it", sequence, proxies, received)
 			return 0, &TimeoutError{Condition: condition}
 		}
 	}
--- a/internal/benchmark/rawsockets.go
+++ b/internal/benchmark/rawsockets.go
@@ -9,21 +9,21 @@
 // ackSize is the size of an acknowledgement in bytes.
 const ackSize = 46
 
-// RawCost is the cost of messages and their answers over plain sockets.
+// RawCost is the cost of messages and their acknowledgements over plain sockets.
 type RawCost struct {
-	Median        time.Duration // of a round, from the first write to the last answer
-	CPUPerMessage time.Duration // of both ends
+	Median        time.Duration // duration of a round, from the first write to the last answer
+	CPUPerMessage time.Duration // of sender and receiver
 }
 
-// rawSockets are connections over which a sender writes messages that the other end answers.
+// rawSockets holds both ends of the connections. Receivers answer each message of a sender.
 type rawSockets struct {
 	senders   []net.Conn
 	receivers []net.Conn
 	answers   chan struct{}
 }
 
-// measureRawSockets writes messages of a size over so many connections, each answered by as many bytes as an
-// acknowledgement has, and waits for all answers of a round.
+// measureRawSockets writes a message of the given size to each connection in each round and waits for all answers. An
+// answer has the size of an acknowledgement.
 func measureRawSockets(connections, size, rounds int) (RawCost, error) {
 	sockets := &rawSockets{answers: make(chan struct{}, connections)}
 	defer sockets.close()
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// answerMessages answers each message until the connection ends.
+// answerMessages answers each message until the connection is closed.
 func answerMessages(connection net.Conn, size int) {
 	message := make([]byte, size)
 	for {
@@ -90,7 +90,7 @@
 	}
 }
 
-// exchange writes the message over all connections and waits for all answers.
+// exchange writes the message to all connections and waits for all answers.
 func (s *rawSockets) exchange(message []byte) error {
 	for _, sender := range s.senders {
 		if _, err := sender.Write(message); err != nil {
--- a/internal/benchmark/reconnect.go
+++ b/internal/benchmark/reconnect.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	stormMessageRate = 1e9
-	stormBurst       = 50
+	stormMessageRate = 1e9 // entries a second
+	stormBurst       = 50  // joins
 	stormJoinTimeout = 60 * time.Second
 )
 
-// ConnectionStormResult is the result of ConnectionStorm: all proxies connect within a tenth of a second.
+// ConnectionStormResult is the result of ConnectionStorm, in which all proxies connect within a tenth of a second.
 type ConnectionStormResult struct {
 	Proxies       int
-	AdmissionRate float64       // joins a second that are admitted; 0: all
-	Duration      time.Duration // until all are admitted
+	AdmissionRate float64       // admitted joins a second; 0: no limit
+	Duration      time.Duration // until all proxies are admitted
 	Deferrals     uint64
 	MaxDeferrals  int // of one proxy
-	PeakJoins     int // in a second
+	PeakJoins     int // within a second
 	Storms        uint64
-	CPU           time.Duration // of both ends
+	CPU           time.Duration // of server and proxies
 }
 
-// ConnectionStorm has so many proxies connect at once.
+// ConnectionStorm measures how the server admits the given number of proxies that connect at once.
 func ConnectionStorm(proxies int, admissionRate float64) (*ConnectionStormResult, error) {
 	bed, err := newTestbed()
 	if err != nil {
@@ -68,7 +68,7 @@
 	return result, nil
 }
 
-// maxDeferrals is how often the proxy was deferred that was deferred most.
+// maxDeferrals returns the maximum number of deferrals of a proxy.
 func (b *testbed) maxDeferrals() int {
 	most := 0
 	b.loop.Do(func() {
@@ -79,7 +79,7 @@
 	return most
 }
 
-// peakPerSecond returns how often the most frequent second occurs among those that the channel holds.
+// peakPerSecond drains the channel and returns the maximum number of joins within a second.
 func peakPerSecond(joinSeconds chan model.Microseconds) int {
 	counts := map[model.Microseconds]int{}
 	peak := 0
--- a/internal/benchmark/restart.go
+++ b/internal/benchmark/restart.go
@@ -16,14 +16,14 @@
 	"peppervale/internal/model"
 )
 
-// RestartMode is how an instance is restarted while proxies are connected.
+// RestartMode describes how an instance is restarted while proxies are connected.
 type RestartMode struct {
 	Name       string
 	signal     syscall.Signal
-	keepSocket bool // its listening socket outlives the process
+	keepSocket bool // the listening socket stays open while the process is restarted
 }
 
-// RestartModes are all modes of restarting an instance.
+// RestartModes lists all modes of restarting an instance.
 var RestartModes = []RestartMode{
 	{Name: "killed", signal: syscall.SIGKILL},
 	{Name: "killed, socket held", signal: syscall.SIGKILL, keepSocket: true},
@@ -31,20 +31,21 @@
 	{Name: "ended, socket held", signal: syscall.SIGTERM, keepSocket: true},
 }
 
-// RestartResult is the result of Restart for one mode: for how long each proxy had no stream.
+// RestartResult is the result of Restart for one mode. Median, P99 and Longest are times during which a proxy had no
+// stream.
 type RestartResult struct {
-	Mode      string
-	Proxies   int
-	Rounds    int
-	Down      time.Duration // median, from the signal until the new process logs that it serves
-	Median    time.Duration
-	P99       time.Duration
-	Longest   time.Duration
-	Reconnect float64 // streams opened for each proxy and restart, 1 at least
-}
-
-// Restart restarts an instance so many times while proxies are connected that know no other. program is the command
-// that runs an instance.
+	Mode              string
+	Proxies           int
+	Rounds            int
+	Downtime          time.Duration // median time from the signal until the new process logs that it is serving
+	Median            time.Duration
+	P99               time.Duration
+	Longest           time.Duration
+	StreamsPerRestart float64 // streams opened per proxy and restart, at least 1
+}
+
+// Restart restarts an instance in each round while proxies are connected that know no other instance. program is the
+// command line that runs an instance.
 func Restart(
 	ctx context.Context, program []string, mode RestartMode, proxies, rounds int,
 ) (*RestartResult, error) {
@@ -78,8 +79,8 @@
 	return experiment.run(ctx, rounds)
 }
 
-// configure writes the configuration file for an address with a free port. If the mode asks for it, the listening
-// socket stays open until closeSocket is called.
+// configure writes the configuration file with an address whose port is free. If the mode keeps the listening socket,
+// the socket stays open until closeSocket is called.
 func (p *instanceProcess) configure(mode RestartMode, registry string) (address string, closeSocket func(), err error) {
 	listener, err := net.Listen("tcp4", loopbackAnyPort)
 	if err != nil {
@@ -129,7 +130,7 @@
 }
 `
 
-// restartExperiment restarts an instance whose proxies are connected.
+// restartExperiment restarts an instance while proxies are connected to it.
 type restartExperiment struct {
 	instance *instanceProcess
 	mode     RestartMode
@@ -158,14 +159,14 @@
 	slices.Sort(downtimes)
 	gaps := e.streams.sortedGaps()
 	return &RestartResult{
-		Mode:      e.mode.Name,
-		Proxies:   e.proxies,
-		Rounds:    rounds,
-		Down:      downtimes[len(downtimes)/2],
-		Median:    quantile(gaps, 0.5),
-		P99:       quantile(gaps, 0.99),
-		Longest:   quantile(gaps, 1),
-		Reconnect: float64(openedAtEnd-opened) / float64(e.proxies*rounds),
+		Mode:              e.mode.Name,
+		Proxies:           e.proxies,
+		Rounds:            rounds,
+		Downtime:          downtimes[len(downtimes)/2],
+		Median:            quantile(gaps, 0.5),
+		P99:               quantile(gaps, 0.99),
+		Longest:           quantile(gaps, 1),
+		StreamsPerRestart: float64(openedAtEnd-opened) / float64(e.proxies*rounds),
 	}, nil
 }
 
@@ -176,7 +177,7 @@
 	})
 }
 
-// streamWatch records when each proxy has a stream. It may be used from any goroutine.
+// streamWatch records the times during which proxies have no stream. It is safe for concurrent use.
 type streamWatch struct {
 	mu        sync.Mutex
 	connected map[string]bool
@@ -213,7 +214,7 @@
 	w.connected[event.Proxy] = true
 }
 
-// count gives how many proxies have a stream, and how many streams were opened so far.
+// count returns the number of proxies that have a stream and the number of streams opened so far.
 func (w *streamWatch) count() (connected, opened int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -237,8 +238,8 @@
 		"streams for each |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, result := range results {
 		printf(out, "| %s | %d | %d | %s | %s | %s | %s | %.2f |\n",
-			result.Mode, result.Proxies, result.Rounds, roundMilliseconds(result.Down),
+			result.Mode, result.Proxies, result.Rounds, roundMilliseconds(result.Downtime),
 			roundMilliseconds(result.Median), roundMilliseconds(result.P99), roundMilliseconds(result.Longest),
-			result.Reconnect)
+			result.StreamsPerRestart)
 	}
 }
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	takeoverMembers         = 3 // each at home in a zone of its own
-	takeoverShards          = 4 // of each zone, and so of each member while nothing happens
+	takeoverMembers         = 3 // each in a separate zone
+	takeoverShards          = 4 // of each zone, and so of each member while all members are alive
 	takeoverReplicasPerZone = 4
 	takeoverReplicas        = takeoverReplicasPerZone * takeoverMembers
-	progressInterval        = 10 // rounds
+	progressInterval        = 10 // rounds between two progress messages
 )
 
 // takeoverSettings are the parameters of Takeover.
@@ -33,9 +33,10 @@
 	progress      io.Writer // nil: none
 }
 
-// Takeover kills one of three instances at random moments so many times. Each time it waits until all proxies that
-// lost their instance are bound again, and until the killed instance is back and holds its shards. Instances that are
-// not shared each serve whichever proxy connects. program is the command that runs an instance.
+// Takeover kills one of three instances at a random moment in each round. It waits until all proxies of the killed
+// instance are bound by another one, restarts the instance and waits until it holds its shards again. If shared is
+// false, the instances form no cluster and each of them serves every proxy that connects. program is the command line
+// that runs an instance.
 func Takeover(
 	ctx context.Context, program []string, proxies, rounds int, leaseDuration model.Microseconds, shared bool,
 	seed uint64, progress io.Writer,
@@ -56,7 +57,7 @@
 	return experiment.run(ctx)
 }
 
-// takeoverExperiment is the set-up of Takeover.
+// takeoverExperiment holds the instances and proxies of Takeover.
 type takeoverExperiment struct {
 	settings takeoverSettings
 	random   *standin.Random
@@ -65,7 +66,7 @@
 	members  []*takeoverMember
 }
 
-// run sets the experiment up, measures and ends everything.
+// run sets up the experiment, runs all rounds and stops all processes.
 func (e *takeoverExperiment) run(ctx context.Context) (*TakeoverResult, error) {
 	directory, removeDirectory, err := makeDirectory("takeover")
 	if err != nil {
@@ -111,7 +112,7 @@
 	}
 }
 
-// addProxies starts proxies in all zones. Each knows all members, the one of its own zone first.
+// addProxies starts proxies in all zones. Each proxy knows all members and dials the one of its own zone first.
 func (e *takeoverExperiment) addProxies() {
 	e.bed.loop.Do(func() {
 		for k := range e.settings.proxies {
@@ -124,12 +125,12 @@
 func (e *takeoverExperiment) proxySettings(index int) proxy.Config {
 	zone := index % takeoverMembers
 	settings := proxy.Config{
-		Name:           listenerName(index),
-		Zone:           zoneName(zone),
-		ExpectedRate:   1,
-		RedialInterval: redialInterval,
-		DialTimeout:    model.Second,
-		StreamsOnly:    true,
+		Name:            listenerName(index),
+		Zone:            zoneName(zone),
+		ExpectedRate:    1,
+		RedialInterval:  redialInterval,
+		DialTimeout:     model.Second,
+		OmitLoadReports: true,
 		OnMessage: func(receiver *proxy.Proxy, sender string, message *pubsubmsg.Message) {
 			e.watch.messageApplied(e.bed.now(), receiver.Name, sender, message)
 		},
@@ -141,12 +142,13 @@
 	return settings
 }
 
-// allProxiesBound tells whether each proxy is bound, and connected to the member of its zone if shards are shared.
+// allProxiesBound reports whether all proxies are bound and, if the instances share the shards, connected to the member
+// of their zone.
 func (e *takeoverExperiment) allProxiesBound() bool {
 	allBound := true
 	e.bed.loop.Do(func() {
 		for k, connected := range e.bed.proxies {
-			instance := connected.Joined()
+			instance := connected.JoinedInstance()
 			isBound := connected.Bound() && instance != ""
 			isHome := !e.settings.shared || instance == e.members[k%takeoverMembers].name
 			allBound = allBound && isBound && isHome
@@ -174,16 +176,16 @@
 	return e.result(totals), nil
 }
 
-// takeoverRound counts the leases granted in a round.
+// takeoverRound counts the leases that are granted in a round.
 type takeoverRound struct {
-	takenOver float64 // until all proxies were bound again
-	returned  float64 // until the killed member was back
+	takenOver float64 // from the kill until all proxies are bound again
+	returned  float64 // from the restart until the killed member holds its shards again
 }
 
-// killAndRestart kills a member and waits until the others have taken over, then restarts it and waits until
-// everything is back.
+// killAndRestart kills a member and waits until the other members have taken over its proxies. It then restarts the
+// member and waits until the proxies have returned to it.
 func (e *takeoverExperiment) killAndRestart(ctx context.Context) (takeoverRound, error) {
-	// The moment differs between two renewals of the leases.
+	// The kill is at a random point between two renewals of the leases.
 	time.Sleep(time.Duration(e.random.Float() * float64(e.settings.leaseDuration.Duration())))
 	index := e.drawMember()
 	killed := e.members[index]
@@ -191,7 +193,7 @@
 	grantsBefore := survivor.grantsKnown(e.settings.shared)
 	e.watch.beginRound(killed.name, e.bed.now())
 	killed.end(syscall.SIGKILL)
-	if err := await(ctx, "proxies without an instance bound again", e.watch.allOrphansBound); err != nil {
+	if err := await(ctx, "all proxies of the killed instance bound again", e.watch.allOrphansBound); err != nil {
 		return takeoverRound{}, err
 	}
 	grantsAfterTakeover := survivor.grantsKnown(e.settings.shared)
@@ -199,7 +201,7 @@
 	if err := killed.start(ctx); err != nil {
 		return takeoverRound{}, err
 	}
-	if err := await(ctx, "all proxies back at their instances", e.allProxiesBound); err != nil {
+	if err := await(ctx, "all proxies reconnected to the restarted instance", e.allProxiesBound); err != nil {
 		return takeoverRound{}, err
 	}
 	return takeoverRound{
@@ -208,10 +210,10 @@
 	}, nil
 }
 
-// drawMember draws the member to kill. Proxies of members that share nothing stay where they are, so the next member
-// that has any is taken.
+// drawMember draws the member to kill. Without a cluster, proxies do not return to a restarted member, so it skips
+// members without proxies.
 func (e *takeoverExperiment) drawMember() int {
-	index := e.random.Below(takeoverMembers)
+	index := e.random.IntN(takeoverMembers)
 	if e.settings.shared {
 		return index
 	}
@@ -224,13 +226,13 @@
 func (e *takeoverExperiment) result(totals takeoverRound) *TakeoverResult {
 	rounds := float64(e.settings.rounds)
 	result := &TakeoverResult{
-		Shared:        e.settings.shared,
-		Proxies:       e.settings.proxies,
-		Rounds:        e.settings.rounds,
-		LeaseDuration: e.settings.leaseDuration.Duration(),
-		ShardsMoved:   totals.takenOver / rounds,
-		FewestMoves:   takeoverShards,
-		ShardsBack:    totals.returned / rounds,
+		Shared:         e.settings.shared,
+		Proxies:        e.settings.proxies,
+		Rounds:         e.settings.rounds,
+		LeaseDuration:  e.settings.leaseDuration.Duration(),
+		ShardsMoved:    totals.takenOver / rounds,
+		MinShardsMoved: takeoverShards,
+		ShardsReturned: totals.returned / rounds,
 	}
 	e.watch.summarize(result, e.bed.now())
 	return result
--- a/internal/benchmark/takeovermembers.go
+++ b/internal/benchmark/takeovermembers.go
@@ -16,7 +16,7 @@
 	statusTimeout             = 5 * time.Second
 )
 
-// takeoverMember is an instance's process with its addresses.
+// takeoverMember is the process of an instance and its addresses.
 type takeoverMember struct {
 	instanceProcess
 	index   int
@@ -26,7 +26,7 @@
 	gossip  string // address
 }
 
-// newTakeoverMembers writes the members' configuration files.
+// newTakeoverMembers creates the members, which are not running, and writes their configuration files.
 func newTakeoverMembers(directory, registry string, settings takeoverSettings) ([]*takeoverMember, error) {
 	addresses, err := reserveAddresses(takeoverMembers * addressesOfTakeoverMember)
 	if err != nil {
@@ -96,7 +96,7 @@
   }
 `
 
-// clusterConfig is the configuration of the cluster that the members form.
+// clusterConfig returns the part of the member's configuration that describes the cluster.
 func (m *takeoverMember) clusterConfig(members []*takeoverMember, settings takeoverSettings) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, takeoverClusterFormat,
@@ -108,8 +108,8 @@
 	return text.String()
 }
 
-// grantsKnown counts the leases that were ever granted as far as the member knows; 0 if it does not answer or if
-// nothing is shared.
+// grantsKnown returns the number of leases granted so far according to the member's status, which is the sum of the
+// shards' epochs. It returns 0 if the member does not answer or the instances form no cluster.
 func (m *takeoverMember) grantsKnown(shared bool) uint64 {
 	if !shared {
 		return 0
--- a/internal/benchmark/takeoverwatch.go
+++ b/internal/benchmark/takeoverwatch.go
@@ -9,17 +9,17 @@
 	"peppervale/internal/model"
 )
 
-// takeoverWatch records when proxies that lost their instance are served again. It may be used from any goroutine.
+// takeoverWatch records when the proxies of a killed instance are served again. It is safe for concurrent use.
 type takeoverWatch struct {
 	mu           sync.Mutex
 	observations []invariants.Event
-	instances    map[string]string // a proxy's instance
-	brokenOthers int               // streams to other instances than the killed one that broke
+	instances    map[string]string // by proxy
+	brokenOthers int               // streams to instances other than the killed one that broke
 
-	killed       string // instance; "": no round
+	killed       string // name of the instance; "": no round is in progress
 	killedAt     model.Microseconds
-	orphans      map[string]bool // proxies of the killed instance; true: another one's message was applied
-	bound        map[string]bool // orphans that are bound again
+	orphans      map[string]bool // proxies of the killed instance; true: the proxy has applied another one's message
+	bound        map[string]bool // displaced proxies that are bound again
 	firstMessage []model.Microseconds
 	firstBound   []model.Microseconds
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// messageApplied records that a proxy has applied an instance's message.
+// messageApplied records that a proxy has applied a message of an instance.
 func (w *takeoverWatch) messageApplied(
 	now model.Microseconds, proxy, instance string, message *pubsubmsg.Message,
 ) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// beginRound is called right before an instance is killed.
+// beginRound begins a round. It is called right before an instance is killed.
 func (w *takeoverWatch) beginRound(killed string, now model.Microseconds) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,7 +84,7 @@
 	return len(w.bound) == len(w.orphans)
 }
 
-// endRound is called before the killed instance is restarted.
+// endRound ends the round. It is called before the killed instance is restarted.
 func (w *takeoverWatch) endRound() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -92,7 +92,7 @@
 	w.orphans = nil
 }
 
-// proxiesOf counts the proxies of an instance.
+// proxiesOf returns the number of an instance's proxies.
 func (w *takeoverWatch) proxiesOf(name string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,7 +105,7 @@
 	return count
 }
 
-// summarize enters the times and the violations of invariants into the result.
+// summarize sets the times and the violated invariants of the result.
 func (w *takeoverWatch) summarize(result *TakeoverResult, end model.Microseconds) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +116,7 @@
 	result.Worst = quantile(w.firstMessage, 1)
 	result.BoundMedian = quantile(w.firstBound, 0.5)
 	result.BoundWorst = quantile(w.firstBound, 1)
-	result.BrokenOthers = w.brokenOthers
+	result.OtherStreamsBroken = w.brokenOthers
 	for _, verdict := range invariants.Check(w.observations, takeoverInvariants(), end) {
 		result.Violations = append(result.Violations, verdict.Violations...)
 	}
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// awaitTimeout is longer than anything that is awaited takes on a machine that makes any progress.
+	// awaitTimeout exceeds the duration of every awaited step, also on a slow machine.
 	awaitTimeout      = 60 * time.Second
 	awaitPollInterval = 5 * time.Millisecond
 	serviceName       = "recipe"
@@ -27,7 +27,7 @@
 	instanceCommand   = "governor" // the subcommand that runs an instance
 )
 
-// testbed holds what the experiments with stand-ins have in common. close ends all of it.
+// testbed holds the stand-ins of an experiment. close stops all of them.
 type testbed struct {
 	now      func() model.Microseconds
 	engine   *netpoll.Engine
@@ -52,26 +52,26 @@
 	return err
 }
 
-// addListeners starts proxies that carry no requests and know one instance only.
+// addListeners starts proxies that handle no requests and know only one instance.
 func (b *testbed) addListeners(
 	count int, address string, redial model.Microseconds, observe func(invariants.Event),
 ) {
 	b.loop.Do(func() {
 		for k := range count {
 			settings := proxy.Config{
-				Name:           listenerName(k),
-				Zone:           "zone",
-				RedialInterval: redial,
-				DialTimeout:    10 * model.Second,
-				StreamsOnly:    true,
-				Instances:      []proxy.Instance{{Name: "g", Address: address}},
+				Name:            listenerName(k),
+				Zone:            "zone",
+				RedialInterval:  redial,
+				DialTimeout:     10 * model.Second,
+				OmitLoadReports: true,
+				Instances:       []proxy.Instance{{Name: "g", Address: address}},
 			}
 			b.startProxy(settings, 1, nil, observe)
 		}
 	})
 }
 
-// startProxy starts a proxy with a standing table; on the loop only.
+// startProxy starts a proxy with a standing table. It must be called on the loop.
 func (b *testbed) startProxy(
 	settings proxy.Config, seed uint64, standing []invariants.TableEntry, observe func(invariants.Event),
 ) {
@@ -80,7 +80,7 @@
 	b.proxies = append(b.proxies, started)
 }
 
-// stopProxies ends the proxies; a second call does nothing.
+// stopProxies stops all proxies. A second call does nothing.
 func (b *testbed) stopProxies() {
 	b.loop.Do(func() {
 		for _, running := range b.proxies {
@@ -101,14 +101,14 @@
 
 func listenerName(index int) string { return fmt.Sprint("listener-", index) }
 
-// ignore is for stand-ins whose observations do not matter.
+// ignore ignores a stand-in's observation.
 func ignore(invariants.Event) {}
 
 func replicaID(index int) model.ReplicaID {
 	return model.ReplicaID{Addr: [4]byte{10, 1, byte(index / 200), byte(index%200 + 1)}, Port: 8080}
 }
 
-// makeDirectory makes a temporary directory for an experiment and gives what removes it.
+// makeDirectory creates a temporary directory for an experiment and returns a function that removes it.
 func makeDirectory(experiment string) (path string, remove func(), err error) {
 	path, err = os.MkdirTemp("", "peppervale-"+experiment+"-")
 	if err != nil {
@@ -117,7 +117,8 @@
 	return path, func() { _ = os.RemoveAll(path) }, nil
 }
 
-// await waits until a condition holds. condition names it in the error.
+// await polls until a condition holds. It returns a TimeoutError that names the condition if the timeout elapses or the
+// context is canceled first.
 func await(ctx context.Context, condition string, holds func() bool) error {
 	deadline := time.Now().Add(awaitTimeout)
 	for !holds() {
@@ -129,15 +130,15 @@
 	return nil
 }
 
-// TimeoutError says what an experiment awaited in vain.
+// TimeoutError reports a condition that did not hold within the timeout.
 type TimeoutError struct {
 	Condition string
 }
 
 func (e *TimeoutError) Error() string { return "benchmark: timed out: " + e.Condition }
 
-// reserveAddresses returns distinct loopback addresses whose ports were free a moment ago. All are held until the last
-// one is found, so that no two are the same; another process may take one before it is used.
+// reserveAddresses returns distinct loopback addresses with free ports. It keeps all ports open until the last one is
+// found, so that no two addresses are equal. Another process may take a port before it is used.
 func reserveAddresses(count int) ([]string, error) {
 	var addresses []string
 	for range count {
--- a/internal/benchmark/testbed_test.go
+++ b/internal/benchmark/testbed_test.go
@@ -34,7 +34,7 @@
 		distinct[address] = true
 	}
 	if len(distinct) != count {
-		t.Errorf("%d of %d addresses differ", len(distinct), count)
+		t.Errorf("%d of %d addresses are distinct", len(distinct), count)
 	}
 }
 
@@ -60,6 +60,6 @@
 		})
 	}
 	if median, p99 := medianAndP99(durations); median != 50 || p99 != 99 {
-		t.Errorf("median %d and 99th percentile %d of unsorted durations, want 50 and 99", median, p99)
+		t.Errorf("got median %d and 99th percentile %d of unsorted durations, want 50 and 99", median, p99)
 	}
 }
--- a/internal/benchmark/watch_test.go
+++ b/internal/benchmark/watch_test.go
@@ -31,47 +31,47 @@
 		watch.observe(event)
 	}
 	if connected, streams := watch.count(); connected != 1 || streams != 3 {
-		t.Errorf("%d connected after %d streams, want 1 after 3", connected, streams)
+		t.Errorf("%d connected proxies and %d opened streams, want 1 and 3", connected, streams)
 	}
 	if gaps := watch.sortedGaps(); !slices.Equal(gaps, []model.Microseconds{30}) {
-		t.Errorf("gaps %v, want one of 30", gaps)
+		t.Errorf("gaps %v, want one gap of 30", gaps)
 	}
 }
 
 func TestTakeoverWatchMeasuresTheOrphansOnly(t *testing.T) {
 	watch := newTakeoverWatch()
-	watch.observe(opened(1, "orphan", "killed"))
+	watch.observe(opened(1, "displaced", "killed"))
 	watch.observe(opened(1, "other", "survivor"))
 	watch.beginRound("killed", 100)
 	if watch.allOrphansBound() {
-		t.Error("the orphan counts as bound before any message")
+		t.Error("the displaced proxy counts as bound before it has applied any message")
 	}
 	bind := &pubsubmsg.Message{Bound: true}
-	watch.observe(lost(101, "orphan", "killed"))
+	watch.observe(lost(101, "displaced", "killed"))
 	watch.observe(lost(102, "other", "survivor"))
-	watch.messageApplied(105, "orphan", "killed", bind) // sent before the kill
+	watch.messageApplied(105, "displaced", "killed", bind) // sent before the kill
 	watch.messageApplied(110, "other", "survivor", bind)
-	watch.messageApplied(130, "orphan", "survivor", &pubsubmsg.Message{})
-	watch.messageApplied(150, "orphan", "survivor", bind)
-	watch.messageApplied(170, "orphan", "survivor", bind)
+	watch.messageApplied(130, "displaced", "survivor", &pubsubmsg.Message{})
+	watch.messageApplied(150, "displaced", "survivor", bind)
+	watch.messageApplied(170, "displaced", "survivor", bind)
 	if !watch.allOrphansBound() {
-		t.Error("the orphan is not bound")
+		t.Error("the displaced proxy does not count as bound after a message that binds it")
 	}
 	if !slices.Equal(watch.firstMessage, []model.Microseconds{30}) {
-		t.Errorf("first messages after %v, want one after 30", watch.firstMessage)
+		t.Errorf("first messages applied after %v, want one after 30", watch.firstMessage)
 	}
 	if !slices.Equal(watch.firstBound, []model.Microseconds{50}) {
-		t.Errorf("bound after %v, want one after 50", watch.firstBound)
+		t.Errorf("proxies bound after %v, want one after 50", watch.firstBound)
 	}
 	if watch.brokenOthers != 1 {
-		t.Errorf("%d streams to other instances broke, want 1", watch.brokenOthers)
+		t.Errorf("%d broken streams to other instances, want 1", watch.brokenOthers)
 	}
 	watch.endRound()
 	watch.observe(lost(200, "other", "survivor"))
 	if watch.brokenOthers != 1 {
-		t.Error("a stream that breaks between two rounds counts")
+		t.Error("a stream that breaks between two rounds is counted")
 	}
 	if count := watch.proxiesOf("survivor"); count != 1 {
-		t.Errorf("%d proxies of the survivor, want 1", count)
+		t.Errorf("the survivor has %d proxies, want 1", count)
 	}
 }
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,4 +1,4 @@
-// Package standin holds what the stand-ins for outside systems share: an event loop that runs all stand-ins of a
-// scenario one step at a time, so that none of them needs a lock and observations have one order, and seeded random
-// numbers.
+// Package standin provides the event loop and the seeded random numbers that all stand-ins for outside systems use. All
+// stand-ins of a scenario run on one loop, one step at a time, so that none of them needs a lock and their observations
+// are totally ordered.
 package standin
--- a/internal/standin/loop.go
+++ b/internal/standin/loop.go
@@ -8,20 +8,20 @@
 	"peppervale/internal/model"
 )
 
-// Loop runs posted functions and due timers on one goroutine. Make it with NewLoop, end it with Stop.
+// Loop runs posted functions and due timers on one goroutine. Create it with NewLoop and end it with Stop.
 type Loop struct {
 	now        func() model.Microseconds
 	wake       chan struct{}
 	stop       chan struct{}
 	ended      chan struct{}
-	timers     timerQueue // of the loop's goroutine
-	timerCount uint64     // timers made so far; it orders timers that are due at the same time
+	timers     timerQueue // used on the loop's goroutine only
+	timerCount uint64     // timers created so far; it orders timers that are due at the same time
 
 	mu     sync.Mutex
 	posted []func()
 }
 
-// NewLoop starts a loop whose timers follow the clock now.
+// NewLoop starts a loop whose timers use the clock now.
 func NewLoop(now func() model.Microseconds) *Loop {
 	l := &Loop{
 		now:   now,
@@ -33,10 +33,10 @@
 	return l
 }
 
-// Now is the loop's clock.
+// Now returns the time of the loop's clock.
 func (l *Loop) Now() model.Microseconds { return l.now() }
 
-// Post has the loop run an action. It may be called from any goroutine.
+// Post queues an action for the loop. It may be called from any goroutine.
 func (l *Loop) Post(action func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, action)
@@ -47,8 +47,8 @@
 	}
 }
 
-// Do has the loop run an action and waits for it. It must not be called on the loop. It returns early if the loop was
-// stopped.
+// Do queues an action for the loop and waits until it has run or the loop has stopped. It must not be called on the
+// loop.
 func (l *Loop) Do(action func()) {
 	ready := make(chan struct{})
 	l.Post(func() {
@@ -61,26 +61,26 @@
 	}
 }
 
-// Timer is an action that is due at a time; Cancel keeps it from running.
+// Timer is an action that is due at a given time.
 type Timer struct {
 	at       model.Microseconds
 	sequence uint64
 	action   func()
 }
 
-// Cancel must be called on the loop; nil is allowed.
+// Cancel keeps the timer from running. It must be called on the loop; a nil timer is allowed.
 func (t *Timer) Cancel() {
 	if t != nil {
 		t.action = nil
 	}
 }
 
-// After runs an action after a delay. It must be called on the loop.
+// After schedules an action after a delay. It must be called on the loop.
 func (l *Loop) After(delay model.Microseconds, action func()) *Timer {
 	return l.At(l.now()+delay, action)
 }
 
-// At runs an action at a time. It must be called on the loop.
+// At schedules an action at a given time. It must be called on the loop.
 func (l *Loop) At(at model.Microseconds, action func()) *Timer {
 	l.timerCount++
 	timer := &Timer{at: at, sequence: l.timerCount, action: action}
@@ -88,7 +88,7 @@
 	return timer
 }
 
-// Stop ends the loop and waits for it; what is due or posted later does not run.
+// Stop ends the loop and waits for it. Actions that are due or posted later do not run.
 func (l *Loop) Stop() {
 	close(l.stop)
 	<-l.ended
@@ -121,7 +121,7 @@
 	}
 }
 
-// runDue runs the timers that are due now; those that become due meanwhile wait for the next round.
+// runDue runs the timers that are due now. Timers that become due meanwhile wait for the next round.
 func (l *Loop) runDue() {
 	now := l.now()
 	for len(l.timers) > 0 && l.timers[0].at <= now {
@@ -131,7 +131,7 @@
 	}
 }
 
-// untilNext is the time to the next timer.
+// untilNext returns the time to the next timer, or an hour if there is none.
 func (l *Loop) untilNext() time.Duration {
 	if len(l.timers) == 0 {
 		return time.Hour
@@ -139,7 +139,7 @@
 	return max(0, time.Duration(l.timers[0].at-l.now())*time.Microsecond)
 }
 
-// timerQueue is a heap of timers by time, those of the same time in the order in which they were made.
+// timerQueue is a heap of timers, ordered by due time and then by creation.
 type timerQueue []*Timer
 
 func (q timerQueue) Len() int { return len(q) }
@@ -153,10 +153,10 @@
 
 func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (q *timerQueue) Push(x any) { *q = append(*q, x.(*Timer)) }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (q *timerQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/internal/standin/proxy/connection.go
+++ b/internal/standin/proxy/connection.go
@@ -16,7 +16,7 @@
 // connection is a connection to a replica; it carries one attempt at a time.
 type connection struct {
 	proxy     *Proxy
-	run       int // of the proxy
+	run       int // the proxy's at the time of the dial
 	replica   *replicaState
 	conn      *nbio.Conn
 	parser    *http1.Parser
@@ -38,7 +38,8 @@
 	})
 }
 
-// takeIdle returns the connection to a replica that was used last, or nil, and drops those that were idle for too long.
+// takeIdle returns the most recently used idle connection to a replica, or nil. It closes connections that were idle
+// for longer than IdleTimeout.
 func (p *Proxy) takeIdle(r *replicaState) *connection {
 	for len(r.idle) > 0 {
 		last := len(r.idle) - 1
@@ -70,7 +71,7 @@
 	}
 }
 
-// keepIdle keeps the connection for a later attempt.
+// keepIdle makes the connection available to later attempts.
 func (c *connection) keepIdle() {
 	if c.isClosed {
 		return
@@ -97,7 +98,7 @@
 	r.idle = nil
 }
 
-// received is called on the poller.
+// received is called on the poller's goroutine.
 func (c *connection) received(data []byte) {
 	c.proxy.loop.Post(func() {
 		if c.isClosed || c.run != c.proxy.run {
@@ -107,7 +108,7 @@
 	})
 }
 
-// closed is called on the poller.
+// closed is called on the poller's goroutine.
 func (c *connection) closed() {
 	c.proxy.loop.Post(func() {
 		c.isClosed = true
@@ -127,7 +128,7 @@
 	}
 }
 
-// answered ends the connection's attempt by its response.
+// answered ends the connection's attempt with the response.
 func (c *connection) answered(response *http1.Message) {
 	a := c.attempt
 	if a == nil {
@@ -148,10 +149,10 @@
 	case response.Status == 503 && response.Header["ran"] == "no":
 		return invariants.Rejected
 	}
-	return invariants.ErrorAnswer
+	return invariants.ErrorResponse
 }
 
-// utilization reads cpu_utilization from an ORCA text header.
+// utilization parses cpu_utilization from an ORCA text header.
 func utilization(header string) (load float64, ok bool) {
 	pairs, ok := strings.CutPrefix(header, "TEXT ")
 	if !ok {
--- a/internal/standin/proxy/messages.go
+++ b/internal/standin/proxy/messages.go
@@ -8,11 +8,10 @@
 	"peppervale/internal/model"
 )
 
-// resyncInterval is how long a proxy waits for a snapshot before it requests one again: instances answer at most one
-// such request a second.
+// resyncInterval is the minimum time between two snapshot requests: instances answer at most one a second.
 const resyncInterval = model.Second + 50*model.Millisecond
 
-// messageOrder is the relation of a message to the newest one that was applied.
+// messageOrder says whether a message directly follows the newest applied message.
 type messageOrder uint8
 
 const (
@@ -21,7 +20,7 @@
 	afterGap
 )
 
-// order compares a message with the newest one of its instance that was applied.
+// order compares a message with the newest applied message of the same instance.
 func (s *stream) order(m *pubsubmsg.Message) messageOrder {
 	held := s.proxy.versions[s.instance.Name]
 	sameRun := m.Incarnation == held.incarnation
@@ -36,8 +35,8 @@
 	return inOrder
 }
 
-// handleMessage applies a table message that is in order, only acknowledges an outdated one, and requests a snapshot
-// after a gap. A message of a former lease holder is not applied, and reported as fenced.
+// handleMessage applies a table message that is in order, acknowledges an outdated one without applying it, and
+// requests a snapshot after a gap. A message of a former lease holder is reported as fenced and not applied.
 func (s *stream) handleMessage(m *pubsubmsg.Message) {
 	if !s.proxy.acceptEpoch(m.Epoch) {
 		s.reportFenced(m)
@@ -68,7 +67,7 @@
 	p.whenRunning(func() { s.acknowledge(m) })
 }
 
-// reportFenced notifies an instance that its message was not applied, as a newer epoch was seen.
+// reportFenced notifies an instance that its message was not applied because the proxy has seen a newer epoch.
 func (s *stream) reportFenced(m *pubsubmsg.Message) {
 	s.proxy.Fenced++
 	number := func(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -11,17 +11,17 @@
 	"peppervale/internal/standin"
 )
 
-// Pick says how a proxy picks an entry of its table.
+// Pick is the policy by which a proxy picks an entry of its table.
 type Pick string
 
 // The policies for picking an entry.
 const (
 	PickWeightedRandom Pick = "lottery" // at random, by weight
 	PickRoundRobin     Pick = "wheel"   // smooth weighted round robin
-	PickTwoChoices     Pick = "pair"    // of two drawn by weight, the one with fewer of its own requests in flight
+	PickTwoChoices     Pick = "pair"    // of two drawn by weight, the one with fewer of the proxy's requests in flight
 )
 
-// Operation is what a proxy knows of an operation.
+// Operation holds the time limits of an operation.
 type Operation struct {
 	LatencyObjective, Timeout model.Microseconds
 }
@@ -30,43 +30,43 @@
 type Config struct {
 	Name, Zone         string
 	ZoneIndex          int
-	Instances          []Instance // its own zone's first
-	ExpectedRate       float64    // requests a second that it reports when it joins
+	Instances          []Instance // the one of the proxy's zone first
+	ExpectedRate       float64    // requests a second; the proxy reports it when it joins
 	Pick               Pick
 	Operations         []Operation
 	DefaultRetryPolicy model.RetryPolicy // in force until a quota sets one
-	FirstAttemptShare  float64           // of the latency objective: timeout of an attempt that may be retried
-	EjectAfter         int               // consecutive failures after which it avoids a replica by itself; 0: never
+	FirstAttemptShare  float64           // timeout of an attempt that may be retried, as a share of the latency objective
+	EjectAfter         int               // consecutive failures after which the proxy ejects a replica by itself; 0: never
 	EjectFor           model.Microseconds
-	RedialInterval     model.Microseconds // the wait before a dial is drawn from one to three times this
+	RedialInterval     model.Microseconds // a reconnect waits for one to three times this, at random
 	DialTimeout        model.Microseconds
 	IdleTimeout        model.Microseconds
-	StallPerEntry      model.Microseconds // it stalls for this long for each entry that it receives
-	// OnMessage is called with each message that the proxy applied and the name of its instance; nil: none.
-	OnMessage   func(receiver *Proxy, instance string, message *pubsubmsg.Message)
-	StreamsOnly bool // for measuring the channel: it sends no load reports
+	StallPerEntry      model.Microseconds // duration of the stall for each entry received
+	// OnMessage is called with each message that the proxy has applied and the name of its instance; it may be nil.
+	OnMessage       func(receiver *Proxy, instance string, message *pubsubmsg.Message)
+	OmitLoadReports bool // the proxy sends no load reports; used to measure the channel
 }
 
 // Instance is an instance of the control plane that a proxy may join.
 type Instance struct{ Name, Address string }
 
-// Misbehavior is what a scenario has a proxy do wrong.
+// Misbehavior selects the faults of a proxy in a scenario.
 type Misbehavior struct {
 	NeverAcks          bool
-	IgnoresWithdrawals bool // goes on sending to replicas that are withdrawn or removed from its table
+	IgnoresWithdrawals bool // keeps sending to replicas that are withdrawn or removed from its table
 	RetriesAnything    bool // retries after any failure, whatever its retry policy
 }
 
-// Proxy is a proxy that can be started and killed. Its fields and methods belong to its loop.
+// Proxy is a proxy that can be started and killed. Its fields and methods may be used on its loop only.
 type Proxy struct {
 	Config
 	Misbehavior Misbehavior
-	// ReportDelay is how much later than due its load reports are sent.
+	// ReportDelay postpones each load report by this much.
 	ReportDelay model.Microseconds
-	// Unreachable holds the names of the instances that it cannot dial, as if the link were down.
+	// Unreachable holds the names of the instances that the proxy cannot dial, as if the link were down.
 	Unreachable map[string]bool
-	// Counters over all runs. Deferred and Redirected count joins that were answered with a later time or with another
-	// instance's address; Fenced counts messages of a lost lease that were not applied.
+	// Counters over all runs. Deferred counts joins that the instance deferred, Redirected joins that it redirected to
+	// another instance. Fenced counts messages that were not applied because their sender had lost its lease.
 	Messages, Bytes, EntriesReceived, Resyncs, Joins, Deferred, Redirected, Fenced int
 
 	loop    *standin.Loop
@@ -74,25 +74,25 @@
 	random  *standin.Random
 	observe func(invariants.Event)
 	running bool
-	run     int // grows with each start and end, so that events of an earlier run can be told apart and ignored
+	run     int // incremented at each start and kill, so that events of an earlier run are recognized and ignored
 	stall   stall
 
 	table    table
 	replicas map[model.ReplicaID]*replicaState
 
 	stream       *stream
-	nextInstance int                    // to dial
-	versions     map[string]heldVersion // the newest message applied, by the instance's name
+	nextInstance int                    // index of the instance to dial next
+	versions     map[string]heldVersion // version of the newest applied message, by the instance's name
 	fence        lease.Fence
-	// awaitsNewHolder: the lease holder of its shard changed, and the new one has sent no updates yet.
+	// awaitsNewHolder is set while the shard's lease holder has changed and the new holder has sent no updates yet.
 	awaitsNewHolder bool
 }
 
-// heldVersion is the newest message of an instance that was applied.
+// heldVersion identifies the newest applied message of an instance.
 type heldVersion struct{ incarnation, version uint64 }
 
-// New makes a proxy that is not running, on an engine of NewEngine. seed and its name determine its random draws.
-// observe is called on the loop.
+// New creates a proxy that is not running. engine is made by NewEngine. The seed and the proxy's name determine its
+// random draws. observe is called on the loop.
 func New(
 	loop *standin.Loop, engine *netpoll.Engine, config Config, seed uint64, observe func(invariants.Event),
 ) *Proxy {
@@ -106,16 +106,16 @@
 	}
 }
 
-// session takes a connection's events on the engine's goroutines and posts them to the loop.
+// session receives a connection's events on the engine's goroutines and posts them to the loop.
 type session interface {
 	received(data []byte)
 	closed()
 }
 
-// enginePollers is how many pollers the proxies of a process share.
+// enginePollers is the number of pollers that the proxies of a process share.
 const enginePollers = 2
 
-// NewEngine makes the poller engine that any number of proxies share.
+// NewEngine starts a poller engine, which any number of proxies can share.
 func NewEngine() (*netpoll.Engine, error) {
 	return netpoll.Start(enginePollers, netpoll.Handlers{
 		Data: func(conn *nbio.Conn, data []byte) {
@@ -131,7 +131,8 @@
 	})
 }
 
-// Start starts the proxy with a standing table; the state of an earlier run is lost. It does nothing if the proxy runs.
+// Start starts the proxy with a standing table and discards the state of an earlier run. It does nothing if the proxy
+// is running.
 func (p *Proxy) Start(standing []invariants.TableEntry) {
 	if p.running {
 		return
@@ -149,7 +150,7 @@
 	p.dialAfter(0)
 }
 
-// Kill closes the proxy's stream and idle connections and abandons its requests, as the end of a process does.
+// Kill closes the proxy's stream and idle connections and abandons its requests, as when a process is killed.
 func (p *Proxy) Kill() {
 	if !p.running {
 		return
@@ -165,21 +166,21 @@
 	}
 }
 
-// BreakStream closes the proxy's connection to its instance. The proxy notices at once and dials again.
+// BreakStream closes the proxy's connection to its instance. The proxy detects this at once and reconnects.
 func (p *Proxy) BreakStream() {
 	if p.stream != nil {
 		_ = p.stream.conn.Close()
 	}
 }
 
-// stall is a time in which the proxy does nothing, like a process that is not scheduled.
+// stall is a period in which the proxy does nothing, like a process that is not scheduled.
 type stall struct {
 	until   model.Microseconds
 	pending []func() // actions that were due meanwhile
 }
 
-// Stall has the proxy do nothing for a while, after any stall that is in progress. What it receives and what is due
-// meanwhile is handled in order afterwards. Timers of requests in flight run on.
+// Stall suspends the proxy for a time span, which begins after any stall in progress. Received data and due actions
+// are handled in order afterwards. Timers of requests in flight are not suspended.
 func (p *Proxy) Stall(span model.Microseconds) {
 	until := max(p.stall.until, p.loop.Now()) + span
 	p.stall.until = until
@@ -195,7 +196,8 @@
 	})
 }
 
-// whenRunning runs an action now or, if the proxy is stalled, after the stall unless the proxy was killed by then.
+// whenRunning runs an action now or, if the proxy is stalled, after the stall. It drops the action if the proxy is
+// killed during the stall.
 func (p *Proxy) whenRunning(do func()) {
 	if p.stall.until <= p.loop.Now() {
 		do()
@@ -209,17 +211,17 @@
 	})
 }
 
-// Joined is the name of the instance that the proxy is joined to; "" for none.
-func (p *Proxy) Joined() string {
+// JoinedInstance returns the name of the instance that the proxy has joined, or "" if there is none.
+func (p *Proxy) JoinedInstance() string {
 	if p.stream != nil && p.stream.joined {
 		return p.stream.instance.Name
 	}
 	return ""
 }
 
-// acceptEpoch reports whether a message of this epoch may be applied: no newer epoch was seen. After a change of the
-// lease holder, a request that may have been executed is not retried until the new holder has sent updates, as the
-// retry policies in force were set by the former holder.
+// acceptEpoch reports whether a message of this epoch may be applied, which is so if the proxy has seen no newer epoch.
+// After a change of the lease holder, a request that may have been executed is not retried until the new holder has
+// sent updates, because the retry policies in force were set by the former holder.
 func (p *Proxy) acceptEpoch(epoch uint64) bool {
 	before := p.fence.Epoch
 	accepted, changed := p.fence.Accept(epoch)
--- a/internal/standin/proxy/report.go
+++ b/internal/standin/proxy/report.go
@@ -13,14 +13,14 @@
 // replicaReport counts a proxy's attempts at a replica since its last load report.
 type replicaReport struct {
 	attempts, errors int
-	latency          float64 // total of the attempts that succeeded, in microseconds
+	latency          float64 // total latency of the successful attempts, in microseconds
 	readings         []float64
 }
 
-// minReportPeriod is the least time between two reports, whatever period an instance announces.
+// minReportPeriod is the minimum time between two reports, also if an instance announces a shorter period.
 const minReportPeriod = 10 * model.Millisecond
 
-// report sends the load reports of a period and schedules the next.
+// report sends the load reports of a period and schedules the next ones.
 func (s *stream) report() {
 	p := s.proxy
 	if s.ended || s.run != p.run {
@@ -32,7 +32,7 @@
 
 func (s *stream) sendReports() {
 	p := s.proxy
-	if s.ended || p.StreamsOnly {
+	if s.ended || p.OmitLoadReports {
 		return
 	}
 	s.reports++
@@ -69,8 +69,8 @@
 	return reports
 }
 
-// recordOutcome enters an attempt's end into the report of its replica, and has the proxy avoid the replica after too
-// many consecutive failures.
+// recordOutcome adds an attempt's outcome to the report of its replica. After EjectAfter consecutive failures the proxy
+// avoids the replica for EjectFor.
 func (a *attempt) recordOutcome(outcome invariants.Outcome, response *http1.Message, now model.Microseconds) {
 	p, replica := a.request.proxy, a.replica
 	replica.report.attempts++
--- a/internal/standin/proxy/request.go
+++ b/internal/standin/proxy/request.go
@@ -10,37 +10,37 @@
 	"peppervale/internal/standin"
 )
 
-// Result is how a request ended for its client.
+// Result is the outcome of a request for its client.
 type Result uint8
 
 // The results of requests.
 const (
 	Succeeded   Result = iota
-	RateLimited        // not sent, or rejected by each replica that it was sent to
-	Failed             // an error, or no answer within the operation's timeout
+	RateLimited        // not sent, or rejected by every replica that received it
+	Failed             // an error, or no response within the operation's timeout
 )
 
-// Request is a client's request.
+// Request is a client's request to the proxy.
 type Request struct {
 	Number        uint64
-	ClientAttempt int // the client's own retries, from 0
+	ClientAttempt int // number of the client's own attempt, from 0
 	Operation     int
-	Work          float64 // microseconds of a core of speed 1
+	Work          float64 // microseconds on a core of speed 1
 	Done          func(r Result, took model.Microseconds)
 }
 
-// request is a client's request while the proxy works on it.
+// request is a client's request while the proxy handles it.
 type request struct {
 	*Request
 	proxy        *Proxy
-	run          int // of the proxy
+	run          int // the proxy's when the request started
 	startedAt    model.Microseconds
 	timeout      *standin.Timer
 	attempts     int
 	pending      int // attempts in progress
-	retries      int // that may still follow
+	retries      int // retries that are still allowed
 	policy       model.RetryPolicy
-	epoch        uint64 // of the lease holder when it started
+	epoch        uint64 // of the lease holder when the request started
 	ended        bool
 	requirements Operation
 }
@@ -56,8 +56,8 @@
 	connection *connection
 }
 
-// Handle handles a request. Its Done is called once, on the loop.
-func (p *Proxy) Handle(submitted *Request) { p.whenRunning(func() { p.start(submitted) }) }
+// HandleRequest accepts a client's request. The request's Done is called once, on the loop.
+func (p *Proxy) HandleRequest(submitted *Request) { p.whenRunning(func() { p.start(submitted) }) }
 
 func (p *Proxy) start(submitted *Request) {
 	if !p.running {
@@ -88,7 +88,7 @@
 	r.send(replica)
 }
 
-// maxRetries is how many attempts may follow the first.
+// maxRetries returns how many attempts may follow the first one.
 func maxRetries(policy model.RetryPolicy) int {
 	switch policy {
 	case model.RetryIfNotExecuted, model.RetryOnAnyFailure:
@@ -110,12 +110,13 @@
 	r.Done(result, r.proxy.loop.Now()-r.startedAt)
 }
 
-// timeLeft is what remains of the operation's timeout.
+// timeLeft returns the remaining part of the operation's timeout.
 func (r *request) timeLeft(now model.Microseconds) model.Microseconds {
 	return r.requirements.Timeout - (now - r.startedAt)
 }
 
-// send starts an attempt at a replica. One that may be retried after a timeout has a shorter timeout than the request.
+// send starts an attempt at a replica. An attempt that may be retried after a timeout has a shorter timeout than the
+// request.
 func (r *request) send(replica *replicaState) {
 	p := r.proxy
 	r.attempts++
@@ -152,7 +153,7 @@
 		"Work-Us", strconv.FormatFloat(req.Work, 'f', 0, 64)))
 }
 
-// end ends an attempt, then ends the request or starts a retry as its retry policy allows.
+// end ends an attempt. It then ends the request, or starts a retry if the retry policy allows one.
 func (a *attempt) end(outcome invariants.Outcome, response *http1.Message) {
 	if a.ended {
 		return
@@ -185,7 +186,7 @@
 	}
 }
 
-// releaseConnection detaches the attempt from its connection, if it got one.
+// releaseConnection detaches the attempt from its connection, if it has one.
 func (a *attempt) releaseConnection(outcome invariants.Outcome, now model.Microseconds) {
 	if a.connection == nil {
 		return
@@ -204,12 +205,12 @@
 	}
 }
 
-// minRetryTimeDivisor: a retry needs at least this fraction of the latency objective as time left.
+// minRetryTimeDivisor limits retries: the time left must exceed the latency objective divided by this.
 const minRetryTimeDivisor = 10
 
 // retry starts another attempt at another replica, if the policy, the time left and the table allow it.
 func (r *request) retry(failed *attempt, outcome invariants.Outcome, now model.Microseconds) bool {
-	if r.epoch != r.proxy.fence.Epoch { // a former lease holder set its policy
+	if r.epoch != r.proxy.fence.Epoch { // a former lease holder set the request's policy
 		r.policy = min(r.policy, model.RetryIfNotExecuted)
 	}
 	allowed := outcome.NotExecuted() || r.policy >= model.RetryOnAnyFailure
--- a/internal/standin/proxy/stream.go
+++ b/internal/standin/proxy/stream.go
@@ -16,16 +16,16 @@
 // stream is a connection to an instance.
 type stream struct {
 	proxy      *Proxy
-	run        int // of the proxy
+	run        int // the proxy's at the time of the dial
 	instance   Instance
 	conn       *nbio.Conn
 	reader     *resp.Reader
-	replies    int // received, to its commands
+	replies    int // number of replies received to the proxy's commands
 	joined     bool
 	ended      bool
-	beforeJoin []byte // bytes read before the join was answered
+	beforeJoin []byte // bytes received before the reply to the join
 
-	period     model.Microseconds // of its load reports
+	period     model.Microseconds // of the load reports
 	reports    uint64
 	resyncedAt model.Microseconds // when a snapshot was last requested; 0: never
 }
@@ -33,11 +33,11 @@
 const (
 	minDialTimeout = 100 * model.Millisecond
 	minRedial      = model.Millisecond
-	// maxWaitMilliseconds bounds how long an instance may ask a proxy to wait.
+	// maxWaitMilliseconds limits the wait that an instance can request of a proxy.
 	maxWaitMilliseconds = 600_000
 )
 
-// dialTimeout is how long it may take to establish a connection.
+// dialTimeout is the timeout for establishing a connection.
 func (p *Proxy) dialTimeout() model.Microseconds { return max(p.DialTimeout, minDialTimeout) }
 
 // dialAfter dials the next instance after a delay, unless the proxy has a stream by then.
@@ -54,7 +54,7 @@
 // redial dials after one to three redial intervals.
 func (p *Proxy) redial() { p.dialAfter(p.redialWait(1, 3)) }
 
-// redialWait draws a multiple of the redial interval.
+// redialWait draws a wait between two multiples of the redial interval.
 func (p *Proxy) redialWait(least, most float64) model.Microseconds {
 	return model.Microseconds(p.random.Between(least, most) * float64(max(p.RedialInterval, minRedial)))
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-// join identifies the proxy to the instance, with the version of what it holds.
+// join identifies the proxy to the instance and states the version of its table.
 func (s *stream) join() {
 	p := s.proxy
 	held := p.versions[s.instance.Name]
@@ -128,7 +128,8 @@
 	}
 }
 
-// received is called on the poller. Bytes count as observed when the proxy reads them, which is later if it is stalled.
+// received is called on the poller's goroutine. Bytes count as observed when the proxy reads them, which a stall
+// postpones.
 func (s *stream) received(data []byte) {
 	s.proxy.loop.Post(func() {
 		if s.ended || s.run != s.proxy.run {
@@ -138,7 +139,7 @@
 	})
 }
 
-// closed is called on the poller.
+// closed is called on the poller's goroutine.
 func (s *stream) closed() {
 	s.proxy.loop.Post(func() {
 		if s.run == s.proxy.run && !s.ended {
@@ -190,7 +191,7 @@
 			s.handleMessage(m)
 		}
 	case value.Kind == resp.Push && len(value.Items) == 2 && value.Items[0].Text == "elsewhere":
-		// A proxy without another instance stays until the connection ends, so that it misses no update meanwhile.
+		// A proxy that knows no other instance keeps the stream until the instance closes it, so that it misses no update.
 		if len(s.proxy.Instances) > 1 {
 			s.end()
 			s.proxy.redialNext()
@@ -203,7 +204,7 @@
 	proxy := s.proxy
 	epoch, found := field(items, "epoch")
 	if found && epoch >= 0 && !proxy.acceptEpoch(uint64(epoch)) {
-		s.end() // the instance accepted the join under a lease that it has lost
+		s.end() // the instance accepted the join although it has lost the shard's lease
 		proxy.redialNext()
 		return
 	}
@@ -226,7 +227,8 @@
 	return 0, false
 }
 
-// joinRejected follows the error of an instance that rejects the join: come back later, or join another instance.
+// joinRejected handles the error of an instance that rejects the join: the proxy joins later, or joins another
+// instance.
 func (p *Proxy) joinRejected(text string) {
 	var wait int
 	if n, _ := fmt.Sscanf(text, "LATER %d ", &wait); n == 1 && isAllowedWait(wait) {
@@ -251,7 +253,7 @@
 	return milliseconds >= 0 && milliseconds < maxWaitMilliseconds
 }
 
-// shardMoved dials the lease holder of this proxy's shard or, if its address is unknown, the next instance.
+// shardMoved dials the lease holder of this proxy's shard or, if no instance has the given address, the next instance.
 func (p *Proxy) shardMoved(address string) {
 	p.Redirected++
 	p.nextInstance++
@@ -263,8 +265,8 @@
 	p.redial()
 }
 
-// instanceShutsDown dials the next instance. If there is no other, it dials the same one after the time that the
-// instance gave, plus up to two redial intervals at random so that not all proxies come back at once.
+// instanceShutsDown dials the next instance. If the proxy knows no other, it dials the same one after the time that the
+// instance gave, plus up to two redial intervals at random so that not all proxies reconnect at once.
 func (p *Proxy) instanceShutsDown(milliseconds int) {
 	p.nextInstance++
 	if len(p.Instances) > 1 || !isAllowedWait(milliseconds) {
--- a/internal/standin/proxy/table.go
+++ b/internal/standin/proxy/table.go
@@ -8,27 +8,27 @@
 	"peppervale/internal/model"
 )
 
-// table is what a proxy holds: its entries, the replicas that are withdrawn, and its quotas.
+// table holds a proxy's entries, withdrawn replicas and quotas.
 type table struct {
 	entries   []*entry
 	withdrawn map[model.ReplicaID]bool
-	quotas    []pubsubmsg.Quota // in the order of arrival, each for a mask of operations
-	bound     bool              // an instance published it; else it is the standing table
+	quotas    []pubsubmsg.Quota // in the order of arrival, each for a bit mask of operations
+	bound     bool              // published by an instance; otherwise it is the standing table
 }
 
-// entry is a replica that the proxy holds.
+// entry is a replica in the proxy's table.
 type entry struct {
 	id     model.ReplicaID
 	weight float64
 	credit float64 // of smooth weighted round robin
 }
 
-// replicaState is what the proxy knows of a replica: its own requests in flight, failures, connections and load report.
+// replicaState is the proxy's state for a replica: requests in flight, failures, connections and load report.
 type replicaState struct {
 	id         model.ReplicaID
 	inFlight   int
 	failures   int                // consecutive
-	avoidUntil model.Microseconds // no requests go to it until then, if others are left
+	avoidUntil model.Microseconds // the proxy sends it no requests until then, unless it avoids all replicas
 	idle       []*connection
 	report     replicaReport
 }
@@ -41,7 +41,7 @@
 	return held
 }
 
-// Bound reports whether the proxy uses a table of an instance, not its standing table.
+// Bound reports whether the proxy uses a table that an instance published, not its standing table.
 func (p *Proxy) Bound() bool { return p.table.bound }
 
 // HeldEntry is an entry of a proxy's table.
@@ -51,7 +51,7 @@
 	Withdrawn bool
 }
 
-// HeldEntries returns the entries of the proxy's table, also those of withdrawn replicas.
+// HeldEntries returns the entries of the proxy's table, including those of withdrawn replicas.
 func (p *Proxy) HeldEntries() (all []HeldEntry) {
 	for _, e := range p.table.entries {
 		all = append(all, HeldEntry{e.id, e.weight, p.table.withdrawn[e.id]})
@@ -68,7 +68,7 @@
 	return r
 }
 
-// quota returns the share of an operation's requests that is admitted and their retry policy, from the newest quota
+// quota returns the admitted share of an operation's requests and their retry policy. Both come from the newest quota
 // that covers the operation.
 func (p *Proxy) quota(operation int) (share float64, policy model.RetryPolicy) {
 	share, policy = 1, p.DefaultRetryPolicy
@@ -87,7 +87,7 @@
 }
 
 // usable returns the entries that may be picked, except those of one replica, and their total weight. If the proxy
-// avoids all of them it uses them all the same: it would reject every request because of a few failures otherwise.
+// avoids all of them, it returns them nevertheless; otherwise a few failures would make it reject every request.
 func (p *Proxy) usable(except model.ReplicaID) (entries []*entry, weight float64) {
 	now := p.loop.Now()
 	for _, e := range p.table.entries {
@@ -115,7 +115,7 @@
 	return !p.table.withdrawn[e.id] || p.Misbehavior.IgnoresWithdrawals
 }
 
-// pick picks an entry by the proxy's policy, except one of a replica that was tried before; nil if there is none.
+// pick picks a replica by the proxy's policy, but not the one that was tried before. It returns nil if there is none.
 func (p *Proxy) pick(except model.ReplicaID) *replicaState {
 	entries, weight := p.usable(except)
 	if len(entries) == 0 {
@@ -131,7 +131,7 @@
 		if p.replica(other.id).inFlight < p.replica(picked.id).inFlight {
 			picked = other
 		}
-	default: // Lottery
+	default: // PickWeightedRandom
 		picked = p.draw(entries, weight)
 	}
 	return p.replica(picked.id)
@@ -149,8 +149,8 @@
 	return entries[len(entries)-1]
 }
 
-// nextRoundRobin picks the entry with the most credit. Each pick credits every entry with its weight and charges the
-// picked one with the total weight.
+// nextRoundRobin implements smooth weighted round robin. Each pick adds its weight to every entry's credit, picks the
+// entry with the most credit, and subtracts the total weight from that entry's credit.
 func nextRoundRobin(entries []*entry, weight float64) *entry {
 	var best *entry
 	for _, e := range entries {
@@ -188,7 +188,7 @@
 	p.closeUnused()
 }
 
-// setEntry sets an entry's weight; one of weight 0 is removed, unless removals are ignored.
+// setEntry sets an entry's weight. Weight 0 removes the entry, unless removals are ignored.
 func (t *table) setEntry(changed pubsubmsg.Entry, ignoreRemoval bool) {
 	i := slices.IndexFunc(t.entries, func(e *entry) bool { return e.id == changed.Replica })
 	switch {
@@ -218,12 +218,12 @@
 	}
 }
 
-// holds reports whether the table has an entry of a replica that is not withdrawn.
+// holds reports whether the table has an entry for a replica and the replica is not withdrawn.
 func (t *table) holds(id model.ReplicaID) bool {
 	return !t.withdrawn[id] && slices.ContainsFunc(t.entries, func(e *entry) bool { return e.id == id })
 }
 
-// closeUnused closes idle connections to replicas that are no longer in the table or are withdrawn.
+// closeUnused closes idle connections to replicas that are withdrawn or no longer in the table.
 func (p *Proxy) closeUnused() {
 	for id, r := range p.replicas {
 		if len(r.idle) > 0 && !p.table.holds(id) {
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -23,30 +23,31 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// waitLimit is how long a test waits for something that must happen.
+// waitLimit is the time after which a test fails because a condition does not hold.
 const waitLimit = 10 * time.Second
 
-// instance is a channel server that holds the lease of the only shard, or not, and publishes, as the test says.
+// instance is a channel server with a single shard. The test sets whether it holds the shard's lease and what it
+// publishes.
 type instance struct {
 	*pubsub.Server
 	other  *instance
 	joined chan model.ProxyID
 
 	mu    sync.Mutex
-	epoch uint64 // 0: it does not hold the lease
+	epoch uint64 // of the lease; 0: the instance does not hold it
 }
 
-// Shard is part of pubsub.Leases: there is one shard.
+// Shard implements pubsub.Leases. There is only one shard.
 func (i *instance) Shard(int, string) int { return 0 }
 
-// IsLeaseHolder is part of pubsub.Leases.
+// IsLeaseHolder implements pubsub.Leases.
 func (i *instance) IsLeaseHolder(int) (uint64, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.epoch, i.epoch > 0
 }
 
-// Holder is part of pubsub.Leases.
+// Holder implements pubsub.Leases.
 func (i *instance) Holder(int) string { return i.other.Addr() }
 
 func (i *instance) setEpoch(epoch uint64) {
@@ -55,22 +56,22 @@
 	i.mu.Unlock()
 }
 
-// ProxyConnected is part of pubsub.Events.
+// ProxyConnected implements pubsub.Events.
 func (i *instance) ProxyConnected(p model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
 	i.AdmitProxy(p, stream)
 	i.joined <- p
 }
 
-// ProxyDisconnected is part of pubsub.Events.
+// ProxyDisconnected implements pubsub.Events.
 func (i *instance) ProxyDisconnected(model.ProxyID, uint64) {}
 
-// Acknowledged is part of pubsub.Events.
+// Acknowledged implements pubsub.Events.
 func (i *instance) Acknowledged(model.ProxyID, uint64, uint32) {}
 
-// LoadReported is part of pubsub.Events.
+// LoadReported implements pubsub.Events.
 func (i *instance) LoadReported(int, []model.LoadReport) {}
 
-// publish binds a proxy to a table of the replicas, and sets the retry policy of batch-log.
+// publish binds a proxy to a table of the replicas and sets the retry policy of the only operation.
 func (i *instance) publish(p model.ProxyID, policy model.RetryPolicy, replicas ...model.ReplicaID) {
 	batch := &snapshot.Batch{AckSequence: -1, At: 1}
 	for _, id := range replicas {
@@ -83,7 +84,7 @@
 	i.Publish(batch)
 }
 
-// fixture is two instances, a proxy and two replicas that answer nothing once a request is sent.
+// fixture holds two instances, a proxy and two replicas. The replicas send no responses after the first call of send.
 type fixture struct {
 	t             *testing.T
 	now           func() model.Microseconds
@@ -94,8 +95,8 @@
 	ids           []model.ReplicaID
 	done          chan Result
 
-	attempts map[uint64]int // by request; of the loop's goroutine
-	requests uint64         // of the loop's goroutine
+	attempts map[uint64]int // by request; used on the loop's goroutine only
+	requests uint64         // used on the loop's goroutine only
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -146,14 +147,14 @@
 	return i
 }
 
-// observe counts attempts; it is called on the loop.
+// observe counts the attempts at each request. It is called on the loop.
 func (fx *fixture) observe(event invariants.Event) {
 	if started, ok := event.(invariants.AttemptStarted); ok {
 		fx.attempts[started.Request]++
 	}
 }
 
-// newReplicaID returns the id of a replica with an address that nothing listens on.
+// newReplicaID returns a replica's ID with an address on which no socket listens.
 func newReplicaID(t *testing.T) model.ReplicaID {
 	t.Helper()
 	id, err := pubsubmsg.ParseAddress(testaddr.Address(t))
@@ -163,7 +164,7 @@
 	return id
 }
 
-// startReplica starts one more replica; it is called on the loop.
+// startReplica starts another replica. It must be called on the loop.
 func (fx *fixture) startReplica(id model.ReplicaID) {
 	r := replica.New(fx.loop, replica.Config{
 		ID: id, Zone: "govan", DeduplicationGroup: fmt.Sprint(len(fx.replicas)),
@@ -197,7 +198,7 @@
 	})
 }
 
-// until waits for a condition on the loop.
+// until waits until a condition, which is evaluated on the loop, holds.
 func (fx *fixture) until(what string, condition func() bool) {
 	fx.t.Helper()
 	eventually(fx.t, what, func() bool {
@@ -211,12 +212,12 @@
 	t.Helper()
 	for end := time.Now().Add(waitLimit); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition does not hold: %s", what)
 		}
 	}
 }
 
-// send starts a batch-log at replicas that answer nothing, and gives its number.
+// send makes the replicas silent, starts a request and returns its number.
 func (fx *fixture) send() (number uint64) {
 	fx.loop.Do(func() {
 		fx.requests++
@@ -225,65 +226,69 @@
 			r.Silent = true
 		}
 		done := func(r Result, _ model.Microseconds) { fx.done <- r }
-		fx.proxy.Handle(&Request{Number: number, Work: 1000, Done: done})
+		fx.proxy.HandleRequest(&Request{Number: number, Work: 1000, Done: done})
 	})
 	return number
 }
 
-// attemptsAt waits for the end of a request and gives how often it was sent.
+// attemptsAt waits for the end of a request and returns its number of attempts.
 func (fx *fixture) attemptsAt(number uint64) (attempts int) {
 	<-fx.done
 	fx.loop.Do(func() { attempts = fx.attempts[number] })
 	return attempts
 }
 
-// The lease holder changes in the middle of the retries of a batch-log: what may have been executed is not sent again,
-// though the former holder's retry policy allowed it. Nor is any other until the new holder has published a retry
-// policy.
+// The lease holder changes while a request is retried. A request that may have been executed is not retried anymore,
+// although the former holder's retry policy allowed it. Later requests are not retried either until the new holder has
+// published a retry policy.
 func TestTakeoverDuringRetriesStopsThem(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.first.publish(<-fixture.first.joined, model.RetryTwiceOnAnyFailure, fixture.ids...)
-	fixture.until("bound", func() bool { return fixture.proxy.Bound() && len(fixture.proxy.table.quotas) == 1 })
+	fixture.until("the proxy is bound and has a quota", func() bool {
+		return fixture.proxy.Bound() && len(fixture.proxy.table.quotas) == 1
+	})
 	if n := fixture.attemptsAt(fixture.send()); n != 3 {
-		t.Fatalf("under one holder it is sent %d times, want 3", n)
+		t.Fatalf("%d attempts while the lease holder does not change, want 3", n)
 	}
 	number := fixture.send()
-	fixture.until("sent once", func() bool { return fixture.attempts[number] == 1 })
+	fixture.until("the request is sent once", func() bool { return fixture.attempts[number] == 1 })
 	fixture.second.setEpoch(2)
 	fixture.first.setEpoch(0)
 	fixture.first.LeaseLost(0)
 	moved := <-fixture.second.joined
 	if n := fixture.attemptsAt(number); n != 1 {
-		t.Errorf("over the change of holder it is sent %d times", n)
+		t.Errorf("%d attempts although the lease holder changed after the first, want 1", n)
 	}
 	if n := fixture.attemptsAt(fixture.send()); n != 1 {
-		t.Errorf("before the new holder has published it is sent %d times", n)
+		t.Errorf("%d attempts before the new lease holder has published a retry policy, want 1", n)
 	}
 	fixture.second.publish(moved, model.RetryOnAnyFailure, fixture.ids...)
-	fixture.until("published", func() bool { return !fixture.proxy.awaitsNewHolder && fixture.proxy.Joined() == "b" })
+	fixture.until("the proxy has applied the new holder's retry policy", func() bool {
+		return !fixture.proxy.awaitsNewHolder && fixture.proxy.JoinedInstance() == "b"
+	})
 	if n := fixture.attemptsAt(fixture.send()); n != 2 {
-		t.Errorf("once the new holder's policy allows one retry it is sent %d times", n)
+		t.Errorf("%d attempts after the new lease holder has allowed one retry, want 2", n)
 	}
 }
 
-// A holder that was stalled goes on publishing after its lease expired, on a stream that it has not closed. The proxy,
-// which has seen a newer epoch, applies nothing and notifies the holder.
+// A stalled lease holder keeps publishing after its lease has expired, on a stream that it has not closed. The proxy
+// has seen a newer epoch, so it does not apply the messages and notifies the former holder.
 func TestFormerHolderIsFencedOff(t *testing.T) {
 	fixture := newFixture(t)
 	id := <-fixture.first.joined
 	fixture.first.publish(id, model.RetryNever, fixture.ids[0])
-	fixture.until("bound", func() bool { return fixture.proxy.Bound() })
-	fixture.loop.Do(func() { fixture.proxy.acceptEpoch(7) }) // as another holder's message would
+	fixture.until("the proxy is bound", func() bool { return fixture.proxy.Bound() })
+	fixture.loop.Do(func() { fixture.proxy.acceptEpoch(7) }) // as a message of another lease holder does
 	fixture.first.publish(id, model.RetryNever, fixture.ids[1])
-	fixture.until("not applied", func() bool { return fixture.proxy.Fenced == 1 })
+	fixture.until("the proxy rejects the message", func() bool { return fixture.proxy.Fenced == 1 })
 	fixture.loop.Do(func() {
 		if held := fixture.proxy.HeldEntries(); len(held) != 1 || held[0].Replica != fixture.ids[0] {
-			t.Errorf("it holds %v", held)
+			t.Errorf("the proxy holds %v, want only the first replica", held)
 		}
 	})
 	eventually(t, "the former holder is notified", func() bool { return fixture.first.Stats().Fenced == 1 })
-	// When it joins again, it does not stay with an instance whose epoch is older than the newest it has seen.
+	// When the proxy reconnects, it does not join an instance whose epoch is older than the newest one it has seen.
 	fixture.second.setEpoch(8)
 	fixture.loop.Do(fixture.proxy.BreakStream)
-	fixture.until("with the new holder", func() bool { return fixture.proxy.Joined() == "b" })
+	fixture.until("the proxy joins the new lease holder", func() bool { return fixture.proxy.JoinedInstance() == "b" })
 }
--- a/internal/standin/random.go
+++ b/internal/standin/random.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Random draws random numbers from a seed, a name and a counter, so that the draws of one stand-in do not change those
-// of another.
+// Random draws random numbers from a seed, a name and a counter, so that the draws of one stand-in do not affect the
+// draws of another.
 type Random struct {
 	base  uint64
 	count uint64
@@ -14,7 +14,7 @@
 
 // NewRandom returns the stream of random numbers of a seed and a name. Equal arguments give equal streams.
 func NewRandom(seed uint64, name string) *Random {
-	const golden = 0x9e3779b97f4a7c15 // 2^64 over the golden ratio spreads small seeds over all bits
+	const golden = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio; it spreads small seeds over all bits
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	return &Random{base: hash.Sum64() ^ seed*golden}
@@ -33,7 +33,7 @@
 	return float64(mix(hash.Sum64())>>11) / (1 << 53)
 }
 
-// mix spreads the low bits of an FNV hash, which reach the high ones badly (MurmurHash3's finalizer).
+// mix is MurmurHash3's finalizer. It spreads the low bits of an FNV hash, which hardly affect the hash's high bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -41,13 +41,14 @@
 	return x
 }
 
-// Below draws an integer uniformly from [0, n).
-func (r *Random) Below(n int) int { return int(r.Float() * float64(n)) }
+// IntN draws an integer uniformly from [0, n).
+func (r *Random) IntN(n int) int { return int(r.Float() * float64(n)) }
 
 // Between draws uniformly from [a, b).
 func (r *Random) Between(a, b float64) float64 { return a + (b-a)*r.Float() }
 
-// Interval draws the time in seconds until the next event of a Poisson process with a rate per second.
+// Interval draws the time in seconds until the next event of a Poisson process whose rate is
+// in events per second.
 func (r *Random) Interval(rate float64) float64 { return -math.Log(1-r.Float()) / rate }
 
 // LogNormal draws a log-normally distributed factor with mean 1 and the coefficient of variation cv.
--- a/internal/standin/registry/body.go
+++ b/internal/standin/registry/body.go
@@ -10,15 +10,15 @@
 	"peppervale/internal/model"
 )
 
-// Body is the endpoint list as the JSON of Consul's health endpoint.
-func (r *Registry) Body() []byte {
+// EndpointListJSON returns the endpoint list as JSON in the format of Consul's health endpoint.
+func (r *Registry) EndpointListJSON() []byte {
 	all := []consulcatalog.ServiceEntry{}
 	for _, entry := range r.entries {
 		all = append(all, r.catalogEntry(entry))
 	}
 	body, err := json.Marshal(all)
 	if err != nil {
-		return []byte("[]") // plain texts always marshal
+		return []byte("[]") // does not happen: strings and numbers can always be marshaled
 	}
 	return body
 }
--- a/internal/standin/registry/query.go
+++ b/internal/standin/registry/query.go
@@ -15,7 +15,7 @@
 	"peppervale/internal/standin"
 )
 
-// How long a blocking query waits for a change, as Consul documents it.
+// Consul's documented limits of a blocking query's wait.
 const (
 	defaultWait = 5 * time.Minute
 	maxWait     = 10 * time.Minute
@@ -23,15 +23,15 @@
 
 const (
 	healthPath   = "/v1/health/service/"
-	noLeaderBody = "No cluster leader" // the body of an agent's error response
-	earlierIndex = 7                   // the index given while IndexGoesBack holds, far below firstIndex
-	agentName    = "peppervale/"       // precedes an instance's name in its User-Agent
-	indexHeader  = "X-Consul-Index"    // of an answer
-	contentType  = "Content-Type"      // of an answer
-	jsonContent  = "application/json"  // of an answer's body
+	noLeaderBody = "No cluster leader" // body of a Consul agent's error response
+	earlierIndex = 7                   // the index sent while IndexGoesBack is set, far below firstIndex
+	agentName    = "peppervale/"       // prefix of an instance's name in its User-Agent
+	indexHeader  = "X-Consul-Index"    // of a response
+	contentType  = "Content-Type"      // of a response
+	jsonContent  = "application/json"  // of a response's body
 )
 
-// query is a request for the endpoint list. A blocking one waits for a change.
+// query is a request for the endpoint list. A blocking query waits for a change of the list.
 type query struct {
 	conn     *nbio.Conn
 	instance string
@@ -61,10 +61,10 @@
 	}
 }
 
-// answerWhenChanged answers a query at once if it does not block or if its index is not the list's, else as soon as the
-// list changes or the query's wait is over.
+// answerWhenChanged answers a query at once if it does not block or its index differs from the list's. Otherwise it
+// answers when the list changes or the query's wait has elapsed.
 func (r *Registry) answerWhenChanged(q *query, parameters url.Values) {
-	q.index, _ = strconv.ParseUint(parameters.Get("index"), 10, 64) // without one it does not block
+	q.index, _ = strconv.ParseUint(parameters.Get("index"), 10, 64) // a query without an index does not block
 	if q.index != r.index || q.index == 0 {
 		r.answer(q)
 		return
@@ -85,7 +85,7 @@
 	return min(wait, maxWait)
 }
 
-// answer writes the response, late if the registry is. It carries the list as it is when it is written.
+// answer writes the response after Faults.Delay. The response holds the list as of the time of writing.
 func (r *Registry) answer(q *query) {
 	if r.Faults.Delay > 0 {
 		r.loop.After(r.Faults.Delay, func() { r.write(q) })
@@ -106,10 +106,10 @@
 	if r.Faults.IndexGoesBack {
 		index = earlierIndex
 	}
-	body := r.Body()
+	body := r.EndpointListJSON()
 	answer := http1.AppendResponse(nil, 200, body,
 		contentType, jsonContent, indexHeader, strconv.FormatUint(index, 10))
-	if r.Faults.CutsBody {
+	if r.Faults.TruncatesBody {
 		_, _ = waiting.conn.Write(answer[:len(answer)-len(body)/2-1])
 		_ = waiting.conn.Close()
 		return
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is a stand-in for an endpoint registry: it serves Consul's health endpoint with blocking queries as
-// Consul documents them, and it fails or delays its answers on demand.
+// Package registry is a stand-in for an endpoint registry. It serves Consul's health endpoint with blocking queries as
+// Consul documents them. On demand, its responses fail or are delayed.
 package registry
 
 import (
@@ -15,28 +15,28 @@
 	"peppervale/internal/standin"
 )
 
-// Entry is a replica as the registry lists it.
+// Entry is a replica in the registry's list.
 type Entry struct {
 	ID                       model.ReplicaID
-	Zone, DeduplicationGroup string // the group: replicas that drop repeats of a request among themselves
+	Zone, DeduplicationGroup string // the group's replicas deduplicate requests among themselves
 	Kind                     string
-	StartedAt                model.Microseconds // 0: long ago
+	StartedAt                model.Microseconds // 0: not stated in the list
 	Draining                 bool
 }
 
-// Faults is what the registry does wrong; several faults may hold at once. The zero value is none.
+// Faults selects the registry's faults; several can be combined. The zero value selects none.
 type Faults struct {
-	Fails         bool               // answers 500
-	Silent        bool               // accepts requests and never answers
-	CutsBody      bool               // closes the connection in the middle of a body
-	IndexGoesBack bool               // gives an index far below the last one
-	Delay         model.Microseconds // added to each answer
+	Fails         bool               // responds with status 500
+	Silent        bool               // accepts requests and never responds
+	TruncatesBody bool               // closes the connection in the middle of a body
+	IndexGoesBack bool               // sends an index far below the previous one
+	Delay         model.Microseconds // before each response
 }
 
-// firstIndex is the index of the empty list.
+// firstIndex is the index of the initial, empty list.
 const firstIndex = 100
 
-// Registry is a running registry. All its methods but Addr and Close must be called on its loop.
+// Registry is a running registry. All its methods except Addr and Close must be called on its loop.
 type Registry struct {
 	Faults Faults
 
@@ -49,8 +49,8 @@
 	waiting []*query
 }
 
-// New starts a registry that listens on an address. observe is called on the loop with each endpoint list that was
-// sent. An error says that the address cannot be listened on.
+// New starts a registry that listens on an address. observe is called on the loop with each endpoint list that is sent.
+// New fails if it cannot listen on the address.
 func New(loop *standin.Loop, listen, service string, observe func(invariants.Event)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, observe: observe, index: firstIndex}
 	engine, err := netpoll.Start(1, r.handlers(), listen)
@@ -61,7 +61,7 @@
 	return r, nil
 }
 
-// Addr is the address that the registry listens on, host:port.
+// Addr returns the address that the registry listens on, host:port.
 func (r *Registry) Addr() string { return r.engine.Addrs[0] }
 
 // Close stops listening and closes all connections.
@@ -90,7 +90,7 @@
 	}
 }
 
-// changed answers the blocking queries that wait.
+// changed increments the list's index and answers all blocked queries.
 func (r *Registry) changed() {
 	r.index++
 	waiting := r.waiting
@@ -101,7 +101,7 @@
 	}
 }
 
-// handlers post the events of the sockets to the loop.
+// handlers returns handlers that post the sockets' events to the loop.
 func (r *Registry) handlers() netpoll.Handlers {
 	return netpoll.Handlers{
 		Open: func(conn *nbio.Conn) { conn.SetSession(http1.NewParser(false, http1.Limits{})) },
@@ -114,7 +114,7 @@
 	}
 }
 
-// received runs on the connection's poller.
+// received is called on the connection's poller.
 func (r *Registry) received(conn *nbio.Conn, data []byte) {
 	parser, ok := conn.Session().(*http1.Parser)
 	if !ok {
--- a/internal/standin/replica/deduplication.go
+++ b/internal/standin/replica/deduplication.go
@@ -2,21 +2,20 @@
 
 import "peppervale/internal/model"
 
-// DeduplicationGroup is a group of replicas that drop repeats of requests with an idempotency key among themselves for
-// a while.
+// DeduplicationGroup is a group of replicas that execute a request with an idempotency key only once within a window.
 type DeduplicationGroup struct {
 	firstAt map[string]model.Microseconds // by idempotency key
 }
 
-// rememberedKeys is how many keys a group remembers before it drops those that are older than the window.
+// rememberedKeys is the number of keys above which a group removes keys that are older than the window.
 const rememberedKeys = 10_000
 
-// NewDeduplicationGroup makes an empty group.
+// NewDeduplicationGroup creates an empty group.
 func NewDeduplicationGroup() *DeduplicationGroup {
 	return &DeduplicationGroup{firstAt: map[string]model.Microseconds{}}
 }
 
-// repeated reports whether a key was first seen within the window before now, and remembers it otherwise.
+// repeated reports whether a key was first seen within the window before now. If not, it stores the key.
 func (g *DeduplicationGroup) repeated(key string, now, window model.Microseconds) bool {
 	if len(g.firstAt) > rememberedKeys {
 		g.forget(now - window)
--- a/internal/standin/replica/load.go
+++ b/internal/standin/replica/load.go
@@ -2,9 +2,10 @@
 
 import "peppervale/internal/model"
 
-// loadMeter measures the share of the cores in use. Its reading is refreshed at most once per Config.ReportInterval.
+// loadMeter measures the share of the cores that is in use. Its reading is refreshed at most once per
+// Config.ReportInterval.
 type loadMeter struct {
-	busy       float64 // core microseconds used since measuredAt
+	busy       float64 // core time used since measuredAt, in microseconds
 	reported   float64
 	measuredAt model.Microseconds
 }
@@ -12,7 +13,7 @@
 // idleReport is the utilization that a replica reports while ReportsIdle is set.
 const idleReport = 0.02
 
-// utilization is the replica's load report.
+// utilization returns the utilization that the replica reports.
 func (r *Replica) utilization() float64 {
 	now := r.loop.Now()
 	span := now - r.load.measuredAt
@@ -27,7 +28,7 @@
 	return r.load.reported
 }
 
-// overloadMeter adds up the work that a warming replica received within its overload window.
+// overloadMeter sums the work that a warming replica has received within its overload window.
 type overloadMeter struct {
 	recent []arrival
 }
@@ -37,7 +38,7 @@
 	work float64
 }
 
-// total adds an arrival and returns all work received within the span up to it.
+// total adds an arrival and returns the work received within the span that ends with it.
 func (m *overloadMeter) total(a arrival, span model.Microseconds) float64 {
 	m.recent = append(m.recent, a)
 	for len(m.recent) > 0 && m.recent[0].at <= a.at-span {
@@ -50,7 +51,8 @@
 	return total
 }
 
-// overloaded counts new work against the replica's capacity, and reports whether the replica has failed of overload.
+// overloaded records new work and reports whether the replica has failed because of overload. The work itself is not
+// counted for the decision; only work that arrived before it is.
 func (r *Replica) overloaded(now model.Microseconds, work float64) bool {
 	if r.warmth(now) >= 1 || r.OverloadFactor <= 0 {
 		return false
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -1,7 +1,7 @@
-// Package replica is a stand-in for a server of requests over HTTP/1.1. It has cores, a queue, a warm-up, a limit on
-// connections, draining, and a load report in each response, in the text form of the ORCA header. The work of a request
-// is one of its header fields and is served by waiting, not by burning cores, so that one machine can hold many
-// replicas.
+// Package replica is a stand-in for a server of requests over HTTP/1.1. It models cores, a queue, a warm-up, a limit on
+// connections and draining. Each response carries a load report in the text form of the ORCA header. A header field
+// states the work of a request. The replica waits for that time and uses no CPU for it, so that one machine can run
+// many replicas.
 package replica
 
 import (
@@ -17,39 +17,39 @@
 // Config holds the properties of a replica.
 type Config struct {
 	ID                       model.ReplicaID
-	Zone, DeduplicationGroup string // the group: replicas that drop repeats of a request among themselves
+	Zone, DeduplicationGroup string // the group's replicas deduplicate requests among themselves
 	Cores                    int
-	Speed                    float64 // of a core: microseconds of work in a microsecond
-	QueueLimit               int     // requests that may wait; more are rejected
-	MaxConnections           int     // accepted at once
-	InitialShare             float64 // of its capacity, right after a cold start
+	Speed                    float64 // of a core: microseconds of work per microsecond
+	QueueLimit               int     // waiting requests; requests above it are rejected
+	MaxConnections           int     // open at the same time
+	InitialShare             float64 // of the capacity, right after a cold start
 	WarmUpPeriod             model.Microseconds
-	OverloadFactor           float64            // times its capacity: a warming replica that is sent more...
-	OverloadWindow           model.Microseconds // ...within this window fails until it restarts
-	ReportInterval           model.Microseconds // between two refreshes of its load report
-	HandshakeWork            float64            // work that accepting a connection costs, in microseconds
+	OverloadFactor           float64            // multiple of the capacity: a warming replica that receives more work...
+	OverloadWindow           model.Microseconds // ...within this window fails until it is restarted
+	ReportInterval           model.Microseconds // between two refreshes of the load report
+	HandshakeWork            float64            // work of accepting a connection, in microseconds
 }
 
-// Replica is a replica that can be started and stopped. Its fields and methods belong to its loop.
+// Replica is a replica that can be started and stopped. Its fields and methods may be used on its loop only.
 type Replica struct {
 	Config
 	Slowdown          float64      // factor on the duration of all work; 1: none
-	Silent            bool         // accepts connections and bytes, and answers nothing
+	Silent            bool         // accepts connections and requests, and sends no response
 	Draining          bool         // rejects new work
-	ReportsIdle       bool         // reports that it is idle
-	FailingOperations map[int]bool // by index of the operation: answers 500
+	ReportsIdle       bool         // reports a low utilization at any load
+	FailingOperations map[int]bool // by index of the operation; responds with status 500
 
-	Started    model.Microseconds // 0: before the scenario, warm
+	StartedAt  model.Microseconds // 0: it started before the scenario and is warm
 	Running    bool
-	Overloaded bool // it failed of overload
-	Served     int  // requests executed and answered, over all runs
+	Overloaded bool // it has failed because of overload
+	Served     int  // number of requests executed and answered, over all runs
 
 	loop    *standin.Loop
 	group   *DeduplicationGroup
-	windows []model.Microseconds // by operation, in which repeats are dropped; 0: it has no idempotency key
+	windows []model.Microseconds // deduplication window by operation; 0: the operation has no idempotency key
 	observe func(invariants.Event)
 	engine  *netpoll.Engine
-	run     int // grows with each start and stop, so that events of an earlier run can be told apart and ignored
+	run     int // incremented at each start and stop, so that events of an earlier run are recognized and ignored
 
 	connections int
 	queue       workQueue
@@ -57,8 +57,8 @@
 	overload    overloadMeter
 }
 
-// New makes a replica that is not running. windows gives for each operation how long the deduplication group remembers
-// a request, 0 where it has no idempotency key. observe is called on the loop.
+// New creates a replica that is not running. windows holds the deduplication window of each operation, 0 for an
+// operation without an idempotency key. observe is called on the loop.
 func New(
 	loop *standin.Loop, config Config, group *DeduplicationGroup,
 	windows []model.Microseconds, observe func(invariants.Event),
@@ -66,8 +66,8 @@
 	return &Replica{Config: config, Slowdown: 1, loop: loop, group: group, windows: windows, observe: observe}
 }
 
-// Start listens on the replica's address, which stays the same over restarts, and begins cold or warm. It does nothing
-// if the replica runs. An error says that the address cannot be listened on.
+// Start listens on the replica's address, which stays the same over restarts. The replica is cold or warm at first.
+// Start does nothing if the replica is running. It fails if it cannot listen on the address.
 func (r *Replica) Start(cold bool) error {
 	if r.Running {
 		return nil
@@ -87,7 +87,7 @@
 	r.queue = workQueue{}
 	r.load = loadMeter{measuredAt: now}
 	r.overload = overloadMeter{}
-	r.Started = 0
+	r.StartedAt = 0
 	started := invariants.ReplicaStarted{
 		At:                 now,
 		Replica:            r.ID,
@@ -96,7 +96,7 @@
 		InitialShare:       1,
 	}
 	if cold {
-		r.Started = now
+		r.StartedAt = now
 		started.InitialShare = r.InitialShare
 		started.WarmUpPeriod = r.WarmUpPeriod
 	}
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// Stop closes the replica's connections and drops all its work, as the end of a process does.
+// Stop closes the replica's connections and drops all its work, as when a process is killed.
 func (r *Replica) Stop() {
 	if !r.Running {
 		return
@@ -115,13 +115,13 @@
 	go engine.Stop() // Stop waits for handlers, which post to this loop
 }
 
-// capacity is that of the warm replica, in microseconds of work per microsecond.
+// capacity returns the capacity of the warm replica, in microseconds of work per microsecond.
 func (r *Replica) capacity() float64 { return float64(r.Cores) * r.Speed }
 
-// warmth is the share of its full capacity that it has now.
+// warmth returns the share of the full capacity that is available now.
 func (r *Replica) warmth(now model.Microseconds) float64 {
-	if r.Started == 0 || now >= r.Started+r.WarmUpPeriod {
+	if r.StartedAt == 0 || now >= r.StartedAt+r.WarmUpPeriod {
 		return 1
 	}
-	return r.InitialShare + (1-r.InitialShare)*float64(now-r.Started)/float64(r.WarmUpPeriod)
+	return r.InitialShare + (1-r.InitialShare)*float64(now-r.StartedAt)/float64(r.WarmUpPeriod)
 }
--- a/internal/standin/replica/serve.go
+++ b/internal/standin/replica/serve.go
@@ -17,10 +17,10 @@
 const (
 	executed    = "yes"
 	notExecuted = "no"
-	repeated    = "repeat" // it was executed before
+	repeated    = "repeat" // executed before, as an earlier request with the same key
 )
 
-// handlers post the events of the sockets of a run to the loop.
+// handlers returns handlers that post the sockets' events to the loop. Events of another run are ignored.
 func (r *Replica) handlers(run int) netpoll.Handlers {
 	return netpoll.Handlers{
 		Open: func(conn *nbio.Conn) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// received runs on the connection's poller.
+// received is called on the connection's poller.
 func (r *Replica) received(conn *nbio.Conn, data []byte, run int) {
 	parser, ok := conn.Session().(*http1.Parser)
 	if !ok {
@@ -70,7 +70,7 @@
 	r.load.busy += r.HandshakeWork
 }
 
-// request is a request that waits for a core or is served.
+// request is a request that waits for a core or is being executed.
 type request struct {
 	conn          *nbio.Conn
 	work          float64
@@ -100,11 +100,11 @@
 	if operation < 0 || operation >= len(r.windows) {
 		return nil, errNotRequest
 	}
-	clientAttempt, _ := strconv.Atoi(message.Header["caller-try"]) // 0 where a client does not count
+	clientAttempt, _ := strconv.Atoi(message.Header["caller-try"]) // 0 if the client does not number its attempts
 	return &request{conn: conn, work: work, operation: operation, number: number, clientAttempt: clientAttempt}, nil
 }
 
-// handle queues a request, or answers it at once. A silent or overloaded replica does neither.
+// handle queues a request or answers it at once. A silent or overloaded replica does neither.
 func (r *Replica) handle(conn *nbio.Conn, m *http1.Message) {
 	if r.Silent || r.Overloaded {
 		return
@@ -132,7 +132,8 @@
 	}
 }
 
-// repeated reports whether the replica's deduplication group took the request before, within the operation's window.
+// repeated reports whether a replica of the deduplication group has accepted the request before, within the
+// operation's window.
 func (r *Replica) repeated(req *request, now model.Microseconds) bool {
 	window := r.windows[req.operation]
 	if window == 0 || r.group == nil {
@@ -141,13 +142,13 @@
 	return r.group.repeated(fmt.Sprint(req.number, "-", req.clientAttempt), now, window)
 }
 
-// workQueue holds the requests that wait for a core, and how many cores are in use.
+// workQueue holds the requests that wait for a core and the number of cores in use.
 type workQueue struct {
 	waiting []*request
 	running int
 }
 
-// serveWaiting gives free cores the requests that wait.
+// serveWaiting assigns waiting requests to free cores.
 func (r *Replica) serveWaiting() {
 	for r.queue.running < r.Cores && len(r.queue.waiting) > 0 {
 		next := r.queue.waiting[0]
--- a/internal/testaddr/testaddr.go
+++ b/internal/testaddr/testaddr.go
@@ -1,13 +1,15 @@
 // Package testaddr hands out loopback addresses for servers under test.
 //
-// A test that listens on 127.0.0.1:0, closes the socket and passes the address on may lose it: the kernel can give the
-// same port to any other process before the server under test listens there. An address of this package stays free:
+// A test that listens on 127.0.0.1:0, closes the socket and passes the address to a server under test may lose the
+// address: the kernel can assign the same port to another process before the server listens on it. An address of this
+// package stays free:
 //
-//   - Each test process claims an IP address in 127.64.0.0/10 for its lifetime, derived from its process id. It holds a
-//     socket on that IP address, so that two processes never share one, even with equal ids in two PID namespaces.
-//   - The ports lie below the range from which the kernel picks ports for sockets that ask for none, so that a socket
-//     bound to all addresses does not get one by chance.
-//   - No port is handed out twice in one process, and one that a socket holds on all addresses is passed over.
+//   - Each test process claims an IP address in 127.64.0.0/10 for its lifetime, derived from its process ID. It keeps a
+//     socket open on that IP address, so that two processes never share one, even with equal IDs in two PID
+//     namespaces.
+//   - The ports are below the kernel's ephemeral port range, so that a socket bound to all addresses and any port does
+//     not get one of them.
+//   - No port is handed out twice in one process. Ports that another socket uses on all addresses are skipped.
 //
 // The package is for tests only.
 package testaddr
@@ -24,23 +26,23 @@
 )
 
 const (
-	claimPort = 9999 // held by a process on the IP address that it claimed
+	claimPort = 9999 // a process listens on it to claim an IP address
 	firstPort = 10000
 	lastPort  = 29999
 
 	firstSecondOctet = 64
-	hostCount        = 64 << 16 // IP addresses from 127.64.0.0 to 127.127.255.255
+	hostCount        = 64 << 16 // number of IP addresses from 127.64.0.0 to 127.127.255.255
 	claimAttempts    = 1000
 )
 
-// errPortsExhausted is returned when a process has been handed every port.
-var errPortsExhausted = errors.New("testaddr: every port has been handed out")
+// errPortsExhausted is returned when a process has used all ports.
+var errPortsExhausted = errors.New("testaddr: all ports have been handed out")
 
-// processAllocator claims the IP address of this process at the first use.
+// processAllocator claims an IP address for this process at its first use.
 var processAllocator = sync.OnceValues(func() (*allocator, error) { return newAllocator(os.Getpid()) })
 
-// Address returns a loopback address, host:port, that nothing listens on, neither over TCP nor over UDP, and that no
-// other process takes. Each call returns another address. It ends the test if there is none.
+// Address returns a loopback address, host:port, that no other process takes and on which no socket listens over TCP
+// or UDP. Each call returns a different address. It fails the test if no address is available.
 func Address(tb testing.TB) string {
 	tb.Helper()
 	alloc, err := processAllocator()
@@ -54,16 +56,16 @@
 	return address
 }
 
-// allocator hands out the ports of one claimed IP address.
+// allocator allocates ports on one claimed IP address.
 type allocator struct {
 	host  string
-	claim net.Listener // holds the IP address; open until the process ends
+	claim net.Listener // claims the IP address; open until the process ends
 
 	mu       sync.Mutex
 	nextPort int
 }
 
-// newAllocator claims the IP address that belongs to a process id, or the first one after it that is not claimed.
+// newAllocator claims the IP address derived from a process ID or, if it is claimed already, the next unclaimed one.
 func newAllocator(pid int) (*allocator, error) {
 	for attempt := range claimAttempts {
 		host := hostAddress(pid + attempt)
@@ -72,19 +74,19 @@
 			return &allocator{host: host, claim: claim, nextPort: firstPort}, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			return nil, fmt.Errorf("testaddr: claiming %s: %w", host, err)
+			return nil, fmt.Errorf("testaddr: claim IP address %s: %w", host, err)
 		}
 	}
-	return nil, fmt.Errorf("testaddr: %d IP addresses from %s on are claimed", claimAttempts, hostAddress(pid))
+	return nil, fmt.Errorf("testaddr: all %d IP addresses from %s on are already claimed", claimAttempts, hostAddress(pid))
 }
 
-// hostAddress returns the number-th IP address of 127.64.0.0/10, starting over after the last one.
+// hostAddress returns the IP address with an index in 127.64.0.0/10. Indexes wrap around after the last address.
 func hostAddress(number int) string {
 	number %= hostCount
 	return net.IPv4(127, byte(firstSecondOctet+number>>16), byte(number>>8), byte(number)).String()
 }
 
-// next returns the address with the next port that can be listened on.
+// next returns the address with the next free port.
 func (a *allocator) next() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -98,7 +100,7 @@
 	return "", errPortsExhausted
 }
 
-// isFree reports whether an address can be listened on over TCP and UDP.
+// isFree reports whether a socket can listen on an address over TCP and another over UDP.
 func isFree(address string) bool {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -106,7 +108,7 @@
 	}
 	packets, err := net.ListenPacket("udp4", address)
 	if err != nil {
-		_ = listener.Close() // only probed
+		_ = listener.Close() // opened to probe the port only
 		return false
 	}
 	return errors.Join(listener.Close(), packets.Close()) == nil
--- a/internal/testaddr/testaddr_test.go
+++ b/internal/testaddr/testaddr_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// childVariable has the test program print its address and wait for the end of its input instead of running tests.
+// childVariable is an environment variable. If it is set, the test program prints its IP address and waits for the end
+// of its standard input instead of running tests.
 const childVariable = "PEPPERVALE_TESTADDR_CHILD"
 
 func TestMain(m *testing.M) {
@@ -22,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// runChild prints the IP address that the process claimed, and holds it until its standard input ends.
+// runChild prints the IP address that the process has claimed and keeps it claimed until standard input ends.
 func runChild() int {
 	alloc, err := processAllocator()
 	if err != nil {
@@ -46,7 +47,7 @@
 	for range 50 {
 		address := Address(t)
 		if seen[address] {
-			t.Fatalf("%s is handed out twice", address)
+			t.Fatalf("%s was handed out twice", address)
 		}
 		seen[address] = true
 		parsed, err := netip.ParseAddrPort(address)
@@ -82,7 +83,7 @@
 	}
 }
 
-// startChild starts another process that claims an IP address until the test ends, and returns that address.
+// startChild starts a process that keeps an IP address claimed until the test ends, and returns the address.
 func startChild(t *testing.T) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -103,7 +104,7 @@
 			t.Error(err)
 		}
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("the child process: %v", err)
+			t.Errorf("child process failed: %v", err)
 		}
 	})
 	var host strings.Builder
@@ -116,7 +117,7 @@
 		}
 	}
 	if !netip.MustParsePrefix("127.64.0.0/10").Contains(netip.MustParseAddr(host.String())) {
-		t.Errorf("the child process claimed %q", host.String())
+		t.Errorf("child process claimed %q, want an address in 127.64.0.0/10", host.String())
 	}
 	return host.String()
 }
@@ -131,7 +132,7 @@
 	})
 }
 
-// Two processes with the same id, in two PID namespaces, still get different IP addresses.
+// Two processes can have the same ID in two PID namespaces. They get different IP addresses nevertheless.
 func TestEqualProcessIDs(t *testing.T) {
 	const pid = 4242
 	first, err := newAllocator(pid)
@@ -145,7 +146,7 @@
 	}
 	closeAtEnd(t, second.claim)
 	if first.host == second.host {
-		t.Errorf("both claimed %s", first.host)
+		t.Errorf("both allocators claimed %s", first.host)
 	}
 }
 
@@ -169,7 +170,7 @@
 	}
 }
 
-// A port that another socket holds on all addresses, over TCP or UDP, is passed over.
+// A port that another socket uses over TCP or UDP is skipped.
 func TestPortsInUseArePassedOver(t *testing.T) {
 	alloc, err := newAllocator(os.Getpid())
 	if err != nil {
@@ -194,7 +195,7 @@
 	}
 	_, port, err := net.SplitHostPort(address)
 	if err != nil || port == tcpPort || port == udpPort {
-		t.Errorf("%s is handed out, %v", address, err)
+		t.Errorf("got %s, error %v; want an address with a free port", address, err)
 	}
 }
 
