--- a/examples/registry.hcl
+++ b/examples/registry.hcl
@@ -1,4 +1,4 @@
-# The endpoint registry. It reloads this file when it changes: for example, set draining = true or add an entry.
+# The endpoint registry. It rereads this file while it runs: for example, set draining = true or add an entry.
 registry {
   listen  = "127.0.0.1:7500"
   service = "recipe"
--- a/internal/benchmark/channel.go
+++ b/internal/benchmark/channel.go
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	defer source.server.Close()
-	bed.addListeners(proxies, source.server.Addr(), model.Second, ignore)
+	bed.addListeners(proxies, source.server.Addr(), model.Second, ignoreEvent)
 	defer bed.stopProxies()
 	updates, err := source.bindProxies(bed, proxies, entries)
 	if err != nil {
--- a/internal/benchmark/channel_test.go
+++ b/internal/benchmark/channel_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestStormAdmitsAllProxies(t *testing.T) {
+func TestConnectionStormWithoutRateLimitDefersNoProxy(t *testing.T) {
 	result, err := ConnectionStorm(20, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -49,13 +49,13 @@
 	case <-serving:
 		return nil
 	case <-time.After(startTimeout):
-		p.end(syscall.SIGKILL)
+		p.stop(syscall.SIGKILL)
 		return &TimeoutError{Condition: "the instance is serving"}
 	}
 }
 
-// end sends the process a signal that ends it, and waits for it to exit.
-func (p *instanceProcess) end(signal syscall.Signal) {
+// stop sends the process a signal that ends it, and waits for it to exit.
+func (p *instanceProcess) stop(signal syscall.Signal) {
 	if p.command == nil {
 		return
 	}
--- a/internal/benchmark/publisher.go
+++ b/internal/benchmark/publisher.go
@@ -22,23 +22,23 @@
 // publisher is a publish-subscribe server that admits every proxy and collects acknowledgements.
 type publisher struct {
 	server       *pubsub.Server
-	connected    func() // called for each proxy before it is admitted; nil: none
+	onConnected  func() // called for each proxy before it is admitted; nil: none
 	admitted     chan model.ProxyID
 	acknowledged chan uint32
 }
 
 // publisherSettings are the settings that differ between the experiments.
 type publisherSettings struct {
-	proxies   int
-	rate      float64 // limit in entries a second
-	limits    pubsub.Limits
-	admission admission.Limits
-	connected func()
+	proxies     int
+	rate        float64 // limit in entries a second
+	limits      pubsub.Limits
+	admission   admission.Limits
+	onConnected func()
 }
 
 func newPublisher(now func() model.Microseconds, settings publisherSettings) (*publisher, error) {
 	created := &publisher{
-		connected:    settings.connected,
+		onConnected:  settings.onConnected,
 		admitted:     make(chan model.ProxyID, settings.proxies),
 		acknowledged: make(chan uint32, 2*settings.proxies),
 	}
@@ -64,8 +64,8 @@
 // ProxyConnected admits the proxy on a separate goroutine, because the server handles the connection's next event only
 // after ProxyConnected returns.
 func (p *publisher) ProxyConnected(proxy model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
-	if p.connected != nil {
-		p.connected()
+	if p.onConnected != nil {
+		p.onConnected()
 	}
 	go func() {
 		p.server.AdmitProxy(proxy, stream)
--- a/internal/benchmark/reconnect.go
+++ b/internal/benchmark/reconnect.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	stormMessageRate = 1e9 // entries a second
+	stormEntryRate   = 1e9 // entries a second
 	stormBurst       = 50  // joins
 	stormJoinTimeout = 60 * time.Second
 )
@@ -37,11 +37,11 @@
 	defer bed.close()
 	joinSeconds := make(chan model.Microseconds, 10*proxies)
 	source, err := newPublisher(bed.now, publisherSettings{
-		proxies:   proxies,
-		rate:      stormMessageRate,
-		limits:    pubsub.Limits{Connections: 2 * proxies},
-		admission: admission.Limits{Rate: admissionRate, Burst: stormBurst, Jitter: 1, Seed: 1},
-		connected: func() { joinSeconds <- bed.now() / model.Second },
+		proxies:     proxies,
+		rate:        stormEntryRate,
+		limits:      pubsub.Limits{Connections: 2 * proxies},
+		admission:   admission.Limits{Rate: admissionRate, Burst: stormBurst, Jitter: 1, Seed: 1},
+		onConnected: func() { joinSeconds <- bed.now() / model.Second },
 	})
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 	defer source.server.Close()
 	started := time.Now()
 	cpuBefore := cpuTime()
-	bed.addListeners(proxies, source.server.Addr(), model.Second, ignore)
+	bed.addListeners(proxies, source.server.Addr(), model.Second, ignoreEvent)
 	defer bed.stopProxies()
 	if _, err := source.awaitProxies(proxies, stormJoinTimeout); err != nil {
 		return nil, err
@@ -70,13 +70,13 @@
 
 // maxDeferrals returns the maximum number of deferrals of a proxy.
 func (b *testbed) maxDeferrals() int {
-	most := 0
+	maximum := 0
 	b.loop.Do(func() {
 		for _, connected := range b.proxies {
-			most = max(most, connected.Deferred)
+			maximum = max(maximum, connected.Deferred)
 		}
 	})
-	return most
+	return maximum
 }
 
 // peakPerSecond drains the channel and returns the maximum number of joins within a second.
--- a/internal/benchmark/restart.go
+++ b/internal/benchmark/restart.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	defer bed.close()
-	if err := bed.addRegistry(ignore); err != nil {
+	if err := bed.addRegistry(ignoreEvent); err != nil {
 		return nil, err
 	}
 	restarted := &instanceProcess{program: program, configPath: filepath.Join(directory, "governor.hcl")}
@@ -71,7 +71,7 @@
 	if err := restarted.start(ctx); err != nil {
 		return nil, err
 	}
-	defer restarted.end(syscall.SIGKILL)
+	defer restarted.stop(syscall.SIGKILL)
 	streams := newStreamWatch()
 	bed.addListeners(proxies, address, redialInterval, streams.observe)
 	defer bed.stopProxies()
@@ -108,7 +108,7 @@
 const restartConfigFormat = `governor "g" {
   listen = %q
   state = "state"
-  farewell = "` + gracefulShutdown + `"
+  farewell = "` + gracefulShutdownPeriod + `"
 }
 zones = ["zone"]
 operation "recipe-read" {
@@ -146,7 +146,7 @@
 	var downtimes []time.Duration
 	for range rounds {
 		started := time.Now()
-		e.instance.end(e.mode.signal)
+		e.instance.stop(e.mode.signal)
 		if err := e.instance.start(ctx); err != nil {
 			return nil, err
 		}
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -83,7 +83,7 @@
 	if e.members, err = newTakeoverMembers(directory, e.bed.registry.Addr(), e.settings); err != nil {
 		return nil, err
 	}
-	defer e.endMembers()
+	defer e.stopMembers()
 	for _, member := range e.members {
 		if err := member.start(ctx); err != nil {
 			return nil, err
@@ -106,9 +106,9 @@
 	return nil
 }
 
-func (e *takeoverExperiment) endMembers() {
+func (e *takeoverExperiment) stopMembers() {
 	for k := len(e.members) - 1; k >= 0; k-- {
-		e.members[k].end(syscall.SIGKILL)
+		e.members[k].stop(syscall.SIGKILL)
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	for k := range takeoverMembers {
 		member := e.members[(zone+k)%takeoverMembers]
-		settings.Instances = append(settings.Instances, proxy.Instance{Name: member.name, Address: member.channel})
+		settings.Instances = append(settings.Instances, proxy.Instance{Name: member.name, Address: member.channelAddress})
 	}
 	return settings
 }
@@ -150,8 +150,8 @@
 		for k, connected := range e.bed.proxies {
 			instance := connected.JoinedInstance()
 			isBound := connected.Bound() && instance != ""
-			isHome := !e.settings.shared || instance == e.members[k%takeoverMembers].name
-			allBound = allBound && isBound && isHome
+			isAtOwnMember := !e.settings.shared || instance == e.members[k%takeoverMembers].name
+			allBound = allBound && isBound && isAtOwnMember
 		}
 	})
 	return allBound
@@ -163,12 +163,12 @@
 	}
 	var totals takeoverRound
 	for round := range e.settings.rounds {
-		moves, err := e.killAndRestart(ctx)
+		grants, err := e.killAndRestart(ctx)
 		if err != nil {
 			return nil, err
 		}
-		totals.takenOver += moves.takenOver
-		totals.returned += moves.returned
+		totals.takeoverGrants += grants.takeoverGrants
+		totals.returnGrants += grants.returnGrants
 		if e.settings.progress != nil && (round+1)%progressInterval == 0 {
 			printf(e.settings.progress, "%d of %d\n", round+1, e.settings.rounds)
 		}
@@ -178,8 +178,8 @@
 
 // takeoverRound counts the leases that are granted in a round.
 type takeoverRound struct {
-	takenOver float64 // from the kill until all proxies are bound again
-	returned  float64 // from the restart until the killed member holds its shards again
+	takeoverGrants float64 // from the kill until all proxies are bound again
+	returnGrants   float64 // from the restart until the killed member holds its shards again
 }
 
 // killAndRestart kills a member and waits until the other members have taken over its proxies. It then restarts the
@@ -192,8 +192,8 @@
 	survivor := e.members[(index+1)%takeoverMembers]
 	grantsBefore := survivor.grantsKnown(e.settings.shared)
 	e.watch.beginRound(killed.name, e.bed.now())
-	killed.end(syscall.SIGKILL)
-	if err := await(ctx, "all proxies of the killed instance bound again", e.watch.allOrphansBound); err != nil {
+	killed.stop(syscall.SIGKILL)
+	if err := await(ctx, "all proxies of the killed instance bound again", e.watch.allDisplacedBound); err != nil {
 		return takeoverRound{}, err
 	}
 	grantsAfterTakeover := survivor.grantsKnown(e.settings.shared)
@@ -205,8 +205,8 @@
 		return takeoverRound{}, err
 	}
 	return takeoverRound{
-		takenOver: float64(grantsAfterTakeover - grantsBefore),
-		returned:  float64(survivor.grantsKnown(e.settings.shared) - grantsAfterTakeover),
+		takeoverGrants: float64(grantsAfterTakeover - grantsBefore),
+		returnGrants:   float64(survivor.grantsKnown(e.settings.shared) - grantsAfterTakeover),
 	}, nil
 }
 
@@ -230,9 +230,9 @@
 		Proxies:        e.settings.proxies,
 		Rounds:         e.settings.rounds,
 		LeaseDuration:  e.settings.leaseDuration.Duration(),
-		ShardsMoved:    totals.takenOver / rounds,
+		ShardsMoved:    totals.takeoverGrants / rounds,
 		MinShardsMoved: takeoverShards,
-		ShardsReturned: totals.returned / rounds,
+		ShardsReturned: totals.returnGrants / rounds,
 	}
 	e.watch.summarize(result, e.bed.now())
 	return result
--- a/internal/benchmark/takeovermembers.go
+++ b/internal/benchmark/takeovermembers.go
@@ -19,11 +19,11 @@
 // takeoverMember is the process of an instance and its addresses.
 type takeoverMember struct {
 	instanceProcess
-	index   int
-	name    string
-	channel string // address
-	raft    string // address
-	gossip  string // address
+	index          int
+	name           string
+	channelAddress string
+	raftAddress    string
+	gossipAddress  string
 }
 
 // newTakeoverMembers creates the members, which are not running, and writes their configuration files.
@@ -34,14 +34,20 @@
 	}
 	var members []*takeoverMember
 	for k := range takeoverMembers {
-		own := addresses[k*addressesOfTakeoverMember:]
-		member := &takeoverMember{index: k, name: memberName(k), channel: own[0], raft: own[1], gossip: own[2]}
+		memberAddresses := addresses[k*addressesOfTakeoverMember:]
+		member := &takeoverMember{
+			index:          k,
+			name:           memberName(k),
+			channelAddress: memberAddresses[0],
+			raftAddress:    memberAddresses[1],
+			gossipAddress:  memberAddresses[2],
+		}
 		member.program = settings.program
 		member.configPath = filepath.Join(directory, member.name+".hcl")
 		members = append(members, member)
 	}
 	for _, member := range members {
-		text := fmt.Sprintf(takeoverConfigFormat, member.name, member.channel, member.name+".state",
+		text := fmt.Sprintf(takeoverConfigFormat, member.name, member.channelAddress, member.name+".state",
 			member.index+1, settings.proxies, registry)
 		if settings.shared {
 			text += member.clusterConfig(members, settings)
@@ -57,7 +63,7 @@
   listen = %q
   state = %q
   seed = %d
-  farewell = "` + gracefulShutdown + `"
+  farewell = "` + gracefulShutdownPeriod + `"
 }
 zones = ["zone-0", "zone-1", "zone-2"]
 operation "recipe-read" {
@@ -100,9 +106,9 @@
 func (m *takeoverMember) clusterConfig(members []*takeoverMember, settings takeoverSettings) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, takeoverClusterFormat,
-		m.raft, m.gossip, zoneName(m.index), takeoverShards, settings.leaseDuration.Duration())
+		m.raftAddress, m.gossipAddress, zoneName(m.index), takeoverShards, settings.leaseDuration.Duration())
 	for _, member := range members {
-		fmt.Fprintf(&text, takeoverMemberFormat, member.name, member.raft, member.gossip)
+		fmt.Fprintf(&text, takeoverMemberFormat, member.name, member.raftAddress, member.gossipAddress)
 	}
 	text.WriteString("}\n")
 	return text.String()
@@ -114,7 +120,7 @@
 	if !shared {
 		return 0
 	}
-	text, err := cluster.Request(m.raft, statusTimeout, "STATUS")
+	text, err := cluster.Request(m.raftAddress, statusTimeout, "STATUS")
 	if err != nil {
 		return 0
 	}
--- a/internal/benchmark/takeoverwatch.go
+++ b/internal/benchmark/takeoverwatch.go
@@ -11,17 +11,17 @@
 
 // takeoverWatch records when the proxies of a killed instance are served again. It is safe for concurrent use.
 type takeoverWatch struct {
-	mu           sync.Mutex
-	observations []invariants.Event
-	instances    map[string]string // by proxy
-	brokenOthers int               // streams to instances other than the killed one that broke
+	mu                 sync.Mutex
+	observations       []invariants.Event
+	instances          map[string]string // by proxy
+	otherStreamsBroken int               // streams to instances other than the killed one that broke
 
-	killed       string // name of the instance; "": no round is in progress
-	killedAt     model.Microseconds
-	orphans      map[string]bool // proxies of the killed instance; true: the proxy has applied another one's message
-	bound        map[string]bool // displaced proxies that are bound again
-	firstMessage []model.Microseconds
-	firstBound   []model.Microseconds
+	killed            string // name of the instance; "": no round is in progress
+	killedAt          model.Microseconds
+	displaced         map[string]bool // proxies of the killed instance; true: the proxy has applied another one's message
+	bound             map[string]bool // displaced proxies that are bound again
+	firstMessageTimes []model.Microseconds
+	firstBindTimes    []model.Microseconds
 }
 
 func newTakeoverWatch() *takeoverWatch {
@@ -39,7 +39,7 @@
 	if event.Up {
 		w.instances[event.Proxy] = event.Instance
 	} else if w.killed != "" && event.Instance != w.killed {
-		w.brokenOthers++
+		w.otherStreamsBroken++
 	}
 }
 
@@ -49,17 +49,17 @@
 ) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	hadMessage, isOrphan := w.orphans[proxy]
-	if !isOrphan || instance == w.killed {
+	hadMessage, isDisplaced := w.displaced[proxy]
+	if !isDisplaced || instance == w.killed {
 		return
 	}
 	if !hadMessage {
-		w.orphans[proxy] = true
-		w.firstMessage = append(w.firstMessage, now-w.killedAt)
+		w.displaced[proxy] = true
+		w.firstMessageTimes = append(w.firstMessageTimes, now-w.killedAt)
 	}
 	if message.Bound && !w.bound[proxy] {
 		w.bound[proxy] = true
-		w.firstBound = append(w.firstBound, now-w.killedAt)
+		w.firstBindTimes = append(w.firstBindTimes, now-w.killedAt)
 	}
 }
 
@@ -69,19 +69,19 @@
 	defer w.mu.Unlock()
 	w.killed = killed
 	w.killedAt = now
-	w.orphans = map[string]bool{}
+	w.displaced = map[string]bool{}
 	w.bound = map[string]bool{}
 	for proxy, instance := range w.instances {
 		if instance == killed {
-			w.orphans[proxy] = false
+			w.displaced[proxy] = false
 		}
 	}
 }
 
-func (w *takeoverWatch) allOrphansBound() bool {
+func (w *takeoverWatch) allDisplacedBound() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.bound) == len(w.orphans)
+	return len(w.bound) == len(w.displaced)
 }
 
 // endRound ends the round. It is called before the killed instance is restarted.
@@ -89,7 +89,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killed = ""
-	w.orphans = nil
+	w.displaced = nil
 }
 
 // proxiesOf returns the number of an instance's proxies.
@@ -109,14 +109,14 @@
 func (w *takeoverWatch) summarize(result *TakeoverResult, end model.Microseconds) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	slices.Sort(w.firstMessage)
-	slices.Sort(w.firstBound)
-	result.Median = quantile(w.firstMessage, 0.5)
-	result.P99 = quantile(w.firstMessage, 0.99)
-	result.Worst = quantile(w.firstMessage, 1)
-	result.BoundMedian = quantile(w.firstBound, 0.5)
-	result.BoundWorst = quantile(w.firstBound, 1)
-	result.OtherStreamsBroken = w.brokenOthers
+	slices.Sort(w.firstMessageTimes)
+	slices.Sort(w.firstBindTimes)
+	result.Median = quantile(w.firstMessageTimes, 0.5)
+	result.P99 = quantile(w.firstMessageTimes, 0.99)
+	result.Worst = quantile(w.firstMessageTimes, 1)
+	result.BoundMedian = quantile(w.firstBindTimes, 0.5)
+	result.BoundWorst = quantile(w.firstBindTimes, 1)
+	result.OtherStreamsBroken = w.otherStreamsBroken
 	for _, verdict := range invariants.Check(w.observations, takeoverInvariants(), end) {
 		result.Violations = append(result.Violations, verdict.Violations...)
 	}
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -18,13 +18,13 @@
 
 const (
 	// awaitTimeout exceeds the duration of every awaited step, also on a slow machine.
-	awaitTimeout      = 60 * time.Second
-	awaitPollInterval = 5 * time.Millisecond
-	serviceName       = "recipe"
-	loopbackAnyPort   = "127.0.0.1:0"
-	redialInterval    = 150 * model.Millisecond
-	gracefulShutdown  = "500ms"
-	instanceCommand   = "governor" // the subcommand that runs an instance
+	awaitTimeout           = 60 * time.Second
+	awaitPollInterval      = 5 * time.Millisecond
+	serviceName            = "recipe"
+	loopbackAnyPort        = "127.0.0.1:0"
+	redialInterval         = 150 * model.Millisecond
+	gracefulShutdownPeriod = "500ms"
+	instanceCommand        = "governor" // the subcommand that runs an instance
 )
 
 // testbed holds the stand-ins of an experiment. close stops all of them.
@@ -101,8 +101,8 @@
 
 func listenerName(index int) string { return fmt.Sprint("listener-", index) }
 
-// ignore ignores a stand-in's observation.
-func ignore(invariants.Event) {}
+// ignoreEvent ignores a stand-in's observation.
+func ignoreEvent(invariants.Event) {}
 
 func replicaID(index int) model.ReplicaID {
 	return model.ReplicaID{Addr: [4]byte{10, 1, byte(index / 200), byte(index%200 + 1)}, Port: 8080}
@@ -119,9 +119,9 @@
 
 // await polls until a condition holds. It returns a TimeoutError that names the condition if the timeout elapses or the
 // context is canceled first.
-func await(ctx context.Context, condition string, holds func() bool) error {
+func await(ctx context.Context, condition string, isTrue func() bool) error {
 	deadline := time.Now().Add(awaitTimeout)
-	for !holds() {
+	for !isTrue() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return &TimeoutError{Condition: condition}
 		}
--- a/internal/benchmark/testbed_test.go
+++ b/internal/benchmark/testbed_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestAWaitInVainNamesItsCondition(t *testing.T) {
+func TestAwaitNamesItsConditionWhenContextIsCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	err := await(ctx, "nothing", func() bool { return false })
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestQuantiles(t *testing.T) {
+func TestQuantileAndMedianReturnExactRanks(t *testing.T) {
 	var values []model.Microseconds
 	var durations []time.Duration
 	for k := 100; k >= 0; k-- {
--- a/internal/benchmark/watch_test.go
+++ b/internal/benchmark/watch_test.go
@@ -17,7 +17,7 @@
 	return invariants.StreamChanged{At: at, Proxy: proxy, Instance: instance}
 }
 
-func TestStreamWatchMeasuresTheGapsBetweenStreams(t *testing.T) {
+func TestStreamWatchMeasuresGapsBetweenStreams(t *testing.T) {
 	watch := newStreamWatch()
 	for _, event := range []invariants.StreamChanged{
 		lost(1, "never connected", "a"),
@@ -38,12 +38,12 @@
 	}
 }
 
-func TestTakeoverWatchMeasuresTheOrphansOnly(t *testing.T) {
+func TestTakeoverWatchMeasuresOnlyProxiesOfTheKilledInstance(t *testing.T) {
 	watch := newTakeoverWatch()
 	watch.observe(opened(1, "displaced", "killed"))
 	watch.observe(opened(1, "other", "survivor"))
 	watch.beginRound("killed", 100)
-	if watch.allOrphansBound() {
+	if watch.allDisplacedBound() {
 		t.Error("the displaced proxy counts as bound before it has applied any message")
 	}
 	bind := &pubsubmsg.Message{Bound: true}
@@ -54,21 +54,21 @@
 	watch.messageApplied(130, "displaced", "survivor", &pubsubmsg.Message{})
 	watch.messageApplied(150, "displaced", "survivor", bind)
 	watch.messageApplied(170, "displaced", "survivor", bind)
-	if !watch.allOrphansBound() {
+	if !watch.allDisplacedBound() {
 		t.Error("the displaced proxy does not count as bound after a message that binds it")
 	}
-	if !slices.Equal(watch.firstMessage, []model.Microseconds{30}) {
-		t.Errorf("first messages applied after %v, want one after 30", watch.firstMessage)
+	if !slices.Equal(watch.firstMessageTimes, []model.Microseconds{30}) {
+		t.Errorf("first messages applied after %v, want one after 30", watch.firstMessageTimes)
 	}
-	if !slices.Equal(watch.firstBound, []model.Microseconds{50}) {
-		t.Errorf("proxies bound after %v, want one after 50", watch.firstBound)
+	if !slices.Equal(watch.firstBindTimes, []model.Microseconds{50}) {
+		t.Errorf("proxies bound after %v, want one after 50", watch.firstBindTimes)
 	}
-	if watch.brokenOthers != 1 {
-		t.Errorf("%d broken streams to other instances, want 1", watch.brokenOthers)
+	if watch.otherStreamsBroken != 1 {
+		t.Errorf("%d broken streams to other instances, want 1", watch.otherStreamsBroken)
 	}
 	watch.endRound()
 	watch.observe(lost(200, "other", "survivor"))
-	if watch.brokenOthers != 1 {
+	if watch.otherStreamsBroken != 1 {
 		t.Error("a stream that breaks between two rounds is counted")
 	}
 	if count := watch.proxiesOf("survivor"); count != 1 {
--- a/internal/standin/loop.go
+++ b/internal/standin/loop.go
@@ -13,7 +13,7 @@
 	now        func() model.Microseconds
 	wake       chan struct{}
 	stop       chan struct{}
-	ended      chan struct{}
+	stopped    chan struct{}
 	timers     timerQueue // used on the loop's goroutine only
 	timerCount uint64     // timers created so far; it orders timers that are due at the same time
 
@@ -24,10 +24,10 @@
 // NewLoop starts a loop whose timers use the clock now.
 func NewLoop(now func() model.Microseconds) *Loop {
 	l := &Loop{
-		now:   now,
-		wake:  make(chan struct{}, 1),
-		stop:  make(chan struct{}),
-		ended: make(chan struct{}),
+		now:     now,
+		wake:    make(chan struct{}, 1),
+		stop:    make(chan struct{}),
+		stopped: make(chan struct{}),
 	}
 	go l.run()
 	return l
@@ -57,7 +57,7 @@
 	})
 	select {
 	case <-ready:
-	case <-l.ended:
+	case <-l.stopped:
 	}
 }
 
@@ -91,11 +91,11 @@
 // Stop ends the loop and waits for it. Actions that are due or posted later do not run.
 func (l *Loop) Stop() {
 	close(l.stop)
-	<-l.ended
+	<-l.stopped
 }
 
 func (l *Loop) run() {
-	defer close(l.ended)
+	defer close(l.stopped)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
@@ -158,8 +158,8 @@
 
 // Pop implements heap.Interface.
 func (q *timerQueue) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	*q = old[:len(old)-1]
+	queue := *q
+	last := queue[len(queue)-1]
+	*q = queue[:len(queue)-1]
 	return last
 }
--- a/internal/standin/proxy/connection.go
+++ b/internal/standin/proxy/connection.go
@@ -15,32 +15,32 @@
 
 // connection is a connection to a replica; it carries one attempt at a time.
 type connection struct {
-	proxy     *Proxy
-	run       int // the proxy's at the time of the dial
-	replica   *replicaState
-	conn      *nbio.Conn
-	parser    *http1.Parser
-	attempt   *attempt
-	isClosed  bool
-	idleSince model.Microseconds
+	proxy      *Proxy
+	generation int // the proxy's at the time of the dial
+	replica    *replicaState
+	conn       *nbio.Conn
+	parser     *http1.Parser
+	attempt    *attempt
+	isClosed   bool
+	idleSince  model.Microseconds
 }
 
-// connect sends an attempt over an idle connection, or dials a new one.
-func (p *Proxy) connect(a *attempt) {
-	if c := p.takeIdle(a.replica); c != nil {
+// connectAttempt sends an attempt over an idle connection, or dials a new one.
+func (p *Proxy) connectAttempt(a *attempt) {
+	if c := p.popIdleConnection(a.replica); c != nil {
 		a.sendOver(c)
 		return
 	}
-	c := &connection{proxy: p, replica: a.replica, run: p.run, parser: http1.NewParser(true, http1.Limits{})}
+	c := &connection{proxy: p, replica: a.replica, generation: p.generation, parser: http1.NewParser(true, http1.Limits{})}
 	address := pubsubmsg.FormatAddress(a.replica.id)
 	netpoll.Dial(p.engine, address, p.dialTimeout().Duration(), c, func(conn *nbio.Conn, err error) {
-		p.loop.Post(func() { c.dialed(a, conn, err) })
+		p.loop.Post(func() { c.onDialed(a, conn, err) })
 	})
 }
 
-// takeIdle returns the most recently used idle connection to a replica, or nil. It closes connections that were idle
-// for longer than IdleTimeout.
-func (p *Proxy) takeIdle(r *replicaState) *connection {
+// popIdleConnection returns the most recently used idle connection to a replica, or nil. It closes connections that
+// were idle for longer than IdleTimeout.
+func (p *Proxy) popIdleConnection(r *replicaState) *connection {
 	for len(r.idle) > 0 {
 		last := len(r.idle) - 1
 		c := r.idle[last]
@@ -49,22 +49,22 @@
 		if !c.isClosed && !expired {
 			return c
 		}
-		c.drop()
+		c.close()
 	}
 	return nil
 }
 
-// dialed handles the result of a dial for an attempt.
-func (c *connection) dialed(a *attempt, conn *nbio.Conn, err error) {
+// onDialed handles the result of a dial for an attempt.
+func (c *connection) onDialed(a *attempt, conn *nbio.Conn, err error) {
 	if err != nil {
-		a.end(invariants.ConnectFailed, nil)
+		a.finish(invariants.ConnectFailed, nil)
 		return
 	}
 	c.conn = conn
 	switch {
-	case c.run != c.proxy.run:
-		c.drop()
-	case a.ended: // it timed out while dialing: a later attempt uses the connection
+	case c.generation != c.proxy.generation:
+		c.close()
+	case a.isFinished: // it timed out while dialing: a later attempt uses the connection
 		c.keepIdle()
 	default:
 		a.sendOver(c)
@@ -80,7 +80,7 @@
 	c.replica.idle = append(c.replica.idle, c)
 }
 
-func (c *connection) drop() {
+func (c *connection) close() {
 	if c.isClosed {
 		return
 	}
@@ -90,53 +90,53 @@
 	}
 }
 
-// dropIdle closes the idle connections to a replica.
-func (r *replicaState) dropIdle() {
+// closeIdle closes the idle connections to a replica.
+func (r *replicaState) closeIdle() {
 	for _, c := range r.idle {
-		c.drop()
+		c.close()
 	}
 	r.idle = nil
 }
 
-// received is called on the poller's goroutine.
-func (c *connection) received(data []byte) {
+// onData is called on the poller's goroutine.
+func (c *connection) onData(data []byte) {
 	c.proxy.loop.Post(func() {
-		if c.isClosed || c.run != c.proxy.run {
+		if c.isClosed || c.generation != c.proxy.generation {
 			return
 		}
-		c.proxy.whenRunning(func() { c.read(data) })
+		c.proxy.whenRunning(func() { c.parse(data) })
 	})
 }
 
-// closed is called on the poller's goroutine.
-func (c *connection) closed() {
+// onClose is called on the poller's goroutine.
+func (c *connection) onClose() {
 	c.proxy.loop.Post(func() {
 		c.isClosed = true
-		if a := c.attempt; a != nil && c.run == c.proxy.run {
-			a.end(invariants.ConnectionLost, nil)
+		if a := c.attempt; a != nil && c.generation == c.proxy.generation {
+			a.finish(invariants.ConnectionLost, nil)
 		}
 	})
 }
 
-func (c *connection) read(data []byte) {
+func (c *connection) parse(data []byte) {
 	err := c.parser.Feed(data, func(response *http1.Message) error {
-		c.answered(response)
+		c.handleResponse(response)
 		return nil
 	})
 	if err != nil {
-		c.drop()
+		c.close()
 	}
 }
 
-// answered ends the connection's attempt with the response.
-func (c *connection) answered(response *http1.Message) {
+// handleResponse ends the connection's attempt with the response.
+func (c *connection) handleResponse(response *http1.Message) {
 	a := c.attempt
 	if a == nil {
 		return
 	}
-	a.end(outcomeOf(response), response)
+	a.finish(outcomeOf(response), response)
 	if response.Close {
-		c.drop()
+		c.close()
 	} else {
 		c.keepIdle()
 	}
--- a/internal/standin/proxy/messages.go
+++ b/internal/standin/proxy/messages.go
@@ -20,16 +20,16 @@
 	afterGap
 )
 
-// order compares a message with the newest applied message of the same instance.
-func (s *stream) order(m *pubsubmsg.Message) messageOrder {
-	held := s.proxy.versions[s.instance.Name]
-	sameRun := m.Incarnation == held.incarnation
+// compareVersion compares a message with the newest applied message of the same instance.
+func (s *stream) compareVersion(m *pubsubmsg.Message) messageOrder {
+	applied := s.proxy.appliedVersions[s.instance.Name]
+	sameIncarnation := m.Incarnation == applied.incarnation
 	switch {
-	case m.Full && (!sameRun || m.Version >= held.version || !s.proxy.table.bound):
+	case m.Full && (!sameIncarnation || m.Version >= applied.version || !s.proxy.table.bound):
 		return inOrder
-	case sameRun && m.Version <= held.version:
+	case sameIncarnation && m.Version <= applied.version:
 		return outdated
-	case !sameRun || m.PreviousVersion != held.version:
+	case !sameIncarnation || m.PreviousVersion != applied.version:
 		return afterGap
 	}
 	return inOrder
@@ -42,7 +42,7 @@
 		s.reportFenced(m)
 		return
 	}
-	switch s.order(m) {
+	switch s.compareVersion(m) {
 	case outdated:
 		s.acknowledge(m)
 	case afterGap:
@@ -56,8 +56,8 @@
 	p := s.proxy
 	p.Messages++
 	p.EntriesReceived += m.Cost
-	p.versions[s.instance.Name] = heldVersion{m.Incarnation, m.Version}
-	p.apply(m)
+	p.appliedVersions[s.instance.Name] = appliedVersion{m.Incarnation, m.Version}
+	p.applyToTable(m)
 	if p.OnMessage != nil {
 		p.OnMessage(p, s.instance.Name, m)
 	}
@@ -70,8 +70,9 @@
 // reportFenced notifies an instance that its message was not applied because the proxy has seen a newer epoch.
 func (s *stream) reportFenced(m *pubsubmsg.Message) {
 	s.proxy.Fenced++
-	number := func(n uint64) string { return strconv.FormatUint(n, 10) }
-	_, _ = s.conn.Write(resp.AppendCommand(nil, "FENCED", number(m.Epoch), number(m.Incarnation), number(m.Version)))
+	formatNumber := func(n uint64) string { return strconv.FormatUint(n, 10) }
+	_, _ = s.conn.Write(resp.AppendCommand(nil, "FENCED",
+		formatNumber(m.Epoch), formatNumber(m.Incarnation), formatNumber(m.Version)))
 }
 
 // resync requests a snapshot, unless one was requested within the last resyncInterval.
@@ -86,7 +87,7 @@
 }
 
 func (s *stream) acknowledge(m *pubsubmsg.Message) {
-	if s.proxy.Misbehavior.NeverAcks || m.AckSequence < 0 || s.ended {
+	if s.proxy.Misbehavior.NeverAcks || m.AckSequence < 0 || s.isClosed {
 		return
 	}
 	_, _ = s.conn.Write(pubsubmsg.AppendAck(nil, pubsubmsg.Ack{
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -54,7 +54,7 @@
 type Misbehavior struct {
 	NeverAcks          bool
 	IgnoresWithdrawals bool // keeps sending to replicas that are withdrawn or removed from its table
-	RetriesAnything    bool // retries after any failure, whatever its retry policy
+	RetriesAnything    bool // retries after any failure, regardless of the retry policy
 }
 
 // Proxy is a proxy that can be started and killed. Its fields and methods may be used on its loop only.
@@ -69,27 +69,27 @@
 	// another instance. Fenced counts messages that were not applied because their sender had lost its lease.
 	Messages, Bytes, EntriesReceived, Resyncs, Joins, Deferred, Redirected, Fenced int
 
-	loop    *standin.Loop
-	engine  *netpoll.Engine
-	random  *standin.Random
-	observe func(invariants.Event)
-	running bool
-	run     int // incremented at each start and kill, so that events of an earlier run are recognized and ignored
-	stall   stall
+	loop       *standin.Loop
+	engine     *netpoll.Engine
+	random     *standin.Random
+	observe    func(invariants.Event)
+	running    bool
+	generation int // incremented at each start and kill; events of an earlier generation are ignored
+	stall      stall
 
 	table    table
 	replicas map[model.ReplicaID]*replicaState
 
-	stream       *stream
-	nextInstance int                    // index of the instance to dial next
-	versions     map[string]heldVersion // version of the newest applied message, by the instance's name
-	fence        lease.Fence
+	stream          *stream
+	nextInstance    int                       // index of the instance to dial next
+	appliedVersions map[string]appliedVersion // version of the newest applied message, by the instance's name
+	fence           lease.Fence
 	// awaitsNewHolder is set while the shard's lease holder has changed and the new holder has sent no updates yet.
 	awaitsNewHolder bool
 }
 
-// heldVersion identifies the newest applied message of an instance.
-type heldVersion struct{ incarnation, version uint64 }
+// appliedVersion identifies the newest applied message of an instance.
+type appliedVersion struct{ incarnation, version uint64 }
 
 // New creates a proxy that is not running. engine is made by NewEngine. The seed and the proxy's name determine its
 // random draws. observe is called on the loop.
@@ -106,26 +106,26 @@
 	}
 }
 
-// session receives a connection's events on the engine's goroutines and posts them to the loop.
-type session interface {
-	received(data []byte)
-	closed()
+// connectionEvents receives a connection's events on the engine's goroutines and posts them to the loop.
+type connectionEvents interface {
+	onData(data []byte)
+	onClose()
 }
 
-// enginePollers is the number of pollers that the proxies of a process share.
-const enginePollers = 2
+// pollersPerEngine is the number of pollers of an engine.
+const pollersPerEngine = 2
 
 // NewEngine starts a poller engine, which any number of proxies can share.
 func NewEngine() (*netpoll.Engine, error) {
-	return netpoll.Start(enginePollers, netpoll.Handlers{
+	return netpoll.Start(pollersPerEngine, netpoll.Handlers{
 		Data: func(conn *nbio.Conn, data []byte) {
-			if s, ok := conn.Session().(session); ok {
-				s.received(append([]byte(nil), data...))
+			if s, ok := conn.Session().(connectionEvents); ok {
+				s.onData(append([]byte(nil), data...))
 			}
 		},
 		Close: func(conn *nbio.Conn, _ error) {
-			if s, ok := conn.Session().(session); ok {
-				s.closed()
+			if s, ok := conn.Session().(connectionEvents); ok {
+				s.onClose()
 			}
 		},
 	})
@@ -137,12 +137,12 @@
 	if p.running {
 		return
 	}
-	p.run++
+	p.generation++
 	p.running = true
 	p.stall = stall{}
 	p.table = newTable(standing)
 	p.replicas = map[model.ReplicaID]*replicaState{}
-	p.versions = map[string]heldVersion{}
+	p.appliedVersions = map[string]appliedVersion{}
 	p.nextInstance = 0
 	p.fence = lease.Fence{}
 	p.awaitsNewHolder = false
@@ -156,13 +156,13 @@
 		return
 	}
 	p.running = false
-	p.run++
+	p.generation++
 	p.observe(invariants.ProxyStopped{At: p.loop.Now(), Proxy: p.Name})
 	if p.stream != nil {
-		p.stream.end()
+		p.stream.close()
 	}
 	for _, r := range p.replicas {
-		r.dropIdle()
+		r.closeIdle()
 	}
 }
 
@@ -190,23 +190,23 @@
 		}
 		pending := p.stall.pending
 		p.stall.pending = nil
-		for _, do := range pending {
-			do()
+		for _, action := range pending {
+			action()
 		}
 	})
 }
 
 // whenRunning runs an action now or, if the proxy is stalled, after the stall. It drops the action if the proxy is
 // killed during the stall.
-func (p *Proxy) whenRunning(do func()) {
+func (p *Proxy) whenRunning(action func()) {
 	if p.stall.until <= p.loop.Now() {
-		do()
+		action()
 		return
 	}
-	run := p.run
+	generation := p.generation
 	p.stall.pending = append(p.stall.pending, func() {
-		if p.run == run {
-			do()
+		if p.generation == generation {
+			action()
 		}
 	})
 }
--- a/internal/standin/proxy/report.go
+++ b/internal/standin/proxy/report.go
@@ -13,39 +13,39 @@
 // replicaReport counts a proxy's attempts at a replica since its last load report.
 type replicaReport struct {
 	attempts, errors int
-	latency          float64 // total latency of the successful attempts, in microseconds
+	totalLatency     float64 // of the successful attempts, in microseconds
 	readings         []float64
 }
 
 // minReportPeriod is the minimum time between two reports, also if an instance announces a shorter period.
 const minReportPeriod = 10 * model.Millisecond
 
-// report sends the load reports of a period and schedules the next ones.
-func (s *stream) report() {
+// reportPeriodically sends the load reports of a period and schedules the next ones.
+func (s *stream) reportPeriodically() {
 	p := s.proxy
-	if s.ended || s.run != p.run {
+	if s.isClosed || s.generation != p.generation {
 		return
 	}
-	p.loop.After(max(s.period, minReportPeriod), s.report)
+	p.loop.After(max(s.reportPeriod, minReportPeriod), s.reportPeriodically)
 	p.whenRunning(s.sendReports)
 }
 
 func (s *stream) sendReports() {
 	p := s.proxy
-	if s.ended || p.OmitLoadReports {
+	if s.isClosed || p.OmitLoadReports {
 		return
 	}
-	s.reports++
-	b := pubsubmsg.AppendLoadReports(nil, pubsubmsg.LoadReports{
-		Sequence: s.reports,
-		Window:   s.period,
+	s.reportSequence++
+	command := pubsubmsg.AppendLoadReports(nil, pubsubmsg.LoadReports{
+		Sequence: s.reportSequence,
+		Window:   s.reportPeriod,
 		Reports:  p.takeReports(),
 	})
 	if p.ReportDelay > 0 {
-		p.loop.After(p.ReportDelay, func() { _, _ = s.conn.Write(b) })
+		p.loop.After(p.ReportDelay, func() { _, _ = s.conn.Write(command) })
 		return
 	}
-	_, _ = s.conn.Write(b)
+	_, _ = s.conn.Write(command)
 }
 
 // takeReports returns the load reports since the last call, sorted by the replicas' addresses.
@@ -58,8 +58,8 @@
 		}
 		r.report = replicaReport{}
 		report := model.LoadReport{Replica: r.id, Attempts: counts.attempts, Errors: counts.errors, Readings: counts.readings}
-		if good := counts.attempts - counts.errors; good > 0 {
-			report.MeanLatency = model.Microseconds(counts.latency / float64(good))
+		if successes := counts.attempts - counts.errors; successes > 0 {
+			report.MeanLatency = model.Microseconds(counts.totalLatency / float64(successes))
 		}
 		reports = append(reports, report)
 	}
@@ -75,7 +75,7 @@
 	p, replica := a.request.proxy, a.replica
 	replica.report.attempts++
 	if outcome == invariants.Succeeded {
-		replica.report.latency += float64(now - a.startedAt)
+		replica.report.totalLatency += float64(now - a.startedAt)
 		replica.failures = 0
 	} else {
 		replica.report.errors++
--- a/internal/standin/proxy/request.go
+++ b/internal/standin/proxy/request.go
@@ -32,17 +32,17 @@
 // request is a client's request while the proxy handles it.
 type request struct {
 	*Request
-	proxy        *Proxy
-	run          int // the proxy's when the request started
-	startedAt    model.Microseconds
-	timeout      *standin.Timer
-	attempts     int
-	pending      int // attempts in progress
-	retries      int // retries that are still allowed
-	policy       model.RetryPolicy
-	epoch        uint64 // of the lease holder when the request started
-	ended        bool
-	requirements Operation
+	proxy       *Proxy
+	generation  int // the proxy's when the request started
+	startedAt   model.Microseconds
+	timeout     *standin.Timer
+	attempts    int
+	pending     int // attempts in progress
+	retriesLeft int // retries that are still allowed
+	policy      model.RetryPolicy
+	epoch       uint64 // of the lease holder when the request started
+	isFinished  bool
+	timeLimits  Operation
 }
 
 // attempt is one attempt at a request.
@@ -52,14 +52,16 @@
 	replica    *replicaState
 	startedAt  model.Microseconds
 	timeout    *standin.Timer
-	ended      bool
+	isFinished bool
 	connection *connection
 }
 
 // HandleRequest accepts a client's request. The request's Done is called once, on the loop.
-func (p *Proxy) HandleRequest(submitted *Request) { p.whenRunning(func() { p.start(submitted) }) }
+func (p *Proxy) HandleRequest(submitted *Request) {
+	p.whenRunning(func() { p.startRequest(submitted) })
+}
 
-func (p *Proxy) start(submitted *Request) {
+func (p *Proxy) startRequest(submitted *Request) {
 	if !p.running {
 		submitted.Done(Failed, 0)
 		return
@@ -69,23 +71,23 @@
 		submitted.Done(RateLimited, 0)
 		return
 	}
-	replica := p.pick(model.ReplicaID{})
+	replica := p.pickReplica(model.ReplicaID{})
 	if replica == nil {
 		submitted.Done(RateLimited, 0)
 		return
 	}
 	r := &request{
-		Request:      submitted,
-		proxy:        p,
-		run:          p.run,
-		startedAt:    p.loop.Now(),
-		retries:      maxRetries(policy),
-		policy:       policy,
-		epoch:        p.fence.Epoch,
-		requirements: p.Operations[submitted.Operation],
-	}
-	r.timeout = p.loop.After(r.requirements.Timeout, func() { r.finish(Failed) })
-	r.send(replica)
+		Request:     submitted,
+		proxy:       p,
+		generation:  p.generation,
+		startedAt:   p.loop.Now(),
+		retriesLeft: maxRetries(policy),
+		policy:      policy,
+		epoch:       p.fence.Epoch,
+		timeLimits:  p.Operations[submitted.Operation],
+	}
+	r.timeout = p.loop.After(r.timeLimits.Timeout, func() { r.finish(Failed) })
+	r.sendTo(replica)
 }
 
 // maxRetries returns how many attempts may follow the first one.
@@ -102,33 +104,33 @@
 }
 
 func (r *request) finish(result Result) {
-	if r.ended {
+	if r.isFinished {
 		return
 	}
-	r.ended = true
+	r.isFinished = true
 	r.timeout.Cancel()
 	r.Done(result, r.proxy.loop.Now()-r.startedAt)
 }
 
 // timeLeft returns the remaining part of the operation's timeout.
 func (r *request) timeLeft(now model.Microseconds) model.Microseconds {
-	return r.requirements.Timeout - (now - r.startedAt)
+	return r.timeLimits.Timeout - (now - r.startedAt)
 }
 
-// send starts an attempt at a replica. An attempt that may be retried after a timeout has a shorter timeout than the
+// sendTo starts an attempt at a replica. An attempt that may be retried after a timeout has a shorter timeout than the
 // request.
-func (r *request) send(replica *replicaState) {
+func (r *request) sendTo(replica *replicaState) {
 	p := r.proxy
 	r.attempts++
 	r.pending++
 	replica.inFlight++
 	a := &attempt{request: r, number: r.attempts, replica: replica, startedAt: p.loop.Now()}
 	wait := r.timeLeft(a.startedAt)
-	if r.retries > 0 && r.policy >= model.RetryOnAnyFailure {
-		wait = min(wait, model.Microseconds(p.FirstAttemptShare*float64(r.requirements.LatencyObjective)))
+	if r.retriesLeft > 0 && r.policy >= model.RetryOnAnyFailure {
+		wait = min(wait, model.Microseconds(p.FirstAttemptShare*float64(r.timeLimits.LatencyObjective)))
 	}
-	a.timeout = p.loop.After(max(wait, 0), func() { a.end(invariants.TimedOut, nil) })
-	p.connect(a)
+	a.timeout = p.loop.After(max(wait, 0), func() { a.finish(invariants.TimedOut, nil) })
+	p.connectAttempt(a)
 }
 
 // sendOver writes the attempt's request to a connection.
@@ -153,18 +155,18 @@
 		"Work-Us", strconv.FormatFloat(req.Work, 'f', 0, 64)))
 }
 
-// end ends an attempt. It then ends the request, or starts a retry if the retry policy allows one.
-func (a *attempt) end(outcome invariants.Outcome, response *http1.Message) {
-	if a.ended {
+// finish ends an attempt. It then ends the request, or starts a retry if the retry policy allows one.
+func (a *attempt) finish(outcome invariants.Outcome, response *http1.Message) {
+	if a.isFinished {
 		return
 	}
-	a.ended = true
+	a.isFinished = true
 	req := a.request
 	now := req.proxy.loop.Now()
 	a.timeout.Cancel()
 	a.replica.inFlight--
 	req.pending--
-	if req.run != req.proxy.run {
+	if req.generation != req.proxy.generation {
 		req.finish(Failed)
 		return
 	}
@@ -201,7 +203,7 @@
 	})
 	a.connection.attempt = nil
 	if outcome == invariants.TimedOut {
-		a.connection.drop() // HTTP/1.1 has no other way to cancel a request
+		a.connection.close() // HTTP/1.1 has no other way to cancel a request
 	}
 }
 
@@ -214,15 +216,15 @@
 		r.policy = min(r.policy, model.RetryIfNotExecuted)
 	}
 	allowed := outcome.NotExecuted() || r.policy >= model.RetryOnAnyFailure
-	enoughTime := r.timeLeft(now) > r.requirements.LatencyObjective/minRetryTimeDivisor
-	if r.retries <= 0 || r.ended || !allowed || !enoughTime {
+	enoughTime := r.timeLeft(now) > r.timeLimits.LatencyObjective/minRetryTimeDivisor
+	if r.retriesLeft <= 0 || r.isFinished || !allowed || !enoughTime {
 		return false
 	}
-	next := r.proxy.pick(failed.replica.id)
+	next := r.proxy.pickReplica(failed.replica.id)
 	if next == nil {
 		return false
 	}
-	r.retries--
-	r.send(next)
+	r.retriesLeft--
+	r.sendTo(next)
 	return true
 }
--- a/internal/standin/proxy/stream.go
+++ b/internal/standin/proxy/stream.go
@@ -16,23 +16,23 @@
 // stream is a connection to an instance.
 type stream struct {
 	proxy      *Proxy
-	run        int // the proxy's at the time of the dial
+	generation int // the proxy's at the time of the dial
 	instance   Instance
 	conn       *nbio.Conn
 	reader     *resp.Reader
 	replies    int // number of replies received to the proxy's commands
 	joined     bool
-	ended      bool
+	isClosed   bool
 	beforeJoin []byte // bytes received before the reply to the join
 
-	period     model.Microseconds // of the load reports
-	reports    uint64
-	resyncedAt model.Microseconds // when a snapshot was last requested; 0: never
+	reportPeriod   model.Microseconds // of the load reports
+	reportSequence uint64
+	resyncedAt     model.Microseconds // when a snapshot was last requested; 0: never
 }
 
 const (
-	minDialTimeout = 100 * model.Millisecond
-	minRedial      = model.Millisecond
+	minDialTimeout    = 100 * model.Millisecond
+	minRedialInterval = model.Millisecond
 	// maxWaitMilliseconds limits the wait that an instance can request of a proxy.
 	maxWaitMilliseconds = 600_000
 )
@@ -42,9 +42,9 @@
 
 // dialAfter dials the next instance after a delay, unless the proxy has a stream by then.
 func (p *Proxy) dialAfter(delay model.Microseconds) {
-	run := p.run
+	generation := p.generation
 	p.loop.After(delay, func() {
-		if p.run != run || p.stream != nil && !p.stream.ended {
+		if p.generation != generation || p.stream != nil && !p.stream.isClosed {
 			return
 		}
 		p.whenRunning(p.dial)
@@ -55,8 +55,8 @@
 func (p *Proxy) redial() { p.dialAfter(p.redialWait(1, 3)) }
 
 // redialWait draws a wait between two multiples of the redial interval.
-func (p *Proxy) redialWait(least, most float64) model.Microseconds {
-	return model.Microseconds(p.random.Between(least, most) * float64(max(p.RedialInterval, minRedial)))
+func (p *Proxy) redialWait(minFactor, maxFactor float64) model.Microseconds {
+	return model.Microseconds(p.random.Between(minFactor, maxFactor) * float64(max(p.RedialInterval, minRedialInterval)))
 }
 
 // redialNext dials the next instance after one to three redial intervals.
@@ -67,24 +67,24 @@
 
 func (p *Proxy) dial() {
 	instance := p.Instances[p.nextInstance%len(p.Instances)]
-	s := &stream{proxy: p, instance: instance, run: p.run, reader: resp.NewReader(resp.Limits{})}
+	s := &stream{proxy: p, instance: instance, generation: p.generation, reader: resp.NewReader(resp.Limits{})}
 	p.stream = s
 	if p.Unreachable[instance.Name] {
-		s.end()
+		s.close()
 		p.redialNext()
 		return
 	}
 	netpoll.Dial(p.engine, instance.Address, p.dialTimeout().Duration(), s, func(conn *nbio.Conn, err error) {
-		p.loop.Post(func() { s.dialed(conn, err) })
+		p.loop.Post(func() { s.onDialed(conn, err) })
 	})
 }
 
-// dialed handles the result of a dial.
-func (s *stream) dialed(conn *nbio.Conn, err error) {
-	current := s.run == s.proxy.run && !s.ended
+// onDialed handles the result of a dial.
+func (s *stream) onDialed(conn *nbio.Conn, err error) {
+	current := s.generation == s.proxy.generation && !s.isClosed
 	switch {
 	case err != nil && current:
-		s.end()
+		s.close()
 		s.proxy.redialNext()
 	case err != nil:
 	case !current:
@@ -98,26 +98,26 @@
 // join identifies the proxy to the instance and states the version of its table.
 func (s *stream) join() {
 	p := s.proxy
-	held := p.versions[s.instance.Name]
-	b := resp.AppendCommand(nil, "HELLO", "3")
-	b = pubsubmsg.AppendJoin(b, pubsubmsg.Join{
+	applied := p.appliedVersions[s.instance.Name]
+	command := resp.AppendCommand(nil, "HELLO", "3")
+	command = pubsubmsg.AppendJoin(command, pubsubmsg.Join{
 		Name:            p.Name,
 		Zone:            p.Zone,
 		ExpectedRate:    p.ExpectedRate,
-		OnStandingTable: len(p.versions) == 0,
-		Incarnation:     held.incarnation,
-		Version:         held.version,
+		OnStandingTable: len(p.appliedVersions) == 0,
+		Incarnation:     applied.incarnation,
+		Version:         applied.version,
 		Epoch:           p.fence.Epoch,
 	})
-	_, _ = s.conn.Write(b)
+	_, _ = s.conn.Write(command)
 }
 
-// end closes the stream; its later events are ignored.
-func (s *stream) end() {
-	if s.ended {
+// close closes the stream. Later events of the stream are ignored.
+func (s *stream) close() {
+	if s.isClosed {
 		return
 	}
-	s.ended = true
+	s.isClosed = true
 	if s.joined {
 		s.joined = false
 		p := s.proxy
@@ -128,29 +128,29 @@
 	}
 }
 
-// received is called on the poller's goroutine. Bytes count as observed when the proxy reads them, which a stall
+// onData is called on the poller's goroutine. Bytes count as observed when the proxy reads them, which a stall
 // postpones.
-func (s *stream) received(data []byte) {
+func (s *stream) onData(data []byte) {
 	s.proxy.loop.Post(func() {
-		if s.ended || s.run != s.proxy.run {
+		if s.isClosed || s.generation != s.proxy.generation {
 			return
 		}
-		s.proxy.whenRunning(func() { s.read(data) })
+		s.proxy.whenRunning(func() { s.parse(data) })
 	})
 }
 
-// closed is called on the poller's goroutine.
-func (s *stream) closed() {
+// onClose is called on the poller's goroutine.
+func (s *stream) onClose() {
 	s.proxy.loop.Post(func() {
-		if s.run == s.proxy.run && !s.ended {
-			s.end()
+		if s.generation == s.proxy.generation && !s.isClosed {
+			s.close()
 			s.proxy.redial()
 		}
 	})
 }
 
-func (s *stream) read(data []byte) {
-	if s.ended {
+func (s *stream) parse(data []byte) {
+	if s.isClosed {
 		return
 	}
 	proxy := s.proxy
@@ -171,7 +171,7 @@
 		s.beforeJoin = nil
 	}
 	if err != nil {
-		s.end()
+		s.close()
 		proxy.redial()
 	}
 }
@@ -179,12 +179,12 @@
 func (s *stream) handleValue(value resp.Value) {
 	switch {
 	case value.Kind == resp.SimpleError:
-		s.end()
-		s.proxy.joinRejected(value.Text)
+		s.close()
+		s.proxy.handleJoinRejection(value.Text)
 	case value.Kind == resp.Map:
 		s.replies++
 		if s.replies == 2 { // the first reply is HELLO's
-			s.joinAccepted(value.Items)
+			s.handleJoinReply(value.Items)
 		}
 	case pubsubmsg.IsMessage(value):
 		if m, err := pubsubmsg.Parse(value); err == nil {
@@ -193,32 +193,32 @@
 	case value.Kind == resp.Push && len(value.Items) == 2 && value.Items[0].Text == "elsewhere":
 		// A proxy that knows no other instance keeps the stream until the instance closes it, so that it misses no update.
 		if len(s.proxy.Instances) > 1 {
-			s.end()
+			s.close()
 			s.proxy.redialNext()
 		}
 	}
 }
 
-// joinAccepted handles the reply to an accepted join, a map of names and values.
-func (s *stream) joinAccepted(items []resp.Value) {
+// handleJoinReply handles the reply to an accepted join, a map of names and values.
+func (s *stream) handleJoinReply(items []resp.Value) {
 	proxy := s.proxy
-	epoch, found := field(items, "epoch")
+	epoch, found := intField(items, "epoch")
 	if found && epoch >= 0 && !proxy.acceptEpoch(uint64(epoch)) {
-		s.end() // the instance accepted the join although it has lost the shard's lease
+		s.close() // the instance accepted the join although it has lost the shard's lease
 		proxy.redialNext()
 		return
 	}
 	s.joined = true
 	proxy.Joins++
-	if period, found := field(items, "period"); found {
-		s.period = model.Microseconds(period)
+	if period, found := intField(items, "period"); found {
+		s.reportPeriod = model.Microseconds(period)
 	}
 	proxy.observe(invariants.StreamChanged{At: proxy.loop.Now(), Proxy: proxy.Name, Instance: s.instance.Name, Up: true})
-	proxy.loop.After(model.Microseconds(proxy.random.Float()*float64(s.period)), s.report)
+	proxy.loop.After(model.Microseconds(proxy.random.Float()*float64(s.reportPeriod)), s.reportPeriodically)
 }
 
-// field finds a number by its name in the items of a map.
-func field(items []resp.Value, name string) (value int64, found bool) {
+// intField finds a number by its name in the items of a map.
+func intField(items []resp.Value, name string) (value int64, found bool) {
 	for i := 0; i+1 < len(items); i += 2 {
 		if items[i].Text == name {
 			return items[i+1].Int, true
@@ -227,9 +227,9 @@
 	return 0, false
 }
 
-// joinRejected handles the error of an instance that rejects the join: the proxy joins later, or joins another
+// handleJoinRejection handles the error of an instance that rejects the join: the proxy joins later, or joins another
 // instance.
-func (p *Proxy) joinRejected(text string) {
+func (p *Proxy) handleJoinRejection(text string) {
 	var wait int
 	if n, _ := fmt.Sscanf(text, "LATER %d ", &wait); n == 1 && isAllowedWait(wait) {
 		p.Deferred++
@@ -237,13 +237,13 @@
 		return
 	}
 	if n, _ := fmt.Sscanf(text, "ENDING this governor ends: join another, or here again in %d ", &wait); n == 1 {
-		p.instanceShutsDown(wait)
+		p.leaveInstance(wait)
 		return
 	}
 	var shard int
 	var address string
 	if n, _ := fmt.Sscanf(text, "MOVED %d %s", &shard, &address); n == 2 {
-		p.shardMoved(strings.TrimSuffix(address, ":"))
+		p.redirectTo(strings.TrimSuffix(address, ":"))
 		return
 	}
 	p.redialNext()
@@ -253,8 +253,8 @@
 	return milliseconds >= 0 && milliseconds < maxWaitMilliseconds
 }
 
-// shardMoved dials the lease holder of this proxy's shard or, if no instance has the given address, the next instance.
-func (p *Proxy) shardMoved(address string) {
+// redirectTo dials the lease holder of this proxy's shard. If no instance has the given address, it dials the next one.
+func (p *Proxy) redirectTo(address string) {
 	p.Redirected++
 	p.nextInstance++
 	for i, instance := range p.Instances {
@@ -265,9 +265,9 @@
 	p.redial()
 }
 
-// instanceShutsDown dials the next instance. If the proxy knows no other, it dials the same one after the time that the
+// leaveInstance dials the next instance. If the proxy knows no other, it dials the same one after the time that the
 // instance gave, plus up to two redial intervals at random so that not all proxies reconnect at once.
-func (p *Proxy) instanceShutsDown(milliseconds int) {
+func (p *Proxy) leaveInstance(milliseconds int) {
 	p.nextInstance++
 	if len(p.Instances) > 1 || !isAllowedWait(milliseconds) {
 		p.redial()
--- a/internal/standin/proxy/table.go
+++ b/internal/standin/proxy/table.go
@@ -34,11 +34,11 @@
 }
 
 func newTable(standing []invariants.TableEntry) table {
-	held := table{withdrawn: map[model.ReplicaID]bool{}}
+	created := table{withdrawn: map[model.ReplicaID]bool{}}
 	for _, e := range standing {
-		held.entries = append(held.entries, &entry{id: e.Replica, weight: e.Weight})
+		created.entries = append(created.entries, &entry{id: e.Replica, weight: e.Weight})
 	}
-	return held
+	return created
 }
 
 // Bound reports whether the proxy uses a table that an instance published, not its standing table.
@@ -59,7 +59,7 @@
 	return all
 }
 
-func (p *Proxy) replica(id model.ReplicaID) *replicaState {
+func (p *Proxy) replicaState(id model.ReplicaID) *replicaState {
 	r := p.replicas[id]
 	if r == nil {
 		r = &replicaState{id: id}
@@ -86,63 +86,64 @@
 	return share, policy
 }
 
-// usable returns the entries that may be picked, except those of one replica, and their total weight. If the proxy
-// avoids all of them, it returns them nevertheless; otherwise a few failures would make it reject every request.
-func (p *Proxy) usable(except model.ReplicaID) (entries []*entry, weight float64) {
+// usableEntries returns the entries that may be picked, except that of the excluded replica, and their total weight. If
+// the proxy avoids all of them, it returns them nevertheless; otherwise a few failures would make it reject every
+// request.
+func (p *Proxy) usableEntries(excluded model.ReplicaID) (entries []*entry, totalWeight float64) {
 	now := p.loop.Now()
 	for _, e := range p.table.entries {
-		if r := p.replicas[e.id]; p.mayUse(e, except) && (r == nil || r.avoidUntil <= now) {
+		if r := p.replicas[e.id]; p.isUsable(e, excluded) && (r == nil || r.avoidUntil <= now) {
 			entries = append(entries, e)
-			weight += e.weight
+			totalWeight += e.weight
 		}
 	}
 	if len(entries) > 0 {
-		return entries, weight
+		return entries, totalWeight
 	}
 	for _, e := range p.table.entries {
-		if p.mayUse(e, except) {
+		if p.isUsable(e, excluded) {
 			entries = append(entries, e)
-			weight += e.weight
+			totalWeight += e.weight
 		}
 	}
-	return entries, weight
+	return entries, totalWeight
 }
 
-func (p *Proxy) mayUse(e *entry, except model.ReplicaID) bool {
-	if e.weight <= 0 || e.id == except {
+func (p *Proxy) isUsable(e *entry, excluded model.ReplicaID) bool {
+	if e.weight <= 0 || e.id == excluded {
 		return false
 	}
 	return !p.table.withdrawn[e.id] || p.Misbehavior.IgnoresWithdrawals
 }
 
-// pick picks a replica by the proxy's policy, but not the one that was tried before. It returns nil if there is none.
-func (p *Proxy) pick(except model.ReplicaID) *replicaState {
-	entries, weight := p.usable(except)
+// pickReplica picks a replica by the proxy's policy, but not the excluded one. It returns nil if there is none.
+func (p *Proxy) pickReplica(excluded model.ReplicaID) *replicaState {
+	entries, totalWeight := p.usableEntries(excluded)
 	if len(entries) == 0 {
 		return nil
 	}
 	var picked *entry
 	switch p.Pick {
 	case PickRoundRobin:
-		picked = nextRoundRobin(entries, weight)
+		picked = nextRoundRobin(entries, totalWeight)
 	case PickTwoChoices:
-		picked = p.draw(entries, weight)
-		other := p.draw(entries, weight)
-		if p.replica(other.id).inFlight < p.replica(picked.id).inFlight {
+		picked = p.drawEntry(entries, totalWeight)
+		other := p.drawEntry(entries, totalWeight)
+		if p.replicaState(other.id).inFlight < p.replicaState(picked.id).inFlight {
 			picked = other
 		}
 	default: // PickWeightedRandom
-		picked = p.draw(entries, weight)
+		picked = p.drawEntry(entries, totalWeight)
 	}
-	return p.replica(picked.id)
+	return p.replicaState(picked.id)
 }
 
-// draw draws an entry at random, by weight.
-func (p *Proxy) draw(entries []*entry, weight float64) *entry {
-	x := p.random.Float() * weight
+// drawEntry draws an entry at random, by weight.
+func (p *Proxy) drawEntry(entries []*entry, totalWeight float64) *entry {
+	remaining := p.random.Float() * totalWeight
 	for _, e := range entries {
-		x -= e.weight
-		if x < 0 {
+		remaining -= e.weight
+		if remaining < 0 {
 			return e
 		}
 	}
@@ -151,7 +152,7 @@
 
 // nextRoundRobin implements smooth weighted round robin. Each pick adds its weight to every entry's credit, picks the
 // entry with the most credit, and subtracts the total weight from that entry's credit.
-func nextRoundRobin(entries []*entry, weight float64) *entry {
+func nextRoundRobin(entries []*entry, totalWeight float64) *entry {
 	var best *entry
 	for _, e := range entries {
 		e.credit += e.weight
@@ -159,12 +160,12 @@
 			best = e
 		}
 	}
-	best.credit -= weight
+	best.credit -= totalWeight
 	return best
 }
 
-// apply applies a message that is in order to the table.
-func (p *Proxy) apply(message *pubsubmsg.Message) {
+// applyToTable applies a message that is in order to the table.
+func (p *Proxy) applyToTable(message *pubsubmsg.Message) {
 	if message.Bound || len(message.Quotas) > 0 {
 		p.awaitsNewHolder = false
 	}
@@ -185,7 +186,7 @@
 	for _, q := range message.Quotas {
 		p.table.setQuota(q)
 	}
-	p.closeUnused()
+	p.closeUnusedConnections()
 }
 
 // setEntry sets an entry's weight. Weight 0 removes the entry, unless removals are ignored.
@@ -223,11 +224,11 @@
 	return !t.withdrawn[id] && slices.ContainsFunc(t.entries, func(e *entry) bool { return e.id == id })
 }
 
-// closeUnused closes idle connections to replicas that are withdrawn or no longer in the table.
-func (p *Proxy) closeUnused() {
+// closeUnusedConnections closes idle connections to replicas that are withdrawn or no longer in the table.
+func (p *Proxy) closeUnusedConnections() {
 	for id, r := range p.replicas {
 		if len(r.idle) > 0 && !p.table.holds(id) {
-			r.dropIdle()
+			r.closeIdle()
 		}
 	}
 }
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -23,8 +23,8 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// waitLimit is the time after which a test fails because a condition does not hold.
-const waitLimit = 10 * time.Second
+// waitTimeout is the time after which a test fails because a condition does not hold.
+const waitTimeout = 10 * time.Second
 
 // instance is a channel server with a single shard. The test sets whether it holds the shard's lease and what it
 // publishes.
@@ -198,27 +198,27 @@
 	})
 }
 
-// until waits until a condition, which is evaluated on the loop, holds.
-func (fx *fixture) until(what string, condition func() bool) {
+// waitUntil waits until a condition, which is evaluated on the loop, holds.
+func (fx *fixture) waitUntil(conditionText string, condition func() bool) {
 	fx.t.Helper()
-	eventually(fx.t, what, func() bool {
+	eventually(fx.t, conditionText, func() bool {
 		holds := false
 		fx.loop.Do(func() { holds = condition() })
 		return holds
 	})
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, conditionText string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("condition does not hold: %s", what)
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition does not hold: %s", conditionText)
 		}
 	}
 }
 
-// send makes the replicas silent, starts a request and returns its number.
-func (fx *fixture) send() (number uint64) {
+// startSilentRequest makes the replicas silent, starts a request and returns its number.
+func (fx *fixture) startSilentRequest() (number uint64) {
 	fx.loop.Do(func() {
 		fx.requests++
 		number = fx.requests
@@ -231,8 +231,8 @@
 	return number
 }
 
-// attemptsAt waits for the end of a request and returns its number of attempts.
-func (fx *fixture) attemptsAt(number uint64) (attempts int) {
+// awaitAttempts waits for the end of a request and returns its number of attempts.
+func (fx *fixture) awaitAttempts(number uint64) (attempts int) {
 	<-fx.done
 	fx.loop.Do(func() { attempts = fx.attempts[number] })
 	return attempts
@@ -241,46 +241,46 @@
 // The lease holder changes while a request is retried. A request that may have been executed is not retried anymore,
 // although the former holder's retry policy allowed it. Later requests are not retried either until the new holder has
 // published a retry policy.
-func TestTakeoverDuringRetriesStopsThem(t *testing.T) {
+func TestLeaseHolderChangeDuringRetriesStopsRetries(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.first.publish(<-fixture.first.joined, model.RetryTwiceOnAnyFailure, fixture.ids...)
-	fixture.until("the proxy is bound and has a quota", func() bool {
+	fixture.waitUntil("the proxy is bound and has a quota", func() bool {
 		return fixture.proxy.Bound() && len(fixture.proxy.table.quotas) == 1
 	})
-	if n := fixture.attemptsAt(fixture.send()); n != 3 {
+	if n := fixture.awaitAttempts(fixture.startSilentRequest()); n != 3 {
 		t.Fatalf("%d attempts while the lease holder does not change, want 3", n)
 	}
-	number := fixture.send()
-	fixture.until("the request is sent once", func() bool { return fixture.attempts[number] == 1 })
+	number := fixture.startSilentRequest()
+	fixture.waitUntil("the request is sent once", func() bool { return fixture.attempts[number] == 1 })
 	fixture.second.setEpoch(2)
 	fixture.first.setEpoch(0)
 	fixture.first.LeaseLost(0)
-	moved := <-fixture.second.joined
-	if n := fixture.attemptsAt(number); n != 1 {
+	redirected := <-fixture.second.joined
+	if n := fixture.awaitAttempts(number); n != 1 {
 		t.Errorf("%d attempts although the lease holder changed after the first, want 1", n)
 	}
-	if n := fixture.attemptsAt(fixture.send()); n != 1 {
+	if n := fixture.awaitAttempts(fixture.startSilentRequest()); n != 1 {
 		t.Errorf("%d attempts before the new lease holder has published a retry policy, want 1", n)
 	}
-	fixture.second.publish(moved, model.RetryOnAnyFailure, fixture.ids...)
-	fixture.until("the proxy has applied the new holder's retry policy", func() bool {
+	fixture.second.publish(redirected, model.RetryOnAnyFailure, fixture.ids...)
+	fixture.waitUntil("the proxy has applied the new holder's retry policy", func() bool {
 		return !fixture.proxy.awaitsNewHolder && fixture.proxy.JoinedInstance() == "b"
 	})
-	if n := fixture.attemptsAt(fixture.send()); n != 2 {
+	if n := fixture.awaitAttempts(fixture.startSilentRequest()); n != 2 {
 		t.Errorf("%d attempts after the new lease holder has allowed one retry, want 2", n)
 	}
 }
 
 // A stalled lease holder keeps publishing after its lease has expired, on a stream that it has not closed. The proxy
 // has seen a newer epoch, so it does not apply the messages and notifies the former holder.
-func TestFormerHolderIsFencedOff(t *testing.T) {
+func TestMessageOfFormerLeaseHolderIsNotApplied(t *testing.T) {
 	fixture := newFixture(t)
 	id := <-fixture.first.joined
 	fixture.first.publish(id, model.RetryNever, fixture.ids[0])
-	fixture.until("the proxy is bound", func() bool { return fixture.proxy.Bound() })
+	fixture.waitUntil("the proxy is bound", func() bool { return fixture.proxy.Bound() })
 	fixture.loop.Do(func() { fixture.proxy.acceptEpoch(7) }) // as a message of another lease holder does
 	fixture.first.publish(id, model.RetryNever, fixture.ids[1])
-	fixture.until("the proxy rejects the message", func() bool { return fixture.proxy.Fenced == 1 })
+	fixture.waitUntil("the proxy rejects the message", func() bool { return fixture.proxy.Fenced == 1 })
 	fixture.loop.Do(func() {
 		if held := fixture.proxy.HeldEntries(); len(held) != 1 || held[0].Replica != fixture.ids[0] {
 			t.Errorf("the proxy holds %v, want only the first replica", held)
@@ -290,5 +290,5 @@
 	// When the proxy reconnects, it does not join an instance whose epoch is older than the newest one it has seen.
 	fixture.second.setEpoch(8)
 	fixture.loop.Do(fixture.proxy.BreakStream)
-	fixture.until("the proxy joins the new lease holder", func() bool { return fixture.proxy.JoinedInstance() == "b" })
+	fixture.waitUntil("the proxy joins the new lease holder", func() bool { return fixture.proxy.JoinedInstance() == "b" })
 }
--- a/internal/standin/random.go
+++ b/internal/standin/random.go
@@ -14,10 +14,10 @@
 
 // NewRandom returns the stream of random numbers of a seed and a name. Equal arguments give equal streams.
 func NewRandom(seed uint64, name string) *Random {
-	const golden = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio; it spreads small seeds over all bits
+	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio; it spreads small seeds over all bits
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
-	return &Random{base: hash.Sum64() ^ seed*golden}
+	return &Random{base: hash.Sum64() ^ seed*goldenRatio}
 }
 
 // Float draws uniformly from [0, 1).
@@ -47,8 +47,8 @@
 // Between draws uniformly from [a, b).
 func (r *Random) Between(a, b float64) float64 { return a + (b-a)*r.Float() }
 
-// Interval draws the time in seconds until the next event of a Poisson process whose rate is
-// in events per second.
+// Interval draws the time in seconds until the next event of a Poisson process. rate is in events
+// per second.
 func (r *Random) Interval(rate float64) float64 { return -math.Log(1-r.Float()) / rate }
 
 // LogNormal draws a log-normally distributed factor with mean 1 and the coefficient of variation cv.
--- a/internal/standin/registry/query.go
+++ b/internal/standin/registry/query.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	healthPath   = "/v1/health/service/"
-	noLeaderBody = "No cluster leader" // body of a Consul agent's error response
-	earlierIndex = 7                   // the index sent while IndexGoesBack is set, far below firstIndex
-	agentName    = "peppervale/"       // prefix of an instance's name in its User-Agent
-	indexHeader  = "X-Consul-Index"    // of a response
-	contentType  = "Content-Type"      // of a response
-	jsonContent  = "application/json"  // of a response's body
+	healthPath      = "/v1/health/service/"
+	noLeaderBody    = "No cluster leader" // body of a Consul agent's error response
+	regressedIndex  = 7                   // the index sent while IndexGoesBack is set, far below firstIndex
+	userAgentPrefix = "peppervale/"       // prefix of an instance's name in its User-Agent
+	indexHeader     = "X-Consul-Index"    // of a response
+	contentType     = "Content-Type"      // of a response
+	jsonContent     = "application/json"  // of a response's body
 )
 
 // query is a request for the endpoint list. A blocking query waits for a change of the list.
@@ -39,7 +39,7 @@
 	timer    *standin.Timer
 }
 
-func (r *Registry) handle(conn *nbio.Conn, message *http1.Message) {
+func (r *Registry) handleRequest(conn *nbio.Conn, message *http1.Message) {
 	target, err := url.Parse(message.Target)
 	if err != nil {
 		_, _ = conn.Write(http1.AppendResponse(nil, 404, nil))
@@ -56,28 +56,28 @@
 		respondNoLeader(conn)
 	default:
 		q := &query{conn: conn}
-		q.instance, _ = strings.CutPrefix(message.Header["user-agent"], agentName)
-		r.answerWhenChanged(q, target.Query())
+		q.instance, _ = strings.CutPrefix(message.Header["user-agent"], userAgentPrefix)
+		r.respondWhenChanged(q, target.Query())
 	}
 }
 
-// answerWhenChanged answers a query at once if it does not block or its index differs from the list's. Otherwise it
+// respondWhenChanged answers a query at once if it does not block or its index differs from the list's. Otherwise it
 // answers when the list changes or the query's wait has elapsed.
-func (r *Registry) answerWhenChanged(q *query, parameters url.Values) {
+func (r *Registry) respondWhenChanged(q *query, parameters url.Values) {
 	q.index, _ = strconv.ParseUint(parameters.Get("index"), 10, 64) // a query without an index does not block
 	if q.index != r.index || q.index == 0 {
-		r.answer(q)
+		r.respond(q)
 		return
 	}
-	wait := waitOf(parameters)
+	wait := waitDuration(parameters)
 	q.timer = r.loop.After(model.Microseconds(wait/time.Microsecond), func() {
-		r.waiting = slices.DeleteFunc(r.waiting, func(other *query) bool { return other == q })
-		r.answer(q)
+		r.blockedQueries = slices.DeleteFunc(r.blockedQueries, func(other *query) bool { return other == q })
+		r.respond(q)
 	})
-	r.waiting = append(r.waiting, q)
+	r.blockedQueries = append(r.blockedQueries, q)
 }
 
-func waitOf(parameters url.Values) time.Duration {
+func waitDuration(parameters url.Values) time.Duration {
 	wait, err := time.ParseDuration(parameters.Get("wait"))
 	if err != nil || wait <= 0 {
 		return defaultWait
@@ -85,37 +85,37 @@
 	return min(wait, maxWait)
 }
 
-// answer writes the response after Faults.Delay. The response holds the list as of the time of writing.
-func (r *Registry) answer(q *query) {
+// respond writes the response after Faults.Delay. The response holds the list as of the time of writing.
+func (r *Registry) respond(q *query) {
 	if r.Faults.Delay > 0 {
-		r.loop.After(r.Faults.Delay, func() { r.write(q) })
+		r.loop.After(r.Faults.Delay, func() { r.writeResponse(q) })
 		return
 	}
-	r.write(q)
+	r.writeResponse(q)
 }
 
-func (r *Registry) write(waiting *query) {
+func (r *Registry) writeResponse(pendingQuery *query) {
 	if r.Faults.Silent {
 		return
 	}
 	if r.Faults.Fails {
-		respondNoLeader(waiting.conn)
+		respondNoLeader(pendingQuery.conn)
 		return
 	}
 	index := r.index
 	if r.Faults.IndexGoesBack {
-		index = earlierIndex
+		index = regressedIndex
 	}
 	body := r.EndpointListJSON()
-	answer := http1.AppendResponse(nil, 200, body,
+	response := http1.AppendResponse(nil, 200, body,
 		contentType, jsonContent, indexHeader, strconv.FormatUint(index, 10))
 	if r.Faults.TruncatesBody {
-		_, _ = waiting.conn.Write(answer[:len(answer)-len(body)/2-1])
-		_ = waiting.conn.Close()
+		_, _ = pendingQuery.conn.Write(response[:len(response)-len(body)/2-1])
+		_ = pendingQuery.conn.Close()
 		return
 	}
-	r.observe(invariants.EndpointsSent{At: r.loop.Now(), Instance: waiting.instance, Body: body})
-	_, _ = waiting.conn.Write(answer)
+	r.observe(invariants.EndpointsSent{At: r.loop.Now(), Instance: pendingQuery.instance, Body: body})
+	_, _ = pendingQuery.conn.Write(response)
 }
 
 func respondNoLeader(conn *nbio.Conn) {
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -40,13 +40,13 @@
 type Registry struct {
 	Faults Faults
 
-	loop    *standin.Loop
-	service string
-	observe func(invariants.Event)
-	engine  *netpoll.Engine
-	entries []Entry
-	index   uint64 // grows with each change of the list
-	waiting []*query
+	loop           *standin.Loop
+	service        string
+	observe        func(invariants.Event)
+	engine         *netpoll.Engine
+	entries        []Entry
+	index          uint64 // incremented by each change of the list
+	blockedQueries []*query
 }
 
 // New starts a registry that listens on an address. observe is called on the loop with each endpoint list that is sent.
@@ -78,7 +78,7 @@
 	default:
 		r.entries[i] = entry
 	}
-	r.changed()
+	r.listChanged()
 }
 
 // Remove removes an entry if there is one with this ID.
@@ -86,18 +86,18 @@
 	before := len(r.entries)
 	r.entries = slices.DeleteFunc(r.entries, func(entry Entry) bool { return entry.ID == id })
 	if len(r.entries) < before {
-		r.changed()
+		r.listChanged()
 	}
 }
 
-// changed increments the list's index and answers all blocked queries.
-func (r *Registry) changed() {
+// listChanged increments the list's index and answers all blocked queries.
+func (r *Registry) listChanged() {
 	r.index++
-	waiting := r.waiting
-	r.waiting = nil
-	for _, q := range waiting {
+	blocked := r.blockedQueries
+	r.blockedQueries = nil
+	for _, q := range blocked {
 		q.timer.Cancel()
-		r.answer(q)
+		r.respond(q)
 	}
 }
 
@@ -105,23 +105,23 @@
 func (r *Registry) handlers() netpoll.Handlers {
 	return netpoll.Handlers{
 		Open: func(conn *nbio.Conn) { conn.SetSession(http1.NewParser(false, http1.Limits{})) },
-		Data: r.received,
+		Data: r.onData,
 		Close: func(conn *nbio.Conn, _ error) {
 			r.loop.Post(func() {
-				r.waiting = slices.DeleteFunc(r.waiting, func(q *query) bool { return q.conn == conn })
+				r.blockedQueries = slices.DeleteFunc(r.blockedQueries, func(q *query) bool { return q.conn == conn })
 			})
 		},
 	}
 }
 
-// received is called on the connection's poller.
-func (r *Registry) received(conn *nbio.Conn, data []byte) {
+// onData is called on the connection's poller.
+func (r *Registry) onData(conn *nbio.Conn, data []byte) {
 	parser, ok := conn.Session().(*http1.Parser)
 	if !ok {
 		return
 	}
 	err := parser.Feed(data, func(m *http1.Message) error {
-		r.loop.Post(func() { r.handle(conn, m) })
+		r.loop.Post(func() { r.handleRequest(conn, m) })
 		return nil
 	})
 	if err != nil {
--- a/internal/standin/replica/deduplication.go
+++ b/internal/standin/replica/deduplication.go
@@ -4,34 +4,34 @@
 
 // DeduplicationGroup is a group of replicas that execute a request with an idempotency key only once within a window.
 type DeduplicationGroup struct {
-	firstAt map[string]model.Microseconds // by idempotency key
+	firstSeenAt map[string]model.Microseconds // by idempotency key
 }
 
-// rememberedKeys is the number of keys above which a group removes keys that are older than the window.
-const rememberedKeys = 10_000
+// maxKeysBeforeExpiry is the number of keys above which a group removes keys that are older than the window.
+const maxKeysBeforeExpiry = 10_000
 
 // NewDeduplicationGroup creates an empty group.
 func NewDeduplicationGroup() *DeduplicationGroup {
-	return &DeduplicationGroup{firstAt: map[string]model.Microseconds{}}
+	return &DeduplicationGroup{firstSeenAt: map[string]model.Microseconds{}}
 }
 
-// repeated reports whether a key was first seen within the window before now. If not, it stores the key.
-func (g *DeduplicationGroup) repeated(key string, now, window model.Microseconds) bool {
-	if len(g.firstAt) > rememberedKeys {
-		g.forget(now - window)
+// isRepeat reports whether a key was first seen within the window before now. If not, it stores the key.
+func (g *DeduplicationGroup) isRepeat(key string, now, window model.Microseconds) bool {
+	if len(g.firstSeenAt) > maxKeysBeforeExpiry {
+		g.removeOlderThan(now - window)
 	}
-	at, known := g.firstAt[key]
+	at, known := g.firstSeenAt[key]
 	if known && now-at <= window {
 		return true
 	}
-	g.firstAt[key] = now
+	g.firstSeenAt[key] = now
 	return false
 }
 
-func (g *DeduplicationGroup) forget(before model.Microseconds) {
-	for key, at := range g.firstAt {
+func (g *DeduplicationGroup) removeOlderThan(before model.Microseconds) {
+	for key, at := range g.firstSeenAt {
 		if at < before {
-			delete(g.firstAt, key)
+			delete(g.firstSeenAt, key)
 		}
 	}
 }
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -44,12 +44,12 @@
 	Overloaded bool // it has failed because of overload
 	Served     int  // number of requests executed and answered, over all runs
 
-	loop    *standin.Loop
-	group   *DeduplicationGroup
-	windows []model.Microseconds // deduplication window by operation; 0: the operation has no idempotency key
-	observe func(invariants.Event)
-	engine  *netpoll.Engine
-	run     int // incremented at each start and stop, so that events of an earlier run are recognized and ignored
+	loop                 *standin.Loop
+	group                *DeduplicationGroup
+	deduplicationWindows []model.Microseconds // by operation; 0: the operation has no idempotency key
+	observe              func(invariants.Event)
+	engine               *netpoll.Engine
+	generation           int // incremented at each start and stop; events of an earlier generation are ignored
 
 	connections int
 	queue       workQueue
@@ -57,13 +57,20 @@
 	overload    overloadMeter
 }
 
-// New creates a replica that is not running. windows holds the deduplication window of each operation, 0 for an
+// New creates a replica that is not running. deduplicationWindows holds the window of each operation, 0 for an
 // operation without an idempotency key. observe is called on the loop.
 func New(
 	loop *standin.Loop, config Config, group *DeduplicationGroup,
-	windows []model.Microseconds, observe func(invariants.Event),
+	deduplicationWindows []model.Microseconds, observe func(invariants.Event),
 ) *Replica {
-	return &Replica{Config: config, Slowdown: 1, loop: loop, group: group, windows: windows, observe: observe}
+	return &Replica{
+		Config:               config,
+		Slowdown:             1,
+		loop:                 loop,
+		group:                group,
+		deduplicationWindows: deduplicationWindows,
+		observe:              observe,
+	}
 }
 
 // Start listens on the replica's address, which stays the same over restarts. The replica is cold or warm at first.
@@ -72,8 +79,8 @@
 	if r.Running {
 		return nil
 	}
-	r.run++
-	engine, err := netpoll.Start(1, r.handlers(r.run), pubsubmsg.FormatAddress(r.ID))
+	r.generation++
+	engine, err := netpoll.Start(1, r.handlers(r.generation), pubsubmsg.FormatAddress(r.ID))
 	r.engine = engine
 	if err != nil {
 		return fmt.Errorf("replica %s: %w", pubsubmsg.FormatAddress(r.ID), err)
@@ -110,7 +117,7 @@
 		return
 	}
 	r.Running = false
-	r.run++
+	r.generation++
 	engine := r.engine
 	go engine.Stop() // Stop waits for handlers, which post to this loop
 }
@@ -118,8 +125,8 @@
 // capacity returns the capacity of the warm replica, in microseconds of work per microsecond.
 func (r *Replica) capacity() float64 { return float64(r.Cores) * r.Speed }
 
-// warmth returns the share of the full capacity that is available now.
-func (r *Replica) warmth(now model.Microseconds) float64 {
+// availableShare returns the share of the full capacity that is available now.
+func (r *Replica) availableShare(now model.Microseconds) float64 {
 	if r.StartedAt == 0 || now >= r.StartedAt+r.WarmUpPeriod {
 		return 1
 	}
--- a/internal/standin/replica/serve.go
+++ b/internal/standin/replica/serve.go
@@ -20,17 +20,17 @@
 	repeated    = "repeat" // executed before, as an earlier request with the same key
 )
 
-// handlers returns handlers that post the sockets' events to the loop. Events of another run are ignored.
-func (r *Replica) handlers(run int) netpoll.Handlers {
+// handlers returns handlers that post the sockets' events to the loop. Events of another generation are ignored.
+func (r *Replica) handlers(generation int) netpoll.Handlers {
 	return netpoll.Handlers{
 		Open: func(conn *nbio.Conn) {
 			conn.SetSession(http1.NewParser(false, http1.Limits{}))
-			r.loop.Post(func() { r.opened(conn, run) })
+			r.loop.Post(func() { r.onOpen(conn, generation) })
 		},
-		Data: func(conn *nbio.Conn, data []byte) { r.received(conn, data, run) },
+		Data: func(conn *nbio.Conn, data []byte) { r.onData(conn, data, generation) },
 		Close: func(*nbio.Conn, error) {
 			r.loop.Post(func() {
-				if r.run == run {
+				if r.generation == generation {
 					r.connections--
 				}
 			})
@@ -38,16 +38,16 @@
 	}
 }
 
-// received is called on the connection's poller.
-func (r *Replica) received(conn *nbio.Conn, data []byte, run int) {
+// onData is called on the connection's poller.
+func (r *Replica) onData(conn *nbio.Conn, data []byte, generation int) {
 	parser, ok := conn.Session().(*http1.Parser)
 	if !ok {
 		return
 	}
 	err := parser.Feed(data, func(m *http1.Message) error {
 		r.loop.Post(func() {
-			if r.run == run {
-				r.handle(conn, m)
+			if r.generation == generation {
+				r.handleRequest(conn, m)
 			}
 		})
 		return nil
@@ -57,8 +57,8 @@
 	}
 }
 
-func (r *Replica) opened(conn *nbio.Conn, run int) {
-	if r.run != run {
+func (r *Replica) onOpen(conn *nbio.Conn, generation int) {
+	if r.generation != generation {
 		_ = conn.Close()
 		return
 	}
@@ -67,7 +67,7 @@
 		_ = conn.Close()
 		return
 	}
-	r.load.busy += r.HandshakeWork
+	r.load.coreTime += r.HandshakeWork
 }
 
 // request is a request that waits for a core or is being executed.
@@ -79,11 +79,11 @@
 	clientAttempt int
 }
 
-var errNotRequest = errors.New("not a request for a replica")
+var errInvalidRequest = errors.New("not a request for a replica")
 
-func (r *Replica) parse(conn *nbio.Conn, message *http1.Message) (*request, error) {
+func (r *Replica) parseRequest(conn *nbio.Conn, message *http1.Message) (*request, error) {
 	if message.Method != "POST" {
-		return nil, errNotRequest
+		return nil, errInvalidRequest
 	}
 	work, err := strconv.ParseFloat(message.Header["work-us"], 64)
 	if err != nil {
@@ -97,26 +97,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("request: %w", err)
 	}
-	if operation < 0 || operation >= len(r.windows) {
-		return nil, errNotRequest
+	if operation < 0 || operation >= len(r.deduplicationWindows) {
+		return nil, errInvalidRequest
 	}
 	clientAttempt, _ := strconv.Atoi(message.Header["caller-try"]) // 0 if the client does not number its attempts
 	return &request{conn: conn, work: work, operation: operation, number: number, clientAttempt: clientAttempt}, nil
 }
 
-// handle queues a request or answers it at once. A silent or overloaded replica does neither.
-func (r *Replica) handle(conn *nbio.Conn, m *http1.Message) {
+// handleRequest queues a request or answers it at once. A silent or overloaded replica does neither.
+func (r *Replica) handleRequest(conn *nbio.Conn, m *http1.Message) {
 	if r.Silent || r.Overloaded {
 		return
 	}
 	now := r.loop.Now()
-	req, err := r.parse(conn, m)
+	req, err := r.parseRequest(conn, m)
 	if err != nil {
 		r.respond(conn, 400, notExecuted)
 		return
 	}
 	r.observe(invariants.WorkArrived{At: now, Replica: r.ID, Proxy: m.Header["forwarder"], Work: req.work})
-	if r.overloaded(now, req.work) {
+	if r.recordWork(now, req.work) {
 		return
 	}
 	switch {
@@ -124,7 +124,7 @@
 		r.respond(conn, 503, notExecuted)
 	case r.FailingOperations[req.operation]:
 		r.respond(conn, 500, executed)
-	case r.repeated(req, now):
+	case r.isRepeat(req, now):
 		r.respond(conn, 200, repeated)
 	default:
 		r.queue.waiting = append(r.queue.waiting, req)
@@ -132,42 +132,42 @@
 	}
 }
 
-// repeated reports whether a replica of the deduplication group has accepted the request before, within the
+// isRepeat reports whether a replica of the deduplication group has accepted the request before, within the
 // operation's window.
-func (r *Replica) repeated(req *request, now model.Microseconds) bool {
-	window := r.windows[req.operation]
+func (r *Replica) isRepeat(req *request, now model.Microseconds) bool {
+	window := r.deduplicationWindows[req.operation]
 	if window == 0 || r.group == nil {
 		return false
 	}
-	return r.group.repeated(fmt.Sprint(req.number, "-", req.clientAttempt), now, window)
+	return r.group.isRepeat(fmt.Sprint(req.number, "-", req.clientAttempt), now, window)
 }
 
 // workQueue holds the requests that wait for a core and the number of cores in use.
 type workQueue struct {
-	waiting []*request
-	running int
+	waiting   []*request
+	busyCores int
 }
 
 // serveWaiting assigns waiting requests to free cores.
 func (r *Replica) serveWaiting() {
-	for r.queue.running < r.Cores && len(r.queue.waiting) > 0 {
+	for r.queue.busyCores < r.Cores && len(r.queue.waiting) > 0 {
 		next := r.queue.waiting[0]
 		r.queue.waiting = r.queue.waiting[1:]
-		r.queue.running++
-		run := r.run
-		takes := next.work / r.Speed / r.warmth(r.loop.Now()) * r.Slowdown
-		r.loop.After(model.Microseconds(takes), func() {
-			if r.run == run {
-				r.finish(next, takes)
+		r.queue.busyCores++
+		generation := r.generation
+		duration := next.work / r.Speed / r.availableShare(r.loop.Now()) * r.Slowdown
+		r.loop.After(model.Microseconds(duration), func() {
+			if r.generation == generation {
+				r.finishRequest(next, duration)
 			}
 		})
 	}
 }
 
-// finish ends a request's work and frees its core.
-func (r *Replica) finish(req *request, took float64) {
-	r.queue.running--
-	r.load.busy += took
+// finishRequest ends a request's work and frees its core.
+func (r *Replica) finishRequest(req *request, duration float64) {
+	r.queue.busyCores--
+	r.load.coreTime += duration
 	if !r.Silent && !r.Overloaded {
 		r.Served++
 		r.observe(invariants.RequestExecuted{
--- a/internal/testaddr/testaddr.go
+++ b/internal/testaddr/testaddr.go
@@ -31,7 +31,7 @@
 	lastPort  = 29999
 
 	firstSecondOctet = 64
-	hostCount        = 64 << 16 // number of IP addresses from 127.64.0.0 to 127.127.255.255
+	hostAddressCount = 64 << 16 // number of IP addresses from 127.64.0.0 to 127.127.255.255
 	claimAttempts    = 1000
 )
 
@@ -81,9 +81,9 @@
 }
 
 // hostAddress returns the IP address with an index in 127.64.0.0/10. Indexes wrap around after the last address.
-func hostAddress(number int) string {
-	number %= hostCount
-	return net.IPv4(127, byte(firstSecondOctet+number>>16), byte(number>>8), byte(number)).String()
+func hostAddress(index int) string {
+	index %= hostAddressCount
+	return net.IPv4(127, byte(firstSecondOctet+index>>16), byte(index>>8), byte(index)).String()
 }
 
 // next returns the address with the next free port.
--- a/internal/testaddr/testaddr_test.go
+++ b/internal/testaddr/testaddr_test.go
@@ -133,7 +133,7 @@
 }
 
 // Two processes can have the same ID in two PID namespaces. They get different IP addresses nevertheless.
-func TestEqualProcessIDs(t *testing.T) {
+func TestEqualProcessIDsClaimDifferentAddresses(t *testing.T) {
 	const pid = 4242
 	first, err := newAllocator(pid)
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestHostAddress(t *testing.T) {
+func TestHostAddressWrapsAroundAfterLastAddress(t *testing.T) {
 	tests := []struct {
 		number int
 		want   string
@@ -158,8 +158,8 @@
 		{0, "127.64.0.0"},
 		{1, "127.64.0.1"},
 		{1 << 16, "127.65.0.0"},
-		{hostCount - 1, "127.127.255.255"},
-		{hostCount, "127.64.0.0"},
+		{hostAddressCount - 1, "127.127.255.255"},
+		{hostAddressCount, "127.64.0.0"},
 	}
 	for _, tt := range tests {
 		t.Run(strconv.Itoa(tt.number), func(t *testing.T) {
@@ -171,7 +171,7 @@
 }
 
 // A port that another socket uses over TCP or UDP is skipped.
-func TestPortsInUseArePassedOver(t *testing.T) {
+func TestNextSkipsPortsInUse(t *testing.T) {
 	alloc, err := newAllocator(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestPortsRunOut(t *testing.T) {
+func TestNextFailsWhenAllPortsAreUsed(t *testing.T) {
 	alloc := &allocator{host: "127.0.0.1", nextPort: lastPort + 1}
 	if address, err := alloc.next(); !errors.Is(err, errPortsExhausted) {
 		t.Errorf("got %s, %v; want %v", address, err, errPortsExhausted)
