--- a/internal/benchmark/reconnect.go
+++ b/internal/benchmark/reconnect.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	stormMessageRate = 1e9
-	stormBurst       = 50
+	stormEntryRate   = 1e9 // entries a second
+	stormBurst       = 50  // joins
 	stormJoinTimeout = 60 * time.Second
 )
 
-// ConnectionStormResult is the result of ConnectionStorm: all proxies connect within a tenth of a second.
+// ConnectionStormResult is the result of ConnectionStorm, in which all proxies connect within a tenth of a second.
 type ConnectionStormResult struct {
 	Proxies       int
-	AdmissionRate float64       // joins a second that are admitted; 0: all
-	Duration      time.Duration // until all are admitted
+	AdmissionRate float64       // admitted joins a second; 0: no limit
+	Duration      time.Duration // until all proxies are admitted
 	Deferrals     uint64
 	MaxDeferrals  int // of one proxy
-	PeakJoins     int // in a second
+	PeakJoins     int // within a second
 	Storms        uint64
-	CPU           time.Duration // of both ends
+	CPU           time.Duration // of server and proxies
 }
 
-// ConnectionStorm has so many proxies connect at once.
+// ConnectionStorm measures how the server admits the given number of proxies that connect at once.
 func ConnectionStorm(proxies int, admissionRate float64) (*ConnectionStormResult, error) {
 	bed, err := newTestbed()
 	if err != nil {
@@ -37,11 +37,11 @@
 	defer bed.close()
 	joinSeconds := make(chan model.Microseconds, 10*proxies)
 	source, err := newPublisher(bed.now, publisherSettings{
-		proxies:   proxies,
-		rate:      stormMessageRate,
-		limits:    pubsub.Limits{Connections: 2 * proxies},
-		admission: admission.Limits{Rate: admissionRate, Burst: stormBurst, Jitter: 1, Seed: 1},
-		connected: func() { joinSeconds <- bed.now() / model.Second },
+		proxies:     proxies,
+		rate:        stormEntryRate,
+		limits:      pubsub.Limits{Connections: 2 * proxies},
+		admission:   admission.Limits{Rate: admissionRate, Burst: stormBurst, Jitter: 1, Seed: 1},
+		onConnected: func() { joinSeconds <- bed.now() / model.Second },
 	})
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 	defer source.server.Close()
 	started := time.Now()
 	cpuBefore := cpuTime()
-	bed.addListeners(proxies, source.server.Addr(), model.Second, ignore)
+	bed.addListeners(proxies, source.server.Addr(), model.Second, ignoreEvent)
 	defer bed.stopProxies()
 	if _, err := source.awaitProxies(proxies, stormJoinTimeout); err != nil {
 		return nil, err
@@ -68,18 +68,18 @@
 	return result, nil
 }
 
-// maxDeferrals is how often the proxy was deferred that was deferred most.
+// maxDeferrals returns the maximum number of deferrals of a proxy.
 func (b *testbed) maxDeferrals() int {
-	most := 0
+	maximum := 0
 	b.loop.Do(func() {
 		for _, connected := range b.proxies {
-			most = max(most, connected.Deferred)
+			maximum = max(maximum, connected.Deferred)
 		}
 	})
-	return most
+	return maximum
 }
 
-// peakPerSecond returns how often the most frequent second occurs among those that the channel holds.
+// peakPerSecond drains the channel and returns the maximum number of joins within a second.
 func peakPerSecond(joinSeconds chan model.Microseconds) int {
 	counts := map[model.Microseconds]int{}
 	peak := 0
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	takeoverMembers         = 3 // each at home in a zone of its own
-	takeoverShards          = 4 // of each zone, and so of each member while nothing happens
+	takeoverMembers         = 3 // each in a separate zone
+	takeoverShards          = 4 // of each zone, and so of each member while all members are alive
 	takeoverReplicasPerZone = 4
 	takeoverReplicas        = takeoverReplicasPerZone * takeoverMembers
-	progressInterval        = 10 // rounds
+	progressInterval        = 10 // rounds between two progress messages
 )
 
 // takeoverSettings are the parameters of Takeover.
@@ -33,9 +33,10 @@
 	progress      io.Writer // nil: none
 }
 
-// Takeover kills one of three instances at random moments so many times. Each time it waits until all proxies that
-// lost their instance are bound again, and until the killed instance is back and holds its shards. Instances that are
-// not shared each serve whichever proxy connects. program is the command that runs an instance.
+// Takeover kills one of three instances at a random moment in each round. It waits until all proxies of the killed
+// instance are bound by another one, restarts the instance and waits until it holds its shards again. If shared is
+// false, the instances form no cluster and each of them serves every proxy that connects. program is the command line
+// that runs an instance.
 func Takeover(
 	ctx context.Context, program []string, proxies, rounds int, leaseDuration model.Microseconds, shared bool,
 	seed uint64, progress io.Writer,
@@ -56,7 +57,7 @@
 	return experiment.run(ctx)
 }
 
-// takeoverExperiment is the set-up of Takeover.
+// takeoverExperiment holds the instances and proxies of Takeover.
 type takeoverExperiment struct {
 	settings takeoverSettings
 	random   *standin.Random
@@ -65,7 +66,7 @@
 	members  []*takeoverMember
 }
 
-// run sets the experiment up, measures and ends everything.
+// run sets up the experiment, runs all rounds and stops all processes.
 func (e *takeoverExperiment) run(ctx context.Context) (*TakeoverResult, error) {
 	directory, removeDirectory, err := makeDirectory("takeover")
 	if err != nil {
@@ -82,7 +83,7 @@
 	if e.members, err = newTakeoverMembers(directory, e.bed.registry.Addr(), e.settings); err != nil {
 		return nil, err
 	}
-	defer e.endMembers()
+	defer e.stopMembers()
 	for _, member := range e.members {
 		if err := member.start(ctx); err != nil {
 			return nil, err
@@ -105,13 +106,13 @@
 	return nil
 }
 
-func (e *takeoverExperiment) endMembers() {
+func (e *takeoverExperiment) stopMembers() {
 	for k := len(e.members) - 1; k >= 0; k-- {
-		e.members[k].end(syscall.SIGKILL)
+		e.members[k].stop(syscall.SIGKILL)
 	}
 }
 
-// addProxies starts proxies in all zones. Each knows all members, the one of its own zone first.
+// addProxies starts proxies in all zones. Each proxy knows all members and dials the one of its own zone first.
 func (e *takeoverExperiment) addProxies() {
 	e.bed.loop.Do(func() {
 		for k := range e.settings.proxies {
@@ -136,20 +137,21 @@
 	}
 	for k := range takeoverMembers {
 		member := e.members[(zone+k)%takeoverMembers]
-		settings.Instances = append(settings.Instances, proxy.Instance{Name: member.name, Address: member.channel})
+		settings.Instances = append(settings.Instances, proxy.Instance{Name: member.name, Address: member.channelAddress})
 	}
 	return settings
 }
 
-// allProxiesBound tells whether each proxy is bound, and connected to the member of its zone if shards are shared.
+// allProxiesBound reports whether all proxies are bound and, if the instances share the shards, connected to the member
+// of their zone.
 func (e *takeoverExperiment) allProxiesBound() bool {
 	allBound := true
 	e.bed.loop.Do(func() {
 		for k, connected := range e.bed.proxies {
 			instance := connected.JoinedInstance()
 			isBound := connected.Bound() && instance != ""
-			isHome := !e.settings.shared || instance == e.members[k%takeoverMembers].name
-			allBound = allBound && isBound && isHome
+			isAtOwnMember := !e.settings.shared || instance == e.members[k%takeoverMembers].name
+			allBound = allBound && isBound && isAtOwnMember
 		}
 	})
 	return allBound
@@ -161,12 +163,12 @@
 	}
 	var totals takeoverRound
 	for round := range e.settings.rounds {
-		moves, err := e.killAndRestart(ctx)
+		grants, err := e.killAndRestart(ctx)
 		if err != nil {
 			return nil, err
 		}
-		totals.takenOver += moves.takenOver
-		totals.returned += moves.returned
+		totals.takeoverGrants += grants.takeoverGrants
+		totals.returnGrants += grants.returnGrants
 		if e.settings.progress != nil && (round+1)%progressInterval == 0 {
 			printf(e.settings.progress, "%d of %d\n", round+1, e.settings.rounds)
 		}
@@ -174,24 +176,24 @@
 	return e.result(totals), nil
 }
 
-// takeoverRound counts the leases granted in a round.
+// takeoverRound counts the leases that are granted in a round.
 type takeoverRound struct {
-	takenOver float64 // until all proxies were bound again
-	returned  float64 // until the killed member was back
+	takeoverGrants float64 // from the kill until all proxies are bound again
+	returnGrants   float64 // from the restart until the killed member holds its shards again
 }
 
-// killAndRestart kills a member and waits until the others have taken over, then restarts it and waits until
-// everything is back.
+// killAndRestart kills a member and waits until the other members have taken over its proxies. It then restarts the
+// member and waits until the proxies have returned to it.
 func (e *takeoverExperiment) killAndRestart(ctx context.Context) (takeoverRound, error) {
-	// The moment differs between two renewals of the leases.
+	// The kill is at a random point between two renewals of the leases.
 	time.Sleep(time.Duration(e.random.Float() * float64(e.settings.leaseDuration.Duration())))
 	index := e.drawMember()
 	killed := e.members[index]
 	survivor := e.members[(index+1)%takeoverMembers]
 	grantsBefore := survivor.grantsKnown(e.settings.shared)
 	e.watch.beginRound(killed.name, e.bed.now())
-	killed.end(syscall.SIGKILL)
-	if err := await(ctx, "proxies without an instance bound again", e.watch.allOrphansBound); err != nil {
+	killed.stop(syscall.SIGKILL)
+	if err := await(ctx, "all proxies of the killed instance bound again", e.watch.allDisplacedBound); err != nil {
 		return takeoverRound{}, err
 	}
 	grantsAfterTakeover := survivor.grantsKnown(e.settings.shared)
@@ -199,17 +201,17 @@
 	if err := killed.start(ctx); err != nil {
 		return takeoverRound{}, err
 	}
-	if err := await(ctx, "all proxies back at their instances", e.allProxiesBound); err != nil {
+	if err := await(ctx, "all proxies reconnected to the restarted instance", e.allProxiesBound); err != nil {
 		return takeoverRound{}, err
 	}
 	return takeoverRound{
-		takenOver: float64(grantsAfterTakeover - grantsBefore),
-		returned:  float64(survivor.grantsKnown(e.settings.shared) - grantsAfterTakeover),
+		takeoverGrants: float64(grantsAfterTakeover - grantsBefore),
+		returnGrants:   float64(survivor.grantsKnown(e.settings.shared) - grantsAfterTakeover),
 	}, nil
 }
 
-// drawMember draws the member to kill. Proxies of members that share nothing stay where they are, so the next member
-// that has any is taken.
+// drawMember draws the member to kill. Without a cluster, proxies do not return to a restarted member, so it skips
+// members without proxies.
 func (e *takeoverExperiment) drawMember() int {
 	index := e.random.IntN(takeoverMembers)
 	if e.settings.shared {
@@ -228,9 +230,9 @@
 		Proxies:        e.settings.proxies,
 		Rounds:         e.settings.rounds,
 		LeaseDuration:  e.settings.leaseDuration.Duration(),
-		ShardsMoved:    totals.takenOver / rounds,
+		ShardsMoved:    totals.takeoverGrants / rounds,
 		MinShardsMoved: takeoverShards,
-		ShardsReturned: totals.returned / rounds,
+		ShardsReturned: totals.returnGrants / rounds,
 	}
 	e.watch.summarize(result, e.bed.now())
 	return result
--- a/internal/benchmark/takeovermembers.go
+++ b/internal/benchmark/takeovermembers.go
@@ -16,17 +16,17 @@
 	statusTimeout             = 5 * time.Second
 )
 
-// takeoverMember is an instance's process with its addresses.
+// takeoverMember is the process of an instance and its addresses.
 type takeoverMember struct {
 	instanceProcess
-	index   int
-	name    string
-	channel string // address
-	raft    string // address
-	gossip  string // address
+	index          int
+	name           string
+	channelAddress string
+	raftAddress    string
+	gossipAddress  string
 }
 
-// newTakeoverMembers writes the members' configuration files.
+// newTakeoverMembers creates the members, which are not running, and writes their configuration files.
 func newTakeoverMembers(directory, registry string, settings takeoverSettings) ([]*takeoverMember, error) {
 	addresses, err := reserveAddresses(takeoverMembers * addressesOfTakeoverMember)
 	if err != nil {
@@ -34,14 +34,20 @@
 	}
 	var members []*takeoverMember
 	for k := range takeoverMembers {
-		own := addresses[k*addressesOfTakeoverMember:]
-		member := &takeoverMember{index: k, name: memberName(k), channel: own[0], raft: own[1], gossip: own[2]}
+		memberAddresses := addresses[k*addressesOfTakeoverMember:]
+		member := &takeoverMember{
+			index:          k,
+			name:           memberName(k),
+			channelAddress: memberAddresses[0],
+			raftAddress:    memberAddresses[1],
+			gossipAddress:  memberAddresses[2],
+		}
 		member.program = settings.program
 		member.configPath = filepath.Join(directory, member.name+".hcl")
 		members = append(members, member)
 	}
 	for _, member := range members {
-		text := fmt.Sprintf(takeoverConfigFormat, member.name, member.channel, member.name+".state",
+		text := fmt.Sprintf(takeoverConfigFormat, member.name, member.channelAddress, member.name+".state",
 			member.index+1, settings.proxies, registry)
 		if settings.shared {
 			text += member.clusterConfig(members, settings)
@@ -57,7 +63,7 @@
   listen = %q
   state = %q
   seed = %d
-  farewell = "` + gracefulShutdown + `"
+  farewell = "` + gracefulShutdownPeriod + `"
 }
 zones = ["zone-0", "zone-1", "zone-2"]
 operation "recipe-read" {
@@ -96,25 +102,25 @@
   }
 `
 
-// clusterConfig is the configuration of the cluster that the members form.
+// clusterConfig returns the part of the member's configuration that describes the cluster.
 func (m *takeoverMember) clusterConfig(members []*takeoverMember, settings takeoverSettings) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, takeoverClusterFormat,
-		m.raft, m.gossip, zoneName(m.index), takeoverShards, settings.leaseDuration.Duration())
+		m.raftAddress, m.gossipAddress, zoneName(m.index), takeoverShards, settings.leaseDuration.Duration())
 	for _, member := range members {
-		fmt.Fprintf(&text, takeoverMemberFormat, member.name, member.raft, member.gossip)
+		fmt.Fprintf(&text, takeoverMemberFormat, member.name, member.raftAddress, member.gossipAddress)
 	}
 	text.WriteString("}\n")
 	return text.String()
 }
 
-// grantsKnown counts the leases that were ever granted as far as the member knows; 0 if it does not answer or if
-// nothing is shared.
+// grantsKnown returns the number of leases granted so far according to the member's status, which is the sum of the
+// shards' epochs. It returns 0 if the member does not answer or the instances form no cluster.
 func (m *takeoverMember) grantsKnown(shared bool) uint64 {
 	if !shared {
 		return 0
 	}
-	text, err := cluster.Request(m.raft, statusTimeout, "STATUS")
+	text, err := cluster.Request(m.raftAddress, statusTimeout, "STATUS")
 	if err != nil {
 		return 0
 	}
--- a/internal/benchmark/takeoverresult.go
+++ b/internal/benchmark/takeoverresult.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// TakeoverResult is the result of Takeover. Times are from the kill until each proxy of the killed instance has
-// applied another instance's first message, or the first one that binds it to a table.
+// TakeoverResult is the result of Takeover. Median, P99 and Worst are times from the kill until a proxy of the killed
+// instance has applied another instance's first message. BoundMedian and BoundWorst are times from the kill until such
+// a proxy has applied the first message that binds it to a table.
 type TakeoverResult struct {
-	Shared             bool // the instances share the zones; else each serves whichever proxy connects
+	Shared             bool // the instances form a cluster; otherwise each serves every proxy that connects
 	Proxies            int
 	Rounds             int
 	LeaseDuration      time.Duration
@@ -18,10 +19,10 @@
 	Worst              time.Duration
 	BoundMedian        time.Duration
 	BoundWorst         time.Duration
-	OtherStreamsBroken int     // streams to other instances than the killed one that broke, in all rounds
-	ShardsMoved        float64 // leases granted for each kill, until all shards were held again
-	MinShardsMoved     float64 // shards of the killed instance
-	ShardsReturned     float64 // leases granted until a killed instance was back
+	OtherStreamsBroken int     // streams to instances other than the killed one that broke, in all rounds
+	ShardsMoved        float64 // leases granted per round until all shards were held again
+	MinShardsMoved     float64 // number of shards of the killed instance
+	ShardsReturned     float64 // leases granted per round until the restarted instance held its shards
 	Violations         []string
 }
 
--- a/internal/benchmark/testbed_test.go
+++ b/internal/benchmark/testbed_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestAWaitInVainNamesItsCondition(t *testing.T) {
+func TestAwaitNamesItsConditionWhenContextIsCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	err := await(ctx, "nothing", func() bool { return false })
@@ -34,11 +34,11 @@
 		distinct[address] = true
 	}
 	if len(distinct) != count {
-		t.Errorf("%d of %d addresses differ", len(distinct), count)
+		t.Errorf("%d of %d addresses are distinct", len(distinct), count)
 	}
 }
 
-func TestQuantiles(t *testing.T) {
+func TestQuantileAndMedianReturnExactRanks(t *testing.T) {
 	var values []model.Microseconds
 	var durations []time.Duration
 	for k := 100; k >= 0; k-- {
@@ -60,6 +60,6 @@
 		})
 	}
 	if median, p99 := medianAndP99(durations); median != 50 || p99 != 99 {
-		t.Errorf("median %d and 99th percentile %d of unsorted durations, want 50 and 99", median, p99)
+		t.Errorf("got median %d and 99th percentile %d of unsorted durations, want 50 and 99", median, p99)
 	}
 }
--- a/internal/standin/registry/body.go
+++ b/internal/standin/registry/body.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 )
 
-// EndpointListJSON is the endpoint list as the JSON of Consul's health endpoint.
+// EndpointListJSON returns the endpoint list as JSON in the format of Consul's health endpoint.
 func (r *Registry) EndpointListJSON() []byte {
 	all := []consulcatalog.ServiceEntry{}
 	for _, entry := range r.entries {
@@ -18,7 +18,7 @@
 	}
 	body, err := json.Marshal(all)
 	if err != nil {
-		return []byte("[]") // plain texts always marshal
+		return []byte("[]") // does not happen: strings and numbers can always be marshaled
 	}
 	return body
 }
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is a stand-in for an endpoint registry: it serves Consul's health endpoint with blocking queries as
-// Consul documents them, and it fails or delays its answers on demand.
+// Package registry is a stand-in for an endpoint registry. It serves Consul's health endpoint with blocking queries as
+// Consul documents them. On demand, its responses fail or are delayed.
 package registry
 
 import (
@@ -15,42 +15,42 @@
 	"peppervale/internal/standin"
 )
 
-// Entry is a replica as the registry lists it.
+// Entry is a replica in the registry's list.
 type Entry struct {
 	ID                       model.ReplicaID
-	Zone, DeduplicationGroup string // the group: replicas that drop repeats of a request among themselves
+	Zone, DeduplicationGroup string // the group's replicas deduplicate requests among themselves
 	Kind                     string
-	StartedAt                model.Microseconds // 0: long ago
+	StartedAt                model.Microseconds // 0: not stated in the list
 	Draining                 bool
 }
 
-// Faults is what the registry does wrong; several faults may hold at once. The zero value is none.
+// Faults selects the registry's faults; several can be combined. The zero value selects none.
 type Faults struct {
-	Fails         bool               // answers 500
-	Silent        bool               // accepts requests and never answers
+	Fails         bool               // responds with status 500
+	Silent        bool               // accepts requests and never responds
 	TruncatesBody bool               // closes the connection in the middle of a body
-	IndexGoesBack bool               // gives an index far below the last one
-	Delay         model.Microseconds // added to each answer
+	IndexGoesBack bool               // sends an index far below the previous one
+	Delay         model.Microseconds // before each response
 }
 
-// firstIndex is the index of the empty list.
+// firstIndex is the index of the initial, empty list.
 const firstIndex = 100
 
-// Registry is a running registry. All its methods but Addr and Close must be called on its loop.
+// Registry is a running registry. All its methods except Addr and Close must be called on its loop.
 type Registry struct {
 	Faults Faults
 
-	loop    *standin.Loop
-	service string
-	observe func(invariants.Event)
-	engine  *netpoll.Engine
-	entries []Entry
-	index   uint64 // grows with each change of the list
-	waiting []*query
+	loop           *standin.Loop
+	service        string
+	observe        func(invariants.Event)
+	engine         *netpoll.Engine
+	entries        []Entry
+	index          uint64 // incremented by each change of the list
+	blockedQueries []*query
 }
 
-// New starts a registry that listens on an address. observe is called on the loop with each endpoint list that was
-// sent. An error says that the address cannot be listened on.
+// New starts a registry that listens on an address. observe is called on the loop with each endpoint list that is sent.
+// New fails if it cannot listen on the address.
 func New(loop *standin.Loop, listen, service string, observe func(invariants.Event)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, observe: observe, index: firstIndex}
 	engine, err := netpoll.Start(1, r.handlers(), listen)
@@ -61,7 +61,7 @@
 	return r, nil
 }
 
-// Addr is the address that the registry listens on, host:port.
+// Addr returns the address that the registry listens on, host:port.
 func (r *Registry) Addr() string { return r.engine.Addrs[0] }
 
 // Close stops listening and closes all connections.
@@ -78,7 +78,7 @@
 	default:
 		r.entries[i] = entry
 	}
-	r.changed()
+	r.listChanged()
 }
 
 // Remove removes an entry if there is one with this ID.
@@ -86,42 +86,42 @@
 	before := len(r.entries)
 	r.entries = slices.DeleteFunc(r.entries, func(entry Entry) bool { return entry.ID == id })
 	if len(r.entries) < before {
-		r.changed()
+		r.listChanged()
 	}
 }
 
-// changed answers the blocking queries that wait.
-func (r *Registry) changed() {
+// listChanged increments the list's index and answers all blocked queries.
+func (r *Registry) listChanged() {
 	r.index++
-	waiting := r.waiting
-	r.waiting = nil
-	for _, q := range waiting {
+	blocked := r.blockedQueries
+	r.blockedQueries = nil
+	for _, q := range blocked {
 		q.timer.Cancel()
-		r.answer(q)
+		r.respond(q)
 	}
 }
 
-// handlers post the events of the sockets to the loop.
+// handlers returns handlers that post the sockets' events to the loop.
 func (r *Registry) handlers() netpoll.Handlers {
 	return netpoll.Handlers{
 		Open: func(conn *nbio.Conn) { conn.SetSession(http1.NewParser(false, http1.Limits{})) },
-		Data: r.received,
+		Data: r.onData,
 		Close: func(conn *nbio.Conn, _ error) {
 			r.loop.Post(func() {
-				r.waiting = slices.DeleteFunc(r.waiting, func(q *query) bool { return q.conn == conn })
+				r.blockedQueries = slices.DeleteFunc(r.blockedQueries, func(q *query) bool { return q.conn == conn })
 			})
 		},
 	}
 }
 
-// received runs on the connection's poller.
-func (r *Registry) received(conn *nbio.Conn, data []byte) {
+// onData is called on the connection's poller.
+func (r *Registry) onData(conn *nbio.Conn, data []byte) {
 	parser, ok := conn.Session().(*http1.Parser)
 	if !ok {
 		return
 	}
 	err := parser.Feed(data, func(m *http1.Message) error {
-		r.loop.Post(func() { r.handle(conn, m) })
+		r.loop.Post(func() { r.handleRequest(conn, m) })
 		return nil
 	})
 	if err != nil {
