--- a/cmd/peppervale/golden_test.go
+++ b/cmd/peppervale/golden_test.go
@@ -18,10 +18,10 @@
 	"peppervale/internal/cli"
 )
 
-// commandTimeout bounds a command that ought to reject its file: one that accepted it would serve until then.
+// commandTimeout limits a command that should reject its file. If it accepts the file, it serves until this timeout.
 const commandTimeout = 20 * time.Second
 
-// expectGolden fails the test unless a text is that of the golden file.
+// expectGolden fails the test unless a text equals the golden file's.
 func expectGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -45,7 +45,7 @@
 	return "(nothing)"
 }
 
-// repositoryRoot returns the directory that paths in outputs are relative to.
+// repositoryRoot returns the root directory of the repository.
 func repositoryRoot(t *testing.T) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -55,7 +55,7 @@
 	return root
 }
 
-// transcript runs a command line and returns its exit status and output, with paths from the root of the repository.
+// transcript runs a command line and returns its exit status and output, with paths relative to the repository's root.
 func transcript(t *testing.T, args ...string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
@@ -68,14 +68,14 @@
 	return strings.ReplaceAll(strings.ReplaceAll(text, root, ""), "../../", "")
 }
 
-// files returns the files that match the patterns, sorted for each pattern.
+// files returns the files that match the patterns, sorted within each pattern.
 func files(t *testing.T, patterns ...string) []string {
 	t.Helper()
 	var all []string
 	for _, pattern := range patterns {
 		found, err := filepath.Glob(pattern)
 		if err != nil || len(found) == 0 {
-			t.Fatalf("%s: no files, %v", pattern, err)
+			t.Fatalf("no files match %s: %v", pattern, err)
 		}
 		slices.Sort(found)
 		all = append(all, found...)
@@ -83,7 +83,7 @@
 	return all
 }
 
-// TestGoldenCheck checks every file that the repository offers.
+// TestGoldenCheck compares the output of check, for every scenario and example, with the golden file.
 func TestGoldenCheck(t *testing.T) {
 	var text strings.Builder
 	offered := files(t, "../../scenarios/*.hcl", "../../scenarios/faulty/*.hcl", "../../scenarios/lib/*.hcl",
@@ -94,7 +94,7 @@
 	expectGolden(t, "check.txt", text.String())
 }
 
-// faultyCommand returns the command that reads a faulty file, by the first word of its name.
+// faultyCommand returns the command that reads a faulty file. The first word of the file's name selects the command.
 func faultyCommand(file string) []string {
 	kind, _, _ := strings.Cut(filepath.Base(file), "-")
 	switch kind {
@@ -106,9 +106,9 @@
 	return []string{"stand", kind, "--config", file}
 }
 
-// TestGoldenFaults pins what is reported of faulty files of each kind. The files "types" give every setting a value of
-// a wrong type; the files "unknown" give each block a setting that it does not have, and the answers list those it
-// has.
+// TestGoldenFaults compares the errors reported for faulty files of each kind with the golden file. The files "types"
+// give every setting a value of a wrong type. The files "unknown" give each block an unknown setting; the errors list
+// the block's known settings.
 func TestGoldenFaults(t *testing.T) {
 	var text strings.Builder
 	for _, file := range files(t, "testdata/faulty/*") {
@@ -121,7 +121,7 @@
 	expectGolden(t, "faulty.txt", text.String())
 }
 
-// parse parses a command line and runs nothing.
+// parse parses a command line without running it.
 func parse(t *testing.T, words ...string) (*kong.Context, error) {
 	t.Helper()
 	parser, err := kong.New(&cli.CommandLine{}, kong.Name("peppervale"))
@@ -145,8 +145,8 @@
 	return commands
 }
 
-// TestGoldenCommands parses every command with all its flags, as it was first published: a name that changes stays
-// as an alias.
+// TestGoldenCommands parses every command with all its flags, as first published: a renamed command keeps its former
+// name as an alias.
 func TestGoldenCommands(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
 	for _, words := range readCommands(t, "commands.txt") {
@@ -156,12 +156,12 @@
 	}
 	for _, words := range []string{"frobnicate", "version --frobnicate", "day run", "measure storm --rates x"} {
 		if _, err := parse(t, strings.Fields(words)...); err == nil {
-			t.Errorf("%s: is parsed", words)
+			t.Errorf("%s: the invalid command line is accepted", words)
 		}
 	}
 }
 
-// formerWords are the words of commands that have new names; the former ones are aliases.
+// formerWords maps the words of renamed commands to their former ones, which are aliases.
 var formerWords = map[string]string{
 	"serve":         "governor",
 	"cluster":       "group",
@@ -172,8 +172,8 @@
 	"benchmark":     "measure",
 }
 
-// TestRenamedCommands parses every renamed command with all its flags, by its new name and by its former one, which has
-// to be in commands.txt word for word: both are the same command with the same flags and values.
+// TestRenamedCommands parses every renamed command with all its flags, by its new and by its former name. Both must be
+// the same command with the same flags and values, and the command line with the former name must be in commands.txt.
 func TestRenamedCommands(t *testing.T) {
 	published := readCommands(t, "commands.txt")
 	unused := maps.Clone(formerWords)
@@ -199,20 +199,20 @@
 				t.Fatal(err)
 			}
 			if renamed.Command() != former.Command() {
-				t.Errorf("command %q, formerly %q", renamed.Command(), former.Command())
+				t.Errorf("command %q by the new name, %q by the former name", renamed.Command(), former.Command())
 			}
 			got, want := renamed.Selected().Target.Interface(), former.Selected().Target.Interface()
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("parsed %+v, formerly %+v", got, want)
+				t.Errorf("parsed %+v by the new name, %+v by the former name", got, want)
 			}
 		})
 	}
 	if len(unused) > 0 {
-		t.Errorf("commands-renamed.txt has no line for %v", unused)
+		t.Errorf("commands-renamed.txt has no line with the renamed commands %v", unused)
 	}
 }
 
-// TestGoldenFlags pins what the help model says of each flag of commands.txt, by its published name or an alias.
+// TestGoldenFlags compares the properties of each flag in commands.txt, found by name or alias, with the golden file.
 func TestGoldenFlags(t *testing.T) {
 	var text strings.Builder
 	for _, line := range readCommands(t, "commands.txt") {
@@ -230,13 +230,13 @@
 	expectGolden(t, "flags.txt", text.String())
 }
 
-// published returns the words of a command line before its first flag.
+// published returns the words of a command line before the first flag.
 func published(words []string) string {
 	end := slices.IndexFunc(words, func(word string) bool { return strings.HasPrefix(word, "-") })
 	return strings.Join(words[:end], " ")
 }
 
-// flagProperties returns a flag's default value and what else it takes.
+// flagProperties describes a flag: whether it is required, its default, allowed values, short name and environment.
 func flagProperties(t *testing.T, parsed *kong.Context, name string) string {
 	t.Helper()
 	for _, flag := range parsed.Flags() {
@@ -250,11 +250,11 @@
 		return fmt.Sprintf("required %v, default %q, enum %q, short %q, environment %q",
 			flag.Required, flag.Default, flag.Enum, short, flag.Tag.Envs)
 	}
-	t.Errorf("no flag --%s", name)
+	t.Errorf("the command has no flag --%s", name)
 	return ""
 }
 
-// TestPlatformFileFromTheEnvironment pins the variable by which the platform names its file.
+// TestPlatformFileFromTheEnvironment checks that LB_CONFIG names the platform's file.
 func TestPlatformFileFromTheEnvironment(t *testing.T) {
 	t.Setenv("LB_CONFIG", "testdata/faulty/platform-seed.json")
 	if output := transcript(t, "platform"); !strings.Contains(output, "platform-seed.json: seed: ") {
--- a/cmd/peppervale/main.go
+++ b/cmd/peppervale/main.go
@@ -19,13 +19,13 @@
 // Exit statuses.
 const (
 	statusSuccess      = 0
-	statusFailed       = 1 // it ran, and failed or violated an invariant
-	statusInvalidInput = 2 // a command line or a file that cannot be used
+	statusFailed       = 1 // the command failed, or an invariant was violated
+	statusInvalidInput = 2 // the command line or a file is invalid
 )
 
 func main() {
-	// The signals stay caught to the end of the process: with their default action restored, a second one that comes
-	// after a graceful shutdown would replace the exit status.
+	// The signals are caught until the process exits: with the default action restored, a second signal after a
+	// graceful shutdown would replace the exit status.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
@@ -43,7 +43,7 @@
 	} else {
 		err = parsed.Run()
 	}
-	if err != nil && !errors.Is(err, cli.ErrInvariantViolated) { // its report has been written
+	if err != nil && !errors.Is(err, cli.ErrInvariantViolated) { // the report of the violation is already written
 		printError(errOut, err)
 	}
 	return exitStatus(err)
@@ -72,7 +72,7 @@
 	return statusFailed
 }
 
-// printError writes an error. A failed write is ignored: the exit status reports the error too.
+// printError writes an error. A failed write is ignored, as the exit status reports the error too.
 func printError(errOut io.Writer, err error) {
 	_, _ = fmt.Fprintln(errOut, "peppervale:", err)
 }
--- a/cmd/peppervale/main_test.go
+++ b/cmd/peppervale/main_test.go
@@ -17,21 +17,21 @@
 const (
 	outputTimeout = 30 * time.Second
 
-	exampleListen  = "127.0.0.1:7700" // addresses and the state directory in the examples' files
+	exampleListen  = "127.0.0.1:7700" // addresses and the state directory in the example files
 	exampleConsole = "127.0.0.1:7780"
 	exampleList    = "127.0.0.1:7500"
 	exampleReplica = "127.0.0.1:7601"
 	exampleState   = "/tmp/peppervale-govan-1"
 )
 
-// runToEnd runs a command line until it ends by itself.
+// runToEnd runs a command line until it ends on its own.
 func runToEnd(args ...string) (status int, out, errOut string) {
 	var outBuffer, errBuffer bytes.Buffer
 	status = run(context.Background(), args, &outBuffer, &errBuffer)
 	return status, outBuffer.String(), errBuffer.String()
 }
 
-// closeAtEnd closes what a test opened when it ends.
+// closeAtEnd closes a resource when the test ends.
 func closeAtEnd(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -66,8 +66,8 @@
 		wantOutput string
 	}{
 		{"version", []string{"version"}, 0, "peppervale 0."},
-		{"sound instance", []string{"check", "../../examples/governor.hcl"}, 0, "a governor's file, no fault"},
-		{"sound scenario", []string{"check", scenarios + "/zone-lost.hcl"}, 0, "a day, no fault"},
+		{"valid instance file", []string{"check", "../../examples/governor.hcl"}, 0, "a governor's file, no fault"},
+		{"valid scenario", []string{"check", scenarios + "/zone-lost.hcl"}, 0, "a day, no fault"},
 		{"list of scenarios", []string{"scenario", "list", scenarios}, 0, "zone-lost.hcl"},
 		{"list of scenarios, former name", []string{"day", "list", scenarios}, 0, "zone-lost.hcl"},
 		{"faulty file", []string{"check", faulty}, 2, wrongType},
@@ -75,22 +75,22 @@
 		{"faulty file to serve, former name", []string{"governor", "--config", faulty}, 2, "bad.hcl:2:12"},
 		{"missing file", []string{"check", "nowhere.hcl"}, 2, "nowhere.hcl"},
 		{"unknown command", []string{"frobnicate"}, 2, "try peppervale --help"},
-		{"directory without scenarios", []string{"day", "list", t.TempDir()}, 2, "no day scripts"},
+		{"directory without scenarios", []string{"day", "list", t.TempDir()}, 2, "no scenario scripts"},
 		{"faulty file of a stand-in", []string{"stand", "replica", "--config", faulty}, 2, "bad.hcl"},
-		{"no scenario of the bench", []string{"day", "from-bench", faulty, "-o", faulty + ".out"}, 2, "bench day"},
-		{"sizes out of range", []string{"measure", "channel", "--forwarders", "0"}, 2, "are wanted"},
+		{"invalid scenario of the bench", []string{"day", "from-bench", faulty, "-o", faulty + ".out"}, 2, "bench day"},
+		{"sizes out of range", []string{"measure", "channel", "--forwarders", "0"}, 2, "sizes out of range"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			status, out, errOut := runToEnd(tt.args...)
 			if status != tt.wantStatus || !strings.Contains(out+errOut, tt.wantOutput) {
-				t.Fatalf("status %d, %s%s", status, out, errOut)
+				t.Fatalf("status %d, want %d; output, want %q:\n%s%s", status, tt.wantStatus, tt.wantOutput, out, errOut)
 			}
 		})
 	}
 }
 
-// An address that is in use is reported in one line, with status 1.
+// An address in use is reported with a hint, and the exit status is 1.
 func TestAddressInUse(t *testing.T) {
 	listener := listenUntilEnd(t)
 	file := writeExample(t, "governor.hcl", map[string]string{
@@ -98,12 +98,12 @@
 		exampleState:  t.TempDir(),
 	})
 	status, _, errOut := runToEnd("governor", "--config", file)
-	if status != 1 || !strings.Contains(errOut, "address already in use; another process may have the address") {
-		t.Fatalf("status %d, %s", status, errOut)
+	if status != 1 || !strings.Contains(errOut, "address already in use; another process may be listening on it") {
+		t.Fatalf("status %d, want 1; error, want that the address is in use: %s", status, errOut)
 	}
 }
 
-// writeExample writes an example's file with other addresses, and returns its path.
+// writeExample writes a copy of an example file with other addresses, and returns its path.
 func writeExample(t *testing.T, name string, replacements map[string]string) string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("../../examples", name))
@@ -121,7 +121,7 @@
 	return path
 }
 
-// outputLines is an output that a test can wait on.
+// outputLines is a command's output that a test can wait for.
 type outputLines struct {
 	t       *testing.T
 	written chan string
@@ -133,7 +133,7 @@
 	return len(text), nil
 }
 
-// waitFor waits until a text is written.
+// waitFor waits until the command writes a text.
 func (l *outputLines) waitFor(text string) {
 	l.t.Helper()
 	timeout := time.After(outputTimeout)
@@ -144,16 +144,16 @@
 				return
 			}
 		case <-timeout:
-			l.t.Fatalf("%q is not written", text)
+			l.t.Fatalf("the command did not write %q within %s", text, outputTimeout)
 		}
 	}
 }
 
-// The examples, as a new user would try them: each of the four processes by its command; a proxy ends up bound and
-// served; ending them leaves no socket.
+// The four example processes are started by their commands, as a new user would do: the proxy becomes bound, and no
+// process listens on an example address after the end.
 func TestExamples(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes seconds of sockets")
+		t.Skip("runs four processes on sockets for seconds")
 	}
 	replacements := map[string]string{exampleState: t.TempDir()}
 	var addresses []string
@@ -178,13 +178,13 @@
 	cancel()
 	for range 4 {
 		if status := <-ended; status != 0 {
-			t.Errorf("one ended with status %d", status)
+			t.Errorf("a command ended with status %d, want 0", status)
 		}
 	}
 	for _, address := range addresses {
 		if conn, err := net.Dial("tcp", address); err == nil {
 			closeAtEnd(t, conn)
-			t.Errorf("%s is still listened on", address)
+			t.Errorf("a process still listens on %s", address)
 		}
 	}
 }
--- a/cmd/peppervale/platform_process_test.go
+++ b/cmd/peppervale/platform_process_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// programVariable has the test program run as the program itself.
+	// programVariable is the environment variable that makes the test binary run as peppervale.
 	programVariable = "PEPPERVALE_TEST_PROGRAM"
 
 	processTimeout = 20 * time.Second
 
-	// maxShutdown is how soon the platform kills a process after SIGTERM.
+	// maxShutdown limits the duration of a shutdown: the platform kills a process this long after SIGTERM.
 	maxShutdown = 700 * time.Millisecond
 )
 
-// TestMain runs the program itself where a test has started it so.
+// TestMain runs peppervale instead of the tests if programVariable is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(programVariable) != "" {
 		main()
@@ -33,14 +33,14 @@
 	os.Exit(m.Run())
 }
 
-// programCommand returns the command `peppervale platform` on a file.
+// programCommand returns the command `peppervale platform` with a configuration file.
 func programCommand(file string) *exec.Cmd {
 	command := exec.Command(os.Args[0], "platform")
 	command.Env = append(os.Environ(), programVariable+"=1", "LB_CONFIG="+file)
 	return command
 }
 
-// platformProcess is `peppervale platform` as a process of its own.
+// platformProcess is `peppervale platform` in a separate process.
 type platformProcess struct {
 	t       *testing.T
 	command *exec.Cmd
@@ -49,13 +49,13 @@
 	ended   chan struct{}
 }
 
-// startAnywhere starts a process on a free address, with a discovery address where nothing listens.
+// startAnywhere starts a process on a free address, with a discovery address on which no process listens.
 func startAnywhere(t *testing.T) *platformProcess {
 	t.Helper()
 	return startPlatform(t, testaddr.Address(t), testaddr.Address(t))
 }
 
-// startPlatform writes a file and starts a process on it.
+// startPlatform writes a configuration file and starts a process with it.
 func startPlatform(t *testing.T, address, discovery string) *platformProcess {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -65,7 +65,7 @@
 	return startOnFile(t, address, file)
 }
 
-// startOnFile starts a process on a file. It is killed when the test ends, if it still runs.
+// startOnFile starts a process with a configuration file. If the process still runs when the test ends, it is killed.
 func startOnFile(t *testing.T, address, file string) *platformProcess {
 	t.Helper()
 	process := &platformProcess{
@@ -79,17 +79,17 @@
 		t.Fatal(err)
 	}
 	go func() {
-		_ = process.command.Wait() // the state tells the exit status
+		_ = process.command.Wait() // expectEnd reads the exit status from ProcessState
 		close(process.ended)
 	}()
 	t.Cleanup(func() {
-		_ = process.command.Process.Kill() // it may have ended
+		_ = process.command.Process.Kill() // the process may have ended
 		<-process.ended
 	})
 	return process
 }
 
-// platformFile returns the platform's file of an instance.
+// platformFile returns the content of the platform's configuration file for an instance.
 func platformFile(address, discovery string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"settings":{"zones":["govan"],"membership_mode":"subscribe",
@@ -97,12 +97,12 @@
 "pending_max":2000,"period":1000,"proxies":8,"push_delay_max":300}}}`, address, discovery)
 }
 
-// waitUntilReady waits for the answer to a ping.
+// waitUntilReady waits until the process answers a ping.
 func (p *platformProcess) waitUntilReady() {
 	p.t.Helper()
 	for deadline := time.Now().Add(processTimeout); !p.answersPing(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			p.t.Fatal("the process does not answer a ping")
+			p.t.Fatal("the process did not answer a ping in time")
 		}
 	}
 }
@@ -124,13 +124,13 @@
 	return line == "*1\r\n"
 }
 
-// waitUntilListening waits until the process tries its address: it catches its signals by then, and discovery's client
-// has a poller beside the runtime's own.
+// waitUntilListening waits until the process tries to listen on its address, which it does after it catches signals and
+// opens the discovery client. The client's poller is the second one, in addition to the runtime's.
 func (p *platformProcess) waitUntilListening() {
 	p.t.Helper()
 	for deadline := time.Now().Add(processTimeout); p.pollers() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			p.t.Fatal("the process does not try its address")
+			p.t.Fatal("the process did not try to listen on its address in time")
 		}
 	}
 }
@@ -138,10 +138,10 @@
 // pollers counts the process's epoll descriptors.
 func (p *platformProcess) pollers() int {
 	directory := fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid)
-	descriptors, _ := os.ReadDir(directory) // none before the process runs
+	descriptors, _ := os.ReadDir(directory) // the directory does not exist before the process runs
 	count := 0
 	for _, descriptor := range descriptors {
-		target, _ := os.Readlink(filepath.Join(directory, descriptor.Name())) // it may have been closed meanwhile
+		target, _ := os.Readlink(filepath.Join(directory, descriptor.Name())) // the descriptor may have been closed meanwhile
 		if strings.Contains(target, "eventpoll") {
 			count++
 		}
@@ -157,7 +157,7 @@
 	}
 }
 
-// terminate ends the process by SIGTERM, and checks that it ends in time with status 0.
+// terminate sends SIGTERM and checks that the process ends in time with status 0.
 func (p *platformProcess) terminate() {
 	p.t.Helper()
 	signalled := time.Now()
@@ -171,17 +171,17 @@
 	select {
 	case <-p.ended:
 	case <-time.After(processTimeout):
-		p.t.Fatal("the process does not end")
+		p.t.Fatal("the process did not end")
 	}
 	if status := p.command.ProcessState.ExitCode(); status != 0 {
-		p.t.Errorf("status %d", status)
+		p.t.Errorf("exit status %d, want 0", status)
 	}
 	if took := time.Since(signalled); took > maxShutdown {
-		p.t.Errorf("the process took %s to end", took)
+		p.t.Errorf("the process took %s to end, want at most %s", took, maxShutdown)
 	}
 }
 
-// openForWriting opens a named pipe; it returns once the process reads.
+// openForWriting opens a named pipe for writing. It returns when the process has opened the pipe for reading.
 func openForWriting(t *testing.T, pipe string) {
 	t.Helper()
 	writer, err := os.OpenFile(pipe, os.O_WRONLY, 0)
--- a/cmd/peppervale/platform_test.go
+++ b/cmd/peppervale/platform_test.go
@@ -13,15 +13,15 @@
 	"peppervale/internal/testaddr"
 )
 
-// SIGTERM ends an instance with status 0 before the platform kills it, in whatever state it comes.
+// SIGTERM ends an instance with status 0, in every state, before the platform would kill it.
 func TestSigterm(t *testing.T) {
 	t.Run("while the file is read", testSigtermWhileReading)
-	t.Run("while the address is taken", testSigtermWhileAddressIsTaken)
+	t.Run("while the address is in use", testSigtermWhileAddressIsTaken)
 	t.Run("while discovery does not answer", testSigtermWhileDiscoveryIsSilent)
 	t.Run("with a stream that reads nothing", testSigtermWithUnreadStream)
-	t.Run("with SIGHUP, and twice", testSigtermWithOtherSignals)
-	t.Run("again and again, to the end of the process", testSigtermUntilEnd)
-	t.Run("in a reload", testSigtermInReload)
+	t.Run("repeated, with SIGHUP in between", testSigtermWithOtherSignals)
+	t.Run("repeated until the process ends", testSigtermUntilEnd)
+	t.Run("during a reload", testSigtermInReload)
 }
 
 func testSigtermWhileReading(t *testing.T) {
@@ -61,7 +61,7 @@
 	closeAtEnd(t, conn)
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("%T is no TCP connection", conn)
+		t.Fatalf("got a connection of type %T, want *net.TCPConn", conn)
 	}
 	if err := tcp.SetReadBuffer(1 << 10); err != nil {
 		t.Error(err)
@@ -69,7 +69,7 @@
 	const joined = "*9\r\n$6\r\njoined\r\n$2\r\nid\r\n$1\r\n1\r\n$4\r\nsite\r\n$5\r\ngovan\r\n" +
 		"$3\r\nrps\r\n$1\r\n1\r\n$3\r\nnew\r\n$1\r\n1\r\n"
 	pings := strings.Repeat("*1\r\n$4\r\nping\r\n", 20_000)
-	_, _ = conn.Write([]byte(joined + pings)) // the instance may end the stream meanwhile
+	_, _ = conn.Write([]byte(joined + pings)) // the instance may close the stream during the write
 	process.terminate()
 }
 
@@ -79,14 +79,14 @@
 		process.waitUntilReady()
 		signalled := time.Now()
 		for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
-			_ = process.command.Process.Signal(signal) // it may have ended by the last ones
+			_ = process.command.Process.Signal(signal) // the process may have ended before the last signals
 		}
 		process.expectEnd(signalled)
 	}
 }
 
-// testSigtermUntilEnd sends SIGTERM as fast as it can until the process has ended: none of them may replace the exit
-// status, not even between the shutdown and the exit.
+// testSigtermUntilEnd sends SIGTERM as fast as possible until the process has ended. No signal may change the exit
+// status, not even one between the shutdown and the exit.
 func testSigtermUntilEnd(t *testing.T) {
 	for range 20 {
 		process := startAnywhere(t)
@@ -113,8 +113,8 @@
 	process.terminate()
 }
 
-// An address that an earlier process still holds is taken as soon as that is gone, and one SIGHUP with a file that
-// cannot be used costs nothing.
+// An instance listens on its address as soon as an earlier process releases it. A later SIGHUP with an invalid file
+// does not interrupt the instance.
 func TestAddressHeldByEarlierProcess(t *testing.T) {
 	holder, err := net.Listen("tcp4", testaddr.Address(t))
 	if err != nil {
@@ -134,11 +134,11 @@
 	process.terminate()
 }
 
-// A file that cannot be used is reported in one line, with the status for it.
+// An invalid file is reported in one line, with the exit status for invalid input.
 func TestFaultyPlatformFile(t *testing.T) {
 	tests := []struct{ name, text string }{
 		{"empty", ""},
-		{"no JSON", "hello"},
+		{"not JSON", "hello"},
 		{"wrong type", `{"listen":3}`},
 		{"no settings", `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7",` +
 			`"limits":{"memory_mb":64,"sockets":256}}`},
@@ -157,10 +157,10 @@
 			if err := command.Start(); err != nil {
 				t.Fatal(err)
 			}
-			reported, _ := io.ReadAll(stderr) // a part of it is no single line
-			_ = command.Wait()                // the state tells the exit status
+			reported, _ := io.ReadAll(stderr) // the line count below detects a partial read
+			_ = command.Wait()                // the exit status is read from ProcessState
 			if status := command.ProcessState.ExitCode(); status != 2 || strings.Count(string(reported), "\n") != 1 {
-				t.Errorf("status %d, %q", status, reported)
+				t.Errorf("status %d, want 2; standard error, want one line: %q", status, reported)
 			}
 		})
 	}
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -8,20 +8,20 @@
 	"peppervale/internal/model"
 )
 
-// instanceSet holds the instances by their numbers. They share nothing.
+// instanceSet holds the instances by number. Instances share no state.
 type instanceSet map[uint16]*instance
 
-// instance is one balancer with the actions that it has asked for in this batch.
+// instance is one balancer with the actions that it requested in the current batch.
 type instance struct {
 	number    uint16
-	balancer  *balancer.Balancer // nil: it has not started, was killed or has failed
+	balancer  *balancer.Balancer // nil if it has not started, was killed or failed
 	reply     simulator.Reply
-	isInBatch bool // it had an event in this batch, and only then may it act
+	isInBatch bool // an event of the current batch targets it; it may act only then
 }
 
 func newInstance(number uint16) *instance { return &instance{number: number} }
 
-// answer handles a batch and returns the reply to it. An error means that the batch is malformed.
+// answer handles a batch and returns its reply. An error means that the batch is malformed.
 func (s instanceSet) answer(batch *simulator.Batch) (*simulator.Reply, error) {
 	involved, err := s.handleEvents(batch)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return reply, nil
 }
 
-// handleEvents handles a batch's events and returns the instances that had one, in the order of their first one.
+// handleEvents handles a batch's events and returns the targeted instances in the order of their first event.
 func (s instanceSet) handleEvents(batch *simulator.Batch) ([]*instance, error) {
 	var involved []*instance
 	var current *instance
@@ -58,7 +58,7 @@
 	return involved, nil
 }
 
-// target returns the instance with a number; it adds one if there is none.
+// target returns the instance with a number; it creates the instance if there is none.
 func (s instanceSet) target(number uint16) *instance {
 	inst := s[number]
 	if inst == nil {
@@ -84,7 +84,7 @@
 	})
 }
 
-// guard calls a function; a panic in it becomes an Exception, and ends the balancer.
+// guard calls a function. A panic in it is reported in an Exception and ends the balancer.
 func (i *instance) guard(call func()) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -94,7 +94,7 @@
 	call()
 }
 
-// fail ends the balancer and reports why in an Exception.
+// fail ends the balancer and reports the reason in an Exception.
 func (i *instance) fail(message string) {
 	i.balancer = nil
 	i.reply.Exception(message)
@@ -112,9 +112,9 @@
 
 func (i *instance) dispatch(event simulator.Event, now model.Microseconds) error {
 	switch event.Code() {
-	case simulator.CodeHello:
+	case simulator.CodeInstanceStarted:
 		return i.start(event, now)
-	case simulator.CodeRosterChange:
+	case simulator.CodeEndpointsChanged:
 		return i.changeEndpoints(event, now)
 	}
 	if i.balancer != nil {
@@ -123,9 +123,10 @@
 	return nil
 }
 
-// start replaces the balancer by a new one with the settings of a Hello. Wrong settings become an Exception.
+// start replaces the balancer with a new one that has the settings of a Hello. Invalid settings are reported in an
+// Exception.
 func (i *instance) start(event simulator.Event, now model.Microseconds) error {
-	seed, settings, err := event.Hello()
+	seed, settings, err := event.InstanceStarted()
 	if err != nil {
 		return err
 	}
@@ -152,19 +153,19 @@
 // dispatchToBalancer passes an event to the running balancer. Events of unknown codes are ignored.
 func (i *instance) dispatchToBalancer(event simulator.Event, now model.Microseconds) {
 	switch event.Code() {
-	case simulator.CodeKill:
+	case simulator.CodeInstanceKilled:
 		i.balancer = nil
-	case simulator.CodeBell:
+	case simulator.CodeTimer:
 		i.balancer.TimerFired(now)
-	case simulator.CodeDialledIn:
+	case simulator.CodeProxyConnected:
 		proxy, zone, expectedRate := event.ProxyConnected()
 		i.balancer.ProxyConnected(now, proxy, zone, expectedRate)
-	case simulator.CodeDisconnected:
+	case simulator.CodeProxyDisconnected:
 		i.balancer.ProxyDisconnected(now, event.ProxyDisconnected())
-	case simulator.CodeTookEffect:
+	case simulator.CodeAcknowledged:
 		proxy, sequence := event.Acknowledged()
 		i.balancer.Acknowledged(now, proxy, sequence)
-	case simulator.CodeRoundup:
+	case simulator.CodeLoadReport:
 		i.balancer.LoadReported(now, event.LoadReport())
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter runs balancers on the operators' simulator: frames of events come in on standard input, replies
-// with actions go out on standard output. It passes events to the balancers and writes their updates; it takes no
-// decision itself. It exits with status 0 when the input ends between two frames, else with 1.
+// with actions go out on standard output. It passes events to the balancers and writes their updates; it makes no
+// decision itself. It exits with status 0 when the input ends between two frames, otherwise with status 1.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"peppervale/internal/codec/simulator"
 )
 
-// bufferSize is that of the input and of the output, in bytes.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 16
 
 func main() {
@@ -23,7 +23,7 @@
 	}
 }
 
-// run answers frames until the input ends. It returns the error of a malformed frame, or of reading or writing.
+// run answers frames until the input ends. It returns an error for a malformed frame and for a failed read or write.
 func run(input io.Reader, output io.Writer) error {
 	reader := bufio.NewReaderSize(input, bufferSize)
 	writer := bufio.NewWriterSize(output, bufferSize)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,7 +10,7 @@
 
 const testEventSize = 56
 
-// helloFrame is a frame with two events: instance 3 is the target, and starts with these settings.
+// helloFrame returns a frame with two events: one selects instance 3 as the target, the other starts it with settings.
 func helloFrame(settings string) []byte {
 	var frame []byte
 	frame = binary.LittleEndian.AppendUint32(frame, 2)
@@ -28,21 +28,21 @@
 }
 
 func TestRun(t *testing.T) {
-	t.Run("end of input between frames is no error", func(t *testing.T) {
+	t.Run("end of input between frames returns no error", func(t *testing.T) {
 		if err := run(bytes.NewReader(nil), &bytes.Buffer{}); err != nil {
 			t.Fatal(err)
 		}
 	})
-	t.Run("a frame cut short is an error", func(t *testing.T) {
+	t.Run("a truncated frame returns an error", func(t *testing.T) {
 		if err := run(bytes.NewReader(helloFrame("{}")[:40]), &bytes.Buffer{}); err == nil {
-			t.Fatal("no error")
+			t.Fatal("run returned no error for a truncated frame")
 		}
 	})
-	t.Run("settings that do not parse are reported in an Exception", func(t *testing.T) {
+	t.Run("invalid settings are reported in an Exception", func(t *testing.T) {
 		var output bytes.Buffer
 		err := run(bytes.NewReader(helloFrame("{")), &output)
 		if err != nil || !strings.Contains(output.String(), "start settings") {
-			t.Fatalf("%v, %q", err, output.String())
+			t.Fatalf("got error %v and output %q, want an Exception with \"start settings\"", err, output.String())
 		}
 	})
 }
@@ -51,6 +51,6 @@
 	inst := newInstance(1)
 	inst.guard(func() { panic("index out of range") })
 	if !strings.Contains(string(inst.reply.Frame(1)), "panic: index out of range") {
-		t.Fatal("a panic of the balancer is not reported")
+		t.Fatal("the panic is not reported in an Exception")
 	}
 }
--- a/internal/cli/benchmark_channel.go
+++ b/internal/cli/benchmark_channel.go
@@ -8,8 +8,8 @@
 
 // BenchmarkChannel is peppervale benchmark channel.
 type BenchmarkChannel struct {
-	Proxies []int `name:"forwarders" help:"Numbers of proxies." default:"40,400,2000"`
-	Entries int   `name:"lines" help:"Entries changed in a round." default:"20"`
+	Proxies []int `name:"forwarders" help:"Numbers of proxies; the benchmark runs once for each." default:"40,400,2000"`
+	Entries int   `name:"lines" help:"Entries changed per round." default:"20"`
 	Rounds  int   `help:"Number of rounds." default:"50"`
 }
 
@@ -18,7 +18,7 @@
 	var results []*benchmark.ChannelResult
 	for _, proxies := range c.Proxies {
 		if !c.isUsable(proxies) {
-			return inputErrorf("1 to 10000 forwarders and lines, and a round, are wanted")
+			return inputErrorf("sizes out of range: --forwarders and --lines are 1 to 10000, --rounds at least 1")
 		}
 		result, err := benchmark.Channel(proxies, c.Entries, c.Rounds)
 		if err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// isUsable reports whether the sizes are within their limits, for one number of proxies.
+// isUsable reports whether the sizes are within the limits, for one number of proxies.
 func (c *BenchmarkChannel) isUsable(proxies int) bool {
 	return proxies >= 1 && proxies <= maxBenchmarkProxies &&
 		c.Entries >= 1 && c.Entries <= maxBenchmarkEntries &&
--- a/internal/cli/benchmark_restart.go
+++ b/internal/cli/benchmark_restart.go
@@ -10,13 +10,13 @@
 // BenchmarkRestart is peppervale benchmark restart.
 type BenchmarkRestart struct {
 	Proxies int `name:"forwarders" help:"Number of proxies." default:"400"`
-	Rounds  int `help:"Restarts in each mode." default:"5"`
+	Rounds  int `help:"Number of restarts in each mode." default:"5"`
 }
 
-// Run runs the benchmark for each mode of restarting.
+// Run runs the benchmark for each restart mode.
 func (c *BenchmarkRestart) Run(ctx context.Context, out io.Writer) error {
 	if !c.isUsable() {
-		return inputErrorf("1 to 5000 forwarders and 1 to 1000 restarts are wanted")
+		return inputErrorf("sizes out of range: --forwarders is 1 to 5000, --rounds 1 to 1000")
 	}
 	program, err := childProgram()
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// isUsable reports whether the sizes are within their limits.
+// isUsable reports whether the sizes are within the limits.
 func (c *BenchmarkRestart) isUsable() bool {
 	return c.Proxies >= 1 && c.Proxies <= maxRestartProxies && c.Rounds >= 1 && c.Rounds <= maxRounds
 }
--- a/internal/cli/benchmark_takeover.go
+++ b/internal/cli/benchmark_takeover.go
@@ -15,14 +15,14 @@
 	Proxies       int           `name:"forwarders" help:"Number of proxies." default:"400"`
 	Rounds        int           `help:"Number of kills." default:"20"`
 	LeaseDuration time.Duration `name:"span" help:"Duration of a lease." default:"2s"`
-	Seed          uint64        `help:"Of the random choice of instances to kill, and when." default:"1"`
-	Only          string        `help:"In a cluster, without one, or both." enum:"shared,alone,both" default:"both"`
+	Seed          uint64        `help:"Random seed for the choice and the times of the kills." default:"1"`
+	Only          string        `help:"In a cluster, without a cluster, or both." enum:"shared,alone,both" default:"both"`
 }
 
 // Run runs the benchmark, with a cluster and without one.
 func (c *BenchmarkTakeover) Run(ctx context.Context, out io.Writer) error {
 	if !c.isUsable() {
-		return inputErrorf("3 to 5000 forwarders, 1 to 1000 kills and a lease of 300ms to 1m are wanted")
+		return inputErrorf("sizes out of range: --forwarders is 3 to 5000, --rounds 1 to 1000, --span 300ms to 1m")
 	}
 	program, err := childProgram()
 	if err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// variants returns whether the instances are in a cluster, for each run.
+// variants returns, for each run, whether the instances are in a cluster.
 func (c *BenchmarkTakeover) variants() []bool {
 	switch c.Only {
 	case "shared":
@@ -52,7 +52,7 @@
 	return []bool{true, false}
 }
 
-// isUsable reports whether the sizes are within their limits.
+// isUsable reports whether the sizes are within the limits.
 func (c *BenchmarkTakeover) isUsable() bool {
 	return c.Proxies >= minTakeoverProxies && c.Proxies <= maxRestartProxies &&
 		c.Rounds >= 1 && c.Rounds <= maxRounds &&
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -11,10 +11,10 @@
 
 // Check is peppervale check.
 type Check struct {
-	File string `arg:"" help:"An instance's file or a scenario's." type:"existingfile"`
+	File string `arg:"" help:"An instance's or a scenario's file." type:"existingfile"`
 }
 
-// Run reads a file and says whether it can be used.
+// Run reads a file and reports whether it is valid.
 func (c *Check) Run(out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// isScenario reports whether a file is a scenario's: it has a day block.
+// isScenario reports whether a file is a scenario's, which has a day block.
 func isScenario(text []byte) bool {
 	for line := range strings.Lines(string(text)) {
 		if strings.HasPrefix(line, "day ") {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli is the command line: a type for each command, with a Run method that calls the package which does the
-// work. A command that was renamed keeps its former name as an alias; flags, their environment variables and the exit
-// statuses stay as they were published.
+// Package cli is the command line. Each command is a type with a Run method, which calls the package that implements
+// the command. A renamed command keeps its former name as an alias. Flags, their environment variables and the exit
+// statuses do not change once they are published.
 package cli
 
 import (
@@ -13,17 +13,16 @@
 type CommandLine struct {
 	Serve     Serve     `cmd:"" aliases:"governor" help:"Run an instance until a signal ends it."`
 	Platform  Platform  `cmd:"" help:"Run an instance on the operators' platform, by its file (LB_CONFIG)."`
-	Check     Check     `cmd:"" help:"Read an instance's or a scenario's file, list its errors, start nothing."`
+	Check     Check     `cmd:"" help:"Check an instance's or a scenario's file and list its errors."`
 	Cluster   Cluster   `cmd:"" aliases:"group" help:"Show and control the instances of a cluster."`
-	Console   Console   `cmd:"" help:"Show several instances side by side, from their own consoles."`
+	Console   Console   `cmd:"" help:"Show several instances side by side, from data of their consoles."`
 	Scenario  Scenario  `cmd:"" aliases:"day" help:"Run scripted scenarios on loopback sockets."`
-	StandIn   StandIn   `cmd:"" name:"standin" aliases:"stand" help:"Run one stand-in, to try an instance by hand."`
-	Benchmark Benchmark `cmd:"" aliases:"measure" help:"Time parts of the program on this machine."`
+	StandIn   StandIn   `cmd:"" name:"standin" aliases:"stand" help:"Run one stand-in to try an instance by hand."`
+	Benchmark Benchmark `cmd:"" aliases:"measure" help:"Benchmark parts of the program on this machine."`
 	Version   Version   `cmd:"" help:"Print the version."`
 }
 
-// printf writes to a command's output. A failed write is no failure of the command: the reader may have
-// closed it.
+// printf writes to a command's output. A failed write is ignored: the reader of the output may have closed it.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -8,14 +8,14 @@
 
 // Cluster is peppervale cluster.
 type Cluster struct {
-	Status       ClusterStatus       `cmd:"" help:"Show members, shards and takeovers, as one member knows them."`
-	Move         ClusterMove         `cmd:"" help:"Move a shard to a member; it stays there until that one leaves."`
-	DrainMember  ClusterDrainMember  `cmd:"" name:"drain-member" help:"Drain a member of its shards, or end that."`
-	RemoveMember ClusterRemoveMember `cmd:"" name:"remove-member" aliases:"strike" help:"Remove a member for good."`
+	Status       ClusterStatus       `cmd:"" help:"Show members, shards and takeovers, as known to one member."`
+	Move         ClusterMove         `cmd:"" help:"Move a shard to a member; it stays until that member leaves."`
+	DrainMember  ClusterDrainMember  `cmd:"" name:"drain-member" help:"Move all shards off a member, or end that drain."`
+	RemoveMember ClusterRemoveMember `cmd:"" name:"remove-member" aliases:"strike" help:"Remove a member permanently."`
 }
 
-// member is the cluster member that a command sends its request to. It forwards to the leader what only the leader can
-// do.
+// member is the cluster member that a command sends its request to. The member forwards requests to the leader that
+// only the leader can carry out.
 type member struct {
 	At   string        `help:"Cluster address of any member, host:port." required:""`
 	Wait time.Duration `help:"How long to wait for an answer." default:"5s"`
--- a/internal/cli/cluster_drain_member.go
+++ b/internal/cli/cluster_drain_member.go
@@ -6,10 +6,10 @@
 type ClusterDrainMember struct {
 	member
 	Name string `arg:"" help:"The member's name."`
-	Off  bool   `help:"Let it take shards again."`
+	Off  bool   `help:"End the drain: the member may take shards again."`
 }
 
-// Run requests that the member drains, or ends that, and returns before its shards have moved.
+// Run requests that a member starts or stops draining. It returns before the member's shards have moved.
 func (c *ClusterDrainMember) Run(out io.Writer) error {
 	state, message := "on", "%s gives its parts away, one at a time; status shows when it has none\n"
 	if c.Off {
--- a/internal/cli/cluster_move.go
+++ b/internal/cli/cluster_move.go
@@ -12,7 +12,7 @@
 	To    string `arg:"" help:"The member's name."`
 }
 
-// Run requests the move and returns before it is done.
+// Run requests the move and returns before the move is complete.
 func (c *ClusterMove) Run(out io.Writer) error {
 	if _, err := c.request("MOVE", strconv.Itoa(c.Shard), c.To); err != nil {
 		return err
--- a/internal/cli/cluster_remove_member.go
+++ b/internal/cli/cluster_remove_member.go
@@ -8,7 +8,7 @@
 	Name string `arg:"" help:"The member's name."`
 }
 
-// Run removes the member and its vote from the cluster.
+// Run removes a member and its vote from the cluster.
 func (c *ClusterRemoveMember) Run(out io.Writer) error {
 	if _, err := c.request("STRIKE", c.Name); err != nil {
 		return err
--- a/internal/cli/cluster_status.go
+++ b/internal/cli/cluster_status.go
@@ -9,16 +9,16 @@
 	"peppervale/internal/cluster"
 )
 
-// maxTakeoversShown is how many of the last takeovers are shown.
+// maxTakeoversShown is the maximum number of takeovers that are shown; the latest are kept.
 const maxTakeoversShown = 10
 
 // ClusterStatus is peppervale cluster status.
 type ClusterStatus struct {
 	member
-	JSON bool `name:"json" help:"Write JSON."`
+	JSON bool `name:"json" help:"Write the status as JSON."`
 }
 
-// Run shows the status.
+// Run requests the status and writes it.
 func (c *ClusterStatus) Run(out io.Writer) error {
 	text, err := c.request("STATUS")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return writeStatus(out, &status)
 }
 
-// writeStatus writes a status for a reader: a headline and a table each of members, shards and the last takeovers.
+// writeStatus writes a status as text: a headline and one table each for members, shards and the last takeovers.
 func writeStatus(out io.Writer, status *cluster.Status) error {
 	leader := status.Leader
 	if leader == "" {
@@ -101,7 +101,7 @@
 	return state
 }
 
-// shardTarget describes which member should hold a shard, and what the move to it waits for.
+// shardTarget describes which member should hold a shard, and why the move to that member waits.
 func shardTarget(shard *cluster.ShardStatus) string {
 	target := shard.Target
 	if shard.Pinned {
@@ -113,7 +113,7 @@
 	return target
 }
 
-// takeoverKind describes how a shard came to its holder.
+// takeoverKind describes how a shard's holder got the lease.
 func takeoverKind(takeover *cluster.Takeover) string {
 	switch {
 	case takeover.From == "":
--- a/internal/cli/cluster_status_test.go
+++ b/internal/cli/cluster_status_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/cluster"
 )
 
-// statusFixture is a status with members, shards and takeovers in each state.
+// statusFixture is a status with members, shards and takeovers in every state.
 var statusFixture = &cluster.Status{
 	Member: "govan-1",
 	Leader: "partick-1",
@@ -33,7 +33,7 @@
 	Takeovers: takeoversFixture(),
 }
 
-// takeoversFixture is one takeover more than are shown.
+// takeoversFixture returns one takeover more than is shown.
 func takeoversFixture() []cluster.Takeover {
 	all := []cluster.Takeover{
 		{Shard: 9, Epoch: 1, To: "too-old"},
@@ -46,7 +46,7 @@
 	return all
 }
 
-// TestGoldenClusterStatus pins the output of cluster status.
+// TestGoldenClusterStatus compares the output of cluster status with its golden file.
 func TestGoldenClusterStatus(t *testing.T) {
 	want, err := os.ReadFile("testdata/cluster-status.txt")
 	if err != nil {
--- a/internal/cli/console.go
+++ b/internal/cli/console.go
@@ -10,23 +10,23 @@
 	"peppervale/internal/controller"
 )
 
-// maxConsoles is how many instances are shown side by side at most.
+// maxConsoles is the maximum number of instances that are shown side by side.
 const maxConsoles = 64
 
 // Console is peppervale console.
 type Console struct {
 	Instances []string `name:"governors" help:"Addresses of the instances' consoles, host:port or URL." required:""`
-	Listen    string   `help:"Where to serve." default:"127.0.0.1:7790"`
+	Listen    string   `help:"Address to serve the pages at, host:port." default:"127.0.0.1:7790"`
 }
 
 // Run serves the pages until the context is done.
 func (c *Console) Run(ctx context.Context, out io.Writer) error {
 	if len(c.Instances) > maxConsoles {
-		return inputErrorf("%d governors; %d are shown at most", len(c.Instances), maxConsoles)
+		return inputErrorf("--governors: %d addresses; the maximum is %d", len(c.Instances), maxConsoles)
 	}
 	for _, address := range c.Instances {
 		if !isConsoleAddress(address) {
-			return inputErrorf("--governors: %q is no host:port and no URL, as 127.0.0.1:7780 or http://127.0.0.1:7780",
+			return inputErrorf("--governors: %q is not host:port or a URL (127.0.0.1:7780, http://127.0.0.1:7780)",
 				address)
 		}
 	}
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// ErrInvariantViolated is returned when a scenario ran and violated an invariant; its report has been written. The exit
-// status is 1.
+// ErrInvariantViolated is returned when a scenario violated an invariant. The report is already written by then.
+// The exit status is 1.
 var ErrInvariantViolated = errors.New("an invariant was violated")
 
-// InputError is input that cannot be used: a command line or a file. The exit status is 2.
+// InputError reports an invalid command line or file. The exit status is 2.
 type InputError struct {
 	Err error
 
-	ownLines bool // Err lists several errors, a line each
+	ownLines bool // Err lists several errors, one per line
 }
 
-// NewInputError returns an InputError of one line.
+// NewInputError returns an InputError that is printed on one line.
 func NewInputError(err error) *InputError { return &InputError{Err: err} }
 
 // Error implements error.
@@ -27,13 +27,13 @@
 	return fmt.Sprintf("input: %v", e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *InputError) Unwrap() error { return e.Err }
 
-// inputErrorf returns an InputError with a text.
+// inputErrorf returns an InputError with a formatted message.
 func inputErrorf(format string, args ...any) *InputError {
 	return NewInputError(fmt.Errorf(format, args...))
 }
 
-// fileError returns the InputError of a file, whose errors are listed a line each.
+// fileError returns the InputError for an invalid file. The errors in the file are listed one per line.
 func fileError(err error) *InputError { return &InputError{Err: err, ownLines: true} }
--- a/internal/cli/errors_test.go
+++ b/internal/cli/errors_test.go
@@ -12,9 +12,9 @@
 		err  *InputError
 		want string
 	}{
-		{"of one line", NewInputError(cause), "input: cause"},
-		{"with a text", inputErrorf("a.hcl: %w", cause), "input: a.hcl: cause"},
-		{"of a file", fileError(cause), "input:\ncause"},
+		{"single error", NewInputError(cause), "input: cause"},
+		{"formatted message", inputErrorf("a.hcl: %w", cause), "input: a.hcl: cause"},
+		{"errors of a file", fileError(cause), "input:\ncause"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -22,7 +22,7 @@
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			if !errors.Is(tt.err, cause) {
-				t.Errorf("%v does not wrap its cause", tt.err)
+				t.Errorf("%v does not wrap the underlying error", tt.err)
 			}
 		})
 	}
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -12,8 +12,9 @@
 	"peppervale/internal/server"
 )
 
-// shutdownTimeout is how long the end may take, from whatever state: the platform kills no sooner than 0.7 s after
-// SIGTERM, and what is left undone then has no effect, as proxies have connected elsewhere on that signal.
+// shutdownTimeout limits the duration of a shutdown, in every state of the instance. The platform kills the process
+// 0.7 s after SIGTERM at the earliest. Work left undone has no effect: the signal also makes proxies connect to another
+// instance.
 const shutdownTimeout = 300 * time.Millisecond
 
 // Platform is peppervale platform.
@@ -22,10 +23,10 @@
 	Log    string `help:"Minimum level of the log." default:"info" enum:"debug,info,warn,error"`
 }
 
-// Run runs an instance on the operators' platform until the context is done. Then it returns, or ends the process with
-// status 0, within shutdownTimeout.
+// Run runs an instance on the operators' platform until the context is done. Within shutdownTimeout after that, it
+// returns or exits the process with status 0.
 func (c *Platform) Run(ctx context.Context, out io.Writer) error {
-	reload := reloadRequests(ctx) // before anything else: a signal that comes early must not end the process
+	reload := reloadRequests(ctx) // first of all: an early SIGHUP must not end the process
 	finished := make(chan struct{})
 	defer close(finished)
 	go exitAfterTimeout(ctx, finished)
@@ -44,8 +45,8 @@
 	}, log)
 }
 
-// exitAfterTimeout ends the process with status 0, unless the command finishes within shutdownTimeout after its context
-// is done.
+// exitAfterTimeout exits the process with status 0 if the command has not finished shutdownTimeout after its context is
+// done.
 func exitAfterTimeout(ctx context.Context, finished <-chan struct{}) {
 	select {
 	case <-finished:
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// reloadRequests passes SIGHUP on until the context is done. A signal that comes while another waits adds nothing, as
-// the file is then read as it is. SIGHUP stays caught to the end of the process: with its default action restored, one
-// that comes during the shutdown would kill it.
+// reloadRequests returns a channel that receives an element for each SIGHUP until the context is done. A signal is
+// dropped while an earlier request is pending: that reload will read the current file. SIGHUP is caught until the
+// process exits: with the default action restored, a SIGHUP during the shutdown would kill the process.
 func reloadRequests(ctx context.Context) <-chan struct{} {
 	hangups := make(chan os.Signal, 1)
 	requests := make(chan struct{}, 1)
--- a/internal/cli/scenario_from_bench.go
+++ b/internal/cli/scenario_from_bench.go
@@ -9,12 +9,12 @@
 
 // ScenarioFromBench is peppervale scenario from-bench.
 type ScenarioFromBench struct {
-	File    string `arg:"" help:"The bench's scenario, JSON." type:"existingfile"`
+	File    string `arg:"" help:"The scenario of the bench, JSON." type:"existingfile"`
 	Out     string `short:"o" required:"" help:"The script to write." type:"path"`
-	Proxies int    `name:"forwarders" help:"Proxies at most; the rest shrinks in proportion." default:"60"`
+	Proxies int    `name:"forwarders" help:"Maximum number of proxies; other sizes are scaled in proportion." default:"60"`
 }
 
-// Run writes the script, and a note for each thing that could not be carried over as it was.
+// Run writes the script, and prints a note for each part of the scenario that could not be converted exactly.
 func (c *ScenarioFromBench) Run(out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -25,7 +25,7 @@
 		return inputErrorf("%s: %w", c.File, err)
 	}
 	if _, err := scenario.Parse(c.Out, script); err != nil {
-		return inputErrorf("the day cannot be carried over:\n%w", err)
+		return inputErrorf("the script converted from the bench's scenario is invalid:\n%w", err)
 	}
 	if err := os.WriteFile(c.Out, script, 0o644); err != nil {
 		return err
--- a/internal/cli/scenario_list.go
+++ b/internal/cli/scenario_list.go
@@ -10,14 +10,14 @@
 
 // ScenarioList is peppervale scenario list.
 type ScenarioList struct {
-	Directory string `arg:"" name:"folder" optional:"" default:"scenarios" help:"Where the scripts are." type:"path"`
+	Directory string `arg:"" name:"folder" optional:"" default:"scenarios" help:"Directory of the scripts." type:"path"`
 }
 
-// Run lists each script with its length and what it is about.
+// Run lists each script with its length and its description.
 func (c *ScenarioList) Run(out io.Writer) error {
 	files, err := filepath.Glob(filepath.Join(c.Directory, "*.hcl"))
 	if err != nil || len(files) == 0 {
-		return inputErrorf("no day scripts (*.hcl) in %s", c.Directory)
+		return inputErrorf("no scenario scripts (*.hcl) in %s", c.Directory)
 	}
 	for _, file := range files {
 		listScenario(out, file)
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// listScenario writes a line about one script. One that cannot be read does not end the list.
+// listScenario writes one line about a script. For an invalid script, the line shows the error.
 func listScenario(out io.Writer, file string) {
 	script, err := scenario.Open(file)
 	if err != nil {
--- a/internal/cli/scenario_run.go
+++ b/internal/cli/scenario_run.go
@@ -17,7 +17,7 @@
 	Quiet     bool   `help:"Report no progress."`
 }
 
-// Run runs a scenario and writes its report. It returns ErrInvariantViolated if one was violated.
+// Run runs a scenario and writes its report. It returns ErrInvariantViolated if an invariant was violated.
 func (c *ScenarioRun) Run(ctx context.Context, out io.Writer) error {
 	script, err := scenario.Open(c.File)
 	if err != nil {
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// maxStandInDuration is the longest time that a stand-in's file may set.
+	// maxStandInDuration is the maximum of the durations in a stand-in's file.
 	maxStandInDuration = 3600 * model.Second
 
 	standInStatisticsInterval = 5 * time.Second
 )
 
-// StandIn is peppervale standin: one stand-in, to try an instance by hand.
+// StandIn is peppervale standin. It runs one stand-in, to try an instance by hand.
 type StandIn struct {
-	Replica  StandInReplica  `cmd:"" help:"Serve requests as a replica would."`
+	Replica  StandInReplica  `cmd:"" help:"Serve requests like a replica."`
 	Proxy    StandInProxy    `cmd:"" aliases:"forwarder" help:"Connect to an instance and send requests by its tables."`
-	Registry StandInRegistry `cmd:"" help:"Serve an endpoint list; the file is read again each second."`
+	Registry StandInRegistry `cmd:"" help:"Serve an endpoint list; the file is reread each second."`
 }
 
-// ignoreObservation discards what a stand-in observes, as no invariant is judged.
+// ignoreObservation discards a stand-in's observation, as no invariant is checked.
 func ignoreObservation(invariants.Event) {}
 
 // openStandInFile reads a stand-in's file. The error is an InputError.
@@ -40,11 +40,11 @@
 	return settings, nil
 }
 
-// readReplicaID reads an address with a port as a replica's id.
+// readReplicaID reads a setting of the form address:port as a replica's id.
 func readReplicaID(block *config.Block, name string) model.ReplicaID {
 	text := block.Address(name, false)
 	id, err := pubsubmsg.ParseAddress(text)
-	if err != nil && text != "" { // of an empty one Address has reported the error
+	if err != nil && text != "" { // block.Address has already reported an empty text
 		block.AddError(name, "%s: %v", name, err)
 	}
 	return id
--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -14,13 +14,13 @@
 	"peppervale/internal/standin/proxy"
 )
 
-// What a stand-in proxy's file does not set.
+// Proxy settings that are not in the stand-in's file.
 const (
-	firstAttemptShare = 0.8 // of the latency objective, for an attempt that may be retried
+	firstAttemptShare = 0.8 // fraction of the latency objective given to an attempt that may be retried
 	proxyDialTimeout  = 250 * model.Millisecond
 	proxyIdleTimeout  = 15 * model.Second
 
-	workSpread = 0.5 // coefficient of variation of the requests' work
+	workSpread = 0.5 // coefficient of variation of the work per request
 )
 
 // StandInProxy is peppervale standin proxy.
@@ -28,12 +28,12 @@
 	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
 }
 
-// proxySettings is the file of a proxy and its load.
+// proxySettings is the content of a proxy's file: the proxy and its load.
 type proxySettings struct {
 	proxy         proxy.Config
 	standingTable []invariants.TableEntry
 	operations    []config.Operation
-	meanWork      model.Microseconds // of a request
+	meanWork      model.Microseconds // per request
 	seed          uint64
 }
 
@@ -68,7 +68,7 @@
 	return settings
 }
 
-// readStandingTable reads the table that a proxy uses until an instance sends it one.
+// readStandingTable reads the table that a proxy uses until it receives one from an instance.
 func readStandingTable(block *config.Block) []invariants.TableEntry {
 	var table []invariants.TableEntry
 	for _, address := range block.Strings("standing", true) {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// proxyLoad has a proxy send requests at random times. All of it runs on the loop.
+// proxyLoad makes a proxy send requests at random intervals. Its methods run on the loop.
 type proxyLoad struct {
 	settings proxySettings
 	loop     *standin.Loop
@@ -117,7 +117,7 @@
 	requests, withinObjective uint64
 }
 
-// scheduleRequest sends a request after a random time, and then schedules the next one.
+// scheduleRequest sends a request after a random interval, then schedules the next request.
 func (l *proxyLoad) scheduleRequest() {
 	seconds := l.random.Interval(l.settings.proxy.ExpectedRate)
 	l.loop.After(model.Microseconds(seconds*float64(model.Second)), func() {
@@ -126,12 +126,12 @@
 	})
 }
 
-// sendRequest sends a request of a random operation and size.
+// sendRequest sends a request with a random operation and a random amount of work.
 func (l *proxyLoad) sendRequest() {
 	l.requests++
-	operation := l.random.Below(len(l.settings.operations))
+	operation := l.random.IntN(len(l.settings.operations))
 	objective := l.settings.operations[operation].LatencyObjective
-	l.proxy.Handle(&proxy.Request{
+	l.proxy.HandleRequest(&proxy.Request{
 		Number:    l.requests,
 		Operation: operation,
 		Work:      float64(l.settings.meanWork) * l.random.LogNormal(workSpread),
@@ -145,5 +145,5 @@
 
 func (l *proxyLoad) writeStatistics(out io.Writer) {
 	printf(out, "joined to %q, bound %v, %d lines held; %d asked, %d within the objective; %d messages\n",
-		l.proxy.Joined(), l.proxy.Bound(), len(l.proxy.HeldEntries()), l.requests, l.withinObjective, l.proxy.Messages)
+		l.proxy.JoinedInstance(), l.proxy.Bound(), len(l.proxy.HeldEntries()), l.requests, l.withinObjective, l.proxy.Messages)
 }
--- a/internal/cli/standin_registry.go
+++ b/internal/cli/standin_registry.go
@@ -23,7 +23,7 @@
 	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
 }
 
-// registrySettings is the file of a registry.
+// registrySettings is the content of a registry's file.
 type registrySettings struct {
 	listen  string
 	service string
@@ -65,8 +65,8 @@
 	return entry
 }
 
-// Run serves the list until the context is done. A file that cannot be read is reported on standard error, once for the
-// same errors, and the list stays as it was.
+// Run serves the endpoint list until the context is done. It reads the file again each second. If the file is invalid,
+// Run reports the error on standard error, unless it equals the last reported one, and leaves the list unchanged.
 func (c *StandInRegistry) Run(ctx context.Context, out io.Writer) error {
 	settings, err := openStandInFile(c.Config, readRegistry)
 	if err != nil {
@@ -86,7 +86,7 @@
 	lastError := ""
 	repeat(ctx, registryReloadInterval, func() {
 		next, err := openStandInFile(c.Config, readRegistry)
-		if err != nil { // the file may be half edited
+		if err != nil { // the file may be in the middle of an edit
 			if err.Error() != lastError {
 				lastError = err.Error()
 				printf(os.Stderr, "%s\n", lastError)
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// applySettings has the registry list the entries of its file, and no longer those that were listed before and are not
-// in the file.
+// applySettings sets the faults and entries of the registry to those in its file. It removes previously listed entries
+// that are not in the file.
 func applySettings(loop *standin.Loop, server *registry.Registry, listed []registry.Entry, settings registrySettings) {
 	loop.Do(func() {
 		server.Faults = settings.fault
--- a/internal/cli/standin_replica.go
+++ b/internal/cli/standin_replica.go
@@ -17,10 +17,10 @@
 	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
 }
 
-// replicaSettings is the file of a replica.
+// replicaSettings is the content of a replica's file.
 type replicaSettings struct {
 	replica    replica.Config
-	windows    []model.Microseconds // in which a repeated request is dropped, by operation
+	windows    []model.Microseconds // deduplication windows for repeated requests, by operation
 	startsCold bool
 }
 
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -9,13 +9,13 @@
 // Version is peppervale version.
 type Version struct{}
 
-// Run prints the version and the revision that the program was built from.
+// Run prints the version and the revision of the source.
 func (Version) Run(out io.Writer) error {
 	_, err := fmt.Fprintf(out, "peppervale 0.1.0-dev, revision %s\n", revision())
 	return err
 }
 
-// revision returns the commit that the program was built from, or "unknown".
+// revision returns the commit that the program was built from, or "unknown" if the build did not record it.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -245,7 +245,7 @@
 	t.Helper()
 	for _, v := range Check(events, testLimits, 15*second) {
 		if broken := len(v.Violations) > 0; broken != (wantBroken && v.Invariant == invariant) {
-			t.Errorf("%s: broken %v, %.2f of the limit: %v", v.Invariant, broken, v.Nearest, v.Violations)
+			t.Errorf("%s: broken %v, %.2f of the limit: %v", v.Invariant, broken, v.MaxRatio, v.Violations)
 		}
 	}
 }
--- a/internal/invariants/events.go
+++ b/internal/invariants/events.go
@@ -17,7 +17,7 @@
 	Succeeded                     // an answer without an error
 	Rejected                      // rejected, without executing it, by a full or draining replica
 	ConnectFailed                 // no connection could be established
-	ErrorAnswer                   // an answer that reports an error
+	ErrorResponse                 // an answer that reports an error
 	TimedOut                      // no answer in time
 	ConnectionLost                // the connection ended first
 )
--- a/internal/invariants/result.go
+++ b/internal/invariants/result.go
@@ -23,7 +23,7 @@
 // describes that observation.
 type Result struct {
 	Invariant  string   `json:"rule"`
-	Nearest    float64  `json:"nearest"`
+	MaxRatio   float64  `json:"nearest"`
 	Where      string   `json:"where,omitempty"`
 	Violations []string `json:"breaks,omitempty"`
 }
@@ -36,8 +36,8 @@
 
 // record records how near the limit an observation came, and a violation if share is above 1.
 func (r *Result) record(share float64, format string, args ...any) {
-	if share > r.Nearest {
-		r.Nearest = share
+	if share > r.MaxRatio {
+		r.MaxRatio = share
 		r.Where = fmt.Sprintf(format, args...)
 	}
 	if share <= 1 {
--- a/internal/scenario/faulty_test.go
+++ b/internal/scenario/faulty_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	isViolated := len(verdict.Violations) > 0
 	if isViolated != (verdict.Invariant == violated) {
-		t.Errorf("%s: %.2f of the limit, %v", verdict.Invariant, verdict.Nearest, verdict.Violations)
+		t.Errorf("%s: %.2f of the limit, %v", verdict.Invariant, verdict.MaxRatio, verdict.Violations)
 		return
 	}
 	if !isViolated {
--- a/internal/scenario/judgement.go
+++ b/internal/scenario/judgement.go
@@ -50,7 +50,7 @@
 	report.Service, report.WorstService = r.statistics.serviceLevel()
 	for _, candidate := range r.replicas {
 		if candidate.Overloaded {
-			report.CollapsedReplicas++
+			report.OverloadedReplicas++
 		}
 	}
 	return report
@@ -65,7 +65,7 @@
 		report.Bytes += proxy.Bytes
 		report.Joins += proxy.Joins
 		report.Resyncs += proxy.Resyncs
-		if proxy.Joined() != "" && proxy.Bound() {
+		if proxy.JoinedInstance() != "" && proxy.Bound() {
 			report.Bound++
 		}
 	}
@@ -106,7 +106,7 @@
 		r.Rejected++
 	case invariants.ConnectFailed:
 		r.ConnectFailed++
-	case invariants.ErrorAnswer, invariants.ConnectionLost:
+	case invariants.ErrorResponse, invariants.ConnectionLost:
 		r.Errored++
 	case invariants.TimedOut:
 		r.TimedOut++
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -118,7 +118,7 @@
 	t.Helper()
 	var text bytes.Buffer
 	report.Print(&text)
-	if report.Violated() || report.CollapsedReplicas > 0 {
+	if report.Violated() || report.OverloadedReplicas > 0 {
 		t.Errorf("an invariant was violated:\n%s", text.String())
 	}
 	if report.Channel.Bound == 0 {
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -142,17 +142,17 @@
 func (s *Script) readLoad(block *config.Block) Load {
 	load := Load{Rate: block.Float("rate", 0, 0, 100_000)}
 	for _, workBlock := range block.Blocks("work", 1) {
-		load.Works = append(load.Works, s.readWork(workBlock))
+		load.Operations = append(load.Operations, s.readWork(workBlock))
 	}
-	if len(load.Works) == 0 {
+	if len(load.Operations) == 0 {
 		block.AddError("", "load: a block work \"operation\" { } is missing")
 	}
 	block.RejectUnknown()
 	return load
 }
 
-func (s *Script) readWork(block *config.Block) Work {
-	work := Work{
+func (s *Script) readWork(block *config.Block) OperationLoad {
+	work := OperationLoad{
 		Operation: s.operationIndex(block.Labels[0]),
 		Share:     block.Float("share", 1, 0, 1e6),
 		Mean:      block.Duration("mean", -1, 1, hour),
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -11,18 +11,18 @@
 // Report is the result of a scenario. Service is the billed value that was served within the latency objective, as a
 // share of the billed value of all requests.
 type Report struct {
-	Scenario          string              `json:"day"`
-	Seconds           float64             `json:"seconds"`
-	Proxies           int                 `json:"forwarders"`
-	Replicas          int                 `json:"replicas"`
-	Instances         int                 `json:"governors"`
-	Service           float64             `json:"service"`
-	WorstService      float64             `json:"service_worst_10s"`
-	Operations        []OperationReport   `json:"operations"`
-	Attempts          AttemptReport       `json:"tries"`
-	Channel           ChannelReport       `json:"channel"`
-	Invariants        []invariants.Result `json:"rules"`
-	CollapsedReplicas int                 `json:"replicas_tipped"` // replicas that overload brought down
+	Scenario           string              `json:"day"`
+	Seconds            float64             `json:"seconds"`
+	Proxies            int                 `json:"forwarders"`
+	Replicas           int                 `json:"replicas"`
+	Instances          int                 `json:"governors"`
+	Service            float64             `json:"service"`
+	WorstService       float64             `json:"service_worst_10s"`
+	Operations         []OperationReport   `json:"operations"`
+	Attempts           AttemptReport       `json:"tries"`
+	Channel            ChannelReport       `json:"channel"`
+	Invariants         []invariants.Result `json:"rules"`
+	OverloadedReplicas int                 `json:"replicas_tipped"` // replicas that overload brought down
 }
 
 // OperationReport counts the requests of one operation. Latencies are milliseconds, of requests that succeeded.
@@ -105,7 +105,7 @@
 	fmt.Fprintf(text, "\ntries %d: %d followed another, %d refused, %d not connected, %d errored, %d timed out, "+
 		"%d across zones; %d replicas fell over\n",
 		attempts.Sent, attempts.Retries, attempts.Rejected, attempts.ConnectFailed, attempts.Errored,
-		attempts.TimedOut, attempts.CrossZone, r.CollapsedReplicas)
+		attempts.TimedOut, attempts.CrossZone, r.OverloadedReplicas)
 	channel := r.Channel
 	fmt.Fprintf(text, "channel: %d messages of %d lines and %d bytes, %d joins, %d snapshots asked for; "+
 		"%d forwarders bound at the end; governors used %.2f s of CPU\n\n",
@@ -118,7 +118,7 @@
 	if len(verdict.Violations) > 0 {
 		state = "BROKEN"
 	}
-	fmt.Fprintf(text, "%-6s %-28s nearest %.2f of the limit", state, verdict.Invariant, verdict.Nearest)
+	fmt.Fprintf(text, "%-6s %-28s nearest %.2f of the limit", state, verdict.Invariant, verdict.MaxRatio)
 	if verdict.Where != "" {
 		fmt.Fprintf(text, " (%s)", verdict.Where)
 	}
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -126,7 +126,7 @@
 	if err := r.addReplicas(); err != nil {
 		return err
 	}
-	for _, work := range r.script.Load.Works {
+	for _, work := range r.script.Load.Operations {
 		r.totalShare += work.Share
 	}
 	r.addProxies()
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -71,12 +71,12 @@
 
 // Load describes the requests that clients send.
 type Load struct {
-	Rate  float64 // requests a second, all proxies together
-	Works []Work
+	Rate       float64 // requests a second, all proxies together
+	Operations []OperationLoad
 }
 
-// Work is the load of one operation.
-type Work struct {
+// OperationLoad is the load of one operation.
+type OperationLoad struct {
 	Operation int     // its index in Script.Operations
 	Share     float64 // of the requests, relative to the other shares
 	Mean      model.Microseconds
--- a/internal/scenario/standins.go
+++ b/internal/scenario/standins.go
@@ -71,7 +71,7 @@
 	if err := added.Start(cold); err != nil {
 		return err
 	}
-	added.entry.StartedAt = added.Started
+	added.entry.StartedAt = added.StartedAt
 	if cold {
 		r.register(added, r.script.Registry.AddDelay)
 	} else {
@@ -102,10 +102,10 @@
 
 // register enters a replica, in its state at that time, after a delay unless the process ended or restarted meanwhile.
 func (r *runner) register(target *managedReplica, delay model.Microseconds) {
-	incarnation := target.Started
+	incarnation := target.StartedAt
 	r.loop.After(delay, func() {
-		if target.Running && target.Started == incarnation {
-			target.entry.StartedAt = target.Started
+		if target.Running && target.StartedAt == incarnation {
+			target.entry.StartedAt = target.StartedAt
 			target.entry.Draining = target.Draining
 			r.endpoints.Set(target.entry)
 		}
@@ -199,7 +199,7 @@
 	candidates := r.standingCandidates(r.script.Zones[target.zone])
 	var entries []invariants.TableEntry
 	for len(entries) < r.script.Config.StandingTableSize && len(candidates) > 0 {
-		k := r.random.Below(len(candidates))
+		k := r.random.IntN(len(candidates))
 		entries = append(entries, invariants.TableEntry{Replica: candidates[k].ID, Weight: 1})
 		candidates = slices.Delete(candidates, k, k+1)
 	}
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -115,7 +115,7 @@
 	RegistryFails:     func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Fails: true}) },
 	RegistrySilent:    func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Silent: true}) },
 	RegistryLate:      func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Delay: seconds(step.Size)}) },
-	RegistryTruncates: func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{CutsBody: true}) },
+	RegistryTruncates: func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{TruncatesBody: true}) },
 	RegistryIndexBack: func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{IndexGoesBack: true}) },
 	ReplicaVanish:     func(r *runner, step Step) { r.disturbReplicas(step, r.silence, r.restartCold) },
 	ReplicaSlow:       func(r *runner, step Step) { r.disturbReplicas(step, slowdown(step.Size), slowdown(1)) },
--- a/internal/scenario/targets.go
+++ b/internal/scenario/targets.go
@@ -7,7 +7,7 @@
 		indices[i] = i
 	}
 	for i := count - 1; i > 0; i-- {
-		j := r.random.Below(i + 1)
+		j := r.random.IntN(i + 1)
 		indices[i], indices[j] = indices[j], indices[i]
 	}
 	wanted := max(1, int(fraction*float64(count)+0.5))
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -45,8 +45,8 @@
 }
 
 // drawOperation draws an operation by its share of the load.
-func (r *runner) drawOperation() Work {
-	works := r.script.Load.Works
+func (r *runner) drawOperation() OperationLoad {
+	works := r.script.Load.Operations
 	point := r.random.Float() * r.totalShare
 	for _, work := range works {
 		if point < work.Share {
@@ -71,7 +71,7 @@
 			r.sendAttempt(request, next)
 		})
 	}
-	request.proxy.Handle(&attempt)
+	request.proxy.HandleRequest(&attempt)
 }
 
 // clientRetries tells whether a client retries: idempotent work after any failure, the rest only after it was rejected.
--- a/internal/server/cluster_testbed_test.go
+++ b/internal/server/cluster_testbed_test.go
@@ -34,14 +34,14 @@
 type clusterMember struct {
 	name    string
 	zone    string
-	channel string // for proxies
-	request string // for other members and operators
+	channel string // address for proxies
+	request string // address for other members and operators
 	gossip  string
 	console string
 }
 
-// clusterTestbed is three instances, one a zone, that share six proxies out, with links between the instances that can
-// be interrupted.
+// clusterTestbed has three instances, one per zone, that share six proxies. A test can interrupt the links between the
+// instances.
 type clusterTestbed struct {
 	t        *testing.T
 	loop     *standin.Loop
@@ -50,9 +50,9 @@
 	registry *registry.Registry
 
 	mu       sync.Mutex
-	isolated map[string]bool // members that reach no other and are reached by none
+	isolated map[string]bool // members whose links are interrupted in both directions
 
-	observations []invariants.Event // by the proxies; only on the loop
+	observations []invariants.Event // made by the proxies; accessed on the loop only
 }
 
 // Open implements cluster.Links.
@@ -62,14 +62,14 @@
 	return from == to || !bed.isolated[from] && !bed.isolated[to]
 }
 
-// setIsolated interrupts a member's links to the others, or restores them.
+// setIsolated interrupts or restores a member's links to the other members.
 func (bed *clusterTestbed) setIsolated(name string, isolated bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	bed.isolated[name] = isolated
 }
 
-// newClusterTestbed starts the instances and proxies; they end with the test.
+// newClusterTestbed starts the instances and proxies. They are ended when the test ends.
 func newClusterTestbed(t *testing.T, leaseDuration string) *clusterTestbed {
 	t.Helper()
 	bed := &clusterTestbed{t: t, isolated: map[string]bool{}, loop: newLoop(t)}
@@ -107,7 +107,7 @@
 	return bed
 }
 
-// startMember starts an instance that ends with the test.
+// startMember starts an instance. It is ended when the test ends.
 func (bed *clusterTestbed) startMember(member clusterMember, directory, leaseDuration string) {
 	bed.t.Helper()
 	path := filepath.Join(directory, member.name+".hcl")
@@ -129,7 +129,7 @@
 	})
 }
 
-// configuration returns a member's file.
+// configuration returns the content of a member's file.
 func (bed *clusterTestbed) configuration(member clusterMember, leaseDuration string) string {
 	var members strings.Builder
 	for _, m := range bed.members {
@@ -175,8 +175,8 @@
 		member.gossip, member.zone, leaseDuration, members.String())
 }
 
-// startProxy starts the k-th proxy, in zone k modulo 3. It tries its own zone's instance first. To be called on the
-// loop.
+// startProxy starts proxy k, in zone k modulo 3. The proxy tries its own zone's instance first. startProxy is called on
+// the loop.
 func (bed *clusterTestbed) startProxy(k int, engine *netpoll.Engine) {
 	home := k % len(clusterZones)
 	var instances []proxy.Instance
@@ -185,26 +185,26 @@
 		instances = append(instances, proxy.Instance{Name: member.name, Address: member.channel})
 	}
 	p := proxy.New(bed.loop, engine, proxy.Config{
-		Name:           fmt.Sprint("till-", k),
-		Zone:           clusterZones[home],
-		ZoneIndex:      home,
-		ExpectedRate:   2,
-		RedialInterval: 50 * model.Millisecond,
-		DialTimeout:    model.Second,
-		StreamsOnly:    true,
-		Instances:      instances,
+		Name:            fmt.Sprint("till-", k),
+		Zone:            clusterZones[home],
+		ZoneIndex:       home,
+		ExpectedRate:    2,
+		RedialInterval:  50 * model.Millisecond,
+		DialTimeout:     model.Second,
+		OmitLoadReports: true,
+		Instances:       instances,
 	}, uint64(k), func(seen invariants.Event) { bed.observations = append(bed.observations, seen) })
 	p.Start([]invariants.TableEntry{{Replica: replicaID(1), Weight: 1}})
 	bed.proxies = append(bed.proxies, p)
 }
 
-// homeOf returns the name of the instance in the k-th proxy's zone.
+// homeOf returns the name of the instance in proxy k's zone.
 func (bed *clusterTestbed) homeOf(k int) string { return bed.members[k%len(bed.members)].name }
 
-// isHome reports whether the k-th proxy is connected to the instance of its zone.
+// isHome reports whether an instance is that of proxy k's zone.
 func (bed *clusterTestbed) isHome(k int, instance string) bool { return instance == bed.homeOf(k) }
 
-// waitForPlacement waits until each proxy is bound, and connected to an instance that is as wanted.
+// waitForPlacement waits until every proxy is bound and connected to an instance for which isWanted returns true.
 func (bed *clusterTestbed) waitForPlacement(what string, isWanted func(k int, instance string) bool) {
 	bed.t.Helper()
 	for deadline := time.Now().Add(clusterWaitTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -212,8 +212,8 @@
 		var instances []string
 		bed.loop.Do(func() {
 			for k, p := range bed.proxies {
-				instances = append(instances, p.Joined())
-				allWanted = allWanted && p.Bound() && isWanted(k, p.Joined())
+				instances = append(instances, p.JoinedInstance())
+				allWanted = allWanted && p.Bound() && isWanted(k, p.JoinedInstance())
 			}
 		})
 		if allWanted {
@@ -224,12 +224,12 @@
 				text, err := cluster.Request(member.request, time.Second, "STATUS")
 				bed.t.Log(text, err)
 			}
-			bed.t.Fatalf("never: %s; the proxies are connected to %v", what, instances)
+			bed.t.Fatalf("not reached: %s; the proxies are connected to %v", what, instances)
 		}
 	}
 }
 
-// waitForProxies waits until a condition holds of each proxy.
+// waitForProxies waits until a condition holds for every proxy.
 func (bed *clusterTestbed) waitForProxies(what string, holds func(p *proxy.Proxy) bool) {
 	bed.t.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -243,13 +243,13 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			bed.t.Fatalf("never: %s", what)
+			bed.t.Fatalf("not reached: %s", what)
 		}
 	}
 }
 
-// expectNoMajority waits until a member's status says that it has no majority. A lease counts from its request and the
-// missing majority from the last agreement, which came later: for a moment a member holds nothing and says nothing.
+// expectNoMajority waits until a member's status reports the missing majority. A lease is counted from its request, the
+// missing majority from the later agreement: in between, a member holds no lease but does not report the fault yet.
 func (bed *clusterTestbed) expectNoMajority(member clusterMember) {
 	bed.t.Helper()
 	const limit = 5 * time.Second
@@ -259,7 +259,7 @@
 			return
 		}
 		if err != nil || time.Now().After(deadline) {
-			bed.t.Errorf("%s without a majority says %v %.300s", member.name, err, text)
+			bed.t.Errorf("%s: got error %v and status %.300s, want a missing majority", member.name, err, text)
 			return
 		}
 	}
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -21,15 +21,15 @@
 const (
 	statisticsInterval = 10 * time.Second
 
-	// savePublishedInterval is how often the published state is stored if it changed. The console of the next
-	// incarnation shows it until that one has published its own; five seconds old is recent enough for that.
+	// savePublishedInterval is the interval at which the published state is stored if it changed. After a restart, the
+	// console shows the stored state until the new incarnation publishes its own; an age of 5 s is acceptable there.
 	savePublishedInterval = 5 * time.Second
 )
 
-// instance is one running instance. start opens its parts in order, close releases them in reverse order.
+// instance is one running instance. start opens its components in order, close releases them in reverse order.
 type instance struct {
 	settings *activeSettings
-	balancer model.Config // with this incarnation's seed, once the store is open
+	balancer model.Config // has this incarnation's seed once createController has run
 	outside  Environment
 	log      zerolog.Logger
 	now      func() model.Microseconds
@@ -38,11 +38,11 @@
 	controller *controller.Controller
 	runner     *controllerRunner
 	recorder   *recorder
-	membership *membership // nil: it is in no cluster
+	membership *membership // nil if the instance is in no cluster
 	proxies    *pubsub.Server
 	discovery  *discovery.ConsulClient
 
-	closers []func() error // of the parts that are open, in the order of opening
+	closers []func() error // of the open components, in the order of opening
 }
 
 func newInstance(settings *config.Server, outside Environment, log zerolog.Logger) *instance {
@@ -55,7 +55,7 @@
 	}
 }
 
-// start opens the parts in order. After an error the caller closes those that are open.
+// start opens the components in order. After an error, the caller calls close to release the open ones.
 func (inst *instance) start() error {
 	settings := inst.settings.get()
 	store, err := inst.openStore(settings)
@@ -85,7 +85,7 @@
 	return inst.openConsole(settings)
 }
 
-// openStore opens the state store and counts an incarnation.
+// openStore opens the state store, which assigns the next incarnation number.
 func (inst *instance) openStore(settings *config.Server) (*statestore.Store, error) {
 	store, recovered, err := statestore.Open(settings.StateDir, uint64(inst.now()/model.Second))
 	if err != nil {
@@ -102,8 +102,8 @@
 	return store, nil
 }
 
-// createController makes the controller and the recorder of its decisions. The balancer's seed differs at each start
-// and is the same for the same incarnation.
+// createController creates the controller and the recorder of its decisions. The balancer's seed depends on the
+// incarnation, so that it differs at each start and can be reproduced.
 func (inst *instance) createController(settings *config.Server, store *statestore.Store) {
 	inst.balancer.Seed += inst.recovered.Incarnation << 32
 	inst.controller = controller.New(inst.balancer, settings.ReportLimit, inst.now, inst.log)
@@ -112,7 +112,7 @@
 	inst.releaseAtEnd(inst.recorder.writer.Close)
 }
 
-// listen opens the address for proxies. They may connect from here on.
+// listen opens the address for proxies. Proxies can connect from then on.
 func (inst *instance) listen(settings *config.Server) error {
 	serverConfig := pubsub.Config{
 		Listen:           settings.ListenAddress,
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// openDiscovery makes the client of the endpoint list; it polls once the controller subscribes.
+// openDiscovery creates the client of the endpoint list. It starts to poll when the controller subscribes.
 func (inst *instance) openDiscovery(settings *config.Server) error {
 	client, err := discovery.NewConsulClient(discovery.ConsulConfig{
 		Address:   settings.Discovery.Address,
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// startController starts the controller, or joins the cluster, where it starts with the first lease.
+// startController starts the controller. In a cluster, it only joins; the controller then starts with the first lease.
 func (inst *instance) startController(settings *config.Server) error {
 	if inst.membership == nil {
 		inst.runner.start()
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// openConsole opens the console, if one is configured.
+// openConsole opens the console if one is configured.
 func (inst *instance) openConsole(settings *config.Server) error {
 	if settings.ConsoleAddress == "" {
 		return nil
@@ -204,11 +204,11 @@
 		return err
 	}
 	inst.releaseAtEnd(pages.Close)
-	inst.log.Info().Str("url", "http://"+pages.Addr()).Msg("console is available")
+	inst.log.Info().Str("url", "http://"+pages.Addr()).Msg("console listening")
 	return nil
 }
 
-// operate does the periodic work and reloads until the context is done.
+// operate performs periodic tasks and configuration reloads until the context is done.
 func (inst *instance) operate(ctx context.Context) {
 	statistics := time.NewTicker(statisticsInterval)
 	defer statistics.Stop()
@@ -228,11 +228,11 @@
 	}
 }
 
-// shutDown is the graceful shutdown: the published state is stored, leases go to other members, proxies are notified to
-// connect elsewhere, and the controller stops.
+// shutDown performs the graceful shutdown: it stores the published state, transfers leases to other members, notifies
+// proxies to connect to another instance, and stops the controller.
 func (inst *instance) shutDown() {
 	gracePeriod := inst.settings.get().ShutdownGracePeriod
-	inst.log.Info().Dur("grace_period_ms", gracePeriod).Msg("graceful shutdown begins: proxies are notified")
+	inst.log.Info().Dur("grace_period_ms", gracePeriod).Msg("graceful shutdown started")
 	inst.recorder.savePublished(inst.proxies)
 	if inst.membership != nil {
 		inst.membership.transferLeases(gracePeriod)
@@ -242,12 +242,12 @@
 	logStatistics(inst.log, inst.controller, inst.proxies)
 }
 
-// closeAtEnd notes how a part that was just opened is closed.
+// closeAtEnd registers the function that closes a newly opened component.
 func (inst *instance) closeAtEnd(closePart func() error) {
 	inst.closers = append(inst.closers, closePart)
 }
 
-// releaseAtEnd is closeAtEnd for a part whose closing cannot fail.
+// releaseAtEnd is closeAtEnd for a component whose close function returns no error.
 func (inst *instance) releaseAtEnd(release func()) {
 	inst.closeAtEnd(func() error {
 		release()
@@ -255,7 +255,7 @@
 	})
 }
 
-// close stops the controller and releases all open parts, the newest first. It joins their errors.
+// close stops the controller and releases all open components in reverse order of opening. It joins their errors.
 func (inst *instance) close() error {
 	if inst.runner != nil {
 		inst.runner.stop()
@@ -267,7 +267,7 @@
 	return errors.Join(errs...)
 }
 
-// consoleSource is what the console reads.
+// consoleSource provides the console with data of the instance.
 type consoleSource struct {
 	controller *controller.Controller
 	proxies    *pubsub.Server
--- a/internal/server/instance_test.go
+++ b/internal/server/instance_test.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/model"
 )
 
-// Parts are released in the reverse order of opening, also after one fails, and the errors are joined.
+// close releases components in the reverse order of opening, continues after an error, and joins the errors.
 func TestCloseReleasesInReverseOrder(t *testing.T) {
 	inst := newInstance(&config.Server{}, Environment{}, zerolog.Nop())
 	storeError, writerError := errors.New("store"), errors.New("writer")
@@ -35,7 +35,7 @@
 	}
 }
 
-// newTestRunner returns the runner of a controller, and a channel with an element for each run.
+// newTestRunner returns the runner of a controller, and a channel that receives an element for each run.
 func newTestRunner() (runner *controllerRunner, runs chan struct{}) {
 	source := controller.New(model.Config{
 		Operations:   []model.Operation{{LatencyObjective: 1, PriorityWeight: 1}},
@@ -54,18 +54,18 @@
 func TestControllerStartsOnce(t *testing.T) {
 	runner, runs := newTestRunner()
 	if !runner.isIdle() || !runner.start() {
-		t.Error("the controller is not started")
+		t.Error("start did not start an idle controller")
 	}
 	if runner.isIdle() || runner.start() {
-		t.Error("the controller is started twice")
+		t.Error("start started a running controller")
 	}
 	runner.stop()
 	runner.stop()
 	if runner.isIdle() || runner.start() {
-		t.Error("the controller is started after it was stopped")
+		t.Error("start started a stopped controller")
 	}
 	if len(runs) != 1 {
-		t.Errorf("the controller ran %d times, want once", len(runs))
+		t.Errorf("the controller ran %d times, want 1", len(runs))
 	}
 }
 
@@ -73,9 +73,9 @@
 	runner, runs := newTestRunner()
 	runner.stop()
 	if runner.isIdle() || runner.start() {
-		t.Error("the controller is started after it was stopped")
+		t.Error("start started a stopped controller")
 	}
 	if len(runs) != 0 {
-		t.Errorf("the controller ran %d times, want none", len(runs))
+		t.Errorf("the controller ran %d times, want 0", len(runs))
 	}
 }
--- a/internal/server/loglevel.go
+++ b/internal/server/loglevel.go
@@ -7,15 +7,15 @@
 	"github.com/rs/zerolog"
 )
 
-// LevelFilter passes log lines of a minimum level on to a writer. The level can change in operation, from any
-// goroutine.
+// LevelFilter passes log lines of a minimum level or above to a writer. The minimum level can be changed at any time,
+// from any goroutine.
 type LevelFilter struct {
 	out     io.Writer
 	minimum atomic.Int32
 }
 
-// NewLogger returns a logger with a timestamp and the filter of its level: debug, info, warn or error. The error is
-// that of an unknown name.
+// NewLogger returns a logger that adds timestamps, and the filter of its level: debug, info, warn or error. It returns
+// an error for an unknown level.
 func NewLogger(out io.Writer, level string) (zerolog.Logger, *LevelFilter, error) {
 	filter := &LevelFilter{out: out}
 	if err := filter.Set(level); err != nil {
@@ -24,8 +24,8 @@
 	return zerolog.New(filter).With().Timestamp().Logger(), filter, nil
 }
 
-// Set changes the minimum level: debug, info, warn or error. With an unknown name it changes nothing and returns an
-// error.
+// Set changes the minimum level: debug, info, warn or error. For an unknown level it returns an error and changes
+// nothing.
 func (f *LevelFilter) Set(name string) error {
 	level, err := zerolog.ParseLevel(name)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Write passes on what has no level.
+// Write passes on a line that has no level.
 func (f *LevelFilter) Write(line []byte) (int, error) { return f.out.Write(line) }
 
 // WriteLevel passes on a line of the minimum level or above it.
--- a/internal/server/loglevel_test.go
+++ b/internal/server/loglevel_test.go
@@ -28,7 +28,7 @@
 		{"debug", []string{"debug-line", "info-line", "warn-line", "line-without-level"}},
 		{"error", []string{"line-without-level"}},
 	}
-	for _, tt := range tests { // the level changes in operation
+	for _, tt := range tests { // the level changes while the logger is in use
 		if err := filter.Set(tt.level); err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 		for _, line := range []string{"debug-line", "info-line", "warn-line", "line-without-level"} {
 			want := slices.Contains(tt.want, line)
 			if got := strings.Contains(written, line); got != want {
-				t.Errorf("level %s: %s written %v, want %v", tt.level, line, got, want)
+				t.Errorf("level %s: %s written: %v, want %v", tt.level, line, got, want)
 			}
 		}
 	}
@@ -44,19 +44,19 @@
 
 func TestUnknownLevel(t *testing.T) {
 	if _, _, err := NewLogger(&strings.Builder{}, "loud"); err == nil {
-		t.Error("a logger of an unknown level is made")
+		t.Error("NewLogger returned no error for an unknown level")
 	}
 	log, filter, err := NewLogger(&strings.Builder{}, "info")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := filter.Set("loud"); err == nil {
-		t.Error("an unknown level is set")
+		t.Error("Set returned no error for an unknown level")
 	}
 	var out strings.Builder
 	filter.out = &out
 	log.Info().Msg("info-line")
 	if !strings.Contains(out.String(), "info-line") {
-		t.Error("an unknown level changes the level in force")
+		t.Error("an unknown level changed the active level")
 	}
 }
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	// handoverTimeout is how long handed-over load reports wait for an endpoint list; later they are too old.
+	// handoverTimeout limits how long handed-over load reports wait for an endpoint list. Older reports are dropped.
 	handoverTimeout      = 3 * time.Second
 	handoverPollInterval = 5 * time.Millisecond
 
-	incarnationRandomBits = 20 // of the incarnation that a cluster knows a process by
+	incarnationRandomBits = 20 // random low bits of the incarnation that identifies a process in a cluster
 )
 
-// membership is an instance's place in a cluster. The controller starts with the first lease, not with the process:
-// what the design says of a start (bind no proxy, hold weights until each listed replica was reported) is then true of
-// an unplanned takeover by an instance that stood by.
+// membership is an instance's part in a cluster. The controller starts with the first lease, not with the process. The
+// rules of a start (bind no proxy and hold the weights until each listed replica was reported) therefore also apply
+// to an unplanned takeover by a standby instance.
 type membership struct {
 	settings cluster.Settings
 	runner   *controllerRunner
-	cluster  atomic.Pointer[cluster.Cluster] // nil until it is open: no lease is held before
+	cluster  atomic.Pointer[cluster.Cluster] // nil until the cluster is open; until then no lease is held
 	proxies  *pubsub.Server                  // set by open
 
 	done       chan struct{}
 	background sync.WaitGroup
 
 	mu         sync.Mutex
-	handedOver []model.LoadReport // received before the controller started; it gets them once it has an endpoint list
+	handedOver []model.LoadReport // reports kept for a controller that has not started
 }
 
-// memberOptions is what a membership needs of the instance when it opens.
+// memberOptions is the part of an instance that its membership needs to join the cluster.
 type memberOptions struct {
 	settings    *config.Server
 	incarnation uint64
@@ -71,14 +71,14 @@
 	}
 }
 
-// memberIncarnation returns the incarnation that a cluster knows a process by: that of its state store, which grows
-// with each start, and a random part, as two processes that were given one name and a new store each begin with the
-// same number there.
+// memberIncarnation returns the incarnation that identifies a process in a cluster: the incarnation of its state store,
+// which grows with each start, followed by random bits. The random bits distinguish two processes that were given the
+// same name and a new store each, as new stores begin with the same number.
 func memberIncarnation(incarnation uint64) uint64 {
 	return incarnation<<incarnationRandomBits | rand.Uint64N(1<<incarnationRandomBits)
 }
 
-// open joins the cluster. Events may come before it returns.
+// open joins the cluster. Lease events may arrive before it returns.
 func (m *membership) open(options memberOptions) error {
 	m.proxies = options.proxies
 	clusterSettings := options.settings.Cluster
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// LeaseGained starts the controller with the first lease.
+// LeaseGained starts the controller when the first lease is gained.
 func (m *membership) LeaseGained(_ int, _ uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,10 +127,10 @@
 	m.background.Go(func() { m.deliverHandedOver(reports) })
 }
 
-// LeaseLost ends the streams of a shard's proxies.
+// LeaseLost closes the streams of the shard's proxies.
 func (m *membership) LeaseLost(shard int) { m.proxies.LeaseLost(shard) }
 
-// exportHandover returns what the next lease holder of shards gets at a planned move.
+// exportHandover returns the data that the next lease holder receives at a planned move.
 func (m *membership) exportHandover() cluster.Handover {
 	snapshot := m.proxies.Snapshot()
 	handover := cluster.Handover{
@@ -143,9 +143,9 @@
 	return handover
 }
 
-// importHandover keeps the load reports that a lease holder handed over with its shards, if the controller here has
-// not started: it leaves safe mode on what is reported there, while an unplanned takeover waits as after any start. A
-// controller that runs has received its own reports.
+// importHandover keeps the load reports that a lease holder handed over with its shards, if the controller of this
+// instance has not started. The reports let the controller leave safe mode early. Without them, at an unplanned
+// takeover, it waits for reports as after any start. A running controller needs none, as it receives reports itself.
 func (m *membership) importHandover(handover cluster.Handover) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,8 +154,8 @@
 	}
 }
 
-// deliverHandedOver gives the controller handed-over load reports as soon as it has an endpoint list to know the
-// replicas by, unless that takes longer than handoverTimeout or the membership closes.
+// deliverHandedOver passes handed-over load reports to the controller as soon as the controller has an endpoint list,
+// which tells it the replicas. It drops them after handoverTimeout or when the membership closes.
 func (m *membership) deliverHandedOver(reports []model.LoadReport) {
 	timeout := time.After(handoverTimeout)
 	for {
@@ -173,8 +173,8 @@
 	}
 }
 
-// Shard implements pubsub.Leases. The server for proxies calls it, IsLeaseHolder and Holder under its lock, and proxies
-// connect from the moment that its socket is open: nothing here may wait for the cluster.
+// Shard implements pubsub.Leases. The server for proxies calls Shard, IsLeaseHolder and Holder while it holds its lock,
+// and proxies can connect before the cluster is open. These methods must therefore not wait for the cluster.
 func (m *membership) Shard(zone int, name string) int { return m.settings.ShardOf(zone, name) }
 
 // IsLeaseHolder implements pubsub.Leases.
@@ -195,10 +195,10 @@
 	return opened.TargetChannel(shard)
 }
 
-// transferLeases gives all leases to other members, within a time.
+// transferLeases transfers all leases to other members, within a time limit.
 func (m *membership) transferLeases(within time.Duration) { m.cluster.Load().TransferLeases(within) }
 
-// close leaves the cluster, then ends the delivery of handed-over load reports and waits for it.
+// close leaves the cluster, then stops the delivery of handed-over load reports and waits until it has stopped.
 func (m *membership) close() {
 	m.cluster.Load().Close()
 	close(m.done)
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -16,19 +16,19 @@
 	"peppervale/internal/standin/registry"
 )
 
-// One instance is cut off from the others but not from its proxies: it publishes to them to the end of its leases; then
-// others do. No epoch has two holders, as judged from what the proxies were sent.
+// One instance loses its links to the other instances but not to its proxies. It publishes to them until its leases
+// expire; then other instances take over. The messages that the proxies received show that no epoch had two holders.
 func TestIsolatedMember(t *testing.T) {
 	bed := newClusterTestbed(t, "1s")
 	isolated := bed.members[1]
-	bed.waitForPlacement("each proxy at home", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance", bed.isHome)
 	bed.setIsolated(isolated.name, true)
-	bed.waitForPlacement("taken over", func(_ int, instance string) bool {
+	bed.waitForPlacement("no proxy on the isolated instance", func(_ int, instance string) bool {
 		return instance != "" && instance != isolated.name
 	})
 	bed.expectNoMajority(isolated)
 	bed.setIsolated(isolated.name, false)
-	bed.waitForPlacement("each proxy at home again", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance again", bed.isHome)
 	bed.loop.Do(func() {
 		limits := invariants.Limits{
 			Zones:          clusterZones,
@@ -47,12 +47,12 @@
 	})
 }
 
-// The proxies of one zone cannot reach their instance, which all others reach: they connect to other instances
-// over and over, so their shards move to one that they reach, and are not moved back while that lasts.
+// The proxies of one zone cannot reach their zone's instance, while the other instances can. The proxies repeatedly
+// connect to other instances, so their shards move to an instance that they can reach.
 func TestProxiesCannotReachTheirLeaseHolder(t *testing.T) {
 	bed := newClusterTestbed(t, "1s")
-	const unreachable = 1 // number of the zone and of its member
-	bed.waitForPlacement("each proxy at home", bed.isHome)
+	const unreachable = 1 // index of the zone and of its member
+	bed.waitForPlacement("each proxy on its own zone's instance", bed.isHome)
 	bed.loop.Do(func() {
 		for k, p := range bed.proxies {
 			if k%len(clusterZones) == unreachable {
@@ -61,7 +61,7 @@
 			}
 		}
 	})
-	bed.waitForPlacement("connected to others", func(k int, instance string) bool {
+	bed.waitForPlacement("proxies of the zone on other instances", func(k int, instance string) bool {
 		if k%len(clusterZones) != unreachable {
 			return bed.isHome(k, instance)
 		}
@@ -69,12 +69,12 @@
 	})
 }
 
-// All links between instances are interrupted: there is no majority anywhere. Each goes on publishing to its own
-// proxies to the end of its leases, a withdrawal too; then none does, the proxies keep their tables, and each instance
-// says why. With the links restored it all goes on.
+// All links between instances are interrupted, so that no instance has a majority. Each instance publishes to its own
+// proxies, including a withdrawal, until its leases expire. Then the streams end, the proxies keep their tables, and
+// each instance's status names the missing majority. After the links are restored, all proxies are bound again.
 func TestNoMajority(t *testing.T) {
 	bed := newClusterTestbed(t, "3s")
-	bed.waitForPlacement("each proxy at home", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance", bed.isHome)
 	for _, member := range bed.members {
 		bed.setIsolated(member.name, true)
 	}
@@ -88,9 +88,9 @@
 		}
 		return false
 	}
-	bed.waitForProxies("withdrawn", func(p *proxy.Proxy) bool { return p.Joined() != "" && !sendsToDraining(p) })
-	bed.waitForProxies("disconnected", func(p *proxy.Proxy) bool { return p.Joined() == "" })
-	bed.waitForProxies("on its table", func(p *proxy.Proxy) bool {
+	bed.waitForProxies("replica withdrawn", func(p *proxy.Proxy) bool { return p.JoinedInstance() != "" && !sendsToDraining(p) })
+	bed.waitForProxies("disconnected", func(p *proxy.Proxy) bool { return p.JoinedInstance() == "" })
+	bed.waitForProxies("table kept, replica withdrawn", func(p *proxy.Proxy) bool {
 		return len(p.HeldEntries()) > 0 && !sendsToDraining(p)
 	})
 	for _, member := range bed.members {
@@ -99,21 +99,22 @@
 	for _, member := range bed.members {
 		bed.setIsolated(member.name, false)
 	}
-	bed.waitForPlacement("each proxy at home again", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance again", bed.isHome)
 }
 
-// A proxy connects when the server's socket is open and the cluster is not: no lease is held, and nothing waits.
+// If a proxy connects after the server's socket is open but before the cluster is, membership reports no lease and does
+// not block.
 func TestNoLeaseBeforeTheClusterIsOpen(t *testing.T) {
 	settings := &config.Server{Zones: []string{"govan"}, Cluster: &config.Cluster{ShardsPerZone: 4}}
 	member := newMembership(settings, &controllerRunner{})
 	shard := member.Shard(0, "till-1")
 	if _, ok := member.IsLeaseHolder(shard); ok || member.Holder(0) != "" {
-		t.Error("a lease is held before the cluster is open")
+		t.Error("membership reports a lease before the cluster is open")
 	}
 }
 
-// Two processes of one name, each with a new state store, are two incarnations to the cluster; a later start of either
-// is a later one.
+// Two processes with the same name and a new state store each have different incarnations in the cluster. A later start
+// of either process has a higher incarnation.
 func TestMemberIncarnationsDiffer(t *testing.T) {
 	equal := 0
 	for range 100 {
@@ -122,21 +123,21 @@
 			equal++
 		}
 		if later := memberIncarnation(2); later <= first || later <= second {
-			t.Fatalf("%d after %d and %d", later, first, second)
+			t.Fatalf("incarnation of the second start is %d, want above %d and %d", later, first, second)
 		}
 	}
-	if equal > 1 { // of a million numbers
-		t.Errorf("%d of 100 pairs are equal", equal)
+	if equal > 1 { // with a million possible numbers, one equal pair may be chance
+		t.Errorf("%d of 100 pairs of incarnations are equal, want at most 1", equal)
 	}
 }
 
-// silentDiscovery is an endpoint list that never changes.
+// silentDiscovery is a discovery that never sends an endpoint list.
 type silentDiscovery struct{}
 
 // Subscribe implements controller.Discovery.
 func (silentDiscovery) Subscribe() {}
 
-// silentProxies is a server for proxies to which none connects.
+// silentProxies is a server for proxies without any proxy.
 type silentProxies struct{}
 
 // AdmitProxy implements controller.ProxyServer.
@@ -145,14 +146,14 @@
 // Publish implements controller.ProxyServer.
 func (silentProxies) Publish(*snapshot.Batch) {}
 
-// An instance that stood by starts its controller with a lease. At a planned move it received the load reports of the
-// holder before, and leaves safe mode on them; unplanned it waits, as after any start.
+// A standby instance starts its controller with the first lease. At a planned move it received the load reports of the
+// previous holder, and with them leaves safe mode early. At an unplanned takeover it waits as after any start.
 func TestSafeModeAtTakeover(t *testing.T) {
 	t.Run("planned", func(t *testing.T) {
 		source := startedByLease(t, []model.LoadReport{loadReport(1, 50), loadReport(2, 50)})
 		for deadline := time.Now().Add(6 * time.Second); !isSafeModeOver(source); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatal("safe mode waits for its window of three periods, though each replica was reported")
+				t.Fatal("safe mode did not end within 6 s, although a report of each replica was handed over")
 			}
 		}
 	})
@@ -165,12 +166,12 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if isSafeModeOver(source) {
-			t.Error("safe mode ends at once after an unplanned takeover")
+			t.Error("safe mode ended at once after an unplanned takeover")
 		}
 	})
 }
 
-// loadReport returns a report of a replica.
+// loadReport returns a load report for a replica.
 func loadReport(replica byte, attempts int) model.LoadReport {
 	return model.LoadReport{
 		Replica: replicaID(replica), Attempts: attempts, MeanLatency: 1000, Window: model.Second,
@@ -182,8 +183,8 @@
 	return view != nil && view.SafeModeEnded
 }
 
-// startedByLease returns a controller that starts with a lease, after a handover if there are reports of one. It then
-// gets an endpoint list of two replicas and a load report of the first. It ends with the test.
+// startedByLease returns a controller that is started by a lease, after a handover if handedOver is not nil. It then
+// receives an endpoint list of two replicas and a load report for the first. It stops when the test ends.
 func startedByLease(t *testing.T, handedOver []model.LoadReport) *controller.Controller {
 	t.Helper()
 	balancerConfig := model.Config{
@@ -220,6 +221,6 @@
 		{ID: replicaID(1), Status: model.EndpointReady},
 		{ID: replicaID(2), Status: model.EndpointReady},
 	})
-	source.LoadReported(0, []model.LoadReport{loadReport(1, 1)}) // of a proxy that connected since
+	source.LoadReported(0, []model.LoadReport{loadReport(1, 1)}) // from a proxy that connected after the lease was gained
 	return source
 }
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -19,42 +19,43 @@
 )
 
 const (
-	// reservedDescriptors is how many of its descriptors an instance on the platform keeps for itself: standard streams,
-	// pollers, the listening socket, the watch of discovery and its successor, and one more for each connection while it
-	// is accepted.
+	// reservedDescriptors is the number of file descriptors that are not available for connections of proxies and
+	// collectors: standard streams, pollers, the listening socket, the discovery watch and its successor, and a second
+	// one for each connection while it is accepted.
 	reservedDescriptors = 40
 
-	// joinTimeout is how long a connection may take to join. The platform lets it be closed after 1 s and asks for that
-	// within 3 s; the half second more is for joins that come in pieces while the core is shared.
+	// joinTimeout limits the time from a connection's start to its join. The platform allows an instance to close a
+	// connection that has not joined after 1 s, and requires it within 3 s. The extra 0.5 s is for joins that arrive in
+	// pieces while the core is shared.
 	joinTimeout = 1500 * time.Millisecond
 
-	// maxUnsentBytes is what may wait for one stream: the platform resets a connection with 128 KiB unread, the kernel's
-	// part included.
+	// maxUnsentBytes limits the bytes queued for one stream. The platform resets a connection with 128 KiB unread,
+	// including those in the kernel's buffers.
 	maxUnsentBytes = 64 << 10
 
-	// platformReportLimit is no limit in operation: the platform's collectors keep to their own, and the mailbox holds a
-	// report for each zone and replica.
+	// platformReportLimit is above any rate that occurs in operation, in load reports per second: the platform's
+	// collectors have a limit of their own, and the mailbox holds one report for each zone and replica.
 	platformReportLimit = 100_000
 
 	platformStatisticsInterval = 5 * time.Second
 
-	// An address that an earlier process still holds is tried again for listenTimeout: the platform restarts instances
-	// under the same addresses, and gives them 30 s to be ready.
+	// An address that an earlier process still holds is retried for listenTimeout: the platform restarts instances with
+	// the same addresses, and gives them 30 s to become ready.
 	listenRetryInterval = 20 * time.Millisecond
 	listenTimeout       = 20 * time.Second
 
-	maxPlatformProcs      = 4 // two pollers, an acceptor, the controller: more only adds idle stacks
+	maxPlatformProcs      = 4 // two pollers, an acceptor, the controller; more would only add idle stacks
 	platformGCPercent     = 50
-	retransmissionTimeout = 3 * model.Second // a lost segment comes again after a second, and after two more (RFC 6298)
+	retransmissionTimeout = 3 * model.Second // a lost segment is sent again after 1 s, and after 2 s more (RFC 6298)
 
-	silentReportPeriods = 3 // without a message, after which a proxy is taken as silent
-	lostAckFactor       = 3 // an acknowledgement that is late by that many silence timeouts is taken as lost
+	silentReportPeriods = 3 // report periods without a message after which a proxy counts as silent
+	lostAckFactor       = 3 // silence timeouts after which a late acknowledgement counts as lost
 )
 
-// PlatformEnvironment is what an instance on the platform is handed by the process that it runs in.
+// PlatformEnvironment is what the process provides to an instance on the platform.
 type PlatformEnvironment struct {
-	Reload     <-chan struct{}                  // asks for the configuration to be read again
-	LoadConfig func() (*config.Platform, error) // reads it; needed with Reload
+	Reload     <-chan struct{}                  // requests a reload of the configuration
+	LoadConfig func() (*config.Platform, error) // loads the configuration; required with Reload
 }
 
 // platformInstance is one running instance on the operators' platform.
@@ -67,9 +68,9 @@
 	proxies    *platform.Server
 }
 
-// ServePlatform runs one instance on the operators' platform until the context is done. It has no state store, console
-// or cluster: there is no disk that outlives it, and no room for them in its limits. Errors are those of settings that
-// the balancer rejects, of the discovery client and of the address.
+// ServePlatform runs one instance on the operators' platform until the context is done. The instance has no state
+// store, console or cluster: no disk outlives it, and its limits leave no room for them. ServePlatform returns an error
+// if the balancer rejects the settings, or if the discovery client or the address cannot be opened.
 func ServePlatform(
 	ctx context.Context, settings *config.Platform, outside PlatformEnvironment, log zerolog.Logger,
 ) error {
@@ -101,15 +102,15 @@
 	return nil
 }
 
-// limitProcess has the Go runtime keep to the instance's limits. The memory limit counts the whole process; a third is
-// left for what the runtime's own limit does not count: the kernel's stacks, the program's text.
+// limitProcess makes the Go runtime keep to the instance's limits. The memory limit covers the whole process; a third
+// of it is reserved for memory that the runtime's own limit does not count: the kernel's stacks and the program's text.
 func limitProcess(settings *config.Platform) {
 	debug.SetMemoryLimit(settings.MemoryLimit / 3 * 2)
 	debug.SetGCPercent(platformGCPercent)
 	runtime.GOMAXPROCS(min(runtime.NumCPU(), maxPlatformProcs))
 }
 
-// openDiscovery makes the watch of the endpoint list; it begins once it is subscribed.
+// openDiscovery creates the watcher of the endpoint list. The watch starts with Subscribe.
 func (inst *platformInstance) openDiscovery(names *platformmsg.ReplicaNames) error {
 	watcher, err := discovery.NewWatcher(discovery.WatchConfig{
 		Address:          inst.settings.Discovery,
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// listen opens the address for proxies and collectors. It tries again while another process holds the address, until
-// listenTimeout has passed. Errors are those of the address, and that of a context which is done before.
+// listen opens the address for proxies and collectors. While another process holds the address, it retries until
+// listenTimeout has passed. It returns the error of the address, or that of the context if the context is done first.
 func (inst *platformInstance) listen(
 	ctx context.Context, names *platformmsg.ReplicaNames, now func() model.Microseconds,
 ) error {
@@ -152,10 +153,10 @@
 
 // serverConfig returns the configuration of the server for proxies and collectors.
 //
-// A proxy sends a message in each report period. It is silent after silentReportPeriods without one, or after the time
-// that a lost segment may take if that is longer, plus the longest delivery delay. An acknowledgement is asked for
-// again once it counts as lost rather than late, and at most once a message window: the balancer leaves room for one
-// more message in each.
+// A proxy sends a message in each report period. It counts as silent after silentReportPeriods without a message, or
+// after the retransmission time of a lost segment if that is longer, plus the maximum delivery delay. An
+// acknowledgement is requested again when it counts as lost rather than late, and at most once per message window: the
+// balancer leaves room for one additional message in each window.
 func (inst *platformInstance) serverConfig(
 	names *platformmsg.ReplicaNames, now func() model.Microseconds,
 ) platform.Config {
@@ -182,7 +183,7 @@
 	}
 }
 
-// startController starts the controller on the endpoint list that the platform handed over.
+// startController starts the controller with the endpoint list that the platform provided at the start.
 func (inst *platformInstance) startController() {
 	known := inst.discovery.Endpoints()
 	inst.log.Info().
@@ -194,11 +195,11 @@
 		Msg("serving")
 	go inst.controller.Run(inst.proxies, inst.discovery, known)
 	if !inst.settings.Balancer.SubscriptionRequired {
-		inst.discovery.Subscribe() // the balancer does not subscribe where it expects the list unasked
+		inst.discovery.Subscribe() // without SubscriptionRequired the balancer expects the list without subscribing
 	}
 }
 
-// operate does the periodic work and reloads until the context is done.
+// operate performs periodic tasks and configuration reloads until the context is done.
 func (inst *platformInstance) operate(ctx context.Context) {
 	statistics := time.NewTicker(platformStatisticsInterval)
 	defer statistics.Stop()
@@ -209,20 +210,20 @@
 		case <-inst.outside.Reload:
 			inst.reload()
 		case <-ctx.Done():
-			inst.log.Info().Msg("shutdown begins")
+			inst.log.Info().Msg("shutdown started")
 			logPlatformStatistics(inst.log, inst.controller, inst.proxies)
 			return
 		}
 	}
 }
 
-// reload reads the configuration again and follows its discovery address; nothing else of it changes in operation.
+// reload loads the configuration again and applies its discovery address. The other settings need a restart.
 func (inst *platformInstance) reload() {
 	next, err := inst.outside.LoadConfig()
 	if err != nil {
-		inst.log.Error().Err(err).Msg("reload rejected: the file cannot be read; the settings in force stay")
+		inst.log.Error().Err(err).Msg("reload rejected: loading the file failed; the active settings are unchanged")
 		return
 	}
-	inst.log.Info().Str("discovery", next.Discovery).Msg("reloaded")
+	inst.log.Info().Str("discovery", next.Discovery).Msg("configuration reloaded")
 	inst.discovery.SetAddress(next.Discovery)
 }
--- a/internal/server/platform_proxy_test.go
+++ b/internal/server/platform_proxy_test.go
@@ -14,19 +14,19 @@
 	"peppervale/internal/invariants"
 )
 
-// messageOverhead is what a message costs beyond its entries.
+// messageOverhead is the cost of a message in addition to its entries.
 const messageOverhead = 6
 
-// platformProxy is a proxy of a platformTestbed, with the table that it was sent.
+// platformProxy is a proxy of a platformTestbed, with the table that it received.
 type platformProxy struct {
 	id         int
 	conn       net.Conn
 	weights    map[string]float64 // by replica
 	withdrawn  map[string]bool
-	fullTables int // that it was sent
+	fullTables int // number received
 }
 
-// newProxy adds a proxy on a standing table of six replicas.
+// newProxy adds a proxy with a standing table of six replicas.
 func (bed *platformTestbed) newProxy(id int) *platformProxy {
 	added := &platformProxy{id: id, weights: map[string]float64{}, withdrawn: map[string]bool{}}
 	var standing []invariants.TableEntry
@@ -44,7 +44,7 @@
 	return added
 }
 
-// name returns the name that the judge knows the proxy by.
+// name returns the proxy's name for the invariant checker.
 func (p *platformProxy) name() string { return fmt.Sprint("proxy-", p.id) }
 
 // pick returns a replica that is not withdrawn, at random by weight; "" if there is none.
@@ -67,8 +67,8 @@
 	return ""
 }
 
-// connect connects a proxy, which acknowledges and obeys updates until its connection ends. onStandingTable is "1" if
-// it has had no table yet.
+// connect connects a proxy, which applies and acknowledges updates until its connection ends. onStandingTable is "1" if
+// the proxy has received no table yet.
 func (bed *platformTestbed) connect(p *platformProxy, onStandingTable string) {
 	bed.t.Helper()
 	p.conn = bed.dial("joined", "id", fmt.Sprint(p.id), "site", platformZones[p.id%len(platformZones)],
@@ -84,7 +84,7 @@
 	}()
 }
 
-// readUpdates obeys updates until the connection ends.
+// readUpdates applies and acknowledges updates until the connection ends.
 func (bed *platformTestbed) readUpdates(p *platformProxy, conn net.Conn) {
 	reader := resp.NewReader(resp.Limits{})
 	buffer := make([]byte, 64<<10)
@@ -102,16 +102,16 @@
 			return nil
 		})
 		if err != nil {
-			bed.t.Errorf("the instance wrote what cannot be read: %v", err)
+			bed.t.Errorf("parsing the instance's output failed: %v", err)
 			return
 		}
 	}
 }
 
-// newMessage returns a message for the judge that asks for no acknowledgement.
+// newMessage returns a message for the invariant checker that requests no acknowledgement.
 func newMessage() *pubsubmsg.Message { return &pubsubmsg.Message{AckSequence: -1} }
 
-// completeUpdate notes a complete update for the judge, and acknowledges it if that was requested.
+// completeUpdate records a complete update for the invariant checker, and acknowledges it if requested.
 func (bed *platformTestbed) completeUpdate(p *platformProxy, conn net.Conn, message *pubsubmsg.Message) {
 	bed.mu.Lock()
 	data := pubsubmsg.Append(nil, message)
@@ -121,15 +121,16 @@
 		return
 	}
 	_, _ = conn.Write(resp.AppendCommand(nil, "applied", "id", fmt.Sprint(p.id),
-		"seq", fmt.Sprint(message.AckSequence), "ms", "3")) // the connection may have ended meanwhile
+		"seq", fmt.Sprint(message.AckSequence), "ms", "3")) // the connection may have ended before the write
 }
 
-// obey carries out one part of an update, adds it to the judge's message, and reports whether it was the last part.
+// obey applies one part of an update, adds it to the invariant checker's message, and reports whether it was the last
+// part.
 func (bed *platformTestbed) obey(proxy *platformProxy, message *pubsubmsg.Message, value resp.Value) bool {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	if value.Items[0].Text != "update" || len(value.Items)%2 == 0 {
-		bed.t.Errorf("no update: %v", value)
+		bed.t.Errorf("got %v, want an update", value)
 		return false
 	}
 	fields := map[string]string{}
@@ -158,7 +159,7 @@
 	if fields["ticket"] != "" {
 		sequence, err := strconv.Atoi(fields["ticket"])
 		if err != nil {
-			bed.t.Errorf("ticket %q: %v", fields["ticket"], err)
+			bed.t.Errorf("ticket %q is not an acknowledgement number: %v", fields["ticket"], err)
 		}
 		message.AckSequence = sequence
 		message.Cost++
@@ -174,7 +175,7 @@
 	return strings.Split(text, ",")
 }
 
-// beginFullTable replaces the proxy's table by an empty one. What is withdrawn stays withdrawn.
+// beginFullTable replaces the proxy's table with an empty one. Withdrawn replicas stay withdrawn.
 func (p *platformProxy) beginFullTable(message *pubsubmsg.Message) {
 	message.Full, message.Bound = true, true
 	message.Cost++
@@ -192,13 +193,13 @@
 	message.Cost++
 }
 
-// setWeights sets the weights of a list "name:weight,..."; bed.mu is held.
+// setWeights sets the weights in a list "name:weight,...". The caller holds bed.mu.
 func (bed *platformTestbed) setWeights(p *platformProxy, message *pubsubmsg.Message, list string) {
 	for _, pair := range splitList(list) {
 		name, text, _ := strings.Cut(pair, ":")
 		weight, err := strconv.ParseFloat(text, 64)
 		if _, listed := bed.hosts[name]; err != nil || weight < 0 || !listed {
-			bed.t.Errorf("an entry that no proxy can use: %q", pair)
+			bed.t.Errorf("invalid table entry %q", pair)
 		}
 		p.weights[name] = weight
 		if weight == 0 {
@@ -209,11 +210,11 @@
 	}
 }
 
-// checkQuota fails the test for an admission quota that no proxy can use.
+// checkQuota fails the test if an admission quota is invalid.
 func (bed *platformTestbed) checkQuota(fields map[string]string) {
 	quota, err := strconv.ParseFloat(fields["level"], 64)
 	isKnown := fields["classes"] == "read" || fields["classes"] == "log"
 	if err != nil || quota <= 0 || fields["retry"] > "1" || !isKnown {
-		bed.t.Errorf("level %q, retry %q for %q", fields["level"], fields["retry"], fields["classes"])
+		bed.t.Errorf("invalid quota: level %q, retry %q for classes %q", fields["level"], fields["retry"], fields["classes"])
 	}
 }
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -10,9 +10,9 @@
 	"peppervale/internal/invariants"
 )
 
-// An instance comes into operation on the platform: it binds only once the fleet was reported, carries out a
-// withdrawal and a release, a stream that breaks, connections that are no proxies, and a new discovery; and no
-// invariant is violated by what went over the sockets.
+// An instance on the platform binds its proxies after every replica was reported. It handles a withdrawal, a new
+// replica, a broken stream, connections that are not proxies, and a new discovery address. The messages on the sockets
+// violate no invariant.
 func TestServePlatform(t *testing.T) {
 	bed := newPlatformTestbed(t, 8)
 	firstDiscovery, stopFirstDiscovery := bed.startDiscovery()
@@ -36,8 +36,8 @@
 		return p.withdrawn[hostName(1)] || p.weights[hostName(1)] == 0
 	})
 	bed.setHost(9, "ready", time.Now().UnixMilli())
-	bed.waitForProxies("given the new replica, in slow start", func(p *platformProxy) bool {
-		inSlowStart := p.weights[hostName(9)] > 0 && p.weights[hostName(9)] < 0.5*p.weights[hostName(3)] // one zone
+	bed.waitForProxies("sending to the new replica, in slow start", func(p *platformProxy) bool {
+		inSlowStart := p.weights[hostName(9)] > 0 && p.weights[hostName(9)] < 0.5*p.weights[hostName(3)] // same zone
 		return inSlowStart && !p.withdrawn[hostName(9)]
 	})
 
@@ -45,7 +45,7 @@
 
 	secondDiscovery, _ := bed.startDiscovery()
 	bed.writeConfiguration("no address")
-	bed.reload <- struct{}{} // a file that cannot be used changes nothing
+	bed.reload <- struct{}{} // an invalid file changes nothing
 	bed.writeConfiguration(secondDiscovery)
 	bed.reload <- struct{}{}
 	stopFirstDiscovery()
@@ -59,8 +59,8 @@
 	bed.end()
 }
 
-// reconnectAfterBreak breaks a proxy's stream and connects it again. Meanwhile another instance withdrew a replica that
-// this one did not: the proxy is to be bound again and to send to that replica again.
+// reconnectAfterBreak breaks a proxy's stream and connects the proxy again. In between, another instance has withdrawn
+// a replica that this instance did not withdraw. The proxy must be bound again and send to that replica again.
 func reconnectAfterBreak(bed *platformTestbed, broken *platformProxy) {
 	bed.t.Helper()
 	withdrawnElsewhere := hostName(4)
@@ -85,7 +85,7 @@
 		t.Error(err)
 	}
 	if got, err := io.ReadAll(conn); err != nil && len(got) == 0 && os.IsTimeout(err) {
-		t.Errorf("a connection that is no proxy is neither answered nor closed")
+		t.Errorf("a connection that is not a proxy's was neither answered nor closed")
 	}
 	if err := conn.Close(); err != nil {
 		t.Error(err)
--- a/internal/server/platform_testbed_test.go
+++ b/internal/server/platform_testbed_test.go
@@ -31,17 +31,17 @@
 
 const (
 	platformReportPeriod   = 200 * time.Millisecond
-	platformRequestPeriod  = 20 * time.Millisecond // in which each proxy tries a replica
+	platformRequestPeriod  = 20 * time.Millisecond // interval between the requests of each proxy
 	requestsPerReport      = 10
 	platformWaitTimeout    = 30 * time.Second
 	platformInstanceName   = "n0"
-	minimumPlatformAttempt = 100 // for the judge to have something to judge
+	minimumPlatformAttempt = 100 // below it, the check of the invariants would be of little value
 )
 
 var platformZones = []string{"govan", "partick"}
 
-// platformTestbed stands for the operators' platform around one instance: discovery, collectors, and proxies that try
-// replicas by their tables. What went over the sockets is kept for the judge.
+// platformTestbed simulates the operators' platform around one instance: discovery, collectors, and proxies that send
+// requests by their tables. It records what went over the sockets for the invariant checker.
 type platformTestbed struct {
 	t      *testing.T
 	listen string
@@ -54,9 +54,9 @@
 	mu             sync.Mutex
 	observations   []invariants.Event
 	hosts          map[string]discoveryHost // by name
-	version        int                      // of hosts
+	version        int                      // version of hosts
 	changed        chan struct{}            // closed when hosts change
-	attempts       map[string]int           // at a replica since the last report
+	attempts       map[string]int           // attempts by replica since the last report
 	proxies        []*platformProxy
 	allAttempts    uint64
 	background     sync.WaitGroup
@@ -99,18 +99,18 @@
 
 func hostName(number int) string { return fmt.Sprint("s-", number) }
 
-// hostID returns the replica id that the judge knows a host by.
+// hostID returns a host's replica id for the invariant checker.
 func hostID(name string) model.ReplicaID {
-	number, _ := strconv.Atoi(strings.TrimPrefix(name, "s-")) // every name was made by hostName
+	number, _ := strconv.Atoi(strings.TrimPrefix(name, "s-")) // all names come from hostName
 	return replicaID(byte(number))
 }
 
-// observe keeps what went over a socket for the judge; bed.mu is held.
+// observe records an event on a socket for the invariant checker. The caller holds bed.mu.
 func (bed *platformTestbed) observe(seen invariants.Event) {
 	bed.observations = append(bed.observations, seen)
 }
 
-// startDiscovery serves the endpoint list at a new address until stop is called or the test ends.
+// startDiscovery serves the endpoint list on a new address until stop is called or the test ends.
 func (bed *platformTestbed) startDiscovery() (address string, stop func()) {
 	bed.t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -146,7 +146,7 @@
 	written := -1
 	for {
 		version, changed, body := bed.endpointList(written)
-		_, _ = w.Write(append(body, '\n')) // a client that has gone ends the request's context
+		_, _ = w.Write(append(body, '\n')) // the request's context ends when the client disconnects
 		written = version
 		flusher.Flush()
 		select {
@@ -160,7 +160,8 @@
 	}
 }
 
-// endpointList returns the list, unless its version was written already, and what is closed when it changes.
+// endpointList returns the list, unless its version is already written, and a channel that is closed when the list
+// changes.
 func (bed *platformTestbed) endpointList(written int) (version int, changed <-chan struct{}, body []byte) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -177,7 +178,7 @@
 	return bed.version, bed.changed, body
 }
 
-// observeEndpointList notes the list in the form that the judge reads; bed.mu is held.
+// observeEndpointList records the list in the invariant checker's format. The caller holds bed.mu.
 func (bed *platformTestbed) observeEndpointList() {
 	var entries []consulcatalog.ServiceEntry
 	for _, host := range bed.hosts {
@@ -198,7 +199,7 @@
 	bed.observe(invariants.EndpointsSent{At: bed.now(), Instance: platformInstanceName, Body: body})
 }
 
-// setHost changes a host of the endpoint list, or adds it.
+// setHost adds a host to the endpoint list or replaces it.
 func (bed *platformTestbed) setHost(number int, health string, born int64) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -225,7 +226,7 @@
 	}
 }
 
-// start starts the instance and waits for its first answer.
+// start starts the instance and waits until it answers a ping.
 func (bed *platformTestbed) start() {
 	bed.t.Helper()
 	settings, err := config.LoadPlatform(bed.file)
@@ -241,7 +242,7 @@
 	go func() { bed.ended <- ServePlatform(ctx, settings, outside, zerolog.Nop()) }()
 	for deadline := time.Now().Add(waitTimeout); !bed.answersPing(); {
 		if time.Now().After(deadline) {
-			bed.t.Fatal("the instance does not answer a ping")
+			bed.t.Fatal("the instance did not answer a ping in time")
 		}
 	}
 }
@@ -260,7 +261,7 @@
 	return line == "*1\r\n"
 }
 
-// dial connects to the instance and sends one command.
+// dial connects to the instance and sends a command.
 func (bed *platformTestbed) dial(words ...string) net.Conn {
 	bed.t.Helper()
 	conn, err := net.Dial("tcp", bed.listen)
@@ -268,12 +269,12 @@
 		bed.t.Error(err)
 		return nil
 	}
-	_, _ = conn.Write(resp.AppendCommand(nil, words...)) // the instance may close it at once
+	_, _ = conn.Write(resp.AppendCommand(nil, words...)) // the instance may close the connection at once
 	return conn
 }
 
-// startLoad has each proxy try a replica every platformRequestPeriod by its table, and collectors report each period,
-// until the testbed ends.
+// startLoad makes each proxy send a request every platformRequestPeriod by its table, and the collectors send load
+// reports every report period, until the testbed ends.
 func (bed *platformTestbed) startLoad() {
 	bed.background.Add(1)
 	go func() {
@@ -306,7 +307,7 @@
 	}()
 }
 
-// report has the collectors report the attempts since the last report, half of them each; bed.mu is held.
+// report makes each of the two collectors report half of the attempts since the last report. The caller holds bed.mu.
 func (bed *platformTestbed) report(collectors []net.Conn) {
 	for name, attempts := range bed.attempts {
 		for k, zone := range platformZones {
@@ -317,7 +318,7 @@
 	clear(bed.attempts)
 }
 
-// tryReplica has a proxy try one replica of its table, by weight; bed.mu is held.
+// tryReplica makes a proxy send a request to a replica of its table, chosen by weight. The caller holds bed.mu.
 func (bed *platformTestbed) tryReplica(p *platformProxy, random *rand.Rand) {
 	name := p.pick(random)
 	if name == "" {
@@ -333,7 +334,7 @@
 	bed.attempts[name]++
 }
 
-// waitForProxies waits until a condition holds of every proxy.
+// waitForProxies waits until a condition holds for every proxy.
 func (bed *platformTestbed) waitForProxies(what string, holds func(p *platformProxy) bool) {
 	bed.t.Helper()
 	for deadline := time.Now().Add(platformWaitTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -352,12 +353,12 @@
 			for _, p := range bed.proxies {
 				bed.t.Logf("proxy %d: %v, withdrawn %v, %d full tables", p.id, p.weights, p.withdrawn, p.fullTables)
 			}
-			bed.t.Fatalf("not %s", what)
+			bed.t.Fatalf("some proxy is not %s", what)
 		}
 	}
 }
 
-// end ends the instance and the proxies, and judges.
+// end ends the instance and the proxies, and checks the invariants.
 func (bed *platformTestbed) end() {
 	bed.t.Helper()
 	bed.cancel()
@@ -388,7 +389,7 @@
 		}
 	}
 	if bed.allAttempts < minimumPlatformAttempt {
-		bed.t.Errorf("%d attempts only", bed.allAttempts)
+		bed.t.Errorf("%d attempts, want at least %d", bed.allAttempts, minimumPlatformAttempt)
 	}
 }
 
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -11,8 +11,8 @@
 	"peppervale/internal/statestore"
 )
 
-// recorder writes an instance's state to the store asynchronously, so that no decision waits for the disk. It searches
-// decisions in memory and in the store.
+// recorder writes an instance's state to the store asynchronously, so that no decision waits for the disk. It also
+// searches decisions in memory and in the store.
 type recorder struct {
 	controller  *controller.Controller
 	store       *statestore.Store
@@ -20,10 +20,10 @@
 	incarnation uint64
 	log         zerolog.Logger
 
-	savedVersion uint64 // of the published state that was stored last
+	savedVersion uint64 // version of the published state that was queued last
 }
 
-// newRecorder makes the recorder of a controller that does not run yet. The caller closes its writer.
+// newRecorder returns the recorder of a controller that has not been started. The caller closes the writer.
 func newRecorder(
 	source *controller.Controller, store *statestore.Store, incarnation uint64, log zerolog.Logger,
 ) *recorder {
@@ -33,13 +33,13 @@
 	return rec
 }
 
-// logWriteState logs that writing fails, or that it succeeds again.
+// logWriteState logs that writes fail, or, with a nil error, that they succeed again.
 func (r *recorder) logWriteState(err error, droppedDecisions uint64) {
 	if err != nil {
-		r.log.Error().Err(err).Msg("state store: write failed; retrying, a restart would begin with older state")
+		r.log.Error().Err(err).Msg("state store write failed, retrying; a restart would recover older state")
 		return
 	}
-	r.log.Info().Uint64("dropped_decisions", droppedDecisions).Msg("state store: writes succeed again")
+	r.log.Info().Uint64("dropped_decisions", droppedDecisions).Msg("state store writes succeed again")
 }
 
 // saveDecision queues a decision for the store.
@@ -51,8 +51,8 @@
 	r.writer.AddDecision(statestore.DecisionRecord{Incarnation: r.incarnation, Number: decision.Number, Body: body})
 }
 
-// EndpointsChanged passes an endpoint list on to the controller, and then queues a full one for the store: a
-// withdrawal does not wait for the disk.
+// EndpointsChanged passes an endpoint update to the controller and then, if it is a full list, queues it for the store.
+// The controller comes first so that a withdrawal does not wait for the disk.
 func (r *recorder) EndpointsChanged(update model.EndpointUpdate, endpoints []model.Endpoint) {
 	r.controller.EndpointsChanged(update, endpoints)
 	if update == model.FullList {
@@ -60,7 +60,7 @@
 	}
 }
 
-// savePublished queues the published state for the store, unless its version was stored before.
+// savePublished queues the published state for the store, unless this version was queued before.
 func (r *recorder) savePublished(proxies *pubsub.Server) {
 	if proxies.Stats().Version == r.savedVersion {
 		return
@@ -72,8 +72,8 @@
 	r.savedVersion = snapshot.Version
 }
 
-// Decisions returns the newest decisions that match, limit at most: those in memory, and then those in the store, of
-// earlier incarnations too, which carry their incarnation's number. A nil match takes all.
+// Decisions returns the newest matching decisions, at most limit: first those in memory, then those in the store.
+// Stored decisions of earlier incarnations carry their incarnation number. A nil match selects all decisions.
 func (r *recorder) Decisions(limit int, match func(*controller.Decision) bool) []controller.Decision {
 	oldest := r.controller.OldestDecision()
 	found := r.controller.Decisions(limit, match)
@@ -95,21 +95,21 @@
 		return true
 	})
 	if err != nil {
-		r.log.Warn().Err(err).Msg("state store: the decision log cannot be read")
+		r.log.Warn().Err(err).Msg("reading the decision log from the state store failed")
 	}
 	return found
 }
 
-// logRecovery logs what a start found in the store, as far as it needs attention.
+// logRecovery logs damage, a migration and a lost incarnation number found when the store was opened.
 func logRecovery(log zerolog.Logger, recovered *statestore.Recovered) {
 	for _, damage := range recovered.Damage {
-		log.Warn().Err(damage).Msg("state store: damaged data is ignored")
+		log.Warn().Err(damage).Msg("state store data is damaged and was not loaded")
 	}
 	if recovered.MigratedFrom > 0 {
-		log.Info().Int("from_schema_version", recovered.MigratedFrom).Msg("state store: migrated")
+		log.Info().Int("from_schema_version", recovered.MigratedFrom).Msg("state store migrated to the current schema")
 	}
 	if recovered.PreviousIncarnation == 0 && !recovered.Empty {
 		log.Warn().Uint64("incarnation", recovered.Incarnation).
-			Msg("state store: the incarnation number is lost; chosen above the decision log's and the clock's")
+			Msg("state store lost the incarnation number; the new one is above the decision log's and the clock's")
 	}
 }
--- a/internal/server/recorder_test.go
+++ b/internal/server/recorder_test.go
@@ -19,9 +19,9 @@
 	"peppervale/internal/statestore"
 )
 
-var update = flag.Bool("update", false, "write the state fixtures in statestore/testdata anew")
+var update = flag.Bool("update", false, "overwrite the state fixtures in statestore/testdata")
 
-// The fixtures are shared with the tests of package statestore, which assert the same values below the recorder.
+// The fixtures are shared with the tests of package statestore, which check the same values without the recorder.
 const (
 	stateFixture        = "../statestore/testdata/state.db"
 	firstVersionFixture = "../statestore/testdata/first"
@@ -43,8 +43,8 @@
 	},
 }
 
-// fixtureDecisions is the decision log of the fixture, by the incarnation that took the decisions. The last one carries
-// an incarnation of its own, which the recorder replaces by the one that it is stored under.
+// fixtureDecisions is the decision log of the fixture, by the incarnation that made the decisions. The last decision
+// has another incarnation in its body; the recorder replaces it with that under which the decision is stored.
 var fixtureDecisions = map[uint64][]controller.Decision{
 	1: {
 		{
@@ -93,7 +93,7 @@
 	Proxies:   map[string]string{"till-1": "5"},
 }
 
-// openRecorder opens a state directory as Serve does, until the test ends.
+// openRecorder opens a state directory as Serve does. The store is closed when the test ends.
 func openRecorder(t *testing.T, directory string) (*recorder, *statestore.Recovered) {
 	t.Helper()
 	store, recovered, err := statestore.Open(directory, 0)
@@ -116,7 +116,7 @@
 	return rec, recovered
 }
 
-// writeFixtures has the program write both fixtures.
+// writeFixtures writes both fixtures with the current code.
 func writeFixtures(t *testing.T) {
 	t.Helper()
 	directory := t.TempDir()
@@ -129,7 +129,7 @@
 	writeFirstVersionFixture(t)
 }
 
-// writeIncarnation writes what one incarnation of the fixture stores.
+// writeIncarnation writes the state that one incarnation of the fixture stores.
 func writeIncarnation(t *testing.T, directory string, incarnation uint64) {
 	t.Helper()
 	rec, recovered := openRecorder(t, directory)
@@ -147,8 +147,8 @@
 	rec.writer.SetPublished(body)
 }
 
-// writeFirstVersionFixture writes the two files of the first schema version. Of two different incarnations the higher
-// one counts, so the list's is seen to be read.
+// writeFirstVersionFixture writes the two files of the first schema version. Their incarnations differ: the higher one
+// counts, so a test can tell that the one in the list is read.
 func writeFirstVersionFixture(t *testing.T) {
 	t.Helper()
 	endpoints, err := json.Marshal(fixtureEndpoints)
@@ -178,7 +178,7 @@
 	}
 }
 
-// storedDecisions returns the fixture's decisions, the newest first, each with the incarnation that it is stored under.
+// storedDecisions returns the fixture's decisions, newest first, each with the incarnation under which it is stored.
 func storedDecisions() []controller.Decision {
 	var all []controller.Decision
 	for _, incarnation := range []uint64{2, 1} {
@@ -190,8 +190,7 @@
 	return all
 }
 
-// TestRecorderReadsStoredState reads state that an earlier version wrote, by the path that a start takes and the
-// recorder's search.
+// TestRecorderReadsStoredState reads state that an earlier version wrote, as a start and the recorder's search do.
 func TestRecorderReadsStoredState(t *testing.T) {
 	if *update {
 		writeFixtures(t)
--- a/internal/server/runner.go
+++ b/internal/server/runner.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/controller"
 )
 
-// controllerRunner starts the controller at most once, and stops it if it was started.
+// controllerRunner starts a controller at most once, and stops it if it was started.
 type controllerRunner struct {
 	controller *controller.Controller
 	run        func() // runs the controller until it is stopped
@@ -20,10 +20,10 @@
 const (
 	runnerIdle runnerState = iota // not started yet
 	runnerRunning
-	runnerStopped // never starts again
+	runnerStopped // cannot be started again
 )
 
-// start starts the controller unless it was started or stopped before. It reports whether it did.
+// start starts the controller unless it was started or stopped before. It reports whether it started the controller.
 func (r *controllerRunner) start() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,7 +42,7 @@
 	return r.state == runnerIdle
 }
 
-// stop stops the controller and waits for it, if it runs. It cannot be started any more.
+// stop stops the controller, if it runs, and waits for its end. The controller cannot be started afterwards.
 func (r *controllerRunner) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -11,12 +11,12 @@
 	"peppervale/internal/controller"
 )
 
-// Environment is what an instance is handed by the process that it runs in. Every field may be left out.
+// Environment is what the process provides to an instance. Every field is optional.
 type Environment struct {
-	Reload     <-chan struct{}                // asks for the configuration to be read again
-	LoadConfig func() (*config.Server, error) // reads it; needed with Reload
-	LogLevel   *LevelFilter                   // follows the configuration's log level
-	Links      cluster.Links                  // between cluster members; tests interrupt them
+	Reload     <-chan struct{}                // requests a reload of the configuration
+	LoadConfig func() (*config.Server, error) // loads the configuration; required with Reload
+	LogLevel   *LevelFilter                   // is set to the configured log level at a reload
+	Links      cluster.Links                  // links between cluster members; tests interrupt them
 }
 
 // ListenError is returned when the address for proxies cannot be listened on.
@@ -27,15 +27,16 @@
 
 // Error implements error.
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("%v; another process may have the address", e.Err)
+	return fmt.Sprintf("%v; another process may be listening on it", e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Serve runs one instance until the context is done. It then shuts down gracefully, within the configured grace period,
-// and releases everything that it opened. Errors are those of starting: settings that the balancer rejects, the state
-// store, a *ListenError, the cluster, the console. One of closing is logged and changes nothing.
+// Serve runs one instance until the context is done. It then shuts down gracefully within the configured grace period
+// and releases every component that it opened. It returns an error if the start fails: the balancer rejects the
+// settings, the address cannot be opened (a *ListenError), or the state store, discovery, the cluster or the console
+// fails. An error while components are closed is only logged.
 func Serve(ctx context.Context, settings *config.Server, outside Environment, log zerolog.Logger) error {
 	if err := controller.CheckConfig(settings.Balancer); err != nil {
 		return err
@@ -47,7 +48,7 @@
 		inst.shutDown()
 	}
 	if closeErr := inst.close(); closeErr != nil {
-		log.Error().Err(closeErr).Msg("closing failed")
+		log.Error().Err(closeErr).Msg("closing the instance failed")
 	}
 	return err
 }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -14,7 +14,7 @@
 	"peppervale/internal/config"
 )
 
-// decisionsPage is the JSON of the console's page of decisions.
+// decisionsPage is the JSON of the console's decisions page.
 type decisionsPage struct {
 	Decisions []struct {
 		Incarnation uint64   `json:"life"`
@@ -23,8 +23,8 @@
 	} `json:"causes"`
 }
 
-// An instance is ended and started again: the next incarnation knows what the one before published, and still answers
-// why it did.
+// An instance is ended and started again: the console of the next incarnation shows what the previous incarnation
+// published, and finds its decisions.
 func TestStateSurvivesRestart(t *testing.T) {
 	bed := newTestbed(t, 2)
 	bed.start()
@@ -51,7 +51,7 @@
 	bed.waitForPage("/before?as=json", &previous, func() bool { return previous.Known })
 	oneTable := len(previous.Tables) == 1 && len(previous.Tables[0].Entries) == 2
 	if previous.Incarnation != 1 || previous.ProxiesByTable["0"] != 2 || !oneTable {
-		t.Errorf("published by the previous incarnation: %+v", previous)
+		t.Errorf("got %+v as published state, want that of incarnation 1 with 2 proxies on table 0", previous)
 	}
 	var found decisionsPage
 	bed.waitForPage(decisionsPath, &found, func() bool {
@@ -60,7 +60,7 @@
 	})
 }
 
-// A second instance on the same state directory, and one on a directory of a later version, fail and touch nothing.
+// Serve fails if another instance uses the state directory, and if a later version of peppervale wrote it.
 func TestStateDirectoryIsRejected(t *testing.T) {
 	bed := newTestbed(t, 0)
 	bed.start()
@@ -75,18 +75,18 @@
 	}
 	err = Serve(context.Background(), settings, Environment{}, log)
 	if err == nil || !strings.Contains(err.Error(), "in use by another process; end that one") {
-		t.Fatalf("a second instance: %v", err)
+		t.Fatalf("second instance: got error %v, want that the directory is in use", err)
 	}
 	bed.end()
 	writeLaterSchemaVersion(t, filepath.Join(settings.StateDir, "state.db"))
 	err = Serve(context.Background(), settings, Environment{}, log)
 	if err == nil || !strings.Contains(err.Error(), "of a newer form") {
-		t.Fatalf("a later version's directory: %v", err)
+		t.Fatalf("directory of a later version: got error %v, want that its form is newer", err)
 	}
 }
 
-// writeLaterSchemaVersion puts schema version 3 into a state file, with the checksum that the store puts before each
-// value.
+// writeLaterSchemaVersion writes schema version 3 into a state file, with the checksum that the store puts in front of
+// each value.
 func writeLaterSchemaVersion(t *testing.T, path string) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o644, nil)
@@ -100,7 +100,8 @@
 	}
 }
 
-// The state is damaged while no instance runs: the next incarnation says so, counts on above the clock, and serves.
+// The state is damaged while no instance runs: the next incarnation logs the damage and the lost incarnation number,
+// and serves.
 func TestDamagedStateIsLogged(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.start()
@@ -110,13 +111,13 @@
 		t.Fatal(err)
 	}
 	bed.start()
-	bed.waitForLog("state store: damaged data is ignored")
-	bed.waitForLog("state store: the incarnation number is lost")
+	bed.waitForLog("state store data is damaged and was not loaded")
+	bed.waitForLog("state store lost the incarnation number")
 	bed.waitForLog("gate open")
 }
 
-// An address that is in use is a ListenError, and everything that was open is closed again: the next instance starts on
-// the same state directory.
+// If the address is in use, Serve returns a ListenError and closes the components that it opened, so that another
+// instance can use the same state directory.
 func TestListenErrorReleasesTheStore(t *testing.T) {
 	bed := newTestbed(t, 0)
 	bed.start()
@@ -130,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // a store that stayed open would be in use at the second
+	for range 2 { // a store left open would make the second start fail with a different error
 		var listenError *ListenError
 		err := Serve(context.Background(), settings, Environment{}, log)
 		if !errors.As(err, &listenError) || listenError.Address != bed.listen {
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/pubsub"
 )
 
-// activeSettings is the configuration in force; it is replaced as a whole.
+// activeSettings holds the active configuration, which is only replaced as a whole.
 type activeSettings struct {
 	mu      sync.Mutex
 	current *config.Server
@@ -26,32 +26,32 @@
 	s.current = settings
 }
 
-// list returns the names and values in force, for the console.
+// list returns the names and values of the active settings, for the console.
 func (s *activeSettings) list() [][2]string { return s.get().Settings() }
 
-// reload reads the configuration again and applies it if a running instance can; a rejected one is logged and changes
-// nothing.
+// reload loads the configuration again and applies it if a running instance can adopt it. A rejected configuration is
+// logged and changes nothing.
 func (inst *instance) reload() {
 	next, err := inst.outside.LoadConfig()
 	if err != nil {
-		inst.log.Error().Err(err).Msg("reload rejected: the file cannot be read; the settings in force stay")
+		inst.log.Error().Err(err).Msg("reload rejected: loading the file failed; the active settings are unchanged")
 		return
 	}
 	changed, err := config.Reload(inst.settings.get(), next)
 	if err != nil {
-		inst.log.Error().Err(err).Msg("reload rejected; the settings in force stay")
+		inst.log.Error().Err(err).Msg("reload rejected: a changed setting needs a restart; the active settings are unchanged")
 		return
 	}
 	inst.controller.SetReportLimit(next.ReportLimit)
 	inst.proxies.SetLimits(peerLimits(next), joinLimits(next, inst.balancer.Seed))
 	if inst.outside.LogLevel != nil {
-		_ = inst.outside.LogLevel.Set(next.LogLevel) // its name was checked as the file was read
+		_ = inst.outside.LogLevel.Set(next.LogLevel) // the level's name was checked when the file was loaded
 	}
 	inst.settings.set(next)
-	inst.log.Info().Strs("changed", changed).Msg("reloaded")
+	inst.log.Info().Strs("changed", changed).Msg("configuration reloaded")
 }
 
-// peerLimits returns what a connection to the address for proxies may use.
+// peerLimits returns the limits of connections to the address for proxies.
 func peerLimits(settings *config.Server) pubsub.Limits {
 	limits := settings.PeerLimits
 	return pubsub.Limits{
@@ -64,7 +64,7 @@
 	}
 }
 
-// joinLimits returns how many proxies may join. The seed is that of the jitter in their Retry-After.
+// joinLimits returns the limits on joining proxies. The seed is that of the jitter in their Retry-After value.
 func joinLimits(settings *config.Server, seed uint64) admission.Limits {
 	limits := settings.PeerLimits
 	return admission.Limits{
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -2,22 +2,22 @@
 
 import "testing"
 
-// A configuration that changes in operation is applied, one that cannot be is rejected with its reason, and a broken
-// one too; after each the settings before or the new ones are in force, as the console's page shows.
+// A reload applies a setting that can change while the instance runs. It rejects a setting that needs a restart, and an
+// invalid file, and logs the reason. The console shows the active settings after each step.
 func TestReload(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.start()
 	bed.waitForLog(`"serving"`)
 	tests := []struct{ name, channel, wantLog, wantIntake string }{
-		{"a setting that can change", "intake = 77", "intake: 77, was 500", "77 sums a second"},
+		{"setting that can change", "intake = 77", "intake: 77, was 500", "77 sums a second"},
 		{
-			"one that cannot change", "intake = 88\n  pace = 5",
+			"setting that needs a restart", "intake = 88\n  pace = 5",
 			"what waits was given its time by it", "77 sums a second",
 		},
-		{"a broken file", "intake = ", "the file cannot be read", "77 sums a second"},
-		{"a setting that can change, after those", "intake = 99", "intake: 99, was 77", "99 sums a second"},
+		{"invalid file", "intake = ", "loading the file failed", "77 sums a second"},
+		{"setting that can change, after rejected reloads", "intake = 99", "intake: 99, was 77", "99 sums a second"},
 	}
-	for _, tt := range tests { // each begins with the settings that the one before left in force
+	for _, tt := range tests { // each step begins with the settings that the previous step left active
 		t.Logf("step: %s", tt.name)
 		bed.writeConfiguration(bed.configuration(tt.channel))
 		bed.reload <- struct{}{}
--- a/internal/server/statistics.go
+++ b/internal/server/statistics.go
@@ -16,7 +16,7 @@
 	mebibyte = 1 << 20 // bytes
 )
 
-// logStatistics logs the statistics of an instance, once its controller has taken a step.
+// logStatistics logs the statistics of an instance. It logs nothing before the controller's first step.
 func logStatistics(log zerolog.Logger, source *controller.Controller, proxies *pubsub.Server) {
 	stats := proxies.Stats()
 	view := source.View()
@@ -41,8 +41,8 @@
 		Msg(statisticsMessage)
 }
 
-// logPlatformStatistics logs the statistics of an instance on the operators' platform, once its controller has taken a
-// step.
+// logPlatformStatistics logs the statistics of an instance on the operators' platform. It logs nothing before the
+// controller's first step.
 func logPlatformStatistics(log zerolog.Logger, source *controller.Controller, proxies *platform.Server) {
 	stats := proxies.Stats()
 	view := source.DetailedView()
--- a/internal/server/testbed_test.go
+++ b/internal/server/testbed_test.go
@@ -25,15 +25,15 @@
 	"peppervale/internal/testaddr"
 )
 
-// waitTimeout bounds how long a test waits for something that must come.
+// waitTimeout limits how long a test waits for an expected condition.
 const waitTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// testbed is an endpoint list of two replicas, proxies that connect to one address, and an instance that is started and
-// ended at that address. The state store and the configuration stay from one start to the next.
+// testbed has an endpoint list of two replicas, proxies that connect to one address, and an instance that a test starts
+// and ends at that address. The state directory is kept between starts.
 type testbed struct {
 	t              *testing.T
 	directory      string
@@ -43,13 +43,13 @@
 	loop           *standin.Loop
 	proxies        []*proxy.Proxy
 
-	log    *logBuffer // of the instance that was started last
+	log    *logBuffer // log of the instance that was started last
 	cancel context.CancelFunc
 	ended  chan error
 	reload chan struct{}
 }
 
-// logBuffer keeps a log for a test to wait on.
+// logBuffer collects a log and notifies a waiting test of new lines.
 type logBuffer struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -76,10 +76,10 @@
 	return l.text.String()
 }
 
-// replicaID returns the id of the n-th replica.
+// replicaID returns the id of replica n.
 func replicaID(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 9} }
 
-// newLoop starts a loop for stand-ins that ends with the test.
+// newLoop starts a loop for stand-ins. It stops when the test ends.
 func newLoop(t *testing.T) *standin.Loop {
 	t.Helper()
 	began := time.Now()
@@ -90,7 +90,7 @@
 	return loop
 }
 
-// newRegistry starts an endpoint list that ends with the test.
+// newRegistry starts a stand-in of the registry. It is closed when the test ends.
 func newRegistry(t *testing.T, loop *standin.Loop) *registry.Registry {
 	t.Helper()
 	list, err := registry.New(loop, "127.0.0.1:0", "recipe", ignoreObservation)
@@ -103,7 +103,7 @@
 
 func ignoreObservation(invariants.Event) {}
 
-// killAtEnd ends proxies with the test.
+// killAtEnd kills proxies when the test ends.
 func killAtEnd(t *testing.T, loop *standin.Loop, proxies *[]*proxy.Proxy) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -136,13 +136,13 @@
 		}
 		for k := range proxyCount {
 			proxyConfig := proxy.Config{
-				Name:           fmt.Sprint("till-", k),
-				Zone:           "govan",
-				ExpectedRate:   2,
-				RedialInterval: 50 * model.Millisecond,
-				DialTimeout:    model.Second,
-				StreamsOnly:    true,
-				Instances:      []proxy.Instance{{Name: "g", Address: bed.listen}},
+				Name:            fmt.Sprint("till-", k),
+				Zone:            "govan",
+				ExpectedRate:    2,
+				RedialInterval:  50 * model.Millisecond,
+				DialTimeout:     model.Second,
+				OmitLoadReports: true,
+				Instances:       []proxy.Instance{{Name: "g", Address: bed.listen}},
 			}
 			p := proxy.New(bed.loop, engine, proxyConfig, uint64(k), ignoreObservation)
 			p.Start(nil)
@@ -154,7 +154,7 @@
 	return bed
 }
 
-// configuration returns the instance's file with further lines in its block channel.
+// configuration returns the content of the instance's file, with additional lines in its channel block.
 func (bed *testbed) configuration(channel string) string {
 	return fmt.Sprintf(`governor "govan-1" {
   listen = %q
@@ -196,7 +196,7 @@
 	return path
 }
 
-// start starts an instance; end, or the end of the test, ends it.
+// start starts an instance. It runs until end is called or the test ends.
 func (bed *testbed) start() {
 	bed.t.Helper()
 	path := bed.writeConfiguration(bed.configuration(""))
@@ -221,7 +221,7 @@
 	bed.t.Cleanup(bed.end)
 }
 
-// end ends the instance, if one runs.
+// end ends the instance if one runs, and waits for it.
 func (bed *testbed) end() {
 	bed.t.Helper()
 	if bed.cancel == nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-// waitForLog waits until the instance's log holds a text.
+// waitForLog waits until the instance's log contains a text.
 func (bed *testbed) waitForLog(text string) {
 	bed.t.Helper()
 	timeout := time.After(waitTimeout)
@@ -246,12 +246,12 @@
 		select {
 		case <-bed.log.written:
 		case <-timeout:
-			bed.t.Fatalf("the log does not say %q:\n%s", text, logged)
+			bed.t.Fatalf("the log does not contain %q:\n%s", text, logged)
 		}
 	}
 }
 
-// waitForPage reads the body of a console page's JSON until it is as wanted.
+// waitForPage reads a console page's JSON into body until isWanted returns true.
 func (bed *testbed) waitForPage(path string, body any, isWanted func() bool) {
 	bed.t.Helper()
 	var text []byte
@@ -260,7 +260,7 @@
 		if err != nil {
 			continue
 		}
-		text, _ = io.ReadAll(response.Body) // a part of the page is no JSON
+		text, _ = io.ReadAll(response.Body) // a partial page fails to unmarshal
 		if err := response.Body.Close(); err != nil {
 			bed.t.Error(err)
 		}
@@ -268,5 +268,5 @@
 			return
 		}
 	}
-	bed.t.Fatalf("%s does not become what is wanted: %s", path, text)
+	bed.t.Fatalf("console page %s does not have the wanted content: %s", path, text)
 }
--- a/internal/simulation/queueing_test.go
+++ b/internal/simulation/queueing_test.go
@@ -24,13 +24,13 @@
 	simulator := &Simulator{}
 	totalLoad := workload.load * float64(workload.stations*workload.cores)
 	source := &Source{
-		Simulator:    simulator,
-		Arrivals:     NewRandomStream(workload.seed, "arrivals"),
-		Work:         NewRandomStream(workload.seed, "work"),
-		MeanWork:     meanWork,
-		Interarrival: float64(meanWork) / totalLoad,
-		Policy:       workload.policy(NewRandomStream(workload.seed, "pick")),
-		MeasureFrom:  model.Microseconds(workload.seconds) * model.Second / 10,
+		Simulator:        simulator,
+		Arrivals:         NewRandomStream(workload.seed, "arrivals"),
+		Work:             NewRandomStream(workload.seed, "work"),
+		MeanWork:         meanWork,
+		MeanInterarrival: float64(meanWork) / totalLoad,
+		Policy:           workload.policy(NewRandomStream(workload.seed, "pick")),
+		MeasureFrom:      model.Microseconds(workload.seconds) * model.Second / 10,
 	}
 	for range workload.stations {
 		source.Stations = append(source.Stations, NewStation(simulator, workload.cores))
@@ -41,7 +41,9 @@
 }
 
 // relativeTime is the mean time of a job over the mean work.
-func relativeTime(source *Source) float64 { return source.MeanTime() / float64(source.MeanWork) }
+func relativeTime(source *Source) float64 {
+	return source.MeanResponseTime() / float64(source.MeanWork)
+}
 
 // erlangWait is the mean wait of M/M/c over the mean work by Erlang's C formula; load is that of one core.
 func erlangWait(cores int, load float64) float64 {
@@ -99,9 +101,9 @@
 			station := source.Stations[0]
 			checkRelative(t, "time over work", relativeTime(source), 1+erlangWait(tt.cores, tt.load), tt.tolerance)
 			// Little's law: the jobs at a station are its rate times their time there, whatever the distributions.
-			jobs, busyCores := station.Means()
+			jobs, busyCores := station.MeanOccupancy()
 			rate := float64(station.Served()) / (float64(tt.seconds) * float64(model.Second))
-			checkRelative(t, "jobs by Little's law", jobs, rate*source.MeanTime(), littleTolerance)
+			checkRelative(t, "jobs by Little's law", jobs, rate*source.MeanResponseTime(), littleTolerance)
 			checkRelative(t, "utilization", busyCores/float64(tt.cores), tt.load, utilizationTolerance)
 		})
 	}
--- a/internal/simulation/station.go
+++ b/internal/simulation/station.go
@@ -105,8 +105,8 @@
 	s.updatedAt = s.simulator.Now()
 }
 
-// Means gives the mean number of jobs at the station and the mean number of busy cores since the start.
-func (s *Station) Means() (jobs, busyCores float64) {
+// MeanOccupancy gives the mean number of jobs at the station and the mean number of busy cores since the start.
+func (s *Station) MeanOccupancy() (jobs, busyCores float64) {
 	s.updateIntegrals()
 	if s.updatedAt == 0 {
 		return 0, 0
