--- a/internal/pubsub/observer_test.go
+++ b/internal/pubsub/observer_test.go
@@ -8,15 +8,15 @@
 	"github.com/redis/go-redis/v9"
 )
 
-// TestRedisClientObserves: An observer with a third-party client gets the complete state once, then each version once
-// and in order.
-func TestRedisClientObserves(t *testing.T) {
+// TestRedisObserverReceivesSnapshotThenEachChange: An observer that uses a third-party Redis client receives the
+// complete state once, then each version exactly once and in order.
+func TestRedisObserverReceivesSnapshotThenEachChange(t *testing.T) {
 	harness := startServer(t, nil)
 	harness.join(t, "till")
-	harness.publish(-1, weight(1, 1), bind(0))
+	harness.publish(-1, setWeight(1, 1), bindProxy(0))
 	client := redis.NewClient(&redis.Options{Addr: harness.server.Addr(), Protocol: 3, PoolSize: 2})
 	defer func() { _ = client.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	subscription := client.Subscribe(ctx, topic)
 	defer func() { _ = subscription.Close() }()
@@ -25,11 +25,11 @@
 	receive(ctx, t, subscription, &state)
 	isExpected := state.Kind == "snapshot" && state.Version == 1 && state.Incarnation == 3
 	if !isExpected || len(state.Tables["1"]) != 1 || state.Proxies["till"] != "1" {
-		t.Fatalf("%+v", state)
+		t.Fatalf("unexpected snapshot: %+v", state)
 	}
 	const changes = 200
 	for n := range changes {
-		harness.publish(-1, weight(byte(n+2), 0.5))
+		harness.publish(-1, setWeight(byte(n+2), 0.5))
 	}
 	for n := range changes {
 		var change Change
@@ -48,6 +48,6 @@
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal([]byte(message.Payload), into); err != nil {
-		t.Fatalf("%s: %v", message.Payload, err)
+		t.Fatalf("payload %s cannot be decoded: %v", message.Payload, err)
 	}
 }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -28,7 +28,7 @@
 func TestStateSurvivesRestart(t *testing.T) {
 	bed := newTestbed(t, 2)
 	bed.start()
-	bed.waitForLog("gate open")
+	bed.waitForLog("safe mode ended")
 	var proxies []struct{ Table int }
 	bed.waitForPage("/forwarders?as=json", &proxies, func() bool {
 		return len(proxies) == 2 && proxies[0].Table == 0 && proxies[1].Table == 0
@@ -105,7 +105,7 @@
 func TestDamagedStateIsLogged(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.start()
-	bed.waitForLog("gate open")
+	bed.waitForLog("safe mode ended")
 	bed.end()
 	if err := os.WriteFile(filepath.Join(bed.directory, "state", "state.db"), []byte("no store"), 0o644); err != nil {
 		t.Fatal(err)
