--- a/internal/simulation/source.go
+++ b/internal/simulation/source.go
@@ -7,7 +7,7 @@
 	Simulator        *Simulator
 	Arrivals         RandomStream
 	Work             RandomStream
-	MeanInterarrival float64            // mean time between two arrivals in microseconds; a fraction keeps high rates exact
+	MeanInterarrival float64            // time between two arrivals in microseconds; a fraction keeps high rates exact
 	MeanWork         model.Microseconds // of a job
 	Stations         []*Station
 	Policy           Policy
