--- a/cmd/peppervale/golden_test.go
+++ b/cmd/peppervale/golden_test.go
@@ -68,8 +68,8 @@
 	return strings.ReplaceAll(strings.ReplaceAll(text, root, ""), "../../", "")
 }
 
-// files returns the files that match the patterns, sorted within each pattern.
-func files(t *testing.T, patterns ...string) []string {
+// matchingFiles returns the files that match the patterns, sorted within each pattern.
+func matchingFiles(t *testing.T, patterns ...string) []string {
 	t.Helper()
 	var all []string
 	for _, pattern := range patterns {
@@ -86,9 +86,9 @@
 // TestGoldenCheck compares the output of check, for every scenario and example, with the golden file.
 func TestGoldenCheck(t *testing.T) {
 	var text strings.Builder
-	offered := files(t, "../../scenarios/*.hcl", "../../scenarios/faulty/*.hcl", "../../scenarios/lib/*.hcl",
+	checkedFiles := matchingFiles(t, "../../scenarios/*.hcl", "../../scenarios/faulty/*.hcl", "../../scenarios/lib/*.hcl",
 		"../../examples/*.hcl")
-	for _, file := range offered {
+	for _, file := range checkedFiles {
 		text.WriteString(transcript(t, "check", file))
 	}
 	expectGolden(t, "check.txt", text.String())
@@ -111,7 +111,7 @@
 // the block's known settings.
 func TestGoldenFaults(t *testing.T) {
 	var text strings.Builder
-	for _, file := range files(t, "testdata/faulty/*") {
+	for _, file := range matchingFiles(t, "testdata/faulty/*") {
 		output := transcript(t, faultyCommand(file)...)
 		if !strings.Contains(output, "\nstatus 2\n") {
 			t.Errorf("a faulty file is accepted:\n%s", output)
@@ -161,8 +161,8 @@
 	}
 }
 
-// formerWords maps the words of renamed commands to their former ones, which are aliases.
-var formerWords = map[string]string{
+// formerNames maps the words of renamed commands to their former ones, which are aliases.
+var formerNames = map[string]string{
 	"serve":         "governor",
 	"cluster":       "group",
 	"remove-member": "strike",
@@ -172,17 +172,18 @@
 	"benchmark":     "measure",
 }
 
-// TestRenamedCommands parses every renamed command with all its flags, by its new and by its former name. Both must be
-// the same command with the same flags and values, and the command line with the former name must be in commands.txt.
-func TestRenamedCommands(t *testing.T) {
+// TestRenamedCommandsMatchTheirFormerNames parses every renamed command with all its flags, by its new and by its
+// former name. Both must be the same command with the same flags and values, and the command line with the former name
+// must be in commands.txt.
+func TestRenamedCommandsMatchTheirFormerNames(t *testing.T) {
 	published := readCommands(t, "commands.txt")
-	unused := maps.Clone(formerWords)
+	unused := maps.Clone(formerNames)
 	for _, line := range readCommands(t, "commands-renamed.txt") {
 		t.Run(line, func(t *testing.T) {
 			words := strings.Fields(line)
 			formerLine := slices.Clone(words)
 			for i, word := range words {
-				if former, ok := formerWords[word]; ok {
+				if former, ok := formerNames[word]; ok {
 					formerLine[i] = former
 					delete(unused, word)
 				}
@@ -223,15 +224,15 @@
 		}
 		for _, word := range words {
 			if name, isFlag := strings.CutPrefix(word, "--"); isFlag {
-				fmt.Fprintf(&text, "%s --%s: %s\n", published(words), name, flagProperties(t, parsed, name))
+				fmt.Fprintf(&text, "%s --%s: %s\n", commandName(words), name, flagProperties(t, parsed, name))
 			}
 		}
 	}
 	expectGolden(t, "flags.txt", text.String())
 }
 
-// published returns the words of a command line before the first flag.
-func published(words []string) string {
+// commandName returns the words of a command line before the first flag.
+func commandName(words []string) string {
 	end := slices.IndexFunc(words, func(word string) bool { return strings.HasPrefix(word, "-") })
 	return strings.Join(words[:end], " ")
 }
@@ -254,8 +255,8 @@
 	return ""
 }
 
-// TestPlatformFileFromTheEnvironment checks that LB_CONFIG names the platform's file.
-func TestPlatformFileFromTheEnvironment(t *testing.T) {
+// TestPlatformReadsFileNamedInEnvironment checks that LB_CONFIG names the platform's file.
+func TestPlatformReadsFileNamedInEnvironment(t *testing.T) {
 	t.Setenv("LB_CONFIG", "testdata/faulty/platform-seed.json")
 	if output := transcript(t, "platform"); !strings.Contains(output, "platform-seed.json: seed: ") {
 		t.Error(output)
--- a/cmd/peppervale/main_test.go
+++ b/cmd/peppervale/main_test.go
@@ -17,22 +17,22 @@
 const (
 	outputTimeout = 30 * time.Second
 
-	exampleListen  = "127.0.0.1:7700" // addresses and the state directory in the example files
-	exampleConsole = "127.0.0.1:7780"
-	exampleList    = "127.0.0.1:7500"
-	exampleReplica = "127.0.0.1:7601"
-	exampleState   = "/tmp/peppervale-govan-1"
+	exampleListen   = "127.0.0.1:7700" // addresses and the state directory in the example files
+	exampleConsole  = "127.0.0.1:7780"
+	exampleRegistry = "127.0.0.1:7500"
+	exampleReplica  = "127.0.0.1:7601"
+	exampleState    = "/tmp/peppervale-govan-1"
 )
 
-// runToEnd runs a command line until it ends on its own.
-func runToEnd(args ...string) (status int, out, errOut string) {
+// runCommand runs a command line until it ends on its own.
+func runCommand(args ...string) (status int, out, errOut string) {
 	var outBuffer, errBuffer bytes.Buffer
 	status = run(context.Background(), args, &outBuffer, &errBuffer)
 	return status, outBuffer.String(), errBuffer.String()
 }
 
-// closeAtEnd closes a resource when the test ends.
-func closeAtEnd(t *testing.T, closer io.Closer) {
+// closeOnCleanup closes a resource when the test ends.
+func closeOnCleanup(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
 		if err := closer.Close(); err != nil {
@@ -41,18 +41,18 @@
 	})
 }
 
-// listenUntilEnd listens on a free port until the test ends.
-func listenUntilEnd(t *testing.T) net.Listener {
+// listenOnFreePort listens on a free port until the test ends.
+func listenOnFreePort(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, listener)
+	closeOnCleanup(t, listener)
 	return listener
 }
 
-func TestExitStatus(t *testing.T) {
+func TestExitStatusAndOutputOfEachOutcome(t *testing.T) {
 	faulty := filepath.Join(t.TempDir(), "bad.hcl")
 	if err := os.WriteFile(faulty, []byte("governor \"a\" {\n  listen = 5\n}\n"), 0o644); err != nil {
 		t.Fatal(err)
@@ -82,22 +82,22 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			status, out, errOut := runToEnd(tt.args...)
+			status, out, errOut := runCommand(tt.args...)
 			if status != tt.wantStatus || !strings.Contains(out+errOut, tt.wantOutput) {
-				t.Fatalf("status %d, want %d; output, want %q:\n%s%s", status, tt.wantStatus, tt.wantOutput, out, errOut)
+				t.Fatalf("status %d, output:\n%s%s", status, out, errOut)
 			}
 		})
 	}
 }
 
 // An address in use is reported with a hint, and the exit status is 1.
-func TestAddressInUse(t *testing.T) {
-	listener := listenUntilEnd(t)
+func TestServeFailsWhenAddressIsInUse(t *testing.T) {
+	listener := listenOnFreePort(t)
 	file := writeExample(t, "governor.hcl", map[string]string{
 		exampleListen: listener.Addr().String(),
 		exampleState:  t.TempDir(),
 	})
-	status, _, errOut := runToEnd("governor", "--config", file)
+	status, _, errOut := runCommand("governor", "--config", file)
 	if status != 1 || !strings.Contains(errOut, "address already in use; another process may be listening on it") {
 		t.Fatalf("status %d, want 1; error, want that the address is in use: %s", status, errOut)
 	}
@@ -144,20 +144,20 @@
 				return
 			}
 		case <-timeout:
-			l.t.Fatalf("the command did not write %q within %s", text, outputTimeout)
+			l.t.Fatalf("the command did not write %q in time", text)
 		}
 	}
 }
 
 // The four example processes are started by their commands, as a new user would do: the proxy becomes bound, and no
 // process listens on an example address after the end.
-func TestExamples(t *testing.T) {
+func TestExampleProcessesServeAndReleaseTheirAddresses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs four processes on sockets for seconds")
 	}
 	replacements := map[string]string{exampleState: t.TempDir()}
 	var addresses []string
-	for _, example := range []string{exampleListen, exampleConsole, exampleList, exampleReplica} {
+	for _, example := range []string{exampleListen, exampleConsole, exampleRegistry, exampleReplica} {
 		address := testaddr.Address(t)
 		replacements[example] = address
 		addresses = append(addresses, address)
@@ -183,7 +183,7 @@
 	}
 	for _, address := range addresses {
 		if conn, err := net.Dial("tcp", address); err == nil {
-			closeAtEnd(t, conn)
+			closeOnCleanup(t, conn)
 			t.Errorf("a process still listens on %s", address)
 		}
 	}
--- a/cmd/peppervale/platform_process_test.go
+++ b/cmd/peppervale/platform_process_test.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// programVariable is the environment variable that makes the test binary run as peppervale.
-	programVariable = "PEPPERVALE_TEST_PROGRAM"
+	// runProgramVariable is the environment variable that makes the test binary run as peppervale.
+	runProgramVariable = "PEPPERVALE_TEST_PROGRAM"
 
 	processTimeout = 20 * time.Second
 
-	// maxShutdown limits the duration of a shutdown: the platform kills a process this long after SIGTERM.
-	maxShutdown = 700 * time.Millisecond
+	// maxShutdownTime limits the duration of a shutdown: the platform kills a process this long after SIGTERM.
+	maxShutdownTime = 700 * time.Millisecond
 )
 
-// TestMain runs peppervale instead of the tests if programVariable is set.
+// TestMain runs peppervale instead of the tests if runProgramVariable is set.
 func TestMain(m *testing.M) {
-	if os.Getenv(programVariable) != "" {
+	if os.Getenv(runProgramVariable) != "" {
 		main()
 	}
 	os.Exit(m.Run())
@@ -36,7 +36,7 @@
 // programCommand returns the command `peppervale platform` with a configuration file.
 func programCommand(file string) *exec.Cmd {
 	command := exec.Command(os.Args[0], "platform")
-	command.Env = append(os.Environ(), programVariable+"=1", "LB_CONFIG="+file)
+	command.Env = append(os.Environ(), runProgramVariable+"=1", "LB_CONFIG="+file)
 	return command
 }
 
@@ -49,8 +49,8 @@
 	ended   chan struct{}
 }
 
-// startAnywhere starts a process on a free address, with a discovery address on which no process listens.
-func startAnywhere(t *testing.T) *platformProcess {
+// startOnFreeAddress starts a process on a free address, with a discovery address on which no process listens.
+func startOnFreeAddress(t *testing.T) *platformProcess {
 	t.Helper()
 	return startPlatform(t, testaddr.Address(t), testaddr.Address(t))
 }
@@ -62,11 +62,11 @@
 	if err := os.WriteFile(file, []byte(platformFile(address, discovery)), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	return startOnFile(t, address, file)
+	return startWithFile(t, address, file)
 }
 
-// startOnFile starts a process with a configuration file. If the process still runs when the test ends, it is killed.
-func startOnFile(t *testing.T, address, file string) *platformProcess {
+// startWithFile starts a process with a configuration file. If the process still runs when the test ends, it is killed.
+func startWithFile(t *testing.T, address, file string) *platformProcess {
 	t.Helper()
 	process := &platformProcess{
 		t:       t,
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	go func() {
-		_ = process.command.Wait() // expectEnd reads the exit status from ProcessState
+		_ = process.command.Wait() // expectExit reads the exit status from ProcessState
 		close(process.ended)
 	}()
 	t.Cleanup(func() {
@@ -124,19 +124,19 @@
 	return line == "*1\r\n"
 }
 
-// waitUntilListening waits until the process tries to listen on its address, which it does after it catches signals and
-// opens the discovery client. The client's poller is the second one, in addition to the runtime's.
-func (p *platformProcess) waitUntilListening() {
+// waitUntilTryingToListen waits until the process tries to listen on its address. By then it catches signals and has
+// opened the discovery client, whose poller is the second one after the runtime's.
+func (p *platformProcess) waitUntilTryingToListen() {
 	p.t.Helper()
-	for deadline := time.Now().Add(processTimeout); p.pollers() < 2; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(processTimeout); p.countPollers() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			p.t.Fatal("the process did not try to listen on its address in time")
 		}
 	}
 }
 
-// pollers counts the process's epoll descriptors.
-func (p *platformProcess) pollers() int {
+// countPollers counts the process's epoll descriptors.
+func (p *platformProcess) countPollers() int {
 	directory := fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid)
 	descriptors, _ := os.ReadDir(directory) // the directory does not exist before the process runs
 	count := 0
@@ -162,11 +162,11 @@
 	p.t.Helper()
 	signalled := time.Now()
 	p.signal(syscall.SIGTERM)
-	p.expectEnd(signalled)
+	p.expectExit(signalled)
 }
 
-// expectEnd checks that the process ends with status 0, within maxShutdown after it was signalled.
-func (p *platformProcess) expectEnd(signalled time.Time) {
+// expectExit checks that the process ends with status 0, within maxShutdownTime after it was signalled.
+func (p *platformProcess) expectExit(signalled time.Time) {
 	p.t.Helper()
 	select {
 	case <-p.ended:
@@ -176,8 +176,8 @@
 	if status := p.command.ProcessState.ExitCode(); status != 0 {
 		p.t.Errorf("exit status %d, want 0", status)
 	}
-	if took := time.Since(signalled); took > maxShutdown {
-		p.t.Errorf("the process took %s to end, want at most %s", took, maxShutdown)
+	if took := time.Since(signalled); took > maxShutdownTime {
+		p.t.Errorf("the process took %s to end, longer than the platform allows", took)
 	}
 }
 
@@ -188,5 +188,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, writer)
+	closeOnCleanup(t, writer)
 }
--- a/cmd/peppervale/platform_test.go
+++ b/cmd/peppervale/platform_test.go
@@ -14,14 +14,14 @@
 )
 
 // SIGTERM ends an instance with status 0, in every state, before the platform would kill it.
-func TestSigterm(t *testing.T) {
+func TestSigtermEndsProcessInTimeWithStatusSuccess(t *testing.T) {
 	t.Run("while the file is read", testSigtermWhileReading)
-	t.Run("while the address is in use", testSigtermWhileAddressIsTaken)
+	t.Run("while the address is in use", testSigtermWhileAddressIsInUse)
 	t.Run("while discovery does not answer", testSigtermWhileDiscoveryIsSilent)
 	t.Run("with a stream that reads nothing", testSigtermWithUnreadStream)
-	t.Run("repeated, with SIGHUP in between", testSigtermWithOtherSignals)
-	t.Run("repeated until the process ends", testSigtermUntilEnd)
-	t.Run("during a reload", testSigtermInReload)
+	t.Run("repeated, with SIGHUP in between", testSigtermRepeatedWithSighup)
+	t.Run("repeated until the process ends", testSigtermRepeatedUntilEnd)
+	t.Run("during a reload", testSigtermDuringReload)
 }
 
 func testSigtermWhileReading(t *testing.T) {
@@ -29,20 +29,20 @@
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	process := startOnFile(t, testaddr.Address(t), pipe)
+	process := startWithFile(t, testaddr.Address(t), pipe)
 	openForWriting(t, pipe)
 	process.terminate()
 }
 
-func testSigtermWhileAddressIsTaken(t *testing.T) {
-	holder := listenUntilEnd(t)
+func testSigtermWhileAddressIsInUse(t *testing.T) {
+	holder := listenOnFreePort(t)
 	process := startPlatform(t, holder.Addr().String(), testaddr.Address(t))
-	process.waitUntilListening()
+	process.waitUntilTryingToListen()
 	process.terminate()
 }
 
 func testSigtermWhileDiscoveryIsSilent(t *testing.T) {
-	discovery := listenUntilEnd(t)
+	discovery := listenOnFreePort(t)
 	process := startPlatform(t, testaddr.Address(t), discovery.Addr().String())
 	if _, err := discovery.Accept(); err != nil {
 		t.Fatal(err)
@@ -52,13 +52,13 @@
 }
 
 func testSigtermWithUnreadStream(t *testing.T) {
-	process := startAnywhere(t)
+	process := startOnFreeAddress(t)
 	process.waitUntilReady()
 	conn, err := net.Dial("tcp", process.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, conn)
+	closeOnCleanup(t, conn)
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		t.Fatalf("got a connection of type %T, want *net.TCPConn", conn)
@@ -73,34 +73,34 @@
 	process.terminate()
 }
 
-func testSigtermWithOtherSignals(t *testing.T) {
+func testSigtermRepeatedWithSighup(t *testing.T) {
 	for range 5 {
-		process := startAnywhere(t)
+		process := startOnFreeAddress(t)
 		process.waitUntilReady()
 		signalled := time.Now()
 		for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 			_ = process.command.Process.Signal(signal) // the process may have ended before the last signals
 		}
-		process.expectEnd(signalled)
+		process.expectExit(signalled)
 	}
 }
 
-// testSigtermUntilEnd sends SIGTERM as fast as possible until the process has ended. No signal may change the exit
-// status, not even one between the shutdown and the exit.
-func testSigtermUntilEnd(t *testing.T) {
+// testSigtermRepeatedUntilEnd sends SIGTERM as fast as possible until the process has ended. No signal may change the
+// exit status, not even one between the shutdown and the exit.
+func testSigtermRepeatedUntilEnd(t *testing.T) {
 	for range 20 {
-		process := startAnywhere(t)
+		process := startOnFreeAddress(t)
 		process.waitUntilReady()
 		signalled := time.Now()
 		for process.command.Process.Signal(syscall.SIGTERM) == nil {
 			continue
 		}
-		process.expectEnd(signalled)
+		process.expectExit(signalled)
 	}
 }
 
-func testSigtermInReload(t *testing.T) {
-	process := startAnywhere(t)
+func testSigtermDuringReload(t *testing.T) {
+	process := startOnFreeAddress(t)
 	process.waitUntilReady()
 	if err := os.Remove(process.file); err != nil {
 		t.Fatal(err)
@@ -115,13 +115,13 @@
 
 // An instance listens on its address as soon as an earlier process releases it. A later SIGHUP with an invalid file
 // does not interrupt the instance.
-func TestAddressHeldByEarlierProcess(t *testing.T) {
+func TestInstanceTakesAddressWhenEarlierProcessReleasesIt(t *testing.T) {
 	holder, err := net.Listen("tcp4", testaddr.Address(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	process := startPlatform(t, holder.Addr().String(), testaddr.Address(t))
-	process.waitUntilListening()
+	process.waitUntilTryingToListen()
 	if err := holder.Close(); err != nil {
 		t.Error(err)
 	}
@@ -135,7 +135,7 @@
 }
 
 // An invalid file is reported in one line, with the exit status for invalid input.
-func TestFaultyPlatformFile(t *testing.T) {
+func TestFaultyPlatformFileIsReportedInOneLine(t *testing.T) {
 	tests := []struct{ name, text string }{
 		{"empty", ""},
 		{"not JSON", "hello"},
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -13,49 +13,49 @@
 
 // instance is one balancer with the actions that it requested in the current batch.
 type instance struct {
-	number    uint16
-	balancer  *balancer.Balancer // nil if it has not started, was killed or failed
-	reply     simulator.Reply
-	isInBatch bool // an event of the current batch targets it; it may act only then
+	number     uint16
+	balancer   *balancer.Balancer // nil if it has not started, was killed or failed
+	reply      simulator.Reply
+	isTargeted bool // an event of the current batch targets it; it may act only then
 }
 
 func newInstance(number uint16) *instance { return &instance{number: number} }
 
-// answer handles a batch and returns its reply. An error means that the batch is malformed.
-func (s instanceSet) answer(batch *simulator.Batch) (*simulator.Reply, error) {
-	involved, err := s.handleEvents(batch)
+// handleBatch handles a batch and returns its reply. An error means that the batch is malformed.
+func (s instanceSet) handleBatch(batch *simulator.Batch) (*simulator.Reply, error) {
+	targeted, err := s.handleEvents(batch)
 	if err != nil {
 		return nil, err
 	}
 	reply := &simulator.Reply{}
-	for _, inst := range involved {
+	for _, inst := range targeted {
 		inst.flush(batch.Clock)
-		inst.moveActions(reply)
+		inst.moveActionsTo(reply)
 	}
 	return reply, nil
 }
 
 // handleEvents handles a batch's events and returns the targeted instances in the order of their first event.
 func (s instanceSet) handleEvents(batch *simulator.Batch) ([]*instance, error) {
-	var involved []*instance
+	var targeted []*instance
 	var current *instance
 	for _, event := range batch.Events() {
 		if event.Code() == simulator.CodeTargetInstance {
 			current = s.target(event.TargetInstance())
-			if !current.isInBatch {
-				current.isInBatch = true
-				involved = append(involved, current)
+			if !current.isTargeted {
+				current.isTargeted = true
+				targeted = append(targeted, current)
 			}
 			continue
 		}
 		if current == nil {
 			continue
 		}
-		if err := current.handle(event, batch.Clock); err != nil {
+		if err := current.handleEvent(event, batch.Clock); err != nil {
 			return nil, err
 		}
 	}
-	return involved, nil
+	return targeted, nil
 }
 
 // target returns the instance with a number; it creates the instance if there is none.
@@ -68,49 +68,49 @@
 	return inst
 }
 
-// handle passes an event to the balancer. An error means that the event is malformed.
-func (i *instance) handle(event simulator.Event, now model.Microseconds) error {
+// handleEvent passes an event to the balancer. An error means that the event is malformed.
+func (i *instance) handleEvent(event simulator.Event, now model.Microseconds) error {
 	var err error
-	i.guard(func() { err = i.dispatch(event, now) })
+	i.reportPanic(func() { err = i.dispatchEvent(event, now) })
 	return err
 }
 
 // flush flushes the balancer, if one is running.
 func (i *instance) flush(now model.Microseconds) {
-	i.guard(func() {
+	i.reportPanic(func() {
 		if i.balancer != nil {
 			i.balancer.Flush(now)
 		}
 	})
 }
 
-// guard calls a function. A panic in it is reported in an Exception and ends the balancer.
-func (i *instance) guard(call func()) {
+// reportPanic calls a function. It reports a panic of the function in an Exception, and ends the balancer.
+func (i *instance) reportPanic(call func()) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			i.fail(fmt.Sprint("panic: ", panicked))
+			i.reportFailure(fmt.Sprint("panic: ", panicked))
 		}
 	}()
 	call()
 }
 
-// fail ends the balancer and reports the reason in an Exception.
-func (i *instance) fail(message string) {
+// reportFailure ends the balancer and reports the reason in an Exception.
+func (i *instance) reportFailure(message string) {
 	i.balancer = nil
 	i.reply.Exception(message)
 }
 
-// moveActions moves the instance's actions to the end of a reply.
-func (i *instance) moveActions(reply *simulator.Reply) {
+// moveActionsTo moves the instance's actions to the end of a reply.
+func (i *instance) moveActionsTo(reply *simulator.Reply) {
 	if !i.reply.Empty() {
 		reply.OnBehalf(i.number)
 		reply.Append(&i.reply)
 	}
 	i.reply = simulator.Reply{}
-	i.isInBatch = false
+	i.isTargeted = false
 }
 
-func (i *instance) dispatch(event simulator.Event, now model.Microseconds) error {
+func (i *instance) dispatchEvent(event simulator.Event, now model.Microseconds) error {
 	switch event.Code() {
 	case simulator.CodeInstanceStarted:
 		return i.start(event, now)
@@ -132,7 +132,7 @@
 	}
 	config, err := simulator.ParseSettings(seed, settings)
 	if err != nil {
-		i.fail(err.Error())
+		i.reportFailure(err.Error())
 		return nil
 	}
 	i.balancer = balancer.New(config, &i.reply, now)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		reply, err := instances.answer(batch)
+		reply, err := instances.handleBatch(batch)
 		if err != nil {
 			return err
 		}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -27,7 +27,7 @@
 	return append(frame, settings...)
 }
 
-func TestRun(t *testing.T) {
+func TestRunReportsOnlyMalformedFramesAsErrors(t *testing.T) {
 	t.Run("end of input between frames returns no error", func(t *testing.T) {
 		if err := run(bytes.NewReader(nil), &bytes.Buffer{}); err != nil {
 			t.Fatal(err)
@@ -47,9 +47,9 @@
 	})
 }
 
-func TestPanicIsReportedInAnException(t *testing.T) {
+func TestPanicIsReportedInException(t *testing.T) {
 	inst := newInstance(1)
-	inst.guard(func() { panic("index out of range") })
+	inst.reportPanic(func() { panic("index out of range") })
 	if !strings.Contains(string(inst.reply.Frame(1)), "panic: index out of range") {
 		t.Fatal("the panic is not reported in an Exception")
 	}
--- a/internal/cli/benchmark_channel.go
+++ b/internal/cli/benchmark_channel.go
@@ -17,7 +17,7 @@
 func (c *BenchmarkChannel) Run(out io.Writer) error {
 	var results []*benchmark.ChannelResult
 	for _, proxies := range c.Proxies {
-		if !c.isUsable(proxies) {
+		if !c.isWithinLimits(proxies) {
 			return inputErrorf("sizes out of range: --forwarders and --lines are 1 to 10000, --rounds at least 1")
 		}
 		result, err := benchmark.Channel(proxies, c.Entries, c.Rounds)
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// isUsable reports whether the sizes are within the limits, for one number of proxies.
-func (c *BenchmarkChannel) isUsable(proxies int) bool {
+// isWithinLimits reports whether the sizes are within the limits, for one number of proxies.
+func (c *BenchmarkChannel) isWithinLimits(proxies int) bool {
 	return proxies >= 1 && proxies <= maxBenchmarkProxies &&
 		c.Entries >= 1 && c.Entries <= maxBenchmarkEntries &&
 		c.Rounds >= 1
--- a/internal/cli/benchmark_quiet.go
+++ b/internal/cli/benchmark_quiet.go
@@ -18,7 +18,7 @@
 
 // Run runs the benchmark.
 func (c *BenchmarkQuiet) Run(ctx context.Context, out io.Writer) error {
-	if !c.isUsable() {
+	if !c.isWithinLimits() {
 		return inputErrorf("sizes out of range: --members is 1 to 9, --parts 1 to 256, --span 300ms to 1m, --while 1s to 1h")
 	}
 	result, err := benchmark.IdleCluster(ctx, c.Members, c.Shards, c.LeaseDuration, c.Duration)
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// isUsable reports whether the sizes are within the limits.
-func (c *BenchmarkQuiet) isUsable() bool {
+// isWithinLimits reports whether the sizes are within the limits.
+func (c *BenchmarkQuiet) isWithinLimits() bool {
 	return c.Members >= 1 && c.Members <= maxClusterMembers &&
 		c.Shards >= 1 && c.Shards <= maxShardsPerZone &&
 		c.LeaseDuration >= minLeaseDuration &&
--- a/internal/cli/benchmark_restart.go
+++ b/internal/cli/benchmark_restart.go
@@ -15,10 +15,10 @@
 
 // Run runs the benchmark for each restart mode.
 func (c *BenchmarkRestart) Run(ctx context.Context, out io.Writer) error {
-	if !c.isUsable() {
+	if !c.isWithinLimits() {
 		return inputErrorf("sizes out of range: --forwarders is 1 to 5000, --rounds 1 to 1000")
 	}
-	program, err := childProgram()
+	program, err := childCommand()
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// isUsable reports whether the sizes are within the limits.
-func (c *BenchmarkRestart) isUsable() bool {
+// isWithinLimits reports whether the sizes are within the limits.
+func (c *BenchmarkRestart) isWithinLimits() bool {
 	return c.Proxies >= 1 && c.Proxies <= maxRestartProxies && c.Rounds >= 1 && c.Rounds <= maxRounds
 }
--- a/internal/cli/benchmark_takeover.go
+++ b/internal/cli/benchmark_takeover.go
@@ -21,16 +21,16 @@
 
 // Run runs the benchmark, with a cluster and without one.
 func (c *BenchmarkTakeover) Run(ctx context.Context, out io.Writer) error {
-	if !c.isUsable() {
+	if !c.isWithinLimits() {
 		return inputErrorf("sizes out of range: --forwarders is 3 to 5000, --rounds 1 to 1000, --span 300ms to 1m")
 	}
-	program, err := childProgram()
+	program, err := childCommand()
 	if err != nil {
 		return err
 	}
 	lease := model.Microseconds(c.LeaseDuration / time.Microsecond)
 	var results []*benchmark.TakeoverResult
-	for _, inCluster := range c.variants() {
+	for _, inCluster := range c.clusterVariants() {
 		result, err := benchmark.Takeover(ctx, program, c.Proxies, c.Rounds, lease, inCluster, c.Seed, os.Stderr)
 		if err != nil {
 			return err
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// variants returns, for each run, whether the instances are in a cluster.
-func (c *BenchmarkTakeover) variants() []bool {
+// clusterVariants returns, for each run, whether the instances are in a cluster.
+func (c *BenchmarkTakeover) clusterVariants() []bool {
 	switch c.Only {
 	case "shared":
 		return []bool{true}
@@ -52,8 +52,8 @@
 	return []bool{true, false}
 }
 
-// isUsable reports whether the sizes are within the limits.
-func (c *BenchmarkTakeover) isUsable() bool {
+// isWithinLimits reports whether the sizes are within the limits.
+func (c *BenchmarkTakeover) isWithinLimits() bool {
 	return c.Proxies >= minTakeoverProxies && c.Proxies <= maxRestartProxies &&
 		c.Rounds >= 1 && c.Rounds <= maxRounds &&
 		c.LeaseDuration >= minLeaseDuration && c.LeaseDuration <= maxLeaseDuration
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -27,8 +27,8 @@
 	_, _ = fmt.Fprintf(out, format, args...)
 }
 
-// childProgram returns the command that starts this program again, followed by the given arguments.
-func childProgram(args ...string) ([]string, error) {
+// childCommand returns the command that starts this program again, followed by the given arguments.
+func childCommand(args ...string) ([]string, error) {
 	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -14,14 +14,14 @@
 	RemoveMember ClusterRemoveMember `cmd:"" name:"remove-member" aliases:"strike" help:"Remove a member permanently."`
 }
 
-// member is the cluster member that a command sends its request to. The member forwards requests to the leader that
-// only the leader can carry out.
-type member struct {
+// targetMember is the cluster member that a command sends its request to. It forwards requests that only the leader can
+// carry out.
+type targetMember struct {
 	At   string        `help:"Cluster address of any member, host:port." required:""`
 	Wait time.Duration `help:"How long to wait for an answer." default:"5s"`
 }
 
 // request sends a request and returns the answer.
-func (m member) request(words ...string) (string, error) {
+func (m targetMember) request(words ...string) (string, error) {
 	return cluster.Request(m.At, m.Wait, words...)
 }
--- a/internal/cli/cluster_drain_member.go
+++ b/internal/cli/cluster_drain_member.go
@@ -4,7 +4,7 @@
 
 // ClusterDrainMember is peppervale cluster drain-member.
 type ClusterDrainMember struct {
-	member
+	targetMember
 	Name string `arg:"" help:"The member's name."`
 	Off  bool   `help:"End the drain: the member may take shards again."`
 }
--- a/internal/cli/cluster_move.go
+++ b/internal/cli/cluster_move.go
@@ -7,7 +7,7 @@
 
 // ClusterMove is peppervale cluster move.
 type ClusterMove struct {
-	member
+	targetMember
 	Shard int    `arg:"" name:"part" help:"The shard's number, as status shows it."`
 	To    string `arg:"" help:"The member's name."`
 }
--- a/internal/cli/cluster_remove_member.go
+++ b/internal/cli/cluster_remove_member.go
@@ -4,7 +4,7 @@
 
 // ClusterRemoveMember is peppervale cluster remove-member.
 type ClusterRemoveMember struct {
-	member
+	targetMember
 	Name string `arg:"" help:"The member's name."`
 }
 
--- a/internal/cli/cluster_status.go
+++ b/internal/cli/cluster_status.go
@@ -9,12 +9,12 @@
 	"peppervale/internal/cluster"
 )
 
-// maxTakeoversShown is the maximum number of takeovers that are shown; the latest are kept.
-const maxTakeoversShown = 10
+// maxDisplayedTakeovers is the maximum number of takeovers that are shown; the latest are kept.
+const maxDisplayedTakeovers = 10
 
 // ClusterStatus is peppervale cluster status.
 type ClusterStatus struct {
-	member
+	targetMember
 	JSON bool `name:"json" help:"Write the status as JSON."`
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	printf(table, "\nlast takeovers\tepoch\tfrom\tto\thow\twhy\n")
-	newest := takeovers[max(0, len(takeovers)-maxTakeoversShown):]
+	newest := takeovers[max(0, len(takeovers)-maxDisplayedTakeovers):]
 	for i := range newest {
 		takeover := &newest[i]
 		printf(table, "part %d\t%d\t%s\t%s\t%s\t%s\n",
--- a/internal/cli/cluster_status_test.go
+++ b/internal/cli/cluster_status_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestClusterStatusWithoutLeader(t *testing.T) {
+func TestClusterStatusNamesNoLeaderWhenNoneIsKnown(t *testing.T) {
 	var got strings.Builder
 	if err := writeStatus(&got, &cluster.Status{Member: "govan-1", Term: 2}); err != nil {
 		t.Fatal(err)
--- a/internal/cli/console.go
+++ b/internal/cli/console.go
@@ -30,12 +30,12 @@
 				address)
 		}
 	}
-	pages, err := comparison.Listen(c.Listen, c.Instances, controller.NewClock())
+	server, err := comparison.Listen(c.Listen, c.Instances, controller.NewClock())
 	if err != nil {
 		return err
 	}
-	defer pages.Close()
-	printf(out, "console of %d governors: http://%s\n", len(c.Instances), pages.Addr())
+	defer server.Close()
+	printf(out, "console of %d governors: http://%s\n", len(c.Instances), server.Addr())
 	<-ctx.Done()
 	return nil
 }
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -13,7 +13,7 @@
 type InputError struct {
 	Err error
 
-	ownLines bool // Err lists several errors, one per line
+	multiline bool // Err lists several errors, one per line
 }
 
 // NewInputError returns an InputError that is printed on one line.
@@ -21,7 +21,7 @@
 
 // Error implements error.
 func (e *InputError) Error() string {
-	if e.ownLines {
+	if e.multiline {
 		return fmt.Sprintf("input:\n%v", e.Err)
 	}
 	return fmt.Sprintf("input: %v", e.Err)
@@ -36,4 +36,4 @@
 }
 
 // fileError returns the InputError for an invalid file. The errors in the file are listed one per line.
-func fileError(err error) *InputError { return &InputError{Err: err, ownLines: true} }
+func fileError(err error) *InputError { return &InputError{Err: err, multiline: true} }
--- a/internal/cli/errors_test.go
+++ b/internal/cli/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestInputError(t *testing.T) {
+func TestInputErrorPrintsAndWrapsItsCause(t *testing.T) {
 	cause := errors.New("cause")
 	tests := []struct {
 		name string
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -11,15 +11,15 @@
 // dropped while an earlier request is pending: that reload will read the current file. SIGHUP is caught until the
 // process exits: with the default action restored, a SIGHUP during the shutdown would kill the process.
 func reloadRequests(ctx context.Context) <-chan struct{} {
-	hangups := make(chan os.Signal, 1)
+	signals := make(chan os.Signal, 1)
 	requests := make(chan struct{}, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangups:
+			case <-signals:
 				select {
 				case requests <- struct{}{}:
 				default:
--- a/internal/cli/scenario_run.go
+++ b/internal/cli/scenario_run.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return fileError(err)
 	}
-	program, err := childProgram("serve")
+	program, err := childCommand("serve")
 	if err != nil {
 		return err
 	}
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -50,8 +50,8 @@
 	return id
 }
 
-// repeat calls an action at an interval until the context is done.
-func repeat(ctx context.Context, interval time.Duration, action func()) {
+// callPeriodically calls an action at an interval until the context is done.
+func callPeriodically(ctx context.Context, interval time.Duration, action func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -94,21 +94,21 @@
 	defer engine.Stop()
 	loop := standin.NewLoop(controller.NewClock())
 	defer loop.Stop()
-	load := &proxyLoad{settings: settings, loop: loop, random: standin.NewRandom(settings.seed, "load")}
+	load := &requestGenerator{settings: settings, loop: loop, random: standin.NewRandom(settings.seed, "load")}
 	loop.Do(func() {
 		load.proxy = proxy.New(loop, engine, settings.proxy, settings.seed, ignoreObservation)
 		load.proxy.Start(settings.standingTable)
 		load.scheduleRequest()
 	})
 	defer loop.Do(load.proxy.Kill)
-	repeat(ctx, standInStatisticsInterval, func() {
+	callPeriodically(ctx, standInStatisticsInterval, func() {
 		loop.Do(func() { load.writeStatistics(out) })
 	})
 	return nil
 }
 
-// proxyLoad makes a proxy send requests at random intervals. Its methods run on the loop.
-type proxyLoad struct {
+// requestGenerator makes a proxy send requests at random intervals. Its methods run on the loop.
+type requestGenerator struct {
 	settings proxySettings
 	loop     *standin.Loop
 	random   *standin.Random
@@ -118,7 +118,7 @@
 }
 
 // scheduleRequest sends a request after a random interval, then schedules the next request.
-func (l *proxyLoad) scheduleRequest() {
+func (l *requestGenerator) scheduleRequest() {
 	seconds := l.random.Interval(l.settings.proxy.ExpectedRate)
 	l.loop.After(model.Microseconds(seconds*float64(model.Second)), func() {
 		l.sendRequest()
@@ -127,7 +127,7 @@
 }
 
 // sendRequest sends a request with a random operation and a random amount of work.
-func (l *proxyLoad) sendRequest() {
+func (l *requestGenerator) sendRequest() {
 	l.requests++
 	operation := l.random.IntN(len(l.settings.operations))
 	objective := l.settings.operations[operation].LatencyObjective
@@ -143,7 +143,8 @@
 	})
 }
 
-func (l *proxyLoad) writeStatistics(out io.Writer) {
+func (l *requestGenerator) writeStatistics(out io.Writer) {
 	printf(out, "joined to %q, bound %v, %d lines held; %d asked, %d within the objective; %d messages\n",
-		l.proxy.JoinedInstance(), l.proxy.Bound(), len(l.proxy.HeldEntries()), l.requests, l.withinObjective, l.proxy.Messages)
+		l.proxy.JoinedInstance(), l.proxy.Bound(), len(l.proxy.HeldEntries()), l.requests, l.withinObjective,
+		l.proxy.Messages)
 }
--- a/internal/cli/standin_registry.go
+++ b/internal/cli/standin_registry.go
@@ -28,7 +28,7 @@
 	listen  string
 	service string
 	entries []registry.Entry
-	fault   registry.Faults
+	faults  registry.Faults
 }
 
 func readRegistry(top *config.Block) registrySettings {
@@ -36,7 +36,7 @@
 	block := top.SingleBlock("registry", 0, true)
 	settings.listen = block.Address("listen", true)
 	settings.service = block.String("service", "")
-	settings.fault = registry.Faults{
+	settings.faults = registry.Faults{
 		Fails:  block.Bool("fails", false),
 		Silent: block.Bool("silent", false),
 		Delay:  block.Duration("late", 0, 0, maxStandInDuration),
@@ -81,10 +81,10 @@
 	}
 	defer server.Close()
 	printf(out, "registry %s lists %d of %s\n", server.Addr(), len(settings.entries), settings.service)
-	applySettings(loop, server, nil, settings)
-	listed := settings.entries
+	updateRegistry(loop, server, nil, settings)
+	listedEntries := settings.entries
 	lastError := ""
-	repeat(ctx, registryReloadInterval, func() {
+	callPeriodically(ctx, registryReloadInterval, func() {
 		next, err := openStandInFile(c.Config, readRegistry)
 		if err != nil { // the file may be in the middle of an edit
 			if err.Error() != lastError {
@@ -93,17 +93,17 @@
 			}
 			return
 		}
-		applySettings(loop, server, listed, next)
-		listed = next.entries
+		updateRegistry(loop, server, listedEntries, next)
+		listedEntries = next.entries
 	})
 	return nil
 }
 
-// applySettings sets the faults and entries of the registry to those in its file. It removes previously listed entries
+// updateRegistry sets the faults and entries of the registry to those in its file. It removes previously listed entries
 // that are not in the file.
-func applySettings(loop *standin.Loop, server *registry.Registry, listed []registry.Entry, settings registrySettings) {
+func updateRegistry(loop *standin.Loop, server *registry.Registry, listed []registry.Entry, settings registrySettings) {
 	loop.Do(func() {
-		server.Faults = settings.fault
+		server.Faults = settings.faults
 		for _, old := range listed {
 			isListed := slices.ContainsFunc(settings.entries, func(e registry.Entry) bool { return e.ID == old.ID })
 			if !isListed {
--- a/internal/cli/standin_replica.go
+++ b/internal/cli/standin_replica.go
@@ -19,15 +19,15 @@
 
 // replicaSettings is the content of a replica's file.
 type replicaSettings struct {
-	replica    replica.Config
-	windows    []model.Microseconds // deduplication windows for repeated requests, by operation
-	startsCold bool
+	replica              replica.Config
+	deduplicationWindows []model.Microseconds // by operation
+	startsCold           bool
 }
 
 func readReplica(top *config.Block) replicaSettings {
 	var settings replicaSettings
 	for _, operation := range config.ReadOperations(top) {
-		settings.windows = append(settings.windows, operation.IdempotencyWindow)
+		settings.deduplicationWindows = append(settings.deduplicationWindows, operation.IdempotencyWindow)
 	}
 	block := top.SingleBlock("replica", 0, true)
 	settings.replica = replica.Config{
@@ -57,7 +57,8 @@
 	defer loop.Stop()
 	var server *replica.Replica
 	loop.Do(func() {
-		server = replica.New(loop, settings.replica, replica.NewDeduplicationGroup(), settings.windows, ignoreObservation)
+		server = replica.New(loop, settings.replica, replica.NewDeduplicationGroup(), settings.deduplicationWindows,
+			ignoreObservation)
 		err = server.Start(settings.startsCold)
 	})
 	if err != nil {
@@ -65,7 +66,7 @@
 	}
 	defer loop.Do(server.Stop)
 	printf(out, "replica %s serves\n", pubsubmsg.FormatAddress(settings.replica.ID))
-	repeat(ctx, standInStatisticsInterval, func() {
+	callPeriodically(ctx, standInStatisticsInterval, func() {
 		loop.Do(func() { printf(out, "served %d\n", server.Served) })
 	})
 	return nil
--- a/internal/server/cluster_testbed_test.go
+++ b/internal/server/cluster_testbed_test.go
@@ -103,7 +103,7 @@
 			bed.startProxy(k, engine)
 		}
 	})
-	killAtEnd(t, bed.loop, &bed.proxies)
+	killOnCleanup(t, bed.loop, &bed.proxies)
 	return bed
 }
 
@@ -178,16 +178,16 @@
 // startProxy starts proxy k, in zone k modulo 3. The proxy tries its own zone's instance first. startProxy is called on
 // the loop.
 func (bed *clusterTestbed) startProxy(k int, engine *netpoll.Engine) {
-	home := k % len(clusterZones)
+	zoneIndex := k % len(clusterZones)
 	var instances []proxy.Instance
 	for n := range bed.members {
-		member := bed.members[(home+n)%len(bed.members)]
+		member := bed.members[(zoneIndex+n)%len(bed.members)]
 		instances = append(instances, proxy.Instance{Name: member.name, Address: member.channel})
 	}
 	p := proxy.New(bed.loop, engine, proxy.Config{
 		Name:            fmt.Sprint("till-", k),
-		Zone:            clusterZones[home],
-		ZoneIndex:       home,
+		Zone:            clusterZones[zoneIndex],
+		ZoneIndex:       zoneIndex,
 		ExpectedRate:    2,
 		RedialInterval:  50 * model.Millisecond,
 		DialTimeout:     model.Second,
@@ -198,14 +198,16 @@
 	bed.proxies = append(bed.proxies, p)
 }
 
-// homeOf returns the name of the instance in proxy k's zone.
-func (bed *clusterTestbed) homeOf(k int) string { return bed.members[k%len(bed.members)].name }
+// ownZoneInstance returns the name of the instance in proxy k's zone.
+func (bed *clusterTestbed) ownZoneInstance(k int) string { return bed.members[k%len(bed.members)].name }
 
-// isHome reports whether an instance is that of proxy k's zone.
-func (bed *clusterTestbed) isHome(k int, instance string) bool { return instance == bed.homeOf(k) }
+// isOwnZoneInstance reports whether an instance is that of proxy k's zone.
+func (bed *clusterTestbed) isOwnZoneInstance(k int, instance string) bool {
+	return instance == bed.ownZoneInstance(k)
+}
 
 // waitForPlacement waits until every proxy is bound and connected to an instance for which isWanted returns true.
-func (bed *clusterTestbed) waitForPlacement(what string, isWanted func(k int, instance string) bool) {
+func (bed *clusterTestbed) waitForPlacement(description string, isWanted func(k int, instance string) bool) {
 	bed.t.Helper()
 	for deadline := time.Now().Add(clusterWaitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		allWanted := true
@@ -224,26 +226,26 @@
 				text, err := cluster.Request(member.request, time.Second, "STATUS")
 				bed.t.Log(text, err)
 			}
-			bed.t.Fatalf("not reached: %s; the proxies are connected to %v", what, instances)
+			bed.t.Fatalf("not reached: %s; the proxies are connected to %v", description, instances)
 		}
 	}
 }
 
 // waitForProxies waits until a condition holds for every proxy.
-func (bed *clusterTestbed) waitForProxies(what string, holds func(p *proxy.Proxy) bool) {
+func (bed *clusterTestbed) waitForProxies(description string, condition func(p *proxy.Proxy) bool) {
 	bed.t.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		allHold := true
 		bed.loop.Do(func() {
 			for _, p := range bed.proxies {
-				allHold = allHold && holds(p)
+				allHold = allHold && condition(p)
 			}
 		})
 		if allHold {
 			return
 		}
 		if time.Now().After(deadline) {
-			bed.t.Fatalf("not reached: %s", what)
+			bed.t.Fatalf("not reached: %s", description)
 		}
 	}
 }
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -28,11 +28,11 @@
 
 // instance is one running instance. start opens its components in order, close releases them in reverse order.
 type instance struct {
-	settings *activeSettings
-	balancer model.Config // has this incarnation's seed once createController has run
-	outside  Environment
-	log      zerolog.Logger
-	now      func() model.Microseconds
+	settings    *activeSettings
+	balancer    model.Config // has this incarnation's seed once createController has run
+	environment Environment
+	log         zerolog.Logger
+	now         func() model.Microseconds
 
 	recovered  *statestore.Recovered
 	controller *controller.Controller
@@ -45,13 +45,13 @@
 	closers []func() error // of the open components, in the order of opening
 }
 
-func newInstance(settings *config.Server, outside Environment, log zerolog.Logger) *instance {
+func newInstance(settings *config.Server, environment Environment, log zerolog.Logger) *instance {
 	return &instance{
-		settings: &activeSettings{current: settings},
-		balancer: settings.Balancer,
-		outside:  outside,
-		log:      log,
-		now:      controller.NewClock(),
+		settings:    &activeSettings{current: settings},
+		balancer:    settings.Balancer,
+		environment: environment,
+		log:         log,
+		now:         controller.NewClock(),
 	}
 }
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	inst.closeAtEnd(func() error {
+	inst.addCloser(func() error {
 		if err := store.Close(); err != nil {
 			return fmt.Errorf("closing the state store: %w", err)
 		}
@@ -109,7 +109,7 @@
 	inst.controller = controller.New(inst.balancer, settings.ReportLimit, inst.now, inst.log)
 	inst.runner = &controllerRunner{controller: inst.controller}
 	inst.recorder = newRecorder(inst.controller, store, inst.recovered.Incarnation, inst.log)
-	inst.releaseAtEnd(inst.recorder.writer.Close)
+	inst.addReleaser(inst.recorder.writer.Close)
 }
 
 // listen opens the address for proxies. Proxies can connect from then on.
@@ -134,7 +134,7 @@
 		return &ListenError{Address: settings.ListenAddress, Err: err}
 	}
 	inst.proxies = proxies
-	inst.releaseAtEnd(proxies.Close)
+	inst.addReleaser(proxies.Close)
 	return nil
 }
 
@@ -153,7 +153,7 @@
 		return err
 	}
 	inst.discovery = client
-	inst.releaseAtEnd(client.Close)
+	inst.addReleaser(client.Close)
 	return nil
 }
 
@@ -168,13 +168,13 @@
 		incarnation: inst.recovered.Incarnation,
 		proxies:     inst.proxies,
 		now:         inst.now,
-		links:       inst.outside.Links,
+		links:       inst.environment.Links,
 		log:         inst.log,
 	})
 	if err != nil {
 		return err
 	}
-	inst.releaseAtEnd(inst.membership.close)
+	inst.addReleaser(inst.membership.close)
 	return nil
 }
 
@@ -183,33 +183,33 @@
 	if settings.ConsoleAddress == "" {
 		return nil
 	}
-	about := console.Instance{
+	consoleInstance := console.Instance{
 		Name:             settings.Name,
 		Incarnation:      inst.recovered.Incarnation,
 		Zones:            settings.Zones,
-		Settings:         inst.settings.list,
+		Settings:         inst.settings.namesAndValues,
 		QueueLimit:       inst.balancer.QueueLimit,
 		Now:              inst.now,
 		PreviousSnapshot: inst.recovered.Published,
 	}
 	for _, operation := range settings.Operations {
-		about.Operations = append(about.Operations, operation.Name)
+		consoleInstance.Operations = append(consoleInstance.Operations, operation.Name)
 	}
 	if inst.membership != nil {
-		about.Cluster = inst.membership.cluster.Load().Status
+		consoleInstance.Cluster = inst.membership.cluster.Load().Status
 	}
 	source := consoleSource{inst.controller, inst.proxies, inst.recorder}
-	pages, err := console.Listen(settings.ConsoleAddress, about, source)
+	consoleServer, err := console.Listen(settings.ConsoleAddress, consoleInstance, source)
 	if err != nil {
 		return err
 	}
-	inst.releaseAtEnd(pages.Close)
-	inst.log.Info().Str("url", "http://"+pages.Addr()).Msg("console listening")
+	inst.addReleaser(consoleServer.Close)
+	inst.log.Info().Str("url", "http://"+consoleServer.Addr()).Msg("console listening")
 	return nil
 }
 
-// operate performs periodic tasks and configuration reloads until the context is done.
-func (inst *instance) operate(ctx context.Context) {
+// runPeriodicTasks performs periodic tasks and configuration reloads until the context is done.
+func (inst *instance) runPeriodicTasks(ctx context.Context) {
 	statistics := time.NewTicker(statisticsInterval)
 	defer statistics.Stop()
 	save := time.NewTicker(savePublishedInterval)
@@ -220,7 +220,7 @@
 			logStatistics(inst.log, inst.controller, inst.proxies)
 		case <-save.C:
 			inst.recorder.savePublished(inst.proxies)
-		case <-inst.outside.Reload:
+		case <-inst.environment.Reload:
 			inst.reload()
 		case <-ctx.Done():
 			return
@@ -242,14 +242,14 @@
 	logStatistics(inst.log, inst.controller, inst.proxies)
 }
 
-// closeAtEnd registers the function that closes a newly opened component.
-func (inst *instance) closeAtEnd(closePart func() error) {
-	inst.closers = append(inst.closers, closePart)
+// addCloser registers the function that closes a newly opened component.
+func (inst *instance) addCloser(closeComponent func() error) {
+	inst.closers = append(inst.closers, closeComponent)
 }
 
-// releaseAtEnd is closeAtEnd for a component whose close function returns no error.
-func (inst *instance) releaseAtEnd(release func()) {
-	inst.closeAtEnd(func() error {
+// addReleaser is addCloser for a component whose close function returns no error.
+func (inst *instance) addReleaser(release func()) {
+	inst.addCloser(func() error {
 		release()
 		return nil
 	})
@@ -261,8 +261,8 @@
 		inst.runner.stop()
 	}
 	var errs []error
-	for _, closePart := range slices.Backward(inst.closers) {
-		errs = append(errs, closePart())
+	for _, closeComponent := range slices.Backward(inst.closers) {
+		errs = append(errs, closeComponent())
 	}
 	return errors.Join(errs...)
 }
--- a/internal/server/instance_test.go
+++ b/internal/server/instance_test.go
@@ -18,7 +18,7 @@
 	storeError, writerError := errors.New("store"), errors.New("writer")
 	var released []string
 	release := func(name string, err error) {
-		inst.closeAtEnd(func() error {
+		inst.addCloser(func() error {
 			released = append(released, name)
 			return err
 		})
@@ -46,7 +46,7 @@
 	runs = make(chan struct{}, 2)
 	runner = &controllerRunner{controller: source, run: func() {
 		runs <- struct{}{}
-		source.Run(silentProxies{}, silentDiscovery{}, nil)
+		source.Run(noopProxyServer{}, noopDiscovery{}, nil)
 	}}
 	return runner, runs
 }
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestIdleControllerIsStopped(t *testing.T) {
+func TestControllerStoppedBeforeStartNeverRuns(t *testing.T) {
 	runner, runs := newTestRunner()
 	runner.stop()
 	if runner.isIdle() || runner.start() {
--- a/internal/server/loglevel_test.go
+++ b/internal/server/loglevel_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestLevelFilter(t *testing.T) {
+func TestLevelFilterPassesLinesOfMinimumLevel(t *testing.T) {
 	var out strings.Builder
 	log, filter, err := NewLogger(&out, "info")
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestUnknownLevel(t *testing.T) {
+func TestUnknownLogLevelIsRejected(t *testing.T) {
 	if _, _, err := NewLogger(&strings.Builder{}, "loud"); err == nil {
 		t.Error("NewLogger returned no error for an unknown level")
 	}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -37,8 +37,8 @@
 	done       chan struct{}
 	background sync.WaitGroup
 
-	mu         sync.Mutex
-	handedOver []model.LoadReport // reports kept for a controller that has not started
+	mu                sync.Mutex
+	handedOverReports []model.LoadReport // reports kept for a controller that has not started
 }
 
 // memberOptions is the part of an instance that its membership needs to join the cluster.
@@ -119,11 +119,11 @@
 func (m *membership) LeaseGained(_ int, _ uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.runner.start() || len(m.handedOver) == 0 {
+	if !m.runner.start() || len(m.handedOverReports) == 0 {
 		return
 	}
-	reports := m.handedOver
-	m.handedOver = nil
+	reports := m.handedOverReports
+	m.handedOverReports = nil
 	m.background.Go(func() { m.deliverHandedOver(reports) })
 }
 
@@ -150,7 +150,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.runner.isIdle() {
-		m.handedOver = handover.LoadReports
+		m.handedOverReports = handover.LoadReports
 	}
 }
 
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -18,17 +18,17 @@
 
 // One instance loses its links to the other instances but not to its proxies. It publishes to them until its leases
 // expire; then other instances take over. The messages that the proxies received show that no epoch had two holders.
-func TestIsolatedMember(t *testing.T) {
+func TestIsolatedMemberIsReplacedWhenItsLeasesExpire(t *testing.T) {
 	bed := newClusterTestbed(t, "1s")
 	isolated := bed.members[1]
-	bed.waitForPlacement("each proxy on its own zone's instance", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance", bed.isOwnZoneInstance)
 	bed.setIsolated(isolated.name, true)
 	bed.waitForPlacement("no proxy on the isolated instance", func(_ int, instance string) bool {
 		return instance != "" && instance != isolated.name
 	})
 	bed.expectNoMajority(isolated)
 	bed.setIsolated(isolated.name, false)
-	bed.waitForPlacement("each proxy on its own zone's instance again", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance again", bed.isOwnZoneInstance)
 	bed.loop.Do(func() {
 		limits := invariants.Limits{
 			Zones:          clusterZones,
@@ -49,10 +49,10 @@
 
 // The proxies of one zone cannot reach their zone's instance, while the other instances can. The proxies repeatedly
 // connect to other instances, so their shards move to an instance that they can reach.
-func TestProxiesCannotReachTheirLeaseHolder(t *testing.T) {
+func TestShardsMoveWhenProxiesCannotReachTheirLeaseHolder(t *testing.T) {
 	bed := newClusterTestbed(t, "1s")
 	const unreachable = 1 // index of the zone and of its member
-	bed.waitForPlacement("each proxy on its own zone's instance", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance", bed.isOwnZoneInstance)
 	bed.loop.Do(func() {
 		for k, p := range bed.proxies {
 			if k%len(clusterZones) == unreachable {
@@ -63,7 +63,7 @@
 	})
 	bed.waitForPlacement("proxies of the zone on other instances", func(k int, instance string) bool {
 		if k%len(clusterZones) != unreachable {
-			return bed.isHome(k, instance)
+			return bed.isOwnZoneInstance(k, instance)
 		}
 		return instance != "" && instance != bed.members[unreachable].name
 	})
@@ -72,9 +72,9 @@
 // All links between instances are interrupted, so that no instance has a majority. Each instance publishes to its own
 // proxies, including a withdrawal, until its leases expire. Then the streams end, the proxies keep their tables, and
 // each instance's status names the missing majority. After the links are restored, all proxies are bound again.
-func TestNoMajority(t *testing.T) {
+func TestPublishingEndsWithLeasesWithoutMajority(t *testing.T) {
 	bed := newClusterTestbed(t, "3s")
-	bed.waitForPlacement("each proxy on its own zone's instance", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance", bed.isOwnZoneInstance)
 	for _, member := range bed.members {
 		bed.setIsolated(member.name, true)
 	}
@@ -88,7 +88,9 @@
 		}
 		return false
 	}
-	bed.waitForProxies("replica withdrawn", func(p *proxy.Proxy) bool { return p.JoinedInstance() != "" && !sendsToDraining(p) })
+	bed.waitForProxies("replica withdrawn", func(p *proxy.Proxy) bool {
+		return p.JoinedInstance() != "" && !sendsToDraining(p)
+	})
 	bed.waitForProxies("disconnected", func(p *proxy.Proxy) bool { return p.JoinedInstance() == "" })
 	bed.waitForProxies("table kept, replica withdrawn", func(p *proxy.Proxy) bool {
 		return len(p.HeldEntries()) > 0 && !sendsToDraining(p)
@@ -99,12 +101,12 @@
 	for _, member := range bed.members {
 		bed.setIsolated(member.name, false)
 	}
-	bed.waitForPlacement("each proxy on its own zone's instance again", bed.isHome)
+	bed.waitForPlacement("each proxy on its own zone's instance again", bed.isOwnZoneInstance)
 }
 
 // If a proxy connects after the server's socket is open but before the cluster is, membership reports no lease and does
 // not block.
-func TestNoLeaseBeforeTheClusterIsOpen(t *testing.T) {
+func TestNoLeaseIsHeldBeforeTheClusterIsOpen(t *testing.T) {
 	settings := &config.Server{Zones: []string{"govan"}, Cluster: &config.Cluster{ShardsPerZone: 4}}
 	member := newMembership(settings, &controllerRunner{})
 	shard := member.Shard(0, "till-1")
@@ -115,7 +117,7 @@
 
 // Two processes with the same name and a new state store each have different incarnations in the cluster. A later start
 // of either process has a higher incarnation.
-func TestMemberIncarnationsDiffer(t *testing.T) {
+func TestMemberIncarnationsOfProcessesWithOneNameDiffer(t *testing.T) {
 	equal := 0
 	for range 100 {
 		first, second := memberIncarnation(1), memberIncarnation(1)
@@ -131,41 +133,41 @@
 	}
 }
 
-// silentDiscovery is a discovery that never sends an endpoint list.
-type silentDiscovery struct{}
+// noopDiscovery is a discovery that never sends an endpoint list.
+type noopDiscovery struct{}
 
 // Subscribe implements controller.Discovery.
-func (silentDiscovery) Subscribe() {}
+func (noopDiscovery) Subscribe() {}
 
-// silentProxies is a server for proxies without any proxy.
-type silentProxies struct{}
+// noopProxyServer is a server for proxies without any proxy.
+type noopProxyServer struct{}
 
 // AdmitProxy implements controller.ProxyServer.
-func (silentProxies) AdmitProxy(model.ProxyID, uint64) {}
+func (noopProxyServer) AdmitProxy(model.ProxyID, uint64) {}
 
 // Publish implements controller.ProxyServer.
-func (silentProxies) Publish(*snapshot.Batch) {}
+func (noopProxyServer) Publish(*snapshot.Batch) {}
 
 // A standby instance starts its controller with the first lease. At a planned move it received the load reports of the
 // previous holder, and with them leaves safe mode early. At an unplanned takeover it waits as after any start.
-func TestSafeModeAtTakeover(t *testing.T) {
+func TestSafeModeEndsEarlyOnlyAfterPlannedTakeover(t *testing.T) {
 	t.Run("planned", func(t *testing.T) {
-		source := startedByLease(t, []model.LoadReport{loadReport(1, 50), loadReport(2, 50)})
-		for deadline := time.Now().Add(6 * time.Second); !isSafeModeOver(source); time.Sleep(5 * time.Millisecond) {
+		source := startControllerByLease(t, []model.LoadReport{loadReport(1, 50), loadReport(2, 50)})
+		for deadline := time.Now().Add(6 * time.Second); !hasSafeModeEnded(source); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatal("safe mode did not end within 6 s, although a report of each replica was handed over")
 			}
 		}
 	})
 	t.Run("unplanned", func(t *testing.T) {
-		source := startedByLease(t, nil)
+		source := startControllerByLease(t, nil)
 		for {
 			if view := source.View(); view != nil && view.EndpointsAt > 0 {
 				break
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		if isSafeModeOver(source) {
+		if hasSafeModeEnded(source) {
 			t.Error("safe mode ended at once after an unplanned takeover")
 		}
 	})
@@ -178,14 +180,14 @@
 	}
 }
 
-func isSafeModeOver(source *controller.Controller) bool {
+func hasSafeModeEnded(source *controller.Controller) bool {
 	view := source.View()
 	return view != nil && view.SafeModeEnded
 }
 
-// startedByLease returns a controller that is started by a lease, after a handover if handedOver is not nil. It then
-// receives an endpoint list of two replicas and a load report for the first. It stops when the test ends.
-func startedByLease(t *testing.T, handedOver []model.LoadReport) *controller.Controller {
+// startControllerByLease returns a controller that is started by a lease, after a handover if handedOver is not nil. It
+// then receives an endpoint list of two replicas and a load report for the first. It stops when the test ends.
+func startControllerByLease(t *testing.T, handedOver []model.LoadReport) *controller.Controller {
 	t.Helper()
 	balancerConfig := model.Config{
 		Seed:                  1,
@@ -204,7 +206,7 @@
 	source := controller.New(balancerConfig, 1000, controller.NewClock(), zerolog.Nop())
 	runner := &controllerRunner{
 		controller: source,
-		run:        func() { source.Run(silentProxies{}, silentDiscovery{}, nil) },
+		run:        func() { source.Run(noopProxyServer{}, noopDiscovery{}, nil) },
 	}
 	settings := &config.Server{Zones: []string{"govan"}, Cluster: &config.Cluster{ShardsPerZone: 1}}
 	member := newMembership(settings, runner)
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -48,8 +48,8 @@
 	platformGCPercent     = 50
 	retransmissionTimeout = 3 * model.Second // a lost segment is sent again after 1 s, and after 2 s more (RFC 6298)
 
-	silentReportPeriods = 3 // report periods without a message after which a proxy counts as silent
-	lostAckFactor       = 3 // silence timeouts after which a late acknowledgement counts as lost
+	maxSilentReportPeriods = 3 // report periods without a message after which a proxy counts as silent
+	lostAckFactor          = 3 // silence timeouts after which a late acknowledgement counts as lost
 )
 
 // PlatformEnvironment is what the process provides to an instance on the platform.
@@ -60,26 +60,26 @@
 
 // platformInstance is one running instance on the operators' platform.
 type platformInstance struct {
-	settings   *config.Platform
-	outside    PlatformEnvironment
-	log        zerolog.Logger
-	controller *controller.Controller
-	discovery  *discovery.Watcher
-	proxies    *platform.Server
+	settings    *config.Platform
+	environment PlatformEnvironment
+	log         zerolog.Logger
+	controller  *controller.Controller
+	discovery   *discovery.Watcher
+	proxies     *platform.Server
 }
 
 // ServePlatform runs one instance on the operators' platform until the context is done. The instance has no state
 // store, console or cluster: no disk outlives it, and its limits leave no room for them. ServePlatform returns an error
 // if the balancer rejects the settings, or if the discovery client or the address cannot be opened.
 func ServePlatform(
-	ctx context.Context, settings *config.Platform, outside PlatformEnvironment, log zerolog.Logger,
+	ctx context.Context, settings *config.Platform, environment PlatformEnvironment, log zerolog.Logger,
 ) error {
 	if err := controller.CheckConfig(settings.Balancer); err != nil {
 		return err
 	}
-	limitProcess(settings)
+	limitRuntime(settings)
 	now := controller.NewClock()
-	inst := &platformInstance{settings: settings, outside: outside, log: log}
+	inst := &platformInstance{settings: settings, environment: environment, log: log}
 	inst.controller = controller.New(settings.Balancer, platformReportLimit, now, log)
 	inst.controller.DisableDecisionLog()
 
@@ -89,8 +89,8 @@
 	}
 	defer inst.discovery.Close()
 	if err := inst.listen(ctx, names, now); err != nil {
-		endedWhileWaiting := errors.Is(err, ctx.Err())
-		if endedWhileWaiting {
+		canceledWhileWaiting := errors.Is(err, ctx.Err())
+		if canceledWhileWaiting {
 			return nil
 		}
 		return err
@@ -98,13 +98,13 @@
 	defer inst.proxies.Close()
 	inst.startController()
 	defer inst.controller.Stop()
-	inst.operate(ctx)
+	inst.runPeriodicTasks(ctx)
 	return nil
 }
 
-// limitProcess makes the Go runtime keep to the instance's limits. The memory limit covers the whole process; a third
+// limitRuntime makes the Go runtime keep to the instance's limits. The memory limit covers the whole process; a third
 // of it is reserved for memory that the runtime's own limit does not count: the kernel's stacks and the program's text.
-func limitProcess(settings *config.Platform) {
+func limitRuntime(settings *config.Platform) {
 	debug.SetMemoryLimit(settings.MemoryLimit / 3 * 2)
 	debug.SetGCPercent(platformGCPercent)
 	runtime.GOMAXPROCS(min(runtime.NumCPU(), maxPlatformProcs))
@@ -153,7 +153,7 @@
 
 // serverConfig returns the configuration of the server for proxies and collectors.
 //
-// A proxy sends a message in each report period. It counts as silent after silentReportPeriods without a message, or
+// A proxy sends a message in each report period. It counts as silent after maxSilentReportPeriods without a message, or
 // after the retransmission time of a lost segment if that is longer, plus the maximum delivery delay. An
 // acknowledgement is requested again when it counts as lost rather than late, and at most once per message window: the
 // balancer leaves room for one additional message in each window.
@@ -161,7 +161,7 @@
 	names *platformmsg.ReplicaNames, now func() model.Microseconds,
 ) platform.Config {
 	settings := inst.settings
-	quietPeriod := max(silentReportPeriods*settings.Balancer.ReportPeriod, retransmissionTimeout)
+	quietPeriod := max(maxSilentReportPeriods*settings.Balancer.ReportPeriod, retransmissionTimeout)
 	silence := (quietPeriod + settings.MaxDeliveryDelay).Duration()
 	return platform.Config{
 		Listen:          settings.Listen,
@@ -185,29 +185,29 @@
 
 // startController starts the controller with the endpoint list that the platform provided at the start.
 func (inst *platformInstance) startController() {
-	known := inst.discovery.Endpoints()
+	endpoints := inst.discovery.Endpoints()
 	inst.log.Info().
 		Str("instance", inst.settings.Name).
 		Str("listen", inst.proxies.Addr()).
-		Int("endpoints", len(known)).
+		Int("endpoints", len(endpoints)).
 		Int64("memory_mb", inst.settings.MemoryLimit/mebibyte).
 		Int("sockets", inst.settings.SocketLimit).
 		Msg("serving")
-	go inst.controller.Run(inst.proxies, inst.discovery, known)
+	go inst.controller.Run(inst.proxies, inst.discovery, endpoints)
 	if !inst.settings.Balancer.SubscriptionRequired {
 		inst.discovery.Subscribe() // without SubscriptionRequired the balancer expects the list without subscribing
 	}
 }
 
-// operate performs periodic tasks and configuration reloads until the context is done.
-func (inst *platformInstance) operate(ctx context.Context) {
+// runPeriodicTasks performs periodic tasks and configuration reloads until the context is done.
+func (inst *platformInstance) runPeriodicTasks(ctx context.Context) {
 	statistics := time.NewTicker(platformStatisticsInterval)
 	defer statistics.Stop()
 	for {
 		select {
 		case <-statistics.C:
 			logPlatformStatistics(inst.log, inst.controller, inst.proxies)
-		case <-inst.outside.Reload:
+		case <-inst.environment.Reload:
 			inst.reload()
 		case <-ctx.Done():
 			inst.log.Info().Msg("shutdown started")
@@ -219,7 +219,7 @@
 
 // reload loads the configuration again and applies its discovery address. The other settings need a restart.
 func (inst *platformInstance) reload() {
-	next, err := inst.outside.LoadConfig()
+	next, err := inst.environment.LoadConfig()
 	if err != nil {
 		inst.log.Error().Err(err).Msg("reload rejected: loading the file failed; the active settings are unchanged")
 		return
--- a/internal/server/platform_proxy_test.go
+++ b/internal/server/platform_proxy_test.go
@@ -95,7 +95,7 @@
 			return
 		}
 		err = reader.Feed(buffer[:n], func(value resp.Value) error {
-			if bed.obey(p, message, value) {
+			if bed.applyUpdatePart(p, message, value) {
 				bed.completeUpdate(p, conn, message)
 				message = newMessage()
 			}
@@ -124,9 +124,9 @@
 		"seq", fmt.Sprint(message.AckSequence), "ms", "3")) // the connection may have ended before the write
 }
 
-// obey applies one part of an update, adds it to the invariant checker's message, and reports whether it was the last
-// part.
-func (bed *platformTestbed) obey(proxy *platformProxy, message *pubsubmsg.Message, value resp.Value) bool {
+// applyUpdatePart applies one part of an update, adds it to the invariant checker's message, and reports whether it was
+// the last part.
+func (bed *platformTestbed) applyUpdatePart(proxy *platformProxy, message *pubsubmsg.Message, value resp.Value) bool {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	if value.Items[0].Text != "update" || len(value.Items)%2 == 0 {
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -13,7 +13,7 @@
 // An instance on the platform binds its proxies after every replica was reported. It handles a withdrawal, a new
 // replica, a broken stream, connections that are not proxies, and a new discovery address. The messages on the sockets
 // violate no invariant.
-func TestServePlatform(t *testing.T) {
+func TestServePlatformViolatesNoInvariant(t *testing.T) {
 	bed := newPlatformTestbed(t, 8)
 	firstDiscovery, stopFirstDiscovery := bed.startDiscovery()
 	bed.writeConfiguration(firstDiscovery)
@@ -64,7 +64,7 @@
 func reconnectAfterBreak(bed *platformTestbed, broken *platformProxy) {
 	bed.t.Helper()
 	withdrawnElsewhere := hostName(4)
-	bed.close(broken.conn)
+	bed.closeConn(broken.conn)
 	bed.mu.Lock()
 	bed.observe(invariants.StreamChanged{At: bed.now(), Proxy: broken.name(), Instance: platformInstanceName})
 	broken.withdrawn[withdrawnElsewhere] = true
--- a/internal/server/platform_testbed_test.go
+++ b/internal/server/platform_testbed_test.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	platformReportPeriod   = 200 * time.Millisecond
-	platformRequestPeriod  = 20 * time.Millisecond // interval between the requests of each proxy
-	requestsPerReport      = 10
-	platformWaitTimeout    = 30 * time.Second
-	platformInstanceName   = "n0"
-	minimumPlatformAttempt = 100 // below it, the check of the invariants would be of little value
+	platformReportPeriod  = 200 * time.Millisecond
+	platformRequestPeriod = 20 * time.Millisecond // interval between the requests of each proxy
+	requestsPerReport     = 10
+	platformWaitTimeout   = 30 * time.Second
+	platformInstanceName  = "n0"
+	minPlatformAttempts   = 100 // below it, the check of the invariants would be of little value
 )
 
 var platformZones = []string{"govan", "partick"}
@@ -58,7 +58,7 @@
 	changed        chan struct{}            // closed when hosts change
 	attempts       map[string]int           // attempts by replica since the last report
 	proxies        []*platformProxy
-	allAttempts    uint64
+	totalAttempts  uint64
 	background     sync.WaitGroup
 	stopBackground chan struct{}
 }
@@ -92,9 +92,9 @@
 	return bed
 }
 
-func newHost(number int, health string, born int64) discoveryHost {
+func newHost(number int, health string, startedAt int64) discoveryHost {
 	zone := platformZones[(number-1)%len(platformZones)]
-	return discoveryHost{Host: hostName(number), Dial: "127.0.0.1:1", Site: zone, Health: health, Born: born}
+	return discoveryHost{Host: hostName(number), Dial: "127.0.0.1:1", Site: zone, Health: health, Born: startedAt}
 }
 
 func hostName(number int) string { return fmt.Sprint("s-", number) }
@@ -106,8 +106,8 @@
 }
 
 // observe records an event on a socket for the invariant checker. The caller holds bed.mu.
-func (bed *platformTestbed) observe(seen invariants.Event) {
-	bed.observations = append(bed.observations, seen)
+func (bed *platformTestbed) observe(event invariants.Event) {
+	bed.observations = append(bed.observations, event)
 }
 
 // startDiscovery serves the endpoint list on a new address until stop is called or the test ends.
@@ -200,10 +200,10 @@
 }
 
 // setHost adds a host to the endpoint list or replaces it.
-func (bed *platformTestbed) setHost(number int, health string, born int64) {
+func (bed *platformTestbed) setHost(number int, health string, startedAt int64) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
-	bed.hosts[hostName(number)] = newHost(number, health, born)
+	bed.hosts[hostName(number)] = newHost(number, health, startedAt)
 	bed.version++
 	close(bed.changed)
 	bed.changed = make(chan struct{})
@@ -235,11 +235,11 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	bed.cancel = cancel
-	outside := PlatformEnvironment{
+	environment := PlatformEnvironment{
 		Reload:     bed.reload,
 		LoadConfig: func() (*config.Platform, error) { return config.LoadPlatform(bed.file) },
 	}
-	go func() { bed.ended <- ServePlatform(ctx, settings, outside, zerolog.Nop()) }()
+	go func() { bed.ended <- ServePlatform(ctx, settings, environment, zerolog.Nop()) }()
 	for deadline := time.Now().Add(waitTimeout); !bed.answersPing(); {
 		if time.Now().After(deadline) {
 			bed.t.Fatal("the instance did not answer a ping in time")
@@ -291,7 +291,7 @@
 			case <-tick.C:
 			case <-bed.stopBackground:
 				for _, conn := range collectors {
-					bed.close(conn)
+					bed.closeConn(conn)
 				}
 				return
 			}
@@ -324,9 +324,9 @@
 	if name == "" {
 		return
 	}
-	bed.allAttempts++
+	bed.totalAttempts++
 	now := bed.now()
-	id, request := hostID(name), bed.allAttempts
+	id, request := hostID(name), bed.totalAttempts
 	bed.observe(invariants.AttemptStarted{At: now, Proxy: p.name(), Replica: id, Operation: 1, Request: request})
 	bed.observe(invariants.WorkArrived{At: now, Replica: id, Proxy: p.name(), Work: 10_000})
 	bed.observe(invariants.RequestExecuted{At: now, Replica: id, Operation: 1, Request: request})
@@ -335,13 +335,13 @@
 }
 
 // waitForProxies waits until a condition holds for every proxy.
-func (bed *platformTestbed) waitForProxies(what string, holds func(p *platformProxy) bool) {
+func (bed *platformTestbed) waitForProxies(description string, condition func(p *platformProxy) bool) {
 	bed.t.Helper()
 	for deadline := time.Now().Add(platformWaitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		bed.mu.Lock()
 		allHold := true
 		for _, p := range bed.proxies {
-			allHold = allHold && holds(p)
+			allHold = allHold && condition(p)
 		}
 		bed.mu.Unlock()
 		if allHold {
@@ -353,7 +353,7 @@
 			for _, p := range bed.proxies {
 				bed.t.Logf("proxy %d: %v, withdrawn %v, %d full tables", p.id, p.weights, p.withdrawn, p.fullTables)
 			}
-			bed.t.Fatalf("some proxy is not %s", what)
+			bed.t.Fatalf("some proxy is not %s", description)
 		}
 	}
 }
@@ -367,7 +367,7 @@
 	}
 	close(bed.stopBackground)
 	for _, p := range bed.proxies {
-		bed.close(p.conn)
+		bed.closeConn(p.conn)
 	}
 	bed.background.Wait()
 	limits := invariants.Limits{
@@ -388,13 +388,13 @@
 			bed.t.Errorf("%s: %q", verdict.Invariant, verdict.Violations)
 		}
 	}
-	if bed.allAttempts < minimumPlatformAttempt {
-		bed.t.Errorf("%d attempts, want at least %d", bed.allAttempts, minimumPlatformAttempt)
+	if bed.totalAttempts < minPlatformAttempts {
+		bed.t.Errorf("%d attempts, too few to check the invariants", bed.totalAttempts)
 	}
 }
 
-// close closes a connection.
-func (bed *platformTestbed) close(conn net.Conn) {
+// closeConn closes a connection.
+func (bed *platformTestbed) closeConn(conn net.Conn) {
 	bed.t.Helper()
 	if err := conn.Close(); err != nil {
 		bed.t.Error(err)
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -37,14 +37,14 @@
 // and releases every component that it opened. It returns an error if the start fails: the balancer rejects the
 // settings, the address cannot be opened (a *ListenError), or the state store, discovery, the cluster or the console
 // fails. An error while components are closed is only logged.
-func Serve(ctx context.Context, settings *config.Server, outside Environment, log zerolog.Logger) error {
+func Serve(ctx context.Context, settings *config.Server, environment Environment, log zerolog.Logger) error {
 	if err := controller.CheckConfig(settings.Balancer); err != nil {
 		return err
 	}
-	inst := newInstance(settings, outside, log)
+	inst := newInstance(settings, environment, log)
 	err := inst.start()
 	if err == nil {
-		inst.operate(ctx)
+		inst.runPeriodicTasks(ctx)
 		inst.shutDown()
 	}
 	if closeErr := inst.close(); closeErr != nil {
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -61,7 +61,7 @@
 }
 
 // Serve fails if another instance uses the state directory, and if a later version of peppervale wrote it.
-func TestStateDirectoryIsRejected(t *testing.T) {
+func TestServeRejectsStateDirectoryInUseOrOfLaterVersion(t *testing.T) {
 	bed := newTestbed(t, 0)
 	bed.start()
 	bed.waitForLog(`"serving"`)
@@ -113,12 +113,12 @@
 	bed.start()
 	bed.waitForLog("state store data is damaged and was not loaded")
 	bed.waitForLog("state store lost the incarnation number")
-	bed.waitForLog("gate open")
+	bed.waitForLog("safe mode ended")
 }
 
 // If the address is in use, Serve returns a ListenError and closes the components that it opened, so that another
 // instance can use the same state directory.
-func TestListenErrorReleasesTheStore(t *testing.T) {
+func TestListenErrorReleasesTheStateStore(t *testing.T) {
 	bed := newTestbed(t, 0)
 	bed.start()
 	bed.waitForLog(`"serving"`)
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -26,13 +26,13 @@
 	s.current = settings
 }
 
-// list returns the names and values of the active settings, for the console.
-func (s *activeSettings) list() [][2]string { return s.get().Settings() }
+// namesAndValues returns the names and values of the active settings, for the console.
+func (s *activeSettings) namesAndValues() [][2]string { return s.get().Settings() }
 
 // reload loads the configuration again and applies it if a running instance can adopt it. A rejected configuration is
 // logged and changes nothing.
 func (inst *instance) reload() {
-	next, err := inst.outside.LoadConfig()
+	next, err := inst.environment.LoadConfig()
 	if err != nil {
 		inst.log.Error().Err(err).Msg("reload rejected: loading the file failed; the active settings are unchanged")
 		return
@@ -44,8 +44,8 @@
 	}
 	inst.controller.SetReportLimit(next.ReportLimit)
 	inst.proxies.SetLimits(peerLimits(next), joinLimits(next, inst.balancer.Seed))
-	if inst.outside.LogLevel != nil {
-		_ = inst.outside.LogLevel.Set(next.LogLevel) // the level's name was checked when the file was loaded
+	if inst.environment.LogLevel != nil {
+		_ = inst.environment.LogLevel.Set(next.LogLevel) // the level's name was checked when the file was loaded
 	}
 	inst.settings.set(next)
 	inst.log.Info().Strs("changed", changed).Msg("configuration reloaded")
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -4,7 +4,7 @@
 
 // A reload applies a setting that can change while the instance runs. It rejects a setting that needs a restart, and an
 // invalid file, and logs the reason. The console shows the active settings after each step.
-func TestReload(t *testing.T) {
+func TestReloadAppliesOnlySettingsThatNeedNoRestart(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.start()
 	bed.waitForLog(`"serving"`)
@@ -12,7 +12,7 @@
 		{"setting that can change", "intake = 77", "intake: 77, was 500", "77 sums a second"},
 		{
 			"setting that needs a restart", "intake = 88\n  pace = 5",
-			"what waits was given its time by it", "77 sums a second",
+			"queued updates were scheduled with the old rate", "77 sums a second",
 		},
 		{"invalid file", "intake = ", "loading the file failed", "77 sums a second"},
 		{"setting that can change, after rejected reloads", "intake = 99", "intake: 99, was 77", "99 sums a second"},
--- a/internal/server/testbed_test.go
+++ b/internal/server/testbed_test.go
@@ -103,8 +103,8 @@
 
 func ignoreObservation(invariants.Event) {}
 
-// killAtEnd kills proxies when the test ends.
-func killAtEnd(t *testing.T, loop *standin.Loop, proxies *[]*proxy.Proxy) {
+// killOnCleanup kills proxies when the test ends.
+func killOnCleanup(t *testing.T, loop *standin.Loop, proxies *[]*proxy.Proxy) {
 	t.Helper()
 	t.Cleanup(func() {
 		loop.Do(func() {
@@ -149,7 +149,7 @@
 			bed.proxies = append(bed.proxies, p)
 		}
 	})
-	killAtEnd(t, bed.loop, &bed.proxies)
+	killOnCleanup(t, bed.loop, &bed.proxies)
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	return bed
 }
@@ -212,12 +212,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	bed.cancel, bed.ended, bed.reload = cancel, ended, make(chan struct{})
-	outside := Environment{
+	environment := Environment{
 		Reload:     bed.reload,
 		LogLevel:   level,
 		LoadConfig: func() (*config.Server, error) { return config.LoadServer(path) },
 	}
-	go func() { ended <- Serve(ctx, settings, outside, log) }()
+	go func() { ended <- Serve(ctx, settings, environment, log) }()
 	bed.t.Cleanup(bed.end)
 }
 
