--- a/cmd/peppervale/platform_process_test.go
+++ b/cmd/peppervale/platform_process_test.go
@@ -141,7 +141,7 @@
 	descriptors, _ := os.ReadDir(directory) // the directory does not exist before the process runs
 	count := 0
 	for _, descriptor := range descriptors {
-		target, _ := os.Readlink(filepath.Join(directory, descriptor.Name())) // the descriptor may have been closed meanwhile
+		target, _ := os.Readlink(filepath.Join(directory, descriptor.Name())) // the descriptor may be closed already
 		if strings.Contains(target, "eventpoll") {
 			count++
 		}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// deliverHandedOver passes handed-over load reports to the controller as soon as the controller has an endpoint list,
-// which tells it the replicas. It drops them after handoverTimeout or when the membership closes.
+// deliverHandedOver passes handed-over load reports to the controller as soon as the controller has an endpoint list
+// to match them with. It drops them after handoverTimeout or when the membership closes.
 func (m *membership) deliverHandedOver(reports []model.LoadReport) {
 	timeout := time.After(handoverTimeout)
 	for {
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -22,7 +22,7 @@
 		bed.connect(bed.newProxy(id), "1")
 	}
 	bed.startLoad()
-	bed.waitForProxies("bound to all eight", func(p *platformProxy) bool {
+	bed.waitForProxies("bound with a table of all eight replicas", func(p *platformProxy) bool {
 		return p.fullTables == 1 && len(p.weights) == 8
 	})
 
