--- a/cmd/peppervale/platform_process_test.go
+++ b/cmd/peppervale/platform_process_test.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// programVariable has the test program run as the program itself.
-	programVariable = "PEPPERVALE_TEST_PROGRAM"
+	// runProgramVariable is the environment variable that makes the test binary run as peppervale.
+	runProgramVariable = "PEPPERVALE_TEST_PROGRAM"
 
 	processTimeout = 20 * time.Second
 
-	// maxShutdown is how soon the platform kills a process after SIGTERM.
-	maxShutdown = 700 * time.Millisecond
+	// maxShutdownTime limits the duration of a shutdown: the platform kills a process this long after SIGTERM.
+	maxShutdownTime = 700 * time.Millisecond
 )
 
-// TestMain runs the program itself where a test has started it so.
+// TestMain runs peppervale instead of the tests if runProgramVariable is set.
 func TestMain(m *testing.M) {
-	if os.Getenv(programVariable) != "" {
+	if os.Getenv(runProgramVariable) != "" {
 		main()
 	}
 	os.Exit(m.Run())
 }
 
-// programCommand returns the command `peppervale platform` on a file.
+// programCommand returns the command `peppervale platform` with a configuration file.
 func programCommand(file string) *exec.Cmd {
 	command := exec.Command(os.Args[0], "platform")
-	command.Env = append(os.Environ(), programVariable+"=1", "LB_CONFIG="+file)
+	command.Env = append(os.Environ(), runProgramVariable+"=1", "LB_CONFIG="+file)
 	return command
 }
 
-// platformProcess is `peppervale platform` as a process of its own.
+// platformProcess is `peppervale platform` in a separate process.
 type platformProcess struct {
 	t       *testing.T
 	command *exec.Cmd
@@ -49,24 +49,24 @@
 	ended   chan struct{}
 }
 
-// startAnywhere starts a process on a free address, with a discovery address where nothing listens.
-func startAnywhere(t *testing.T) *platformProcess {
+// startOnFreeAddress starts a process on a free address, with a discovery address on which no process listens.
+func startOnFreeAddress(t *testing.T) *platformProcess {
 	t.Helper()
 	return startPlatform(t, testaddr.Address(t), testaddr.Address(t))
 }
 
-// startPlatform writes a file and starts a process on it.
+// startPlatform writes a configuration file and starts a process with it.
 func startPlatform(t *testing.T, address, discovery string) *platformProcess {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(platformFile(address, discovery)), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	return startOnFile(t, address, file)
+	return startWithFile(t, address, file)
 }
 
-// startOnFile starts a process on a file. It is killed when the test ends, if it still runs.
-func startOnFile(t *testing.T, address, file string) *platformProcess {
+// startWithFile starts a process with a configuration file. If the process still runs when the test ends, it is killed.
+func startWithFile(t *testing.T, address, file string) *platformProcess {
 	t.Helper()
 	process := &platformProcess{
 		t:       t,
@@ -79,17 +79,17 @@
 		t.Fatal(err)
 	}
 	go func() {
-		_ = process.command.Wait() // the state tells the exit status
+		_ = process.command.Wait() // expectExit reads the exit status from ProcessState
 		close(process.ended)
 	}()
 	t.Cleanup(func() {
-		_ = process.command.Process.Kill() // it may have ended
+		_ = process.command.Process.Kill() // the process may have ended
 		<-process.ended
 	})
 	return process
 }
 
-// platformFile returns the platform's file of an instance.
+// platformFile returns the content of the platform's configuration file for an instance.
 func platformFile(address, discovery string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"settings":{"zones":["govan"],"membership_mode":"subscribe",
@@ -97,12 +97,12 @@
 "pending_max":2000,"period":1000,"proxies":8,"push_delay_max":300}}}`, address, discovery)
 }
 
-// waitUntilReady waits for the answer to a ping.
+// waitUntilReady waits until the process answers a ping.
 func (p *platformProcess) waitUntilReady() {
 	p.t.Helper()
 	for deadline := time.Now().Add(processTimeout); !p.answersPing(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			p.t.Fatal("the process does not answer a ping")
+			p.t.Fatal("the process did not answer a ping in time")
 		}
 	}
 }
@@ -124,24 +124,24 @@
 	return line == "*1\r\n"
 }
 
-// waitUntilListening waits until the process tries its address: it catches its signals by then, and discovery's client
-// has a poller beside the runtime's own.
-func (p *platformProcess) waitUntilListening() {
+// waitUntilTryingToListen waits until the process tries to listen on its address. By then it catches signals and has
+// opened the discovery client, whose poller is the second one after the runtime's.
+func (p *platformProcess) waitUntilTryingToListen() {
 	p.t.Helper()
-	for deadline := time.Now().Add(processTimeout); p.pollers() < 2; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(processTimeout); p.countPollers() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			p.t.Fatal("the process does not try its address")
+			p.t.Fatal("the process did not try to listen on its address in time")
 		}
 	}
 }
 
-// pollers counts the process's epoll descriptors.
-func (p *platformProcess) pollers() int {
+// countPollers counts the process's epoll descriptors.
+func (p *platformProcess) countPollers() int {
 	directory := fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid)
-	descriptors, _ := os.ReadDir(directory) // none before the process runs
+	descriptors, _ := os.ReadDir(directory) // the directory does not exist before the process runs
 	count := 0
 	for _, descriptor := range descriptors {
-		target, _ := os.Readlink(filepath.Join(directory, descriptor.Name())) // it may have been closed meanwhile
+		target, _ := os.Readlink(filepath.Join(directory, descriptor.Name())) // the descriptor may be closed already
 		if strings.Contains(target, "eventpoll") {
 			count++
 		}
@@ -157,36 +157,36 @@
 	}
 }
 
-// terminate ends the process by SIGTERM, and checks that it ends in time with status 0.
+// terminate sends SIGTERM and checks that the process ends in time with status 0.
 func (p *platformProcess) terminate() {
 	p.t.Helper()
 	signalled := time.Now()
 	p.signal(syscall.SIGTERM)
-	p.expectEnd(signalled)
+	p.expectExit(signalled)
 }
 
-// expectEnd checks that the process ends with status 0, within maxShutdown after it was signalled.
-func (p *platformProcess) expectEnd(signalled time.Time) {
+// expectExit checks that the process ends with status 0, within maxShutdownTime after it was signalled.
+func (p *platformProcess) expectExit(signalled time.Time) {
 	p.t.Helper()
 	select {
 	case <-p.ended:
 	case <-time.After(processTimeout):
-		p.t.Fatal("the process does not end")
+		p.t.Fatal("the process did not end")
 	}
 	if status := p.command.ProcessState.ExitCode(); status != 0 {
-		p.t.Errorf("status %d", status)
+		p.t.Errorf("exit status %d, want 0", status)
 	}
-	if took := time.Since(signalled); took > maxShutdown {
-		p.t.Errorf("the process took %s to end", took)
+	if took := time.Since(signalled); took > maxShutdownTime {
+		p.t.Errorf("the process took %s to end, longer than the platform allows", took)
 	}
 }
 
-// openForWriting opens a named pipe; it returns once the process reads.
+// openForWriting opens a named pipe for writing. It returns when the process has opened the pipe for reading.
 func openForWriting(t *testing.T, pipe string) {
 	t.Helper()
 	writer, err := os.OpenFile(pipe, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, writer)
+	closeOnCleanup(t, writer)
 }
--- a/cmd/peppervale/platform_test.go
+++ b/cmd/peppervale/platform_test.go
@@ -13,15 +13,15 @@
 	"peppervale/internal/testaddr"
 )
 
-// SIGTERM ends an instance with status 0 before the platform kills it, in whatever state it comes.
-func TestSigterm(t *testing.T) {
+// SIGTERM ends an instance with status 0, in every state, before the platform would kill it.
+func TestSigtermEndsProcessInTimeWithStatusSuccess(t *testing.T) {
 	t.Run("while the file is read", testSigtermWhileReading)
-	t.Run("while the address is taken", testSigtermWhileAddressIsTaken)
+	t.Run("while the address is in use", testSigtermWhileAddressIsInUse)
 	t.Run("while discovery does not answer", testSigtermWhileDiscoveryIsSilent)
 	t.Run("with a stream that reads nothing", testSigtermWithUnreadStream)
-	t.Run("with SIGHUP, and twice", testSigtermWithOtherSignals)
-	t.Run("again and again, to the end of the process", testSigtermUntilEnd)
-	t.Run("in a reload", testSigtermInReload)
+	t.Run("repeated, with SIGHUP in between", testSigtermRepeatedWithSighup)
+	t.Run("repeated until the process ends", testSigtermRepeatedUntilEnd)
+	t.Run("during a reload", testSigtermDuringReload)
 }
 
 func testSigtermWhileReading(t *testing.T) {
@@ -29,20 +29,20 @@
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	process := startOnFile(t, testaddr.Address(t), pipe)
+	process := startWithFile(t, testaddr.Address(t), pipe)
 	openForWriting(t, pipe)
 	process.terminate()
 }
 
-func testSigtermWhileAddressIsTaken(t *testing.T) {
-	holder := listenUntilEnd(t)
+func testSigtermWhileAddressIsInUse(t *testing.T) {
+	holder := listenOnFreePort(t)
 	process := startPlatform(t, holder.Addr().String(), testaddr.Address(t))
-	process.waitUntilListening()
+	process.waitUntilTryingToListen()
 	process.terminate()
 }
 
 func testSigtermWhileDiscoveryIsSilent(t *testing.T) {
-	discovery := listenUntilEnd(t)
+	discovery := listenOnFreePort(t)
 	process := startPlatform(t, testaddr.Address(t), discovery.Addr().String())
 	if _, err := discovery.Accept(); err != nil {
 		t.Fatal(err)
@@ -52,16 +52,16 @@
 }
 
 func testSigtermWithUnreadStream(t *testing.T) {
-	process := startAnywhere(t)
+	process := startOnFreeAddress(t)
 	process.waitUntilReady()
 	conn, err := net.Dial("tcp", process.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, conn)
+	closeOnCleanup(t, conn)
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("%T is no TCP connection", conn)
+		t.Fatalf("got a connection of type %T, want *net.TCPConn", conn)
 	}
 	if err := tcp.SetReadBuffer(1 << 10); err != nil {
 		t.Error(err)
@@ -69,38 +69,38 @@
 	const joined = "*9\r\n$6\r\njoined\r\n$2\r\nid\r\n$1\r\n1\r\n$4\r\nsite\r\n$5\r\ngovan\r\n" +
 		"$3\r\nrps\r\n$1\r\n1\r\n$3\r\nnew\r\n$1\r\n1\r\n"
 	pings := strings.Repeat("*1\r\n$4\r\nping\r\n", 20_000)
-	_, _ = conn.Write([]byte(joined + pings)) // the instance may end the stream meanwhile
+	_, _ = conn.Write([]byte(joined + pings)) // the instance may close the stream during the write
 	process.terminate()
 }
 
-func testSigtermWithOtherSignals(t *testing.T) {
+func testSigtermRepeatedWithSighup(t *testing.T) {
 	for range 5 {
-		process := startAnywhere(t)
+		process := startOnFreeAddress(t)
 		process.waitUntilReady()
 		signalled := time.Now()
 		for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
-			_ = process.command.Process.Signal(signal) // it may have ended by the last ones
+			_ = process.command.Process.Signal(signal) // the process may have ended before the last signals
 		}
-		process.expectEnd(signalled)
+		process.expectExit(signalled)
 	}
 }
 
-// testSigtermUntilEnd sends SIGTERM as fast as it can until the process has ended: none of them may replace the exit
-// status, not even between the shutdown and the exit.
-func testSigtermUntilEnd(t *testing.T) {
+// testSigtermRepeatedUntilEnd sends SIGTERM as fast as possible until the process has ended. No signal may change the
+// exit status, not even one between the shutdown and the exit.
+func testSigtermRepeatedUntilEnd(t *testing.T) {
 	for range 20 {
-		process := startAnywhere(t)
+		process := startOnFreeAddress(t)
 		process.waitUntilReady()
 		signalled := time.Now()
 		for process.command.Process.Signal(syscall.SIGTERM) == nil {
 			continue
 		}
-		process.expectEnd(signalled)
+		process.expectExit(signalled)
 	}
 }
 
-func testSigtermInReload(t *testing.T) {
-	process := startAnywhere(t)
+func testSigtermDuringReload(t *testing.T) {
+	process := startOnFreeAddress(t)
 	process.waitUntilReady()
 	if err := os.Remove(process.file); err != nil {
 		t.Fatal(err)
@@ -113,15 +113,15 @@
 	process.terminate()
 }
 
-// An address that an earlier process still holds is taken as soon as that is gone, and one SIGHUP with a file that
-// cannot be used costs nothing.
-func TestAddressHeldByEarlierProcess(t *testing.T) {
+// An instance listens on its address as soon as an earlier process releases it. A later SIGHUP with an invalid file
+// does not interrupt the instance.
+func TestInstanceTakesAddressWhenEarlierProcessReleasesIt(t *testing.T) {
 	holder, err := net.Listen("tcp4", testaddr.Address(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	process := startPlatform(t, holder.Addr().String(), testaddr.Address(t))
-	process.waitUntilListening()
+	process.waitUntilTryingToListen()
 	if err := holder.Close(); err != nil {
 		t.Error(err)
 	}
@@ -134,11 +134,11 @@
 	process.terminate()
 }
 
-// A file that cannot be used is reported in one line, with the status for it.
-func TestFaultyPlatformFile(t *testing.T) {
+// An invalid file is reported in one line, with the exit status for invalid input.
+func TestFaultyPlatformFileIsReportedInOneLine(t *testing.T) {
 	tests := []struct{ name, text string }{
 		{"empty", ""},
-		{"no JSON", "hello"},
+		{"not JSON", "hello"},
 		{"wrong type", `{"listen":3}`},
 		{"no settings", `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7",` +
 			`"limits":{"memory_mb":64,"sockets":256}}`},
@@ -157,10 +157,10 @@
 			if err := command.Start(); err != nil {
 				t.Fatal(err)
 			}
-			reported, _ := io.ReadAll(stderr) // a part of it is no single line
-			_ = command.Wait()                // the state tells the exit status
+			reported, _ := io.ReadAll(stderr) // the line count below detects a partial read
+			_ = command.Wait()                // the exit status is read from ProcessState
 			if status := command.ProcessState.ExitCode(); status != 2 || strings.Count(string(reported), "\n") != 1 {
-				t.Errorf("status %d, %q", status, reported)
+				t.Errorf("status %d, want 2; standard error, want one line: %q", status, reported)
 			}
 		})
 	}
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -8,20 +8,20 @@
 
 // Cluster is peppervale cluster.
 type Cluster struct {
-	Status       ClusterStatus       `cmd:"" help:"Show members, shards and takeovers, as one member knows them."`
-	Move         ClusterMove         `cmd:"" help:"Move a shard to a member; it stays there until that one leaves."`
-	DrainMember  ClusterDrainMember  `cmd:"" name:"drain-member" help:"Drain a member of its shards, or end that."`
-	RemoveMember ClusterRemoveMember `cmd:"" name:"remove-member" aliases:"strike" help:"Remove a member for good."`
+	Status       ClusterStatus       `cmd:"" help:"Show members, shards and takeovers, as known to one member."`
+	Move         ClusterMove         `cmd:"" help:"Move a shard to a member; it stays until that member leaves."`
+	DrainMember  ClusterDrainMember  `cmd:"" name:"drain-member" help:"Move all shards off a member, or end that drain."`
+	RemoveMember ClusterRemoveMember `cmd:"" name:"remove-member" aliases:"strike" help:"Remove a member permanently."`
 }
 
-// member is the cluster member that a command sends its request to. It forwards to the leader what only the leader can
-// do.
-type member struct {
+// targetMember is the cluster member that a command sends its request to. It forwards requests that only the leader can
+// carry out.
+type targetMember struct {
 	At   string        `help:"Cluster address of any member, host:port." required:""`
 	Wait time.Duration `help:"How long to wait for an answer." default:"5s"`
 }
 
 // request sends a request and returns the answer.
-func (m member) request(words ...string) (string, error) {
+func (m targetMember) request(words ...string) (string, error) {
 	return cluster.Request(m.At, m.Wait, words...)
 }
--- a/internal/cli/scenario_run.go
+++ b/internal/cli/scenario_run.go
@@ -17,13 +17,13 @@
 	Quiet     bool   `help:"Report no progress."`
 }
 
-// Run runs a scenario and writes its report. It returns ErrInvariantViolated if one was violated.
+// Run runs a scenario and writes its report. It returns ErrInvariantViolated if an invariant was violated.
 func (c *ScenarioRun) Run(ctx context.Context, out io.Writer) error {
 	script, err := scenario.Open(c.File)
 	if err != nil {
 		return fileError(err)
 	}
-	program, err := childProgram("serve")
+	program, err := childCommand("serve")
 	if err != nil {
 		return err
 	}
--- a/internal/cli/standin_registry.go
+++ b/internal/cli/standin_registry.go
@@ -23,12 +23,12 @@
 	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
 }
 
-// registrySettings is the file of a registry.
+// registrySettings is the content of a registry's file.
 type registrySettings struct {
 	listen  string
 	service string
 	entries []registry.Entry
-	fault   registry.Faults
+	faults  registry.Faults
 }
 
 func readRegistry(top *config.Block) registrySettings {
@@ -36,7 +36,7 @@
 	block := top.SingleBlock("registry", 0, true)
 	settings.listen = block.Address("listen", true)
 	settings.service = block.String("service", "")
-	settings.fault = registry.Faults{
+	settings.faults = registry.Faults{
 		Fails:  block.Bool("fails", false),
 		Silent: block.Bool("silent", false),
 		Delay:  block.Duration("late", 0, 0, maxStandInDuration),
@@ -65,8 +65,8 @@
 	return entry
 }
 
-// Run serves the list until the context is done. A file that cannot be read is reported on standard error, once for the
-// same errors, and the list stays as it was.
+// Run serves the endpoint list until the context is done. It reads the file again each second. If the file is invalid,
+// Run reports the error on standard error, unless it equals the last reported one, and leaves the list unchanged.
 func (c *StandInRegistry) Run(ctx context.Context, out io.Writer) error {
 	settings, err := openStandInFile(c.Config, readRegistry)
 	if err != nil {
@@ -81,29 +81,29 @@
 	}
 	defer server.Close()
 	printf(out, "registry %s lists %d of %s\n", server.Addr(), len(settings.entries), settings.service)
-	applySettings(loop, server, nil, settings)
-	listed := settings.entries
+	updateRegistry(loop, server, nil, settings)
+	listedEntries := settings.entries
 	lastError := ""
-	repeat(ctx, registryReloadInterval, func() {
+	callPeriodically(ctx, registryReloadInterval, func() {
 		next, err := openStandInFile(c.Config, readRegistry)
-		if err != nil { // the file may be half edited
+		if err != nil { // the file may be in the middle of an edit
 			if err.Error() != lastError {
 				lastError = err.Error()
 				printf(os.Stderr, "%s\n", lastError)
 			}
 			return
 		}
-		applySettings(loop, server, listed, next)
-		listed = next.entries
+		updateRegistry(loop, server, listedEntries, next)
+		listedEntries = next.entries
 	})
 	return nil
 }
 
-// applySettings has the registry list the entries of its file, and no longer those that were listed before and are not
-// in the file.
-func applySettings(loop *standin.Loop, server *registry.Registry, listed []registry.Entry, settings registrySettings) {
+// updateRegistry sets the faults and entries of the registry to those in its file. It removes previously listed entries
+// that are not in the file.
+func updateRegistry(loop *standin.Loop, server *registry.Registry, listed []registry.Entry, settings registrySettings) {
 	loop.Do(func() {
-		server.Faults = settings.fault
+		server.Faults = settings.faults
 		for _, old := range listed {
 			isListed := slices.ContainsFunc(settings.entries, func(e registry.Entry) bool { return e.ID == old.ID })
 			if !isListed {
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -21,41 +21,41 @@
 const (
 	statisticsInterval = 10 * time.Second
 
-	// savePublishedInterval is how often the published state is stored if it changed. The console of the next
-	// incarnation shows it until that one has published its own; five seconds old is recent enough for that.
+	// savePublishedInterval is the interval at which the published state is stored if it changed. After a restart, the
+	// console shows the stored state until the new incarnation publishes its own; an age of 5 s is acceptable there.
 	savePublishedInterval = 5 * time.Second
 )
 
-// instance is one running instance. start opens its parts in order, close releases them in reverse order.
+// instance is one running instance. start opens its components in order, close releases them in reverse order.
 type instance struct {
-	settings *activeSettings
-	balancer model.Config // with this incarnation's seed, once the store is open
-	outside  Environment
-	log      zerolog.Logger
-	now      func() model.Microseconds
+	settings    *activeSettings
+	balancer    model.Config // has this incarnation's seed once createController has run
+	environment Environment
+	log         zerolog.Logger
+	now         func() model.Microseconds
 
 	recovered  *statestore.Recovered
 	controller *controller.Controller
 	runner     *controllerRunner
 	recorder   *recorder
-	membership *membership // nil: it is in no cluster
+	membership *membership // nil if the instance is in no cluster
 	proxies    *pubsub.Server
 	discovery  *discovery.ConsulClient
 
-	closers []func() error // of the parts that are open, in the order of opening
+	closers []func() error // of the open components, in the order of opening
 }
 
-func newInstance(settings *config.Server, outside Environment, log zerolog.Logger) *instance {
+func newInstance(settings *config.Server, environment Environment, log zerolog.Logger) *instance {
 	return &instance{
-		settings: &activeSettings{current: settings},
-		balancer: settings.Balancer,
-		outside:  outside,
-		log:      log,
-		now:      controller.NewClock(),
+		settings:    &activeSettings{current: settings},
+		balancer:    settings.Balancer,
+		environment: environment,
+		log:         log,
+		now:         controller.NewClock(),
 	}
 }
 
-// start opens the parts in order. After an error the caller closes those that are open.
+// start opens the components in order. After an error, the caller calls close to release the open ones.
 func (inst *instance) start() error {
 	settings := inst.settings.get()
 	store, err := inst.openStore(settings)
@@ -85,13 +85,13 @@
 	return inst.openConsole(settings)
 }
 
-// openStore opens the state store and counts an incarnation.
+// openStore opens the state store, which assigns the next incarnation number.
 func (inst *instance) openStore(settings *config.Server) (*statestore.Store, error) {
 	store, recovered, err := statestore.Open(settings.StateDir, uint64(inst.now()/model.Second))
 	if err != nil {
 		return nil, err
 	}
-	inst.closeAtEnd(func() error {
+	inst.addCloser(func() error {
 		if err := store.Close(); err != nil {
 			return fmt.Errorf("closing the state store: %w", err)
 		}
@@ -102,17 +102,17 @@
 	return store, nil
 }
 
-// createController makes the controller and the recorder of its decisions. The balancer's seed differs at each start
-// and is the same for the same incarnation.
+// createController creates the controller and the recorder of its decisions. The balancer's seed depends on the
+// incarnation, so that it differs at each start and can be reproduced.
 func (inst *instance) createController(settings *config.Server, store *statestore.Store) {
 	inst.balancer.Seed += inst.recovered.Incarnation << 32
 	inst.controller = controller.New(inst.balancer, settings.ReportLimit, inst.now, inst.log)
 	inst.runner = &controllerRunner{controller: inst.controller}
 	inst.recorder = newRecorder(inst.controller, store, inst.recovered.Incarnation, inst.log)
-	inst.releaseAtEnd(inst.recorder.writer.Close)
+	inst.addReleaser(inst.recorder.writer.Close)
 }
 
-// listen opens the address for proxies. They may connect from here on.
+// listen opens the address for proxies. Proxies can connect from then on.
 func (inst *instance) listen(settings *config.Server) error {
 	serverConfig := pubsub.Config{
 		Listen:           settings.ListenAddress,
@@ -134,11 +134,11 @@
 		return &ListenError{Address: settings.ListenAddress, Err: err}
 	}
 	inst.proxies = proxies
-	inst.releaseAtEnd(proxies.Close)
+	inst.addReleaser(proxies.Close)
 	return nil
 }
 
-// openDiscovery makes the client of the endpoint list; it polls once the controller subscribes.
+// openDiscovery creates the client of the endpoint list. It starts to poll when the controller subscribes.
 func (inst *instance) openDiscovery(settings *config.Server) error {
 	client, err := discovery.NewConsulClient(discovery.ConsulConfig{
 		Address:   settings.Discovery.Address,
@@ -153,11 +153,11 @@
 		return err
 	}
 	inst.discovery = client
-	inst.releaseAtEnd(client.Close)
+	inst.addReleaser(client.Close)
 	return nil
 }
 
-// startController starts the controller, or joins the cluster, where it starts with the first lease.
+// startController starts the controller. In a cluster, it only joins; the controller then starts with the first lease.
 func (inst *instance) startController(settings *config.Server) error {
 	if inst.membership == nil {
 		inst.runner.start()
@@ -168,48 +168,48 @@
 		incarnation: inst.recovered.Incarnation,
 		proxies:     inst.proxies,
 		now:         inst.now,
-		links:       inst.outside.Links,
+		links:       inst.environment.Links,
 		log:         inst.log,
 	})
 	if err != nil {
 		return err
 	}
-	inst.releaseAtEnd(inst.membership.close)
+	inst.addReleaser(inst.membership.close)
 	return nil
 }
 
-// openConsole opens the console, if one is configured.
+// openConsole opens the console if one is configured.
 func (inst *instance) openConsole(settings *config.Server) error {
 	if settings.ConsoleAddress == "" {
 		return nil
 	}
-	about := console.Instance{
+	consoleInstance := console.Instance{
 		Name:             settings.Name,
 		Incarnation:      inst.recovered.Incarnation,
 		Zones:            settings.Zones,
-		Settings:         inst.settings.list,
+		Settings:         inst.settings.namesAndValues,
 		QueueLimit:       inst.balancer.QueueLimit,
 		Now:              inst.now,
 		PreviousSnapshot: inst.recovered.Published,
 	}
 	for _, operation := range settings.Operations {
-		about.Operations = append(about.Operations, operation.Name)
+		consoleInstance.Operations = append(consoleInstance.Operations, operation.Name)
 	}
 	if inst.membership != nil {
-		about.Cluster = inst.membership.cluster.Load().Status
+		consoleInstance.Cluster = inst.membership.cluster.Load().Status
 	}
 	source := consoleSource{inst.controller, inst.proxies, inst.recorder}
-	pages, err := console.Listen(settings.ConsoleAddress, about, source)
+	consoleServer, err := console.Listen(settings.ConsoleAddress, consoleInstance, source)
 	if err != nil {
 		return err
 	}
-	inst.releaseAtEnd(pages.Close)
-	inst.log.Info().Str("url", "http://"+pages.Addr()).Msg("console is available")
+	inst.addReleaser(consoleServer.Close)
+	inst.log.Info().Str("url", "http://"+consoleServer.Addr()).Msg("console listening")
 	return nil
 }
 
-// operate does the periodic work and reloads until the context is done.
-func (inst *instance) operate(ctx context.Context) {
+// runPeriodicTasks performs periodic tasks and configuration reloads until the context is done.
+func (inst *instance) runPeriodicTasks(ctx context.Context) {
 	statistics := time.NewTicker(statisticsInterval)
 	defer statistics.Stop()
 	save := time.NewTicker(savePublishedInterval)
@@ -220,7 +220,7 @@
 			logStatistics(inst.log, inst.controller, inst.proxies)
 		case <-save.C:
 			inst.recorder.savePublished(inst.proxies)
-		case <-inst.outside.Reload:
+		case <-inst.environment.Reload:
 			inst.reload()
 		case <-ctx.Done():
 			return
@@ -228,11 +228,11 @@
 	}
 }
 
-// shutDown is the graceful shutdown: the published state is stored, leases go to other members, proxies are notified to
-// connect elsewhere, and the controller stops.
+// shutDown performs the graceful shutdown: it stores the published state, transfers leases to other members, notifies
+// proxies to connect to another instance, and stops the controller.
 func (inst *instance) shutDown() {
 	gracePeriod := inst.settings.get().ShutdownGracePeriod
-	inst.log.Info().Dur("grace_period_ms", gracePeriod).Msg("graceful shutdown begins: proxies are notified")
+	inst.log.Info().Dur("grace_period_ms", gracePeriod).Msg("graceful shutdown started")
 	inst.recorder.savePublished(inst.proxies)
 	if inst.membership != nil {
 		inst.membership.transferLeases(gracePeriod)
@@ -242,32 +242,32 @@
 	logStatistics(inst.log, inst.controller, inst.proxies)
 }
 
-// closeAtEnd notes how a part that was just opened is closed.
-func (inst *instance) closeAtEnd(closePart func() error) {
-	inst.closers = append(inst.closers, closePart)
+// addCloser registers the function that closes a newly opened component.
+func (inst *instance) addCloser(closeComponent func() error) {
+	inst.closers = append(inst.closers, closeComponent)
 }
 
-// releaseAtEnd is closeAtEnd for a part whose closing cannot fail.
-func (inst *instance) releaseAtEnd(release func()) {
-	inst.closeAtEnd(func() error {
+// addReleaser is addCloser for a component whose close function returns no error.
+func (inst *instance) addReleaser(release func()) {
+	inst.addCloser(func() error {
 		release()
 		return nil
 	})
 }
 
-// close stops the controller and releases all open parts, the newest first. It joins their errors.
+// close stops the controller and releases all open components in reverse order of opening. It joins their errors.
 func (inst *instance) close() error {
 	if inst.runner != nil {
 		inst.runner.stop()
 	}
 	var errs []error
-	for _, closePart := range slices.Backward(inst.closers) {
-		errs = append(errs, closePart())
+	for _, closeComponent := range slices.Backward(inst.closers) {
+		errs = append(errs, closeComponent())
 	}
 	return errors.Join(errs...)
 }
 
-// consoleSource is what the console reads.
+// consoleSource provides the console with data of the instance.
 type consoleSource struct {
 	controller *controller.Controller
 	proxies    *pubsub.Server
