--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -112,9 +112,9 @@
 
 func (i *instance) dispatch(event simulator.Event, now model.Microseconds) error {
 	switch event.Code() {
-	case simulator.CodeHello:
+	case simulator.CodeInstanceStarted:
 		return i.start(event, now)
-	case simulator.CodeRosterChange:
+	case simulator.CodeEndpointsChanged:
 		return i.changeEndpoints(event, now)
 	}
 	if i.balancer != nil {
@@ -125,7 +125,7 @@
 
 // start replaces the balancer by a new one with the settings of a Hello. Wrong settings become an Exception.
 func (i *instance) start(event simulator.Event, now model.Microseconds) error {
-	seed, settings, err := event.Hello()
+	seed, settings, err := event.InstanceStarted()
 	if err != nil {
 		return err
 	}
@@ -152,19 +152,19 @@
 // dispatchToBalancer passes an event to the running balancer. Events of unknown codes are ignored.
 func (i *instance) dispatchToBalancer(event simulator.Event, now model.Microseconds) {
 	switch event.Code() {
-	case simulator.CodeKill:
+	case simulator.CodeInstanceKilled:
 		i.balancer = nil
-	case simulator.CodeBell:
+	case simulator.CodeTimer:
 		i.balancer.TimerFired(now)
-	case simulator.CodeDialledIn:
+	case simulator.CodeProxyConnected:
 		proxy, zone, expectedRate := event.ProxyConnected()
 		i.balancer.ProxyConnected(now, proxy, zone, expectedRate)
-	case simulator.CodeDisconnected:
+	case simulator.CodeProxyDisconnected:
 		i.balancer.ProxyDisconnected(now, event.ProxyDisconnected())
-	case simulator.CodeTookEffect:
+	case simulator.CodeAcknowledged:
 		proxy, sequence := event.Acknowledged()
 		i.balancer.Acknowledged(now, proxy, sequence)
-	case simulator.CodeRoundup:
+	case simulator.CodeLoadReport:
 		i.balancer.LoadReported(now, event.LoadReport())
 	}
 }
--- a/internal/benchmark/restart.go
+++ b/internal/benchmark/restart.go
@@ -33,14 +33,14 @@
 
 // RestartResult is the result of Restart for one mode: for how long each proxy had no stream.
 type RestartResult struct {
-	Mode      string
-	Proxies   int
-	Rounds    int
-	Down      time.Duration // median, from the signal until the new process logs that it serves
-	Median    time.Duration
-	P99       time.Duration
-	Longest   time.Duration
-	Reconnect float64 // streams opened for each proxy and restart, 1 at least
+	Mode              string
+	Proxies           int
+	Rounds            int
+	Downtime          time.Duration // median, from the signal until the new process logs that it serves
+	Median            time.Duration
+	P99               time.Duration
+	Longest           time.Duration
+	StreamsPerRestart float64 // streams opened for each proxy and restart, 1 at least
 }
 
 // Restart restarts an instance so many times while proxies are connected that know no other. program is the command
@@ -158,14 +158,14 @@
 	slices.Sort(downtimes)
 	gaps := e.streams.sortedGaps()
 	return &RestartResult{
-		Mode:      e.mode.Name,
-		Proxies:   e.proxies,
-		Rounds:    rounds,
-		Down:      downtimes[len(downtimes)/2],
-		Median:    quantile(gaps, 0.5),
-		P99:       quantile(gaps, 0.99),
-		Longest:   quantile(gaps, 1),
-		Reconnect: float64(openedAtEnd-opened) / float64(e.proxies*rounds),
+		Mode:              e.mode.Name,
+		Proxies:           e.proxies,
+		Rounds:            rounds,
+		Downtime:          downtimes[len(downtimes)/2],
+		Median:            quantile(gaps, 0.5),
+		P99:               quantile(gaps, 0.99),
+		Longest:           quantile(gaps, 1),
+		StreamsPerRestart: float64(openedAtEnd-opened) / float64(e.proxies*rounds),
 	}, nil
 }
 
@@ -237,8 +237,8 @@
 		"streams for each |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, result := range results {
 		printf(out, "| %s | %d | %d | %s | %s | %s | %s | %.2f |\n",
-			result.Mode, result.Proxies, result.Rounds, roundMilliseconds(result.Down),
+			result.Mode, result.Proxies, result.Rounds, roundMilliseconds(result.Downtime),
 			roundMilliseconds(result.Median), roundMilliseconds(result.P99), roundMilliseconds(result.Longest),
-			result.Reconnect)
+			result.StreamsPerRestart)
 	}
 }
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -124,12 +124,12 @@
 func (e *takeoverExperiment) proxySettings(index int) proxy.Config {
 	zone := index % takeoverMembers
 	settings := proxy.Config{
-		Name:           listenerName(index),
-		Zone:           zoneName(zone),
-		ExpectedRate:   1,
-		RedialInterval: redialInterval,
-		DialTimeout:    model.Second,
-		StreamsOnly:    true,
+		Name:            listenerName(index),
+		Zone:            zoneName(zone),
+		ExpectedRate:    1,
+		RedialInterval:  redialInterval,
+		DialTimeout:     model.Second,
+		OmitLoadReports: true,
 		OnMessage: func(receiver *proxy.Proxy, sender string, message *pubsubmsg.Message) {
 			e.watch.messageApplied(e.bed.now(), receiver.Name, sender, message)
 		},
@@ -146,7 +146,7 @@
 	allBound := true
 	e.bed.loop.Do(func() {
 		for k, connected := range e.bed.proxies {
-			instance := connected.Joined()
+			instance := connected.JoinedInstance()
 			isBound := connected.Bound() && instance != ""
 			isHome := !e.settings.shared || instance == e.members[k%takeoverMembers].name
 			allBound = allBound && isBound && isHome
@@ -211,7 +211,7 @@
 // drawMember draws the member to kill. Proxies of members that share nothing stay where they are, so the next member
 // that has any is taken.
 func (e *takeoverExperiment) drawMember() int {
-	index := e.random.Below(takeoverMembers)
+	index := e.random.IntN(takeoverMembers)
 	if e.settings.shared {
 		return index
 	}
@@ -224,13 +224,13 @@
 func (e *takeoverExperiment) result(totals takeoverRound) *TakeoverResult {
 	rounds := float64(e.settings.rounds)
 	result := &TakeoverResult{
-		Shared:        e.settings.shared,
-		Proxies:       e.settings.proxies,
-		Rounds:        e.settings.rounds,
-		LeaseDuration: e.settings.leaseDuration.Duration(),
-		ShardsMoved:   totals.takenOver / rounds,
-		FewestMoves:   takeoverShards,
-		ShardsBack:    totals.returned / rounds,
+		Shared:         e.settings.shared,
+		Proxies:        e.settings.proxies,
+		Rounds:         e.settings.rounds,
+		LeaseDuration:  e.settings.leaseDuration.Duration(),
+		ShardsMoved:    totals.takenOver / rounds,
+		MinShardsMoved: takeoverShards,
+		ShardsReturned: totals.returned / rounds,
 	}
 	e.watch.summarize(result, e.bed.now())
 	return result
--- a/internal/benchmark/takeoverresult.go
+++ b/internal/benchmark/takeoverresult.go
@@ -9,20 +9,20 @@
 // TakeoverResult is the result of Takeover. Times are from the kill until each proxy of the killed instance has
 // applied another instance's first message, or the first one that binds it to a table.
 type TakeoverResult struct {
-	Shared        bool // the instances share the zones; else each serves whichever proxy connects
-	Proxies       int
-	Rounds        int
-	LeaseDuration time.Duration
-	Median        time.Duration
-	P99           time.Duration
-	Worst         time.Duration
-	BoundMedian   time.Duration
-	BoundWorst    time.Duration
-	BrokenOthers  int     // streams to other instances than the killed one that broke, in all rounds
-	ShardsMoved   float64 // leases granted for each kill, until all shards were held again
-	FewestMoves   float64 // shards of the killed instance
-	ShardsBack    float64 // leases granted until a killed instance was back
-	Violations    []string
+	Shared             bool // the instances share the zones; else each serves whichever proxy connects
+	Proxies            int
+	Rounds             int
+	LeaseDuration      time.Duration
+	Median             time.Duration
+	P99                time.Duration
+	Worst              time.Duration
+	BoundMedian        time.Duration
+	BoundWorst         time.Duration
+	OtherStreamsBroken int     // streams to other instances than the killed one that broke, in all rounds
+	ShardsMoved        float64 // leases granted for each kill, until all shards were held again
+	MinShardsMoved     float64 // shards of the killed instance
+	ShardsReturned     float64 // leases granted until a killed instance was back
+	Violations         []string
 }
 
 // PrintTakeovers writes a table of the results of Takeover.
@@ -35,7 +35,7 @@
 			result.kind(), result.Proxies, result.Rounds, result.LeaseDuration,
 			roundMilliseconds(result.Median), roundMilliseconds(result.P99), roundMilliseconds(result.Worst),
 			roundMilliseconds(result.BoundMedian), roundMilliseconds(result.BoundWorst),
-			result.BrokenOthers, result.ShardsMoved, result.FewestMoves, result.ShardsBack, result.verdict())
+			result.OtherStreamsBroken, result.ShardsMoved, result.MinShardsMoved, result.ShardsReturned, result.verdict())
 	}
 }
 
--- a/internal/benchmark/takeoverwatch.go
+++ b/internal/benchmark/takeoverwatch.go
@@ -116,7 +116,7 @@
 	result.Worst = quantile(w.firstMessage, 1)
 	result.BoundMedian = quantile(w.firstBound, 0.5)
 	result.BoundWorst = quantile(w.firstBound, 1)
-	result.BrokenOthers = w.brokenOthers
+	result.OtherStreamsBroken = w.brokenOthers
 	for _, verdict := range invariants.Check(w.observations, takeoverInvariants(), end) {
 		result.Violations = append(result.Violations, verdict.Violations...)
 	}
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -59,12 +59,12 @@
 	b.loop.Do(func() {
 		for k := range count {
 			settings := proxy.Config{
-				Name:           listenerName(k),
-				Zone:           "zone",
-				RedialInterval: redial,
-				DialTimeout:    10 * model.Second,
-				StreamsOnly:    true,
-				Instances:      []proxy.Instance{{Name: "g", Address: address}},
+				Name:            listenerName(k),
+				Zone:            "zone",
+				RedialInterval:  redial,
+				DialTimeout:     10 * model.Second,
+				OmitLoadReports: true,
+				Instances:       []proxy.Instance{{Name: "g", Address: address}},
 			}
 			b.startProxy(settings, 1, nil, observe)
 		}
--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -129,9 +129,9 @@
 // sendRequest sends a request of a random operation and size.
 func (l *proxyLoad) sendRequest() {
 	l.requests++
-	operation := l.random.Below(len(l.settings.operations))
+	operation := l.random.IntN(len(l.settings.operations))
 	objective := l.settings.operations[operation].LatencyObjective
-	l.proxy.Handle(&proxy.Request{
+	l.proxy.HandleRequest(&proxy.Request{
 		Number:    l.requests,
 		Operation: operation,
 		Work:      float64(l.settings.meanWork) * l.random.LogNormal(workSpread),
@@ -145,5 +145,5 @@
 
 func (l *proxyLoad) writeStatistics(out io.Writer) {
 	printf(out, "joined to %q, bound %v, %d lines held; %d asked, %d within the objective; %d messages\n",
-		l.proxy.Joined(), l.proxy.Bound(), len(l.proxy.HeldEntries()), l.requests, l.withinObjective, l.proxy.Messages)
+		l.proxy.JoinedInstance(), l.proxy.Bound(), len(l.proxy.HeldEntries()), l.requests, l.withinObjective, l.proxy.Messages)
 }
--- a/internal/codec/simulator/event.go
+++ b/internal/codec/simulator/event.go
@@ -8,15 +8,15 @@
 
 // Codes of the events that are used here.
 const (
-	CodeTargetInstance = 2  // the following events are for this instance
-	CodeHello          = 3  // an instance starts
-	CodeRoundup        = 6  // a load report
-	CodeRosterChange   = 7  // the endpoint list, or a change to it
-	CodeTookEffect     = 8  // an acknowledgement
-	CodeBell           = 9  // a timer
-	CodeKill           = 12 // the instance has been killed
-	CodeDialledIn      = 13 // a proxy has connected
-	CodeDisconnected   = 14 // a proxy has disconnected
+	CodeTargetInstance    = 2  // the following events are for this instance
+	CodeInstanceStarted   = 3  // an instance starts
+	CodeLoadReport        = 6  // a load report
+	CodeEndpointsChanged  = 7  // the endpoint list, or a change to it
+	CodeAcknowledged      = 8  // an acknowledgement
+	CodeTimer             = 9  // a timer
+	CodeInstanceKilled    = 12 // the instance has been killed
+	CodeProxyConnected    = 13 // a proxy has connected
+	CodeProxyDisconnected = 14 // a proxy has disconnected
 )
 
 // maxReadings is how many values a load report has room for.
@@ -51,8 +51,8 @@
 	return fields.uint16()
 }
 
-// Hello returns the instance's seed and its settings as JSON text, for ParseSettings.
-func (e Event) Hello() (seed uint64, settings []byte, err error) {
+// InstanceStarted returns the instance's seed and its settings as JSON text, for ParseSettings.
+func (e Event) InstanceStarted() (seed uint64, settings []byte, err error) {
 	fields := e.fields()
 	seed = fields.uint64()
 	settings, err = e.tailSection(&fields, 1)
--- a/internal/codec/simulator/frame_test.go
+++ b/internal/codec/simulator/frame_test.go
@@ -39,14 +39,14 @@
 }
 
 func TestReadHeader(t *testing.T) {
-	batch, err := read(testFrame(nil, []byte{CodeBell}))
+	batch, err := read(testFrame(nil, []byte{CodeTimer}))
 	if err != nil || batch.Clock != 250*model.Millisecond || batch.Number != 9 {
 		t.Fatalf("%+v, %v", batch, err)
 	}
 }
 
 func TestReadRejectsWrongFrames(t *testing.T) {
-	complete := testFrame(nil, []byte{CodeBell})
+	complete := testFrame(nil, []byte{CodeTimer})
 	for name, frame := range map[string][]byte{
 		"header cut":        complete[:7],
 		"body cut":          complete[:len(complete)-1],
--- a/internal/codec/simulator/golden_test.go
+++ b/internal/codec/simulator/golden_test.go
@@ -61,7 +61,7 @@
 
 func TestGoldenEvents(t *testing.T) {
 	events := goldenBatch(t)
-	seed, text, err := events[0].Hello()
+	seed, text, err := events[0].InstanceStarted()
 	if seed != 0xfe429af2f6dae94c || string(text) != `{"zones":["a"]}` || err != nil {
 		t.Errorf("hello: %x, %q, %v", seed, text, err)
 	}
@@ -147,7 +147,7 @@
 }
 
 func TestGoldenErrorsOfFrames(t *testing.T) {
-	whole := testFrame(nil, []byte{CodeBell})
+	whole := testFrame(nil, []byte{CodeTimer})
 	readError := func(b []byte) error {
 		_, err := read(b)
 		return err
@@ -165,8 +165,8 @@
 		"header cut":       readError(whole[:7]),
 		"body cut":         readError(whole[:len(whole)-1]),
 		"too many records": readError(append([]byte{9, 0, 0, 0}, whole[4:]...)),
-		"scope":            listError([]byte{CodeRosterChange, 4}),
-		"offset":           listError([]byte{CodeRosterChange, 0, 0, 0, 0, 0, 5, 0, 0, 0, 1}),
+		"scope":            listError([]byte{CodeEndpointsChanged, 4}),
+		"offset":           listError([]byte{CodeEndpointsChanged, 0, 0, 0, 0, 0, 5, 0, 0, 0, 1}),
 	})
 }
 
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -140,7 +140,7 @@
 	}{
 		{"down", registry.Faults{Fails: true}},
 		{"silent", registry.Faults{Silent: true}},
-		{"half a body", registry.Faults{CutsBody: true}},
+		{"half a body", registry.Faults{TruncatesBody: true}},
 		{"later than the timeout", registry.Faults{Delay: 900 * model.Millisecond}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/invariants/attempts.go
+++ b/internal/invariants/attempts.go
@@ -6,8 +6,8 @@
 	"peppervale/internal/codec/pubsubmsg"
 )
 
-// attemptStarted checks an attempt against what its proxy's instance was notified of, and a retry against the attempts
-// before it.
+// attemptStarted checks an attempt against the endpoint lists of its proxy's instance, and a retry against the earlier
+// attempts at the same request.
 func (c *checker) attemptStarted(event AttemptStarted) {
 	key := requestKey{event.Request, event.ClientAttempt}
 	earlier := c.attempts[key]
@@ -25,8 +25,9 @@
 	}
 }
 
-// checkDrain checks that nothing is sent to a replica later than the grace after its instance was notified that it
-// drains or is gone. The grace counts from the proxy's join, if that came later.
+// checkDrain checks that a proxy sends no attempt to a replica once the drain grace has passed since the proxy's
+// instance was notified that the replica drains or is gone. If the proxy joined after that notification, the grace
+// starts with the join.
 func (c *checker) checkDrain(event AttemptStarted) {
 	proxy := c.proxies[event.Proxy]
 	if proxy == nil || proxy.instance == nil {
@@ -43,8 +44,8 @@
 		seconds(late), proxy.instance.name, seconds(c.limits.DrainGrace))
 }
 
-// checkRetry checks that an operation with effects is sent again only where a repeat is dropped or the earlier attempt
-// is proven never to have been executed.
+// checkRetry checks that an operation that is not idempotent is retried only if the earlier attempt is proven not to
+// have been executed, or if the replica's deduplication group drops the repeat.
 func (c *checker) checkRetry(previous *attempt, retry AttemptStarted) {
 	operation := c.limits.operation(retry.Operation)
 	if operation.Effect == Idempotent || previous.outcome.NotExecuted() {
@@ -65,7 +66,7 @@
 	}
 }
 
-// requestExecuted checks that a request that is not idempotent is executed once.
+// requestExecuted checks that a request that is not idempotent is executed only once.
 func (c *checker) requestExecuted(e RequestExecuted) {
 	key := requestKey{e.Request, e.ClientAttempt}
 	c.executions[key]++
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -7,8 +7,8 @@
 	"peppervale/internal/model"
 )
 
-// Check checks the observations of a run, in their order, up to its end. It returns one result for each invariant, in
-// the order of the constants.
+// Check checks the observations of a run, which must be in order of time. end is the time when the run ended. It
+// returns one result for each invariant, in the order of the constants.
 func Check(observed []Event, limits Limits, end model.Microseconds) []Result {
 	checker := newChecker(limits)
 	if len(observed) > 0 {
@@ -29,7 +29,8 @@
 	return results
 }
 
-// checker is the state of a check: what proxies, instances and replicas were sent, and the results so far.
+// checker holds the state of a check: the state of proxies, instances and replicas as derived from the observations,
+// and the results so far.
 type checker struct {
 	limits     Limits
 	startedAt  model.Microseconds
@@ -43,10 +44,10 @@
 	results    map[string]*Result
 }
 
-// proxyState is what a proxy holds, as follows from what it was sent.
+// proxyState is the state of a proxy as derived from the messages that it received.
 type proxyState struct {
 	name        string
-	epoch       uint64            // the newest one of the messages that it was sent
+	epoch       uint64            // the newest epoch of the messages that it received
 	epochHolder map[uint64]string // the instance that published in each epoch
 	running     bool
 	instance    *instanceState // nil: not joined
@@ -54,25 +55,25 @@
 	reader      *resp.Reader
 	weights     map[model.ReplicaID]float64
 	withdrawn   map[model.ReplicaID]bool
-	emptySince  model.Microseconds   // notEmpty: it has a usable entry, or is not joined
-	updatedAt   model.Microseconds   // the newest time by a publisher's clock in a message to it
-	messages    []model.Microseconds // the publisher's times of the messages on this stream
+	emptySince  model.Microseconds   // notEmpty: the proxy has a usable entry or is not joined
+	updatedAt   model.Microseconds   // the newest publication time in a message to it, by the publisher's clock
+	messages    []model.Microseconds // publication times of the messages on this stream, by the publisher's clock
 }
 
-// instanceState is what a control-plane instance was notified of, and what it sent.
+// instanceState holds the notifications that a control-plane instance received, and the messages that it sent.
 type instanceState struct {
 	name      string
 	goneAt    map[model.ReplicaID]model.Microseconds // when it was notified that the replica drains or is gone
 	startSeen map[model.ReplicaID]model.Microseconds // when it was notified of the replica's newest start
 	startedAt map[model.ReplicaID]model.Microseconds
 	listed    map[model.ReplicaID]bool
-	warmFrom  model.Microseconds // from when a ready, warm replica is listed; never if none is
+	warmFrom  model.Microseconds // since when a ready, warm replica is listed; never: none is listed
 	sent      []sentMessage
 }
 
 type sentMessage struct {
 	updatedAt, receivedAt model.Microseconds
-	cost                  int // entries
+	cost                  int // in entries
 }
 
 type replicaState struct {
@@ -80,7 +81,7 @@
 	starts []ReplicaStarted
 }
 
-// requestKey identifies one of a client's attempts at a request.
+// requestKey identifies one attempt of a client at a request.
 type requestKey struct {
 	request       uint64
 	clientAttempt int
@@ -91,7 +92,7 @@
 	outcome Outcome
 }
 
-// arrival is work that a replica received; informed: see checker.informed.
+// arrival is work that a replica received. informed is the result of checker.informed at that time.
 type arrival struct {
 	WorkArrived
 	informed bool
@@ -118,7 +119,7 @@
 	return checker
 }
 
-// startTime is the time of a run's first observation, which is a start or an endpoint list.
+// startTime returns the time of a run's first observation, which is a start or an endpoint list.
 func startTime(event Event) model.Microseconds {
 	switch e := event.(type) {
 	case ProxyStarted:
@@ -159,7 +160,7 @@
 	return r
 }
 
-// observe handles one event.
+// observe updates the state with an event and runs the checks that the event concerns.
 func (c *checker) observe(observed Event) {
 	switch event := observed.(type) {
 	case ProxyStarted:
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -11,7 +11,7 @@
 
 const second = model.Second
 
-// requestNumber is the request that the attempts of a case belong to.
+// requestNumber is the number of the request that the attempts of a case belong to.
 const requestNumber = 5
 
 func id(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
@@ -29,8 +29,8 @@
 	MessageWindow:  10 * second,
 }
 
-// timeline is what was observed in a small run: proxy till is joined to instance g from second 1, replicas 1 and 2 are
-// listed, 1 stands in its table, each in a deduplication group of its own.
+// timeline holds the observations of a small run. Proxy till joins instance g at second 1, replicas 1 and 2 are listed,
+// each in its own deduplication group, and the standing table of the proxy contains replica 1.
 type timeline []Event
 
 func newTimeline() timeline {
@@ -76,7 +76,7 @@
 	return AttemptEnded{At: at, Request: requestNumber, Attempt: 1, Outcome: o}
 }
 
-// steadyLoad is work that a replica receives at a constant rate.
+// steadyLoad returns work that arrives at a replica at a constant rate.
 func steadyLoad(replica byte, from, to model.Microseconds, work float64) (all timeline) {
 	for at := from; at < to; at += second / 10 {
 		all = append(all, WorkArrived{At: at, Replica: id(replica), Proxy: "till", Work: work})
@@ -84,14 +84,14 @@
 	return all
 }
 
-// violationCase is a timeline that breaks one invariant, or just keeps it.
+// violationCase is a timeline that violates one invariant, or that narrowly does not.
 type violationCase struct {
 	name   string
 	broken bool
 	events timeline
 }
 
-// started is a replica that can do 0.25 of a core and rises to 1 in 8 s.
+// started is the start of a replica whose capacity rises from 0.25 of a core to 1 core in 8 s.
 var started = ReplicaStarted{
 	At:                 3 * second,
 	Replica:            id(3),
@@ -115,12 +115,12 @@
 		listedWarming(4*second, 2, 3*second),
 		withdrawn(5 * second),
 	}},
-	{"no usable entry until the replica is warm, and beyond", true, timeline{
+	{"no usable entry for some time after the replica is warm", true, timeline{
 		listedWarming(1*second, 2, 0),
 		listedWarming(2*second, 2, 1),
 		withdrawn(3 * second),
 	}},
-	{"a list in the middle of a spell", true, timeline{
+	{"endpoint lists while there is no usable entry", true, timeline{
 		withdrawn(5 * second),
 		listed(6*second, 1, 2),
 		listed(7*second, 1, 2),
@@ -139,31 +139,31 @@
 		firstEnded(6*second, Rejected),
 		attempted(6*second, 2, 2, 2),
 	}},
-	{"a payment repeated while the first is open", true, timeline{
+	{"a payment repeated before the first attempt ends", true, timeline{
 		attempted(5*second, 2, 1, 1),
 		attempted(5*second, 2, 2, 2),
 	}},
-	{"a log repeated in another group", true, timeline{
+	{"a log repeated in another deduplication group", true, timeline{
 		attempted(5*second, 1, 1, 1),
 		firstEnded(5*second, ConnectionLost),
 		attempted(5*second, 1, 2, 2),
 	}},
-	{"a log repeated in its group", false, timeline{
+	{"a log repeated in its deduplication group", false, timeline{
 		attempted(5*second, 1, 1, 1),
 		firstEnded(5*second, ConnectionLost),
 		attempted(5*second+second/2, 1, 1, 2),
 	}},
-	{"a log repeated in its group after the window", true, timeline{
+	{"a log repeated in its deduplication group after the window", true, timeline{
 		attempted(5*second, 1, 1, 1),
 		firstEnded(5*second, ConnectionLost),
 		attempted(6*second+second/2, 1, 1, 2),
 	}},
-	{"a read repeated anywhere", false, timeline{
+	{"a read repeated at another replica", false, timeline{
 		attempted(5*second, 0, 1, 1),
 		firstEnded(6*second, TimedOut),
 		attempted(6*second, 0, 2, 2),
 	}},
-	{"two effects of one payment", true, timeline{
+	{"a payment executed twice", true, timeline{
 		RequestExecuted{At: 5 * second, Replica: id(1), Operation: 2, Request: 9},
 		RequestExecuted{At: 6 * second, Replica: id(2), Operation: 2, Request: 9},
 	}},
@@ -174,13 +174,13 @@
 		listed(4*second, 2),
 		attempted(7*second, 0, 1, 1),
 	}},
-	{"an attempt within the grace", false, timeline{listed(4*second, 2), attempted(5*second, 0, 1, 1)}},
-	{"an attempt after it came back", false, timeline{
+	{"an attempt within the drain grace", false, timeline{listed(4*second, 2), attempted(5*second, 0, 1, 1)}},
+	{"an attempt after the replica is listed again", false, timeline{
 		listed(4*second, 2),
 		listed(5*second, 1, 2),
 		attempted(7*second, 0, 1, 1),
 	}},
-	{"the grace of a new stream", false, timeline{
+	{"an attempt within the drain grace after a new join", false, timeline{
 		listed(4*second, 2),
 		StreamChanged{At: 5 * second, Proxy: "till", Instance: "g"},
 		StreamChanged{At: 6 * second, Proxy: "till", Instance: "g", Up: true},
@@ -190,17 +190,17 @@
 
 var coldStartCases = []violationCase{
 	{
-		"a warming replica sent ten times what it can do", true,
+		"a warming replica receives ten times its capacity", true,
 		append(timeline{started, listedWarming(3*second, 3, 3*second)},
 			steadyLoad(3, 6*second, 9*second, 4e5)...),
 	},
 	{
-		"a warming replica sent what it can do", false,
+		"a warming replica receives no more than its capacity", false,
 		append(timeline{started, listedWarming(3*second, 3, 3*second)},
 			steadyLoad(3, 6*second, 9*second, 3e4)...),
 	},
 	{
-		"the same load from proxies that could not know of the start", false,
+		"the same overload by proxies that could not know of the start", false,
 		append(timeline{started},
 			steadyLoad(3, 4*second, 7*second, 4e5)...),
 	},
@@ -211,7 +211,7 @@
 		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
 		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5*second + 1, Cost: 60}),
 	}},
-	{"as many one after the other", false, timeline{
+	{"as many entries one message after the other", false, timeline{
 		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
 		pushed(7*second, pubsubmsg.Message{UpdatedAt: 6*second + 1, Cost: 60}),
 	}},
@@ -223,7 +223,7 @@
 	}},
 }
 
-// Each invariant is broken by some timelines and kept by similar ones; no other invariant is broken.
+// Each invariant is violated by some timelines and not by similar ones. No case violates another invariant.
 func TestEachInvariantIsBrokenByItsCaseOnly(t *testing.T) {
 	for invariant, cases := range map[string][]violationCase{
 		EmptyTable:     emptyTableCases,
@@ -240,12 +240,12 @@
 	}
 }
 
-// checkViolations has exactly one invariant broken by a timeline, or none.
+// checkViolations requires that a timeline violates the given invariant only, or none if wantBroken is false.
 func checkViolations(t *testing.T, events timeline, invariant string, wantBroken bool) {
 	t.Helper()
 	for _, v := range Check(events, testLimits, 15*second) {
 		if broken := len(v.Violations) > 0; broken != (wantBroken && v.Invariant == invariant) {
-			t.Errorf("%s: broken %v, %.2f of the limit: %v", v.Invariant, broken, v.Nearest, v.Violations)
+			t.Errorf("%s: violated %v, %.2f of the limit: %v", v.Invariant, broken, v.MaxRatio, v.Violations)
 		}
 	}
 }
@@ -267,12 +267,12 @@
 		all = append(all, AttemptStarted{At: at, Proxy: "till", Replica: id(1), Request: uint64(n), Attempt: 1})
 	}
 	if v := Check(all, testLimits, 15*second)[2]; len(v.Violations) != maxViolations+1 {
-		t.Fatalf("%d lines", len(v.Violations))
+		t.Fatalf("%d violations are listed", len(v.Violations))
 	}
 }
 
-// Two instances that publish in one epoch are detected; messages of an older epoch than was seen are fenced off, and
-// so not checked.
+// Two instances that publish in the same epoch violate the invariant. Messages with an older epoch than an earlier
+// message are fenced off, so they are not checked.
 func TestEpochHasOneHolder(t *testing.T) {
 	up := func(at model.Microseconds, instance string) StreamChanged {
 		return StreamChanged{At: at, Proxy: "till", Instance: instance, Up: true}
--- a/internal/invariants/coldstart.go
+++ b/internal/invariants/coldstart.go
@@ -9,8 +9,9 @@
 	"peppervale/internal/model"
 )
 
-// informed reports whether the proxy could know, when it sent the work, that the replica had just started: its instance
-// has sent it an update since it learned of the start, or has known of the start for longer than the drain grace.
+// informed reports whether the proxy could know, when it sent the work, that the replica had just started. This is the
+// case if its instance has sent it an update after being notified of the start, or was notified of the start longer
+// than the drain grace ago.
 func (c *checker) informed(e WorkArrived) bool {
 	p := c.proxies[e.Proxy]
 	if p == nil || p.instance == nil {
@@ -20,7 +21,8 @@
 	return seen && (p.updatedAt > seenAt || e.At-seenAt > c.limits.DrainGrace)
 }
 
-// checkColdStarts checks each start of a replica: the work of any window against what the replica could do in it.
+// checkColdStarts checks every cold start of a replica: the work that arrives within any window must not overload the
+// warming replica.
 func (c *checker) checkColdStarts() {
 	byReplica := map[model.ReplicaID][]arrival{}
 	for _, a := range c.arrivals {
@@ -38,12 +40,12 @@
 	}
 }
 
-// workWindow is the work that arrived within the last OverloadWindow.
+// workWindow holds the work that arrived within the last OverloadWindow.
 type workWindow struct {
 	arrivals []arrival
 	total    float64
 	informed float64
-	largest  float64 // work of one arrival since the start
+	largest  float64 // largest work of one arrival since the replica's start
 }
 
 func (w *workWindow) add(a arrival) {
@@ -55,7 +57,7 @@
 	w.largest = max(w.largest, a.Work)
 }
 
-// dropUntil removes the work that arrived at a time or before it.
+// dropUntil removes the work that arrived at the given time or earlier.
 func (w *workWindow) dropUntil(at model.Microseconds) {
 	for len(w.arrivals) > 0 && w.arrivals[0].At <= at {
 		a := w.arrivals[0]
@@ -67,12 +69,12 @@
 	}
 }
 
-// mostlyInformed reports whether at least two thirds of the work came from informed proxies. With less, an overload is
-// due to proxies that could not know of the start yet, and is no violation.
+// mostlyInformed reports whether at least two thirds of the work came from informed proxies. Otherwise an overload is
+// caused by proxies that could not know of the start yet, and is no violation.
 func (w *workWindow) mostlyInformed() bool { return w.informed >= w.total*2/3 }
 
-// checkColdStart checks the windows after one start that end with an arrival. The largest request is not counted, as it
-// may belong to the window in part only.
+// checkColdStart checks the windows during one warm-up that end with an arrival. The largest request is not counted, as
+// only a part of it may belong to the window.
 func (c *checker) checkColdStart(id model.ReplicaID, start ReplicaStarted, arrivals []arrival) {
 	window := &workWindow{}
 	for _, last := range arrivals {
@@ -94,8 +96,8 @@
 	}
 }
 
-// capacity is the work that a warming replica can do in the window that ends at a time. As capacity rises linearly, its
-// mean is its value in the middle of the window.
+// capacity returns the work that a warming replica can complete in the window that ends at the given time. As capacity
+// rises linearly, its mean is its value in the middle of the window.
 func (c *checker) capacity(start ReplicaStarted, end model.Microseconds) float64 {
 	from := max(start.At, end-c.limits.OverloadWindow)
 	middle := float64((from+end)/2-start.At) / float64(start.WarmUpPeriod)
--- a/internal/invariants/endpoints.go
+++ b/internal/invariants/endpoints.go
@@ -5,15 +5,15 @@
 	"peppervale/internal/model"
 )
 
-// endpointsSent records an endpoint list that an instance was sent. One that cannot be parsed is ignored, as the
-// instance ignores it.
+// endpointsSent records an endpoint list that was sent to an instance. A list that cannot be parsed is ignored, as the
+// instance ignores it too.
 func (c *checker) endpointsSent(list EndpointsSent) {
 	endpoints, _, err := consulcatalog.Parse(list.Body, c.limits.Zones)
 	if err != nil {
 		return
 	}
 	instance := c.instance(list.Instance)
-	// The list may change from when a warm replica counts as listed: check the spells up to now first.
+	// The list may change instance.warmFrom, so the periods without a usable entry are checked up to now first.
 	for _, name := range c.proxyOrder {
 		if p := c.proxies[name]; p.instance == instance {
 			c.checkEmptySpell(p, list.At)
@@ -30,8 +30,8 @@
 	}
 }
 
-// readyEndpoints records the listed replicas and when they started. It returns those that are ready, and the time from
-// which one of them is warm.
+// readyEndpoints records the listed replicas and their start times. It returns the ready replicas and the earliest time
+// at which one of them is warm.
 func (i *instanceState) readyEndpoints(
 	endpoints []model.Endpoint, now, warmUp model.Microseconds,
 ) (ready map[model.ReplicaID]bool, warmFrom model.Microseconds) {
--- a/internal/invariants/events.go
+++ b/internal/invariants/events.go
@@ -8,27 +8,28 @@
 	Weight  float64
 }
 
-// Outcome is how an attempt ended for the proxy that made it.
+// Outcome is the result of an attempt as observed by the proxy that made it.
 type Outcome uint8
 
-// The outcomes of an attempt. Rejected and ConnectFailed prove that it was never executed.
+// The outcomes of an attempt. Rejected and ConnectFailed prove that the attempt was not executed.
 const (
 	Pending        Outcome = iota // not ended yet
-	Succeeded                     // an answer without an error
-	Rejected                      // rejected, without executing it, by a full or draining replica
+	Succeeded                     // a successful response
+	Rejected                      // rejected without execution by a full or draining replica
 	ConnectFailed                 // no connection could be established
-	ErrorAnswer                   // an answer that reports an error
-	TimedOut                      // no answer in time
-	ConnectionLost                // the connection ended first
+	ErrorResponse                 // an error response
+	TimedOut                      // no response within the timeout
+	ConnectionLost                // the connection ended before the response
 )
 
-// NotExecuted reports whether the attempt is proven never to have been executed.
+// NotExecuted reports whether the outcome proves that the attempt was not executed.
 func (o Outcome) NotExecuted() bool { return o == Rejected || o == ConnectFailed }
 
-// Event is an observation of a stand-in. The types below are the only ones. At is the time of the observation.
+// Event is an observation of a stand-in. The types below are its only implementations. At is the time of the
+// observation.
 type Event interface{ event() }
 
-// ProxyStarted says that a proxy started, with its standing table only.
+// ProxyStarted reports that a proxy started with only its standing table.
 type ProxyStarted struct {
 	At       model.Microseconds
 	Proxy    string
@@ -36,20 +37,21 @@
 	Standing []TableEntry
 }
 
-// ProxyStopped says that a proxy ended.
+// ProxyStopped reports that a proxy stopped.
 type ProxyStopped struct {
 	At    model.Microseconds
 	Proxy string
 }
 
-// StreamChanged says that a proxy's stream to an instance is established (Up: its join was answered) or ended.
+// StreamChanged reports that a proxy's stream to an instance was established (Up: the instance answered the join) or
+// ended.
 type StreamChanged struct {
 	At              model.Microseconds
 	Proxy, Instance string
 	Up              bool
 }
 
-// BytesReceived holds the bytes that a proxy read from its stream, in order since the last StreamChanged with Up.
+// BytesReceived holds the next bytes that a proxy read from its stream since the last StreamChanged with Up.
 type BytesReceived struct {
 	At    model.Microseconds
 	Proxy string
@@ -63,8 +65,8 @@
 	Body     []byte
 }
 
-// AttemptStarted says that a proxy sent an attempt. ClientAttempt counts the client's own retries of a request,
-// from 0, and Attempt the proxy's attempts for one of them, from 1.
+// AttemptStarted reports that a proxy sent an attempt. ClientAttempt counts the client's attempts at a request, from 0.
+// Attempt counts the proxy's attempts for one attempt of the client, from 1.
 type AttemptStarted struct {
 	At                     model.Microseconds
 	Proxy                  string
@@ -74,7 +76,7 @@
 	ClientAttempt, Attempt int
 }
 
-// AttemptEnded says how an attempt ended for the proxy.
+// AttemptEnded reports the outcome of an attempt.
 type AttemptEnded struct {
 	At                     model.Microseconds
 	Request                uint64
@@ -82,7 +84,7 @@
 	Outcome                Outcome
 }
 
-// WorkArrived says that a replica received work, in microseconds of a core of speed 1.
+// WorkArrived reports that a replica received work, in microseconds of a core of speed 1.
 type WorkArrived struct {
 	At      model.Microseconds
 	Replica model.ReplicaID
@@ -90,7 +92,7 @@
 	Work    float64
 }
 
-// RequestExecuted says that a replica executed a request.
+// RequestExecuted reports that a replica executed a request.
 type RequestExecuted struct {
 	At            model.Microseconds
 	Replica       model.ReplicaID
@@ -99,15 +101,15 @@
 	ClientAttempt int
 }
 
-// ReplicaStarted says that a replica started. Its capacity rises linearly within WarmUpPeriod from InitialShare of
+// ReplicaStarted reports that a replica started. Its capacity rises linearly within WarmUpPeriod from InitialShare of
 // Capacity to Capacity.
 type ReplicaStarted struct {
 	At                 model.Microseconds
 	Replica            model.ReplicaID
-	DeduplicationGroup string             // the replicas that drop repeats of a request among themselves
-	Capacity           float64            // when warm, in microseconds of work per microsecond
-	InitialShare       float64            // of Capacity, at the start; 1: it starts warm
-	WarmUpPeriod       model.Microseconds // 0: it starts warm
+	DeduplicationGroup string             // name of the group of replicas that execute a repeated request only once
+	Capacity           float64            // of the warm replica, in microseconds of work per microsecond
+	InitialShare       float64            // share of Capacity at the start; 1: the replica starts warm
+	WarmUpPeriod       model.Microseconds // 0: the replica starts warm
 }
 
 func (ProxyStarted) event()    {}
--- a/internal/invariants/limits.go
+++ b/internal/invariants/limits.go
@@ -2,38 +2,38 @@
 
 import "peppervale/internal/model"
 
-// Effect says what a repeat of an operation does.
+// Effect classifies operations by whether a request may be executed more than once.
 type Effect uint8
 
 // The effects of operations.
 const (
-	Idempotent       Effect = iota // may be repeated anywhere
-	IdempotencyKeyed               // carries an idempotency key: its deduplication group drops a repeat within the window
+	Idempotent       Effect = iota // may be executed any number of times, at any replica
+	IdempotencyKeyed               // has an idempotency key: a deduplication group drops repeats within the window
 	SideEffecting                  // must never be executed twice
 )
 
-// Operation is what the checks need to know of an operation.
+// Operation holds the settings of an operation that the checks need.
 type Operation struct {
 	Name                string
 	Effect              Effect
-	DeduplicationWindow model.Microseconds // IdempotencyKeyed: how long a deduplication group remembers a request
+	DeduplicationWindow model.Microseconds // IdempotencyKeyed: how long a deduplication group keeps a request's key
 }
 
-// Limits are those of the invariants, the same that instances are configured with.
+// Limits are the limits of the invariants. They must be those that the instances are configured with.
 type Limits struct {
 	Zones          []string
 	Operations     []Operation
-	MaxEmptyTime   model.Microseconds // longest time without a usable entry
-	DrainGrace     model.Microseconds // for which draining replicas may be sent to
+	MaxEmptyTime   model.Microseconds // longest time that a joined proxy may have no usable entry
+	DrainGrace     model.Microseconds // how long proxies may send to a replica after it starts to drain
 	WarmUpPeriod   model.Microseconds // after which a started replica is warm
-	OverloadFactor float64            // times its capacity within OverloadWindow that overloads a warming replica
+	OverloadFactor float64            // multiple of its capacity within OverloadWindow that overloads a warming replica
 	OverloadWindow model.Microseconds
-	QueueLimit     int                // entries that an instance may have in flight
-	MessageLimit   int                // messages to one proxy within MessageWindow; 0: no limit
-	MessageWindow  model.Microseconds // of MessageLimit
+	QueueLimit     int                // most entries of an instance that may be in flight
+	MessageLimit   int                // most messages to one proxy within MessageWindow; 0: no limit
+	MessageWindow  model.Microseconds // window of MessageLimit
 }
 
-// effect is that of the operation with an index; an operation that is not configured counts as SideEffecting.
+// effect returns the effect of the operation with this index. An operation that is not configured is SideEffecting.
 func (l *Limits) effect(operation int) Effect { return l.operation(operation).Effect }
 
 func (l *Limits) operation(index int) Operation {
--- a/internal/invariants/proxies.go
+++ b/internal/invariants/proxies.go
@@ -57,15 +57,15 @@
 	if p == nil || p.instance == nil {
 		return
 	}
-	// A proxy closes a stream that it cannot parse, which is a StreamChanged event of its own.
+	// A proxy closes a stream that it cannot parse, which is observed as a StreamChanged event.
 	_ = p.reader.Feed(e.Data, func(v resp.Value) error {
 		c.valueReceived(p, v, e.At)
 		return nil
 	})
 }
 
-// valueReceived applies a message to what the proxy holds, as docs/channel.md specifies. A message of an older epoch
-// than the newest seen is fenced off and ignored.
+// valueReceived applies a message to the proxy's state, as docs/channel.md specifies. A message with an older epoch
+// than an earlier message is fenced off and ignored.
 func (c *checker) valueReceived(p *proxyState, v resp.Value, now model.Microseconds) {
 	if !pubsubmsg.IsMessage(v) {
 		return
@@ -80,8 +80,8 @@
 	c.updateEmptySpell(p, now)
 }
 
-// checkEpoch checks that only one instance publishes to the proxy in an epoch. Epoch 0 is that of instances without
-// leases.
+// checkEpoch checks that only one instance publishes to the proxy in an epoch. Epoch 0 is used by instances without
+// leases and is not checked.
 func (c *checker) checkEpoch(p *proxyState, epoch uint64, now model.Microseconds) {
 	if epoch == 0 {
 		return
@@ -95,7 +95,7 @@
 	p.epochHolder[epoch] = p.instance.name
 }
 
-// apply changes what the proxy holds.
+// apply applies a message to the proxy's table and withdrawals.
 func (p *proxyState) apply(m *pubsubmsg.Message) {
 	if m.Full && m.Bound {
 		clear(p.weights)
@@ -117,7 +117,7 @@
 	}
 }
 
-// hasUsableEntry reports whether the proxy may send to any replica.
+// hasUsableEntry reports whether the proxy has an entry of a replica that it may send to.
 func (p *proxyState) hasUsableEntry() bool {
 	for replica, weight := range p.weights {
 		if weight > 0 && !p.withdrawn[replica] {
@@ -127,7 +127,7 @@
 	return false
 }
 
-// updateEmptySpell starts or ends a spell in which a joined proxy has no usable entry.
+// updateEmptySpell starts or ends a period in which a joined proxy has no usable entry.
 func (c *checker) updateEmptySpell(p *proxyState, now model.Microseconds) {
 	if p.instance == nil || p.hasUsableEntry() {
 		c.endEmptySpell(p, now)
@@ -138,8 +138,8 @@
 	}
 }
 
-// checkEmptySpell checks the length of a spell up to now. It counts from when a warm replica was listed to the proxy's
-// instance.
+// checkEmptySpell checks the length up to now of a period without a usable entry. The time before a warm replica was
+// listed to the proxy's instance does not count.
 func (c *checker) checkEmptySpell(p *proxyState, now model.Microseconds) {
 	if p.emptySince == notEmpty || p.instance == nil || p.instance.warmFrom >= now {
 		return
--- a/internal/invariants/queue.go
+++ b/internal/invariants/queue.go
@@ -9,8 +9,8 @@
 	"peppervale/internal/model"
 )
 
-// countMessage records a message for the check of the queues, and checks how many messages the proxy was sent within
-// the message window.
+// countMessage records a message for the check of the queues, and checks the number of messages to the proxy within the
+// message window.
 func (c *checker) countMessage(proxy *proxyState, message *pubsubmsg.Message, now model.Microseconds) {
 	instance := proxy.instance
 	instance.sent = append(instance.sent, sentMessage{message.UpdatedAt, now, message.Cost})
@@ -30,13 +30,13 @@
 		c.sinceStart(now), instance.name, recent, proxy.name, seconds(c.limits.MessageWindow), c.limits.MessageLimit)
 }
 
-// queueChange is a change of the number of entries in an instance's queue.
+// queueChange is a change in the number of an instance's entries that are in flight.
 type queueChange struct {
 	at      model.Microseconds
-	entries int // added; below 0: removed
+	entries int // number of entries added; below 0: removed
 }
 
-// checkQueues checks the queue of each instance: the entries that were sent and not received yet.
+// checkQueues checks the queue of each instance, which holds the entries that are sent and not received yet.
 func (c *checker) checkQueues() {
 	for _, name := range slices.Sorted(maps.Keys(c.instances)) {
 		entries := 0
@@ -49,7 +49,7 @@
 	}
 }
 
-// queueChanges returns the changes by all messages, by time. Of changes at the same time, removals come first.
+// queueChanges returns the changes by all messages in order of time. At the same time, removals precede additions.
 func (i *instanceState) queueChanges() []queueChange {
 	changes := make([]queueChange, 0, 2*len(i.sent))
 	for _, m := range i.sent {
--- a/internal/invariants/result.go
+++ b/internal/invariants/result.go
@@ -6,38 +6,39 @@
 	"peppervale/internal/model"
 )
 
-// The names of the invariants, in their order.
+// The names of the invariants, in the order of the results.
 const (
 	EmptyTable     = "no forwarder left bare"
 	RepeatedEffect = "no effect twice"
 	LateDrain      = "drains within the grace"
 	ColdOverload   = "no cold replica pushed over"
 	LongQueue      = "short queue"
-	SharedEpoch    = "one holder an epoch" // not one of the operators' five: it concerns instances that share the fleet
+	SharedEpoch    = "one holder an epoch" // of instances that share the fleet; not one of the operators' five
 )
 
-// invariantNames are all invariants in the order of their results.
+// invariantNames lists all invariants in the order of the results.
 var invariantNames = []string{EmptyTable, RepeatedEffect, LateDrain, ColdOverload, LongQueue, SharedEpoch}
 
-// Result is the result of one invariant. Nearest is how near the run came to the limit, as a share of it, and Where
+// Result is the result of one invariant. Nearest is the highest ratio of an observation to the limit, and Where
 // describes that observation.
 type Result struct {
 	Invariant  string   `json:"rule"`
-	Nearest    float64  `json:"nearest"`
+	MaxRatio   float64  `json:"nearest"`
 	Where      string   `json:"where,omitempty"`
 	Violations []string `json:"breaks,omitempty"`
 }
 
-// maxViolations bounds the violations that a result lists; one more string says that there were more.
+// maxViolations is the most violations that a result lists. If there are more, it ends with one more string that says
+// so.
 const maxViolations = 20
 
-// broken is the share of the limit that is recorded for a violation that has no degrees.
+// broken is the ratio to the limit that is recorded for a violation of an invariant without a numeric limit.
 const broken = 2
 
-// record records how near the limit an observation came, and a violation if share is above 1.
+// record records the ratio of an observation to the limit, and a violation if share is above 1.
 func (r *Result) record(share float64, format string, args ...any) {
-	if share > r.Nearest {
-		r.Nearest = share
+	if share > r.MaxRatio {
+		r.MaxRatio = share
 		r.Where = fmt.Sprintf(format, args...)
 	}
 	if share <= 1 {
@@ -51,10 +52,10 @@
 	}
 }
 
-// seconds formats a time span.
+// seconds formats a duration.
 func seconds(t model.Microseconds) string {
 	return fmt.Sprintf("%.3f s", float64(t)/float64(model.Second))
 }
 
-// shareOf returns a time span as a share of its limit.
+// shareOf returns the ratio of a duration to its limit.
 func shareOf(t, limit model.Microseconds) float64 { return float64(t) / float64(max(limit, 1)) }
--- a/internal/pubsub/joinstorm_test.go
+++ b/internal/pubsub/joinstorm_test.go
@@ -91,12 +91,12 @@
 	storm.loop.Do(func() {
 		for n := range stormProxies {
 			one := proxy.New(storm.loop, engine, proxy.Config{
-				Name:           fmt.Sprint("till-", n),
-				Zone:           "govan",
-				RedialInterval: model.Second,
-				DialTimeout:    5 * model.Second,
-				StreamsOnly:    true,
-				Instances:      []proxy.Instance{{Name: "g", Address: address}},
+				Name:            fmt.Sprint("till-", n),
+				Zone:            "govan",
+				RedialInterval:  model.Second,
+				DialTimeout:     5 * model.Second,
+				OmitLoadReports: true,
+				Instances:       []proxy.Instance{{Name: "g", Address: address}},
 			}, 1, func(invariants.Event) {})
 			one.Start(nil)
 			storm.proxies = append(storm.proxies, one)
--- a/internal/scenario/console_test.go
+++ b/internal/scenario/console_test.go
@@ -18,7 +18,7 @@
 const (
 	survivingInstance = "govan-1"
 	lostInstance      = lostZone + "-2"
-	lostReplicas      = 5 // of the lost zone
+	lostReplicas      = 5 // replicas of the lost zone
 )
 
 var consolePages = []string{
@@ -27,11 +27,10 @@
 
 var comparisonPages = []string{"/", "/replicas", "/forwarders"}
 
-// While a zone is lost and comes back, every page of the consoles answers, and what they show is what the stand-ins
-// did.
+// Every page of the consoles answers while a zone is lost and recovers, and the pages show the loss and the recovery.
 func TestConsolesShowALostZoneAndItsReturn(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a scenario takes seconds of sockets")
+		t.Skip("a scenario on sockets takes seconds")
 	}
 	t.Parallel()
 	script := openScript(t, zoneLossFile)
@@ -55,14 +54,14 @@
 	}
 }
 
-// watchConsoles follows the consoles from the loss of the zone until they have shown all of its return.
+// watchConsoles polls the consoles from the loss of the zone until they have shown its complete recovery.
 func watchConsoles(progress chan string) error {
 	defer http.DefaultClient.CloseIdleConnections()
 	consoles := awaitConsoles(progress)
 	if len(consoles) != len(twoInstances) {
 		return fmt.Errorf("consoles of %d instances, want %d", len(consoles), len(twoInstances))
 	}
-	// The comparison has to know the instances from before the loss.
+	// The comparison has to know the incarnations of the instances from before the loss.
 	addresses := []string{consoles[survivingInstance], consoles[lostInstance]}
 	server, err := comparison.Listen("127.0.0.1:0", addresses, controller.NewClock())
 	if err != nil {
@@ -79,12 +78,12 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if !watch.complete() {
-		return fmt.Errorf("of a zone lost and back, cold, with its instance, the consoles show %+v", watch)
+		return fmt.Errorf("the consoles have not shown the loss and the cold recovery of the zone and its instance: %+v", watch)
 	}
 	return nil
 }
 
-// awaitConsoles reads the progress until it names the console of each instance, and returns the consoles' addresses by
+// awaitConsoles reads progress lines until it has the console of each instance. It returns the consoles' addresses by
 // instance.
 func awaitConsoles(progress chan string) map[string]string {
 	consoles := map[string]string{}
@@ -102,7 +101,7 @@
 	return consoles
 }
 
-// awaitStep reads the progress until a step of the kind begins.
+// awaitStep reads progress lines until a step of the given kind begins.
 func awaitStep(progress chan string, kind StepKind) {
 	for line := range progress {
 		if strings.Contains(line, string(kind)) {
@@ -111,10 +110,11 @@
 	}
 }
 
-// consoleWatch is what the consoles have shown so far. The lost zone's replicas come back cold, so they are warming up.
-// Its instance is shown as it was last known, and as a new incarnation once it is back.
+// consoleWatch records the events that the consoles have shown so far. After the loss, the zone's replicas restart
+// cold, so the consoles show them as warming up. While the zone's instance is down, the comparison shows its last known
+// state and an error. After its restart, the comparison shows a new incarnation.
 type consoleWatch struct {
-	console    string // URL of the surviving instance's
+	console    string // URL of the surviving instance's console
 	comparison string // URL of the console that compares the instances
 
 	zoneLost         bool
@@ -161,7 +161,7 @@
 		return fmt.Errorf("comparison: %w: %.300s", err, text)
 	}
 	if len(page.Body.Instances) != 2 {
-		return fmt.Errorf("comparison shows %d instances: %.300s", len(page.Body.Instances), text)
+		return fmt.Errorf("comparison shows %d instances, want 2: %.300s", len(page.Body.Instances), text)
 	}
 	shown := page.Body.Instances[1]
 	if shown.Name != lostInstance {
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// getPage gives the body of a page; every status but 200 is an error.
+// getPage returns the body of a page. Every status but 200 is an error.
 func getPage(url string) (string, error) {
 	response, err := http.Get(url)
 	if err != nil {
@@ -206,7 +206,7 @@
 		return "", err
 	}
 	if response.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("%s answers %d: %.200s", url, response.StatusCode, text)
+		return "", fmt.Errorf("%s: status %d, want 200: %.200s", url, response.StatusCode, text)
 	}
 	return string(text), nil
 }
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -1,8 +1,9 @@
-// Package scenario runs scripted scenarios on loopback sockets: instances of the control plane as processes of their
-// own, stand-ins for replicas, proxies and the endpoint registry, open-loop load, and faults at set times. It then
-// checks the invariants against what the stand-ins observed and reports service level, latency and channel statistics.
+// Package scenario runs scripted scenarios on loopback sockets. A scenario starts instances of the control plane as
+// separate processes and stand-ins for replicas, proxies and the endpoint registry, sends open-loop load and injects
+// faults at set times. It then checks the invariants against the observations of the stand-ins and reports service
+// level, latency and channel statistics.
 //
-// Run ends everything that it starts, also when it fails on the way, and listens on loopback addresses only. The
-// random draws of a scenario (work, arrivals, targets of faults) follow from its seed; the timing of sockets does not,
-// so two runs of a scenario differ slightly.
+// Run stops everything that it starts, also when it returns an error, and listens on loopback addresses only. The
+// random draws of a scenario (work, arrivals, targets of faults) are determined by its seed. The timing of sockets is
+// not, so two runs of a scenario differ slightly.
 package scenario
--- a/internal/scenario/faulty.go
+++ b/internal/scenario/faulty.go
@@ -11,32 +11,32 @@
 	"peppervale/internal/standin"
 )
 
-// The kinds of faulty controllers, as scenario files spell them.
+// The kinds of faulty controllers, as written in scenario files.
 const (
 	emptiesTable       = "empty-table"      // removes every table entry
 	retriesAnything    = "repeats-anything" // orders retries after any failure, for every operation
 	hidesDrains        = "hides-drains"     // never withdraws draining replicas
 	fullLoadToCold     = "full-to-cold"     // gives a started replica nearly all traffic at once
-	floodsWithMessages = "floods"           // sends every entry to every proxy, again and again
+	floodsWithMessages = "floods"           // sends every entry to every proxy repeatedly
 )
 
-// FaultyControllerKinds are the kinds of faulty controllers. Each puts all proxies on one table of all replicas and
-// then violates one invariant, which shows that the check of the invariants can fail.
+// FaultyControllerKinds are the kinds of faulty controllers. Each binds all proxies to one table of all replicas and
+// then violates one invariant, which shows that the check of that invariant can fail.
 var FaultyControllerKinds = []string{emptiesTable, retriesAnything, hidesDrains, fullLoadToCold, floodsWithMessages}
 
 const (
 	faultyControllerName = "rogue"
 	faultyTable          = model.TableID(1)
 	faultyTickInterval   = 200 * model.Millisecond
-	faultyStartDelay     = 3 * model.Second // the fault begins so long after the scenario
+	faultyStartDelay     = 3 * model.Second // from the start of the scenario to that of the fault
 	faultyColdWeight     = 1000
-	faultyFloodSize      = 20 // batches a tick
+	faultyFloodSize      = 20 // batches per tick
 	faultyMessageRate    = 1e6
 	ackSequenceLimit     = 65536
 )
 
-// faultyController serves the publish-subscribe channel and follows the registry like an instance. All its fields
-// belong to the goroutine of loop.
+// faultyController serves the publish-subscribe channel and subscribes to the registry like an instance. Its fields may
+// be accessed on the goroutine of loop only.
 type faultyController struct {
 	kind        string
 	loop        *standin.Loop
@@ -95,7 +95,7 @@
 	c.server.Close()
 }
 
-// ProxyConnected admits the proxy and puts it on the one table.
+// ProxyConnected admits the proxy and binds it to faultyTable.
 func (c *faultyController) ProxyConnected(proxy model.ProxyID, stream uint64, _ pubsubmsg.Join, _ int) {
 	c.loop.Post(func() {
 		c.server.AdmitProxy(proxy, stream)
@@ -109,13 +109,13 @@
 	c.loop.Post(func() { delete(c.proxies, proxy) })
 }
 
-// Acknowledged is ignored.
+// Acknowledged does nothing.
 func (c *faultyController) Acknowledged(model.ProxyID, uint64, uint32) {}
 
-// LoadReported is ignored.
+// LoadReported does nothing.
 func (c *faultyController) LoadReported(int, []model.LoadReport) {}
 
-// EndpointsChanged publishes the endpoint list; all kinds but hidesDrains withdraw replicas as they should.
+// EndpointsChanged publishes the endpoint list. All kinds but hidesDrains withdraw the replicas that are not ready.
 func (c *faultyController) EndpointsChanged(scope model.EndpointUpdate, endpoints []model.Endpoint) {
 	c.loop.Post(func() {
 		if scope == model.PollFailed {
@@ -128,7 +128,7 @@
 	})
 }
 
-// addReady records the ready endpoints and returns the updates for those that are new or restarted.
+// addReady records the ready endpoints and returns the updates for the new and restarted ones.
 func (c *faultyController) addReady(endpoints []model.Endpoint) []snapshot.Update {
 	var updates []snapshot.Update
 	for _, endpoint := range endpoints {
@@ -180,7 +180,7 @@
 	c.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: c.ackSequence, At: c.now()})
 }
 
-// tick publishes the wrong updates of the kind once every faultyTickInterval, from faultyStartDelay on.
+// tick publishes the faulty updates of the controller's kind every faultyTickInterval, after faultyStartDelay.
 func (c *faultyController) tick() {
 	c.loop.After(faultyTickInterval, c.tick)
 	if c.now()-c.started < faultyStartDelay {
--- a/internal/scenario/faulty_test.go
+++ b/internal/scenario/faulty_test.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/invariants"
 )
 
-// Each faulty controller violates its own invariant and no other, and the violation names its time and limit.
+// Each faulty controller violates its own invariant and no other, and the violation states its time and limit.
 func TestEachFaultyControllerViolatesItsOwnInvariantOnly(t *testing.T) {
 	for kind, invariant := range map[string]string{
 		emptiesTable:       invariants.EmptyTable,
@@ -27,12 +27,12 @@
 	}
 }
 
-// checkVerdict requires a violation of the one invariant and of no other.
+// checkVerdict requires that a verdict has violations if it is that of the violated invariant, and none otherwise.
 func checkVerdict(t *testing.T, verdict invariants.Result, violated string) {
 	t.Helper()
 	isViolated := len(verdict.Violations) > 0
 	if isViolated != (verdict.Invariant == violated) {
-		t.Errorf("%s: %.2f of the limit, %v", verdict.Invariant, verdict.Nearest, verdict.Violations)
+		t.Errorf("%s: unexpected verdict: %.2f of the limit, violations %v", verdict.Invariant, verdict.MaxRatio, verdict.Violations)
 		return
 	}
 	if !isViolated {
@@ -42,7 +42,7 @@
 	namesTime := strings.Contains(violation, " s: ")
 	namesLimit := strings.Contains(violation, "allowed") || verdict.Invariant == invariants.RepeatedEffect
 	if !namesTime || !namesLimit {
-		t.Errorf("%s: the violation lacks its time or limit: %s", verdict.Invariant, violation)
+		t.Errorf("%s: violation without its time or limit: %s", verdict.Invariant, violation)
 	}
 }
 
@@ -56,6 +56,6 @@
 	}
 	verdict := runScript(t, script).Invariants[2]
 	if verdict.Invariant != invariants.LateDrain || len(verdict.Violations) == 0 {
-		t.Errorf("the proxies' misbehavior is not detected: %+v", verdict)
+		t.Errorf("got %+v, want violations of the drain invariant", verdict)
 	}
 }
--- a/internal/scenario/instance.go
+++ b/internal/scenario/instance.go
@@ -20,22 +20,22 @@
 	logTailLength      = 2000 // bytes
 )
 
-// instance is an instance of the control plane in a process of its own.
+// instance is an instance of the control plane that runs in a separate process.
 type instance struct {
 	name       string
 	zone       string
 	address    string // of the publish-subscribe channel
-	console    string // address
+	console    string // listen address
 	configPath string
 	logPath    string
 	program    []string
 
-	command *exec.Cmd // nil: it does not run
+	command *exec.Cmd // nil: not running
 	log     *os.File
-	cpuTime time.Duration // of the processes that ended
+	cpuTime time.Duration // of the instance's processes that have exited
 }
 
-// start starts the process unless it runs.
+// start starts the process if it is not running.
 func (i *instance) start() error {
 	if i.command != nil {
 		return nil
@@ -58,15 +58,15 @@
 	return nil
 }
 
-// signal sends a signal to the process if it runs.
+// signal sends a signal to the process if it is running.
 func (i *instance) signal(signal syscall.Signal) {
 	if i.command != nil {
 		_ = i.command.Process.Signal(signal)
 	}
 }
 
-// beginEnd sends a signal that ends the process, which counts as ended from now on. The function that it returns waits
-// for the end and gives the process's CPU time; a process that still runs after the timeout is killed.
+// beginEnd sends a signal that terminates the process and marks the instance as not running. The returned function
+// waits for the process to exit and returns its CPU time. It kills a process that is still running after the timeout.
 func (i *instance) beginEnd(signal syscall.Signal, timeout time.Duration) (wait func() time.Duration) {
 	if i.command == nil {
 		return func() time.Duration { return 0 }
@@ -83,18 +83,18 @@
 	}
 }
 
-// end ends the process and waits for it.
+// end terminates the process and waits for it to exit.
 func (i *instance) end(signal syscall.Signal, timeout time.Duration) {
 	i.cpuTime += i.beginEnd(signal, timeout)()
 }
 
-// logTail gives the end of the process's log.
+// logTail returns the last logTailLength bytes of the process's log.
 func (i *instance) logTail() string {
 	text, _ := os.ReadFile(i.logPath)
 	return string(text[max(0, len(text)-logTailLength):])
 }
 
-// configureInstances writes the configuration file of each instance and checks that it can be read.
+// configureInstances writes the configuration file of each instance and checks that it is valid.
 func (r *runner) configureInstances() error {
 	for i, zone := range r.script.InstanceZones {
 		configured := r.newInstance(i, zone)
@@ -112,7 +112,7 @@
 			return err
 		}
 		if _, err := config.LoadServer(configured.configPath); err != nil {
-			return fmt.Errorf("the scenario's instances cannot be started:\n%w", err)
+			return fmt.Errorf("the generated instance configuration is invalid:\n%w", err)
 		}
 		r.instances = append(r.instances, configured)
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-// awaitListener waits until a connection to the address can be made.
+// awaitListener waits until the address accepts a connection. It gives up after listenTimeout.
 func awaitListener(ctx context.Context, address string) error {
 	deadline := time.Now().Add(listenTimeout)
 	for {
--- a/internal/scenario/instanceconfig.go
+++ b/internal/scenario/instanceconfig.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// serviceName is the service that replicas are registered under.
+// serviceName is the name of the service under which the replicas are registered.
 const serviceName = "replica"
 
-// instanceSettings is what differs between the configuration files of a scenario's instances.
+// instanceSettings holds the settings that differ between the configuration files of a scenario's instances.
 type instanceSettings struct {
 	index    int
 	name     string
 	listen   string
 	console  string
 	state    string // path of the state directory
-	registry string // address
+	registry string // address of the endpoint registry
 	seed     uint64
 	network  loopbackNetwork
 }
@@ -54,7 +54,7 @@
   }
 `
 
-// instanceConfig gives the content of an instance's configuration file.
+// instanceConfig returns the content of an instance's configuration file.
 func (s *Script) instanceConfig(settings instanceSettings) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "# written by peppervale day run, %s\n", time.Now().Format(time.RFC3339))
@@ -67,7 +67,7 @@
 	return text.Bytes()
 }
 
-// writeClusterBlock writes an instance's place in the cluster and the list of all members.
+// writeClusterBlock writes the block with an instance's cluster settings and the list of all members.
 func (s *Script) writeClusterBlock(text *bytes.Buffer, settings instanceSettings) {
 	address := settings.network.instanceAddress
 	fmt.Fprintf(text, clusterConfigFormat,
--- a/internal/scenario/instancesteps.go
+++ b/internal/scenario/instancesteps.go
@@ -11,12 +11,12 @@
 	killTimeout     = time.Second
 	shutdownTimeout = 5 * time.Second
 
-	// Repeated crashes are this many times the step's size apart, drawn uniformly.
+	// The time between repeated crashes is the step's size times a factor drawn uniformly from this range.
 	minCrashSpacing = 0.7
 	maxCrashSpacing = 1.3
 )
 
-// crashInstances kills the targets. It does so step.Number times, about step.Size seconds apart.
+// crashInstances kills randomly drawn instances step.Number times, about step.Size seconds apart.
 func (r *runner) crashInstances(step Step) {
 	if step.Number > 1 {
 		next := step
@@ -30,7 +30,7 @@
 	}
 }
 
-// crashInstance kills an instance and restarts it after a while with nothing but its state directory.
+// crashInstance kills an instance and restarts it after the given time. Only its state directory is kept.
 func (r *runner) crashInstance(target *instance, down model.Microseconds) {
 	target.end(syscall.SIGKILL, killTimeout)
 	r.loop.After(down, func() { r.restartInstance(target) })
@@ -50,7 +50,7 @@
 	}
 }
 
-// rollInstances restarts the targets one after the other.
+// rollInstances restarts the targets one after the other within the duration of the step.
 func (r *runner) rollInstances(step Step) {
 	targets, candidates := r.targetInstances(step)
 	for k, target := range targets {
@@ -59,7 +59,7 @@
 	}
 }
 
-// restartGracefully waits for the graceful shutdown of an instance outside the loop, then starts it again.
+// restartGracefully shuts an instance down gracefully and starts it again. It waits for the shutdown outside the loop.
 func (r *runner) restartGracefully(target *instance) {
 	wait := target.beginEnd(syscall.SIGTERM, shutdownTimeout)
 	go func() {
@@ -71,7 +71,7 @@
 	}()
 }
 
-// loseZone ends all of a zone; what it ends comes back when the step is over.
+// loseZone stops all replicas, proxies and instances of a zone. They restart when the step is over.
 func (r *runner) loseZone(step Step) {
 	for _, target := range r.replicas {
 		if target.Zone == step.Zone && target.Running {
--- a/internal/scenario/judgement.go
+++ b/internal/scenario/judgement.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/model"
 )
 
-// invariantLimits gives the limits that the check of the invariants uses.
+// invariantLimits returns the limits that the invariants are checked against.
 func (s *Script) invariantLimits() invariants.Limits {
 	limits := invariants.Limits{
 		Zones:          s.Zones,
@@ -34,7 +34,7 @@
 	return limits
 }
 
-// report puts the results of the scenario together.
+// report builds the report of the scenario.
 func (r *runner) report(verdicts []invariants.Result) *Report {
 	report := &Report{
 		Scenario:   r.script.Name,
@@ -50,13 +50,13 @@
 	report.Service, report.WorstService = r.statistics.serviceLevel()
 	for _, candidate := range r.replicas {
 		if candidate.Overloaded {
-			report.CollapsedReplicas++
+			report.OverloadedReplicas++
 		}
 	}
 	return report
 }
 
-// channelReport adds the proxies' statistics up.
+// channelReport sums the proxies' channel statistics.
 func (r *runner) channelReport() ChannelReport {
 	var report ChannelReport
 	for _, proxy := range r.proxies {
@@ -65,14 +65,14 @@
 		report.Bytes += proxy.Bytes
 		report.Joins += proxy.Joins
 		report.Resyncs += proxy.Resyncs
-		if proxy.Joined() != "" && proxy.Bound() {
+		if proxy.JoinedInstance() != "" && proxy.Bound() {
 			report.Bound++
 		}
 	}
 	return report
 }
 
-// attemptReport counts the attempts that were observed.
+// attemptReport counts the observed attempts by outcome.
 func (r *runner) attemptReport() AttemptReport {
 	replicaZones := map[model.ReplicaID]string{}
 	for _, replica := range r.replicas {
@@ -106,7 +106,7 @@
 		r.Rejected++
 	case invariants.ConnectFailed:
 		r.ConnectFailed++
-	case invariants.ErrorAnswer, invariants.ConnectionLost:
+	case invariants.ErrorResponse, invariants.ConnectionLost:
 		r.Errored++
 	case invariants.TimedOut:
 		r.TimedOut++
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -22,16 +22,16 @@
 	shardedFile     = "takeover.hcl"
 )
 
-// lostZone is the zone that zoneLossFile loses.
+// lostZone is the zone that is lost in the scenario of zoneLossFile.
 const lostZone = "partick"
 
-// The instances of most tests: one in each zone, or one in the first zone only.
+// The zones of the instances in most tests.
 var (
 	twoInstances = []string{"govan", lostZone}
 	oneInstance  = twoInstances[:1]
 )
 
-// The test binary is the instances' program too: started with "governor --config FILE" it runs an instance.
+// TestMain runs the tests. Started with "governor --config FILE", the test binary runs an instance instead.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == instanceCommand {
 		if err := serveInstance(os.Args[3]); err != nil {
@@ -54,10 +54,10 @@
 	return server.Serve(ctx, settings, server.Environment{}, log)
 }
 
-// instanceProgram is the command that runs an instance.
+// instanceProgram returns the command that runs an instance.
 func instanceProgram() []string { return []string{os.Args[0], instanceCommand} }
 
-// scenarioPath gives the path of a file of the repository's scenarios.
+// scenarioPath returns the path of one of the repository's scenario files.
 func scenarioPath(name string) string { return filepath.Join("..", "..", "scenarios", name) }
 
 func openScript(t *testing.T, name string) *Script {
@@ -80,7 +80,7 @@
 	return report
 }
 
-// runSteps runs a short scenario with these steps and requires that every invariant holds.
+// runSteps runs a short scenario with the given steps and requires that every invariant holds.
 func runSteps(t *testing.T, length float64, instanceZones []string, rate float64, steps ...Step) *Report {
 	t.Helper()
 	script := openScript(t, zoneLossFile)
@@ -108,7 +108,7 @@
 	report := runScript(t, script)
 	requireInvariants(t, report)
 	if report.Channel.Bound != report.Proxies {
-		t.Errorf("%d of %d proxies are bound at the end", report.Channel.Bound, report.Proxies)
+		t.Errorf("%d of %d proxies are bound at the end, want all", report.Channel.Bound, report.Proxies)
 	}
 	return report
 }
@@ -118,7 +118,7 @@
 	t.Helper()
 	var text bytes.Buffer
 	report.Print(&text)
-	if report.Violated() || report.CollapsedReplicas > 0 {
+	if report.Violated() || report.OverloadedReplicas > 0 {
 		t.Errorf("an invariant was violated:\n%s", text.String())
 	}
 	if report.Channel.Bound == 0 {
--- a/internal/scenario/network.go
+++ b/internal/scenario/network.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/model"
 )
 
-// The ports of a scenario. Each instance and each replica has an address of its own.
+// The ports of a scenario. Each instance and each replica has its own IP address.
 const (
 	channelPort = 7700
 	clusterPort = 7710
@@ -20,11 +20,11 @@
 	replicaPort = 8080
 )
 
-// loopbackNetwork is the second octet of the network 127.x.0.0/16 that a scenario has to itself.
+// loopbackNetwork is the second octet of the network 127.x.0.0/16 that one scenario uses exclusively.
 type loopbackNetwork int
 
-// The search for a free network. searchStride has no common factor with networkCount, so that a search never tries a
-// network twice. The searches of two scenarios in a row of one process begin runStride networks apart.
+// The parameters of the search for a free network. searchStride has no common factor with networkCount, so a search
+// never tries a network twice. The searches of two consecutive scenarios of one process begin runStride networks apart.
 const (
 	firstNetwork    = 20
 	networkCount    = 200
@@ -33,11 +33,12 @@
 	searchStride    = 37
 )
 
-// runs counts the scenarios of this process, so that each begins its search at another network.
+// runs counts the scenarios of this process, so that each begins its search at a different network.
 var runs atomic.Int64
 
-// findFreeNetwork finds a network on whose probePort nothing listens. It does not hold that port, so this does not rule
-// out that another process uses the network: what keeps scenarios apart is where their searches begin.
+// findFreeNetwork finds a network on whose probePort nothing listens. The port is released again, so another process
+// may still choose the same network. Scenarios mostly get different networks because their searches begin at different
+// networks.
 func findFreeNetwork() (loopbackNetwork, error) {
 	first := os.Getpid() + int(runs.Add(1))*runStride
 	for k := range networkAttempts {
@@ -48,7 +49,7 @@
 			return network, nil
 		}
 	}
-	return 0, errors.New("scenario: no free loopback network")
+	return 0, errors.New("scenario: no free loopback network found")
 }
 
 func (n loopbackNetwork) registryAddress(port int) string {
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -8,23 +8,23 @@
 	"peppervale/internal/model"
 )
 
-// hour bounds every duration of a scenario.
+// hour is the upper limit of every duration of a scenario.
 const hour = 3600 * model.Second
 
-// maxReplicasPerZone: a replica's number in its zone, from 1, is the last octet of its address.
+// maxReplicasPerZone is limited because a replica's number in its zone, from 1, is the last octet of its address.
 const maxReplicasPerZone = 250
 
-// noFaultyController is the setting for real instances.
+// noFaultyController is the setting that runs real instances instead of a faulty controller.
 const noFaultyController = "none"
 
-// Open reads the scenario file at path. Mistakes in it are returned as config.Errors.
+// Open reads the scenario file at path. Mistakes in the file are returned as config.Errors.
 func Open(path string) (*Script, error) {
 	reader, top := config.Open(path)
 	return parse(reader, top, path)
 }
 
-// Parse reads a scenario from text as if it were the content of the file at path, to which the file's own references
-// are relative. Mistakes in it are returned as config.Errors.
+// Parse reads a scenario from text as if it were the content of the file at path. References to other files are
+// relative to path. Mistakes in the text are returned as config.Errors.
 func Parse(path string, text []byte) (*Script, error) {
 	reader, top := config.Parse(path, text)
 	return parse(reader, top, path)
@@ -38,8 +38,8 @@
 	return script, reader.Err()
 }
 
-// readScript reads the blocks of a file. Every mistake is recorded with the file's reader; what could not be read has
-// its default.
+// readScript reads the blocks of a file. It records every mistake in the file's reader. A setting that cannot be read
+// gets its default.
 func readScript(top *config.Block, directory string) *Script {
 	if base := top.OptionalString("like"); base != "" {
 		top.Inherit(filepath.Join(directory, base), "day", "step")
@@ -68,7 +68,7 @@
 	return script
 }
 
-// readHeader reads the block that names the scenario.
+// readHeader reads the block with the scenario's name and general settings.
 func (s *Script) readHeader(block *config.Block) {
 	s.Name = block.Labels[0]
 	s.About = block.OptionalString("about")
@@ -142,17 +142,17 @@
 func (s *Script) readLoad(block *config.Block) Load {
 	load := Load{Rate: block.Float("rate", 0, 0, 100_000)}
 	for _, workBlock := range block.Blocks("work", 1) {
-		load.Works = append(load.Works, s.readWork(workBlock))
+		load.Operations = append(load.Operations, s.readWork(workBlock))
 	}
-	if len(load.Works) == 0 {
+	if len(load.Operations) == 0 {
 		block.AddError("", "load: a block work \"operation\" { } is missing")
 	}
 	block.RejectUnknown()
 	return load
 }
 
-func (s *Script) readWork(block *config.Block) Work {
-	work := Work{
+func (s *Script) readWork(block *config.Block) OperationLoad {
+	work := OperationLoad{
 		Operation: s.operationIndex(block.Labels[0]),
 		Share:     block.Float("share", 1, 0, 1e6),
 		Mean:      block.Duration("mean", -1, 1, hour),
@@ -165,7 +165,7 @@
 	return work
 }
 
-// operationIndex gives an operation's index, or -1 if there is none of this name.
+// operationIndex returns the index of the operation with this name, or -1 if there is none.
 func (s *Script) operationIndex(name string) int {
 	return slices.IndexFunc(s.Operations, func(operation config.Operation) bool { return operation.Name == name })
 }
--- a/internal/scenario/parse_test.go
+++ b/internal/scenario/parse_test.go
@@ -14,13 +14,13 @@
 	for _, pattern := range []string{"*.hcl", "faulty/*.hcl"} {
 		files, err := filepath.Glob(scenarioPath(pattern))
 		if err != nil || len(files) == 0 {
-			t.Fatal("no scenarios: ", err)
+			t.Fatal("no scenario files found: ", err)
 		}
 		for _, file := range files {
 			t.Run(filepath.Base(file), func(t *testing.T) {
 				script, err := Open(file)
 				if err != nil || script.About == "" {
-					t.Errorf("%s: %v", file, err)
+					t.Errorf("%s: error %v or no description", file, err)
 				}
 			})
 		}
@@ -44,7 +44,7 @@
 			_, err := Parse(scenarioPath("x.hcl"), []byte(text))
 			var mistakes config.Errors
 			if !errors.As(err, &mistakes) || !strings.Contains(mistakes.Error(), tt.want) {
-				t.Errorf("got %v, want %q", err, tt.want)
+				t.Errorf("error %v, want it to contain %q", err, tt.want)
 			}
 		})
 	}
--- a/internal/scenario/proxysteps.go
+++ b/internal/scenario/proxysteps.go
@@ -12,13 +12,13 @@
 	}
 }
 
-// crashProxy ends a proxy and starts it again after a while, on a new standing table.
+// crashProxy stops a proxy and restarts it after the given time with a new standing table.
 func (r *runner) crashProxy(target *managedProxy, down model.Microseconds) {
 	target.Kill()
 	r.loop.After(down, func() { target.Start(r.standingTable(target)) })
 }
 
-// stallProxies stalls the targets repeatedly; between two stalls they run for as long as a stall lasts.
+// stallProxies stalls the targets repeatedly. Between two stalls they run for as long as a stall lasts.
 func (r *runner) stallProxies(step Step) {
 	duration := seconds(step.Size)
 	for _, target := range r.targetProxies(step) {
--- a/internal/scenario/replicasteps.go
+++ b/internal/scenario/replicasteps.go
@@ -9,12 +9,12 @@
 	restartMaxAttempts = 20
 )
 
-// disturbReplicas starts a fault on the targets of a step. When the step is over it ends the fault on those that no
-// later fault affects.
+// disturbReplicas starts a fault on the targets of a step. When the step is over, it ends the fault on the targets that
+// no later fault affects.
 //
-// Caveat: end does not stop what begin scheduled. The faults that repeat (alternate and age) go on after their step
-// until a later fault affects the replica, so the effect of end is soon undone. The results of scenarios with such
-// steps were measured with this behavior, and change if it does.
+// Caveat: end does not stop the actions that begin scheduled. The recurring faults (alternate and age) continue after
+// their step until a later fault affects the replica, so the effect of end is soon undone. Changing this behavior
+// changes the results of scenarios with such steps.
 func (r *runner) disturbReplicas(step Step, begin, end func(target *managedReplica)) {
 	for _, target := range r.targetReplicas(step) {
 		begin(target)
@@ -22,7 +22,7 @@
 	}
 }
 
-// whenStillFaulty calls do after a delay unless a later fault affects the replica by then.
+// whenStillFaulty calls do after a delay unless a later fault has affected the replica by then.
 func (r *runner) whenStillFaulty(target *managedReplica, delay model.Microseconds, do func(*managedReplica)) {
 	fault := target.fault
 	r.loop.After(delay, func() {
@@ -32,7 +32,7 @@
 	})
 }
 
-// slowdown returns a fault by which all work of a replica takes so many times as long.
+// slowdown returns a fault that multiplies the processing time of all work of a replica by factor.
 func slowdown(factor float64) func(*managedReplica) {
 	return func(target *managedReplica) { target.Slowdown = factor }
 }
@@ -54,8 +54,8 @@
 	r.disturbReplicas(step, begin, answer)
 }
 
-// alternate switches a fault on and off each alternationPeriod until a later fault affects the replica, also after the
-// end of its step.
+// alternate toggles a fault every alternationPeriod until a later fault affects the replica, also after the end of its
+// step.
 func (r *runner) alternate(target *managedReplica, active bool, begin, end func(*managedReplica)) {
 	if active {
 		begin(target)
@@ -78,8 +78,9 @@
 	r.disturbReplicas(step, begin, end)
 }
 
-// age slows a replica linearly up to the size of the step. It goes on until a later fault affects the replica, also
-// after the end of its step: the replica has restarted then, and becomes as slow as the step's size again.
+// age slows a replica down linearly until its slowdown reaches the size of the step. It repeats until a later fault
+// affects the replica, also after the end of its step: the replica has restarted by then, and is slowed down by the
+// step's size again.
 func (r *runner) age(target *managedReplica, step Step, started model.Microseconds) {
 	progress := float64(r.now()-started) / float64(max(step.Duration, 1))
 	target.Slowdown = 1 + (step.Size-1)*min(1, progress)
@@ -114,19 +115,19 @@
 	r.disturbReplicas(step, begin, end)
 }
 
-// silence has a replica accept connections but answer nothing. The registry removes it after its SilentDelay.
+// silence makes a replica accept connections without answering requests. The registry removes it after its SilentDelay.
 func (r *runner) silence(target *managedReplica) {
 	target.Silent = true
 	r.deregister(target, r.script.Registry.SilentDelay)
 }
 
-// restartCold starts a replica on its old address, cold.
+// restartCold restarts a replica at its previous address, cold.
 func (r *runner) restartCold(target *managedReplica) {
 	target.Stop()
 	r.startCold(target, restartMaxAttempts)
 }
 
-// startCold starts a replica, with up to so many retries as the port of the former run may still be in use.
+// startCold starts a replica. It retries, as the port of the previous process may still be in use.
 func (r *runner) startCold(target *managedReplica, retries int) {
 	r.loop.After(restartDelay, func() {
 		err := target.Start(true)
@@ -141,7 +142,7 @@
 	})
 }
 
-// deploy replaces the targets in batches: each is drained and registered as draining, then restarted cold.
+// deploy replaces the targets in batches. Each target is drained, registered as draining, and then restarted cold.
 func (r *runner) deploy(step Step) {
 	targets := r.targetReplicas(step)
 	batchSize := max(step.Number, 1)
@@ -154,7 +155,7 @@
 	}
 }
 
-// replace drains a replica for a while and restarts it cold.
+// replace drains a replica for the given time and then restarts it cold.
 func (r *runner) replace(target *managedReplica, drainFor model.Microseconds) {
 	if !target.Running {
 		return
@@ -163,8 +164,8 @@
 	r.loop.After(drainFor, func() { r.restartCold(target) })
 }
 
-// drain has a replica reject new work and finish what it has. The registry lists it as draining after its AddDelay;
-// until then it is sent new work.
+// drain makes a replica reject new work and finish the work that it has accepted. The registry lists the replica as
+// draining after its AddDelay. Until then, proxies still send new work to it.
 func (r *runner) drain(target *managedReplica) {
 	target.Draining = true
 	r.register(target, r.script.Registry.AddDelay)
@@ -183,7 +184,7 @@
 	r.disturbReplicas(step, r.drain, r.undrain)
 }
 
-// drainAllButLast spares the last replica, which is of the last zone.
+// drainAllButLast drains all replicas but the last one, which is in the last zone.
 func (r *runner) drainAllButLast(step Step) {
 	spared := r.replicas[len(r.replicas)-1]
 	for _, target := range r.replicas {
@@ -208,7 +209,7 @@
 	}
 }
 
-// replicasIn counts the replicas of a zone, also those that are down.
+// replicasIn counts the replicas of a zone, including those that are down.
 func (r *runner) replicasIn(zone int) int {
 	count := 0
 	for _, candidate := range r.replicas {
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -8,24 +8,24 @@
 	"peppervale/internal/invariants"
 )
 
-// Report is the result of a scenario. Service is the billed value that was served within the latency objective, as a
-// share of the billed value of all requests.
+// Report is the result of a scenario. Service is the billed value of the requests that were served within the latency
+// objective, as a share of the billed value of all requests.
 type Report struct {
-	Scenario          string              `json:"day"`
-	Seconds           float64             `json:"seconds"`
-	Proxies           int                 `json:"forwarders"`
-	Replicas          int                 `json:"replicas"`
-	Instances         int                 `json:"governors"`
-	Service           float64             `json:"service"`
-	WorstService      float64             `json:"service_worst_10s"`
-	Operations        []OperationReport   `json:"operations"`
-	Attempts          AttemptReport       `json:"tries"`
-	Channel           ChannelReport       `json:"channel"`
-	Invariants        []invariants.Result `json:"rules"`
-	CollapsedReplicas int                 `json:"replicas_tipped"` // replicas that overload brought down
+	Scenario           string              `json:"day"`
+	Seconds            float64             `json:"seconds"`
+	Proxies            int                 `json:"forwarders"`
+	Replicas           int                 `json:"replicas"`
+	Instances          int                 `json:"governors"`
+	Service            float64             `json:"service"`
+	WorstService       float64             `json:"service_worst_10s"`
+	Operations         []OperationReport   `json:"operations"`
+	Attempts           AttemptReport       `json:"tries"`
+	Channel            ChannelReport       `json:"channel"`
+	Invariants         []invariants.Result `json:"rules"`
+	OverloadedReplicas int                 `json:"replicas_tipped"` // replicas that failed from overload
 }
 
-// OperationReport counts the requests of one operation. Latencies are milliseconds, of requests that succeeded.
+// OperationReport counts the requests of one operation. Latencies are in milliseconds, of successful requests only.
 type OperationReport struct {
 	Name        string  `json:"name"`
 	Requests    int     `json:"asked"`
@@ -38,7 +38,7 @@
 	P99         float64 `json:"p99_ms"`
 }
 
-// AttemptReport counts the proxies' attempts by how they ended.
+// AttemptReport counts the proxies' attempts by outcome.
 type AttemptReport struct {
 	Sent          int `json:"sent"`
 	Retries       int `json:"again"`
@@ -49,7 +49,7 @@
 	CrossZone     int `json:"cross_zone"`
 }
 
-// ChannelReport is what the proxies observed of the publish-subscribe channel, and the instances' CPU time in seconds.
+// ChannelReport holds the proxies' statistics of the publish-subscribe channel and the instances' CPU time in seconds.
 type ChannelReport struct {
 	Messages    int     `json:"messages"`
 	Entries     int     `json:"lines"`
@@ -60,7 +60,7 @@
 	InstanceCPU float64 `json:"governor_cpu_s"`
 }
 
-// Violated tells whether an invariant was violated.
+// Violated reports whether an invariant was violated.
 func (r *Report) Violated() bool {
 	for _, verdict := range r.Invariants {
 		if len(verdict.Violations) > 0 {
@@ -70,7 +70,7 @@
 	return false
 }
 
-// Print writes the report as text. Errors of the writer are ignored.
+// Print writes the report as text. It ignores errors of the writer.
 func (r *Report) Print(out io.Writer) {
 	var text strings.Builder
 	r.writeSummary(&text)
@@ -105,7 +105,7 @@
 	fmt.Fprintf(text, "\ntries %d: %d followed another, %d refused, %d not connected, %d errored, %d timed out, "+
 		"%d across zones; %d replicas fell over\n",
 		attempts.Sent, attempts.Retries, attempts.Rejected, attempts.ConnectFailed, attempts.Errored,
-		attempts.TimedOut, attempts.CrossZone, r.CollapsedReplicas)
+		attempts.TimedOut, attempts.CrossZone, r.OverloadedReplicas)
 	channel := r.Channel
 	fmt.Fprintf(text, "channel: %d messages of %d lines and %d bytes, %d joins, %d snapshots asked for; "+
 		"%d forwarders bound at the end; governors used %.2f s of CPU\n\n",
@@ -118,7 +118,7 @@
 	if len(verdict.Violations) > 0 {
 		state = "BROKEN"
 	}
-	fmt.Fprintf(text, "%-6s %-28s nearest %.2f of the limit", state, verdict.Invariant, verdict.Nearest)
+	fmt.Fprintf(text, "%-6s %-28s nearest %.2f of the limit", state, verdict.Invariant, verdict.MaxRatio)
 	if verdict.Where != "" {
 		fmt.Fprintf(text, " (%s)", verdict.Where)
 	}
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -12,17 +12,17 @@
 
 func TestInvariantsHoldThroughFaults(t *testing.T) {
 	if testing.Short() {
-		t.Skip("scenarios take seconds of sockets each")
+		t.Skip("each scenario on sockets takes seconds")
 	}
 	for _, tt := range []struct {
 		name string
 		run  func(t *testing.T)
 	}{
-		{"a zone is lost with its proxies and instance and comes back cold", loseAZone},
+		{"a zone is lost with its proxies and instance and restarts cold", loseAZone},
 		{"the only instance is killed under load", killOnlyInstance},
 		{"all streams break at once, repeatedly", breakAllStreams},
-		{"a single warm replica is left, in another zone", drainAllButOne},
-		{"the registry fails in every way while replicas drain", failRegistry},
+		{"all replicas drain but a warm one in another zone", drainAllButOne},
+		{"the registry fails in several ways while replicas drain", failRegistry},
 		{"an instance restarts twenty times at random moments", restartTwentyTimes},
 		{"proxies stall or never acknowledge while replicas drain", stallProxies},
 	} {
@@ -43,7 +43,7 @@
 		Step{Kind: InstanceCrash, At: seconds(6), Duration: seconds(2), Fraction: 1},
 		Step{Kind: Drain, At: seconds(7), Duration: seconds(8), Fraction: 0.2})
 	if report.Channel.Joins < 80 {
-		t.Errorf("%d joins: not every proxy came back", report.Channel.Joins)
+		t.Errorf("%d joins, want at least 80: not every proxy joined again", report.Channel.Joins)
 	}
 }
 
@@ -54,7 +54,7 @@
 		Step{Kind: ProxyReconnect, At: seconds(8), Fraction: 1},
 		Step{Kind: Drain, At: seconds(8), Duration: seconds(5), Fraction: 0.2})
 	if report.Channel.Bound != 40 || report.Channel.Joins < 120 {
-		t.Errorf("%d of 40 proxies bound after %d joins", report.Channel.Bound, report.Channel.Joins)
+		t.Errorf("%d proxies bound after %d joins, want 40 after at least 120", report.Channel.Bound, report.Channel.Joins)
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	report := runSteps(t, 32, twoInstances, 60, steps...)
 	if report.Channel.Bound != 40 {
-		t.Errorf("%d of 40 proxies bound at the end", report.Channel.Bound)
+		t.Errorf("%d proxies bound at the end, want 40", report.Channel.Bound)
 	}
 }
 
@@ -98,30 +98,30 @@
 		Step{Kind: Drain, At: seconds(6), Duration: seconds(6), Fraction: 0.2})
 }
 
-// The other instances take the proxies of a killed one over and hand them back.
+// When an instance is killed, the other instances take over its proxies and return them after its restart.
 func TestProxiesMoveWhenAShardedInstanceIsKilledTwice(t *testing.T) {
 	report := runSharded(t, 15,
 		Step{Kind: InstanceCrash, At: seconds(4), Duration: seconds(2.5), Fraction: 0.34, Number: 2, Size: 5})
 	if report.Channel.Joins < 60 {
-		t.Errorf("%d joins of 40 proxies: none was taken over", report.Channel.Joins)
+		t.Errorf("%d joins of 40 proxies, want at least 60: too few proxies were taken over", report.Channel.Joins)
 	}
 }
 
-// An instance that was stopped for longer than a lease goes on with what it had in hand. Its leases have expired, and
-// no proxy obeys it.
+// An instance that is suspended for longer than its lease continues to publish when it resumes. Its leases have
+// expired, so no proxy may apply its messages.
 func TestAnInstanceStoppedLongerThanItsLeaseIsNotObeyed(t *testing.T) {
 	runSharded(t, 14, Step{Kind: InstanceStall, At: seconds(4), Duration: seconds(5), Fraction: 0.34})
 }
 
-// Proxies go on with the tables that they have until the cluster has started again.
+// Proxies keep using their current tables until the cluster has restarted.
 func TestServiceContinuesWhileAllShardedInstancesAreDown(t *testing.T) {
 	report := runSharded(t, 14, Step{Kind: InstanceCrash, At: seconds(4), Duration: seconds(4), Fraction: 1})
 	if report.Service < 0.9 {
-		t.Errorf("service %.3f", report.Service)
+		t.Errorf("service %.3f, want at least 0.9", report.Service)
 	}
 }
 
-// What a canceled scenario leaves behind is seen by the check for leaked goroutines.
+// The check for leaked goroutines in TestMain detects what a canceled scenario leaves running.
 func TestACanceledScenarioEndsAllItStarted(t *testing.T) {
 	script := openScript(t, zoneLossFile)
 	script.Steps = []Step{{Kind: ProxyReconnect, At: seconds(1), Fraction: 1}}
@@ -133,7 +133,7 @@
 		}
 	})
 	_, err := Run(ctx, script, Options{Program: instanceProgram(), Progress: progress})
-	if !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "cut off") {
+	if !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "stopped before its end") {
 		t.Fatal(err)
 	}
 }
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -19,16 +19,16 @@
 	"peppervale/internal/standin/replica"
 )
 
-// Options says how and where a scenario is run.
+// Options are the settings of a run that are not part of the scenario.
 type Options struct {
 	Program       []string  // the command that runs an instance; --config FILE is appended to it
-	Directory     string    // for configuration files and logs; "": a temporary one, removed at the end
-	KeepDirectory bool      // a temporary directory is not removed
-	Progress      io.Writer // a line for each event; nil: none are written
+	Directory     string    // for configuration files and logs; "": a temporary directory, removed at the end
+	KeepDirectory bool      // do not remove a temporary directory
+	Progress      io.Writer // receives a line for each event; nil: no lines are written
 }
 
-// Run runs a scenario until its end or until ctx is done. An error means that the scenario could not be run; violated
-// invariants are in the report.
+// Run runs a scenario until its end or until ctx is done. An error means that the scenario could not be run to its end.
+// Violated invariants are listed in the report and are no error.
 func Run(ctx context.Context, script *Script, options Options) (*Report, error) {
 	run := &runner{
 		script:  script,
@@ -43,7 +43,7 @@
 	return run.run(ctx)
 }
 
-// runner runs a scenario. The fields from started on belong to the goroutine of loop.
+// runner runs a scenario. The fields from started on may be accessed on the goroutine of loop only.
 type runner struct {
 	script          *Script
 	options         Options
@@ -55,7 +55,7 @@
 	engine          *netpoll.Engine
 	loop            *standin.Loop
 	instances       []*instance
-	faulty          *faultyController // nil: none
+	faulty          *faultyController // nil: the scenario runs real instances
 
 	started             model.Microseconds
 	observations        []invariants.Event
@@ -63,19 +63,19 @@
 	replicas            []*managedReplica
 	proxies             []*managedProxy
 	deduplicationGroups map[string]*replica.DeduplicationGroup
-	totalShare          float64 // of all operations' loads
+	totalShare          float64 // sum of the operations' shares of the load
 	lastRequest         uint64
 	heavyTail           heavyTail
 	statistics          *statistics
-	failures            []error // of steps
+	failures            []error // errors of steps
 }
 
-// observe records what a stand-in observed, for the check of the invariants.
+// observe records an observation of a stand-in for the check of the invariants.
 func (r *runner) observe(observation invariants.Event) {
 	r.observations = append(r.observations, observation)
 }
 
-// progress writes a line that says when something happened.
+// progress writes a line with the time since the start and a message.
 func (r *runner) progress(format string, args ...any) {
 	if r.options.Progress == nil {
 		return
@@ -84,7 +84,7 @@
 	_, _ = fmt.Fprintf(r.options.Progress, "%7.3f s  %s\n", elapsed, fmt.Sprintf(format, args...))
 }
 
-// open sets up the directory, the stand-ins and the configuration of the instances.
+// open creates the directory, the stand-ins and the configuration of the instances.
 func (r *runner) open() error {
 	if err := r.openDirectory(); err != nil {
 		return err
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// setUp starts the registry and the replicas, and prepares the proxies and the instances.
+// setUp starts the registry and the replicas, and creates the proxies and the instances without starting them.
 func (r *runner) setUp() error {
 	if err := r.addRegistry(); err != nil {
 		return err
@@ -126,7 +126,7 @@
 	if err := r.addReplicas(); err != nil {
 		return err
 	}
-	for _, work := range r.script.Load.Works {
+	for _, work := range r.script.Load.Operations {
 		r.totalShare += work.Share
 	}
 	r.addProxies()
@@ -138,7 +138,7 @@
 	return r.configureInstances()
 }
 
-// run starts the instances and the load, waits for the end and makes the report.
+// run starts the instances and the load, waits for the end of the scenario and returns the report.
 func (r *runner) run(ctx context.Context) (*Report, error) {
 	if err := r.startInstances(ctx); err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 	if err := r.wait(ctx, r.script.Length); err != nil {
 		return nil, err
 	}
-	// Requests that were sent before the end still complete, and the invariants hold for them too.
+	// Requests that were sent before the end still complete, and the invariants apply to them too.
 	if err := r.wait(ctx, r.longestTimeout()); err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 	return report, errors.Join(r.failures...)
 }
 
-// startInstances starts all instances and waits until each listens.
+// startInstances starts all instances and waits until each accepts connections.
 func (r *runner) startInstances(ctx context.Context) error {
 	for _, instance := range r.instances {
 		if err := instance.start(); err != nil {
@@ -173,7 +173,7 @@
 	}
 	for _, instance := range r.instances {
 		if err := awaitListener(ctx, instance.address); err != nil {
-			return fmt.Errorf("instance %s does not listen: %w\n%s", instance.name, err, instance.logTail())
+			return fmt.Errorf("instance %s does not accept connections: %w\n%s", instance.name, err, instance.logTail())
 		}
 	}
 	return nil
@@ -200,14 +200,14 @@
 	}
 }
 
-// instanceCount counts a faulty controller as one.
+// instanceCount returns the number of instances. A faulty controller counts as one.
 func (r *runner) instanceCount() int { return max(len(r.instances), 1) }
 
-// wait lets the scenario run on for a while.
+// wait waits for the given time of the scenario. It returns an error if ctx is done before.
 func (r *runner) wait(ctx context.Context, duration model.Microseconds) error {
 	select {
 	case <-ctx.Done():
-		return fmt.Errorf("day %s was cut off: %w", r.script.Name, ctx.Err())
+		return fmt.Errorf("scenario %s was stopped before its end: %w", r.script.Name, ctx.Err())
 	case <-time.After(duration.Duration()):
 		return nil
 	}
@@ -221,7 +221,7 @@
 	return longest
 }
 
-// close ends all that was started, however far that went.
+// close stops everything that was started, also after a start that failed.
 func (r *runner) close() {
 	for _, instance := range r.instances {
 		instance.signal(syscall.SIGCONT)
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -5,7 +5,7 @@
 	"peppervale/internal/model"
 )
 
-// Script is a scenario as its file describes it.
+// Script is a scenario as described by its file.
 type Script struct {
 	Name             string
 	About            string
@@ -13,8 +13,8 @@
 	Seed             uint64
 	Zones            []string
 	InstanceZones    []string  // the zone of each instance of the control plane
-	Sharding         *Sharding // nil: the instances share nothing
-	FaultyController string    // the kind of faulty controller that stands in for the instances, or noFaultyController
+	Sharding         *Sharding // nil: the instances form no cluster
+	FaultyController string    // the kind of faulty controller that replaces the instances, or noFaultyController
 	Operations       []config.Operation
 	Config           model.Config
 	Guarantees       config.Guarantees
@@ -23,64 +23,64 @@
 	Registry         Registry
 	Load             Load
 	Steps            []Step
-	instanceBlocks   []byte // the blocks that each instance's configuration file repeats unchanged
+	instanceBlocks   []byte // the blocks that are copied to each instance's configuration file unchanged
 }
 
-// Sharding says how the instances divide the zones among themselves.
+// Sharding configures how the instances share the zones among themselves.
 type Sharding struct {
 	ShardsPerZone       int
 	LeaseDuration       model.Microseconds
-	StabilizationPeriod model.Microseconds // how long membership must be steady before shards move
-	MoveInterval        model.Microseconds // at least so long between two moves
+	StabilizationPeriod model.Microseconds // how long membership must be unchanged before shards move
+	MoveInterval        model.Microseconds // least time between two moves
 }
 
 // Replicas describes the replicas of each zone.
 type Replicas struct {
 	PerZone                int
 	Cores                  int
-	QueueLimit             int // requests that may wait
-	MaxConnections         int // accepted at once
+	QueueLimit             int // most requests that may wait
+	MaxConnections         int // most connections at the same time
 	DeduplicationGroupSize int // replicas that share a store of idempotency keys
 	SpeedFrom              float64
 	SpeedTo                float64
-	InitialShare           float64 // of its capacity that a cold replica has
+	InitialShare           float64 // the share of its capacity that a cold replica starts with
 	WarmUpPeriod           model.Microseconds
 	ReportInterval         model.Microseconds
-	HandshakeWork          model.Microseconds // work of accepting a connection
+	HandshakeWork          model.Microseconds // work to accept a connection
 }
 
-// Proxies describes the proxies of each zone and the clients behind them.
+// Proxies describes the proxies of each zone and the clients that send requests to them.
 type Proxies struct {
 	PerZone        int
-	EjectAfter     int // consecutive failures after which a proxy avoids a replica by itself; 0: never
-	ClientAttempts int // of a request, the first included
+	EjectAfter     int // consecutive failures after which a proxy ejects a replica by itself; 0: never
+	ClientAttempts int // most attempts of a client at a request, including the first
 	Pick           string
 	RedialInterval model.Microseconds
 	EjectFor       model.Microseconds
-	StallPerEntry  model.Microseconds // a proxy stalls for this long for each entry that it receives
+	StallPerEntry  model.Microseconds // how long a proxy stalls for each entry that it receives
 	ClientBackoff  model.Microseconds
 	RateSpread     float64 // coefficient of variation of the proxies' request rates
 }
 
-// Registry says how late the endpoint registry learns of changes.
+// Registry holds the delays after which the endpoint registry shows changes.
 type Registry struct {
-	ExitDelay   model.Microseconds // of a process that ended
-	SilentDelay model.Microseconds // of a process that answers nothing
-	AddDelay    model.Microseconds // of a started or draining replica
+	ExitDelay   model.Microseconds // until a replica whose process has exited is removed
+	SilentDelay model.Microseconds // until a replica that does not answer is removed
+	AddDelay    model.Microseconds // until a started or draining replica is shown
 }
 
 // Load describes the requests that clients send.
 type Load struct {
-	Rate  float64 // requests a second, all proxies together
-	Works []Work
+	Rate       float64 // requests per second of all proxies together
+	Operations []OperationLoad
 }
 
-// Work is the load of one operation.
-type Work struct {
-	Operation int     // its index in Script.Operations
+// OperationLoad is the load of one operation.
+type OperationLoad struct {
+	Operation int     // index in Script.Operations
 	Share     float64 // of the requests, relative to the other shares
 	Mean      model.Microseconds
-	Spread    float64 // coefficient of variation
+	Spread    float64 // coefficient of variation of the work
 }
 
 // Step is one fault or change at a set time.
@@ -89,14 +89,14 @@
 	At       model.Microseconds
 	Duration model.Microseconds
 	Zone     string  // limits the step to one zone; "": all
-	Fraction float64 // of the candidates that the step affects
+	Fraction float64 // the fraction of the candidates that the step affects
 	Size     float64 // its meaning depends on the kind
 	Number   int     // its meaning depends on the kind
-	Silent   bool    // zone_loss: the replicas stay but answer nothing
-	Group    string  // narrows the step down; its meaning depends on the kind
+	Silent   bool    // zone_loss: the replicas keep running but do not answer
+	Group    string  // a variant of the kind or the name of an operation
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to microseconds.
 func seconds(count float64) model.Microseconds {
 	return model.Microseconds(count * float64(model.Second))
 }
--- a/internal/scenario/simulatorfaults.go
+++ b/internal/scenario/simulatorfaults.go
@@ -9,12 +9,12 @@
 	maxStepSize     = 1000
 	maxStepNumber   = 1000
 	microsPerSecond = 1e6
-	silentThreshold = 0.5 // a lost zone's Extra above it: replicas stay but answer nothing
+	silentThreshold = 0.5 // with a higher Extra, the replicas of a lost zone keep running but do not answer
 	processPrefix   = "balancer_"
 )
 
-// simulatorSteps gives the step for a kind of fault. Kinds that are neither listed here nor begin with
-// processPrefix cannot be run on sockets.
+// simulatorSteps maps a kind of fault to the kind of step. Kinds that are neither listed here nor begin with
+// processPrefix have no counterpart on sockets.
 var simulatorSteps = map[string]StepKind{
 	"vanish":         ReplicaVanish,
 	"slow":           ReplicaSlow,
@@ -36,10 +36,10 @@
 	"flapping":       ReplicaFlapping,
 }
 
-// convertedStep is a step as it is written to the scenario file.
+// convertedStep holds the values of a step that is written to the scenario file.
 type convertedStep struct {
 	kind       StepKind
-	candidates int // that the fault could have affected
+	candidates int // number of objects that the fault can affect
 	size       float64
 	number     int
 	zone       string // "": none
@@ -47,11 +47,11 @@
 	group      string // "": none
 }
 
-// writeStep converts a fault and writes its step, or notes that it cannot be converted.
+// writeStep converts a fault and writes its step. It adds a note if the fault cannot be converted.
 func (c *simulatorConverter) writeStep(fault simulatorFault) {
 	step, ok := c.convertFault(fault)
 	if !ok {
-		c.notes = append(c.notes, fmt.Sprintf("%s is left out: sockets do not play it", fault.Kind))
+		c.notes = append(c.notes, fmt.Sprintf("%s is left out: the stand-ins cannot reproduce it", fault.Kind))
 		return
 	}
 	c.open(fmt.Sprintf("step %q", string(step.kind)))
@@ -70,7 +70,7 @@
 	c.closeBlock()
 }
 
-// fraction is how much of the candidates the fault affects.
+// fraction returns the fraction of the candidates that the fault affects.
 func (f simulatorFault) fraction(candidates int) float64 {
 	if len(f.On) == 0 || candidates == 0 {
 		return 1
@@ -92,7 +92,8 @@
 	return step, true
 }
 
-// convertProcessFault converts a fault of proxies or controllers, which the simulator numbers after the proxies.
+// convertProcessFault converts a fault of proxies or controllers. The simulator numbers the controllers after the
+// proxies.
 func (c *simulatorConverter) convertProcessFault(fault simulatorFault) convertedStep {
 	step := convertedStep{size: fault.Length / microsPerSecond, number: 1}
 	action := strings.TrimPrefix(fault.Kind, processPrefix)
@@ -111,7 +112,7 @@
 	return step
 }
 
-// convertParameters sets what the kind of a step takes from its fault.
+// convertParameters sets the parameters of a step that depend on its kind.
 func (c *simulatorConverter) convertParameters(step *convertedStep, fault simulatorFault) {
 	switch step.kind {
 	case LoadReportsLate:
@@ -131,7 +132,7 @@
 	}
 }
 
-// lateSeconds converts microseconds; a size too small for that is of seconds already.
+// lateSeconds converts a size in microseconds to seconds. A size that is too small for that is already in seconds.
 func lateSeconds(size float64) float64 {
 	const minSeconds = 0.01
 	if converted := size / microsPerSecond; converted >= minSeconds {
@@ -140,7 +141,7 @@
 	return size
 }
 
-// drainSeconds converts microseconds; an extra too small for that is of seconds already.
+// drainSeconds converts an extra in microseconds to seconds. An extra that is too small for that is already in seconds.
 func drainSeconds(extra float64) float64 {
 	const maxSeconds = 1000
 	if extra > maxSeconds {
@@ -149,5 +150,5 @@
 	return extra
 }
 
-// clampIndex gives the nearest index of a list of so many elements.
+// clampIndex returns the nearest valid index of a list of the given length.
 func clampIndex(index, length int) int { return min(max(index, 0), length-1) }
--- a/internal/scenario/simulatorformat.go
+++ b/internal/scenario/simulatorformat.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// SimulatorScenarioError says why a scenario of the operators' simulator cannot be converted.
+// SimulatorScenarioError is the reason why a scenario of the operators' simulator cannot be converted.
 type SimulatorScenarioError struct {
 	Problem string
 	Cause   error // nil: none
@@ -20,14 +20,15 @@
 
 func (e *SimulatorScenarioError) Unwrap() error { return e.Cause }
 
-// simulatorScenario is what is read of a scenario that the operators' simulator has drawn. Times are microseconds.
+// simulatorScenario holds the fields that are read from a scenario of the operators' simulator. Times are in
+// microseconds.
 type simulatorScenario struct {
 	Site    string   `json:"site"`
 	Kind    string   `json:"kind"`
 	Length  float64  `json:"length"`
 	Zones   []string `json:"zones"`
 	Traffic struct {
-		Load float64 `json:"load"` // of the replicas' capacity
+		Load float64 `json:"load"` // as a share of the replicas' capacity
 	} `json:"traffic"`
 	Clients struct {
 		Retries int `json:"retries"`
@@ -84,7 +85,7 @@
 
 type simulatorReplica struct {
 	Zone  int     `json:"zone"`
-	Kind  int     `json:"kind"` // index of its kind
+	Kind  int     `json:"kind"` // index of its kind in the tier's Kinds
 	Speed float64 `json:"speed"`
 	Up    bool    `json:"up"`
 }
@@ -100,10 +101,10 @@
 	Size   float64 `json:"size"`
 	Extra  float64 `json:"extra"` // its meaning depends on the kind
 	On     []int   `json:"on"`    // indices of its targets; empty: all
-	Which  int     `json:"which"` // index of a zone or an operation, by kind
+	Which  int     `json:"which"` // index of a zone or an operation, depending on the kind
 }
 
-// simulatorControl holds the settings of controllers, the channel and the proxies.
+// simulatorControl holds the settings of the controllers, the channel and the proxies.
 type simulatorControl struct {
 	ControllerZones []int   `json:"controllers"`
 	Backlog         float64 `json:"backlog"`
@@ -124,14 +125,14 @@
 	Admission       string  `json:"admit"`
 }
 
-// parseSimulatorScenario reads a simulator's scenario and checks what the conversion relies on.
+// parseSimulatorScenario reads a simulator's scenario and checks the fields that the conversion needs.
 func parseSimulatorScenario(text []byte) (*simulatorScenario, error) {
 	var scenario simulatorScenario
 	if err := json.Unmarshal(text, &scenario); err != nil {
 		return nil, &SimulatorScenarioError{Cause: err}
 	}
 	if !scenario.hasAllParts() {
-		problem := "one tier with kinds, servers, balancers, zones and classes are wanted"
+		problem := "expected exactly one tier with kinds, and at least one server, balancer, zone and class"
 		return nil, &SimulatorScenarioError{Problem: problem}
 	}
 	if scenario.Length <= 0 || scenario.Control.ReportPeriod <= 0 || scenario.Control.Rate <= 0 {
@@ -148,5 +149,5 @@
 	return len(s.Replicas) > 0 && len(s.Proxies) > 0 && len(s.Zones) > 0 && len(s.Operations) > 0
 }
 
-// tier gives the only tier.
+// tier returns the only tier.
 func (s *simulatorScenario) tier() simulatorTier { return s.Tiers[0] }
--- a/internal/scenario/simulatorimport.go
+++ b/internal/scenario/simulatorimport.go
@@ -16,16 +16,17 @@
 	noAdmission        = "none"
 )
 
-// The simulator's words and those of scenario files.
+// The values of the simulator's settings and the corresponding values in scenario files.
 var (
 	effectNames = map[string]string{"safe": "idempotent", "keyed": "fingerprinted", "unsafe": "side-effecting"}
 	pickNames   = map[string]string{"two": "pair", "weighted": "lottery", "round": "wheel"}
 	retryNames  = []string{"never", "when-unrun", "any-failure", "two-more"}
 )
 
-// ImportSimulatorScenario converts a scenario of the operators' simulator into a scenario file with at most so many
-// proxies: fleet, load and queue shrink alike. notes says what could not be carried over. Deduplication
-// groups, random draws and exact times are not the simulator's. Errors are of type *SimulatorScenarioError.
+// ImportSimulatorScenario converts a scenario of the operators' simulator into a scenario file with at most maxProxies
+// proxies. Fleet, load, channel rate and queue are scaled by the same factor. notes lists what could not be converted.
+// Deduplication groups, random draws and exact times differ from the simulator's. Errors are of type
+// *SimulatorScenarioError.
 func ImportSimulatorScenario(text []byte, maxProxies int) (script []byte, notes []string, err error) {
 	source, err := parseSimulatorScenario(text)
 	if err != nil {
@@ -42,18 +43,18 @@
 
 // scaledFleet is the size of the converted fleet.
 type scaledFleet struct {
-	scale           float64 // of the simulator's size
-	sourceReplicas  int     // that run at the start, before scaling
+	scale           float64 // factor from the simulator's fleet to the converted fleet
+	sourceReplicas  int     // replicas of the simulator that run at the start
 	zones           float64
 	proxiesPerZone  int
 	replicasPerZone int
 	cores           int // of each replica
 	slowest         float64
 	fastest         float64
-	rate            float64 // requests a second
+	rate            float64 // requests per second
 }
 
-// runningReplicas adds up the replicas that run at the start.
+// runningReplicas summarizes the replicas that run at the start.
 type runningReplicas struct {
 	count   int
 	speed   float64 // total
@@ -78,8 +79,8 @@
 	return running
 }
 
-// scaledFleet shrinks the fleet to fewer replicas, each with the mean cores and speed, so that the load's share of the
-// capacity stays.
+// scaledFleet scales the fleet down to fewer replicas. Each replica has the mean number of cores, and the request rate
+// is set so that the load stays the same share of the capacity.
 func (s *simulatorScenario) scaledFleet(maxProxies int) (scaledFleet, error) {
 	running := s.runningReplicas()
 	if running.count == 0 {
@@ -102,7 +103,7 @@
 	return fleet, nil
 }
 
-// meanWork is the mean work of a request, in microseconds.
+// meanWork returns the mean work of a request in microseconds.
 func (s *simulatorScenario) meanWork() float64 {
 	shares, work := 0.0, 0.0
 	for _, operation := range s.Operations {
@@ -134,7 +135,7 @@
 		c.writeStep(fault)
 	}
 	if c.fleet.scale < 1 {
-		note := fmt.Sprintf("the fleet is played at %.2f of its size, channel pace and queue with it", c.fleet.scale)
+		note := fmt.Sprintf("the fleet is scaled to %.2f of its size, channel pace and queue likewise", c.fleet.scale)
 		c.notes = append(c.notes, note)
 	}
 }
@@ -172,7 +173,7 @@
 	c.printf("zones = [%s]", quotedList(source.Zones))
 }
 
-// controllerZones gives the zone of each controller; without a valid one there is one in the first zone.
+// controllerZones returns the zone of each controller, or only the first zone if no controller has a valid zone.
 func (s *simulatorScenario) controllerZones() []string {
 	var zones []string
 	for _, zone := range s.Control.ControllerZones {
@@ -298,7 +299,7 @@
 	c.closeBlock()
 }
 
-// faultNames gives the kinds of all faults, for the description.
+// faultNames returns the kinds of all faults, for the description of the scenario.
 func (s *simulatorScenario) faultNames() string {
 	var names []string
 	for _, fault := range s.Faults {
@@ -307,10 +308,10 @@
 	return strings.Join(names, ", ")
 }
 
-// atLeastOne rounds to a whole number, 1 at least.
+// atLeastOne rounds to an integer of at least 1.
 func atLeastOne(value float64) int { return max(1, int(value+0.5)) }
 
-// quotedDuration gives a duration as scenario files spell it, in whole milliseconds.
+// quotedDuration formats a duration for scenario files, in whole milliseconds.
 func quotedDuration(microseconds float64) string {
 	return fmt.Sprintf("%q", fmt.Sprintf("%dms", int(microseconds/1000+0.5)))
 }
--- a/internal/scenario/simulatorimport_test.go
+++ b/internal/scenario/simulatorimport_test.go
@@ -9,8 +9,8 @@
 	"peppervale/internal/model"
 )
 
-// simulatorText gives a small scenario of the simulator with 40 replicas, 80 proxies and these faults. Two controllers
-// have the numbers 80 and 81.
+// simulatorText returns a small scenario of the simulator with 40 replicas, 80 proxies and the given faults. Its two
+// controllers have the numbers 80 and 81.
 func simulatorText(faults string) []byte {
 	return fmt.Appendf(nil, `{"site":"small","kind":"big","length":50000000,"zones":["a","b"],
 	"traffic":{"load":0.5},"clients":{"retries":1},
@@ -31,12 +31,12 @@
 		repeated(`{"zone":0,"kind":0,"speed":1,"up":true}`, 40), repeated(`{"zone":0}`, 80), faults)
 }
 
-// repeated gives a JSON list's elements.
+// repeated returns the element count times, separated by commas, as the content of a JSON list.
 func repeated(element string, count int) string {
 	return strings.TrimSuffix(strings.Repeat(element+",", count), ",")
 }
 
-// importScenario converts a simulator's scenario to half its size and parses the result.
+// importScenario converts a simulator's scenario to half its size and parses the converted scenario.
 func importScenario(t *testing.T, faults string) (script *Script, notes []string) {
 	t.Helper()
 	text, notes, err := ImportSimulatorScenario(simulatorText(faults), 40)
@@ -60,7 +60,7 @@
 		{"replicas of a zone", script.Replicas.PerZone, 10},
 		{"queue", script.Config.QueueLimit, 4000},
 		{"instances", len(script.InstanceZones), 2},
-		{"cold period", int(script.Guarantees.WarmUpPeriod), int(17 * model.Second)},
+		{"warm-up period", int(script.Guarantees.WarmUpPeriod), int(17 * model.Second)},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if tt.got != tt.want {
@@ -69,14 +69,14 @@
 		})
 	}
 	if script.Load.Rate < 199 || script.Load.Rate > 201 {
-		t.Errorf("rate %f, want about 200", script.Load.Rate)
+		t.Errorf("rate %f, want 199 to 201", script.Load.Rate)
 	}
 	if len(notes) != 1 || !strings.Contains(notes[0], "0.50 of its size") {
 		t.Error(notes)
 	}
 }
 
-// importedFaults are faults of the simulator and the steps that they become, without At and Duration.
+// importedFaults lists faults of the simulator and the steps that they are converted to, without At and Duration.
 var importedFaults = []struct {
 	name, fault string
 	want        Step
@@ -122,11 +122,11 @@
 		Step{Kind: OperationFails, Fraction: 1, Size: 1, Number: 1, Group: "log"},
 	},
 	{
-		"connections", `"kind":"conn_squeeze","size":7`,
+		"fewer connections", `"kind":"conn_squeeze","size":7`,
 		Step{Kind: FewerConnections, Fraction: 1, Size: 7, Number: 7},
 	},
 	{
-		"grow", `"kind":"grow","on":[1,2,3,4,5,6,7,8]`,
+		"added replicas", `"kind":"grow","on":[1,2,3,4,5,6,7,8]`,
 		Step{Kind: Grow, Fraction: 0.2, Number: 2},
 	},
 }
@@ -164,8 +164,8 @@
 func TestInvalidSimulatorScenarios(t *testing.T) {
 	noReplicaRuns := strings.ReplaceAll(string(simulatorText("")), `"up":true`, `"up":false`)
 	for _, tt := range []struct{ name, text string }{
-		{"no text", ""},
-		{"no content", "{}"},
+		{"empty text", ""},
+		{"empty object", "{}"},
 		{"no fleet", `{"length":1,"zones":["a"]}`},
 		{"no length", strings.Replace(string(simulatorText("")), `"length":50000000`, `"length":0`, 1)},
 		{"no running replica", noReplicaRuns},
@@ -174,7 +174,7 @@
 			_, _, err := ImportSimulatorScenario([]byte(tt.text), 40)
 			var invalid *SimulatorScenarioError
 			if !errors.As(err, &invalid) {
-				t.Errorf("got %v, want a SimulatorScenarioError", err)
+				t.Errorf("error %v, want a SimulatorScenarioError", err)
 			}
 		})
 	}
--- a/internal/scenario/standins.go
+++ b/internal/scenario/standins.go
@@ -14,21 +14,21 @@
 const (
 	proxyConnectTimeout  = 250 * model.Millisecond
 	proxyIdleTimeout     = 15 * model.Second
-	standingZoneReplicas = 3 // with fewer in its zone, a proxy's standing table is drawn from all replicas
+	standingZoneReplicas = 3 // with fewer replicas in its zone, a proxy's standing table is drawn from all replicas
 )
 
-// managedReplica is a stand-in replica with its place in the registry.
+// managedReplica is a stand-in replica with its entry in the registry.
 type managedReplica struct {
 	*replica.Replica
 	entry registry.Entry
-	fault int // counts the faults that affected it; a fault ends only if no later one began
+	fault int // number of faults that have affected the replica; the end of a fault is skipped if a later one began
 }
 
-// managedProxy is a stand-in proxy with the clients behind it.
+// managedProxy is a stand-in proxy and the request rate of its clients.
 type managedProxy struct {
 	*proxy.Proxy
 	zone int
-	rate float64 // requests a second
+	rate float64 // requests per second
 }
 
 func (r *runner) addRegistry() error {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// addReplica starts a replica. A cold one is registered a little later, a warm one at once.
+// addReplica starts a replica. A warm replica is registered immediately, a cold one after the registry's AddDelay.
 func (r *runner) addReplica(zone, index int, cold bool) error {
 	settings := r.replicaSettings(zone, index)
 	if r.deduplicationGroups[settings.DeduplicationGroup] == nil {
@@ -71,7 +71,7 @@
 	if err := added.Start(cold); err != nil {
 		return err
 	}
-	added.entry.StartedAt = added.Started
+	added.entry.StartedAt = added.StartedAt
 	if cold {
 		r.register(added, r.script.Registry.AddDelay)
 	} else {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// replicaSettings draws the speed of the replica.
+// replicaSettings returns the settings of a replica, with a randomly drawn speed.
 func (r *runner) replicaSettings(zone, index int) replica.Config {
 	common := r.script.Replicas
 	return replica.Config{
@@ -100,19 +100,20 @@
 	}
 }
 
-// register enters a replica, in its state at that time, after a delay unless the process ended or restarted meanwhile.
+// register adds a replica to the registry after a delay, with its state at that time. It does nothing if the process
+// has ended or restarted by then.
 func (r *runner) register(target *managedReplica, delay model.Microseconds) {
-	incarnation := target.Started
+	incarnation := target.StartedAt
 	r.loop.After(delay, func() {
-		if target.Running && target.Started == incarnation {
-			target.entry.StartedAt = target.Started
+		if target.Running && target.StartedAt == incarnation {
+			target.entry.StartedAt = target.StartedAt
 			target.entry.Draining = target.Draining
 			r.endpoints.Set(target.entry)
 		}
 	})
 }
 
-// deregister removes a replica after a delay unless it answers by then.
+// deregister removes a replica from the registry after a delay unless the replica answers requests again by then.
 func (r *runner) deregister(target *managedReplica, delay model.Microseconds) {
 	r.loop.After(delay, func() {
 		if !target.Running || target.Silent {
@@ -121,7 +122,7 @@
 	})
 }
 
-// addProxies draws the proxies' request rates and prepares the proxies; they are not started yet.
+// addProxies draws the proxies' request rates and creates the proxies without starting them.
 func (r *runner) addProxies() {
 	zones := len(r.script.Zones)
 	weights := make([]float64, r.script.Proxies.PerZone*zones)
@@ -174,8 +175,8 @@
 	}
 }
 
-// instanceAddresses gives a proxy's instances, those of its own zone first. The order of the rest begins elsewhere for
-// each proxy.
+// instanceAddresses returns the instances that a proxy connects to, instances of its own zone first. The order is
+// rotated by the proxy's index.
 func (r *runner) instanceAddresses(target *managedProxy, proxyIndex int) []proxy.Instance {
 	if r.faulty != nil {
 		return []proxy.Instance{{Name: faultyControllerName, Address: r.faulty.server.Addr()}}
@@ -194,12 +195,12 @@
 	return append(local, remote...)
 }
 
-// standingTable draws a proxy's first table: of its own zone if enough replicas are there.
+// standingTable draws a proxy's standing table, from the replicas of its zone if there are enough.
 func (r *runner) standingTable(target *managedProxy) []invariants.TableEntry {
 	candidates := r.standingCandidates(r.script.Zones[target.zone])
 	var entries []invariants.TableEntry
 	for len(entries) < r.script.Config.StandingTableSize && len(candidates) > 0 {
-		k := r.random.Below(len(candidates))
+		k := r.random.IntN(len(candidates))
 		entries = append(entries, invariants.TableEntry{Replica: candidates[k].ID, Weight: 1})
 		candidates = slices.Delete(candidates, k, k+1)
 	}
--- a/internal/scenario/statistics.go
+++ b/internal/scenario/statistics.go
@@ -12,10 +12,10 @@
 
 const (
 	latencyDigits      = 3  // significant digits of the latency histograms
-	worstWindowSeconds = 10 // of the service level's worst window
+	worstWindowSeconds = 10 // length of the windows that the worst service level is taken from
 )
 
-// statistics counts requests by operation, and their billed value by the second in which they were sent.
+// statistics counts requests by operation and sums their billed value by the second in which they were sent.
 type statistics struct {
 	settings   []config.Operation
 	operations []operationStatistics
@@ -25,13 +25,13 @@
 type operationStatistics struct {
 	requests    int
 	inTime      int // within the latency objective
-	late        int // succeeded after it
+	late        int // succeeded after the latency objective
 	rateLimited int
 	failed      int
-	latency     *hdrhistogram.Histogram // microseconds, of those that succeeded
+	latency     *hdrhistogram.Histogram // of successful requests, in microseconds
 }
 
-// billedValue is the value of requests, and of those that were answered in time.
+// billedValue is the billed value of all requests, and of the requests that were served in time.
 type billedValue struct {
 	requested float64
 	served    float64
@@ -49,8 +49,8 @@
 	return created
 }
 
-// count records the end of a request that was sent at a time of the scenario. latency is from the client's first
-// attempt on.
+// count records the result of a request. sentAt is the time since the start of the scenario. latency is the time since
+// the client's first attempt.
 func (s *statistics) count(operation int, result proxy.Result, latency, sentAt model.Microseconds) {
 	counts := &s.operations[operation]
 	settings := s.settings[operation]
@@ -73,7 +73,8 @@
 	}
 }
 
-// serviceLevel gives the share of the billed value that was served in time: overall, and in the worst ten seconds.
+// serviceLevel returns the share of the billed value that was served in time, overall and in the worst window of ten
+// seconds.
 func (s *statistics) serviceLevel() (overall, worst float64) {
 	var total billedValue
 	for _, second := range s.seconds {
@@ -97,7 +98,7 @@
 	v.served += other.served
 }
 
-// report gives the statistics of each operation.
+// report returns the statistics of each operation.
 func (s *statistics) report() []OperationReport {
 	var reports []OperationReport
 	for i, counts := range s.operations {
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -8,98 +8,98 @@
 	"peppervale/internal/standin/registry"
 )
 
-// StepKind names what a step does, as scenario files spell it.
+// StepKind is the kind of a step, as written in scenario files.
 type StepKind string
 
 // Steps that affect instances of the control plane, or a whole zone.
 const (
-	// ZoneLoss: the zone's replicas, proxies and instances end and come back cold. Silent: its replicas stay but answer
-	// nothing.
+	// ZoneLoss stops the zone's replicas, proxies and instances, and restarts them cold at the end. With Silent, the
+	// replicas keep running but do not answer.
 	ZoneLoss StepKind = "zone_loss"
-	// InstanceCrash: a fraction of the instances is killed and restarted, Number times, about Size seconds apart.
+	// InstanceCrash kills and restarts a fraction of the instances, Number times, about Size seconds apart.
 	InstanceCrash StepKind = "governor_crash"
-	// InstanceRoll: a fraction of the instances restarts one after the other, by graceful shutdown.
+	// InstanceRoll gracefully restarts a fraction of the instances one after the other.
 	InstanceRoll StepKind = "governor_roll"
-	// InstanceStall: a fraction of the instances is stopped and continued.
+	// InstanceStall suspends a fraction of the instances (SIGSTOP) and resumes them at the end.
 	InstanceStall StepKind = "governor_stall"
 )
 
 // Steps that affect proxies or the requests of their clients.
 const (
-	// ProxyCrash: a fraction of the proxies ends and starts again.
+	// ProxyCrash stops a fraction of the proxies and restarts them at the end.
 	ProxyCrash StepKind = "forwarder_crash"
-	// ProxyStall: a fraction of the proxies stalls for Size seconds, Number times.
+	// ProxyStall stalls a fraction of the proxies for Size seconds, Number times.
 	ProxyStall StepKind = "forwarder_stall"
-	// ProxyReconnect: a fraction of the proxies loses its stream.
+	// ProxyReconnect breaks the stream of a fraction of the proxies.
 	ProxyReconnect StepKind = "reconnect"
-	// ProxyPartition: a fraction of the proxies cannot reach its first instance.
+	// ProxyPartition makes the first instance of each proxy unreachable for a fraction of the proxies.
 	ProxyPartition StepKind = "one_sided"
-	// LoadReportsLate: the proxies send their load reports Size seconds late.
+	// LoadReportsLate delays the load reports of all proxies by Size seconds.
 	LoadReportsLate StepKind = "sums_late"
-	// NeverAcknowledge: a fraction of the proxies acknowledges nothing.
+	// NeverAcknowledge makes a fraction of the proxies send no acknowledgments.
 	NeverAcknowledge StepKind = "never_ack"
-	// ProxyMisbehavior: a fraction of the proxies ignores withdrawals (Group "shuts") or retries any failure (Group
-	// "repeats").
+	// ProxyMisbehavior makes a fraction of the proxies ignore withdrawals (Group "shuts") or retry after any failure
+	// (Group "repeats").
 	ProxyMisbehavior StepKind = "disobey"
-	// HeavyTail: a fraction of the requests costs Size times the work.
+	// HeavyTail multiplies the work of a fraction of the requests by Size.
 	HeavyTail StepKind = "heavy_tail"
 )
 
 // Steps that affect the endpoint registry.
 const (
-	// RegistryFails: the registry answers 500.
+	// RegistryFails makes the registry answer with status 500.
 	RegistryFails StepKind = "list_down"
-	// RegistrySilent: the registry accepts requests and answers nothing.
+	// RegistrySilent makes the registry accept requests without answering them.
 	RegistrySilent StepKind = "list_silent"
-	// RegistryLate: the registry answers Size seconds late.
+	// RegistryLate delays the registry's answers by Size seconds.
 	RegistryLate StepKind = "list_late"
-	// RegistryTruncates: the registry ends its answers halfway.
+	// RegistryTruncates makes the registry end its answers halfway through the body.
 	RegistryTruncates StepKind = "list_half"
-	// RegistryIndexBack: the registry's index goes back.
+	// RegistryIndexBack makes the registry's index decrease.
 	RegistryIndexBack StepKind = "list_back"
 )
 
 // Steps that affect replicas.
 const (
-	// ReplicaVanish: a fraction of the replicas answers nothing, then comes back cold.
+	// ReplicaVanish makes a fraction of the replicas stop answering, and restarts them cold at the end.
 	ReplicaVanish StepKind = "vanish"
-	// ReplicaSlow: a fraction of the replicas takes Size times as long.
+	// ReplicaSlow multiplies the processing time of a fraction of the replicas by Size.
 	ReplicaSlow StepKind = "slow"
-	// NoisyNeighbor: a fraction of the replicas takes Size times as long, on and off each second, also after the step
-	// (see disturbReplicas).
+	// NoisyNeighbor multiplies the processing time of a fraction of the replicas by Size every other second, also after
+	// the step (see disturbReplicas).
 	NoisyNeighbor StepKind = "neighbour"
-	// AllReplicasSlow: all replicas take Size times as long.
+	// AllReplicasSlow multiplies the processing time of all replicas by Size.
 	AllReplicasSlow StepKind = "shared_slow"
-	// ReplicaAging: a fraction of the replicas becomes slower up to Size times, then restarts cold and, a moment later,
-	// is as slow again (see disturbReplicas).
+	// ReplicaAging slows a fraction of the replicas down gradually, to Size times the processing time, then restarts
+	// them cold. Shortly after the restart they are as slow again (see disturbReplicas).
 	ReplicaAging StepKind = "ageing"
-	// ReplicaFlapping: a fraction of the replicas answers nothing every other second, also after the step (see
+	// ReplicaFlapping makes a fraction of the replicas not answer every other second, also after the step (see
 	// disturbReplicas).
 	ReplicaFlapping StepKind = "flapping"
-	// Deploy: a fraction of the replicas is replaced, Number at a time: drained for Size seconds, then restarted cold.
+	// Deploy drains a fraction of the replicas for Size seconds and restarts them cold, Number at a time.
 	Deploy StepKind = "deploy"
-	// Drain: a fraction of the replicas drains (Group "but-one": all but the last one).
+	// Drain drains a fraction of the replicas, or all but the last one (Group "but-one").
 	Drain StepKind = "drain"
-	// Grow: each zone gets Number more replicas, cold.
+	// Grow adds Number cold replicas to each zone.
 	Grow StepKind = "grow"
-	// OperationFails: a fraction of the replicas fails the operation that Group names.
+	// OperationFails makes a fraction of the replicas fail all requests of the operation that Group names.
 	OperationFails StepKind = "class_fail"
-	// FewerConnections: all replicas accept only Number connections.
+	// FewerConnections limits all replicas to Number connections.
 	FewerConnections StepKind = "conn_squeeze"
-	// SlowHandshake: a new connection costs all replicas Size times the work.
+	// SlowHandshake multiplies the work to accept a connection by Size on all replicas.
 	SlowHandshake StepKind = "handshake_slow"
-	// FalseReports: a fraction of the replicas reports that it is idle.
+	// FalseReports makes a fraction of the replicas report that they are idle.
 	FalseReports StepKind = "false_reports"
 )
 
-// The values of Step.Group for kinds that have variants.
+// The values of Step.Group for the kinds that have variants.
 const (
-	groupAllButOne          = "but-one" // Drain: the last replica is spared
+	groupAllButOne          = "but-one" // Drain: all replicas but the last one
 	groupIgnoresWithdrawals = "shuts"   // ProxyMisbehavior
 	groupRetriesAnything    = "repeats" // ProxyMisbehavior
 )
 
-// stepActions carry out the kinds of steps.
+// stepActions maps each kind of step to the function that executes it.
 var stepActions = map[StepKind]func(r *runner, step Step){
 	ZoneLoss:          (*runner).loseZone,
 	InstanceCrash:     (*runner).crashInstances,
@@ -115,7 +115,7 @@
 	RegistryFails:     func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Fails: true}) },
 	RegistrySilent:    func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Silent: true}) },
 	RegistryLate:      func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Delay: seconds(step.Size)}) },
-	RegistryTruncates: func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{CutsBody: true}) },
+	RegistryTruncates: func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{TruncatesBody: true}) },
 	RegistryIndexBack: func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{IndexGoesBack: true}) },
 	ReplicaVanish:     func(r *runner, step Step) { r.disturbReplicas(step, r.silence, r.restartCold) },
 	ReplicaSlow:       func(r *runner, step Step) { r.disturbReplicas(step, slowdown(step.Size), slowdown(1)) },
@@ -133,7 +133,7 @@
 	FalseReports:      (*runner).falsifyReports,
 }
 
-// StepKinds gives the names of all kinds of steps, sorted.
+// StepKinds returns all kinds of steps, sorted.
 func StepKinds() []StepKind { return slices.Sorted(maps.Keys(stepActions)) }
 
 // misbehaviorOf returns the misbehavior that the Group of a ProxyMisbehavior step names.
--- a/internal/scenario/targets.go
+++ b/internal/scenario/targets.go
@@ -7,15 +7,15 @@
 		indices[i] = i
 	}
 	for i := count - 1; i > 0; i-- {
-		j := r.random.Below(i + 1)
+		j := r.random.IntN(i + 1)
 		indices[i], indices[j] = indices[j], indices[i]
 	}
 	wanted := max(1, int(fraction*float64(count)+0.5))
 	return indices[:min(count, wanted)]
 }
 
-// targetReplicas draws the replicas that a step affects from those that answer, in its zone if it names one. It marks
-// each as affected by a new fault.
+// targetReplicas draws the replicas that a step affects from the replicas that answer requests, in the step's zone if
+// it has one. It increments the fault count of each.
 func (r *runner) targetReplicas(step Step) []*managedReplica {
 	var candidates []*managedReplica
 	for _, candidate := range r.replicas {
@@ -49,7 +49,7 @@
 	return targets
 }
 
-// targetInstances draws the instances that a step affects. candidates is how many it could have affected.
+// targetInstances draws the instances that a step affects. It also returns the number of candidates.
 func (r *runner) targetInstances(step Step) (targets []*instance, candidates int) {
 	var eligible []*instance
 	for _, candidate := range r.instances {
@@ -66,5 +66,5 @@
 	return targets, len(eligible)
 }
 
-// includes tells whether a step may affect what is in a zone.
+// includes reports whether a step affects a zone.
 func (s Step) includes(zone string) bool { return s.Zone == "" || s.Zone == zone }
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -6,19 +6,19 @@
 	"peppervale/internal/standin/proxy"
 )
 
-// heavyTail makes a fraction of the requests cost so many times their work.
+// heavyTail multiplies the work of a fraction of the requests by factor.
 type heavyTail struct {
 	fraction float64
 	factor   float64
 }
 
-// clientRequest is a client's request: every attempt of the client is a request of its own to the proxy.
+// clientRequest is a client's request. Each attempt of the client is a separate request to the proxy.
 type clientRequest struct {
 	proxy   *managedProxy
 	started model.Microseconds // of the first attempt
 }
 
-// scheduleRequest schedules a proxy's next request. Arrivals do not wait for responses.
+// scheduleRequest schedules the next request to a proxy. The load is open-loop: arrivals do not wait for responses.
 func (r *runner) scheduleRequest(target *managedProxy) {
 	if target.rate <= 0 {
 		return
@@ -44,9 +44,9 @@
 	r.sendAttempt(clientRequest{proxy: target, started: r.now()}, attempt)
 }
 
-// drawOperation draws an operation by its share of the load.
-func (r *runner) drawOperation() Work {
-	works := r.script.Load.Works
+// drawOperation draws an operation with a probability that is its share of the load.
+func (r *runner) drawOperation() OperationLoad {
+	works := r.script.Load.Operations
 	point := r.random.Float() * r.totalShare
 	for _, work := range works {
 		if point < work.Share {
@@ -57,7 +57,7 @@
 	return works[len(works)-1]
 }
 
-// sendAttempt sends an attempt and, after a backoff, its retry as clients do.
+// sendAttempt sends an attempt and, if the client retries it, the next one after a backoff.
 func (r *runner) sendAttempt(request clientRequest, attempt proxy.Request) {
 	attempt.Done = func(result proxy.Result, _ model.Microseconds) {
 		latency := r.now() - request.started
@@ -71,10 +71,11 @@
 			r.sendAttempt(request, next)
 		})
 	}
-	request.proxy.Handle(&attempt)
+	request.proxy.HandleRequest(&attempt)
 }
 
-// clientRetries tells whether a client retries: idempotent work after any failure, the rest only after it was rejected.
+// clientRetries reports whether a client retries an attempt. Idempotent operations are retried after any failure,
+// other operations only after they were rate-limited.
 func (r *runner) clientRetries(attempt proxy.Request, result proxy.Result, latency model.Microseconds) bool {
 	operation := r.script.Operations[attempt.Operation]
 	attemptsLeft := attempt.ClientAttempt+1 < r.script.Proxies.ClientAttempts
--- a/internal/server/cluster_testbed_test.go
+++ b/internal/server/cluster_testbed_test.go
@@ -185,14 +185,14 @@
 		instances = append(instances, proxy.Instance{Name: member.name, Address: member.channel})
 	}
 	p := proxy.New(bed.loop, engine, proxy.Config{
-		Name:           fmt.Sprint("till-", k),
-		Zone:           clusterZones[home],
-		ZoneIndex:      home,
-		ExpectedRate:   2,
-		RedialInterval: 50 * model.Millisecond,
-		DialTimeout:    model.Second,
-		StreamsOnly:    true,
-		Instances:      instances,
+		Name:            fmt.Sprint("till-", k),
+		Zone:            clusterZones[home],
+		ZoneIndex:       home,
+		ExpectedRate:    2,
+		RedialInterval:  50 * model.Millisecond,
+		DialTimeout:     model.Second,
+		OmitLoadReports: true,
+		Instances:       instances,
 	}, uint64(k), func(seen invariants.Event) { bed.observations = append(bed.observations, seen) })
 	p.Start([]invariants.TableEntry{{Replica: replicaID(1), Weight: 1}})
 	bed.proxies = append(bed.proxies, p)
@@ -212,8 +212,8 @@
 		var instances []string
 		bed.loop.Do(func() {
 			for k, p := range bed.proxies {
-				instances = append(instances, p.Joined())
-				allWanted = allWanted && p.Bound() && isWanted(k, p.Joined())
+				instances = append(instances, p.JoinedInstance())
+				allWanted = allWanted && p.Bound() && isWanted(k, p.JoinedInstance())
 			}
 		})
 		if allWanted {
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -88,8 +88,8 @@
 		}
 		return false
 	}
-	bed.waitForProxies("withdrawn", func(p *proxy.Proxy) bool { return p.Joined() != "" && !sendsToDraining(p) })
-	bed.waitForProxies("disconnected", func(p *proxy.Proxy) bool { return p.Joined() == "" })
+	bed.waitForProxies("withdrawn", func(p *proxy.Proxy) bool { return p.JoinedInstance() != "" && !sendsToDraining(p) })
+	bed.waitForProxies("disconnected", func(p *proxy.Proxy) bool { return p.JoinedInstance() == "" })
 	bed.waitForProxies("on its table", func(p *proxy.Proxy) bool {
 		return len(p.HeldEntries()) > 0 && !sendsToDraining(p)
 	})
--- a/internal/server/testbed_test.go
+++ b/internal/server/testbed_test.go
@@ -136,13 +136,13 @@
 		}
 		for k := range proxyCount {
 			proxyConfig := proxy.Config{
-				Name:           fmt.Sprint("till-", k),
-				Zone:           "govan",
-				ExpectedRate:   2,
-				RedialInterval: 50 * model.Millisecond,
-				DialTimeout:    model.Second,
-				StreamsOnly:    true,
-				Instances:      []proxy.Instance{{Name: "g", Address: bed.listen}},
+				Name:            fmt.Sprint("till-", k),
+				Zone:            "govan",
+				ExpectedRate:    2,
+				RedialInterval:  50 * model.Millisecond,
+				DialTimeout:     model.Second,
+				OmitLoadReports: true,
+				Instances:       []proxy.Instance{{Name: "g", Address: bed.listen}},
 			}
 			p := proxy.New(bed.loop, engine, proxyConfig, uint64(k), ignoreObservation)
 			p.Start(nil)
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -2,7 +2,8 @@
 
 import "peppervale/internal/model"
 
-// event is an action at a time. Events of one time happen in the order of their sequence numbers.
+// event is an action that is scheduled for a time. Events with the same time run in the order of their sequence
+// numbers.
 type event struct {
 	at       model.Microseconds
 	sequence uint64
@@ -16,8 +17,8 @@
 	return e.sequence < other.sequence
 }
 
-// heapArity is the number of children of a node. Four of them halve the levels of a binary heap, and most of an
-// event's cost is its way up and down.
+// heapArity is the number of children of a node. With four children, the heap has half the levels of a binary heap.
+// Most of the cost of an event is moving it between levels.
 const heapArity = 4
 
 // eventQueue is a heap whose first element is the next event.
@@ -36,7 +37,7 @@
 	}
 }
 
-// pop removes the next event; the queue must not be empty.
+// pop removes and returns the next event. The queue must not be empty.
 func (q *eventQueue) pop() event {
 	events := *q
 	first, last := events[0], len(events)-1
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -3,12 +3,12 @@
 // Policy chooses the station for a job.
 type Policy func(stations []*Station) *Station
 
-// RandomChoice draws any station, each with the same probability.
+// RandomChoice chooses each station with the same probability.
 func RandomChoice(random RandomStream) Policy {
 	return func(stations []*Station) *Station { return stations[random.IntN(len(stations))] }
 }
 
-// TwoChoices draws two stations and takes the one with fewer jobs: the power of two choices with exact loads.
+// TwoChoices draws two stations and chooses the one with fewer jobs: the power of two choices with exact loads.
 func TwoChoices(random RandomStream) Policy {
 	return func(stations []*Station) *Station {
 		first := stations[random.IntN(len(stations))]
@@ -20,8 +20,8 @@
 	}
 }
 
-// LeastLoaded takes the station with the fewest jobs, the first of equals. No policy that does not know the jobs' work
-// does better.
+// LeastLoaded chooses the station with the fewest jobs, the first of equals. It is the best policy that does not know
+// the jobs' work.
 func LeastLoaded() Policy {
 	return func(stations []*Station) *Station {
 		least := stations[0]
--- a/internal/simulation/queueing_test.go
+++ b/internal/simulation/queueing_test.go
@@ -18,19 +18,19 @@
 	policy   func(RandomStream) Policy
 }
 
-// simulate runs a workload; the first tenth of the time is not measured.
+// simulate runs a workload. The first tenth of the time is not measured.
 func simulate(workload workload) *Source {
 	const meanWork = 10 * model.Millisecond
 	simulator := &Simulator{}
 	totalLoad := workload.load * float64(workload.stations*workload.cores)
 	source := &Source{
-		Simulator:    simulator,
-		Arrivals:     NewRandomStream(workload.seed, "arrivals"),
-		Work:         NewRandomStream(workload.seed, "work"),
-		MeanWork:     meanWork,
-		Interarrival: float64(meanWork) / totalLoad,
-		Policy:       workload.policy(NewRandomStream(workload.seed, "pick")),
-		MeasureFrom:  model.Microseconds(workload.seconds) * model.Second / 10,
+		Simulator:        simulator,
+		Arrivals:         NewRandomStream(workload.seed, "arrivals"),
+		Work:             NewRandomStream(workload.seed, "work"),
+		MeanWork:         meanWork,
+		MeanInterarrival: float64(meanWork) / totalLoad,
+		Policy:           workload.policy(NewRandomStream(workload.seed, "pick")),
+		MeasureFrom:      model.Microseconds(workload.seconds) * model.Second / 10,
 	}
 	for range workload.stations {
 		source.Stations = append(source.Stations, NewStation(simulator, workload.cores))
@@ -40,10 +40,13 @@
 	return source
 }
 
-// relativeTime is the mean time of a job over the mean work.
-func relativeTime(source *Source) float64 { return source.MeanTime() / float64(source.MeanWork) }
+// relativeTime returns the mean time that a job spends at its station, as a multiple of the mean work.
+func relativeTime(source *Source) float64 {
+	return source.MeanResponseTime() / float64(source.MeanWork)
+}
 
-// erlangWait is the mean wait of M/M/c over the mean work by Erlang's C formula; load is that of one core.
+// erlangWait returns the mean wait in an M/M/c queue by Erlang's C formula, as a multiple of the mean work. load is the
+// load of one core.
 func erlangWait(cores int, load float64) float64 {
 	offered := load * float64(cores)
 	sum, term := 0.0, 1.0
@@ -55,8 +58,8 @@
 	return waitProbability / (float64(cores) * (1 - load))
 }
 
-// twoChoicesTime is the mean time of a job over the mean work with the power of two choices among very many M/M/1
-// stations (Mitzenmacher; Vvedenskaya, Dobrushin and Karpelevich).
+// twoChoicesTime returns the mean time of a job, as a multiple of the mean work, for the power of two choices with the
+// number of M/M/1 stations tending to infinity (Mitzenmacher; Vvedenskaya, Dobrushin and Karpelevich).
 func twoChoicesTime(load float64) float64 {
 	sum := 0.0
 	for k := 1; k < 30; k++ {
@@ -65,7 +68,7 @@
 	return sum
 }
 
-// checkRelative requires a value within a relative tolerance.
+// checkRelative requires that a value equals the exact one within a relative tolerance.
 func checkRelative(t *testing.T, quantity string, got, want, tolerance float64) {
 	t.Helper()
 	t.Logf("%s: %.4f, exact %.4f", quantity, got, want)
@@ -98,10 +101,10 @@
 			})
 			station := source.Stations[0]
 			checkRelative(t, "time over work", relativeTime(source), 1+erlangWait(tt.cores, tt.load), tt.tolerance)
-			// Little's law: the jobs at a station are its rate times their time there, whatever the distributions.
-			jobs, busyCores := station.Means()
+			// Little's law: for any distributions, the mean number of jobs is the arrival rate times their mean time.
+			jobs, busyCores := station.MeanOccupancy()
 			rate := float64(station.Served()) / (float64(tt.seconds) * float64(model.Second))
-			checkRelative(t, "jobs by Little's law", jobs, rate*source.MeanTime(), littleTolerance)
+			checkRelative(t, "jobs by Little's law", jobs, rate*source.MeanResponseTime(), littleTolerance)
 			checkRelative(t, "utilization", busyCores/float64(tt.cores), tt.load, utilizationTolerance)
 		})
 	}
@@ -128,6 +131,6 @@
 	twoChoices := timeOf(TwoChoices)
 	leastLoaded := timeOf(func(RandomStream) Policy { return LeastLoaded() })
 	if random <= 1.5*twoChoices || twoChoices <= 1.1*leastLoaded || leastLoaded < 1 {
-		t.Errorf("random %.3f, two choices %.3f, least loaded %.3f", random, twoChoices, leastLoaded)
+		t.Errorf("mean times: random %.3f, two choices %.3f, least loaded %.3f", random, twoChoices, leastLoaded)
 	}
 }
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -2,28 +2,28 @@
 
 import "peppervale/internal/model"
 
-// Simulator keeps simulated time and the events that are scheduled. The zero Simulator is at time 0 without events. It
-// may be used from one goroutine only.
+// Simulator holds the simulated time and the scheduled events. The zero Simulator is at time 0 without events. It may
+// be used from one goroutine only.
 type Simulator struct {
 	now       model.Microseconds
-	scheduled uint64 // events so far
+	scheduled uint64 // number of events scheduled so far
 	queue     eventQueue
 	processed uint64
 }
 
-// Now is the simulated time in microseconds from the start.
+// Now returns the simulated time in microseconds since the start.
 func (s *Simulator) Now() model.Microseconds { return s.now }
 
-// Processed is the number of events that have happened.
+// Processed returns the number of events that have run.
 func (s *Simulator) Processed() uint64 { return s.processed }
 
-// Schedule has an action happen after a delay; a delay below 0 counts as 0.
+// Schedule schedules an action to run after a delay. A negative delay counts as 0.
 func (s *Simulator) Schedule(delay model.Microseconds, action func()) {
 	s.scheduled++
 	s.queue.push(event{at: s.now + max(delay, 0), sequence: s.scheduled, action: action})
 }
 
-// RunUntil processes all events that are due by the end, and leaves the clock there.
+// RunUntil runs all events that are due by the given end and sets the clock to it.
 func (s *Simulator) RunUntil(end model.Microseconds) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		next := s.queue.pop()
--- a/internal/simulation/simulator_test.go
+++ b/internal/simulation/simulator_test.go
@@ -18,7 +18,7 @@
 		simulator.Schedule(due, func() {
 			isOutOfOrder := due < lastTime || due == lastTime && i < lastEvent
 			if simulator.Now() != due || isOutOfOrder {
-				t.Fatalf("event %d, due at %d, happens at %d after %d", i, due, simulator.Now(), lastEvent)
+				t.Fatalf("event %d, due at %d, ran at %d after event %d", i, due, simulator.Now(), lastEvent)
 			}
 			lastEvent = i
 			lastTime = due
@@ -26,7 +26,7 @@
 	}
 	simulator.RunUntil(model.Second)
 	if simulator.Processed() != events || simulator.Now() != model.Second {
-		t.Errorf("%d events, the clock at %d", simulator.Processed(), simulator.Now())
+		t.Errorf("%d events ran, the clock is at %d", simulator.Processed(), simulator.Now())
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 	first, again, other := summary(1), summary(1), summary(2)
 	if first != again || first == other {
-		t.Errorf("seed 1: %s and %s, seed 2: %s", first, again, other)
+		t.Errorf("two runs with seed 1: %s and %s, want equal; seed 2: %s, want another", first, again, other)
 	}
 }
 
@@ -45,7 +45,7 @@
 	want := NewRandomStream(1, "a").Uint64()
 	_ = NewRandomStream(1, "b").Uint64()
 	if got := NewRandomStream(1, "a").Uint64(); got != want {
-		t.Error("a stream depends on another")
+		t.Error("the draws of a stream depend on another stream")
 	}
 }
 
@@ -61,12 +61,12 @@
 	}
 	simulator.RunUntil(model.Second)
 	if accepted != 5 || completed != 5 || station.Rejected() != 5 || station.Jobs() != 0 {
-		t.Errorf("%d accepted, %d completed, %d rejected, %d left",
+		t.Errorf("%d accepted, %d completed, %d rejected, %d left; want 5, 5, 5, 0",
 			accepted, completed, station.Rejected(), station.Jobs())
 	}
 }
 
-// BenchmarkEvents has two events a job.
+// BenchmarkEvents measures the rate of events. Each job takes two events.
 func BenchmarkEvents(b *testing.B) {
 	events := uint64(0)
 	for b.Loop() {
--- a/internal/simulation/source.go
+++ b/internal/simulation/source.go
@@ -2,34 +2,35 @@
 
 import "peppervale/internal/model"
 
-// Source sends jobs to stations: Poisson arrivals, exponentially distributed work.
+// Source sends jobs to stations, with Poisson arrivals and exponentially distributed work.
 type Source struct {
-	Simulator    *Simulator
-	Arrivals     RandomStream
-	Work         RandomStream
-	Interarrival float64            // mean time between two arrivals in microseconds; a fraction keeps high rates exact
-	MeanWork     model.Microseconds // of a job
-	Stations     []*Station
-	Policy       Policy
-	MeasureFrom  model.Microseconds // jobs that arrive earlier are not measured
+	Simulator        *Simulator
+	Arrivals         RandomStream
+	Work             RandomStream
+	MeanInterarrival float64            // mean time between two arrivals in microseconds; a fraction keeps high rates exact
+	MeanWork         model.Microseconds // mean work of a job
+	Stations         []*Station
+	Policy           Policy
+	MeasureFrom      model.Microseconds // jobs that arrive earlier are not measured
 
 	totalTime float64 // microseconds that the measured jobs spent at their stations
 	measured  uint64
-	carry     float64 // fraction of a microsecond that the last interarrival time left
+	carry     float64 // fraction of a microsecond carried over from the last interarrival time
 }
 
 // Start schedules the first arrival.
 func (s *Source) Start() { s.Simulator.Schedule(s.nextInterarrival(), s.arrive) }
 
-// Measured is the number of measured jobs that were completed.
+// Measured returns the number of measured jobs that were completed.
 func (s *Source) Measured() uint64 { return s.measured }
 
-// MeanTime is the mean time in microseconds that a measured job spent at its station.
-func (s *Source) MeanTime() float64 { return s.totalTime / float64(s.measured) }
+// MeanResponseTime returns the mean time in microseconds that a measured job spent at its station, waiting and being served.
+func (s *Source) MeanResponseTime() float64 { return s.totalTime / float64(s.measured) }
 
-// nextInterarrival draws the time until the next arrival and carries its fraction of a microsecond over.
+// nextInterarrival draws the time until the next arrival. It carries the fraction of a microsecond over to the next
+// call.
 func (s *Source) nextInterarrival() model.Microseconds {
-	s.carry += s.Arrivals.ExpFloat64() * s.Interarrival
+	s.carry += s.Arrivals.ExpFloat64() * s.MeanInterarrival
 	whole := model.Microseconds(s.carry)
 	s.carry -= float64(whole)
 	return whole
--- a/internal/simulation/station.go
+++ b/internal/simulation/station.go
@@ -6,27 +6,28 @@
 	// Unlimited is the QueueLimit of a station that rejects no job.
 	Unlimited = -1
 
-	// minCompaction is how many served jobs the queue's slice holds at least before it is compacted.
+	// minCompaction is the number of served jobs that the queue's slice must exceed before it is compacted.
 	minCompaction = 1024
 )
 
-// Station serves jobs first come, first served, on a number of equal cores. It models the inside of a replica.
+// Station serves jobs first come, first served, on a number of equal cores. It models the cores and the queue of a
+// replica.
 type Station struct {
-	QueueLimit int     // jobs that may wait; one more is rejected. Unlimited: any number
-	Slowdown   float64 // each job takes so many times its work; 1 without any
+	QueueLimit int     // most jobs that may wait; further jobs are rejected. Unlimited: no limit
+	Slowdown   float64 // factor from a job's work to its service time; 1: no slowdown
 
 	simulator *Simulator
 	cores     int
 	busyCores int
 	queue     []job
-	head      int // index in queue of the next job; those before it were served
+	head      int // index in queue of the next job; the elements before it are unused
 
 	served   uint64
 	rejected uint64
 
 	updatedAt model.Microseconds // when the integrals were last updated
-	jobsArea  float64            // integral of the jobs at the station over time
-	busyArea  float64            // integral of the busy cores over time
+	jobsArea  float64            // integral over time of the number of jobs at the station
+	busyArea  float64            // integral over time of the number of busy cores
 }
 
 type job struct {
@@ -34,23 +35,24 @@
 	done func()
 }
 
-// NewStation makes an idle station with an unlimited queue.
+// NewStation returns an idle station with an unlimited queue.
 func NewStation(simulator *Simulator, cores int) *Station {
 	return &Station{simulator: simulator, cores: cores, QueueLimit: Unlimited, Slowdown: 1}
 }
 
-// Jobs is the number of jobs that are served or wait.
+// Jobs returns the number of jobs that are being served or wait.
 func (s *Station) Jobs() int { return s.busyCores + s.waiting() }
 
-// Served is the number of jobs that were completed.
+// Served returns the number of completed jobs.
 func (s *Station) Served() uint64 { return s.served }
 
-// Rejected is the number of jobs that the station had no room for.
+// Rejected returns the number of jobs that were rejected because the queue was full.
 func (s *Station) Rejected() uint64 { return s.rejected }
 
 func (s *Station) waiting() int { return len(s.queue) - s.head }
 
-// Submit hands in a job of so much work; done is called when it is completed. It gives false if the job is rejected.
+// Submit adds a job with the given work. done is called when the job is completed. Submit returns false if the job is
+// rejected.
 func (s *Station) Submit(work model.Microseconds, done func()) bool {
 	s.updateIntegrals()
 	submitted := job{work: work, done: done}
@@ -80,7 +82,7 @@
 	})
 }
 
-// takeNext removes the first job of the queue, which must not be empty.
+// takeNext removes and returns the first job of the queue. The queue must not be empty.
 func (s *Station) takeNext() job {
 	next := s.queue[s.head]
 	s.queue[s.head] = job{}
@@ -97,7 +99,7 @@
 	return next
 }
 
-// updateIntegrals adds what was at the station since the last change.
+// updateIntegrals adds the time since the last update to the integrals.
 func (s *Station) updateIntegrals() {
 	elapsed := float64(s.simulator.Now() - s.updatedAt)
 	s.jobsArea += elapsed * float64(s.Jobs())
@@ -105,8 +107,8 @@
 	s.updatedAt = s.simulator.Now()
 }
 
-// Means gives the mean number of jobs at the station and the mean number of busy cores since the start.
-func (s *Station) Means() (jobs, busyCores float64) {
+// MeanOccupancy returns the mean number of jobs at the station and the mean number of busy cores since the start.
+func (s *Station) MeanOccupancy() (jobs, busyCores float64) {
 	s.updateIntegrals()
 	if s.updatedAt == 0 {
 		return 0, 0
--- a/internal/standin/proxy/connection.go
+++ b/internal/standin/proxy/connection.go
@@ -148,7 +148,7 @@
 	case response.Status == 503 && response.Header["ran"] == "no":
 		return invariants.Rejected
 	}
-	return invariants.ErrorAnswer
+	return invariants.ErrorResponse
 }
 
 // utilization reads cpu_utilization from an ORCA text header.
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -43,8 +43,8 @@
 	IdleTimeout        model.Microseconds
 	StallPerEntry      model.Microseconds // it stalls for this long for each entry that it receives
 	// OnMessage is called with each message that the proxy applied and the name of its instance; nil: none.
-	OnMessage   func(receiver *Proxy, instance string, message *pubsubmsg.Message)
-	StreamsOnly bool // for measuring the channel: it sends no load reports
+	OnMessage       func(receiver *Proxy, instance string, message *pubsubmsg.Message)
+	OmitLoadReports bool // for measuring the channel: it sends no load reports
 }
 
 // Instance is an instance of the control plane that a proxy may join.
@@ -209,8 +209,8 @@
 	})
 }
 
-// Joined is the name of the instance that the proxy is joined to; "" for none.
-func (p *Proxy) Joined() string {
+// JoinedInstance is the name of the instance that the proxy is joined to; "" for none.
+func (p *Proxy) JoinedInstance() string {
 	if p.stream != nil && p.stream.joined {
 		return p.stream.instance.Name
 	}
--- a/internal/standin/proxy/report.go
+++ b/internal/standin/proxy/report.go
@@ -32,7 +32,7 @@
 
 func (s *stream) sendReports() {
 	p := s.proxy
-	if s.ended || p.StreamsOnly {
+	if s.ended || p.OmitLoadReports {
 		return
 	}
 	s.reports++
--- a/internal/standin/proxy/request.go
+++ b/internal/standin/proxy/request.go
@@ -56,8 +56,8 @@
 	connection *connection
 }
 
-// Handle handles a request. Its Done is called once, on the loop.
-func (p *Proxy) Handle(submitted *Request) { p.whenRunning(func() { p.start(submitted) }) }
+// HandleRequest handles a request. Its Done is called once, on the loop.
+func (p *Proxy) HandleRequest(submitted *Request) { p.whenRunning(func() { p.start(submitted) }) }
 
 func (p *Proxy) start(submitted *Request) {
 	if !p.running {
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -225,7 +225,7 @@
 			r.Silent = true
 		}
 		done := func(r Result, _ model.Microseconds) { fx.done <- r }
-		fx.proxy.Handle(&Request{Number: number, Work: 1000, Done: done})
+		fx.proxy.HandleRequest(&Request{Number: number, Work: 1000, Done: done})
 	})
 	return number
 }
@@ -260,7 +260,7 @@
 		t.Errorf("before the new holder has published it is sent %d times", n)
 	}
 	fixture.second.publish(moved, model.RetryOnAnyFailure, fixture.ids...)
-	fixture.until("published", func() bool { return !fixture.proxy.awaitsNewHolder && fixture.proxy.Joined() == "b" })
+	fixture.until("published", func() bool { return !fixture.proxy.awaitsNewHolder && fixture.proxy.JoinedInstance() == "b" })
 	if n := fixture.attemptsAt(fixture.send()); n != 2 {
 		t.Errorf("once the new holder's policy allows one retry it is sent %d times", n)
 	}
@@ -285,5 +285,5 @@
 	// When it joins again, it does not stay with an instance whose epoch is older than the newest it has seen.
 	fixture.second.setEpoch(8)
 	fixture.loop.Do(fixture.proxy.BreakStream)
-	fixture.until("with the new holder", func() bool { return fixture.proxy.Joined() == "b" })
+	fixture.until("with the new holder", func() bool { return fixture.proxy.JoinedInstance() == "b" })
 }
--- a/internal/standin/random.go
+++ b/internal/standin/random.go
@@ -41,8 +41,8 @@
 	return x
 }
 
-// Below draws an integer uniformly from [0, n).
-func (r *Random) Below(n int) int { return int(r.Float() * float64(n)) }
+// IntN draws an integer uniformly from [0, n).
+func (r *Random) IntN(n int) int { return int(r.Float() * float64(n)) }
 
 // Between draws uniformly from [a, b).
 func (r *Random) Between(a, b float64) float64 { return a + (b-a)*r.Float() }
--- a/internal/standin/registry/body.go
+++ b/internal/standin/registry/body.go
@@ -10,8 +10,8 @@
 	"peppervale/internal/model"
 )
 
-// Body is the endpoint list as the JSON of Consul's health endpoint.
-func (r *Registry) Body() []byte {
+// EndpointListJSON is the endpoint list as the JSON of Consul's health endpoint.
+func (r *Registry) EndpointListJSON() []byte {
 	all := []consulcatalog.ServiceEntry{}
 	for _, entry := range r.entries {
 		all = append(all, r.catalogEntry(entry))
--- a/internal/standin/registry/query.go
+++ b/internal/standin/registry/query.go
@@ -106,10 +106,10 @@
 	if r.Faults.IndexGoesBack {
 		index = earlierIndex
 	}
-	body := r.Body()
+	body := r.EndpointListJSON()
 	answer := http1.AppendResponse(nil, 200, body,
 		contentType, jsonContent, indexHeader, strconv.FormatUint(index, 10))
-	if r.Faults.CutsBody {
+	if r.Faults.TruncatesBody {
 		_, _ = waiting.conn.Write(answer[:len(answer)-len(body)/2-1])
 		_ = waiting.conn.Close()
 		return
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -28,7 +28,7 @@
 type Faults struct {
 	Fails         bool               // answers 500
 	Silent        bool               // accepts requests and never answers
-	CutsBody      bool               // closes the connection in the middle of a body
+	TruncatesBody bool               // closes the connection in the middle of a body
 	IndexGoesBack bool               // gives an index far below the last one
 	Delay         model.Microseconds // added to each answer
 }
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -39,7 +39,7 @@
 	ReportsIdle       bool         // reports that it is idle
 	FailingOperations map[int]bool // by index of the operation: answers 500
 
-	Started    model.Microseconds // 0: before the scenario, warm
+	StartedAt  model.Microseconds // 0: before the scenario, warm
 	Running    bool
 	Overloaded bool // it failed of overload
 	Served     int  // requests executed and answered, over all runs
@@ -87,7 +87,7 @@
 	r.queue = workQueue{}
 	r.load = loadMeter{measuredAt: now}
 	r.overload = overloadMeter{}
-	r.Started = 0
+	r.StartedAt = 0
 	started := invariants.ReplicaStarted{
 		At:                 now,
 		Replica:            r.ID,
@@ -96,7 +96,7 @@
 		InitialShare:       1,
 	}
 	if cold {
-		r.Started = now
+		r.StartedAt = now
 		started.InitialShare = r.InitialShare
 		started.WarmUpPeriod = r.WarmUpPeriod
 	}
@@ -120,8 +120,8 @@
 
 // warmth is the share of its full capacity that it has now.
 func (r *Replica) warmth(now model.Microseconds) float64 {
-	if r.Started == 0 || now >= r.Started+r.WarmUpPeriod {
+	if r.StartedAt == 0 || now >= r.StartedAt+r.WarmUpPeriod {
 		return 1
 	}
-	return r.InitialShare + (1-r.InitialShare)*float64(now-r.Started)/float64(r.WarmUpPeriod)
+	return r.InitialShare + (1-r.InitialShare)*float64(now-r.StartedAt)/float64(r.WarmUpPeriod)
 }
