--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -16,55 +16,56 @@
 	"peppervale/internal/netpoll/connserver"
 )
 
-// noZone is the collector zone of a connection that is no collector's.
+// noZone is the collector zone of a connection that does not belong to a collector.
 const noZone = -1
 
-// malformedLogged is how many malformed messages have a log line of their own; the others are only counted.
-const malformedLogged = 20
+// maxMalformedLogged is how many malformed messages are logged; further ones are only counted.
+const maxMalformedLogged = 20
 
-// errEnded stops the reader of a connection that has been ended; it is not reported.
-var errEnded = errors.New("ended")
+// errEnded stops the reader of a connection that has ended; it is not reported.
+var errEnded = errors.New("connection has ended")
 
 // connection is one connection of a proxy, a collector or an unknown client.
 type connection struct {
 	connserver.Conn
-	server         *Server
-	reader         *resp.Reader
-	openedAt       model.Microseconds
-	lastReceivedAt atomic.Int64  // in model.Microseconds
-	queued         *list.Element // its place in Server.unauthenticated; nil once it has joined
-	collectorZone  int           // the zone whose reports it brings, or noZone
-	stream         *stream       // nil unless a proxy has joined on it
-}
-
-// opened takes a connection in. If there are too many, the oldest unauthenticated one makes room.
-func (s *Server) opened(socket *nbio.Conn) {
+	server                 *Server
+	reader                 *resp.Reader
+	openedAt               model.Microseconds
+	lastReceivedAt         atomic.Int64  // in model.Microseconds
+	unauthenticatedElement *list.Element // element in Server.unauthenticated; nil once the peer has joined
+	collectorZone          int           // zone of the collector, or noZone
+	stream                 *stream       // nil unless a proxy has joined on it
+}
+
+// registerConnection registers a new connection. Above the connection limit, it closes the oldest unauthenticated
+// connection.
+func (s *Server) registerConnection(socket *nbio.Conn) {
 	conn := &connection{server: s, reader: resp.NewReader(platformmsg.MessageLimits), collectorZone: noZone}
 	s.mu.Lock()
 	conn.openedAt = s.config.Now()
 	conn.lastReceivedAt.Store(int64(conn.openedAt))
 	s.connections.Register(socket, conn)
-	conn.queued = s.unauthenticated.PushBack(conn)
+	conn.unauthenticatedElement = s.unauthenticated.PushBack(conn)
 	var evicted []*connection
 	if s.connections.Count() > s.config.Limits.Connections {
 		oldest := s.unauthenticated.Front().Value.(*connection)
 		s.stats.Evicted++
-		s.remove(oldest)
+		s.unregister(oldest)
 		evicted = append(evicted, oldest)
 	}
 	s.mu.Unlock()
 	s.connections.CloseOnPoller(evicted...)
 }
 
-// received reads what came. Bytes that are no message end the connection.
-func (s *Server) received(conn *connection, data []byte) {
+// readMessages decodes received bytes into messages. Bytes that cannot be decoded end the connection.
+func (s *Server) readMessages(conn *connection, data []byte) {
 	conn.lastReceivedAt.Store(int64(s.config.Now()))
-	err := conn.reader.Feed(data, conn.handle)
+	err := conn.reader.Feed(data, conn.handleMessage)
 	if err == nil || errors.Is(err, errEnded) {
 		return
 	}
 	s.mu.Lock()
-	hasJoined := conn.queued == nil
+	hasJoined := conn.unauthenticatedElement == nil
 	if hasJoined {
 		s.stats.ProtocolErrors++
 	}
@@ -80,42 +81,42 @@
 		event.Int("collector_zone", conn.collectorZone)
 	}
 	event.Msg("connection closed: protocol error")
-	s.end(conn)
+	s.closeConnection(conn)
 }
 
-// closed takes out a connection whose socket was closed, unless it was removed before.
-func (s *Server) closed(conn *connection) {
+// handleClosed removes a connection whose socket was closed, unless it was removed before.
+func (s *Server) handleClosed(conn *connection) {
 	s.mu.Lock()
-	s.remove(conn)
+	s.unregister(conn)
 	s.mu.Unlock()
 }
 
-// reject tells an unauthenticated connection why it is not served, and ends it.
+// reject sends an unauthenticated connection the reason for its rejection, and ends it.
 func (s *Server) reject(conn *connection, reason string) {
 	s.mu.Lock()
 	s.stats.Rejected++
 	s.connections.Write(conn, platformmsg.AppendRejection(nil, reason))
 	s.mu.Unlock()
-	s.end(conn)
+	s.closeConnection(conn)
 }
 
-// end ends a connection. What follows from that follows at once, not when the poller has closed the socket.
-func (s *Server) end(conn *connection) {
+// closeConnection ends a connection. Its state is removed at once, not only when the poller has closed the socket.
+func (s *Server) closeConnection(conn *connection) {
 	s.mu.Lock()
-	s.remove(conn)
+	s.unregister(conn)
 	s.mu.Unlock()
 	s.connections.CloseOnPoller(conn)
 }
 
-// remove takes connections out of all that the server keeps, each once, and reports the end of their streams; s.mu is
-// held. Their sockets remain to be closed.
-func (s *Server) remove(connections ...*connection) {
+// unregister removes connections from the server's state and reports the end of their streams; s.mu is held. A
+// connection that was removed before is skipped. The caller has to close the sockets.
+func (s *Server) unregister(connections ...*connection) {
 	for _, c := range connections {
 		if !s.connections.Unregister(c) {
 			continue
 		}
-		if c.queued != nil {
-			s.unauthenticated.Remove(c.queued)
+		if c.unauthenticatedElement != nil {
+			s.unauthenticated.Remove(c.unauthenticatedElement)
 			s.stats.Unauthenticated++
 		}
 		if c.collectorZone != noZone {
@@ -127,25 +128,25 @@
 	}
 }
 
-// authenticate notes that a connection has joined; s.mu is held.
+// authenticate marks a connection as joined; s.mu is held.
 func (s *Server) authenticate(conn *connection) {
-	s.unauthenticated.Remove(conn.queued)
-	conn.queued = nil
+	s.unauthenticated.Remove(conn.unauthenticatedElement)
+	conn.unauthenticatedElement = nil
 }
 
 func (s *Server) isUnauthenticated(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return conn.queued != nil
+	return conn.unauthenticatedElement != nil
 }
 
-// hasTooMuchUnsent reports whether more bytes wait for a peer than it may leave unread.
-func (s *Server) hasTooMuchUnsent(conn *connection) bool {
+// exceedsUnsentLimit reports whether a peer's unsent bytes exceed Limits.UnsentBytes.
+func (s *Server) exceedsUnsentLimit(conn *connection) bool {
 	return conn.UnsentBytes() > int64(s.config.Limits.UnsentBytes)
 }
 
-// handle takes one message. An error ends the connection.
-func (c *connection) handle(value resp.Value) error {
+// handleMessage handles one message. An error ends the connection.
+func (c *connection) handleMessage(value resp.Value) error {
 	if c.Ended() {
 		return errEnded
 	}
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// handleGreeting takes the first message of a connection. An error is the reason for which it is rejected.
+// handleGreeting handles the first message of a connection. An error is the reason for the connection's rejection.
 func (s *Server) handleGreeting(conn *connection, message platformmsg.Message) error {
 	switch message.Kind {
 	case platformmsg.KindProxyJoined:
@@ -177,7 +178,7 @@
 	}
 }
 
-// handleJoined takes a message of a connection that has joined. An error is why the message is dropped.
+// handleJoined handles a message of a connection that has joined. An error is the reason why the message is dropped.
 func (s *Server) handleJoined(conn *connection, message platformmsg.Message, malformed error) error {
 	if message.Kind == platformmsg.KindAcknowledgement && conn.stream != nil {
 		s.acknowledge(conn.stream, message, malformed)
@@ -193,19 +194,19 @@
 		s.countUsage(message)
 		return nil
 	default:
-		return fmt.Errorf("%s: not from here", message.Kind)
+		return fmt.Errorf("%s: a message that this connection may not send", message.Kind)
 	}
 }
 
-// answerPing answers a ping. A peer that pings and reads no answer is closed: answers are bounded like all else that
-// waits.
+// answerPing answers a ping. A peer that pings and does not read the answers is closed: unsent answers count towards
+// Limits.UnsentBytes.
 func (s *Server) answerPing(conn *connection) error {
 	s.mu.Lock()
 	s.connections.Write(conn, platformmsg.AppendPong(nil))
-	slow := s.hasTooMuchUnsent(conn)
+	slow := s.exceedsUnsentLimit(conn)
 	if slow {
 		s.stats.Slow++
-		s.remove(conn)
+		s.unregister(conn)
 	}
 	s.mu.Unlock()
 	if !slow {
@@ -218,22 +219,22 @@
 // dropMalformed counts and logs a malformed message that is dropped.
 func (s *Server) dropMalformed(reason error) {
 	s.mu.Lock()
-	event := s.malformedMessage()
+	event := s.countMalformed()
 	s.mu.Unlock()
 	event.Err(reason).Msg("malformed message dropped")
 }
 
-// malformedMessage counts a malformed message and returns its log line; nil, to which nothing is
-// logged, once there were malformedLogged. s.mu is held.
-func (s *Server) malformedMessage() *zerolog.Event {
+// countMalformed counts a malformed message and returns the event to log it with. After maxMalformedLogged messages it
+// returns nil, which logs nothing. s.mu is held.
+func (s *Server) countMalformed() *zerolog.Event {
 	s.stats.MalformedMessages++
-	if s.stats.MalformedMessages > malformedLogged {
+	if s.stats.MalformedMessages > maxMalformedLogged {
 		return nil
 	}
 	return s.config.Log.Warn()
 }
 
-// zoneIndex is the place of a zone in Config.Zones; ok is false if there is none of that name.
+// zoneIndex returns the index of a zone in Config.Zones; ok is false if no zone has that name.
 func (s *Server) zoneIndex(name string) (index int, ok bool) {
 	index = slices.Index(s.config.Zones, name)
 	return index, index >= 0
--- a/internal/platform/protocolerror_test.go
+++ b/internal/platform/protocolerror_test.go
@@ -13,13 +13,13 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-// TestMalformedMessagesAreDropped: A malformed message costs only itself. A malformed acknowledgement is still that
-// of the oldest message that is owed one: without it, the entries that it covers would count as unacknowledged for
-// good, and hold all weights back.
+// TestMalformedMessagesAreDropped: A malformed message is dropped without further effect. A malformed acknowledgement
+// counts as the oldest pending one: otherwise the entries that it covers would count as unacknowledged forever, and
+// delay all weights.
 func TestMalformedMessagesAreDropped(t *testing.T) {
 	harness := startServer(t, nil)
-	reports := harness.dial(t).say("collector site kelvin")
-	reports.say(
+	reports := harness.dial(t).send("collector site kelvin")
+	reports.send(
 		"heard site kelvin target s-77 count 1 fail 0 mean 1 over 1",
 		"heard site nowhere target s-1 count 1 fail 0 mean 1 over 1",
 		"heard site kelvin target s-1 count -1 fail 0 mean 1 over 1",
@@ -32,41 +32,41 @@
 		"update whole 1",
 		"collector site govan",
 	)
-	reports.say("heard site kelvin target s-1 count 1 fail 0 mean 1 over 1")
+	reports.send("heard site kelvin target s-1 count 1 fail 0 mean 1 over 1")
 	harness.waitUntil("load report", func() bool { return harness.reportCount() == 1 })
 	stats := harness.server.Stats()
 	if stats.MalformedMessages != 11 || stats.ProtocolErrors != 0 || stats.Collectors != 1 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	client := harness.join(t, 7)
 	for n := range 3 {
-		harness.publish(n, harness.withdraw(n+1, true))
-		client.next()
+		harness.publish(n, harness.setWithdrawn(n+1, true))
+		client.nextMessage()
 	}
-	client.say("applied id 7 seq x ms 1")
+	client.send("applied id 7 seq x ms 1")
 	harness.waitForEvent("acknowledged 7 0")
-	client.say("applied id 7 seq 40000 ms 1")
+	client.send("applied id 7 seq 40000 ms 1")
 	harness.waitForEvent("acknowledged 7 1")
-	client.say("applied id 7 seq 2 ms 1")
+	client.send("applied id 7 seq 2 ms 1")
 	harness.waitForEvent("acknowledged 7 2")
 	if stats := harness.server.Stats(); stats.PendingAcks != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestUnauthenticatedConnectionsAreRejected: A client that sends what a connection that has not joined may not send
-// gets an error, or is closed, at once; a proxy beside them notices nothing.
-func TestUnauthenticatedConnectionsAreRejected(t *testing.T) {
+// TestInvalidFirstMessagesAreRejected: A connection that has not joined and sends an invalid or forbidden message
+// gets an error, or is closed, at once. A joined proxy is not affected.
+func TestInvalidFirstMessagesAreRejected(t *testing.T) {
 	harness := startServer(t, nil)
-	good := harness.join(t, 7)
+	joined := harness.join(t, 7)
 	for name, bytes := range map[string]string{
 		"HTTP":                           "GET / HTTP/1.1\r\n\r\n",
 		"zeros":                          strings.Repeat("\x00", 100),
 		"an impossible length":           "*1\r\n$99999999999\r\n",
 		"a long string":                  "*2\r\n$4\r\nping\r\n$1048576\r\nxxx",
 		"an impossible count":            "*99999999\r\n",
-		"nesting":                        "*1\r\n*1\r\n*1\r\n",
-		"no array":                       "$4\r\nping\r\n",
+		"nested arrays":                  "*1\r\n*1\r\n*1\r\n",
+		"not an array":                   "$4\r\nping\r\n",
 		"an update":                      netpolltest.Command("update whole 1 lines s-1:1"),
 		"a load report":                  netpolltest.Command("heard site govan target s-1 count 1 fail 0 mean 1 over 1"),
 		"an acknowledgement":             netpolltest.Command("applied id 7 seq 1 ms 1"),
@@ -75,7 +75,7 @@
 		"a proxy of an unknown zone":     netpolltest.Command("joined id 3 site nowhere rps 1 new 1"),
 		"a proxy without a rate":         netpolltest.Command("joined id 3 site govan new 1"),
 		"a collector of an unknown zone": netpolltest.Command("collector site nowhere"),
-		"an endless empty string":        "*64\r\n" + strings.Repeat("$0\r\n\r\n", 64),
+		"many empty strings":             "*64\r\n" + strings.Repeat("$0\r\n\r\n", 64),
 		"an unknown message":             netpolltest.Command("hello 3"),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -84,31 +84,31 @@
 			expectRejection(client)
 		})
 	}
-	harness.publish(1, harness.withdraw(1, true))
-	good.expect("update out s-1 ticket 1")
+	harness.publish(1, harness.setWithdrawn(1, true))
+	joined.expectMessage("update out s-1 ticket 1")
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Connections != 1 || stats.Rejected != 17 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// expectRejection checks that a connection is closed, after one refusal or none.
+// expectRejection checks that a connection is closed, after at most one rejection message.
 func expectRejection(client *testClient) {
 	client.t.Helper()
 	for n := 0; ; n++ {
-		got := client.next()
+		got := client.nextMessage()
 		if got == closedConnection {
 			return
 		}
 		if !strings.HasPrefix(got, "refused") || n > 0 {
-			client.t.Errorf("answered %q", got)
+			client.t.Errorf("received %q, want at most one rejection", got)
 		}
 	}
 }
 
-// TestPipelinedAndSplitMessages: Messages come many in one read, and in a thousand reads, with pings between: each
-// complete one is taken and each ping is answered in order, also on streams and collectors. Half a message before the
-// end costs nothing else.
-func TestPipelinedAndSplitMessages(t *testing.T) {
+// TestPipelinedAndSplitMessagesAreAllHandled: Many messages arrive in one read or split over a thousand reads, mixed
+// with pings: each complete message is handled and each ping is answered, on streams and on collectors. Half a message
+// before the end of the connection has no effect.
+func TestPipelinedAndSplitMessagesAreAllHandled(t *testing.T) {
 	harness := startServer(t, nil)
 	random := rand.New(rand.NewPCG(4, 2))
 	peers := []struct{ kind, opening, report string }{
@@ -118,16 +118,16 @@
 	for _, size := range []int{1 << 20, 1, 7} {
 		for _, peer := range peers {
 			t.Run(fmt.Sprintf("%s in pieces of %d", peer.kind, size), func(t *testing.T) {
-				expectAllTaken(t, harness, peer.opening, peer.report, size, random)
+				expectAllHandled(t, harness, peer.opening, peer.report, size, random)
 			})
 		}
 	}
 	harness.expectStreamOrder()
 }
 
-// expectAllTaken sends reports and pings in random order, in pieces of a size, with half a message at the end, and
-// checks that all of them are taken.
-func expectAllTaken(t *testing.T, harness *testHarness, opening, report string, size int, random *rand.Rand) {
+// expectAllHandled sends reports and pings in random order, in pieces of the given size, with half a message at the
+// end, and checks that all complete messages are handled.
+func expectAllHandled(t *testing.T, harness *testHarness, opening, report string, size int, random *rand.Rand) {
 	t.Helper()
 	before := harness.server.Stats()
 	text := netpolltest.Command(opening)
@@ -147,8 +147,8 @@
 		client.Send(piece)
 	}
 	for n := range pings {
-		if got := client.next(); got != "pong" {
-			t.Fatalf("answer %d of %d is %q", n, pings, got)
+		if got := client.nextMessage(); got != "pong" {
+			t.Fatalf("answer %d of %d is %q, want pong", n, pings, got)
 		}
 	}
 	harness.waitUntil("reports", func() bool {
@@ -158,20 +158,20 @@
 	client.Close()
 	harness.waitForNoConnections()
 	if stats := harness.server.Stats(); stats.MalformedMessages != 0 || stats.ProtocolErrors != 0 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestPeerThatReadsNoPongIsClosed: A peer that pings and reads no answer is closed before what waits for it grows
-// beyond the bound.
+// TestPeerThatReadsNoPongIsClosed: A peer that pings and does not read the answers is closed when its unsent bytes
+// exceed the limit.
 func TestPeerThatReadsNoPongIsClosed(t *testing.T) {
 	harness := startServer(t, nil)
-	client := netpolltest.DialWithReceiveBuffer(t, harness.server.Addr(), patience, 4<<10)
+	client := netpolltest.DialWithReceiveBuffer(t, harness.server.Addr(), waitTimeout, 4<<10)
 	client.SendCommands("collector site govan")
-	many := []byte(strings.Repeat(netpolltest.Command("ping"), 1000))
-	for n := 0; ; n++ { // the kernel's buffers hold some hundred thousand answers first
+	pings := []byte(strings.Repeat(netpolltest.Command("ping"), 1000))
+	for n := 0; ; n++ { // the kernel's buffers hold some hundred thousand answers
 		_ = client.Conn.SetWriteDeadline(time.Now().Add(20 * time.Second))
-		_, err := client.Conn.Write(many)
+		_, err := client.Conn.Write(pings)
 		if errors.Is(err, os.ErrDeadlineExceeded) || n > 100_000 {
 			t.Fatalf("the connection stays open: %v", err)
 		}
--- a/internal/pubsub/command.go
+++ b/internal/pubsub/command.go
@@ -11,8 +11,8 @@
 	"peppervale/internal/model"
 )
 
-// commands are the commands that a peer may send. ACK, SUMS and FENCED have no reply. An error of a command is a
-// protocol error: it is sent to the peer and ends the connection.
+// commands maps each command that a peer may send to its handler. ACK, SUMS and FENCED have no reply. An error returned
+// by a handler is a protocol error: it is sent to the peer and ends the connection.
 var commands = map[string]func(*connection, []resp.Value) error{
 	"HELLO":       (*connection).hello,
 	"PING":        (*connection).ping,
@@ -28,18 +28,18 @@
 }
 
 var (
-	errNoCommand  = errors.New("a command is an array that begins with its name")
-	errHelloFirst = errors.New("say HELLO 3 first")
-	errJoinFirst  = errors.New("say JOIN first")
+	errMalformedCommand = errors.New("a command is an array that begins with its name")
+	errHelloFirst       = errors.New("say HELLO 3 first")
+	errJoinFirst        = errors.New("say JOIN first")
 )
 
 // protocolVersion is the version of RESP that the server speaks.
 const protocolVersion = 3
 
-// handle takes one command.
-func (c *connection) handle(value resp.Value) error {
+// handleCommand handles one command.
+func (c *connection) handleCommand(value resp.Value) error {
 	if value.Kind != resp.Array || len(value.Items) == 0 {
-		return errNoCommand
+		return errMalformedCommand
 	}
 	name := strings.ToUpper(value.Items[0].ArgumentText())
 	command := commands[name]
@@ -48,25 +48,25 @@
 		c.replyError("ERR unknown command '%.40s'; known are %s", name, strings.Join(known, ", "))
 		return nil
 	}
-	if !c.mayCommand() {
+	if !c.checkCommandRate() {
 		return nil
 	}
 	return command(c, value.Items[1:])
 }
 
-// mayCommand counts a command. A peer that sends more than it may is ended with a Retry-After; what it holds stays in
-// force meanwhile.
-func (c *connection) mayCommand() bool {
+// checkCommandRate counts a command and reports whether it is within the peer's rate limit. A peer above the limit gets
+// an error with a retry delay, and its connection is closed. The tables that it holds stay in force.
+func (c *connection) checkCommandRate() bool {
 	server := c.server
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	rate := server.config.Limits.CommandRate
-	ok, after := c.commandRate.Take(server.config.Now(), rate)
+	ok, retryAfter := c.commandRate.Take(server.config.Now(), rate)
 	if !ok && !c.Ended() {
 		server.stats.RateLimited++
 		server.endWithError(c, fmt.Sprintf(
 			errorLater+" %d milliseconds: %g commands a second are taken from one peer, %d at once; keep what you hold",
-			after/model.Millisecond+1, rate.PerSecond, rate.Burst))
+			retryAfter/model.Millisecond+1, rate.PerSecond, rate.Burst))
 	}
 	return ok
 }
@@ -82,7 +82,7 @@
 			return nil
 		}
 	}
-	c.saidHello = true
+	c.receivedHello = true
 	properties := [][2]string{
 		{"server", "peppervale"},
 		{"version", "1"},
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// appendNumber appends one key of a map.
+// appendNumber appends one key of a map with a number as its value.
 func appendNumber(encoded []byte, key string, value int64) []byte {
 	return resp.AppendInt(resp.AppendBulk(encoded, key), value)
 }
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// client accepts what libraries state about themselves; the other subcommands of CLIENT are not implemented.
+// client accepts the subcommands SETINFO and SETNAME, with which client libraries describe themselves. Other
+// subcommands of CLIENT are not implemented.
 func (c *connection) client(args []resp.Value) error {
 	if len(args) > 0 {
 		subcommand := strings.ToUpper(args[0].ArgumentText())
--- a/internal/pubsub/harness_test.go
+++ b/internal/pubsub/harness_test.go
@@ -17,30 +17,30 @@
 	"peppervale/internal/snapshot"
 )
 
-// patience is how long a test waits for anything before it fails.
-const patience = 10 * time.Second
+// waitTimeout is how long a test waits for an expected event before it fails.
+const waitTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/lesismal/nbio/taskpool.(*IOTaskPool).Go"))
 }
 
-// testHarness stands in for the controller: it admits each proxy that joins and keeps the events.
+// testHarness is a stand-in for the controller: it admits each joined proxy and records the events.
 type testHarness struct {
 	t       *testing.T
 	server  *Server
 	started time.Time
 
-	mu     sync.Mutex
-	events []string
-	came   chan struct{} // signalled after each event
+	mu            sync.Mutex
+	events        []string
+	eventRecorded chan struct{} // signalled after each event
 }
 
-func (h *testHarness) note(format string, args ...any) {
+func (h *testHarness) recordEvent(format string, args ...any) {
 	h.mu.Lock()
 	h.events = append(h.events, fmt.Sprintf(format, args...))
 	h.mu.Unlock()
 	select {
-	case h.came <- struct{}{}:
+	case h.eventRecorded <- struct{}{}:
 	default:
 	}
 }
@@ -48,32 +48,32 @@
 // ProxyConnected admits the proxy.
 func (h *testHarness) ProxyConnected(proxy model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
 	h.server.AdmitProxy(proxy, stream)
-	h.note("connected %s %d", join.Name, zone)
+	h.recordEvent("connected %s %d", join.Name, zone)
 }
 
-// ProxyDisconnected notes the end of a stream.
+// ProxyDisconnected records the end of a stream.
 func (h *testHarness) ProxyDisconnected(proxy model.ProxyID, _ uint64) {
-	h.note("disconnected %d", proxy)
+	h.recordEvent("disconnected %d", proxy)
 }
 
-// Acknowledged notes an acknowledgement.
+// Acknowledged records an acknowledgement.
 func (h *testHarness) Acknowledged(proxy model.ProxyID, _ uint64, ackSequence uint32) {
-	h.note("acknowledged %d %d", proxy, ackSequence)
+	h.recordEvent("acknowledged %d %d", proxy, ackSequence)
 }
 
-// LoadReported notes how many load reports came.
+// LoadReported records the number of load reports.
 func (h *testHarness) LoadReported(zone int, reports []model.LoadReport) {
-	h.note("reported %d %d", zone, len(reports))
+	h.recordEvent("reported %d %d", zone, len(reports))
 }
 
 func (h *testHarness) now() model.Microseconds {
 	return model.Microseconds(time.Since(h.started) / time.Microsecond)
 }
 
-// waitForEvent waits until an event was noted; the events of one proxy come in order.
+// waitForEvent waits until an event is recorded; the events of one proxy are in order.
 func (h *testHarness) waitForEvent(event string) {
 	h.t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for {
 		h.mu.Lock()
 		all := strings.Join(h.events, "\n")
@@ -82,16 +82,16 @@
 			return
 		}
 		select {
-		case <-h.came:
+		case <-h.eventRecorded:
 		case <-deadline:
-			h.t.Fatalf("no event %q; there were\n%s", event, all)
+			h.t.Fatalf("no event %q within the time limit; recorded events:\n%s", event, all)
 		}
 	}
 }
 
 func startServer(t *testing.T, change func(*Config)) *testHarness {
 	t.Helper()
-	harness := &testHarness{t: t, came: make(chan struct{}, 1), started: time.Now()}
+	harness := &testHarness{t: t, eventRecorded: make(chan struct{}, 1), started: time.Now()}
 	config := Config{
 		Listen:           "127.0.0.1:0",
 		Incarnation:      3,
@@ -105,7 +105,7 @@
 	if change != nil {
 		change(&config)
 	}
-	harness.mu.Lock() // no proxy joins before the server is known
+	harness.mu.Lock() // no event is recorded before server is set
 	var err error
 	if harness.server, err = Listen(config, harness); err != nil {
 		t.Fatal(err)
@@ -115,12 +115,12 @@
 	return harness
 }
 
-// publish publishes updates; the acknowledgement sequence is -1 where none is asked for.
+// publish publishes updates; an acknowledgement sequence of -1 requests no acknowledgement.
 func (h *testHarness) publish(ackSequence int, updates ...snapshot.Update) {
 	h.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: ackSequence, At: h.now()})
 }
 
-// testClient is the far end of a connection, driven by hand.
+// testClient is the client's end of a connection.
 type testClient struct {
 	*netpolltest.Client
 	t *testing.T
@@ -128,10 +128,10 @@
 
 func (h *testHarness) dial(t *testing.T) *testClient {
 	t.Helper()
-	return &testClient{netpolltest.Dial(t, h.server.Addr(), patience), t}
+	return &testClient{netpolltest.Dial(t, h.server.Addr(), waitTimeout), t}
 }
 
-// join connects a proxy of the second zone on its standing table, and returns the snapshot that it is sent.
+// join connects a proxy of the second zone on its standing table, and returns the snapshot that it receives.
 func (h *testHarness) join(t *testing.T, name string) (*testClient, *pubsubmsg.Message) {
 	t.Helper()
 	client := h.dial(t)
@@ -143,22 +143,22 @@
 	}))
 	for range 2 {
 		if value, _ := client.Next(); value.Kind != resp.Map {
-			t.Fatalf("no answer to a join: %v", value)
+			t.Fatalf("the reply to HELLO or JOIN is %v, want a map", value)
 		}
 	}
 	return client, client.message()
 }
 
-// message is the next message that comes.
+// message returns the next message received.
 func (c *testClient) message() *pubsubmsg.Message {
 	c.t.Helper()
 	value, ok := c.Next()
 	if !ok {
-		c.t.Fatal("the connection ended")
+		c.t.Fatal("the connection ended before a message")
 	}
 	message, err := pubsubmsg.Parse(value)
 	if err != nil {
-		c.t.Fatalf("%v: %v", value, err)
+		c.t.Fatalf("message %v cannot be parsed: %v", value, err)
 	}
 	return message
 }
@@ -179,7 +179,7 @@
 	}
 }
 
-// expectError checks that the next value is an error that has a text.
+// expectError checks that the next value is an error that contains a text.
 func (c *testClient) expectError(text string) {
 	c.t.Helper()
 	if value, _ := c.Next(); value.Kind != resp.SimpleError || !strings.Contains(value.Text, text) {
@@ -199,28 +199,28 @@
 
 func pingCommand() []byte { return resp.AppendCommand(nil, "PING") }
 
-// replica is a replica's address by its last byte.
+// replica returns a replica's id by the last byte of its address.
 func replica(n byte) model.ReplicaID { return model.ReplicaID{Addr: [4]byte{127, 0, 0, n}, Port: 80} }
 
-// weight sets the weight of a replica in table 1.
-func weight(n byte, weight float64) snapshot.Update {
+// setWeight sets the weight of a replica in table 1.
+func setWeight(n byte, weight float64) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.SetWeight, Table: 1, Replica: replica(n), Weight: weight}
 }
 
-// weights sets the weights of 200 replicas in table 1.
-func weights(value float64) (updates []snapshot.Update) {
+// setWeights sets the weights of 200 replicas in table 1.
+func setWeights(value float64) (updates []snapshot.Update) {
 	for n := range byte(200) {
-		updates = append(updates, weight(n+1, value))
+		updates = append(updates, setWeight(n+1, value))
 	}
 	return updates
 }
 
-// withdraw withdraws a replica.
-func withdraw(n byte) snapshot.Update {
+// withdrawReplica withdraws a replica.
+func withdrawReplica(n byte) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: replica(n), Withdrawn: true}
 }
 
-// bind binds a proxy to table 1.
-func bind(proxy model.ProxyID) snapshot.Update {
+// bindProxy binds a proxy to table 1.
+func bindProxy(proxy model.ProxyID) snapshot.Update {
 	return snapshot.Update{Kind: snapshot.BindProxy, Proxy: proxy, Table: 1}
 }
--- a/internal/pubsub/misrouted.go
+++ b/internal/pubsub/misrouted.go
@@ -7,18 +7,18 @@
 	"peppervale/internal/model"
 )
 
-// unheldRetry is when a proxy whose shard has no lease holder may ask again: a lease changes hands in some multiples of
-// it.
-const unheldRetry = 100 * time.Millisecond
+// noHolderRetryDelay is the retry delay for a proxy whose shard has no lease holder. The transfer of a lease takes a
+// few times as long.
+const noHolderRetryDelay = 100 * time.Millisecond
 
-// maxMisroutedProxies bounds those that are remembered; the others are not counted.
+// maxMisroutedProxies bounds the number of tracked misrouted proxies; further ones are not counted.
 const maxMisroutedProxies = 10_000
 
-// misroutedMemory is how long a misrouted proxy is remembered after it asked: one that cannot reach its own
-// controller is back within a dial's timeout and some backoff.
-const misroutedMemory = 5 * model.Second
+// misroutedExpiry is how long a misrouted proxy is tracked after its last join. A proxy that cannot reach its own
+// controller joins here again within a dial timeout and some backoff.
+const misroutedExpiry = 5 * model.Second
 
-// misroutedProxies are the proxies that asked here for a shard of another controller, by name.
+// misroutedProxies holds the proxies that joined here although another controller has their shard, by name.
 type misroutedProxies map[string]*misroutedProxy
 
 type misroutedProxy struct {
@@ -27,23 +27,23 @@
 	lastAskedAt  model.Microseconds
 }
 
-// note remembers that a proxy has asked for a shard.
-func (m misroutedProxies) note(name string, shard int, now model.Microseconds) {
+// record records that a proxy of a shard has tried to join.
+func (m misroutedProxies) record(name string, shard int, now model.Microseconds) {
 	known := m[name]
 	switch {
-	case known != nil && now-known.lastAskedAt < misroutedMemory && known.shard == shard:
+	case known != nil && now-known.lastAskedAt < misroutedExpiry && known.shard == shard:
 		known.lastAskedAt = now
 	case known != nil || len(m) < maxMisroutedProxies:
 		m[name] = &misroutedProxy{shard: shard, firstAskedAt: now, lastAskedAt: now}
 	}
 }
 
-// count returns how many proxies have gone on asking for at least so long, by shard, and forgets those that have
-// stopped.
+// count returns, by shard, how many proxies have tried to join for a span of at least atLeast. It removes proxies that
+// have stopped trying.
 func (m misroutedProxies) count(now, atLeast model.Microseconds) map[int]int {
 	counts := map[int]int{}
 	for name, proxy := range m {
-		if now-proxy.lastAskedAt >= misroutedMemory {
+		if now-proxy.lastAskedAt >= misroutedExpiry {
 			delete(m, name)
 		} else if proxy.lastAskedAt-proxy.firstAskedAt >= atLeast {
 			counts[proxy.shard]++
@@ -52,8 +52,8 @@
 	return counts
 }
 
-// MisroutedProxies counts the proxies that went on asking here for at least so long, though they were redirected, by
-// shard.
+// MisroutedProxies returns, by shard, how many proxies have tried to join here for a span of at least atLeast, although
+// they were redirected.
 func (s *Server) MisroutedProxies(atLeast model.Microseconds) map[int]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,19 +72,20 @@
 	}
 }
 
-// redirect ends a proxy whose shard's lease this controller does not hold, and tells it who should; s.mu is held.
+// redirect ends the connection of a proxy whose shard's lease this controller does not hold. The error that it sends
+// contains the address of the lease holder, if known. s.mu is held.
 func (s *Server) redirect(conn *connection) {
 	if conn.Ended() {
 		return
 	}
 	s.stats.Redirected++
 	shard := conn.stream.shard
-	s.misrouted.note(conn.stream.join.Name, shard, s.config.Now())
+	s.misrouted.record(conn.stream.join.Name, shard, s.config.Now())
 	if holder := s.config.Leases.Holder(shard); holder != "" {
 		s.endWithError(conn, fmt.Sprintf(errorMoved+" %d %s: join there; keep what you hold", shard, holder))
 		return
 	}
 	s.endWithError(conn, fmt.Sprintf(
 		errorMoved+" %d - : nobody has it yet, ask again in %d milliseconds; keep what you hold",
-		shard, unheldRetry/time.Millisecond))
+		shard, noHolderRetryDelay/time.Millisecond))
 }
