--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -145,5 +145,6 @@
 
 func (l *proxyLoad) writeStatistics(out io.Writer) {
 	printf(out, "joined to %q, bound %v, %d lines held; %d asked, %d within the objective; %d messages\n",
-		l.proxy.JoinedInstance(), l.proxy.Bound(), len(l.proxy.HeldEntries()), l.requests, l.withinObjective, l.proxy.Messages)
+		l.proxy.JoinedInstance(), l.proxy.Bound(), len(l.proxy.HeldEntries()),
+		l.requests, l.withinObjective, l.proxy.Messages)
 }
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -140,8 +140,8 @@
 	}{
 		{"down", registry.Faults{Fails: true}},
 		{"silent", registry.Faults{Silent: true}},
-		{"half a body", registry.Faults{TruncatesBody: true}},
-		{"later than the timeout", registry.Faults{Delay: 900 * model.Millisecond}},
+		{"truncated body", registry.Faults{TruncatesBody: true}},
+		{"response after the timeout", registry.Faults{Delay: 900 * model.Millisecond}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			fixture := newConsulFixture(t)
--- a/internal/pubsub/joinstorm_test.go
+++ b/internal/pubsub/joinstorm_test.go
@@ -91,7 +91,7 @@
 	t.Cleanup(storm.loop.Stop)
 	storm.loop.Do(func() {
 		for n := range stormProxies {
-			one := proxy.New(storm.loop, engine, proxy.Config{
+			standInProxy := proxy.New(storm.loop, engine, proxy.Config{
 				Name:            fmt.Sprint("till-", n),
 				Zone:            "govan",
 				RedialInterval:  model.Second,
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -50,7 +50,7 @@
 	script.Zones = top.Strings("zones", true)
 	for _, zone := range script.InstanceZones {
 		if !slices.Contains(script.Zones, zone) {
-			block.AddError("governors", "governors: %q is none of the zones", zone)
+			block.AddError("governors", "governors: %q is not one of the zones", zone)
 		}
 	}
 	script.Operations = config.ReadOperations(top)
@@ -159,7 +159,7 @@
 		Spread:    block.Float("spread", 0.5, 0, 10),
 	}
 	if work.Operation < 0 {
-		block.AddError("", "work: no operation %q", block.Labels[0])
+		block.AddError("", "work: unknown operation %q", block.Labels[0])
 	}
 	block.RejectUnknown()
 	return work
@@ -183,16 +183,16 @@
 		Group:    block.OptionalString("group"),
 	}
 	if _, known := stepActions[step.Kind]; !known {
-		block.AddError("", "step: no kind %q; there are %v", step.Kind, StepKinds())
+		block.AddError("", "step: unknown kind %q; supported kinds are %v", step.Kind, StepKinds())
 	}
 	if step.Zone != "" && !slices.Contains(s.Zones, step.Zone) {
-		block.AddError("zone", "zone: %q is none of the zones", step.Zone)
+		block.AddError("zone", "zone: %q is not one of the zones", step.Zone)
 	}
 	if step.Kind == ZoneLoss && step.Zone == "" {
-		block.AddError("", "step zone_loss: a zone is missing")
+		block.AddError("", "step zone_loss: zone is missing")
 	}
 	if step.At > s.Length {
-		block.AddError("at", "at: the day has ended by then")
+		block.AddError("at", "at: must not be later than the day's length")
 	}
 	block.RejectUnknown()
 	return step
--- a/internal/scenario/parse_test.go
+++ b/internal/scenario/parse_test.go
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	for _, tt := range []struct{ name, from, to, want string }{
-		{"unknown kind of step", `"zone_loss"`, `"earthquake"`, `no kind "earthquake"; there are [ageing`},
-		{"unknown zone", `zone  = "` + lostZone + `"`, `zone  = "leith"`, `"leith" is none of the zones`},
-		{"step after the end", `"12s"`, `"50s"`, "the day has ended by then"},
-		{"instance in an unknown zone", `["govan", "` + lostZone + `"]`, `["leith"]`, `"leith" is none of the zones`},
+		{"unknown kind of step", `"zone_loss"`, `"earthquake"`, `unknown kind "earthquake"; supported kinds are [ageing`},
+		{"unknown zone", `zone  = "` + lostZone + `"`, `zone  = "leith"`, `"leith" is not one of the zones`},
+		{"step after the end", `"12s"`, `"50s"`, "must not be later than the day's length"},
+		{"instance in an unknown zone", `["govan", "` + lostZone + `"]`, `["leith"]`, `"leith" is not one of the zones`},
 		{"missing base file", "lib/base.hcl", "lib/city.hcl", "no such file"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -260,7 +260,9 @@
 		t.Errorf("before the new holder has published it is sent %d times", n)
 	}
 	fixture.second.publish(moved, model.RetryOnAnyFailure, fixture.ids...)
-	fixture.until("published", func() bool { return !fixture.proxy.awaitsNewHolder && fixture.proxy.JoinedInstance() == "b" })
+	fixture.until("published", func() bool {
+		return !fixture.proxy.awaitsNewHolder && fixture.proxy.JoinedInstance() == "b"
+	})
 	if n := fixture.attemptsAt(fixture.send()); n != 2 {
 		t.Errorf("once the new holder's policy allows one retry it is sent %d times", n)
 	}
--- a/scenarios/hour.hcl
+++ b/scenarios/hour.hcl
@@ -1,9 +1,9 @@
-# An hour of frequent faults, to find what grows slowly: memory, the decision log on disk, streams that are not
-# released. Not part of the tests: peppervale scenario run scenarios/hour.hcl takes an hour.
+# An hour of frequent faults, to detect slow growth of memory use, of the decision log on disk and of the number of
+# streams. Not part of the tests: peppervale scenario run scenarios/hour.hcl takes an hour.
 like = "lib/base.hcl"
 
 day "hour" {
-  about     = "an hour of releases, restarts and lost zones, for what grows slowly"
+  about     = "an hour of releases, restarts and lost zones, to detect slow resource growth"
   length    = "3600s"
   seed      = 11
   governors = ["govan", "partick"]
--- a/scenarios/instance-killed.hcl
+++ b/scenarios/instance-killed.hcl
@@ -1,6 +1,6 @@
-# The only instance is killed under load, twice, and restarts with its stored endpoint list only. Replicas begin to
-# drain while it is down, and others right after it is back. It is in safe mode then: standing tables stay in use, and
-# drains are still published.
+# The only instance is killed twice under load and restarts with only its stored endpoint list. Some replicas begin to
+# drain while the instance is down, and others right after its restart. The instance is in safe mode then: proxies keep
+# their standing tables, and the instance still publishes drains.
 like = "lib/base.hcl"
 
 day "instance-killed" {
--- a/scenarios/kills.hcl
+++ b/scenarios/kills.hcl
@@ -1,9 +1,9 @@
-# One of three instances that share the fleet is killed a hundred times, at random moments: every invariant must hold.
-# For measurements: it takes eleven minutes.
+# One of three instances that share the fleet is killed a hundred times at random times. Every invariant must hold. The
+# scenario is for measurements and takes eleven minutes.
 like = "lib/base.hcl"
 
 day "kills" {
-  about     = "one of three instances that share the fleet is killed a hundred times, at random moments"
+  about     = "one of three instances that share the fleet is killed a hundred times at random times"
   length    = "640s"
   seed      = 5
   governors = ["govan", "partick", "dalmarnock"]
--- a/scenarios/lib/base.hcl
+++ b/scenarios/lib/base.hcl
@@ -1,5 +1,5 @@
 # The base of all scenarios: four zones, forty proxies, twenty replicas, the settings of the stand-ins and the limits of
-# the invariants. A scenario inherits it with  like = "lib/base.hcl"  and overrides what differs.
+# the invariants. A scenario inherits it with  like = "lib/base.hcl"  and overrides the settings that differ.
 zones = ["govan", "partick", "dalmarnock", "springburn"]
 
 operation "recipe-read" {
--- a/scenarios/one-warm.hcl
+++ b/scenarios/one-warm.hcl
@@ -1,4 +1,4 @@
-# Every replica drains but one, which is warm and in another zone than most proxies.
+# All replicas drain but one, which is warm and in a different zone than most proxies.
 like = "lib/base.hcl"
 
 day "one-warm" {
--- a/scenarios/reconnects.hcl
+++ b/scenarios/reconnects.hcl
@@ -1,4 +1,4 @@
-# Streams break repeatedly, in the end all forty at once; some proxies stall, some acknowledge nothing.
+# Streams break repeatedly, finally all forty at once. Some proxies stall, and some send no acknowledgments.
 like = "lib/base.hcl"
 
 day "reconnects" {
--- a/scenarios/registry-faults.hcl
+++ b/scenarios/registry-faults.hcl
@@ -1,5 +1,5 @@
-# The registry fails, is silent, answers late, truncates its answers and sets its index back while replicas drain and
-# vanish. Load reports are late too.
+# While replicas drain and vanish, the registry fails, does not answer, answers late, truncates its answers and sets its
+# index back. Load reports are late too.
 like = "lib/base.hcl"
 
 day "registry-faults" {
--- a/scenarios/takeover.hcl
+++ b/scenarios/takeover.hcl
@@ -1,4 +1,4 @@
-# Three instances share the fleet. One is killed and restarts: the others take its shards over and hand them back.
+# Three instances share the fleet. One is killed and restarts. The other two take over its shards and hand them back.
 like = "lib/base.hcl"
 
 day "takeover" {
