--- a/internal/invariants/attempts.go
+++ b/internal/invariants/attempts.go
@@ -38,7 +38,7 @@
 		return
 	}
 	late := event.At - max(goneAt, proxy.joinedAt)
-	c.results[LateDrain].record(shareOf(late, c.limits.DrainGrace),
+	c.results[LateDrain].record(ratioToLimit(late, c.limits.DrainGrace),
 		"%s: %s sent to %s %s after %s was notified that it drains or is gone, %s are allowed",
 		c.sinceStart(event.At), proxy.name, pubsubmsg.FormatAddress(event.Replica),
 		seconds(late), proxy.instance.name, seconds(c.limits.DrainGrace))
@@ -57,12 +57,12 @@
 		pubsubmsg.FormatAddress(retry.Replica), pubsubmsg.FormatAddress(previous.Replica))
 	switch {
 	case operation.Effect == SideEffecting:
-		result.record(broken, "%s", where)
+		result.record(violationRatio, "%s", where)
 	case c.replica(previous.Replica).group != c.replica(retry.Replica).group:
-		result.record(broken, "%s, in another deduplication group", where)
+		result.record(violationRatio, "%s, in another deduplication group", where)
 	default:
 		age := retry.At - previous.At
-		result.record(shareOf(age, operation.DeduplicationWindow), "%s, %s before", where, seconds(age))
+		result.record(ratioToLimit(age, operation.DeduplicationWindow), "%s, %s before", where, seconds(age))
 	}
 }
 
@@ -72,7 +72,7 @@
 	c.executions[key]++
 	times := c.executions[key]
 	if times > 1 && c.limits.effect(e.Operation) != Idempotent {
-		c.results[RepeatedEffect].record(broken, "%s: request %d took effect %d times, last at %s",
+		c.results[RepeatedEffect].record(violationRatio, "%s: request %d took effect %d times, last at %s",
 			c.sinceStart(e.At), e.Request, times, pubsubmsg.FormatAddress(e.Replica))
 	}
 }
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -18,7 +18,7 @@
 		checker.observe(event)
 	}
 	for _, name := range checker.proxyOrder {
-		checker.endEmptySpell(checker.proxies[name], end)
+		checker.endEmptyPeriod(checker.proxies[name], end)
 	}
 	checker.checkColdStarts()
 	checker.checkQueues()
@@ -62,13 +62,13 @@
 
 // instanceState holds the notifications that a control-plane instance received, and the messages that it sent.
 type instanceState struct {
-	name      string
-	goneAt    map[model.ReplicaID]model.Microseconds // when it was notified that the replica drains or is gone
-	startSeen map[model.ReplicaID]model.Microseconds // when it was notified of the replica's newest start
-	startedAt map[model.ReplicaID]model.Microseconds
-	listed    map[model.ReplicaID]bool
-	warmFrom  model.Microseconds // since when a ready, warm replica is listed; never: none is listed
-	sent      []sentMessage
+	name            string
+	goneAt          map[model.ReplicaID]model.Microseconds // when it was notified that the replica drains or is gone
+	startNotifiedAt map[model.ReplicaID]model.Microseconds // when it was notified of the replica's newest start
+	startedAt       map[model.ReplicaID]model.Microseconds
+	listed          map[model.ReplicaID]bool
+	warmListedFrom  model.Microseconds // since when a ready, warm replica is listed; never: none is listed
+	sentMessages    []sentMessage
 }
 
 type sentMessage struct {
@@ -139,12 +139,12 @@
 	i := c.instances[name]
 	if i == nil {
 		i = &instanceState{
-			name:      name,
-			goneAt:    map[model.ReplicaID]model.Microseconds{},
-			startSeen: map[model.ReplicaID]model.Microseconds{},
-			startedAt: map[model.ReplicaID]model.Microseconds{},
-			listed:    map[model.ReplicaID]bool{},
-			warmFrom:  never,
+			name:            name,
+			goneAt:          map[model.ReplicaID]model.Microseconds{},
+			startNotifiedAt: map[model.ReplicaID]model.Microseconds{},
+			startedAt:       map[model.ReplicaID]model.Microseconds{},
+			listed:          map[model.ReplicaID]bool{},
+			warmListedFrom:  never,
 		}
 		c.instances[name] = i
 	}
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -56,7 +56,7 @@
 	return EndpointsSent{At: at, Instance: "g", Body: fmt.Appendf(nil, entry, n, since/model.Millisecond)}
 }
 
-func pushed(at model.Microseconds, m pubsubmsg.Message) BytesReceived {
+func messageReceived(at model.Microseconds, m pubsubmsg.Message) BytesReceived {
 	if m.UpdatedAt == 0 {
 		m.UpdatedAt = at
 	}
@@ -64,35 +64,35 @@
 	return BytesReceived{At: at, Proxy: "till", Data: pubsubmsg.Append(nil, &m)}
 }
 
-func withdrawn(at model.Microseconds) BytesReceived {
-	return pushed(at, pubsubmsg.Message{Withdrawals: []pubsubmsg.Withdrawal{{Replica: id(1), Withdrawn: true}}})
+func withdrawalReceived(at model.Microseconds) BytesReceived {
+	return messageReceived(at, pubsubmsg.Message{Withdrawals: []pubsubmsg.Withdrawal{{Replica: id(1), Withdrawn: true}}})
 }
 
-func attempted(at model.Microseconds, op int, n byte, count int) AttemptStarted {
+func attemptAt(at model.Microseconds, op int, n byte, count int) AttemptStarted {
 	return AttemptStarted{At: at, Proxy: "till", Replica: id(n), Operation: op, Request: requestNumber, Attempt: count}
 }
 
-func firstEnded(at model.Microseconds, o Outcome) AttemptEnded {
+func firstAttemptEnded(at model.Microseconds, o Outcome) AttemptEnded {
 	return AttemptEnded{At: at, Request: requestNumber, Attempt: 1, Outcome: o}
 }
 
 // steadyLoad returns work that arrives at a replica at a constant rate.
-func steadyLoad(replica byte, from, to model.Microseconds, work float64) (all timeline) {
+func steadyLoad(replica byte, from, to model.Microseconds, work float64) (arrivals timeline) {
 	for at := from; at < to; at += second / 10 {
-		all = append(all, WorkArrived{At: at, Replica: id(replica), Proxy: "till", Work: work})
+		arrivals = append(arrivals, WorkArrived{At: at, Replica: id(replica), Proxy: "till", Work: work})
 	}
-	return all
+	return arrivals
 }
 
 // violationCase is a timeline that violates one invariant, or that narrowly does not.
 type violationCase struct {
-	name   string
-	broken bool
-	events timeline
+	name     string
+	violated bool
+	events   timeline
 }
 
-// started is the start of a replica whose capacity rises from 0.25 of a core to 1 core in 8 s.
-var started = ReplicaStarted{
+// warmingReplicaStart is the start of a replica whose capacity rises from 0.25 of a core to 1 core in 8 s.
+var warmingReplicaStart = ReplicaStarted{
 	At:                 3 * second,
 	Replica:            id(3),
 	DeduplicationGroup: "a",
@@ -102,66 +102,66 @@
 }
 
 var emptyTableCases = []violationCase{
-	{"no usable entry for three seconds", true, timeline{withdrawn(5 * second)}},
+	{"no usable entry for three seconds", true, timeline{withdrawalReceived(5 * second)}},
 	{"no usable entry for one second", false, timeline{
-		withdrawn(5 * second),
-		pushed(6*second, pubsubmsg.Message{Entries: []pubsubmsg.Entry{{Replica: id(2), Weight: 1}}}),
+		withdrawalReceived(5 * second),
+		messageReceived(6*second, pubsubmsg.Message{Entries: []pubsubmsg.Entry{{Replica: id(2), Weight: 1}}}),
 	}},
 	{"no usable entry while not joined", false, timeline{
-		withdrawn(5 * second),
+		withdrawalReceived(5 * second),
 		StreamChanged{At: 6 * second, Proxy: "till", Instance: "g"},
 	}},
 	{"no usable entry while only a warming replica is listed", false, timeline{
 		listedWarming(4*second, 2, 3*second),
-		withdrawn(5 * second),
+		withdrawalReceived(5 * second),
 	}},
 	{"no usable entry for some time after the replica is warm", true, timeline{
 		listedWarming(1*second, 2, 0),
 		listedWarming(2*second, 2, 1),
-		withdrawn(3 * second),
+		withdrawalReceived(3 * second),
 	}},
 	{"endpoint lists while there is no usable entry", true, timeline{
-		withdrawn(5 * second),
+		withdrawalReceived(5 * second),
 		listed(6*second, 1, 2),
 		listed(7*second, 1, 2),
 	}},
-	{"a table without entries", true, timeline{pushed(5*second, pubsubmsg.Message{Full: true, Bound: true})}},
+	{"a table without entries", true, timeline{messageReceived(5*second, pubsubmsg.Message{Full: true, Bound: true})}},
 }
 
 var repeatedEffectCases = []violationCase{
 	{"a payment repeated after a time-out", true, timeline{
-		attempted(5*second, 2, 1, 1),
-		firstEnded(6*second, TimedOut),
-		attempted(6*second, 2, 2, 2),
+		attemptAt(5*second, 2, 1, 1),
+		firstAttemptEnded(6*second, TimedOut),
+		attemptAt(6*second, 2, 2, 2),
 	}},
 	{"a payment repeated after a rejection", false, timeline{
-		attempted(5*second, 2, 1, 1),
-		firstEnded(6*second, Rejected),
-		attempted(6*second, 2, 2, 2),
+		attemptAt(5*second, 2, 1, 1),
+		firstAttemptEnded(6*second, Rejected),
+		attemptAt(6*second, 2, 2, 2),
 	}},
 	{"a payment repeated before the first attempt ends", true, timeline{
-		attempted(5*second, 2, 1, 1),
-		attempted(5*second, 2, 2, 2),
+		attemptAt(5*second, 2, 1, 1),
+		attemptAt(5*second, 2, 2, 2),
 	}},
 	{"a log repeated in another deduplication group", true, timeline{
-		attempted(5*second, 1, 1, 1),
-		firstEnded(5*second, ConnectionLost),
-		attempted(5*second, 1, 2, 2),
+		attemptAt(5*second, 1, 1, 1),
+		firstAttemptEnded(5*second, ConnectionLost),
+		attemptAt(5*second, 1, 2, 2),
 	}},
 	{"a log repeated in its deduplication group", false, timeline{
-		attempted(5*second, 1, 1, 1),
-		firstEnded(5*second, ConnectionLost),
-		attempted(5*second+second/2, 1, 1, 2),
+		attemptAt(5*second, 1, 1, 1),
+		firstAttemptEnded(5*second, ConnectionLost),
+		attemptAt(5*second+second/2, 1, 1, 2),
 	}},
 	{"a log repeated in its deduplication group after the window", true, timeline{
-		attempted(5*second, 1, 1, 1),
-		firstEnded(5*second, ConnectionLost),
-		attempted(6*second+second/2, 1, 1, 2),
+		attemptAt(5*second, 1, 1, 1),
+		firstAttemptEnded(5*second, ConnectionLost),
+		attemptAt(6*second+second/2, 1, 1, 2),
 	}},
 	{"a read repeated at another replica", false, timeline{
-		attempted(5*second, 0, 1, 1),
-		firstEnded(6*second, TimedOut),
-		attempted(6*second, 0, 2, 2),
+		attemptAt(5*second, 0, 1, 1),
+		firstAttemptEnded(6*second, TimedOut),
+		attemptAt(6*second, 0, 2, 2),
 	}},
 	{"a payment executed twice", true, timeline{
 		RequestExecuted{At: 5 * second, Replica: id(1), Operation: 2, Request: 9},
@@ -172,59 +172,59 @@
 var drainCases = []violationCase{
 	{"an attempt three seconds after a drain was notified", true, timeline{
 		listed(4*second, 2),
-		attempted(7*second, 0, 1, 1),
+		attemptAt(7*second, 0, 1, 1),
 	}},
-	{"an attempt within the drain grace", false, timeline{listed(4*second, 2), attempted(5*second, 0, 1, 1)}},
+	{"an attempt within the drain grace", false, timeline{listed(4*second, 2), attemptAt(5*second, 0, 1, 1)}},
 	{"an attempt after the replica is listed again", false, timeline{
 		listed(4*second, 2),
 		listed(5*second, 1, 2),
-		attempted(7*second, 0, 1, 1),
+		attemptAt(7*second, 0, 1, 1),
 	}},
 	{"an attempt within the drain grace after a new join", false, timeline{
 		listed(4*second, 2),
 		StreamChanged{At: 5 * second, Proxy: "till", Instance: "g"},
 		StreamChanged{At: 6 * second, Proxy: "till", Instance: "g", Up: true},
-		attempted(7*second, 0, 1, 1),
+		attemptAt(7*second, 0, 1, 1),
 	}},
 }
 
 var coldStartCases = []violationCase{
 	{
 		"a warming replica receives ten times its capacity", true,
-		append(timeline{started, listedWarming(3*second, 3, 3*second)},
+		append(timeline{warmingReplicaStart, listedWarming(3*second, 3, 3*second)},
 			steadyLoad(3, 6*second, 9*second, 4e5)...),
 	},
 	{
 		"a warming replica receives no more than its capacity", false,
-		append(timeline{started, listedWarming(3*second, 3, 3*second)},
+		append(timeline{warmingReplicaStart, listedWarming(3*second, 3, 3*second)},
 			steadyLoad(3, 6*second, 9*second, 3e4)...),
 	},
 	{
 		"the same overload by proxies that could not know of the start", false,
-		append(timeline{started},
+		append(timeline{warmingReplicaStart},
 			steadyLoad(3, 4*second, 7*second, 4e5)...),
 	},
 }
 
 var queueCases = []violationCase{
 	{"a hundred and twenty entries in flight", true, timeline{
-		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
-		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5*second + 1, Cost: 60}),
+		messageReceived(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
+		messageReceived(6*second, pubsubmsg.Message{UpdatedAt: 5*second + 1, Cost: 60}),
 	}},
 	{"as many entries one message after the other", false, timeline{
-		pushed(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
-		pushed(7*second, pubsubmsg.Message{UpdatedAt: 6*second + 1, Cost: 60}),
+		messageReceived(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
+		messageReceived(7*second, pubsubmsg.Message{UpdatedAt: 6*second + 1, Cost: 60}),
 	}},
 	{"four messages in ten seconds", true, timeline{
-		pushed(5*second, pubsubmsg.Message{}),
-		pushed(6*second, pubsubmsg.Message{}),
-		pushed(7*second, pubsubmsg.Message{}),
-		pushed(8*second, pubsubmsg.Message{}),
+		messageReceived(5*second, pubsubmsg.Message{}),
+		messageReceived(6*second, pubsubmsg.Message{}),
+		messageReceived(7*second, pubsubmsg.Message{}),
+		messageReceived(8*second, pubsubmsg.Message{}),
 	}},
 }
 
 // Each invariant is violated by some timelines and not by similar ones. No case violates another invariant.
-func TestEachInvariantIsBrokenByItsCaseOnly(t *testing.T) {
+func TestEachCaseViolatesItsOwnInvariantOnly(t *testing.T) {
 	for invariant, cases := range map[string][]violationCase{
 		EmptyTable:     emptyTableCases,
 		RepeatedEffect: repeatedEffectCases,
@@ -234,24 +234,24 @@
 	} {
 		for _, tt := range cases {
 			t.Run(tt.name, func(t *testing.T) {
-				checkViolations(t, append(newTimeline(), tt.events...), invariant, tt.broken)
+				checkViolations(t, append(newTimeline(), tt.events...), invariant, tt.violated)
 			})
 		}
 	}
 }
 
 // checkViolations requires that a timeline violates the given invariant only, or none if wantBroken is false.
-func checkViolations(t *testing.T, events timeline, invariant string, wantBroken bool) {
+func checkViolations(t *testing.T, events timeline, invariant string, wantViolated bool) {
 	t.Helper()
 	for _, v := range Check(events, testLimits, 15*second) {
-		if broken := len(v.Violations) > 0; broken != (wantBroken && v.Invariant == invariant) {
-			t.Errorf("%s: violated %v, %.2f of the limit: %v", v.Invariant, broken, v.MaxRatio, v.Violations)
+		if violated := len(v.Violations) > 0; violated != (wantViolated && v.Invariant == invariant) {
+			t.Errorf("%s: violated %v, %.2f of the limit: %v", v.Invariant, violated, v.MaxRatio, v.Violations)
 		}
 	}
 }
 
-func TestViolationNamesPartiesAndTimes(t *testing.T) {
-	events := append(newTimeline(), listed(4*second, 2), attempted(7*second, 0, 1, 1))
+func TestViolationStatesProxyReplicaAndTimes(t *testing.T) {
+	events := append(newTimeline(), listed(4*second, 2), attemptAt(7*second, 0, 1, 1))
 	for _, v := range Check(events, testLimits, 15*second) {
 		if v.Invariant == LateDrain && (len(v.Violations) != 1 || v.Violations[0] !=
 			"7.000 s: till sent to 127.0.0.1:80 3.000 s after g was notified that it drains or is gone, 2.000 s are allowed") {
@@ -260,7 +260,7 @@
 	}
 }
 
-func TestViolationsAreBounded(t *testing.T) {
+func TestViolationListIsCutAtItsLimit(t *testing.T) {
 	all := append(newTimeline(), listed(4*second, 2))
 	for n := range 1000 {
 		at := 8*second + model.Microseconds(n)
@@ -273,22 +273,28 @@
 
 // Two instances that publish in the same epoch violate the invariant. Messages with an older epoch than an earlier
 // message are fenced off, so they are not checked.
-func TestEpochHasOneHolder(t *testing.T) {
-	up := func(at model.Microseconds, instance string) StreamChanged {
+func TestSharedEpochIsViolatedWhenTwoInstancesPublishInOneEpoch(t *testing.T) {
+	joins := func(at model.Microseconds, instance string) StreamChanged {
 		return StreamChanged{At: at, Proxy: "till", Instance: instance, Up: true}
 	}
-	in := func(at model.Microseconds, epoch uint64, entries ...pubsubmsg.Entry) BytesReceived {
-		return pushed(at, pubsubmsg.Message{Full: true, Bound: true, Entries: entries, Epoch: epoch})
+	fullTable := func(at model.Microseconds, epoch uint64, entries ...pubsubmsg.Entry) BytesReceived {
+		return messageReceived(at, pubsubmsg.Message{Full: true, Bound: true, Entries: entries, Epoch: epoch})
 	}
 	full, bare := pubsubmsg.Entry{Replica: id(1), Weight: 1}, []pubsubmsg.Entry(nil)
 	for name, tt := range map[string]struct {
 		events timeline
 		broken string
 	}{
-		"a takeover":              {timeline{in(2*second, 1, full), up(3*second, "h"), in(4*second, 2, full)}, ""},
-		"two in one epoch":        {timeline{in(2*second, 1, full), up(3*second, "h"), in(4*second, 1, full)}, SharedEpoch},
-		"a former holder empties": {timeline{in(2*second, 2, full), in(3*second, 1, bare...)}, ""},
-		"the holder empties":      {timeline{in(2*second, 2, full), in(3*second, 2, bare...)}, EmptyTable},
+		"a takeover": {
+			timeline{fullTable(2*second, 1, full), joins(3*second, "h"), fullTable(4*second, 2, full)},
+			"",
+		},
+		"two in one epoch": {
+			timeline{fullTable(2*second, 1, full), joins(3*second, "h"), fullTable(4*second, 1, full)},
+			SharedEpoch,
+		},
+		"a former holder empties": {timeline{fullTable(2*second, 2, full), fullTable(3*second, 1, bare...)}, ""},
+		"the holder empties":      {timeline{fullTable(2*second, 2, full), fullTable(3*second, 2, bare...)}, EmptyTable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checkViolations(t, append(newTimeline(), tt.events...), tt.broken, tt.broken != "")
--- a/internal/invariants/coldstart.go
+++ b/internal/invariants/coldstart.go
@@ -17,8 +17,8 @@
 	if p == nil || p.instance == nil {
 		return false
 	}
-	seenAt, seen := p.instance.startSeen[e.Replica]
-	return seen && (p.updatedAt > seenAt || e.At-seenAt > c.limits.DrainGrace)
+	notifiedAt, notified := p.instance.startNotifiedAt[e.Replica]
+	return notified && (p.updatedAt > notifiedAt || e.At-notifiedAt > c.limits.DrainGrace)
 }
 
 // checkColdStarts checks every cold start of a replica: the work that arrives within any window must not overload the
@@ -57,8 +57,8 @@
 	w.largest = max(w.largest, a.Work)
 }
 
-// dropUntil removes the work that arrived at the given time or earlier.
-func (w *workWindow) dropUntil(at model.Microseconds) {
+// removeArrivedBy removes the work that arrived at the given time or earlier.
+func (w *workWindow) removeArrivedBy(at model.Microseconds) {
 	for len(w.arrivals) > 0 && w.arrivals[0].At <= at {
 		a := w.arrivals[0]
 		w.arrivals = w.arrivals[1:]
@@ -83,7 +83,7 @@
 			continue
 		}
 		window.add(last)
-		window.dropUntil(last.At - c.limits.OverloadWindow)
+		window.removeArrivedBy(last.At - c.limits.OverloadWindow)
 		capacity := c.capacity(start, last.At)
 		load := (window.total - window.largest) / (c.limits.OverloadFactor * capacity)
 		if load > 1 && !window.mostlyInformed() {
--- a/internal/invariants/endpoints.go
+++ b/internal/invariants/endpoints.go
@@ -13,10 +13,10 @@
 		return
 	}
 	instance := c.instance(list.Instance)
-	// The list may change instance.warmFrom, so the periods without a usable entry are checked up to now first.
+	// The list may change instance.warmListedFrom, so the periods without a usable entry are checked up to now first.
 	for _, name := range c.proxyOrder {
 		if p := c.proxies[name]; p.instance == instance {
-			c.checkEmptySpell(p, list.At)
+			c.checkEmptyPeriod(p, list.At)
 		}
 	}
 	ready, warmFrom := instance.readyEndpoints(endpoints, list.At, c.limits.WarmUpPeriod)
@@ -25,8 +25,8 @@
 			instance.goneAt[id] = list.At
 		}
 	}
-	if warmFrom > list.At || instance.warmFrom > list.At {
-		instance.warmFrom = warmFrom
+	if warmFrom > list.At || instance.warmListedFrom > list.At {
+		instance.warmListedFrom = warmFrom
 	}
 }
 
@@ -47,7 +47,7 @@
 		delete(i.goneAt, endpoint.ID)
 		if endpoint.StartedAt > 0 && i.startedAt[endpoint.ID] != endpoint.StartedAt {
 			i.startedAt[endpoint.ID] = endpoint.StartedAt
-			i.startSeen[endpoint.ID] = now
+			i.startNotifiedAt[endpoint.ID] = now
 		}
 	}
 	return ready, warmFrom
--- a/internal/invariants/proxies.go
+++ b/internal/invariants/proxies.go
@@ -19,7 +19,7 @@
 		proxy.weights[entry.Replica] = entry.Weight
 	}
 	if previous := c.proxies[event.Proxy]; previous != nil {
-		c.endEmptySpell(previous, event.At)
+		c.endEmptyPeriod(previous, event.At)
 	} else {
 		c.proxyOrder = append(c.proxyOrder, event.Proxy)
 	}
@@ -31,7 +31,7 @@
 	if p == nil {
 		return
 	}
-	c.endEmptySpell(p, e.At)
+	c.endEmptyPeriod(p, e.At)
 	p.running = false
 	p.instance = nil
 }
@@ -41,7 +41,7 @@
 	if proxy == nil || !proxy.running {
 		return
 	}
-	c.endEmptySpell(proxy, event.At)
+	c.endEmptyPeriod(proxy, event.At)
 	proxy.instance = nil
 	if event.Up {
 		proxy.instance = c.instance(event.Instance)
@@ -49,7 +49,7 @@
 		proxy.reader = resp.NewReader(resp.Limits{})
 		proxy.messages = nil
 	}
-	c.updateEmptySpell(proxy, event.At)
+	c.updateEmptyPeriod(proxy, event.At)
 }
 
 func (c *checker) bytesReceived(e BytesReceived) {
@@ -75,9 +75,9 @@
 		return
 	}
 	c.checkEpoch(p, m.Epoch, now)
-	c.countMessage(p, m, now)
-	p.apply(m)
-	c.updateEmptySpell(p, now)
+	c.recordMessage(p, m, now)
+	p.applyMessage(m)
+	c.updateEmptyPeriod(p, now)
 }
 
 // checkEpoch checks that only one instance publishes to the proxy in an epoch. Epoch 0 is used by instances without
@@ -88,15 +88,15 @@
 	}
 	previous := p.epochHolder[epoch]
 	if previous != "" && previous != p.instance.name {
-		c.results[SharedEpoch].record(broken, "%s: %s was sent updates in epoch %d by %s and by %s",
+		c.results[SharedEpoch].record(violationRatio, "%s: %s was sent updates in epoch %d by %s and by %s",
 			c.sinceStart(now), p.name, epoch, previous, p.instance.name)
 	}
 	p.epoch = epoch
 	p.epochHolder[epoch] = p.instance.name
 }
 
-// apply applies a message to the proxy's table and withdrawals.
-func (p *proxyState) apply(m *pubsubmsg.Message) {
+// applyMessage applies a message to the proxy's table and withdrawals.
+func (p *proxyState) applyMessage(m *pubsubmsg.Message) {
 	if m.Full && m.Bound {
 		clear(p.weights)
 		clear(p.withdrawn)
@@ -127,10 +127,10 @@
 	return false
 }
 
-// updateEmptySpell starts or ends a period in which a joined proxy has no usable entry.
-func (c *checker) updateEmptySpell(p *proxyState, now model.Microseconds) {
+// updateEmptyPeriod starts or ends a period in which a joined proxy has no usable entry.
+func (c *checker) updateEmptyPeriod(p *proxyState, now model.Microseconds) {
 	if p.instance == nil || p.hasUsableEntry() {
-		c.endEmptySpell(p, now)
+		c.endEmptyPeriod(p, now)
 		return
 	}
 	if p.emptySince == notEmpty {
@@ -138,19 +138,19 @@
 	}
 }
 
-// checkEmptySpell checks the length up to now of a period without a usable entry. The time before a warm replica was
+// checkEmptyPeriod checks the length up to now of a period without a usable entry. The time before a warm replica was
 // listed to the proxy's instance does not count.
-func (c *checker) checkEmptySpell(p *proxyState, now model.Microseconds) {
-	if p.emptySince == notEmpty || p.instance == nil || p.instance.warmFrom >= now {
+func (c *checker) checkEmptyPeriod(p *proxyState, now model.Microseconds) {
+	if p.emptySince == notEmpty || p.instance == nil || p.instance.warmListedFrom >= now {
 		return
 	}
-	spell := now - max(p.emptySince, p.instance.warmFrom)
-	c.results[EmptyTable].record(shareOf(spell, c.limits.MaxEmptyTime),
+	emptyTime := now - max(p.emptySince, p.instance.warmListedFrom)
+	c.results[EmptyTable].record(ratioToLimit(emptyTime, c.limits.MaxEmptyTime),
 		"%s: %s, joined to %s, had no usable entry for %s, %s are allowed",
-		c.sinceStart(now), p.name, p.instance.name, seconds(spell), seconds(c.limits.MaxEmptyTime))
+		c.sinceStart(now), p.name, p.instance.name, seconds(emptyTime), seconds(c.limits.MaxEmptyTime))
 }
 
-func (c *checker) endEmptySpell(p *proxyState, now model.Microseconds) {
-	c.checkEmptySpell(p, now)
+func (c *checker) endEmptyPeriod(p *proxyState, now model.Microseconds) {
+	c.checkEmptyPeriod(p, now)
 	p.emptySince = notEmpty
 }
--- a/internal/invariants/queue.go
+++ b/internal/invariants/queue.go
@@ -9,11 +9,11 @@
 	"peppervale/internal/model"
 )
 
-// countMessage records a message for the check of the queues, and checks the number of messages to the proxy within the
-// message window.
-func (c *checker) countMessage(proxy *proxyState, message *pubsubmsg.Message, now model.Microseconds) {
+// recordMessage records a message for the check of the queues, and checks the number of messages to the proxy within
+// the message window.
+func (c *checker) recordMessage(proxy *proxyState, message *pubsubmsg.Message, now model.Microseconds) {
 	instance := proxy.instance
-	instance.sent = append(instance.sent, sentMessage{message.UpdatedAt, now, message.Cost})
+	instance.sentMessages = append(instance.sentMessages, sentMessage{message.UpdatedAt, now, message.Cost})
 	proxy.messages = append(proxy.messages, message.UpdatedAt)
 	proxy.updatedAt = max(proxy.updatedAt, message.UpdatedAt)
 	if c.limits.MessageLimit <= 0 {
@@ -51,8 +51,8 @@
 
 // queueChanges returns the changes by all messages in order of time. At the same time, removals precede additions.
 func (i *instanceState) queueChanges() []queueChange {
-	changes := make([]queueChange, 0, 2*len(i.sent))
-	for _, m := range i.sent {
+	changes := make([]queueChange, 0, 2*len(i.sentMessages))
+	for _, m := range i.sentMessages {
 		changes = append(changes, queueChange{m.updatedAt, m.cost}, queueChange{m.receivedAt, -m.cost})
 	}
 	slices.SortStableFunc(changes, func(a, b queueChange) int {
--- a/internal/invariants/result.go
+++ b/internal/invariants/result.go
@@ -32,16 +32,16 @@
 // so.
 const maxViolations = 20
 
-// broken is the ratio to the limit that is recorded for a violation of an invariant without a numeric limit.
-const broken = 2
+// violationRatio is the ratio to the limit that is recorded for a violation of an invariant without a numeric limit.
+const violationRatio = 2
 
-// record records the ratio of an observation to the limit, and a violation if share is above 1.
-func (r *Result) record(share float64, format string, args ...any) {
-	if share > r.MaxRatio {
-		r.MaxRatio = share
+// record records the ratio of an observation to the limit, and a violation if it is above 1.
+func (r *Result) record(ratio float64, format string, args ...any) {
+	if ratio > r.MaxRatio {
+		r.MaxRatio = ratio
 		r.Where = fmt.Sprintf(format, args...)
 	}
-	if share <= 1 {
+	if ratio <= 1 {
 		return
 	}
 	switch {
@@ -57,5 +57,5 @@
 	return fmt.Sprintf("%.3f s", float64(t)/float64(model.Second))
 }
 
-// shareOf returns the ratio of a duration to its limit.
-func shareOf(t, limit model.Microseconds) float64 { return float64(t) / float64(max(limit, 1)) }
+// ratioToLimit returns the ratio of a duration to its limit.
+func ratioToLimit(t, limit model.Microseconds) float64 { return float64(t) / float64(max(limit, 1)) }
--- a/internal/scenario/console_test.go
+++ b/internal/scenario/console_test.go
@@ -28,7 +28,7 @@
 var comparisonPages = []string{"/", "/replicas", "/forwarders"}
 
 // Every page of the consoles answers while a zone is lost and recovers, and the pages show the loss and the recovery.
-func TestConsolesShowALostZoneAndItsReturn(t *testing.T) {
+func TestConsolesShowZoneLossAndRecovery(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a scenario on sockets takes seconds")
 	}
@@ -78,7 +78,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if !watch.complete() {
-		return fmt.Errorf("the consoles have not shown the loss and the cold recovery of the zone and its instance: %+v", watch)
+		return fmt.Errorf("the consoles have not shown the loss and cold restart of the zone and its instance: %+v", watch)
 	}
 	return nil
 }
@@ -117,14 +117,16 @@
 	console    string // URL of the surviving instance's console
 	comparison string // URL of the console that compares the instances
 
-	zoneLost         bool
-	zoneBack         bool
-	instanceLost     bool
-	instanceBack     bool
-	firstIncarnation uint64
+	zoneLossShown        bool
+	zoneRecoveryShown    bool
+	instanceLossShown    bool
+	instanceRestartShown bool
+	firstIncarnation     uint64
 }
 
-func (w *consoleWatch) complete() bool { return w.zoneLost && w.zoneBack && w.instanceBack }
+func (w *consoleWatch) complete() bool {
+	return w.zoneLossShown && w.zoneRecoveryShown && w.instanceRestartShown
+}
 
 func (w *consoleWatch) observe() error {
 	for _, page := range consolePages {
@@ -168,12 +170,12 @@
 		return nil
 	}
 	if shown.Error != "" && shown.Incarnation > 0 {
-		w.instanceLost = true
+		w.instanceLossShown = true
 	}
-	if w.instanceLost && shown.Error == "" && shown.Incarnation > w.firstIncarnation {
-		w.instanceBack = true
+	if w.instanceLossShown && shown.Error == "" && shown.Incarnation > w.firstIncarnation {
+		w.instanceRestartShown = true
 	}
-	if !w.instanceLost {
+	if !w.instanceLossShown {
 		w.firstIncarnation = shown.Incarnation
 	}
 	return nil
@@ -187,10 +189,10 @@
 	absent := strings.Count(text, `"state": "away"`)
 	warming := strings.Count(text, `"state": "easing"`)
 	if absent == lostReplicas {
-		w.zoneLost = true
+		w.zoneLossShown = true
 	}
-	if w.zoneLost && absent == 0 && warming >= lostReplicas {
-		w.zoneBack = true
+	if w.zoneLossShown && absent == 0 && warming >= lostReplicas {
+		w.zoneRecoveryShown = true
 	}
 	return nil
 }
--- a/internal/scenario/faulty_test.go
+++ b/internal/scenario/faulty_test.go
@@ -32,7 +32,8 @@
 	t.Helper()
 	isViolated := len(verdict.Violations) > 0
 	if isViolated != (verdict.Invariant == violated) {
-		t.Errorf("%s: unexpected verdict: %.2f of the limit, violations %v", verdict.Invariant, verdict.MaxRatio, verdict.Violations)
+		t.Errorf("%s: unexpected verdict: %.2f of the limit, violations %v",
+			verdict.Invariant, verdict.MaxRatio, verdict.Violations)
 		return
 	}
 	if !isViolated {
@@ -46,7 +47,7 @@
 	}
 }
 
-func TestAProxyThatIgnoresWithdrawalsIsDetected(t *testing.T) {
+func TestLateDrainIsViolatedWhenProxiesIgnoreWithdrawals(t *testing.T) {
 	t.Parallel()
 	script := openScript(t, zoneLossFile)
 	script.Length = seconds(12)
--- a/internal/scenario/instance.go
+++ b/internal/scenario/instance.go
@@ -17,7 +17,7 @@
 const (
 	listenTimeout      = 10 * time.Second
 	listenPollInterval = 20 * time.Millisecond
-	logTailLength      = 2000 // bytes
+	logTailBytes       = 2000
 )
 
 // instance is an instance of the control plane that runs in a separate process.
@@ -65,9 +65,9 @@
 	}
 }
 
-// beginEnd sends a signal that terminates the process and marks the instance as not running. The returned function
+// terminate sends a signal that terminates the process and marks the instance as not running. The returned function
 // waits for the process to exit and returns its CPU time. It kills a process that is still running after the timeout.
-func (i *instance) beginEnd(signal syscall.Signal, timeout time.Duration) (wait func() time.Duration) {
+func (i *instance) terminate(signal syscall.Signal, timeout time.Duration) (wait func() time.Duration) {
 	if i.command == nil {
 		return func() time.Duration { return 0 }
 	}
@@ -83,15 +83,15 @@
 	}
 }
 
-// end terminates the process and waits for it to exit.
-func (i *instance) end(signal syscall.Signal, timeout time.Duration) {
-	i.cpuTime += i.beginEnd(signal, timeout)()
+// stop terminates the process and waits for it to exit.
+func (i *instance) stop(signal syscall.Signal, timeout time.Duration) {
+	i.cpuTime += i.terminate(signal, timeout)()
 }
 
-// logTail returns the last logTailLength bytes of the process's log.
+// logTail returns the last logTailBytes bytes of the process's log.
 func (i *instance) logTail() string {
 	text, _ := os.ReadFile(i.logPath)
-	return string(text[max(0, len(text)-logTailLength):])
+	return string(text[max(0, len(text)-logTailBytes):])
 }
 
 // configureInstances writes the configuration file of each instance and checks that it is valid.
--- a/internal/scenario/instancesteps.go
+++ b/internal/scenario/instancesteps.go
@@ -12,8 +12,8 @@
 	shutdownTimeout = 5 * time.Second
 
 	// The time between repeated crashes is the step's size times a factor drawn uniformly from this range.
-	minCrashSpacing = 0.7
-	maxCrashSpacing = 1.3
+	minCrashIntervalFactor = 0.7
+	maxCrashIntervalFactor = 1.3
 )
 
 // crashInstances kills randomly drawn instances step.Number times, about step.Size seconds apart.
@@ -21,7 +21,8 @@
 	if step.Number > 1 {
 		next := step
 		next.Number--
-		delay := model.Microseconds(r.random.Between(minCrashSpacing, maxCrashSpacing) * float64(seconds(step.Size)))
+		delay := model.Microseconds(
+			r.random.Between(minCrashIntervalFactor, maxCrashIntervalFactor) * float64(seconds(step.Size)))
 		r.loop.After(delay, func() { r.crashInstances(next) })
 	}
 	targets, _ := r.targetInstances(step)
@@ -32,7 +33,7 @@
 
 // crashInstance kills an instance and restarts it after the given time. Only its state directory is kept.
 func (r *runner) crashInstance(target *instance, down model.Microseconds) {
-	target.end(syscall.SIGKILL, killTimeout)
+	target.stop(syscall.SIGKILL, killTimeout)
 	r.loop.After(down, func() { r.restartInstance(target) })
 }
 
@@ -61,7 +62,7 @@
 
 // restartGracefully shuts an instance down gracefully and starts it again. It waits for the shutdown outside the loop.
 func (r *runner) restartGracefully(target *instance) {
-	wait := target.beginEnd(syscall.SIGTERM, shutdownTimeout)
+	wait := target.terminate(syscall.SIGTERM, shutdownTimeout)
 	go func() {
 		cpuTime := wait()
 		r.loop.Post(func() {
@@ -71,11 +72,11 @@
 	}()
 }
 
-// loseZone stops all replicas, proxies and instances of a zone. They restart when the step is over.
-func (r *runner) loseZone(step Step) {
+// failZone stops all replicas, proxies and instances of a zone. They restart when the step is over.
+func (r *runner) failZone(step Step) {
 	for _, target := range r.replicas {
 		if target.Zone == step.Zone && target.Running {
-			r.loseReplica(target, step)
+			r.failReplica(target, step)
 		}
 	}
 	for _, target := range r.proxies {
@@ -90,13 +91,13 @@
 	}
 }
 
-func (r *runner) loseReplica(target *managedReplica, step Step) {
-	target.fault++
+func (r *runner) failReplica(target *managedReplica, step Step) {
+	target.faultCount++
 	if step.Silent {
-		r.silence(target)
+		r.silenceReplica(target)
 	} else {
 		target.Stop()
 		r.deregister(target, r.script.Registry.ExitDelay)
 	}
-	r.whenStillFaulty(target, step.Duration, r.restartCold)
+	r.afterUnlessNewFault(target, step.Duration, r.restartCold)
 }
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -72,8 +72,8 @@
 // runScript runs a scenario to its end.
 func runScript(t *testing.T, script *Script) *Report {
 	t.Helper()
-	setting := Options{Program: instanceProgram(), Directory: t.TempDir()}
-	report, err := Run(context.Background(), script, setting)
+	options := Options{Program: instanceProgram(), Directory: t.TempDir()}
+	report, err := Run(context.Background(), script, options)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/network.go
+++ b/internal/scenario/network.go
@@ -24,24 +24,25 @@
 type loopbackNetwork int
 
 // The parameters of the search for a free network. searchStride has no common factor with networkCount, so a search
-// never tries a network twice. The searches of two consecutive scenarios of one process begin runStride networks apart.
+// never tries a network twice. The searches of two consecutive scenarios of one process begin scenarioStride networks
+// apart.
 const (
-	firstNetwork    = 20
-	networkCount    = 200
-	networkAttempts = 100
-	runStride       = 41
-	searchStride    = 37
+	firstNetwork       = 20
+	networkCount       = 200
+	maxNetworkAttempts = 100
+	scenarioStride     = 41
+	searchStride       = 37
 )
 
-// runs counts the scenarios of this process, so that each begins its search at a different network.
-var runs atomic.Int64
+// startedScenarios counts the scenarios of this process, so that each begins its search at a different network.
+var startedScenarios atomic.Int64
 
 // findFreeNetwork finds a network on whose probePort nothing listens. The port is released again, so another process
 // may still choose the same network. Scenarios mostly get different networks because their searches begin at different
 // networks.
 func findFreeNetwork() (loopbackNetwork, error) {
-	first := os.Getpid() + int(runs.Add(1))*runStride
-	for k := range networkAttempts {
+	first := os.Getpid() + int(startedScenarios.Add(1))*scenarioStride
+	for k := range maxNetworkAttempts {
 		network := loopbackNetwork(firstNetwork + (first+k*searchStride)%networkCount)
 		listener, err := net.Listen("tcp", network.registryAddress(probePort))
 		if err == nil {
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -8,8 +8,8 @@
 	"peppervale/internal/model"
 )
 
-// hour is the upper limit of every duration of a scenario.
-const hour = 3600 * model.Second
+// maxDuration is the upper limit of every duration of a scenario.
+const maxDuration = 3600 * model.Second
 
 // maxReplicasPerZone is limited because a replica's number in its zone, from 1, is the last octet of its address.
 const maxReplicasPerZone = 250
@@ -72,7 +72,7 @@
 func (s *Script) readHeader(block *config.Block) {
 	s.Name = block.Labels[0]
 	s.About = block.OptionalString("about")
-	s.Length = block.Duration("length", -1, model.Second, hour)
+	s.Length = block.Duration("length", -1, model.Second, maxDuration)
 	s.Seed = uint64(block.Int("seed", 1, 0, 1<<30))
 	s.InstanceZones = block.InstanceZones()
 	kinds := append([]string{noFaultyController}, FaultyControllerKinds...)
@@ -80,9 +80,9 @@
 	if block.Bool("shared", false) {
 		s.Sharding = &Sharding{
 			ShardsPerZone:       block.Int("parts", 2, 1, 64),
-			LeaseDuration:       block.Duration("lease", 2*model.Second, 300*model.Millisecond, hour),
-			StabilizationPeriod: block.Duration("settle", 4*model.Second, 0, hour),
-			MoveInterval:        block.Duration("pace", model.Second, 0, hour),
+			LeaseDuration:       block.Duration("lease", 2*model.Second, 300*model.Millisecond, maxDuration),
+			StabilizationPeriod: block.Duration("settle", 4*model.Second, 0, maxDuration),
+			MoveInterval:        block.Duration("pace", model.Second, 0, maxDuration),
 		}
 	}
 	block.RejectUnknown()
@@ -105,9 +105,9 @@
 		SpeedFrom:              block.Float("speed_from", 0.85, 0.01, 100),
 		SpeedTo:                block.Float("speed_to", 1.1, 0.01, 100),
 		InitialShare:           block.Float("cold_share", 0.25, 0.01, 1),
-		WarmUpPeriod:           block.Duration("cold_span", 8*model.Second, 0, hour),
-		ReportInterval:         block.Duration("report_every", 500*model.Millisecond, 0, hour),
-		HandshakeWork:          block.Duration("handshake", 5*model.Millisecond, 0, hour),
+		WarmUpPeriod:           block.Duration("cold_span", 8*model.Second, 0, maxDuration),
+		ReportInterval:         block.Duration("report_every", 500*model.Millisecond, 0, maxDuration),
+		HandshakeWork:          block.Duration("handshake", 5*model.Millisecond, 0, maxDuration),
 	}
 	block.RejectUnknown()
 	return replicas
@@ -119,9 +119,9 @@
 		EjectAfter:     block.Int("ejects", 0, 0, 1000),
 		ClientAttempts: block.Int("client_tries", 1, 1, 10),
 		Pick:           block.String("pick", "pair", "lottery", "wheel", "pair"),
-		RedialInterval: block.Duration("redial", 150*model.Millisecond, model.Millisecond, hour),
-		EjectFor:       block.Duration("eject_for", 5*model.Second, 0, hour),
-		ClientBackoff:  block.Duration("backoff", 100*model.Millisecond, 0, hour),
+		RedialInterval: block.Duration("redial", 150*model.Millisecond, model.Millisecond, maxDuration),
+		EjectFor:       block.Duration("eject_for", 5*model.Second, 0, maxDuration),
+		ClientBackoff:  block.Duration("backoff", 100*model.Millisecond, 0, maxDuration),
 		StallPerEntry:  block.Duration("stall_line", 0, 0, model.Second),
 		RateSpread:     block.Float("rate_spread", 0.5, 0, 5),
 	}
@@ -131,9 +131,9 @@
 
 func readRegistry(block *config.Block) Registry {
 	registry := Registry{
-		ExitDelay:   block.Duration("notice", model.Second, 0, hour),
-		SilentDelay: block.Duration("silent_notice", 6*model.Second, 0, hour),
-		AddDelay:    block.Duration("add", 500*model.Millisecond, 0, hour),
+		ExitDelay:   block.Duration("notice", model.Second, 0, maxDuration),
+		SilentDelay: block.Duration("silent_notice", 6*model.Second, 0, maxDuration),
+		AddDelay:    block.Duration("add", 500*model.Millisecond, 0, maxDuration),
 	}
 	block.RejectUnknown()
 	return registry
@@ -155,7 +155,7 @@
 	work := OperationLoad{
 		Operation: s.operationIndex(block.Labels[0]),
 		Share:     block.Float("share", 1, 0, 1e6),
-		Mean:      block.Duration("mean", -1, 1, hour),
+		Mean:      block.Duration("mean", -1, 1, maxDuration),
 		Spread:    block.Float("spread", 0.5, 0, 10),
 	}
 	if work.Operation < 0 {
@@ -173,8 +173,8 @@
 func (s *Script) readStep(block *config.Block) Step {
 	step := Step{
 		Kind:     StepKind(block.Labels[0]),
-		At:       block.Duration("at", -1, 0, hour),
-		Duration: block.Duration("lasts", 5*model.Second, 0, hour),
+		At:       block.Duration("at", -1, 0, maxDuration),
+		Duration: block.Duration("lasts", 5*model.Second, 0, maxDuration),
 		Zone:     block.OptionalString("zone"),
 		Fraction: block.Float("part", 0.25, 0, 1),
 		Size:     block.Float("size", 3, 0, 1000),
--- a/internal/scenario/parse_test.go
+++ b/internal/scenario/parse_test.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/config"
 )
 
-func TestScenariosOfTheRepositoryParse(t *testing.T) {
+func TestRepositoryScenariosParseWithoutErrors(t *testing.T) {
 	for _, pattern := range []string{"*.hcl", "faulty/*.hcl"} {
 		files, err := filepath.Glob(scenarioPath(pattern))
 		if err != nil || len(files) == 0 {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestMistakesOfAScenarioAreReported(t *testing.T) {
+func TestParseReportsEachMistake(t *testing.T) {
 	valid, err := os.ReadFile(scenarioPath(zoneLossFile))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scenario/proxysteps.go
+++ b/internal/scenario/proxysteps.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (r *runner) misbehave(step Step) {
+func (r *runner) makeProxiesMisbehave(step Step) {
 	for _, target := range r.targetProxies(step) {
 		target.Misbehavior = misbehaviorOf(step.Group)
 		r.loop.After(step.Duration, func() { target.Misbehavior = proxy.Misbehavior{} })
@@ -69,7 +69,7 @@
 	r.loop.After(step.Duration, func() { r.heavyTail.fraction = 0 })
 }
 
-func (r *runner) disturbRegistry(step Step, fault registry.Faults) {
+func (r *runner) injectRegistryFault(step Step, fault registry.Faults) {
 	r.endpoints.Faults = fault
 	r.loop.After(step.Duration, func() { r.endpoints.Faults = registry.Faults{} })
 }
--- a/internal/scenario/replicasteps.go
+++ b/internal/scenario/replicasteps.go
@@ -3,102 +3,102 @@
 import "peppervale/internal/model"
 
 const (
-	alternationPeriod  = model.Second
-	agingPeriod        = 500 * model.Millisecond
-	restartDelay       = 50 * model.Millisecond
-	restartMaxAttempts = 20
+	toggleInterval  = model.Second
+	agingInterval   = 500 * model.Millisecond
+	restartDelay    = 50 * model.Millisecond
+	startMaxRetries = 20
 )
 
-// disturbReplicas starts a fault on the targets of a step. When the step is over, it ends the fault on the targets that
-// no later fault affects.
+// injectReplicaFault starts a fault on the targets of a step. When the step is over, it ends the fault on the targets
+// that no later fault affects.
 //
 // Caveat: end does not stop the actions that begin scheduled. The recurring faults (alternate and age) continue after
 // their step until a later fault affects the replica, so the effect of end is soon undone. Changing this behavior
 // changes the results of scenarios with such steps.
-func (r *runner) disturbReplicas(step Step, begin, end func(target *managedReplica)) {
+func (r *runner) injectReplicaFault(step Step, begin, end func(target *managedReplica)) {
 	for _, target := range r.targetReplicas(step) {
 		begin(target)
-		r.whenStillFaulty(target, step.Duration, end)
+		r.afterUnlessNewFault(target, step.Duration, end)
 	}
 }
 
-// whenStillFaulty calls do after a delay unless a later fault has affected the replica by then.
-func (r *runner) whenStillFaulty(target *managedReplica, delay model.Microseconds, do func(*managedReplica)) {
-	fault := target.fault
+// afterUnlessNewFault calls action after a delay unless a later fault has affected the replica by then.
+func (r *runner) afterUnlessNewFault(target *managedReplica, delay model.Microseconds, action func(*managedReplica)) {
+	fault := target.faultCount
 	r.loop.After(delay, func() {
-		if target.fault == fault {
-			do(target)
+		if target.faultCount == fault {
+			action(target)
 		}
 	})
 }
 
-// slowdown returns a fault that multiplies the processing time of all work of a replica by factor.
-func slowdown(factor float64) func(*managedReplica) {
+// setSlowdown returns a fault that multiplies the processing time of all work of a replica by factor.
+func setSlowdown(factor float64) func(*managedReplica) {
 	return func(target *managedReplica) { target.Slowdown = factor }
 }
 
 func (r *runner) slowAllReplicas(step Step) {
 	step.Fraction = 1
-	r.disturbReplicas(step, slowdown(step.Size), slowdown(1))
+	r.injectReplicaFault(step, setSlowdown(step.Size), setSlowdown(1))
 }
 
-func (r *runner) alternateSpeed(step Step) {
-	begin := func(target *managedReplica) { r.alternate(target, true, slowdown(step.Size), slowdown(1)) }
-	r.disturbReplicas(step, begin, slowdown(1))
+func (r *runner) toggleSlowdown(step Step) {
+	begin := func(target *managedReplica) { r.toggleFault(target, true, setSlowdown(step.Size), setSlowdown(1)) }
+	r.injectReplicaFault(step, begin, setSlowdown(1))
 }
 
 func (r *runner) flapReplicas(step Step) {
 	silence := func(target *managedReplica) { target.Silent = true }
 	answer := func(target *managedReplica) { target.Silent = false }
-	begin := func(target *managedReplica) { r.alternate(target, true, silence, answer) }
-	r.disturbReplicas(step, begin, answer)
+	begin := func(target *managedReplica) { r.toggleFault(target, true, silence, answer) }
+	r.injectReplicaFault(step, begin, answer)
 }
 
-// alternate toggles a fault every alternationPeriod until a later fault affects the replica, also after the end of its
+// toggleFault toggles a fault every toggleInterval until a later fault affects the replica, also after the end of its
 // step.
-func (r *runner) alternate(target *managedReplica, active bool, begin, end func(*managedReplica)) {
+func (r *runner) toggleFault(target *managedReplica, active bool, begin, end func(*managedReplica)) {
 	if active {
 		begin(target)
 	} else {
 		end(target)
 	}
-	r.whenStillFaulty(target, alternationPeriod, func(*managedReplica) {
-		r.alternate(target, !active, begin, end)
+	r.afterUnlessNewFault(target, toggleInterval, func(*managedReplica) {
+		r.toggleFault(target, !active, begin, end)
 	})
 }
 
 func (r *runner) ageReplicas(step Step) {
 	started := r.now()
-	begin := func(target *managedReplica) { r.age(target, step, started) }
+	begin := func(target *managedReplica) { r.increaseSlowdown(target, step, started) }
 	end := func(target *managedReplica) {
 		target.Slowdown = 1
 		target.Stop()
 		r.restartCold(target)
 	}
-	r.disturbReplicas(step, begin, end)
+	r.injectReplicaFault(step, begin, end)
 }
 
-// age slows a replica down linearly until its slowdown reaches the size of the step. It repeats until a later fault
-// affects the replica, also after the end of its step: the replica has restarted by then, and is slowed down by the
-// step's size again.
-func (r *runner) age(target *managedReplica, step Step, started model.Microseconds) {
+// increaseSlowdown slows a replica down linearly until its slowdown reaches the size of the step. It repeats until a
+// later fault affects the replica, also after the end of its step: the replica has restarted by then, and is slowed
+// down by the step's size again.
+func (r *runner) increaseSlowdown(target *managedReplica, step Step, started model.Microseconds) {
 	progress := float64(r.now()-started) / float64(max(step.Duration, 1))
 	target.Slowdown = 1 + (step.Size-1)*min(1, progress)
-	r.whenStillFaulty(target, agingPeriod, func(*managedReplica) { r.age(target, step, started) })
+	r.afterUnlessNewFault(target, agingInterval, func(*managedReplica) { r.increaseSlowdown(target, step, started) })
 }
 
 func (r *runner) failOperation(step Step) {
 	operation := r.script.operationIndex(step.Group)
 	begin := func(target *managedReplica) { target.FailingOperations = map[int]bool{operation: true} }
 	end := func(target *managedReplica) { target.FailingOperations = nil }
-	r.disturbReplicas(step, begin, end)
+	r.injectReplicaFault(step, begin, end)
 }
 
 func (r *runner) limitConnections(step Step) {
 	step.Fraction = 1
 	begin := func(target *managedReplica) { target.MaxConnections = step.Number }
 	end := func(target *managedReplica) { target.MaxConnections = r.script.Replicas.MaxConnections }
-	r.disturbReplicas(step, begin, end)
+	r.injectReplicaFault(step, begin, end)
 }
 
 func (r *runner) slowHandshakes(step Step) {
@@ -106,17 +106,18 @@
 	normalWork := float64(r.script.Replicas.HandshakeWork)
 	begin := func(target *managedReplica) { target.HandshakeWork = normalWork * step.Size }
 	end := func(target *managedReplica) { target.HandshakeWork = normalWork }
-	r.disturbReplicas(step, begin, end)
+	r.injectReplicaFault(step, begin, end)
 }
 
 func (r *runner) falsifyReports(step Step) {
 	begin := func(target *managedReplica) { target.ReportsIdle = true }
 	end := func(target *managedReplica) { target.ReportsIdle = false }
-	r.disturbReplicas(step, begin, end)
+	r.injectReplicaFault(step, begin, end)
 }
 
-// silence makes a replica accept connections without answering requests. The registry removes it after its SilentDelay.
-func (r *runner) silence(target *managedReplica) {
+// silenceReplica makes a replica accept connections without answering requests. The registry removes it after its
+// SilentDelay.
+func (r *runner) silenceReplica(target *managedReplica) {
 	target.Silent = true
 	r.deregister(target, r.script.Registry.SilentDelay)
 }
@@ -124,7 +125,7 @@
 // restartCold restarts a replica at its previous address, cold.
 func (r *runner) restartCold(target *managedReplica) {
 	target.Stop()
-	r.startCold(target, restartMaxAttempts)
+	r.startCold(target, startMaxRetries)
 }
 
 // startCold starts a replica. It retries, as the port of the previous process may still be in use.
@@ -142,36 +143,37 @@
 	})
 }
 
-// deploy replaces the targets in batches. Each target is drained, registered as draining, and then restarted cold.
-func (r *runner) deploy(step Step) {
+// deployReplicas replaces the targets in batches. Each target is drained, registered as draining, and then restarted
+// cold.
+func (r *runner) deployReplicas(step Step) {
 	targets := r.targetReplicas(step)
 	batchSize := max(step.Number, 1)
 	batches := (len(targets) + batchSize - 1) / batchSize
 	for batch := range batches {
 		start := step.Duration * model.Microseconds(batch) / model.Microseconds(batches)
 		for _, target := range targets[batch*batchSize : min(len(targets), (batch+1)*batchSize)] {
-			r.loop.After(start, func() { r.replace(target, seconds(step.Size)) })
+			r.loop.After(start, func() { r.replaceReplica(target, seconds(step.Size)) })
 		}
 	}
 }
 
-// replace drains a replica for the given time and then restarts it cold.
-func (r *runner) replace(target *managedReplica, drainFor model.Microseconds) {
+// replaceReplica drains a replica for the given time and then restarts it cold.
+func (r *runner) replaceReplica(target *managedReplica, drainFor model.Microseconds) {
 	if !target.Running {
 		return
 	}
-	r.drain(target)
+	r.drainReplica(target)
 	r.loop.After(drainFor, func() { r.restartCold(target) })
 }
 
-// drain makes a replica reject new work and finish the work that it has accepted. The registry lists the replica as
-// draining after its AddDelay. Until then, proxies still send new work to it.
-func (r *runner) drain(target *managedReplica) {
+// drainReplica makes a replica reject new work and finish the work that it has accepted. The registry lists the replica
+// as draining after its AddDelay. Until then, proxies still send new work to it.
+func (r *runner) drainReplica(target *managedReplica) {
 	target.Draining = true
 	r.register(target, r.script.Registry.AddDelay)
 }
 
-func (r *runner) undrain(target *managedReplica) {
+func (r *runner) undrainReplica(target *managedReplica) {
 	target.Draining = false
 	r.register(target, r.script.Registry.AddDelay)
 }
@@ -181,7 +183,7 @@
 		r.drainAllButLast(step)
 		return
 	}
-	r.disturbReplicas(step, r.drain, r.undrain)
+	r.injectReplicaFault(step, r.drainReplica, r.undrainReplica)
 }
 
 // drainAllButLast drains all replicas but the last one, which is in the last zone.
@@ -189,17 +191,17 @@
 	spared := r.replicas[len(r.replicas)-1]
 	for _, target := range r.replicas {
 		if target != spared && target.Running {
-			r.drain(target)
+			r.drainReplica(target)
 		}
 	}
 	r.loop.After(step.Duration, func() {
 		for _, target := range r.replicas {
-			r.undrain(target)
+			r.undrainReplica(target)
 		}
 	})
 }
 
-func (r *runner) grow(step Step) {
+func (r *runner) addReplicasToZones(step Step) {
 	for zone := range r.script.Zones {
 		for range max(step.Number, 1) {
 			if err := r.addReplica(zone, r.replicasIn(zone), true); err != nil {
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -34,15 +34,15 @@
 	return limits
 }
 
-// report builds the report of the scenario.
-func (r *runner) report(verdicts []invariants.Result) *Report {
+// buildReport returns the report of the scenario.
+func (r *runner) buildReport(verdicts []invariants.Result) *Report {
 	report := &Report{
 		Scenario:   r.script.Name,
 		Seconds:    float64(r.script.Length) / float64(model.Second),
 		Proxies:    len(r.proxies),
 		Replicas:   len(r.replicas),
 		Instances:  r.instanceCount(),
-		Operations: r.statistics.report(),
+		Operations: r.statistics.operationReports(),
 		Attempts:   r.attemptReport(),
 		Channel:    r.channelReport(),
 		Invariants: verdicts,
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -18,13 +18,13 @@
 		name string
 		run  func(t *testing.T)
 	}{
-		{"a zone is lost with its proxies and instance and restarts cold", loseAZone},
-		{"the only instance is killed under load", killOnlyInstance},
-		{"all streams break at once, repeatedly", breakAllStreams},
-		{"all replicas drain but a warm one in another zone", drainAllButOne},
-		{"the registry fails in several ways while replicas drain", failRegistry},
-		{"an instance restarts twenty times at random moments", restartTwentyTimes},
-		{"proxies stall or never acknowledge while replicas drain", stallProxies},
+		{"a zone is lost with its proxies and instance and restarts cold", runZoneLoss},
+		{"the only instance is killed under load", runOnlyInstanceKilled},
+		{"all streams break at once, repeatedly", runAllStreamsBroken},
+		{"all replicas drain but a warm one in another zone", runAllButOneDrained},
+		{"the registry fails in several ways while replicas drain", runRegistryFaults},
+		{"an instance restarts twenty times at random moments", runTwentyRestarts},
+		{"proxies stall or never acknowledge while replicas drain", runStalledProxies},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -33,12 +33,12 @@
 	}
 }
 
-func loseAZone(t *testing.T) {
+func runZoneLoss(t *testing.T) {
 	runSteps(t, 22, twoInstances, 100,
 		Step{Kind: ZoneLoss, At: seconds(6), Duration: seconds(5), Zone: lostZone})
 }
 
-func killOnlyInstance(t *testing.T) {
+func runOnlyInstanceKilled(t *testing.T) {
 	report := runSteps(t, 18, oneInstance, 100,
 		Step{Kind: InstanceCrash, At: seconds(6), Duration: seconds(2), Fraction: 1},
 		Step{Kind: Drain, At: seconds(7), Duration: seconds(8), Fraction: 0.2})
@@ -47,7 +47,7 @@
 	}
 }
 
-func breakAllStreams(t *testing.T) {
+func runAllStreamsBroken(t *testing.T) {
 	report := runSteps(t, 15, twoInstances, 100,
 		Step{Kind: ProxyReconnect, At: seconds(5), Fraction: 1},
 		Step{Kind: ProxyReconnect, At: seconds(5.05), Fraction: 1},
@@ -58,12 +58,12 @@
 	}
 }
 
-func drainAllButOne(t *testing.T) {
+func runAllButOneDrained(t *testing.T) {
 	runSteps(t, 18, twoInstances, 15,
 		Step{Kind: Drain, At: seconds(5), Duration: seconds(7), Group: groupAllButOne})
 }
 
-func failRegistry(t *testing.T) {
+func runRegistryFaults(t *testing.T) {
 	runSteps(t, 22, twoInstances, 100,
 		Step{Kind: RegistryFails, At: seconds(4), Duration: seconds(3)},
 		Step{Kind: Drain, At: seconds(6), Duration: seconds(9), Fraction: 0.2},
@@ -73,7 +73,7 @@
 		Step{Kind: LoadReportsLate, At: seconds(5), Duration: seconds(12), Size: 2})
 }
 
-func restartTwentyTimes(t *testing.T) {
+func runTwentyRestarts(t *testing.T) {
 	kinds := []StepKind{InstanceCrash, InstanceRoll}
 	random := standin.NewRandom(3, "restarts")
 	var steps []Step
@@ -91,7 +91,7 @@
 	}
 }
 
-func stallProxies(t *testing.T) {
+func runStalledProxies(t *testing.T) {
 	runSteps(t, 16, twoInstances, 100,
 		Step{Kind: ProxyStall, At: seconds(4), Fraction: 0.2, Size: 1, Number: 4},
 		Step{Kind: NeverAcknowledge, At: seconds(4), Duration: seconds(8), Fraction: 0.1},
@@ -99,7 +99,7 @@
 }
 
 // When an instance is killed, the other instances take over its proxies and return them after its restart.
-func TestProxiesMoveWhenAShardedInstanceIsKilledTwice(t *testing.T) {
+func TestProxiesAreTakenOverWhenAShardedInstanceIsKilledTwice(t *testing.T) {
 	report := runSharded(t, 15,
 		Step{Kind: InstanceCrash, At: seconds(4), Duration: seconds(2.5), Fraction: 0.34, Number: 2, Size: 5})
 	if report.Channel.Joins < 60 {
@@ -109,7 +109,7 @@
 
 // An instance that is suspended for longer than its lease continues to publish when it resumes. Its leases have
 // expired, so no proxy may apply its messages.
-func TestAnInstanceStoppedLongerThanItsLeaseIsNotObeyed(t *testing.T) {
+func TestProxiesIgnoreAnInstanceSuspendedLongerThanItsLease(t *testing.T) {
 	runSharded(t, 14, Step{Kind: InstanceStall, At: seconds(4), Duration: seconds(5), Fraction: 0.34})
 }
 
@@ -122,7 +122,7 @@
 }
 
 // The check for leaked goroutines in TestMain detects what a canceled scenario leaves running.
-func TestACanceledScenarioEndsAllItStarted(t *testing.T) {
+func TestRunStopsEverythingWhenCanceled(t *testing.T) {
 	script := openScript(t, zoneLossFile)
 	script.Steps = []Step{{Kind: ProxyReconnect, At: seconds(1), Fraction: 1}}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -37,10 +37,10 @@
 		random:  standin.NewRandom(script.Seed, "day"),
 	}
 	defer run.close()
-	if err := run.open(); err != nil {
+	if err := run.prepare(); err != nil {
 		return nil, err
 	}
-	return run.run(ctx)
+	return run.runToEnd(ctx)
 }
 
 // runner runs a scenario. The fields from started on may be accessed on the goroutine of loop only.
@@ -75,8 +75,8 @@
 	r.observations = append(r.observations, observation)
 }
 
-// progress writes a line with the time since the start and a message.
-func (r *runner) progress(format string, args ...any) {
+// writeProgress writes a line with the time since the start and a message.
+func (r *runner) writeProgress(format string, args ...any) {
 	if r.options.Progress == nil {
 		return
 	}
@@ -84,8 +84,8 @@
 	_, _ = fmt.Fprintf(r.options.Progress, "%7.3f s  %s\n", elapsed, fmt.Sprintf(format, args...))
 }
 
-// open creates the directory, the stand-ins and the configuration of the instances.
-func (r *runner) open() error {
+// prepare creates the directory, the stand-ins and the configuration of the instances.
+func (r *runner) prepare() error {
 	if err := r.openDirectory(); err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	r.started = r.now()
 	r.deduplicationGroups = map[string]*replica.DeduplicationGroup{}
 	r.statistics = newStatistics(r.script)
-	r.loop.Do(func() { err = r.setUp() })
+	r.loop.Do(func() { err = r.startStandIns() })
 	return err
 }
 
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// setUp starts the registry and the replicas, and creates the proxies and the instances without starting them.
-func (r *runner) setUp() error {
+// startStandIns starts the registry and the replicas, and creates the proxies and the instances without starting them.
+func (r *runner) startStandIns() error {
 	if err := r.addRegistry(); err != nil {
 		return err
 	}
@@ -138,27 +138,27 @@
 	return r.configureInstances()
 }
 
-// run starts the instances and the load, waits for the end of the scenario and returns the report.
-func (r *runner) run(ctx context.Context) (*Report, error) {
+// runToEnd starts the instances and the load, waits for the end of the scenario and returns the report.
+func (r *runner) runToEnd(ctx context.Context) (*Report, error) {
 	if err := r.startInstances(ctx); err != nil {
 		return nil, err
 	}
-	r.loop.Do(r.begin)
-	if err := r.wait(ctx, r.script.Length); err != nil {
+	r.loop.Do(r.startLoad)
+	if err := r.waitFor(ctx, r.script.Length); err != nil {
 		return nil, err
 	}
 	// Requests that were sent before the end still complete, and the invariants apply to them too.
-	if err := r.wait(ctx, r.longestTimeout()); err != nil {
+	if err := r.waitFor(ctx, r.longestTimeout()); err != nil {
 		return nil, err
 	}
 	var report *Report
 	r.loop.Do(func() {
 		end := r.now()
-		report = r.report(invariants.Check(r.observations, r.script.invariantLimits(), end))
+		report = r.buildReport(invariants.Check(r.observations, r.script.invariantLimits(), end))
 	})
 	for _, instance := range r.instances {
 		instance.signal(syscall.SIGCONT)
-		instance.end(syscall.SIGTERM, shutdownTimeout)
+		instance.stop(syscall.SIGTERM, shutdownTimeout)
 		report.Channel.InstanceCPU += instance.cpuTime.Seconds()
 	}
 	return report, errors.Join(r.failures...)
@@ -179,13 +179,13 @@
 	return nil
 }
 
-// begin starts the proxies and their load, and schedules the steps.
-func (r *runner) begin() {
+// startLoad starts the proxies and their load, and schedules the steps.
+func (r *runner) startLoad() {
 	r.started = r.now()
 	for _, instance := range r.instances {
-		r.progress("console of %s: http://%s", instance.name, instance.console)
+		r.writeProgress("console of %s: http://%s", instance.name, instance.console)
 	}
-	r.progress("day %s begins: %d forwarders, %d replicas, %d governors",
+	r.writeProgress("day %s begins: %d forwarders, %d replicas, %d governors",
 		r.script.Name, len(r.proxies), len(r.replicas), r.instanceCount())
 	for i, started := range r.proxies {
 		started.Instances = r.instanceAddresses(started, i)
@@ -194,7 +194,7 @@
 	}
 	for _, step := range r.script.Steps {
 		r.loop.At(r.started+step.At, func() {
-			r.progress("%s %s", step.Kind, step.Zone)
+			r.writeProgress("%s %s", step.Kind, step.Zone)
 			stepActions[step.Kind](r, step)
 		})
 	}
@@ -203,8 +203,8 @@
 // instanceCount returns the number of instances. A faulty controller counts as one.
 func (r *runner) instanceCount() int { return max(len(r.instances), 1) }
 
-// wait waits for the given time of the scenario. It returns an error if ctx is done before.
-func (r *runner) wait(ctx context.Context, duration model.Microseconds) error {
+// waitFor waits for the given time of the scenario. It returns an error if ctx is done before.
+func (r *runner) waitFor(ctx context.Context, duration model.Microseconds) error {
 	select {
 	case <-ctx.Done():
 		return fmt.Errorf("scenario %s was stopped before its end: %w", r.script.Name, ctx.Err())
@@ -225,7 +225,7 @@
 func (r *runner) close() {
 	for _, instance := range r.instances {
 		instance.signal(syscall.SIGCONT)
-		instance.end(syscall.SIGKILL, killTimeout)
+		instance.stop(syscall.SIGKILL, killTimeout)
 	}
 	if r.faulty != nil {
 		r.faulty.close()
--- a/internal/scenario/simulatorfaults.go
+++ b/internal/scenario/simulatorfaults.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	maxStepSize     = 1000
-	maxStepNumber   = 1000
-	microsPerSecond = 1e6
-	silentThreshold = 0.5 // with a higher Extra, the replicas of a lost zone keep running but do not answer
-	processPrefix   = "balancer_"
+	maxStepSize        = 1000
+	maxStepNumber      = 1000
+	microsPerSecond    = 1e6
+	silentThreshold    = 0.5 // with a higher Extra, the replicas of a lost zone keep running but do not answer
+	processFaultPrefix = "balancer_"
 )
 
 // simulatorSteps maps a kind of fault to the kind of step. Kinds that are neither listed here nor begin with
-// processPrefix have no counterpart on sockets.
+// processFaultPrefix have no counterpart on sockets.
 var simulatorSteps = map[string]StepKind{
 	"vanish":         ReplicaVanish,
 	"slow":           ReplicaSlow,
@@ -54,18 +54,18 @@
 		c.notes = append(c.notes, fmt.Sprintf("%s is left out: the stand-ins cannot reproduce it", fault.Kind))
 		return
 	}
-	c.open(fmt.Sprintf("step %q", string(step.kind)))
-	c.setDuration("at", min(fault.At, c.source.Length))
-	c.setDuration("lasts", fault.Length)
-	c.set("part", "%.3f", fault.fraction(step.candidates))
-	c.set("size", "%.3f", min(step.size, maxStepSize))
-	c.set("number", "%d", min(step.number, maxStepNumber))
+	c.openBlock(fmt.Sprintf("step %q", string(step.kind)))
+	c.setDurationAttribute("at", min(fault.At, c.source.Length))
+	c.setDurationAttribute("lasts", fault.Length)
+	c.setAttribute("part", "%.3f", fault.fraction(step.candidates))
+	c.setAttribute("size", "%.3f", min(step.size, maxStepSize))
+	c.setAttribute("number", "%d", min(step.number, maxStepNumber))
 	if step.zone != "" {
-		c.set("zone", "%q", step.zone)
-		c.set("silent", "%v", step.silent)
+		c.setAttribute("zone", "%q", step.zone)
+		c.setAttribute("silent", "%v", step.silent)
 	}
 	if step.group != "" {
-		c.set("group", "%q", step.group)
+		c.setAttribute("group", "%q", step.group)
 	}
 	c.closeBlock()
 }
@@ -96,7 +96,7 @@
 // proxies.
 func (c *simulatorConverter) convertProcessFault(fault simulatorFault) convertedStep {
 	step := convertedStep{size: fault.Length / microsPerSecond, number: 1}
-	action := strings.TrimPrefix(fault.Kind, processPrefix)
+	action := strings.TrimPrefix(fault.Kind, processFaultPrefix)
 	affectsControllers := len(fault.On) > 0 && fault.On[0] >= len(c.source.Proxies)
 	switch {
 	case affectsControllers:
@@ -118,7 +118,7 @@
 	case LoadReportsLate:
 		step.size = lateSeconds(fault.Size)
 	case Deploy:
-		step.number = atLeastOne(fault.Size * float64(c.fleet.replicasPerZone) * c.fleet.zones)
+		step.number = roundToAtLeastOne(fault.Size * float64(c.fleet.replicasPerZone) * c.fleet.zones)
 		step.size = drainSeconds(fault.Extra)
 	case ZoneLoss:
 		step.zone = c.source.Zones[clampIndex(fault.Which, len(c.source.Zones))]
@@ -128,7 +128,7 @@
 	case FewerConnections:
 		step.number = max(1, min(maxStepNumber, int(fault.Size)))
 	case Grow:
-		step.number = atLeastOne(float64(len(fault.On)) * c.fleet.scale / c.fleet.zones)
+		step.number = roundToAtLeastOne(float64(len(fault.On)) * c.fleet.scale / c.fleet.zones)
 	}
 }
 
--- a/internal/scenario/simulatorformat.go
+++ b/internal/scenario/simulatorformat.go
@@ -66,13 +66,13 @@
 }
 
 type simulatorTier struct {
-	Kinds           []simulatorReplicaKind `json:"kinds"`
-	ReportFields    []string               `json:"report_fields"`
-	ReportPeriod    float64                `json:"report_period"`
-	HandshakeWork   float64                `json:"handshake_work"`
-	ConnectionsCore float64                `json:"conn_cap_per_core"`
-	StatedColdFrom  float64                `json:"stated_cold_from"`
-	StatedCold      float64                `json:"stated_cold"`
+	Kinds              []simulatorReplicaKind `json:"kinds"`
+	ReportFields       []string               `json:"report_fields"`
+	ReportPeriod       float64                `json:"report_period"`
+	HandshakeWork      float64                `json:"handshake_work"`
+	ConnectionsPerCore float64                `json:"conn_cap_per_core"`
+	StatedColdFrom     float64                `json:"stated_cold_from"`
+	StatedCold         float64                `json:"stated_cold"`
 }
 
 type simulatorReplicaKind struct {
@@ -131,7 +131,7 @@
 	if err := json.Unmarshal(text, &scenario); err != nil {
 		return nil, &SimulatorScenarioError{Cause: err}
 	}
-	if !scenario.hasAllParts() {
+	if !scenario.isComplete() {
 		problem := "expected exactly one tier with kinds, and at least one server, balancer, zone and class"
 		return nil, &SimulatorScenarioError{Problem: problem}
 	}
@@ -142,7 +142,7 @@
 	return &scenario, nil
 }
 
-func (s *simulatorScenario) hasAllParts() bool {
+func (s *simulatorScenario) isComplete() bool {
 	if len(s.Tiers) != 1 || len(s.Tiers[0].Kinds) == 0 {
 		return false
 	}
--- a/internal/scenario/simulatorimport.go
+++ b/internal/scenario/simulatorimport.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	minReplicasPerZone = 3
-	minRedial          = 1000 // microseconds
-	minFirstWait       = 0.01 // of the latency objective
-	utilizationField   = "util"
-	quotaAdmission     = "share"
-	noAdmission        = "none"
+	minReplicasPerZone    = 3
+	minRedialMicroseconds = 1000
+	minFirstWaitFraction  = 0.01 // of the latency objective
+	utilizationField      = "util"
+	quotaAdmission        = "share"
+	noAdmission           = "none"
 )
 
 // The values of the simulator's settings and the corresponding values in scenario files.
@@ -92,9 +92,9 @@
 		scale:           scale,
 		sourceReplicas:  running.count,
 		zones:           zones,
-		proxiesPerZone:  atLeastOne(float64(len(s.Proxies)) * scale / zones),
-		replicasPerZone: max(minReplicasPerZone, atLeastOne(float64(running.count)*scale/zones)),
-		cores:           atLeastOne(running.cores / float64(running.count)),
+		proxiesPerZone:  roundToAtLeastOne(float64(len(s.Proxies)) * scale / zones),
+		replicasPerZone: max(minReplicasPerZone, roundToAtLeastOne(float64(running.count)*scale/zones)),
+		cores:           roundToAtLeastOne(running.cores / float64(running.count)),
 		slowest:         running.slowest,
 		fastest:         running.fastest,
 	}
@@ -140,37 +140,37 @@
 	}
 }
 
-// printf writes a line.
-func (c *simulatorConverter) printf(format string, arguments ...any) {
+// writeLine writes a line.
+func (c *simulatorConverter) writeLine(format string, arguments ...any) {
 	fmt.Fprintf(&c.text, format+"\n", arguments...)
 }
 
-// open begins a block.
-func (c *simulatorConverter) open(header string) { c.printf("%s {", header) }
+// openBlock begins a block.
+func (c *simulatorConverter) openBlock(header string) { c.writeLine("%s {", header) }
 
-// set writes an attribute of a block.
-func (c *simulatorConverter) set(name, format string, value any) {
-	c.printf("  %s = "+format, name, value)
+// setAttribute writes an attribute of a block.
+func (c *simulatorConverter) setAttribute(name, format string, value any) {
+	c.writeLine("  %s = "+format, name, value)
 }
 
-// setDuration writes an attribute that is a duration.
-func (c *simulatorConverter) setDuration(name string, microseconds float64) {
-	c.set(name, "%s", quotedDuration(microseconds))
+// setDurationAttribute writes an attribute that is a duration.
+func (c *simulatorConverter) setDurationAttribute(name string, microseconds float64) {
+	c.setAttribute(name, "%s", quotedDuration(microseconds))
 }
 
 // closeBlock ends a block.
-func (c *simulatorConverter) closeBlock() { c.printf("}") }
+func (c *simulatorConverter) closeBlock() { c.writeLine("}") }
 
 func (c *simulatorConverter) writeHeader() {
 	source := c.source
-	c.printf("# A bench day of %s (%s), %d proxies and %d servers there, carried over at %.2f of its size.",
+	c.writeLine("# A bench day of %s (%s), %d proxies and %d servers there, carried over at %.2f of its size.",
 		source.Site, source.Kind, len(source.Proxies), c.fleet.sourceReplicas, c.fleet.scale)
-	c.open(fmt.Sprintf("day %q", source.Site+"-bench"))
-	c.printf("  about = \"from the bench: %s\"", source.faultNames())
-	c.setDuration("length", source.Length)
-	c.set("governors", "[%s]", quotedList(source.controllerZones()))
+	c.openBlock(fmt.Sprintf("day %q", source.Site+"-bench"))
+	c.writeLine("  about = \"from the bench: %s\"", source.faultNames())
+	c.setDurationAttribute("length", source.Length)
+	c.setAttribute("governors", "[%s]", quotedList(source.controllerZones()))
 	c.closeBlock()
-	c.printf("zones = [%s]", quotedList(source.Zones))
+	c.writeLine("zones = [%s]", quotedList(source.Zones))
 }
 
 // controllerZones returns the zone of each controller, or only the first zone if no controller has a valid zone.
@@ -189,13 +189,13 @@
 
 func (c *simulatorConverter) writeOperations() {
 	for _, operation := range c.source.Operations {
-		c.open(fmt.Sprintf("operation %q", operation.Name))
-		c.setDuration("objective", operation.Objective)
-		c.setDuration("timeout", operation.Timeout)
-		c.set("billed_value", "%g", operation.Value)
-		c.set("effect", "%q", effectNames[operation.Effect])
+		c.openBlock(fmt.Sprintf("operation %q", operation.Name))
+		c.setDurationAttribute("objective", operation.Objective)
+		c.setDurationAttribute("timeout", operation.Timeout)
+		c.setAttribute("billed_value", "%g", operation.Value)
+		c.setAttribute("effect", "%q", effectNames[operation.Effect])
 		if operation.Effect == "keyed" {
-			c.setDuration("window", operation.Window)
+			c.setDurationAttribute("window", operation.Window)
 		}
 		c.closeBlock()
 	}
@@ -207,93 +207,93 @@
 	if control.Admission == quotaAdmission {
 		admission = quotaAdmission
 	}
-	c.open("fleet")
-	c.set("forwarders", "%d", c.fleet.proxiesPerZone*len(c.source.Zones))
-	c.set("standing", "%d", control.StandingTable)
-	c.set("connections_least", "%d", c.connectionsPerReplica())
-	c.set("avoids", "%v", control.EjectAfter > 0)
-	c.set("admits", "%q", admission)
-	c.set("crossing_price", "%g", c.source.Prices.CrossZone)
-	c.set("order_price", "%g", control.OrderPrice)
+	c.openBlock("fleet")
+	c.setAttribute("forwarders", "%d", c.fleet.proxiesPerZone*len(c.source.Zones))
+	c.setAttribute("standing", "%d", control.StandingTable)
+	c.setAttribute("connections_least", "%d", c.connectionsPerReplica())
+	c.setAttribute("avoids", "%v", control.EjectAfter > 0)
+	c.setAttribute("admits", "%q", admission)
+	c.setAttribute("crossing_price", "%g", c.source.Prices.CrossZone)
+	c.setAttribute("order_price", "%g", control.OrderPrice)
 	if slices.Contains(c.source.tier().ReportFields, utilizationField) {
-		c.set("load_report", "[%q]", utilizationField)
+		c.setAttribute("load_report", "[%q]", utilizationField)
 	}
 	policy := min(max(control.RetryPolicy, 0), len(retryNames)-1)
-	c.set("usual_way", "%q", retryNames[policy])
-	c.set("first_wait", "%g", max(control.FirstWait, minFirstWait))
+	c.setAttribute("usual_way", "%q", retryNames[policy])
+	c.setAttribute("first_wait", "%g", max(control.FirstWait, minFirstWaitFraction))
 	c.closeBlock()
 }
 
 func (c *simulatorConverter) connectionsPerReplica() int {
-	return atLeastOne(c.source.tier().ConnectionsCore * float64(c.fleet.cores))
+	return roundToAtLeastOne(c.source.tier().ConnectionsPerCore * float64(c.fleet.cores))
 }
 
 func (c *simulatorConverter) writeGuarantees() {
-	c.open("rules")
-	c.setDuration("bare", c.source.Control.Bare)
-	c.setDuration("drain_grace", c.source.DrainGrace)
-	c.setDuration("cold", c.source.tier().StatedCold)
-	c.set("cold_share", "%g", c.source.tier().StatedColdFrom)
-	c.set("tip_factor", "%g", c.source.FallMultiple)
-	c.setDuration("tip_span", c.source.FallFor)
+	c.openBlock("rules")
+	c.setDurationAttribute("bare", c.source.Control.Bare)
+	c.setDurationAttribute("drain_grace", c.source.DrainGrace)
+	c.setDurationAttribute("cold", c.source.tier().StatedCold)
+	c.setAttribute("cold_share", "%g", c.source.tier().StatedColdFrom)
+	c.setAttribute("tip_factor", "%g", c.source.FallMultiple)
+	c.setDurationAttribute("tip_span", c.source.FallFor)
 	c.closeBlock()
 }
 
 func (c *simulatorConverter) writeChannel() {
 	control := c.source.Control
-	c.open("channel")
-	c.set("pace", "%d", atLeastOne(control.Rate*c.fleet.scale))
-	c.set("queue", "%d", atLeastOne(control.Backlog*c.fleet.scale))
-	c.set("overhead", "%d", int(control.MessageOverhead))
-	c.setDuration("period", control.ReportPeriod)
-	c.set("intake", "%d", atLeastOne(control.Intake))
-	c.set("messages_most", "%d", control.MessagesMost)
+	c.openBlock("channel")
+	c.setAttribute("pace", "%d", roundToAtLeastOne(control.Rate*c.fleet.scale))
+	c.setAttribute("queue", "%d", roundToAtLeastOne(control.Backlog*c.fleet.scale))
+	c.setAttribute("overhead", "%d", int(control.MessageOverhead))
+	c.setDurationAttribute("period", control.ReportPeriod)
+	c.setAttribute("intake", "%d", roundToAtLeastOne(control.Intake))
+	c.setAttribute("messages_most", "%d", control.MessagesMost)
 	c.closeBlock()
 }
 
 func (c *simulatorConverter) writeReplicas() {
 	tier := c.source.tier()
 	kind := tier.Kinds[0]
-	c.open("replicas")
-	c.set("each_zone", "%d", c.fleet.replicasPerZone)
-	c.set("cores", "%d", c.fleet.cores)
-	c.set("speed_from", "%.3f", c.fleet.slowest)
-	c.set("speed_to", "%.3f", c.fleet.fastest)
-	c.set("waiting", "%d", kind.Queue)
-	c.set("connections", "%d", c.connectionsPerReplica())
-	c.set("cold_share", "%.3f", kind.ColdFrom)
-	c.setDuration("cold_span", kind.Cold)
-	c.setDuration("report_every", tier.ReportPeriod)
-	c.setDuration("handshake", tier.HandshakeWork)
+	c.openBlock("replicas")
+	c.setAttribute("each_zone", "%d", c.fleet.replicasPerZone)
+	c.setAttribute("cores", "%d", c.fleet.cores)
+	c.setAttribute("speed_from", "%.3f", c.fleet.slowest)
+	c.setAttribute("speed_to", "%.3f", c.fleet.fastest)
+	c.setAttribute("waiting", "%d", kind.Queue)
+	c.setAttribute("connections", "%d", c.connectionsPerReplica())
+	c.setAttribute("cold_share", "%.3f", kind.ColdFrom)
+	c.setDurationAttribute("cold_span", kind.Cold)
+	c.setDurationAttribute("report_every", tier.ReportPeriod)
+	c.setDurationAttribute("handshake", tier.HandshakeWork)
 	c.closeBlock()
 }
 
 func (c *simulatorConverter) writeProxies() {
 	control := c.source.Control
-	c.open("forwarders")
-	c.set("each_zone", "%d", c.fleet.proxiesPerZone)
-	c.set("pick", "%q", pickNames[control.Pick])
-	c.set("ejects", "%d", control.EjectAfter)
-	c.setDuration("eject_for", control.EjectFor)
-	c.setDuration("redial", max(control.Redial, minRedial))
-	c.set("client_tries", "%d", 1+c.source.Clients.Retries)
+	c.openBlock("forwarders")
+	c.setAttribute("each_zone", "%d", c.fleet.proxiesPerZone)
+	c.setAttribute("pick", "%q", pickNames[control.Pick])
+	c.setAttribute("ejects", "%d", control.EjectAfter)
+	c.setDurationAttribute("eject_for", control.EjectFor)
+	c.setDurationAttribute("redial", max(control.Redial, minRedialMicroseconds))
+	c.setAttribute("client_tries", "%d", 1+c.source.Clients.Retries)
 	c.closeBlock()
 }
 
 func (c *simulatorConverter) writeRegistry() {
 	discovery := c.source.Discovery
-	c.open("list")
-	c.setDuration("notice", discovery.Notice)
-	c.setDuration("silent_notice", discovery.SilentNotice)
-	c.setDuration("add", discovery.Add)
+	c.openBlock("list")
+	c.setDurationAttribute("notice", discovery.Notice)
+	c.setDurationAttribute("silent_notice", discovery.SilentNotice)
+	c.setDurationAttribute("add", discovery.Add)
 	c.closeBlock()
 }
 
 func (c *simulatorConverter) writeLoad() {
-	c.open("load")
-	c.set("rate", "%.1f", c.fleet.rate)
+	c.openBlock("load")
+	c.setAttribute("rate", "%.1f", c.fleet.rate)
 	for _, operation := range c.source.Operations {
-		c.printf("  work %q {\n    share = %g\n    mean = %s\n    spread = %.2f\n  }",
+		c.writeLine("  work %q {\n    share = %g\n    mean = %s\n    spread = %.2f\n  }",
 			operation.Name, operation.Share, quotedDuration(operation.Work), operation.CV)
 	}
 	c.closeBlock()
@@ -308,8 +308,8 @@
 	return strings.Join(names, ", ")
 }
 
-// atLeastOne rounds to an integer of at least 1.
-func atLeastOne(value float64) int { return max(1, int(value+0.5)) }
+// roundToAtLeastOne rounds to an integer of at least 1.
+func roundToAtLeastOne(value float64) int { return max(1, int(value+0.5)) }
 
 // quotedDuration formats a duration for scenario files, in whole milliseconds.
 func quotedDuration(microseconds float64) string {
--- a/internal/scenario/simulatorimport_test.go
+++ b/internal/scenario/simulatorimport_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestImportKeepsTheOrderOfFaultsAndNotesWhatItLeavesOut(t *testing.T) {
+func TestImportKeepsFaultOrderAndNotesUnsupportedFaults(t *testing.T) {
 	script, notes := importScenario(t, `{"kind":"balancer_crash","at":9000000,"len":3000000,"on":[80]},
 	{"kind":"balancer_crash","at":9000000,"len":3000000,"on":[1,2,3,4]},
 	{"kind":"origin_slow","at":1000000,"len":3000000,"size":4},
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestInvalidSimulatorScenarios(t *testing.T) {
+func TestImportRejectsInvalidSimulatorScenarios(t *testing.T) {
 	noReplicaRuns := strings.ReplaceAll(string(simulatorText("")), `"up":true`, `"up":false`)
 	for _, tt := range []struct{ name, text string }{
 		{"empty text", ""},
--- a/internal/scenario/standins.go
+++ b/internal/scenario/standins.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	proxyConnectTimeout  = 250 * model.Millisecond
-	proxyIdleTimeout     = 15 * model.Second
-	standingZoneReplicas = 3 // with fewer replicas in its zone, a proxy's standing table is drawn from all replicas
+	proxyConnectTimeout     = 250 * model.Millisecond
+	proxyIdleTimeout        = 15 * model.Second
+	minStandingZoneReplicas = 3 // with fewer replicas in its zone, a proxy's standing table is drawn from all replicas
 )
 
 // managedReplica is a stand-in replica with its entry in the registry.
 type managedReplica struct {
 	*replica.Replica
-	entry registry.Entry
-	fault int // number of faults that have affected the replica; the end of a fault is skipped if a later one began
+	entry      registry.Entry
+	faultCount int // number of faults that have affected the replica; the end of a fault is skipped if a later one began
 }
 
 // managedProxy is a stand-in proxy and the request rate of its clients.
@@ -218,7 +218,7 @@
 			local = append(local, candidate)
 		}
 	}
-	if len(local) < standingZoneReplicas {
+	if len(local) < minStandingZoneReplicas {
 		return all
 	}
 	return local
--- a/internal/scenario/statistics.go
+++ b/internal/scenario/statistics.go
@@ -43,15 +43,15 @@
 		seconds:  make([]billedValue, int(script.Length/model.Second)+1),
 	}
 	for range script.Operations {
-		histogram := hdrhistogram.New(1, int64(hour), latencyDigits)
+		histogram := hdrhistogram.New(1, int64(maxDuration), latencyDigits)
 		created.operations = append(created.operations, operationStatistics{latency: histogram})
 	}
 	return created
 }
 
-// count records the result of a request. sentAt is the time since the start of the scenario. latency is the time since
-// the client's first attempt.
-func (s *statistics) count(operation int, result proxy.Result, latency, sentAt model.Microseconds) {
+// recordRequest records the result of a request. sentAt is the time since the start of the scenario. latency is the
+// time since the client's first attempt.
+func (s *statistics) recordRequest(operation int, result proxy.Result, latency, sentAt model.Microseconds) {
 	counts := &s.operations[operation]
 	settings := s.settings[operation]
 	second := &s.seconds[min(max(int(sentAt/model.Second), 0), len(s.seconds)-1)]
@@ -98,8 +98,8 @@
 	v.served += other.served
 }
 
-// report returns the statistics of each operation.
-func (s *statistics) report() []OperationReport {
+// operationReports returns the statistics of each operation.
+func (s *statistics) operationReports() []OperationReport {
 	var reports []OperationReport
 	for i, counts := range s.operations {
 		reports = append(reports, OperationReport{
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -66,15 +66,15 @@
 	// ReplicaSlow multiplies the processing time of a fraction of the replicas by Size.
 	ReplicaSlow StepKind = "slow"
 	// NoisyNeighbor multiplies the processing time of a fraction of the replicas by Size every other second, also after
-	// the step (see disturbReplicas).
+	// the step (see injectReplicaFault).
 	NoisyNeighbor StepKind = "neighbour"
 	// AllReplicasSlow multiplies the processing time of all replicas by Size.
 	AllReplicasSlow StepKind = "shared_slow"
 	// ReplicaAging slows a fraction of the replicas down gradually, to Size times the processing time, then restarts
-	// them cold. Shortly after the restart they are as slow again (see disturbReplicas).
+	// them cold. Shortly after the restart they are as slow again (see injectReplicaFault).
 	ReplicaAging StepKind = "ageing"
 	// ReplicaFlapping makes a fraction of the replicas not answer every other second, also after the step (see
-	// disturbReplicas).
+	// injectReplicaFault).
 	ReplicaFlapping StepKind = "flapping"
 	// Deploy drains a fraction of the replicas for Size seconds and restarts them cold, Number at a time.
 	Deploy StepKind = "deploy"
@@ -101,31 +101,33 @@
 
 // stepActions maps each kind of step to the function that executes it.
 var stepActions = map[StepKind]func(r *runner, step Step){
-	ZoneLoss:          (*runner).loseZone,
-	InstanceCrash:     (*runner).crashInstances,
-	InstanceRoll:      (*runner).rollInstances,
-	InstanceStall:     (*runner).stallInstances,
-	ProxyCrash:        (*runner).crashProxies,
-	ProxyStall:        (*runner).stallProxies,
-	ProxyReconnect:    (*runner).breakStreams,
-	ProxyPartition:    (*runner).partitionProxies,
-	LoadReportsLate:   (*runner).delayLoadReports,
-	NeverAcknowledge:  (*runner).stopAcknowledging,
-	ProxyMisbehavior:  (*runner).misbehave,
-	RegistryFails:     func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Fails: true}) },
-	RegistrySilent:    func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Silent: true}) },
-	RegistryLate:      func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{Delay: seconds(step.Size)}) },
-	RegistryTruncates: func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{TruncatesBody: true}) },
-	RegistryIndexBack: func(r *runner, step Step) { r.disturbRegistry(step, registry.Faults{IndexGoesBack: true}) },
-	ReplicaVanish:     func(r *runner, step Step) { r.disturbReplicas(step, r.silence, r.restartCold) },
-	ReplicaSlow:       func(r *runner, step Step) { r.disturbReplicas(step, slowdown(step.Size), slowdown(1)) },
-	NoisyNeighbor:     (*runner).alternateSpeed,
+	ZoneLoss:         (*runner).failZone,
+	InstanceCrash:    (*runner).crashInstances,
+	InstanceRoll:     (*runner).rollInstances,
+	InstanceStall:    (*runner).stallInstances,
+	ProxyCrash:       (*runner).crashProxies,
+	ProxyStall:       (*runner).stallProxies,
+	ProxyReconnect:   (*runner).breakStreams,
+	ProxyPartition:   (*runner).partitionProxies,
+	LoadReportsLate:  (*runner).delayLoadReports,
+	NeverAcknowledge: (*runner).stopAcknowledging,
+	ProxyMisbehavior: (*runner).makeProxiesMisbehave,
+	RegistryFails:    func(r *runner, step Step) { r.injectRegistryFault(step, registry.Faults{Fails: true}) },
+	RegistrySilent:   func(r *runner, step Step) { r.injectRegistryFault(step, registry.Faults{Silent: true}) },
+	RegistryLate: func(r *runner, step Step) {
+		r.injectRegistryFault(step, registry.Faults{Delay: seconds(step.Size)})
+	},
+	RegistryTruncates: func(r *runner, step Step) { r.injectRegistryFault(step, registry.Faults{TruncatesBody: true}) },
+	RegistryIndexBack: func(r *runner, step Step) { r.injectRegistryFault(step, registry.Faults{IndexGoesBack: true}) },
+	ReplicaVanish:     func(r *runner, step Step) { r.injectReplicaFault(step, r.silenceReplica, r.restartCold) },
+	ReplicaSlow:       func(r *runner, step Step) { r.injectReplicaFault(step, setSlowdown(step.Size), setSlowdown(1)) },
+	NoisyNeighbor:     (*runner).toggleSlowdown,
 	AllReplicasSlow:   (*runner).slowAllReplicas,
 	ReplicaAging:      (*runner).ageReplicas,
 	ReplicaFlapping:   (*runner).flapReplicas,
-	Deploy:            (*runner).deploy,
+	Deploy:            (*runner).deployReplicas,
 	Drain:             (*runner).drainReplicas,
-	Grow:              (*runner).grow,
+	Grow:              (*runner).addReplicasToZones,
 	HeavyTail:         (*runner).makeTailHeavy,
 	OperationFails:    (*runner).failOperation,
 	FewerConnections:  (*runner).limitConnections,
--- a/internal/scenario/targets.go
+++ b/internal/scenario/targets.go
@@ -1,7 +1,7 @@
 package scenario
 
-// sample draws a fraction of the indices below count, at least one, in random order.
-func (r *runner) sample(fraction float64, count int) []int {
+// sampleIndices draws a fraction of the indices below count, at least one, in random order.
+func (r *runner) sampleIndices(fraction float64, count int) []int {
 	indices := make([]int, count)
 	for i := range indices {
 		indices[i] = i
@@ -19,7 +19,7 @@
 func (r *runner) targetReplicas(step Step) []*managedReplica {
 	var candidates []*managedReplica
 	for _, candidate := range r.replicas {
-		if candidate.Running && !candidate.Silent && step.includes(candidate.Zone) {
+		if candidate.Running && !candidate.Silent && step.affectsZone(candidate.Zone) {
 			candidates = append(candidates, candidate)
 		}
 	}
@@ -27,8 +27,8 @@
 		return nil
 	}
 	var targets []*managedReplica
-	for _, i := range r.sample(step.Fraction, len(candidates)) {
-		candidates[i].fault++
+	for _, i := range r.sampleIndices(step.Fraction, len(candidates)) {
+		candidates[i].faultCount++
 		targets = append(targets, candidates[i])
 	}
 	return targets
@@ -38,12 +38,12 @@
 func (r *runner) targetProxies(step Step) []*managedProxy {
 	var candidates []*managedProxy
 	for _, candidate := range r.proxies {
-		if step.includes(candidate.Zone) {
+		if step.affectsZone(candidate.Zone) {
 			candidates = append(candidates, candidate)
 		}
 	}
 	var targets []*managedProxy
-	for _, i := range r.sample(step.Fraction, len(candidates)) {
+	for _, i := range r.sampleIndices(step.Fraction, len(candidates)) {
 		targets = append(targets, candidates[i])
 	}
 	return targets
@@ -53,18 +53,18 @@
 func (r *runner) targetInstances(step Step) (targets []*instance, candidates int) {
 	var eligible []*instance
 	for _, candidate := range r.instances {
-		if step.includes(candidate.zone) {
+		if step.affectsZone(candidate.zone) {
 			eligible = append(eligible, candidate)
 		}
 	}
 	if len(eligible) == 0 {
 		return nil, 0
 	}
-	for _, i := range r.sample(step.Fraction, len(eligible)) {
+	for _, i := range r.sampleIndices(step.Fraction, len(eligible)) {
 		targets = append(targets, eligible[i])
 	}
 	return targets, len(eligible)
 }
 
-// includes reports whether a step affects a zone.
-func (s Step) includes(zone string) bool { return s.Zone == "" || s.Zone == zone }
+// affectsZone reports whether a step affects a zone.
+func (s Step) affectsZone(zone string) bool { return s.Zone == "" || s.Zone == zone }
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -62,7 +62,7 @@
 	attempt.Done = func(result proxy.Result, _ model.Microseconds) {
 		latency := r.now() - request.started
 		if !r.clientRetries(attempt, result, latency) {
-			r.statistics.count(attempt.Operation, result, latency, request.started-r.started)
+			r.statistics.recordRequest(attempt.Operation, result, latency, request.started-r.started)
 			return
 		}
 		r.loop.After(r.script.Proxies.ClientBackoff, func() {
--- a/internal/simulation/queueing_test.go
+++ b/internal/simulation/queueing_test.go
@@ -40,14 +40,14 @@
 	return source
 }
 
-// relativeTime returns the mean time that a job spends at its station, as a multiple of the mean work.
-func relativeTime(source *Source) float64 {
+// relativeResponseTime returns the mean time that a job spends at its station, as a multiple of the mean work.
+func relativeResponseTime(source *Source) float64 {
 	return source.MeanResponseTime() / float64(source.MeanWork)
 }
 
-// erlangWait returns the mean wait in an M/M/c queue by Erlang's C formula, as a multiple of the mean work. load is the
-// load of one core.
-func erlangWait(cores int, load float64) float64 {
+// erlangRelativeWait returns the mean wait in an M/M/c queue by Erlang's C formula, as a multiple of the mean work.
+// load is the load of one core.
+func erlangRelativeWait(cores int, load float64) float64 {
 	offered := load * float64(cores)
 	sum, term := 0.0, 1.0
 	for k := range cores {
@@ -58,9 +58,9 @@
 	return waitProbability / (float64(cores) * (1 - load))
 }
 
-// twoChoicesTime returns the mean time of a job, as a multiple of the mean work, for the power of two choices with the
-// number of M/M/1 stations tending to infinity (Mitzenmacher; Vvedenskaya, Dobrushin and Karpelevich).
-func twoChoicesTime(load float64) float64 {
+// twoChoicesRelativeTime returns the mean time of a job, as a multiple of the mean work, for the power of two choices
+// with the number of M/M/1 stations tending to infinity (Mitzenmacher; Vvedenskaya, Dobrushin and Karpelevich).
+func twoChoicesRelativeTime(load float64) float64 {
 	sum := 0.0
 	for k := 1; k < 30; k++ {
 		sum += math.Pow(load, math.Pow(2, float64(k))-2)
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestOneStationMeetsQueueingTheory(t *testing.T) {
+func TestOneStationMatchesErlangC(t *testing.T) {
 	const (
 		littleTolerance      = 0.03
 		utilizationTolerance = 0.02
@@ -100,7 +100,8 @@
 				seed: 1, stations: 1, cores: tt.cores, load: tt.load, seconds: tt.seconds, policy: RandomChoice,
 			})
 			station := source.Stations[0]
-			checkRelative(t, "time over work", relativeTime(source), 1+erlangWait(tt.cores, tt.load), tt.tolerance)
+			checkRelative(t, "time over work",
+				relativeResponseTime(source), 1+erlangRelativeWait(tt.cores, tt.load), tt.tolerance)
 			// Little's law: for any distributions, the mean number of jobs is the arrival rate times their mean time.
 			jobs, busyCores := station.MeanOccupancy()
 			rate := float64(station.Served()) / (float64(tt.seconds) * float64(model.Second))
@@ -110,20 +111,20 @@
 	}
 }
 
-func TestTwoChoicesMeetTheLimitForManyStations(t *testing.T) {
+func TestTwoChoicesMatchTheLimitForManyStations(t *testing.T) {
 	for _, tt := range []struct{ load, tolerance float64 }{{0.5, 0.01}, {0.8, 0.01}, {0.95, 0.02}} {
 		t.Run(fmt.Sprintf("load %.2f", tt.load), func(t *testing.T) {
 			source := simulate(workload{
 				seed: 1, stations: 500, cores: 1, load: tt.load, seconds: 60, policy: TwoChoices,
 			})
-			checkRelative(t, "time over work", relativeTime(source), twoChoicesTime(tt.load), tt.tolerance)
+			checkRelative(t, "time over work", relativeResponseTime(source), twoChoicesRelativeTime(tt.load), tt.tolerance)
 		})
 	}
 }
 
-func TestPoliciesThatKnowMoreAreFaster(t *testing.T) {
+func TestPoliciesWithMoreLoadInformationAreFaster(t *testing.T) {
 	timeOf := func(policy func(RandomStream) Policy) float64 {
-		return relativeTime(simulate(workload{
+		return relativeResponseTime(simulate(workload{
 			seed: 1, stations: 50, cores: 1, load: 0.8, seconds: 60, policy: policy,
 		}))
 	}
--- a/internal/simulation/simulator_test.go
+++ b/internal/simulation/simulator_test.go
@@ -7,7 +7,7 @@
 	"peppervale/internal/model"
 )
 
-func TestEventsOfOneMomentHappenInTheOrderOfScheduling(t *testing.T) {
+func TestEventsAtTheSameTimeRunInSchedulingOrder(t *testing.T) {
 	const events = 10_000
 	simulator := &Simulator{}
 	random := NewRandomStream(1, "order")
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestARunFollowsFromItsSeed(t *testing.T) {
+func TestRunIsDeterminedByItsSeed(t *testing.T) {
 	summary := func(seed uint64) string {
 		source := simulate(workload{seed: seed, stations: 10, cores: 2, load: 0.9, seconds: 20, policy: TwoChoices})
 		return fmt.Sprint(source.totalTime, source.measured, source.Simulator.Processed())
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestARandomStreamDoesNotDependOnOthers(t *testing.T) {
+func TestRandomStreamDrawsAreUnchangedByOtherStreams(t *testing.T) {
 	want := NewRandomStream(1, "a").Uint64()
 	_ = NewRandomStream(1, "b").Uint64()
 	if got := NewRandomStream(1, "a").Uint64(); got != want {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestAFullStationRejectsAndServesWhatItAccepted(t *testing.T) {
+func TestStationRejectsJobsWhenItsQueueIsFull(t *testing.T) {
 	simulator := &Simulator{}
 	station := NewStation(simulator, 2)
 	station.QueueLimit = 3
--- a/internal/simulation/source.go
+++ b/internal/simulation/source.go
@@ -7,15 +7,15 @@
 	Simulator        *Simulator
 	Arrivals         RandomStream
 	Work             RandomStream
-	MeanInterarrival float64            // mean time between two arrivals in microseconds; a fraction keeps high rates exact
+	MeanInterarrival float64            // in microseconds; fractions keep high rates exact
 	MeanWork         model.Microseconds // mean work of a job
 	Stations         []*Station
 	Policy           Policy
 	MeasureFrom      model.Microseconds // jobs that arrive earlier are not measured
 
-	totalTime float64 // microseconds that the measured jobs spent at their stations
-	measured  uint64
-	carry     float64 // fraction of a microsecond carried over from the last interarrival time
+	totalTime       float64 // microseconds that the measured jobs spent at their stations
+	measured        uint64
+	carriedFraction float64 // fraction of a microsecond carried over from the last interarrival time
 }
 
 // Start schedules the first arrival.
@@ -24,15 +24,16 @@
 // Measured returns the number of measured jobs that were completed.
 func (s *Source) Measured() uint64 { return s.measured }
 
-// MeanResponseTime returns the mean time in microseconds that a measured job spent at its station, waiting and being served.
+// MeanResponseTime returns the mean time in microseconds that a measured job spent at its station, waiting and being
+// served.
 func (s *Source) MeanResponseTime() float64 { return s.totalTime / float64(s.measured) }
 
 // nextInterarrival draws the time until the next arrival. It carries the fraction of a microsecond over to the next
 // call.
 func (s *Source) nextInterarrival() model.Microseconds {
-	s.carry += s.Arrivals.ExpFloat64() * s.MeanInterarrival
-	whole := model.Microseconds(s.carry)
-	s.carry -= float64(whole)
+	s.carriedFraction += s.Arrivals.ExpFloat64() * s.MeanInterarrival
+	whole := model.Microseconds(s.carriedFraction)
+	s.carriedFraction -= float64(whole)
 	return whole
 }
 
--- a/internal/simulation/station.go
+++ b/internal/simulation/station.go
@@ -76,14 +76,14 @@
 		s.busyCores--
 		s.served++
 		if s.waiting() > 0 {
-			s.serve(s.takeNext())
+			s.serve(s.popJob())
 		}
 		current.done()
 	})
 }
 
-// takeNext removes and returns the first job of the queue. The queue must not be empty.
-func (s *Station) takeNext() job {
+// popJob removes and returns the first job of the queue. The queue must not be empty.
+func (s *Station) popJob() job {
 	next := s.queue[s.head]
 	s.queue[s.head] = job{}
 	s.head++
