--- a/internal/invariants/attempts.go
+++ b/internal/invariants/attempts.go
@@ -33,15 +33,15 @@
 	if proxy == nil || proxy.instance == nil {
 		return
 	}
-	goneAt, gone := proxy.instance.goneAt[event.Replica]
-	if !gone {
+	notifiedAt, notified := proxy.instance.drainNotifiedAt[event.Replica]
+	if !notified {
 		return
 	}
-	late := event.At - max(goneAt, proxy.joinedAt)
-	c.results[LateDrain].record(ratioToLimit(late, c.limits.DrainGrace),
+	elapsed := event.At - max(notifiedAt, proxy.joinedAt)
+	c.results[LateDrain].record(ratioToLimit(elapsed, c.limits.DrainGrace),
 		"%s: %s sent to %s %s after %s was notified that it drains or is gone, %s are allowed",
 		c.sinceStart(event.At), proxy.name, pubsubmsg.FormatAddress(event.Replica),
-		seconds(late), proxy.instance.name, seconds(c.limits.DrainGrace))
+		formatSeconds(elapsed), proxy.instance.name, formatSeconds(c.limits.DrainGrace))
 }
 
 // checkRetry checks that an operation that is not idempotent is retried only if the earlier attempt is proven not to
@@ -52,17 +52,17 @@
 		return
 	}
 	result := c.results[RepeatedEffect]
-	where := fmt.Sprintf("%s: %s sent request %d (%s) to %s after an attempt at %s that may have been executed",
+	description := fmt.Sprintf("%s: %s sent request %d (%s) to %s after an attempt at %s that may have been executed",
 		c.sinceStart(retry.At), retry.Proxy, retry.Request, operation.Name,
 		pubsubmsg.FormatAddress(retry.Replica), pubsubmsg.FormatAddress(previous.Replica))
 	switch {
 	case operation.Effect == SideEffecting:
-		result.record(violationRatio, "%s", where)
-	case c.replica(previous.Replica).group != c.replica(retry.Replica).group:
-		result.record(violationRatio, "%s, in another deduplication group", where)
+		result.record(violationRatio, "%s", description)
+	case c.replica(previous.Replica).deduplicationGroup != c.replica(retry.Replica).deduplicationGroup:
+		result.record(violationRatio, "%s, in another deduplication group", description)
 	default:
 		age := retry.At - previous.At
-		result.record(ratioToLimit(age, operation.DeduplicationWindow), "%s, %s before", where, seconds(age))
+		result.record(ratioToLimit(age, operation.DeduplicationWindow), "%s, %s before", description, formatSeconds(age))
 	}
 }
 
@@ -70,9 +70,9 @@
 func (c *checker) requestExecuted(e RequestExecuted) {
 	key := requestKey{e.Request, e.ClientAttempt}
 	c.executions[key]++
-	times := c.executions[key]
-	if times > 1 && c.limits.effect(e.Operation) != Idempotent {
+	count := c.executions[key]
+	if count > 1 && c.limits.effect(e.Operation) != Idempotent {
 		c.results[RepeatedEffect].record(violationRatio, "%s: request %d took effect %d times, last at %s",
-			c.sinceStart(e.At), e.Request, times, pubsubmsg.FormatAddress(e.Replica))
+			c.sinceStart(e.At), e.Request, count, pubsubmsg.FormatAddress(e.Replica))
 	}
 }
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -46,24 +46,24 @@
 
 // proxyState is the state of a proxy as derived from the messages that it received.
 type proxyState struct {
-	name        string
-	epoch       uint64            // the newest epoch of the messages that it received
-	epochHolder map[uint64]string // the instance that published in each epoch
-	running     bool
-	instance    *instanceState // nil: not joined
-	joinedAt    model.Microseconds
-	reader      *resp.Reader
-	weights     map[model.ReplicaID]float64
-	withdrawn   map[model.ReplicaID]bool
-	emptySince  model.Microseconds   // notEmpty: the proxy has a usable entry or is not joined
-	updatedAt   model.Microseconds   // the newest publication time in a message to it, by the publisher's clock
-	messages    []model.Microseconds // publication times of the messages on this stream, by the publisher's clock
+	name             string
+	epoch            uint64            // the newest epoch of the messages that it received
+	epochHolder      map[uint64]string // the instance that published in each epoch
+	running          bool
+	instance         *instanceState // nil: not joined
+	joinedAt         model.Microseconds
+	reader           *resp.Reader
+	weights          map[model.ReplicaID]float64
+	withdrawn        map[model.ReplicaID]bool
+	emptySince       model.Microseconds   // notEmpty: the proxy has a usable entry or is not joined
+	lastPublishedAt  model.Microseconds   // the newest publication time in a message to it, by the publisher's clock
+	publicationTimes []model.Microseconds // publication times of the messages on this stream, by the publisher's clock
 }
 
 // instanceState holds the notifications that a control-plane instance received, and the messages that it sent.
 type instanceState struct {
 	name            string
-	goneAt          map[model.ReplicaID]model.Microseconds // when it was notified that the replica drains or is gone
+	drainNotifiedAt map[model.ReplicaID]model.Microseconds // when it was notified that the replica drains or is gone
 	startNotifiedAt map[model.ReplicaID]model.Microseconds // when it was notified of the replica's newest start
 	startedAt       map[model.ReplicaID]model.Microseconds
 	listed          map[model.ReplicaID]bool
@@ -77,8 +77,8 @@
 }
 
 type replicaState struct {
-	group  string // its deduplication group
-	starts []ReplicaStarted
+	deduplicationGroup string
+	starts             []ReplicaStarted
 }
 
 // requestKey identifies one attempt of a client at a request.
@@ -133,14 +133,14 @@
 }
 
 // sinceStart formats a time relative to the start of the run.
-func (c *checker) sinceStart(t model.Microseconds) string { return seconds(t - c.startedAt) }
+func (c *checker) sinceStart(t model.Microseconds) string { return formatSeconds(t - c.startedAt) }
 
 func (c *checker) instance(name string) *instanceState {
 	i := c.instances[name]
 	if i == nil {
 		i = &instanceState{
 			name:            name,
-			goneAt:          map[model.ReplicaID]model.Microseconds{},
+			drainNotifiedAt: map[model.ReplicaID]model.Microseconds{},
 			startNotifiedAt: map[model.ReplicaID]model.Microseconds{},
 			startedAt:       map[model.ReplicaID]model.Microseconds{},
 			listed:          map[model.ReplicaID]bool{},
@@ -183,7 +183,7 @@
 		c.arrivals = append(c.arrivals, arrival{event, c.informed(event)})
 	case ReplicaStarted:
 		r := c.replica(event.Replica)
-		r.group = event.DeduplicationGroup
+		r.deduplicationGroup = event.DeduplicationGroup
 		r.starts = append(r.starts, event)
 	}
 }
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -170,7 +170,7 @@
 }
 
 var drainCases = []violationCase{
-	{"an attempt three seconds after a drain was notified", true, timeline{
+	{"an attempt three seconds after the notification of a drain", true, timeline{
 		listed(4*second, 2),
 		attemptAt(7*second, 0, 1, 1),
 	}},
@@ -274,30 +274,36 @@
 // Two instances that publish in the same epoch violate the invariant. Messages with an older epoch than an earlier
 // message are fenced off, so they are not checked.
 func TestSharedEpochIsViolatedWhenTwoInstancesPublishInOneEpoch(t *testing.T) {
-	joins := func(at model.Microseconds, instance string) StreamChanged {
+	joinedTo := func(at model.Microseconds, instance string) StreamChanged {
 		return StreamChanged{At: at, Proxy: "till", Instance: instance, Up: true}
 	}
-	fullTable := func(at model.Microseconds, epoch uint64, entries ...pubsubmsg.Entry) BytesReceived {
+	tableReceived := func(at model.Microseconds, epoch uint64, entries ...pubsubmsg.Entry) BytesReceived {
 		return messageReceived(at, pubsubmsg.Message{Full: true, Bound: true, Entries: entries, Epoch: epoch})
 	}
-	full, bare := pubsubmsg.Entry{Replica: id(1), Weight: 1}, []pubsubmsg.Entry(nil)
+	entry, noEntries := pubsubmsg.Entry{Replica: id(1), Weight: 1}, []pubsubmsg.Entry(nil)
 	for name, tt := range map[string]struct {
-		events timeline
-		broken string
+		events   timeline
+		violated string
 	}{
 		"a takeover": {
-			timeline{fullTable(2*second, 1, full), joins(3*second, "h"), fullTable(4*second, 2, full)},
+			timeline{tableReceived(2*second, 1, entry), joinedTo(3*second, "h"), tableReceived(4*second, 2, entry)},
 			"",
 		},
-		"two in one epoch": {
-			timeline{fullTable(2*second, 1, full), joins(3*second, "h"), fullTable(4*second, 1, full)},
+		"two instances in one epoch": {
+			timeline{tableReceived(2*second, 1, entry), joinedTo(3*second, "h"), tableReceived(4*second, 1, entry)},
 			SharedEpoch,
 		},
-		"a former holder empties": {timeline{fullTable(2*second, 2, full), fullTable(3*second, 1, bare...)}, ""},
-		"the holder empties":      {timeline{fullTable(2*second, 2, full), fullTable(3*second, 2, bare...)}, EmptyTable},
+		"an empty table in an older epoch": {
+			timeline{tableReceived(2*second, 2, entry), tableReceived(3*second, 1, noEntries...)},
+			"",
+		},
+		"an empty table in the same epoch": {
+			timeline{tableReceived(2*second, 2, entry), tableReceived(3*second, 2, noEntries...)},
+			EmptyTable,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			checkViolations(t, append(newTimeline(), tt.events...), tt.broken, tt.broken != "")
+			checkViolations(t, append(newTimeline(), tt.events...), tt.violated, tt.violated != "")
 		})
 	}
 }
--- a/internal/invariants/coldstart.go
+++ b/internal/invariants/coldstart.go
@@ -18,7 +18,7 @@
 		return false
 	}
 	notifiedAt, notified := p.instance.startNotifiedAt[e.Replica]
-	return notified && (p.updatedAt > notifiedAt || e.At-notifiedAt > c.limits.DrainGrace)
+	return notified && (p.lastPublishedAt > notifiedAt || e.At-notifiedAt > c.limits.DrainGrace)
 }
 
 // checkColdStarts checks every cold start of a replica: the work that arrives within any window must not overload the
@@ -85,14 +85,14 @@
 		window.add(last)
 		window.removeArrivedBy(last.At - c.limits.OverloadWindow)
 		capacity := c.capacity(start, last.At)
-		load := (window.total - window.largest) / (c.limits.OverloadFactor * capacity)
-		if load > 1 && !window.mostlyInformed() {
+		ratio := (window.total - window.largest) / (c.limits.OverloadFactor * capacity)
+		if ratio > 1 && !window.mostlyInformed() {
 			continue
 		}
-		c.results[ColdOverload].record(load,
+		c.results[ColdOverload].record(ratio,
 			"%s: %s, up for %s, was sent %.1f times what it can do within %s, %.1f are allowed",
-			c.sinceStart(last.At), pubsubmsg.FormatAddress(id), seconds(last.At-start.At),
-			window.total/capacity, seconds(c.limits.OverloadWindow), c.limits.OverloadFactor)
+			c.sinceStart(last.At), pubsubmsg.FormatAddress(id), formatSeconds(last.At-start.At),
+			window.total/capacity, formatSeconds(c.limits.OverloadWindow), c.limits.OverloadFactor)
 	}
 }
 
--- a/internal/invariants/endpoints.go
+++ b/internal/invariants/endpoints.go
@@ -21,8 +21,8 @@
 	}
 	ready, warmFrom := instance.readyEndpoints(endpoints, list.At, c.limits.WarmUpPeriod)
 	for id := range instance.listed {
-		if _, known := instance.goneAt[id]; !known && !ready[id] {
-			instance.goneAt[id] = list.At
+		if _, known := instance.drainNotifiedAt[id]; !known && !ready[id] {
+			instance.drainNotifiedAt[id] = list.At
 		}
 	}
 	if warmFrom > list.At || instance.warmListedFrom > list.At {
@@ -44,7 +44,7 @@
 		}
 		ready[endpoint.ID] = true
 		warmFrom = min(warmFrom, max(now, endpoint.StartedAt+warmUp))
-		delete(i.goneAt, endpoint.ID)
+		delete(i.drainNotifiedAt, endpoint.ID)
 		if endpoint.StartedAt > 0 && i.startedAt[endpoint.ID] != endpoint.StartedAt {
 			i.startedAt[endpoint.ID] = endpoint.StartedAt
 			i.startNotifiedAt[endpoint.ID] = now
--- a/internal/invariants/proxies.go
+++ b/internal/invariants/proxies.go
@@ -47,7 +47,7 @@
 		proxy.instance = c.instance(event.Instance)
 		proxy.joinedAt = event.At
 		proxy.reader = resp.NewReader(resp.Limits{})
-		proxy.messages = nil
+		proxy.publicationTimes = nil
 	}
 	c.updateEmptyPeriod(proxy, event.At)
 }
@@ -147,7 +147,7 @@
 	emptyTime := now - max(p.emptySince, p.instance.warmListedFrom)
 	c.results[EmptyTable].record(ratioToLimit(emptyTime, c.limits.MaxEmptyTime),
 		"%s: %s, joined to %s, had no usable entry for %s, %s are allowed",
-		c.sinceStart(now), p.name, p.instance.name, seconds(emptyTime), seconds(c.limits.MaxEmptyTime))
+		c.sinceStart(now), p.name, p.instance.name, formatSeconds(emptyTime), formatSeconds(c.limits.MaxEmptyTime))
 }
 
 func (c *checker) endEmptyPeriod(p *proxyState, now model.Microseconds) {
--- a/internal/invariants/queue.go
+++ b/internal/invariants/queue.go
@@ -14,20 +14,20 @@
 func (c *checker) recordMessage(proxy *proxyState, message *pubsubmsg.Message, now model.Microseconds) {
 	instance := proxy.instance
 	instance.sentMessages = append(instance.sentMessages, sentMessage{message.UpdatedAt, now, message.Cost})
-	proxy.messages = append(proxy.messages, message.UpdatedAt)
-	proxy.updatedAt = max(proxy.updatedAt, message.UpdatedAt)
+	proxy.publicationTimes = append(proxy.publicationTimes, message.UpdatedAt)
+	proxy.lastPublishedAt = max(proxy.lastPublishedAt, message.UpdatedAt)
 	if c.limits.MessageLimit <= 0 {
 		return
 	}
 	recent := 0
-	for _, at := range proxy.messages {
+	for _, at := range proxy.publicationTimes {
 		if message.UpdatedAt-at < c.limits.MessageWindow {
 			recent++
 		}
 	}
 	c.results[LongQueue].record(float64(recent)/float64(c.limits.MessageLimit),
 		"%s: %s wrote %d messages to %s within %s, %d are allowed",
-		c.sinceStart(now), instance.name, recent, proxy.name, seconds(c.limits.MessageWindow), c.limits.MessageLimit)
+		c.sinceStart(now), instance.name, recent, proxy.name, formatSeconds(c.limits.MessageWindow), c.limits.MessageLimit)
 }
 
 // queueChange is a change in the number of an instance's entries that are in flight.
--- a/internal/invariants/result.go
+++ b/internal/invariants/result.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// seconds formats a duration.
-func seconds(t model.Microseconds) string {
+// formatSeconds formats a duration.
+func formatSeconds(t model.Microseconds) string {
 	return fmt.Sprintf("%.3f s", float64(t)/float64(model.Second))
 }
 
--- a/internal/scenario/console_test.go
+++ b/internal/scenario/console_test.go
@@ -37,8 +37,8 @@
 	script.Length = seconds(20)
 	script.Steps = []Step{{Kind: ZoneLoss, At: seconds(5), Duration: seconds(5), Zone: lostZone}}
 	progress := make(chan string, 1000)
-	watched := make(chan error, 1)
-	go func() { watched <- watchConsoles(progress) }()
+	watchResult := make(chan error, 1)
+	go func() { watchResult <- watchConsoles(progress) }()
 	report, err := Run(context.Background(), script, Options{
 		Program:   instanceProgram(),
 		Directory: t.TempDir(),
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	requireInvariants(t, report)
-	if err := <-watched; err != nil {
+	if err := <-watchResult; err != nil {
 		t.Error(err)
 	}
 }
@@ -58,8 +58,8 @@
 func watchConsoles(progress chan string) error {
 	defer http.DefaultClient.CloseIdleConnections()
 	consoles := awaitConsoles(progress)
-	if len(consoles) != len(twoInstances) {
-		return fmt.Errorf("consoles of %d instances, want %d", len(consoles), len(twoInstances))
+	if len(consoles) != len(twoInstanceZones) {
+		return fmt.Errorf("consoles of %d instances, want %d", len(consoles), len(twoInstanceZones))
 	}
 	// The comparison has to know the incarnations of the instances from before the loss.
 	addresses := []string{consoles[survivingInstance], consoles[lostInstance]}
@@ -94,7 +94,7 @@
 		}
 		name, address, _ := strings.Cut(rest, ": ")
 		consoles[name] = strings.TrimSpace(address)
-		if len(consoles) == len(twoInstances) {
+		if len(consoles) == len(twoInstanceZones) {
 			break
 		}
 	}
@@ -117,11 +117,11 @@
 	console    string // URL of the surviving instance's console
 	comparison string // URL of the console that compares the instances
 
-	zoneLossShown        bool
-	zoneRecoveryShown    bool
-	instanceLossShown    bool
-	instanceRestartShown bool
-	firstIncarnation     uint64
+	zoneLossShown         bool
+	zoneRecoveryShown     bool
+	instanceLossShown     bool
+	instanceRestartShown  bool
+	incarnationBeforeLoss uint64
 }
 
 func (w *consoleWatch) complete() bool {
@@ -172,11 +172,11 @@
 	if shown.Error != "" && shown.Incarnation > 0 {
 		w.instanceLossShown = true
 	}
-	if w.instanceLossShown && shown.Error == "" && shown.Incarnation > w.firstIncarnation {
+	if w.instanceLossShown && shown.Error == "" && shown.Incarnation > w.incarnationBeforeLoss {
 		w.instanceRestartShown = true
 	}
 	if !w.instanceLossShown {
-		w.firstIncarnation = shown.Incarnation
+		w.incarnationBeforeLoss = shown.Incarnation
 	}
 	return nil
 }
--- a/internal/scenario/faulty.go
+++ b/internal/scenario/faulty.go
@@ -38,25 +38,25 @@
 // faultyController serves the publish-subscribe channel and subscribes to the registry like an instance. Its fields may
 // be accessed on the goroutine of loop only.
 type faultyController struct {
-	kind        string
-	loop        *standin.Loop
-	now         func() model.Microseconds
-	server      *pubsub.Server
-	registry    *discovery.ConsulClient
-	proxies     map[model.ProxyID]bool
-	ready       map[model.ReplicaID]model.Endpoint
-	ackSequence int
-	started     model.Microseconds
+	kind           string
+	loop           *standin.Loop
+	now            func() model.Microseconds
+	server         *pubsub.Server
+	registry       *discovery.ConsulClient
+	proxies        map[model.ProxyID]bool
+	readyEndpoints map[model.ReplicaID]model.Endpoint
+	ackSequence    int
+	startedAt      model.Microseconds
 }
 
 func newFaultyController(run *runner) (*faultyController, error) {
 	controller := &faultyController{
-		kind:    run.script.FaultyController,
-		loop:    run.loop,
-		now:     run.now,
-		proxies: map[model.ProxyID]bool{},
-		ready:   map[model.ReplicaID]model.Endpoint{},
-		started: run.now(),
+		kind:           run.script.FaultyController,
+		loop:           run.loop,
+		now:            run.now,
+		proxies:        map[model.ProxyID]bool{},
+		readyEndpoints: map[model.ReplicaID]model.Endpoint{},
+		startedAt:      run.now(),
 	}
 	var err error
 	controller.server, err = pubsub.Listen(pubsub.Config{
@@ -135,19 +135,19 @@
 		if endpoint.Status != model.EndpointReady {
 			continue
 		}
-		old, known := c.ready[endpoint.ID]
-		if !known || old.StartedAt != endpoint.StartedAt {
+		previous, known := c.readyEndpoints[endpoint.ID]
+		if !known || previous.StartedAt != endpoint.StartedAt {
 			updates = append(updates,
 				setWeight(endpoint.ID, c.initialWeight(endpoint)),
 				snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: endpoint.ID})
 		}
-		c.ready[endpoint.ID] = endpoint
+		c.readyEndpoints[endpoint.ID] = endpoint
 	}
 	return updates
 }
 
 func (c *faultyController) initialWeight(endpoint model.Endpoint) float64 {
-	if c.kind == fullLoadToCold && endpoint.StartedAt > c.started {
+	if c.kind == fullLoadToCold && endpoint.StartedAt > c.startedAt {
 		return faultyColdWeight
 	}
 	return 1
@@ -160,11 +160,11 @@
 		stillReady[endpoint.ID] = endpoint.Status == model.EndpointReady
 	}
 	var updates []snapshot.Update
-	for id := range c.ready {
+	for id := range c.readyEndpoints {
 		if stillReady[id] {
 			continue
 		}
-		delete(c.ready, id)
+		delete(c.readyEndpoints, id)
 		if c.kind != hidesDrains {
 			updates = append(updates, snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: id, Withdrawn: true})
 		}
@@ -183,7 +183,7 @@
 // tick publishes the faulty updates of the controller's kind every faultyTickInterval, after faultyStartDelay.
 func (c *faultyController) tick() {
 	c.loop.After(faultyTickInterval, c.tick)
-	if c.now()-c.started < faultyStartDelay {
+	if c.now()-c.startedAt < faultyStartDelay {
 		return
 	}
 	switch c.kind {
@@ -201,7 +201,7 @@
 
 func (c *faultyController) setAllWeights(weight float64) []snapshot.Update {
 	var updates []snapshot.Update
-	for id := range c.ready {
+	for id := range c.readyEndpoints {
 		updates = append(updates, setWeight(id, weight))
 	}
 	return updates
--- a/internal/scenario/instancesteps.go
+++ b/internal/scenario/instancesteps.go
@@ -32,9 +32,9 @@
 }
 
 // crashInstance kills an instance and restarts it after the given time. Only its state directory is kept.
-func (r *runner) crashInstance(target *instance, down model.Microseconds) {
+func (r *runner) crashInstance(target *instance, downtime model.Microseconds) {
 	target.stop(syscall.SIGKILL, killTimeout)
-	r.loop.After(down, func() { r.restartInstance(target) })
+	r.loop.After(downtime, func() { r.restartInstance(target) })
 }
 
 func (r *runner) restartInstance(target *instance) {
@@ -55,8 +55,8 @@
 func (r *runner) rollInstances(step Step) {
 	targets, candidates := r.targetInstances(step)
 	for k, target := range targets {
-		start := step.Duration * model.Microseconds(k) / model.Microseconds(candidates)
-		r.loop.After(start, func() { r.restartGracefully(target) })
+		delay := step.Duration * model.Microseconds(k) / model.Microseconds(candidates)
+		r.loop.After(delay, func() { r.restartGracefully(target) })
 	}
 }
 
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -27,8 +27,8 @@
 
 // The zones of the instances in most tests.
 var (
-	twoInstances = []string{"govan", lostZone}
-	oneInstance  = twoInstances[:1]
+	twoInstanceZones = []string{"govan", lostZone}
+	oneInstanceZone  = twoInstanceZones[:1]
 )
 
 // TestMain runs the tests. Started with "governor --config FILE", the test binary runs an instance instead.
--- a/internal/scenario/network.go
+++ b/internal/scenario/network.go
@@ -20,7 +20,7 @@
 	replicaPort = 8080
 )
 
-// loopbackNetwork is the second octet of the network 127.x.0.0/16 that one scenario uses exclusively.
+// loopbackNetwork is the second octet of the network 127.x.0.0/16 that holds the addresses of one scenario.
 type loopbackNetwork int
 
 // The parameters of the search for a free network. searchStride has no common factor with networkCount, so a search
@@ -38,8 +38,7 @@
 var startedScenarios atomic.Int64
 
 // findFreeNetwork finds a network on whose probePort nothing listens. The port is released again, so another process
-// may still choose the same network. Scenarios mostly get different networks because their searches begin at different
-// networks.
+// may still choose the same network. Scenarios get different networks because their searches begin at different ones.
 func findFreeNetwork() (loopbackNetwork, error) {
 	first := os.Getpid() + int(startedScenarios.Add(1))*scenarioStride
 	for k := range maxNetworkAttempts {
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -142,7 +142,7 @@
 func (s *Script) readLoad(block *config.Block) Load {
 	load := Load{Rate: block.Float("rate", 0, 0, 100_000)}
 	for _, workBlock := range block.Blocks("work", 1) {
-		load.Operations = append(load.Operations, s.readWork(workBlock))
+		load.Operations = append(load.Operations, s.readOperationLoad(workBlock))
 	}
 	if len(load.Operations) == 0 {
 		block.AddError("", "load: a block work \"operation\" { } is missing")
@@ -151,18 +151,18 @@
 	return load
 }
 
-func (s *Script) readWork(block *config.Block) OperationLoad {
-	work := OperationLoad{
+func (s *Script) readOperationLoad(block *config.Block) OperationLoad {
+	load := OperationLoad{
 		Operation: s.operationIndex(block.Labels[0]),
 		Share:     block.Float("share", 1, 0, 1e6),
 		Mean:      block.Duration("mean", -1, 1, maxDuration),
 		Spread:    block.Float("spread", 0.5, 0, 10),
 	}
-	if work.Operation < 0 {
+	if load.Operation < 0 {
 		block.AddError("", "work: unknown operation %q", block.Labels[0])
 	}
 	block.RejectUnknown()
-	return work
+	return load
 }
 
 // operationIndex returns the index of the operation with this name, or -1 if there is none.
--- a/internal/scenario/proxysteps.go
+++ b/internal/scenario/proxysteps.go
@@ -13,9 +13,9 @@
 }
 
 // crashProxy stops a proxy and restarts it after the given time with a new standing table.
-func (r *runner) crashProxy(target *managedProxy, down model.Microseconds) {
+func (r *runner) crashProxy(target *managedProxy, downtime model.Microseconds) {
 	target.Kill()
-	r.loop.After(down, func() { target.Start(r.standingTable(target)) })
+	r.loop.After(downtime, func() { target.Start(r.standingTable(target)) })
 }
 
 // stallProxies stalls the targets repeatedly. Between two stalls they run for as long as a stall lasts.
@@ -64,7 +64,7 @@
 	}
 }
 
-func (r *runner) makeTailHeavy(step Step) {
+func (r *runner) injectHeavyTail(step Step) {
 	r.heavyTail = heavyTail{fraction: step.Fraction, factor: step.Size}
 	r.loop.After(step.Duration, func() { r.heavyTail.fraction = 0 })
 }
--- a/internal/scenario/replicasteps.go
+++ b/internal/scenario/replicasteps.go
@@ -12,9 +12,9 @@
 // injectReplicaFault starts a fault on the targets of a step. When the step is over, it ends the fault on the targets
 // that no later fault affects.
 //
-// Caveat: end does not stop the actions that begin scheduled. The recurring faults (alternate and age) continue after
-// their step until a later fault affects the replica, so the effect of end is soon undone. Changing this behavior
-// changes the results of scenarios with such steps.
+// Caveat: end does not stop the actions that begin scheduled. The recurring faults (toggleFault and increaseSlowdown)
+// continue after their step until a later fault affects the replica, so the effect of end is soon undone. Changing this
+// behavior changes the results of scenarios with such steps.
 func (r *runner) injectReplicaFault(step Step, begin, end func(target *managedReplica)) {
 	for _, target := range r.targetReplicas(step) {
 		begin(target)
@@ -24,9 +24,9 @@
 
 // afterUnlessNewFault calls action after a delay unless a later fault has affected the replica by then.
 func (r *runner) afterUnlessNewFault(target *managedReplica, delay model.Microseconds, action func(*managedReplica)) {
-	fault := target.faultCount
+	faultCount := target.faultCount
 	r.loop.After(delay, func() {
-		if target.faultCount == fault {
+		if target.faultCount == faultCount {
 			action(target)
 		}
 	})
@@ -68,8 +68,8 @@
 }
 
 func (r *runner) ageReplicas(step Step) {
-	started := r.now()
-	begin := func(target *managedReplica) { r.increaseSlowdown(target, step, started) }
+	startedAt := r.now()
+	begin := func(target *managedReplica) { r.increaseSlowdown(target, step, startedAt) }
 	end := func(target *managedReplica) {
 		target.Slowdown = 1
 		target.Stop()
@@ -81,10 +81,10 @@
 // increaseSlowdown slows a replica down linearly until its slowdown reaches the size of the step. It repeats until a
 // later fault affects the replica, also after the end of its step: the replica has restarted by then, and is slowed
 // down by the step's size again.
-func (r *runner) increaseSlowdown(target *managedReplica, step Step, started model.Microseconds) {
-	progress := float64(r.now()-started) / float64(max(step.Duration, 1))
+func (r *runner) increaseSlowdown(target *managedReplica, step Step, startedAt model.Microseconds) {
+	progress := float64(r.now()-startedAt) / float64(max(step.Duration, 1))
 	target.Slowdown = 1 + (step.Size-1)*min(1, progress)
-	r.afterUnlessNewFault(target, agingInterval, func(*managedReplica) { r.increaseSlowdown(target, step, started) })
+	r.afterUnlessNewFault(target, agingInterval, func(*managedReplica) { r.increaseSlowdown(target, step, startedAt) })
 }
 
 func (r *runner) failOperation(step Step) {
@@ -150,20 +150,20 @@
 	batchSize := max(step.Number, 1)
 	batches := (len(targets) + batchSize - 1) / batchSize
 	for batch := range batches {
-		start := step.Duration * model.Microseconds(batch) / model.Microseconds(batches)
+		delay := step.Duration * model.Microseconds(batch) / model.Microseconds(batches)
 		for _, target := range targets[batch*batchSize : min(len(targets), (batch+1)*batchSize)] {
-			r.loop.After(start, func() { r.replaceReplica(target, seconds(step.Size)) })
+			r.loop.After(delay, func() { r.replaceReplica(target, seconds(step.Size)) })
 		}
 	}
 }
 
 // replaceReplica drains a replica for the given time and then restarts it cold.
-func (r *runner) replaceReplica(target *managedReplica, drainFor model.Microseconds) {
+func (r *runner) replaceReplica(target *managedReplica, drainTime model.Microseconds) {
 	if !target.Running {
 		return
 	}
 	r.drainReplica(target)
-	r.loop.After(drainFor, func() { r.restartCold(target) })
+	r.loop.After(drainTime, func() { r.restartCold(target) })
 }
 
 // drainReplica makes a replica reject new work and finish the work that it has accepted. The registry lists the replica
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -34,12 +34,12 @@
 }
 
 func runZoneLoss(t *testing.T) {
-	runSteps(t, 22, twoInstances, 100,
+	runSteps(t, 22, twoInstanceZones, 100,
 		Step{Kind: ZoneLoss, At: seconds(6), Duration: seconds(5), Zone: lostZone})
 }
 
 func runOnlyInstanceKilled(t *testing.T) {
-	report := runSteps(t, 18, oneInstance, 100,
+	report := runSteps(t, 18, oneInstanceZone, 100,
 		Step{Kind: InstanceCrash, At: seconds(6), Duration: seconds(2), Fraction: 1},
 		Step{Kind: Drain, At: seconds(7), Duration: seconds(8), Fraction: 0.2})
 	if report.Channel.Joins < 80 {
@@ -48,7 +48,7 @@
 }
 
 func runAllStreamsBroken(t *testing.T) {
-	report := runSteps(t, 15, twoInstances, 100,
+	report := runSteps(t, 15, twoInstanceZones, 100,
 		Step{Kind: ProxyReconnect, At: seconds(5), Fraction: 1},
 		Step{Kind: ProxyReconnect, At: seconds(5.05), Fraction: 1},
 		Step{Kind: ProxyReconnect, At: seconds(8), Fraction: 1},
@@ -59,12 +59,12 @@
 }
 
 func runAllButOneDrained(t *testing.T) {
-	runSteps(t, 18, twoInstances, 15,
+	runSteps(t, 18, twoInstanceZones, 15,
 		Step{Kind: Drain, At: seconds(5), Duration: seconds(7), Group: groupAllButOne})
 }
 
 func runRegistryFaults(t *testing.T) {
-	runSteps(t, 22, twoInstances, 100,
+	runSteps(t, 22, twoInstanceZones, 100,
 		Step{Kind: RegistryFails, At: seconds(4), Duration: seconds(3)},
 		Step{Kind: Drain, At: seconds(6), Duration: seconds(9), Fraction: 0.2},
 		Step{Kind: RegistryTruncates, At: seconds(8), Duration: seconds(2)},
@@ -85,14 +85,14 @@
 			Fraction: 0.5,
 		})
 	}
-	report := runSteps(t, 32, twoInstances, 60, steps...)
+	report := runSteps(t, 32, twoInstanceZones, 60, steps...)
 	if report.Channel.Bound != 40 {
 		t.Errorf("%d proxies bound at the end, want 40", report.Channel.Bound)
 	}
 }
 
 func runStalledProxies(t *testing.T) {
-	runSteps(t, 16, twoInstances, 100,
+	runSteps(t, 16, twoInstanceZones, 100,
 		Step{Kind: ProxyStall, At: seconds(4), Fraction: 0.2, Size: 1, Number: 4},
 		Step{Kind: NeverAcknowledge, At: seconds(4), Duration: seconds(8), Fraction: 0.1},
 		Step{Kind: Drain, At: seconds(6), Duration: seconds(6), Fraction: 0.2})
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -43,7 +43,7 @@
 	return run.runToEnd(ctx)
 }
 
-// runner runs a scenario. The fields from started on may be accessed on the goroutine of loop only.
+// runner runs a scenario. The fields from startedAt on may be accessed on the goroutine of loop only.
 type runner struct {
 	script          *Script
 	options         Options
@@ -57,7 +57,7 @@
 	instances       []*instance
 	faulty          *faultyController // nil: the scenario runs real instances
 
-	started             model.Microseconds
+	startedAt           model.Microseconds
 	observations        []invariants.Event
 	endpoints           *registry.Registry
 	replicas            []*managedReplica
@@ -80,7 +80,7 @@
 	if r.options.Progress == nil {
 		return
 	}
-	elapsed := float64(r.now()-r.started) / float64(model.Second)
+	elapsed := float64(r.now()-r.startedAt) / float64(model.Second)
 	_, _ = fmt.Fprintf(r.options.Progress, "%7.3f s  %s\n", elapsed, fmt.Sprintf(format, args...))
 }
 
@@ -97,7 +97,7 @@
 		return err
 	}
 	r.loop = standin.NewLoop(r.now)
-	r.started = r.now()
+	r.startedAt = r.now()
 	r.deduplicationGroups = map[string]*replica.DeduplicationGroup{}
 	r.statistics = newStatistics(r.script)
 	r.loop.Do(func() { err = r.startStandIns() })
@@ -126,8 +126,8 @@
 	if err := r.addReplicas(); err != nil {
 		return err
 	}
-	for _, work := range r.script.Load.Operations {
-		r.totalShare += work.Share
+	for _, operation := range r.script.Load.Operations {
+		r.totalShare += operation.Share
 	}
 	r.addProxies()
 	if r.script.FaultyController != noFaultyController {
@@ -181,19 +181,19 @@
 
 // startLoad starts the proxies and their load, and schedules the steps.
 func (r *runner) startLoad() {
-	r.started = r.now()
+	r.startedAt = r.now()
 	for _, instance := range r.instances {
 		r.writeProgress("console of %s: http://%s", instance.name, instance.console)
 	}
 	r.writeProgress("day %s begins: %d forwarders, %d replicas, %d governors",
 		r.script.Name, len(r.proxies), len(r.replicas), r.instanceCount())
-	for i, started := range r.proxies {
-		started.Instances = r.instanceAddresses(started, i)
-		started.Start(r.standingTable(started))
-		r.scheduleRequest(started)
+	for i, target := range r.proxies {
+		target.Instances = r.instanceAddresses(target, i)
+		target.Start(r.standingTable(target))
+		r.scheduleRequest(target)
 	}
 	for _, step := range r.script.Steps {
-		r.loop.At(r.started+step.At, func() {
+		r.loop.At(r.startedAt+step.At, func() {
 			r.writeProgress("%s %s", step.Kind, step.Zone)
 			stepActions[step.Kind](r, step)
 		})
@@ -203,7 +203,7 @@
 // instanceCount returns the number of instances. A faulty controller counts as one.
 func (r *runner) instanceCount() int { return max(len(r.instances), 1) }
 
-// waitFor waits for the given time of the scenario. It returns an error if ctx is done before.
+// waitFor waits for the given time of the scenario. It returns an error if ctx is done before then.
 func (r *runner) waitFor(ctx context.Context, duration model.Microseconds) error {
 	select {
 	case <-ctx.Done():
--- a/internal/scenario/simulatorfaults.go
+++ b/internal/scenario/simulatorfaults.go
@@ -116,9 +116,9 @@
 func (c *simulatorConverter) convertParameters(step *convertedStep, fault simulatorFault) {
 	switch step.kind {
 	case LoadReportsLate:
-		step.size = lateSeconds(fault.Size)
+		step.size = reportDelaySeconds(fault.Size)
 	case Deploy:
-		step.number = roundToAtLeastOne(fault.Size * float64(c.fleet.replicasPerZone) * c.fleet.zones)
+		step.number = roundToAtLeastOne(fault.Size * float64(c.fleet.replicasPerZone) * c.fleet.zoneCount)
 		step.size = drainSeconds(fault.Extra)
 	case ZoneLoss:
 		step.zone = c.source.Zones[clampIndex(fault.Which, len(c.source.Zones))]
@@ -128,12 +128,13 @@
 	case FewerConnections:
 		step.number = max(1, min(maxStepNumber, int(fault.Size)))
 	case Grow:
-		step.number = roundToAtLeastOne(float64(len(fault.On)) * c.fleet.scale / c.fleet.zones)
+		step.number = roundToAtLeastOne(float64(len(fault.On)) * c.fleet.scale / c.fleet.zoneCount)
 	}
 }
 
-// lateSeconds converts a size in microseconds to seconds. A size that is too small for that is already in seconds.
-func lateSeconds(size float64) float64 {
+// reportDelaySeconds converts a size in microseconds to seconds. A size that is too small for that is already in
+// seconds.
+func reportDelaySeconds(size float64) float64 {
 	const minSeconds = 0.01
 	if converted := size / microsPerSecond; converted >= minSeconds {
 		return converted
--- a/internal/scenario/simulatorimport.go
+++ b/internal/scenario/simulatorimport.go
@@ -45,36 +45,36 @@
 type scaledFleet struct {
 	scale           float64 // factor from the simulator's fleet to the converted fleet
 	sourceReplicas  int     // replicas of the simulator that run at the start
-	zones           float64
+	zoneCount       float64
 	proxiesPerZone  int
 	replicasPerZone int
 	cores           int // of each replica
-	slowest         float64
-	fastest         float64
-	rate            float64 // requests per second
+	minSpeed        float64
+	maxSpeed        float64
+	requestRate     float64 // requests per second
 }
 
 // runningReplicas summarizes the replicas that run at the start.
 type runningReplicas struct {
-	count   int
-	speed   float64 // total
-	cores   float64 // total
-	slowest float64
-	fastest float64
+	count      int
+	totalSpeed float64
+	totalCores float64
+	minSpeed   float64
+	maxSpeed   float64
 }
 
 func (s *simulatorScenario) runningReplicas() runningReplicas {
-	running := runningReplicas{slowest: 1e9}
+	running := runningReplicas{minSpeed: 1e9}
 	kinds := s.tier().Kinds
 	for _, replica := range s.Replicas {
 		if !replica.Up || replica.Kind < 0 || replica.Kind >= len(kinds) {
 			continue
 		}
 		running.count++
-		running.speed += replica.Speed
-		running.cores += float64(kinds[replica.Kind].Cores)
-		running.slowest = min(running.slowest, replica.Speed)
-		running.fastest = max(running.fastest, replica.Speed)
+		running.totalSpeed += replica.Speed
+		running.totalCores += float64(kinds[replica.Kind].Cores)
+		running.minSpeed = min(running.minSpeed, replica.Speed)
+		running.maxSpeed = max(running.maxSpeed, replica.Speed)
 	}
 	return running
 }
@@ -86,20 +86,20 @@
 	if running.count == 0 {
 		return scaledFleet{}, &SimulatorScenarioError{Problem: "no server runs at the start"}
 	}
-	zones := float64(len(s.Zones))
+	zoneCount := float64(len(s.Zones))
 	scale := min(1, float64(max(maxProxies, len(s.Zones)))/float64(len(s.Proxies)))
 	fleet := scaledFleet{
 		scale:           scale,
 		sourceReplicas:  running.count,
-		zones:           zones,
-		proxiesPerZone:  roundToAtLeastOne(float64(len(s.Proxies)) * scale / zones),
-		replicasPerZone: max(minReplicasPerZone, roundToAtLeastOne(float64(running.count)*scale/zones)),
-		cores:           roundToAtLeastOne(running.cores / float64(running.count)),
-		slowest:         running.slowest,
-		fastest:         running.fastest,
+		zoneCount:       zoneCount,
+		proxiesPerZone:  roundToAtLeastOne(float64(len(s.Proxies)) * scale / zoneCount),
+		replicasPerZone: max(minReplicasPerZone, roundToAtLeastOne(float64(running.count)*scale/zoneCount)),
+		cores:           roundToAtLeastOne(running.totalCores / float64(running.count)),
+		minSpeed:        running.minSpeed,
+		maxSpeed:        running.maxSpeed,
 	}
-	capacity := s.Traffic.Load * float64(fleet.replicasPerZone) * zones * float64(fleet.cores)
-	fleet.rate = capacity * running.speed / float64(running.count) / s.meanWork() * 1e6
+	capacity := s.Traffic.Load * float64(fleet.replicasPerZone) * zoneCount * float64(fleet.cores)
+	fleet.requestRate = capacity * running.totalSpeed / float64(running.count) / s.meanWork() * 1e6
 	return fleet, nil
 }
 
@@ -257,8 +257,8 @@
 	c.openBlock("replicas")
 	c.setAttribute("each_zone", "%d", c.fleet.replicasPerZone)
 	c.setAttribute("cores", "%d", c.fleet.cores)
-	c.setAttribute("speed_from", "%.3f", c.fleet.slowest)
-	c.setAttribute("speed_to", "%.3f", c.fleet.fastest)
+	c.setAttribute("speed_from", "%.3f", c.fleet.minSpeed)
+	c.setAttribute("speed_to", "%.3f", c.fleet.maxSpeed)
 	c.setAttribute("waiting", "%d", kind.Queue)
 	c.setAttribute("connections", "%d", c.connectionsPerReplica())
 	c.setAttribute("cold_share", "%.3f", kind.ColdFrom)
@@ -291,7 +291,7 @@
 
 func (c *simulatorConverter) writeLoad() {
 	c.openBlock("load")
-	c.setAttribute("rate", "%.1f", c.fleet.rate)
+	c.setAttribute("rate", "%.1f", c.fleet.requestRate)
 	for _, operation := range c.source.Operations {
 		c.writeLine("  work %q {\n    share = %g\n    mean = %s\n    spread = %.2f\n  }",
 			operation.Name, operation.Share, quotedDuration(operation.Work), operation.CV)
--- a/internal/scenario/standins.go
+++ b/internal/scenario/standins.go
@@ -27,8 +27,8 @@
 // managedProxy is a stand-in proxy and the request rate of its clients.
 type managedProxy struct {
 	*proxy.Proxy
-	zone int
-	rate float64 // requests per second
+	zone        int
+	requestRate float64 // requests per second
 }
 
 func (r *runner) addRegistry() error {
@@ -124,8 +124,8 @@
 
 // addProxies draws the proxies' request rates and creates the proxies without starting them.
 func (r *runner) addProxies() {
-	zones := len(r.script.Zones)
-	weights := make([]float64, r.script.Proxies.PerZone*zones)
+	zoneCount := len(r.script.Zones)
+	weights := make([]float64, r.script.Proxies.PerZone*zoneCount)
 	totalWeight := 0.0
 	for i := range weights {
 		weights[i] = r.random.LogNormal(r.script.Proxies.RateSpread)
@@ -136,9 +136,9 @@
 		rate := r.script.Load.Rate * weight / totalWeight
 		settings := r.proxySettings(i, rate, operations)
 		r.proxies = append(r.proxies, &managedProxy{
-			Proxy: proxy.New(r.loop, r.engine, settings, r.script.Seed, r.observe),
-			zone:  settings.ZoneIndex,
-			rate:  rate,
+			Proxy:       proxy.New(r.loop, r.engine, settings, r.script.Seed, r.observe),
+			zone:        settings.ZoneIndex,
+			requestRate: rate,
 		})
 	}
 }
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -128,7 +128,7 @@
 	Deploy:            (*runner).deployReplicas,
 	Drain:             (*runner).drainReplicas,
 	Grow:              (*runner).addReplicasToZones,
-	HeavyTail:         (*runner).makeTailHeavy,
+	HeavyTail:         (*runner).injectHeavyTail,
 	OperationFails:    (*runner).failOperation,
 	FewerConnections:  (*runner).limitConnections,
 	SlowHandshake:     (*runner).slowHandshakes,
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -14,18 +14,18 @@
 
 // clientRequest is a client's request. Each attempt of the client is a separate request to the proxy.
 type clientRequest struct {
-	proxy   *managedProxy
-	started model.Microseconds // of the first attempt
+	proxy     *managedProxy
+	startedAt model.Microseconds // when the first attempt was sent
 }
 
 // scheduleRequest schedules the next request to a proxy. The load is open-loop: arrivals do not wait for responses.
 func (r *runner) scheduleRequest(target *managedProxy) {
-	if target.rate <= 0 {
+	if target.requestRate <= 0 {
 		return
 	}
-	delay := model.Microseconds(r.random.Interval(target.rate) * float64(model.Second))
+	delay := model.Microseconds(r.random.Interval(target.requestRate) * float64(model.Second))
 	r.loop.After(delay, func() {
-		if r.now()-r.started < r.script.Length {
+		if r.now()-r.startedAt < r.script.Length {
 			r.sendRequest(target)
 			r.scheduleRequest(target)
 		}
@@ -41,28 +41,28 @@
 		work *= r.heavyTail.factor
 	}
 	attempt := proxy.Request{Number: r.lastRequest, Operation: load.Operation, Work: work}
-	r.sendAttempt(clientRequest{proxy: target, started: r.now()}, attempt)
+	r.sendAttempt(clientRequest{proxy: target, startedAt: r.now()}, attempt)
 }
 
 // drawOperation draws an operation with a probability that is its share of the load.
 func (r *runner) drawOperation() OperationLoad {
-	works := r.script.Load.Operations
+	operations := r.script.Load.Operations
 	point := r.random.Float() * r.totalShare
-	for _, work := range works {
-		if point < work.Share {
-			return work
+	for _, operation := range operations {
+		if point < operation.Share {
+			return operation
 		}
-		point -= work.Share
+		point -= operation.Share
 	}
-	return works[len(works)-1]
+	return operations[len(operations)-1]
 }
 
 // sendAttempt sends an attempt and, if the client retries it, the next one after a backoff.
 func (r *runner) sendAttempt(request clientRequest, attempt proxy.Request) {
 	attempt.Done = func(result proxy.Result, _ model.Microseconds) {
-		latency := r.now() - request.started
+		latency := r.now() - request.startedAt
 		if !r.clientRetries(attempt, result, latency) {
-			r.statistics.recordRequest(attempt.Operation, result, latency, request.started-r.started)
+			r.statistics.recordRequest(attempt.Operation, result, latency, request.startedAt-r.startedAt)
 			return
 		}
 		r.loop.After(r.script.Proxies.ClientBackoff, func() {
--- a/internal/simulation/queueing_test.go
+++ b/internal/simulation/queueing_test.go
@@ -10,19 +10,19 @@
 
 // workload describes a simulation with one source.
 type workload struct {
-	seed     uint64
-	stations int
-	cores    int     // of each station
-	load     float64 // of each core
-	seconds  int
-	policy   func(RandomStream) Policy
+	seed            uint64
+	stations        int
+	coresPerStation int
+	loadPerCore     float64
+	seconds         int
+	policy          func(RandomStream) Policy
 }
 
 // simulate runs a workload. The first tenth of the time is not measured.
 func simulate(workload workload) *Source {
 	const meanWork = 10 * model.Millisecond
 	simulator := &Simulator{}
-	totalLoad := workload.load * float64(workload.stations*workload.cores)
+	totalLoad := workload.loadPerCore * float64(workload.stations*workload.coresPerStation)
 	source := &Source{
 		Simulator:        simulator,
 		Arrivals:         NewRandomStream(workload.seed, "arrivals"),
@@ -33,7 +33,7 @@
 		MeasureFrom:      model.Microseconds(workload.seconds) * model.Second / 10,
 	}
 	for range workload.stations {
-		source.Stations = append(source.Stations, NewStation(simulator, workload.cores))
+		source.Stations = append(source.Stations, NewStation(simulator, workload.coresPerStation))
 	}
 	source.Start()
 	simulator.RunUntil(model.Microseconds(workload.seconds) * model.Second)
@@ -97,7 +97,7 @@
 	} {
 		t.Run(fmt.Sprintf("M/M/%d at load %.2f", tt.cores, tt.load), func(t *testing.T) {
 			source := simulate(workload{
-				seed: 1, stations: 1, cores: tt.cores, load: tt.load, seconds: tt.seconds, policy: RandomChoice,
+				seed: 1, stations: 1, coresPerStation: tt.cores, loadPerCore: tt.load, seconds: tt.seconds, policy: RandomChoice,
 			})
 			station := source.Stations[0]
 			checkRelative(t, "time over work",
@@ -115,7 +115,7 @@
 	for _, tt := range []struct{ load, tolerance float64 }{{0.5, 0.01}, {0.8, 0.01}, {0.95, 0.02}} {
 		t.Run(fmt.Sprintf("load %.2f", tt.load), func(t *testing.T) {
 			source := simulate(workload{
-				seed: 1, stations: 500, cores: 1, load: tt.load, seconds: 60, policy: TwoChoices,
+				seed: 1, stations: 500, coresPerStation: 1, loadPerCore: tt.load, seconds: 60, policy: TwoChoices,
 			})
 			checkRelative(t, "time over work", relativeResponseTime(source), twoChoicesRelativeTime(tt.load), tt.tolerance)
 		})
@@ -123,14 +123,14 @@
 }
 
 func TestPoliciesWithMoreLoadInformationAreFaster(t *testing.T) {
-	timeOf := func(policy func(RandomStream) Policy) float64 {
+	relativeTimeOf := func(policy func(RandomStream) Policy) float64 {
 		return relativeResponseTime(simulate(workload{
-			seed: 1, stations: 50, cores: 1, load: 0.8, seconds: 60, policy: policy,
+			seed: 1, stations: 50, coresPerStation: 1, loadPerCore: 0.8, seconds: 60, policy: policy,
 		}))
 	}
-	random := timeOf(RandomChoice)
-	twoChoices := timeOf(TwoChoices)
-	leastLoaded := timeOf(func(RandomStream) Policy { return LeastLoaded() })
+	random := relativeTimeOf(RandomChoice)
+	twoChoices := relativeTimeOf(TwoChoices)
+	leastLoaded := relativeTimeOf(func(RandomStream) Policy { return LeastLoaded() })
 	if random <= 1.5*twoChoices || twoChoices <= 1.1*leastLoaded || leastLoaded < 1 {
 		t.Errorf("mean times: random %.3f, two choices %.3f, least loaded %.3f", random, twoChoices, leastLoaded)
 	}
--- a/internal/simulation/simulator_test.go
+++ b/internal/simulation/simulator_test.go
@@ -32,7 +32,9 @@
 
 func TestRunIsDeterminedByItsSeed(t *testing.T) {
 	summary := func(seed uint64) string {
-		source := simulate(workload{seed: seed, stations: 10, cores: 2, load: 0.9, seconds: 20, policy: TwoChoices})
+		source := simulate(workload{
+			seed: seed, stations: 10, coresPerStation: 2, loadPerCore: 0.9, seconds: 20, policy: TwoChoices,
+		})
 		return fmt.Sprint(source.totalTime, source.measured, source.Simulator.Processed())
 	}
 	first, again, other := summary(1), summary(1), summary(2)
@@ -70,7 +72,9 @@
 func BenchmarkEvents(b *testing.B) {
 	events := uint64(0)
 	for b.Loop() {
-		source := simulate(workload{seed: 1, stations: 2000, cores: 2, load: 0.8, seconds: 2, policy: TwoChoices})
+		source := simulate(workload{
+			seed: 1, stations: 2000, coresPerStation: 2, loadPerCore: 0.8, seconds: 2, policy: TwoChoices,
+		})
 		events += source.Simulator.Processed()
 	}
 	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
