--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -29,8 +29,8 @@
 	MessageWindow:  10 * second,
 }
 
-// timeline holds the observations of a small run. Proxy till joins instance g at second 1, replicas 1 and 2 are listed,
-// each in its own deduplication group, and the standing table of the proxy contains replica 1.
+// timeline holds the observations of a small run. In each, proxy till joins instance g at second 1, replicas 1 and 2
+// are listed, each in its own deduplication group, and the standing table of the proxy contains replica 1.
 type timeline []Event
 
 func newTimeline() timeline {
@@ -240,7 +240,7 @@
 	}
 }
 
-// checkViolations requires that a timeline violates the given invariant only, or none if wantBroken is false.
+// checkViolations requires that a timeline violates the given invariant only, or none if wantViolated is false.
 func checkViolations(t *testing.T, events timeline, invariant string, wantViolated bool) {
 	t.Helper()
 	for _, v := range Check(events, testLimits, 15*second) {
--- a/internal/scenario/instancesteps.go
+++ b/internal/scenario/instancesteps.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// crashInstance kills an instance and restarts it after the given time. Only its state directory is kept.
+// crashInstance kills an instance and restarts it after the given time with only its state directory.
 func (r *runner) crashInstance(target *instance, downtime model.Microseconds) {
 	target.stop(syscall.SIGKILL, killTimeout)
 	r.loop.After(downtime, func() { r.restartInstance(target) })
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -23,7 +23,7 @@
 		{"all streams break at once, repeatedly", runAllStreamsBroken},
 		{"all replicas drain but a warm one in another zone", runAllButOneDrained},
 		{"the registry fails in several ways while replicas drain", runRegistryFaults},
-		{"an instance restarts twenty times at random moments", runTwentyRestarts},
+		{"an instance restarts twenty times at random times", runTwentyRestarts},
 		{"proxies stall or never acknowledge while replicas drain", runStalledProxies},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -77,10 +77,10 @@
 
 // OperationLoad is the load of one operation.
 type OperationLoad struct {
-	Operation int     // index in Script.Operations
-	Share     float64 // of the requests, relative to the other shares
-	Mean      model.Microseconds
-	Spread    float64 // coefficient of variation of the work
+	Operation int                // index in Script.Operations
+	Share     float64            // of the requests, relative to the other shares
+	Mean      model.Microseconds // mean work of a request
+	Spread    float64            // coefficient of variation of the work
 }
 
 // Step is one fault or change at a set time.
