--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -34,8 +34,8 @@
 	binder    binder
 	window    sendWindow
 
-	ticked        bool               // the timer fired since the last flush
-	changed       bool               // a proxy connected or a replica changed since the last flush
+	timerFired    bool               // the timer fired since the last flush
+	fleetChanged  bool               // a proxy connected or a replica changed since the last flush
 	weightsSentAt model.Microseconds // when routine weight changes were last sent
 }
 
@@ -72,7 +72,7 @@
 }
 
 // EndpointsChanged handles an update of the endpoint list. A failed poll carries no endpoints: the balancer keeps the
-// endpoints that it knows, and subscribes again after resubscribeDelay.
+// endpoints of earlier updates, and subscribes again after resubscribeDelay.
 func (b *Balancer) EndpointsChanged(now model.Microseconds, update model.EndpointUpdate, endpoints []model.Endpoint) {
 	b.now = now
 	if update == model.PollFailed {
@@ -91,14 +91,14 @@
 }
 
 // ProxyConnected adds a proxy whose stream is established; expectedRate is in requests a second. The proxy may still
-// apply withdrawals of other balancers, and has not received those of this one.
+// apply withdrawals of other balancers, and has not received the withdrawals of this balancer.
 func (b *Balancer) ProxyConnected(now model.Microseconds, id model.ProxyID, zone int, expectedRate float64) {
 	b.ProxyDisconnected(now, id)
 	p := &proxy{id: id, zone: zone % b.config.Zones, expectedRate: expectedRate, state: unbound}
 	b.proxies = append(b.proxies, p)
 	b.proxiesByID[id] = p
 	b.binder.lastConnectedAt = now
-	b.changed = true
+	b.fleetChanged = true
 }
 
 // ProxyDisconnected removes a proxy whose stream ended. Messages that the proxy has not acknowledged are lost. An
@@ -131,11 +131,11 @@
 	b.load.reportedAttempts += float64(report.Attempts)
 }
 
-// TimerFired sets the timer again, handles the deadlines that are due and, once in a report period, digests load
-// reports.
+// TimerFired sets the timer again, handles the deadlines that are due and, once in a report period, processes the load
+// reports that have arrived.
 func (b *Balancer) TimerFired(now model.Microseconds) {
 	b.now = now
-	b.ticked = true
+	b.timerFired = true
 	b.publisher.SetTimer(b.tickPeriod())
 	for {
 		d, due := b.deadlines.removeDue(now)
@@ -145,7 +145,7 @@
 		b.handleDeadline(d)
 	}
 	if b.load.reportsDue(now, b.config.ReportPeriod) {
-		b.digestReports()
+		b.processReports()
 	}
 }
 
@@ -153,15 +153,15 @@
 // same timestamp.
 func (b *Balancer) Flush(now model.Microseconds) {
 	b.now = now
-	if b.ticked || b.changed {
+	if b.timerFired || b.fleetChanged {
 		b.window.countAgedEntries(now, b.proxies)
 		b.binder.clearCosts()
 		b.bindProxies()
 		b.withdrawReplicas()
 		b.removeUnavailableEntries()
 		b.updateWeights()
-		b.ticked = false
-		b.changed = false
+		b.timerFired = false
+		b.fleetChanged = false
 	}
 	b.finishMessage()
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -8,7 +8,8 @@
 	"peppervale/internal/model"
 )
 
-// contradictoryReports returns load reports with figures that contradict each other or the configuration.
+// contradictoryReports returns load reports with figures that contradict each other, or with an unknown zone, an
+// unknown replica or a reading that is not finite. The last report is valid.
 func contradictoryReports() []model.LoadReport {
 	return []model.LoadReport{
 		{Replica: replicaID(1), Attempts: 5},
@@ -25,7 +26,7 @@
 	}
 }
 
-func TestWeightsStayNumbersOnContradictoryEvents(t *testing.T) {
+func TestWeightsAreFiniteAfterContradictoryEvents(t *testing.T) {
 	for name, disturb := range map[string]func(fleet *fakeFleet){
 		"no listed replica": func(fleet *fakeFleet) { fleet.updateEndpoints(model.FullList) },
 		"every replica draining": func(fleet *fakeFleet) {
--- a/internal/balancer/binding.go
+++ b/internal/balancer/binding.go
@@ -36,9 +36,9 @@
 	zone         int
 	expectedRate float64 // requests a second
 	state        proxyState
-	tables       []*table // none while unbound; a second one for zone-local operations if they have their own tables
+	tables       []*table // none while unbound; a second one if zone-local operations have their own tables
 
-	reserved     int // entries charged for the message being written; 0: the message does not go to this proxy
+	reserved     int // entries reserved in the send window for the message being written; 0: the proxy does not get it
 	unacked      []sentMessage
 	messageTimes []model.Microseconds // send times of the messages that count towards the message limit
 }
@@ -46,8 +46,9 @@
 const (
 	// bindRoundTicks is the number of ticks in which a round binds all proxies. A round takes about one report period.
 	bindRoundTicks = ticksPerReport
-	// zoneTableReplicas: a standing table has replicas of its own zone only if the zone has at least this many replicas.
-	zoneTableReplicas = 3
+	// minZoneTableReplicas is the lowest number of replicas of a zone with which all entries of the zone's standing tables
+	// are replicas of that zone.
+	minZoneTableReplicas = 3
 	// bindOverhead is the cost of a bind, in entries, in addition to the entries of its table.
 	bindOverhead = 2
 )
@@ -91,7 +92,7 @@
 // standing table may be empty.
 func (b *Balancer) bindProxies() {
 	bindsLeft := 1 + len(b.proxies)/bindRoundTicks
-	urgent := b.urgentZones()
+	urgentByZone := b.urgentZones()
 	b.binder.unbound = 0
 	for _, p := range b.proxies {
 		if p.state != unbound {
@@ -100,7 +101,7 @@
 		recipient := []*proxy{p}
 		cost := b.bindCost(p.zone, b.binder.bindsFirst)
 		switch {
-		case urgent[p.zone] && b.window.reserve(b.now, recipient, cost, withdrawalBudget):
+		case urgentByZone[p.zone] && b.window.reserve(b.now, recipient, cost, withdrawalBudget):
 			applyEvent(b, proxyTransitions, &p.state, emptyTableSuspected, p)
 		case b.mayBindRoutinely(bindsLeft) && b.window.reserve(b.now, recipient, cost, routineBindBudget),
 			b.binder.bindsFirst && b.window.reserve(b.now, recipient, cost, urgentBindBudget):
@@ -115,23 +116,24 @@
 // mayBindRoutinely reports whether a round of binds may bind one more proxy; bindsLeft is the number of binds left
 // for this tick.
 func (b *Balancer) mayBindRoutinely(bindsLeft int) bool {
-	return !b.safeMode.active() && b.ticked && !b.binder.withdrawalsBlocked && bindsLeft > 0
+	return !b.safeMode.active() && b.timerFired && !b.binder.withdrawalsBlocked && bindsLeft > 0
 }
 
-// urgentZones reports by zone whether its proxies must be bound before safe mode ends.
+// urgentZones reports for each zone whether the proxies of the zone must be bound before safe mode ends.
 func (b *Balancer) urgentZones() []bool {
-	urgent := make([]bool, b.config.Zones)
-	for zone := range urgent {
-		urgent[zone] = b.safeMode.active() && b.mayHaveEmptyTable(zone)
+	urgentByZone := make([]bool, b.config.Zones)
+	for zone := range urgentByZone {
+		urgentByZone[zone] = b.safeMode.active() && b.mayHaveEmptyTable(zone)
 	}
-	return urgent
+	return urgentByZone
 }
 
 // mayHaveEmptyTable reports whether withdrawals may have emptied a standing table of a zone. A standing table has at
-// most StandingTableSize entries; all of them are replicas of the zone if it has at least zoneTableReplicas replicas.
+// most StandingTableSize entries; all of them are replicas of the zone if the zone has at least minZoneTableReplicas
+// replicas.
 func (b *Balancer) mayHaveEmptyTable(zone int) bool {
 	candidate := func(r *replica) bool { return r.zone == zone }
-	if b.countReplicas(candidate) < zoneTableReplicas {
+	if b.countReplicas(candidate) < minZoneTableReplicas {
 		candidate = func(*replica) bool { return true }
 	}
 	withdrawn := b.countReplicas(func(r *replica) bool { return candidate(r) && b.mustWithdraw(r) })
@@ -140,7 +142,8 @@
 		withdrawn >= min(b.config.StandingTableSize, b.countReplicas(candidate))
 }
 
-// bindCost is the highest cost of a bind in a zone, in entries, without the overhead of its message.
+// bindCost is the highest cost of a bind in a zone, in entries. It includes bindOverhead for each table of the bind,
+// and excludes the overhead of the message.
 func (b *Balancer) bindCost(zone int, bindsFirst bool) int {
 	cached := &b.binder.costs[zone]
 	if bindsFirst {
@@ -151,44 +154,45 @@
 	}
 	cost := 0
 	for pool := zone; pool < len(b.subsets.pools); pool += b.config.Zones {
-		highest := 0
+		highestCost := 0
 		for _, t := range b.subsets.pools[pool] {
-			highest = max(highest, tableBindCost(t, bindsFirst))
+			highestCost = max(highestCost, tableBindCost(t, bindsFirst))
 		}
-		if highest == 0 { // no table exists or was sent: assume the highest cost of the longest table
-			highest = 2 * b.subsets.mostEntries
+		if highestCost == 0 { // no table exists, or none was sent yet: assume the highest cost of the longest table
+			highestCost = 2 * b.subsets.maxEntries
 		}
-		cost += bindOverhead + highest
+		cost += bindOverhead + highestCost
 	}
 	*cached = cost
 	return cost
 }
 
 // tableBindCost is the cost of sending a table: one for each entry in the table as sent, and one more if the
-// withdrawal or readmission of the entry's replica is sent too. bindsFirst selects whether that is taken from the
-// replica's state or assumed for every entry.
+// withdrawal or readmission of the entry's replica is sent too. With bindsFirst the replica's state decides whether it
+// is; without bindsFirst one more is assumed for every entry.
 func tableBindCost(t *table, bindsFirst bool) (cost int) {
 	for _, e := range t.entries {
 		if e.weight <= 0 {
 			continue
 		}
 		cost++
-		if !bindsFirst || e.replica.withdrawnElsewhere || e.replica.withdrawn {
+		if !bindsFirst || e.replica.maybeWithdrawnByOthers || e.replica.withdrawn {
 			cost++
 		}
 	}
 	return cost
 }
 
-// bind binds a proxy to a table of its zone and, if zone-local operations have their own tables, to one of those too.
+// bind binds a proxy to a table of its zone and, if zone-local operations have their own tables, to a second table for
+// zone-local operations.
 func (b *Balancer) bind(p *proxy) {
 	if !b.subsets.hasZoneLocalPools() {
 		const everyOperation = 0
 		b.bindToPool(p, p.zone, everyOperation)
 		return
 	}
-	crossZone := allOperations(b.config) &^ b.config.ZoneLocalOperations
-	b.bindToPool(p, p.zone, crossZone)
+	crossZoneOperations := allOperations(b.config) &^ b.config.ZoneLocalOperations
+	b.bindToPool(p, p.zone, crossZoneOperations)
 	b.bindToPool(p, b.subsets.zoneLocalPool(p.zone), b.config.ZoneLocalOperations)
 }
 
@@ -199,19 +203,19 @@
 		b.createTables(pool)
 	}
 	t := slices.MinFunc(b.subsets.pools[pool], func(x, y *table) int {
-		return cmp.Compare(x.rateForEachEntryWith(p), y.rateForEachEntryWith(p))
+		return cmp.Compare(x.ratePerEntryIfBound(p), y.ratePerEntryIfBound(p))
 	})
 	p.tables = append(p.tables, t)
 	t.users = append(t.users, p)
 	t.expectedRate += p.expectedRate
-	b.publisher.BindProxy(p.id, t.id, operations, b.readmittedIn(t))
+	b.publisher.BindProxy(p.id, t.id, operations, b.replicasToReadmit(t))
 }
 
-// readmittedIn returns the replicas in a table that other balancers may have withdrawn and this one has not
-// withdrawn.
-func (b *Balancer) readmittedIn(t *table) (readmitted []model.ReplicaID) {
+// replicasToReadmit returns the replicas in a table that other balancers may have withdrawn and that this balancer has
+// not withdrawn.
+func (b *Balancer) replicasToReadmit(t *table) (readmitted []model.ReplicaID) {
 	for _, e := range t.entries {
-		if e.weight > 0 && !e.replica.withdrawn && (e.replica.withdrawnElsewhere || !b.binder.bindsFirst) {
+		if e.weight > 0 && !e.replica.withdrawn && (e.replica.maybeWithdrawnByOthers || !b.binder.bindsFirst) {
 			readmitted = append(readmitted, e.replica.id)
 		}
 	}
--- a/internal/balancer/binding_test.go
+++ b/internal/balancer/binding_test.go
@@ -17,7 +17,8 @@
 	fleet.requireBound(t, 0, "with three replicas withdrawn from standing tables of four")
 	fleet.drain(4)
 	require(t, len(fleet.binds) == 2 && fleet.weight(5) > 0,
-		"with all four replicas withdrawn: binds %v, weights %v", fleet.binds, fleet.weights)
+		"with all four replicas withdrawn: binds %v, want one of each proxy; weights %v, want replica 5 above 0",
+		fleet.binds, fleet.weights)
 }
 
 // If few proxies are unbound, they are bound, and the bind contains the withdrawals. The withdrawals are not sent to
@@ -56,15 +57,15 @@
 			}
 		}
 		require(t, fleet.binds[1] == len(bindsOfAProxy),
-			"zone-local %b: wrong number of binds of proxy 1: %d", zoneLocal, fleet.binds[1])
+			"zone-local %b: proxy 1 has %d binds, want one for each of its tables", zoneLocal, fleet.binds[1])
 		// A proxy is notified of a drain once, even if both of its tables have an entry of the replica.
 		before := fleet.balancer.window.unackedEntries
 		fleet.acknowledges = false
 		fleet.drain(1)
 		require(t, fleet.isWithdrawn(1), "zone-local %b: replica 1 is not withdrawn", zoneLocal)
-		charged := fleet.balancer.window.unackedEntries - before
-		require(t, charged <= len(fleet.connected)*(6+1+2+1),
-			"zone-local %b: %d entries charged for one drain", zoneLocal, charged)
+		reserved := fleet.balancer.window.unackedEntries - before
+		require(t, reserved <= len(fleet.connected)*(6+1+2+1),
+			"zone-local %b: %d entries reserved for one drain, want at most 10 for each proxy", zoneLocal, reserved)
 	}
 }
 
@@ -88,6 +89,6 @@
 	}
 	stays := zoneLocal != 0 && (operations == 0 || operations&zoneLocal != 0)
 	require(t, sameZone == 4 && stays == (crossZone == 0),
-		"zone-local %b: table for operations %b has %d entries of its zone and %d of other zones",
+		"zone-local %b: table for operations %b has %d entries of its zone, want 4, and %d of other zones",
 		zoneLocal, operations, sameZone, crossZone)
 }
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -7,13 +7,14 @@
 // serialises its calls and passes the time, which must not run backwards. The same events with the same seed produce
 // the same updates.
 //
-// A table is a list of entries, one for each of some replicas, with a weight for each. Proxies share tables. A proxy
-// uses a standing table, which the balancer did not make, until the balancer binds it to a table.
+// A table is a list of entries; an entry is a replica with a weight. Proxies share tables. A proxy uses a standing
+// table, which the balancer did not make, until the balancer binds the proxy to a table.
 //
 // Each file has one concern:
 //
 //   - balancer.go: the Balancer type, its constructor, the event methods and Flush
-//   - safemode.go: after the balancer starts, it binds no proxy and changes no weight until every replica is reported
+//   - safemode.go: until every replica is reported or the start window ends, the balancer sends no routine
+//     weight changes and binds only proxies whose standing table may be empty
 //   - replica.go: the lifecycle of a replica
 //   - slowstart.go: a replica that has just started gets a rising fraction of its weight
 //   - loadstats.go: decaying statistics of load reports, and the fleet's saturation
@@ -28,7 +29,8 @@
 //   - statemachine.go: transition tables; random.go: draws from the seed
 //   - view.go: a copy of the state for other goroutines
 //
-// The basic design has at most six mechanisms in addition: the preference for replicas of the proxy's own zone, the
-// damped feedback of served rates, ejections, admission quotas, early binds with the protection of replicas that warm
-// up, and the send window. docs/design.md describes the design, and when and why each mechanism acts.
+// Six mechanisms extend the basic design, which is to have no more than six: the preference for replicas of the
+// proxy's own zone, the damped feedback of served rates, ejections, admission quotas, early binds with the protection
+// of replicas that warm up, and the send window. docs/design.md describes the design, and when and why each
+// mechanism acts.
 package balancer
--- a/internal/balancer/drain.go
+++ b/internal/balancer/drain.go
@@ -24,7 +24,7 @@
 }
 
 // needsProtection reports whether a replica that warms up is to be withdrawn: in safe mode, as standing tables have
-// it at full weight, and when proxies that avoid failing replicas may turn to it all at once.
+// the replica at full weight, and when proxies that avoid failing replicas may turn to the replica all at once.
 func (b *Balancer) needsProtection(r *replica) bool {
 	if b.safeMode.active() {
 		return true
@@ -32,9 +32,9 @@
 	return b.config.ProxiesAvoidFailing && b.surgeLikely(r) && b.load.warmingFraction < newReplicasLimit
 }
 
-// surgeLikely reports whether proxies may turn from other replicas to this one all at once: the fleet is overloaded,
-// a table with this replica nearly is, or such a table has a single proxy. The surge of a single proxy arrives before
-// any load report shows it.
+// surgeLikely reports whether proxies may turn from other replicas to this replica all at once: the fleet is
+// overloaded, a table with this replica is nearly overloaded, or such a table has a single proxy. The surge of a single
+// proxy arrives before any load report shows the surge.
 func (b *Balancer) surgeLikely(r *replica) bool {
 	if b.load.saturation > overloadSaturation {
 		return true
@@ -66,7 +66,7 @@
 		return
 	}
 	b.sendWithdrawals(due.first, withdrawalBudget, true)
-	if b.ticked {
+	if b.timerFired {
 		b.sendWithdrawals(due.repeated, withdrawalBudget, true)
 	}
 	b.sendWithdrawals(due.temporary, promptBudget, false)
@@ -99,17 +99,17 @@
 }
 
 // collectWithdrawal adds a replica to the due withdrawals if its withdrawal has not been sent, or proxies may have
-// missed it. A repeated temporary withdrawal waits for the tick, so that proxies that connect between two ticks are
-// notified together.
+// missed the withdrawal. A repeated temporary withdrawal waits for the tick, so that proxies that connect between two
+// ticks are notified together.
 func (b *Balancer) collectWithdrawal(due *dueWithdrawals, r *replica) {
-	repeated := r.withdrawn && b.mayHaveMissedWithdrawal(r)
+	isRepeat := r.withdrawn && b.mayHaveMissedWithdrawal(r)
 	switch {
-	case r.withdrawn && !repeated:
+	case r.withdrawn && !isRepeat:
 	case r.listedReady():
-		if b.ticked || !repeated {
+		if b.timerFired || !isRepeat {
 			due.temporary = append(due.temporary, r)
 		}
-	case repeated:
+	case isRepeat:
 		due.repeated = append(due.repeated, r)
 	default:
 		due.first = append(due.first, r)
@@ -126,9 +126,9 @@
 // removeUnavailableEntries. It reports false if the message limit of an unbound proxy is reached.
 func (b *Balancer) bindingIsCheaper(due *dueWithdrawals) bool {
 	messageCost := b.window.messageCost
-	messages := (len(due.first) + messageCost - 1) / messageCost // full messages for the first withdrawals
-	repeated := len(due.repeated)
-	if b.safeMode.active() || messages+repeated == 0 || b.binder.unbound == 0 {
+	messageCount := (len(due.first) + messageCost - 1) / messageCost // full messages for the first withdrawals
+	repeatedCount := len(due.repeated)
+	if b.safeMode.active() || messageCount+repeatedCount == 0 || b.binder.unbound == 0 {
 		return false
 	}
 	bindCost := 0
@@ -141,14 +141,14 @@
 		}
 		bindCost += messageCost + b.bindCost(p.zone, true)
 	}
-	withdrawalCost := len(b.proxies) * (messageCost*max(messages, 1) + len(due.first) + repeated)
+	withdrawalCost := len(b.proxies) * (messageCost*max(messageCount, 1) + len(due.first) + repeatedCount)
 	return bindCost < withdrawalCost
 }
 
 // sendWithdrawals sends as many withdrawals as the send window has capacity for. While a proxy is unbound, a message
 // contains up to as many withdrawals as its overhead costs, so that overhead is half of a full message. If blocking
 // is set and a message does not fit, no further withdrawals are sent: smaller messages would repeatedly use up the
-// capacity that this one waits for.
+// capacity that this message waits for.
 func (b *Balancer) sendWithdrawals(replicas []*replica, limits budget, blocking bool) {
 	perMessage := 1
 	if b.binder.unbound > 0 {
@@ -166,8 +166,8 @@
 }
 
 // setWithdrawn withdraws or readmits replicas if the send window has capacity for all recipients, and reports whether
-// it has. Every charged proxy must acknowledge, or the window fills up: while a proxy is unbound, all proxies are
-// charged and asked to acknowledge.
+// it has capacity. Every proxy with reserved entries must acknowledge, or the window fills up: while a proxy is
+// unbound, entries are reserved for all proxies, and all proxies are asked to acknowledge.
 func (b *Balancer) setWithdrawn(replicas []*replica, withdrawn bool, limits budget) bool {
 	recipients := b.proxies
 	if b.binder.unbound == 0 { // then each call has one replica
--- a/internal/balancer/drain_test.go
+++ b/internal/balancer/drain_test.go
@@ -72,7 +72,7 @@
 		fleet.drain(n)
 	}
 	require(t, fleet.isWithdrawn(1) && fleet.isWithdrawn(2) && !fleet.isWithdrawn(3),
-		"the queue has capacity for two withdrawals, withdrawn: %v", fleet.withdrawn)
+		"the queue has capacity for two withdrawals; withdrawn: %v, want replicas 1 and 2, not 3", fleet.withdrawn)
 	binds := len(fleet.binds)
 	fleet.acknowledge(fleet.balancer.window.sequence - 1)
 	fleet.advance(1, nil)
@@ -90,10 +90,12 @@
 }
 
 // More replicas are withdrawn than fit one message while many proxies connect. If the small last message is sent
-// first, it repeatedly takes the capacity that the full first message waits for; that delayed withdrawals by four
+// first, it repeatedly takes the capacity that the full first message waits for, which delays withdrawals by four
 // seconds (scenario hf41973).
-func TestSmallWithdrawalMessageWaitsForTheLargeOne(t *testing.T) {
-	const drained = 13 // a message costs 8 and contains up to 8: messages of 8 and 5
+func TestSmallWithdrawalMessageWaitsForTheLargeMessage(t *testing.T) {
+	// The overhead of a message is 9 entries, so it contains up to 9 withdrawals. With the last drain, 14 withdrawals
+	// are repeated, in messages of 9 and 5.
+	const drained = 13
 	fleet := startWarmFleet(t, 30, func(config *model.Config) { config.QueueLimit = 772 })
 	for n := 1; n <= drained; n++ {
 		fleet.drain(n)
@@ -109,17 +111,18 @@
 	fleet.advance(1, nil)
 	fleet.updates = nil
 	fleet.acknowledge(fleet.balancer.window.sequence)
-	fleet.advance(1, nil) // capacity for messages to 43 proxies with five entries each, not with eight
+	fleet.advance(1, nil) // capacity for messages to 42 proxies with 5 withdrawals each, not with 9
 	for _, update := range fleet.updates {
-		require(t, !strings.HasSuffix(update, "true"), "sent while the large message waits: %v", fleet.updates)
+		require(t, !strings.HasSuffix(update, "true"),
+			"updates sent while the large message waits: %v, want no withdrawal", fleet.updates)
 	}
 }
 
 // Proxies that connect between two ticks are notified of earlier withdrawals together at the next tick. The
-// withdrawals are not sent to every proxy again for each of them.
+// withdrawals are not sent to every proxy again for each proxy that connects.
 func TestProxiesConnectingBetweenTicksAreNotifiedTogether(t *testing.T) {
 	fleet := startFleet(t, 12, func(config *model.Config) { config.QueueLimit = 100000 })
-	fleet.listAsStarted(0, 1) // it warms up, so it is withdrawn in safe mode
+	fleet.listAsStarted(0, 1) // replica 1 warms up, so it is withdrawn in safe mode
 	fleet.drain(2)
 	require(t, fleet.isWithdrawn(1) && fleet.isWithdrawn(2), "withdrawn: %v, want replicas 1 and 2", fleet.withdrawn)
 	fleet.updates = nil
@@ -127,7 +130,7 @@
 		fleet.connect(p + 3)
 		fleet.flush()
 	}
-	require(t, len(fleet.updates) == 0, "updates sent between ticks: %v", fleet.updates)
+	require(t, len(fleet.updates) == 0, "updates sent between ticks: %v, want none", fleet.updates)
 	fleet.advance(1, nil)
 	counts := map[string]int{}
 	for _, update := range fleet.updates {
@@ -152,5 +155,5 @@
 		fleet.reportsOf(1, 2, 10, 10, 0)()
 		fleet.reportsOf(3, 12, 10, 0, 100*model.Millisecond)()
 	})
-	require(t, !fleet.isWithdrawn(1) || !fleet.isWithdrawn(2), "both replicas of zone 0 are withdrawn")
+	require(t, !fleet.isWithdrawn(1) || !fleet.isWithdrawn(2), "both replicas of zone 0 are withdrawn, want at most one")
 }
--- a/internal/balancer/fakefleet_test.go
+++ b/internal/balancer/fakefleet_test.go
@@ -12,8 +12,8 @@
 	ticksPerSecond = 5
 )
 
-// fakeFleet is a fleet that a test controls step by step. It records what the balancer publishes and, if acknowledges
-// is set, acknowledges it after the flush.
+// fakeFleet is a fleet that a test controls step by step. It records the updates that the balancer publishes. If
+// acknowledges is set, its proxies acknowledge them after the flush.
 type fakeFleet struct {
 	t            *testing.T
 	balancer     *Balancer
@@ -32,7 +32,7 @@
 	updates           []string                   // all updates, in the order published
 	messageTimes      []model.Microseconds
 	subscriptions     int // number of subscriptions
-	logged            []string
+	logMessages       []string
 }
 
 type bindKey struct {
@@ -90,9 +90,9 @@
 
 func (f *fakeFleet) SetTimer(model.Microseconds) {}
 func (f *fakeFleet) Subscribe()                  { f.subscriptions++ }
-func (f *fakeFleet) Log(text string)             { f.logged = append(f.logged, text) }
+func (f *fakeFleet) Log(text string)             { f.logMessages = append(f.logMessages, text) }
 
-// replicaID returns the address of a replica; numbers start at 1.
+// replicaID returns the ID of the replica with a number; numbers start at 1.
 func replicaID(n int) model.ReplicaID {
 	return model.ReplicaID{Addr: [4]byte{10, 0, byte(n / 250), byte(n % 250)}, Port: 5000}
 }
@@ -144,8 +144,8 @@
 	return fleet
 }
 
-// startWarmFleet starts a fleet and lets twelve seconds with good reports pass: safe mode is over and weights have
-// settled.
+// startWarmFleet starts a fleet and lets twelve seconds with good reports pass. Afterwards safe mode is over and
+// weights are stable.
 func startWarmFleet(t *testing.T, n int, change func(*model.Config)) *fakeFleet {
 	t.Helper()
 	fleet := startFleet(t, n, change)
@@ -237,7 +237,7 @@
 	f.updateEndpoints(model.ChangedEntries, endpoints...)
 }
 
-// listAsStarted delivers an endpoint update in which replicas of zone 0 are ready and started an age ago.
+// listAsStarted delivers an endpoint update in which replicas of zone 0 are ready and started the given age ago.
 func (f *fakeFleet) listAsStarted(age model.Microseconds, numbers ...int) {
 	f.updateStatus(model.EndpointReady, f.now-age, numbers...)
 }
@@ -267,15 +267,15 @@
 
 func (f *fakeFleet) requireWithdrawn(t *testing.T, n int, why string) {
 	t.Helper()
-	require(t, f.isWithdrawn(n), "replica %d is not withdrawn: %s", n, why)
+	require(t, f.isWithdrawn(n), "replica %d is not withdrawn, though %s", n, why)
 }
 
 func (f *fakeFleet) requireNotWithdrawn(t *testing.T, n int, why string) {
 	t.Helper()
-	require(t, !f.isWithdrawn(n), "replica %d is withdrawn: %s", n, why)
+	require(t, !f.isWithdrawn(n), "replica %d is withdrawn, though %s", n, why)
 }
 
-// requireNeverWithdrawn fails if a replica was withdrawn at any time.
+// requireNeverWithdrawn fails if any replica was withdrawn or readmitted at any time.
 func (f *fakeFleet) requireNeverWithdrawn(t *testing.T) {
 	t.Helper()
 	require(t, len(f.withdrawn) == 0, "replicas were withdrawn or readmitted: %v", f.withdrawn)
@@ -287,9 +287,9 @@
 	require(t, len(f.binds) == count, "%d proxies are bound %s, want %d: %v", len(f.binds), when, count, f.binds)
 }
 
-// requireUnacked fails if more than most entries are unacknowledged.
-func (f *fakeFleet) requireUnacked(t *testing.T, most int, when string) {
+// requireUnacked fails if more entries than limit are unacknowledged.
+func (f *fakeFleet) requireUnacked(t *testing.T, limit int, when string) {
 	t.Helper()
 	unacked := f.balancer.window.unackedEntries
-	require(t, unacked <= most, "%d entries are unacknowledged %s, which is too many", unacked, when)
+	require(t, unacked <= limit, "%d entries are unacknowledged %s, more than the limit of this check", unacked, when)
 }
--- a/internal/balancer/golden_events_test.go
+++ b/internal/balancer/golden_events_test.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/model"
 )
 
-// updateEndpoints delivers replicas as an endpoint update. A complete list leaves out replicas that are gone.
+// updateEndpoints delivers replicas as an endpoint update. Replicas that are gone are named in ChangedEntries only.
 func (tr *trace) updateEndpoints(name string, update model.EndpointUpdate, replicas []*tracedReplica) {
 	var endpoints []model.Endpoint
 	for _, r := range replicas {
@@ -22,7 +22,7 @@
 }
 
 // updateStatus sets the status of some replicas and delivers it as an endpoint update. If restarted is set, the
-// replicas started within the last two seconds.
+// replicas have started within the last two seconds and no longer fail.
 func (tr *trace) updateStatus(name string, status model.EndpointStatus, restarted bool, replicas ...*tracedReplica) {
 	for _, r := range replicas {
 		r.status = status
@@ -36,7 +36,7 @@
 	tr.updateEndpoints(name, model.ChangedEntries, replicas)
 }
 
-func (tr *trace) anyReplica() *tracedReplica { return tr.replicas[tr.random.IntN(len(tr.replicas))] }
+func (tr *trace) randomReplica() *tracedReplica { return tr.replicas[tr.random.IntN(len(tr.replicas))] }
 
 func (tr *trace) happens(chance float64) bool { return tr.random.Float64() < chance }
 
@@ -44,16 +44,16 @@
 func (tr *trace) churnReplicas() {
 	chances := tr.plan.churn
 	if tr.happens(chances.drain) {
-		tr.updateStatus("drain", model.EndpointDraining, false, tr.anyReplica())
+		tr.updateStatus("drain", model.EndpointDraining, false, tr.randomReplica())
 	}
 	if tr.happens(chances.removed) {
-		tr.updateStatus("gone", model.EndpointGone, false, tr.anyReplica())
+		tr.updateStatus("gone", model.EndpointGone, false, tr.randomReplica())
 	}
 	if tr.happens(chances.restarted) {
-		tr.updateStatus("restart", model.EndpointReady, true, tr.anyReplica())
+		tr.updateStatus("restart", model.EndpointReady, true, tr.randomReplica())
 	}
 	if tr.happens(chances.readyAgain) {
-		tr.updateStatus("ready", model.EndpointReady, false, tr.anyReplica())
+		tr.updateStatus("ready", model.EndpointReady, false, tr.randomReplica())
 	}
 	if tr.happens(chances.fullList) {
 		tr.updateEndpoints("complete", model.FullList, tr.replicas)
@@ -70,11 +70,11 @@
 // churnFaults makes random replicas fail or recover, which the endpoint list does not show.
 func (tr *trace) churnFaults() {
 	chances := tr.plan.churn
-	if r := tr.anyReplica(); tr.happens(chances.startFailing) {
+	if r := tr.randomReplica(); tr.happens(chances.startFailing) {
 		r.isFailing = tr.happens(0.5)
 		r.isSilent = !r.isFailing
 	}
-	if r := tr.anyReplica(); tr.happens(chances.recover) {
+	if r := tr.randomReplica(); tr.happens(chances.recover) {
 		r.isFailing = false
 		r.isSilent = false
 	}
--- a/internal/balancer/golden_scenarios_test.go
+++ b/internal/balancer/golden_scenarios_test.go
@@ -23,7 +23,7 @@
 
 func constantLoad(load float64) func(int) float64 { return func(int) float64 { return load } }
 
-// requireKinds fails if a trace lacks one of the given kinds of update, as it would not check updates of that kind.
+// requireKinds fails if a trace lacks one of the given kinds of update, as the trace would not check that kind.
 func requireKinds(t *testing.T, kinds map[string]int, names ...string) {
 	t.Helper()
 	for _, name := range names {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestGoldenTraceOfSeveralZones(t *testing.T) {
+func TestUpdatesMatchGoldenTraceOfSeveralZones(t *testing.T) {
 	plan := scenario{
 		name: "zones", seed: 1, config: tracedConfig(), replicas: 36, proxies: 48, ticks: 300, expectedRate: 20,
 		attempts: 12, ackDelay: 300 * model.Millisecond, ackLoss: 0.01, load: func(tick int) float64 {
@@ -49,7 +49,7 @@
 	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt", "wake", "follow")
 }
 
-func TestGoldenTraceOfZoneLocalOperations(t *testing.T) {
+func TestUpdatesMatchGoldenTraceOfZoneLocalOperations(t *testing.T) {
 	plan := scenario{
 		name: "own-zone", seed: 2, config: tracedConfig(), replicas: 30, proxies: 36, ticks: 300, expectedRate: 15,
 		attempts: 10, ackDelay: 500 * model.Millisecond, ackLoss: 0.01, load: constantLoad(0.3),
@@ -79,7 +79,7 @@
 	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-func TestGoldenTraceOfASlowQueue(t *testing.T) {
+func TestUpdatesMatchGoldenTraceOfASlowQueue(t *testing.T) {
 	plan := scenario{
 		name: "slow-queue", seed: 3, config: tracedConfig(), replicas: 20, proxies: 30, ticks: 350, expectedRate: 20,
 		attempts: 12, ackDelay: 3 * model.Second, ackLoss: 0.05, load: func(tick int) float64 {
@@ -112,7 +112,7 @@
 	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-func TestGoldenTraceOfAnOverload(t *testing.T) {
+func TestUpdatesMatchGoldenTraceOfAnOverload(t *testing.T) {
 	plan := scenario{
 		name: "overload", seed: 4, config: tracedConfig(), replicas: 24, proxies: 24, ticks: 400, expectedRate: 25,
 		attempts: 15, ackDelay: 200 * model.Millisecond, load: func(tick int) float64 {
@@ -127,7 +127,7 @@
 	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-func TestGoldenTraceOfManyReconnectingProxies(t *testing.T) {
+func TestUpdatesMatchGoldenTraceOfManyReconnectingProxies(t *testing.T) {
 	plan := scenario{
 		name: "herd", seed: 5, config: tracedConfig(), replicas: 90, proxies: 150, ticks: 240, expectedRate: 20,
 		attempts: 10, ackDelay: 600 * model.Millisecond, ackLoss: 0.01, load: constantLoad(0.25), allAtOnce: true,
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestGoldenTraceWithoutAvoidanceAndAdmission(t *testing.T) {
+func TestUpdatesMatchGoldenTraceWithoutAvoidanceAndAdmission(t *testing.T) {
 	plan := scenario{
 		name: "plain-proxies", seed: 6, config: tracedConfig(), replicas: 8, proxies: 20, ticks: 250,
 		expectedRate: 30, attempts: 12, ackDelay: 300 * model.Millisecond, ackLoss: 0.02, load: func(tick int) float64 {
@@ -196,14 +196,14 @@
 	requireKinds(t, goldenTrace(t, plan), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-// The two traces of a full queue keep it near its limits, where a few entries change a decision: replicas restart
-// (their reduced weights are sent at once), fail and are ejected, and quotas change with the load. With each of the
-// two seeds, a change of any share of the queue limit (0.5, 0.7, 0.9) by a hundredth changes a trace.
-func TestGoldenTraceOfAFullQueue(t *testing.T) {
+// The two traces of a full queue keep the queue near its limits, where a few entries change a decision: replicas
+// restart (their reduced weights are sent at once), fail and are ejected, and quotas change with the load. With each of
+// the two seeds, a change of any share of the queue limit (0.5, 0.7, 0.9) by a hundredth changes a trace.
+func TestUpdatesMatchGoldenTraceOfAFullQueue(t *testing.T) {
 	requireKinds(t, goldenTrace(t, fullQueueScenario("full-queue", 12)), "assign", "bind", "withdraw", "level", "receipt")
 }
 
-func TestGoldenTraceOfAnotherFullQueue(t *testing.T) {
+func TestUpdatesMatchGoldenTraceOfAnotherFullQueue(t *testing.T) {
 	requireKinds(t, goldenTrace(t, fullQueueScenario("full-queue-2", 17)),
 		"assign", "bind", "withdraw", "level", "receipt")
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -18,14 +18,14 @@
 
 // The golden traces check the published updates bit for bit. Seeded event sequences are passed to the public methods
 // of the balancer; after every step the published updates are hashed and compared with testdata/trace-*.txt. The
-// traces see nothing of the balancer but its updates and its View. Floats are hashed by their bits. The files were
+// traces use only the updates and the View of the balancer. Floats are hashed by their bits. The files were
 // written on amd64; an architecture whose compiler fuses multiplications and additions may round differently. The
 // words for events and kinds of update are part of the hashed text, so they must not change.
 
 var updateTraces = flag.Bool("update", false, "rewrite testdata/trace-*.txt from the current behaviour")
 
-// viewEvery is the number of steps between two hashes of the View.
-const viewEvery = 10
+// viewIntervalSteps is the number of steps between two hashes of the View.
+const viewIntervalSteps = 10
 
 // tracedReplica is a replica of the simulated fleet.
 type tracedReplica struct {
@@ -33,7 +33,7 @@
 	zone      int
 	status    model.EndpointStatus
 	startedAt model.Microseconds
-	slowness  float64 // its latency relative to the fleet's
+	slowness  float64 // its latency divided by the mean latency of the fleet
 	isFailing bool    // answers every request with an error
 	isSilent  bool    // is named in no load report
 }
@@ -52,7 +52,7 @@
 	sequence uint32
 }
 
-// trace runs one scenario, records what the balancer publishes, and compares it with the golden lines.
+// trace runs one scenario, records the updates that the balancer publishes, and compares them with the golden lines.
 type trace struct {
 	t           *testing.T
 	plan        scenario
@@ -141,7 +141,7 @@
 }
 
 // RequestAck makes every connected proxy acknowledge later, or never. Proxies that did not get the message
-// acknowledge too; that must change nothing.
+// acknowledge too; these acknowledgements must change nothing.
 func (tr *trace) RequestAck(sequence uint32, fromAll bool) {
 	tr.recordUpdate("receipt %d %t", sequence, fromAll)
 	for _, p := range tr.proxies {
@@ -181,11 +181,11 @@
 	tr.updates = 0
 	tr.logs = 0
 	run()
-	number := len(tr.got)
-	line := fmt.Sprintf("%04d %d %s | orders %d logs %d %s", number, int64(tr.now), event, tr.updates, tr.logs,
+	stepNumber := len(tr.got)
+	line := fmt.Sprintf("%04d %d %s | orders %d logs %d %s", stepNumber, int64(tr.now), event, tr.updates, tr.logs,
 		hashOf(tr.stepText))
 	var view []string
-	if number%viewEvery == 0 && tr.balancer != nil {
+	if stepNumber%viewIntervalSteps == 0 && tr.balancer != nil {
 		view = viewText(tr.t, tr.balancer.View())
 		line += " view " + hashOf(view)
 	}
@@ -194,12 +194,12 @@
 		return
 	}
 	want := "(the golden trace ends before this step)"
-	if number < len(tr.want) {
-		want = tr.want[number]
+	if stepNumber < len(tr.want) {
+		want = tr.want[stepNumber]
 	}
 	if line != want {
 		tr.t.Fatalf("step %d differs, event: %s\nwant %s\ngot  %s\nevents and updates:\n%s\nview:\n%s",
-			number, event, want, line, strings.Join(tr.stepText, "\n"), strings.Join(view, "\n"))
+			stepNumber, event, want, line, strings.Join(tr.stepText, "\n"), strings.Join(view, "\n"))
 	}
 }
 
--- a/internal/balancer/invariants_test.go
+++ b/internal/balancer/invariants_test.go
@@ -31,7 +31,7 @@
 	replicas := rapid.IntRange(4, 24).Draw(t, "replicas")
 	proxies := rapid.IntRange(2, 60).Draw(t, "proxies")
 	delay := model.Microseconds(rapid.IntRange(1, 300).Draw(t, "delay")) * model.Millisecond
-	// The queue limit must fit urgent updates to all proxies at least twice, as it must in every deployment.
+	// The queue limit must be at least twice the cost of urgent updates to all proxies, as in every deployment.
 	entriesPerSecond := float64(proxies*(9+replicas)) * rapid.Float64Range(1, 4).Draw(t, "speed")
 	fleet := newSimulatedFleet(t, model.Config{
 		Seed:                  rapid.Uint64().Draw(t, "seed"),
@@ -54,8 +54,8 @@
 	fleet.delay = delay
 	fleet.entriesPerSecond = entriesPerSecond
 	run := &randomRun{t: t, fleet: fleet, proxies: proxies}
-	// A message waits for the whole queue and its delay, the balancer acts only at ticks, and binds may fill the queue a
-	// second time.
+	// A message waits for the whole queue and arrives after the delay, the balancer acts only at ticks, and binds may fill
+	// the queue a second time.
 	fleet.drainLimit = 3*model.Second + delay + 2*run.tick()
 	// A proxy may reconnect with withdrawals of an earlier incarnation, which this incarnation does not know until it
 	// binds the proxy.
@@ -75,9 +75,9 @@
 	c.fleet.flush()
 }
 
-// drawReplicas draws up to most different replicas.
-func (c *randomRun) drawReplicas(most int, name string) (numbers []int) {
-	for range rapid.IntRange(1, most).Draw(c.t, name) {
+// drawReplicas draws up to limit different replicas.
+func (c *randomRun) drawReplicas(limit int, name string) (numbers []int) {
+	for range rapid.IntRange(1, limit).Draw(c.t, name) {
 		numbers = append(numbers, rapid.IntRange(1, len(c.replicas)).Draw(c.t, "replica"))
 	}
 	slices.Sort(numbers)
@@ -118,7 +118,7 @@
 			return
 		}
 		if p := c.fleet.proxies[id]; !p.connected {
-			c.fleet.connect(id, p.zone, rapid.Bool().Draw(c.t, "fresh"))
+			c.fleet.connect(id, p.zone, rapid.Bool().Draw(c.t, "new standing table"))
 			remaining--
 		}
 	}
@@ -159,7 +159,7 @@
 	}
 }
 
-// deliverRandomReports delivers load reports of all ready replicas, or none, as if they were late.
+// deliverRandomReports delivers load reports of all ready replicas, or no report, as if all reports were late.
 func (c *randomRun) deliverRandomReports() {
 	if rapid.IntRange(0, 4).Draw(c.t, "reports") == 0 {
 		return
@@ -209,7 +209,7 @@
 		proxiesMoving = 185
 		allProxies    = ownProxies + proxiesMoving
 		ticks         = 90
-		movesFrom     = 50 // tick; all have moved six ticks later
+		movesFrom     = 50 // tick; all proxies have moved six ticks later
 		drainsAt      = 58 // tick
 	)
 	fleet := newSimulatedFleet(t, model.Config{
@@ -253,8 +253,8 @@
 	}
 }
 
-// connectWithEntries connects a proxy that has more entries than those of its standing table; entries is the number
-// of additional ones.
+// connectWithEntries connects a proxy that has further entries in addition to its standing table; entries is
+// the number of further entries.
 func (f *simulatedFleet) connectWithEntries(number, entries int) {
 	id := model.ProxyID(number)
 	f.connect(id, number%f.config.Zones, true)
--- a/internal/balancer/loadshed.go
+++ b/internal/balancer/loadshed.go
@@ -11,48 +11,48 @@
 // Levels of saturation. At a mean latency of half the latency objective, the slower part of the requests misses the
 // objective.
 const (
-	normalSaturation   = 0.4 // below it the load is normal, and quotas rise
-	sheddingSaturation = 0.5 // above it quotas fall
-	overloadSaturation = 1.0 // above it the fleet is overloaded
+	normalSaturation   = 0.4 // below this level the load is normal, and quotas rise
+	sheddingSaturation = 0.5 // above this level quotas fall
+	overloadSaturation = 1.0 // above this level the fleet is overloaded
 )
 
 const (
 	// quotaFloor is the lowest quota. Some requests of each operation are always admitted, so that its latency is still
 	// measured.
 	quotaFloor = 0.1
-	// minCutFactor and maxRiseFactor bound the factor by which one change multiplies a quota.
-	minCutFactor  = 0.6
-	maxRiseFactor = 1.6
+	// minReductionFactor and maxRiseFactor limit the factor by which one change multiplies a quota.
+	minReductionFactor = 0.6
+	maxRiseFactor      = 1.6
 	// riseAddend is added to a quota that rises, so that a small quota rises too.
 	riseAddend = 0.03
-	// Cooldowns after a change of a quota. Load reports show the effect of a change after a second or two: a cut is
-	// followed by a full cooldown, a rise by half of it.
-	cutCooldown  = 2 * model.Second
-	riseCooldown = cutCooldown / 2
+	// Cooldowns after a change of a quota. Load reports show the effect of a change after a second or two: a
+	// reduction is followed by a full cooldown, a rise by half of one.
+	reductionCooldown = 2 * model.Second
+	riseCooldown      = reductionCooldown / 2
 	// minQuotaChange is the smallest change of a quota that is published. A change back to 1 is always published.
 	minQuotaChange = 0.03
-	// retriesWarmingLimit is the share of new and warming replicas above which retries are off, as those replicas would
-	// get them.
+	// retriesWarmingLimit is the share of the replicas in use that are new and warming above which retries are off, as
+	// those replicas would get the retries.
 	retriesWarmingLimit = 0.25
 )
 
 // loadShedder lowers the quota of the operation with the least value while the fleet is short of capacity, and raises
-// quotas afterwards. It does not look at the cause of the shortage: replicas that are slow without being overloaded
-// look short of capacity too, so a latency objective below their normal latency sheds load without need.
+// quotas afterwards. The cause of the shortage is not considered: replicas that are slow without being
+// overloaded look short of capacity too, so a latency objective below their normal latency sheds load without need.
 type loadShedder struct {
 	enabled          bool      // proxies apply quotas
 	quotas           []float64 // by operation
-	published        []float64 // quotas as last published
-	lowestValueFirst []int     // operations, the one with the least value for its latency objective first
+	publishedQuotas  []float64 // quotas as last published
+	lowestValueFirst []int     // operations, by rising value divided by latency objective
 	nextChangeAt     model.Microseconds
 	retryPolicy      model.RetryPolicy // as last published
 }
 
 func newLoadShedder(config model.Config) loadShedder {
 	shedder := loadShedder{
-		enabled:     config.AdmissionControl,
-		published:   make([]float64, len(config.Operations)),
-		retryPolicy: model.RetryIfNotExecuted,
+		enabled:         config.AdmissionControl,
+		publishedQuotas: make([]float64, len(config.Operations)),
+		retryPolicy:     model.RetryIfNotExecuted,
 	}
 	for i := range config.Operations {
 		shedder.quotas = append(shedder.quotas, config.FullQuota)
@@ -67,33 +67,35 @@
 	return shedder
 }
 
-// adjustQuota cuts or raises one quota if the saturation requires it and the cooldown of the last change is over.
+// adjustQuota reduces or raises one quota if the saturation requires it and the cooldown of the last change is over.
 func (s *loadShedder) adjustQuota(now model.Microseconds, saturation float64) {
 	if !s.enabled || now < s.nextChangeAt {
 		return
 	}
 	switch {
 	case saturation > sheddingSaturation:
-		s.cutLowestValue(now, saturation)
+		s.reduceLowestValueQuota(now, saturation)
 	case saturation < normalSaturation:
-		s.raiseHighestValue(now, saturation)
+		s.raiseHighestValueQuota(now, saturation)
 	}
 }
 
-// cutLowestValue cuts the quota of the operation with the least value among those above quotaFloor.
-func (s *loadShedder) cutLowestValue(now model.Microseconds, saturation float64) {
+// reduceLowestValueQuota reduces the quota of the operation with the least value among the operations whose quota
+// is above quotaFloor.
+func (s *loadShedder) reduceLowestValueQuota(now model.Microseconds, saturation float64) {
 	for _, operation := range s.lowestValueFirst {
 		quota := &s.quotas[operation]
 		if *quota > quotaFloor {
-			*quota = max(quotaFloor, *quota*max(minCutFactor, sheddingSaturation/saturation))
-			s.nextChangeAt = now + cutCooldown
+			*quota = max(quotaFloor, *quota*max(minReductionFactor, sheddingSaturation/saturation))
+			s.nextChangeAt = now + reductionCooldown
 			return
 		}
 	}
 }
 
-// raiseHighestValue raises the quota of the operation with the highest value among those below 1.
-func (s *loadShedder) raiseHighestValue(now model.Microseconds, saturation float64) {
+// raiseHighestValueQuota raises the quota of the operation with the highest value among the operations whose
+// quota is below 1.
+func (s *loadShedder) raiseHighestValueQuota(now model.Microseconds, saturation float64) {
 	for _, operation := range slices.Backward(s.lowestValueFirst) {
 		quota := &s.quotas[operation]
 		if *quota < 1 {
@@ -106,7 +108,8 @@
 
 // wantedRetryPolicy returns the retry policy of all operations: one retry if the first attempt was provably not
 // executed, which is safe for every operation and table. Retries are off once saturation exceeds sheddingSaturation,
-// until it is below normalSaturation, and above retriesWarmingLimit: rejected attempts would be repeated many times.
+// until it is below normalSaturation, and while the share of new and warming replicas is above retriesWarmingLimit:
+// rejected attempts would be repeated many times.
 func (s *loadShedder) wantedRetryPolicy(load *fleetLoad) model.RetryPolicy {
 	shedding := load.saturation > sheddingSaturation
 	notYetNormal := load.saturation > normalSaturation && s.retryPolicy == model.RetryNever
@@ -119,8 +122,8 @@
 // shouldPublish reports whether the quotas or the retry policy differ enough from the published ones to be published.
 func (s *loadShedder) shouldPublish(policy model.RetryPolicy) bool {
 	for i, quota := range s.quotas {
-		admitsAllAgain := quota == 1 && s.published[i] < 1
-		if policy != s.retryPolicy || admitsAllAgain || math.Abs(quota-s.published[i]) >= minQuotaChange {
+		admitsAllAgain := quota == 1 && s.publishedQuotas[i] < 1
+		if policy != s.retryPolicy || admitsAllAgain || math.Abs(quota-s.publishedQuotas[i]) >= minQuotaChange {
 			return true
 		}
 	}
@@ -139,7 +142,7 @@
 }
 
 func (b *Balancer) publishQuotas() {
-	copy(b.shedder.published, b.shedder.quotas)
+	copy(b.shedder.publishedQuotas, b.shedder.quotas)
 	for i, quota := range b.shedder.quotas {
 		b.publisher.SetQuota(1<<i, quota, b.shedder.retryPolicy)
 	}
--- a/internal/balancer/loadshed_test.go
+++ b/internal/balancer/loadshed_test.go
@@ -26,12 +26,12 @@
 		fleet := startWarmFleet(t, 6, nil)
 		fleet.advance(4, overloaded(fleet))
 		require(t, fleet.quotas[lowValueOperation] <= 0.7 && fleet.quotas[highValueOperation] == 1,
-			"quotas %v", fleet.quotas)
+			"quotas %v in an overload, want at most 0.7 for the low value and 1 for the high value", fleet.quotas)
 		fleet.advance(30, fleet.goodReports(6))
 		require(t, fleet.quotas[lowValueOperation] == 1,
 			"quotas %v after the overload, want 1 for the low value", fleet.quotas)
 	})
-	t.Run("stay at 1 while attempts fail but the good ones are quick", func(t *testing.T) {
+	t.Run("stay at 1 while attempts fail but good attempts are quick", func(t *testing.T) {
 		// When one operation gets no response from any replica, shedding load on errors alone rejects nine tenths of all
 		// requests.
 		fleet := startWarmFleet(t, 6, nil)
@@ -65,7 +65,8 @@
 			fleet.reportUtilization(1, 6, quick, 0.97)
 			fleet.reportUtilization(7, 10, quick, 0.2)
 		})
-		require(t, fleet.quotas[lowValueOperation] <= 0.95, "quotas %v", fleet.quotas)
+		require(t, fleet.quotas[lowValueOperation] <= 0.95,
+			"quotas %v with most cores in use, want at most 0.95 for the low value", fleet.quotas)
 	})
 	t.Run("fall further when all cores are in use, and rise when there is capacity", func(t *testing.T) {
 		// A release leaves replicas with all cores in use. As utilization cannot exceed 1, a saturation proportional to it
@@ -73,16 +74,19 @@
 		// hundredths once two fifths of the cores are idle.
 		fleet := startFleet(t, 10, reportsUtilization)
 		fleet.advance(4, func() { fleet.reportUtilization(1, 10, quick, 0.99) })
-		require(t, fleet.quotas[lowValueOperation] <= 0.65, "quotas %v with all cores in use", fleet.quotas)
+		require(t, fleet.quotas[lowValueOperation] <= 0.65,
+			"quotas %v with all cores in use, want at most 0.65 for the low value", fleet.quotas)
 		fleet.advance(10, func() { fleet.reportUtilization(1, 10, quick, 0.62) })
-		require(t, fleet.quotas[lowValueOperation] >= 0.9, "quotas %v with two fifths of the cores idle", fleet.quotas)
+		require(t, fleet.quotas[lowValueOperation] >= 0.9,
+			"quotas %v with two fifths of the cores idle, want at least 0.9 for the low value", fleet.quotas)
 	})
 	t.Run("fall when a release removes capacity, before latency rises", func(t *testing.T) {
 		// When four of nine replicas drain, the overload reaches a replica that warms up unless quotas fall in time.
 		fleet := startWarmFleet(t, 6, reportsUtilization)
 		fleet.drain(4, 5, 6)
 		fleet.advance(2, fleet.goodReports(3))
-		require(t, fleet.quotas[lowValueOperation] <= 0.95, "quotas %v with half of the capacity", fleet.quotas)
+		require(t, fleet.quotas[lowValueOperation] <= 0.95,
+			"quotas %v with half of the capacity, want at most 0.95 for the low value", fleet.quotas)
 	})
 }
 
--- a/internal/balancer/loadstats.go
+++ b/internal/balancer/loadstats.go
@@ -10,10 +10,11 @@
 const (
 	// recentDecay is the factor by which the recent statistics decay in a report period. They cover about ten periods.
 	recentDecay = 0.9
-	// briefDecay is the factor by which the brief statistics decay in a report period. They cover about two periods.
-	briefDecay = 0.5
+	// shortTermDecay is the factor by which the short-term statistics decay in a report period. They cover about two
+	// periods.
+	shortTermDecay = 0.5
 
-	// latencyCap is the highest normalized latency: all replicas slower than that get the same value.
+	// latencyCap is the highest normalized latency: all slower replicas get latencyCap.
 	latencyCap = 1.5
 	// minErrorsToAssess: a replica with at least this many errors and no good attempt gets latencyCap. A single error
 	// may be chance.
@@ -32,41 +33,41 @@
 	nearOverloadSaturation = 0.95
 )
 
-// attemptStats are counts of attempts over a window, and the total latency of the good ones. The figures decay, so
-// they are not whole numbers.
+// attemptStats are counts of attempts over a window, and the total latency of the good attempts, which are the attempts
+// without an error. The figures decay, so they are not whole numbers.
 type attemptStats struct {
-	attempts, good, errored float64
-	latency                 float64 // sum over the good attempts, in microseconds
-	window                  float64 // in microseconds
+	attempts, goodAttempts, erroredAttempts float64
+	totalLatency                            float64 // sum over the good attempts, in microseconds
+	window                                  float64 // in microseconds
 }
 
-func (s *attemptStats) add(more attemptStats) { s.decayAndAdd(more, 1) }
+func (s *attemptStats) add(added attemptStats) { s.decayAndAdd(added, 1) }
 
-// decayAndAdd multiplies the figures by keep, a fraction, and then adds more.
-func (s *attemptStats) decayAndAdd(more attemptStats, factor float64) {
-	s.attempts = s.attempts*factor + more.attempts
-	s.good = s.good*factor + more.good
-	s.errored = s.errored*factor + more.errored
-	s.latency = s.latency*factor + more.latency
-	s.window = s.window*factor + more.window
+// decayAndAdd multiplies the figures by factor, a fraction, and then adds other figures.
+func (s *attemptStats) decayAndAdd(added attemptStats, factor float64) {
+	s.attempts = s.attempts*factor + added.attempts
+	s.goodAttempts = s.goodAttempts*factor + added.goodAttempts
+	s.erroredAttempts = s.erroredAttempts*factor + added.erroredAttempts
+	s.totalLatency = s.totalLatency*factor + added.totalLatency
+	s.window = s.window*factor + added.window
 }
 
-func (s *attemptStats) meanLatency() float64 { return s.latency / s.good }
+func (s *attemptStats) meanLatency() float64 { return s.totalLatency / s.goodAttempts }
 
-// errorRate is the share of attempts that failed. A count below one attempt is taken as one.
-func (s *attemptStats) errorRate() float64 { return s.errored / max(s.attempts, 1) }
+// errorRate is the share of attempts that failed. A count below one attempt is taken as one attempt.
+func (s *attemptStats) errorRate() float64 { return s.erroredAttempts / max(s.attempts, 1) }
 
 // rate is the rate in attempts a microsecond.
 func (s *attemptStats) rate() float64 { return s.attempts / max(s.window, 1) }
 
 // replicaLoad is the load of a replica, from load reports.
 type replicaLoad struct {
-	pending attemptStats // reported since the last digest
-	recent  attemptStats // over about ten report periods
-	brief   attemptStats // over about two report periods
+	pending   attemptStats // reported, not yet processed
+	recent    attemptStats // over about ten report periods
+	shortTerm attemptStats // over about two report periods
 
 	reported   bool               // a load report named the replica
-	reportedAt model.Microseconds // time of the last digest with attempts; before the first one, start of its window
+	reportedAt model.Microseconds // when its reports were last processed; before that, start of its first report's window
 
 	utilization       float64 // share of the cores in use
 	utilizationAt     model.Microseconds
@@ -79,11 +80,11 @@
 	l.reportedAt = now
 	l.pending = attemptStats{}
 	l.recent = attemptStats{}
-	l.brief = attemptStats{}
+	l.shortTerm = attemptStats{}
 }
 
-// record adds a load report. utilizationField is the index of the utilization in the readings, negative if it is not
-// reported.
+// record adds a load report. utilizationField is the index of the utilization in the readings, negative if utilization
+// is not reported.
 func (l *replicaLoad) record(now model.Microseconds, report model.LoadReport, utilizationField int) {
 	l.reported = true
 	if l.recent.window == 0 && l.pending.attempts == 0 {
@@ -95,10 +96,10 @@
 	}
 	good := float64(report.Attempts - report.Errors)
 	l.pending.add(attemptStats{
-		attempts: float64(report.Attempts),
-		good:     good,
-		errored:  float64(report.Errors),
-		latency:  good * float64(report.MeanLatency),
+		attempts:        float64(report.Attempts),
+		goodAttempts:    good,
+		erroredAttempts: float64(report.Errors),
+		totalLatency:    good * float64(report.MeanLatency),
 	})
 }
 
@@ -106,16 +107,16 @@
 	return field >= 0 && field < len(report.Readings) && report.Readings[field] >= 0
 }
 
-// digest moves the pending statistics into the decaying ones. A report may cover several periods, so rates are
-// computed over the time since the last digest.
-func (l *replicaLoad) digest(now, reportPeriod model.Microseconds) {
+// processPending moves the pending statistics into the decaying statistics. A report may cover several periods, so
+// rates are computed over the time since reports of the replica were last processed.
+func (l *replicaLoad) processPending(now, reportPeriod model.Microseconds) {
 	if l.pending.attempts <= 0 {
 		return
 	}
 	l.pending.window = float64(now - l.reportedAt)
 	periods := max(l.pending.window/float64(reportPeriod), 1)
 	l.recent.decayAndAdd(l.pending, math.Pow(recentDecay, periods))
-	l.brief.decayAndAdd(l.pending, math.Pow(briefDecay, periods))
+	l.shortTerm.decayAndAdd(l.pending, math.Pow(shortTermDecay, periods))
 	l.pending = attemptStats{}
 	l.reportedAt = now
 }
@@ -125,24 +126,24 @@
 // attempts the latency is unknown; otherwise a fleet that admits few requests would keep shedding.
 func (l *replicaLoad) assess(objective float64) {
 	switch {
-	case l.brief.good >= 1:
-		errors := 1 + l.brief.errored/l.brief.attempts
-		l.normalizedLatency = min(latencyCap, l.brief.meanLatency()/objective*errors)
-	case l.brief.errored >= minErrorsToAssess:
+	case l.shortTerm.goodAttempts >= 1:
+		errorFactor := 1 + l.shortTerm.erroredAttempts/l.shortTerm.attempts
+		l.normalizedLatency = min(latencyCap, l.shortTerm.meanLatency()/objective*errorFactor)
+	case l.shortTerm.erroredAttempts >= minErrorsToAssess:
 		l.normalizedLatency = latencyCap
 	default:
 		l.normalizedLatency = 0
 	}
 	// Proxies that avoid failing replicas react to errors as they do to high latency.
-	l.failureRisk = max(l.normalizedLatency, l.brief.errorRate())
+	l.failureRisk = max(l.normalizedLatency, l.shortTerm.errorRate())
 }
 
 // fleetLoad is the load of the fleet, from load reports.
 type fleetLoad struct {
-	objective        float64            // mean latency objective of the operations, in microseconds
-	reportedAttempts float64            // attempts reported since digestedAt
-	digestedAt       model.Microseconds // when reports were last digested
-	recentRate       float64            // attempts a microsecond by the recent statistics
+	objective          float64            // mean latency objective of the operations, in microseconds
+	reportedAttempts   float64            // attempts reported since reportsProcessedAt
+	reportsProcessedAt model.Microseconds // when load reports were last processed
+	recentRate         float64            // attempts a microsecond by the recent statistics
 
 	normalizedLatency float64 // of the median replica
 	saturation        float64 // how short of capacity the fleet is; see normalSaturation and the levels after it
@@ -150,7 +151,7 @@
 }
 
 func newFleetLoad(config model.Config, now model.Microseconds) fleetLoad {
-	load := fleetLoad{digestedAt: now}
+	load := fleetLoad{reportsProcessedAt: now}
 	for _, operation := range config.Operations {
 		load.objective += float64(operation.LatencyObjective) / float64(len(config.Operations))
 	}
@@ -163,15 +164,16 @@
 		report.Errors > report.Attempts || report.MeanLatency < 0
 }
 
-// reportsDue reports whether load reports have arrived and a report period has passed since the last digest.
+// reportsDue reports whether load reports have arrived and a report period has passed since load reports were last
+// processed.
 func (l *fleetLoad) reportsDue(now, reportPeriod model.Microseconds) bool {
-	return l.reportedAttempts > 0 && now-l.digestedAt >= reportPeriod
+	return l.reportedAttempts > 0 && now-l.reportsProcessedAt >= reportPeriod
 }
 
-// digestReports updates the statistics from the pending load reports and makes the decisions that depend on them.
-func (b *Balancer) digestReports() {
+// processReports updates the statistics from the pending load reports and makes the decisions that depend on them.
+func (b *Balancer) processReports() {
 	for _, r := range b.replicas {
-		r.load.digest(b.now, b.config.ReportPeriod)
+		r.load.processPending(b.now, b.config.ReportPeriod)
 		r.load.assess(b.load.objective)
 	}
 	b.measureSaturation()
@@ -184,14 +186,14 @@
 		b.ejectOutliers()
 	}
 	b.adjustQuotas()
-	b.load.digestedAt = b.now
+	b.load.reportsProcessedAt = b.now
 	b.load.reportedAttempts = 0
 }
 
 // measureSaturation sets the saturation to the normalized latency of the median replica. If utilization is reported,
-// low utilization of the median replica lowers the saturation, and high utilization raises it: the higher of the
-// utilization of the median replica and the work of all replicas divided by the capacity of those that need not be
-// withdrawn.
+// low utilization of the median replica lowers the saturation, and high utilization raises it. High utilization is
+// measured by the higher of two figures: the utilization of the median replica, and the work of all replicas divided
+// by the capacity of the replicas that need not be withdrawn.
 func (b *Balancer) measureSaturation() {
 	var latencies, utilizations []float64
 	work := 0.0
@@ -221,7 +223,8 @@
 }
 
 // utilizationSaturation is the saturation that corresponds to a utilization. At fullUtilization it reaches
-// sheddingSaturation. Above that it rises faster, as utilization cannot exceed 1, up to nearOverloadSaturation.
+// sheddingSaturation. Above fullUtilization the saturation rises faster, as utilization cannot exceed 1, up to
+// nearOverloadSaturation.
 func utilizationSaturation(utilization float64) float64 {
 	const headroom = 1 - fullUtilization
 	upToFull := sheddingSaturation * utilization / fullUtilization
@@ -229,7 +232,7 @@
 	return max(upToFull, min(nearOverloadSaturation, beyondFull))
 }
 
-// quantile sorts the figures and returns the one below which the given share of them lies; 0 if there are none.
+// quantile sorts the figures and returns the figure below which the given share of the figures lies; 0 without figures.
 func quantile(share float64, figures []float64) float64 {
 	if len(figures) == 0 {
 		return 0
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// ejectionPeriod is the length of a first ejection. It is longer than most gaps between the load reports of a
-	// replica that has not restarted. The length doubles with each further ejection in a row.
+	// ejectionPeriod is the length of a first ejection. It is longer than most faults that leave a replica without load
+	// reports and do not end in a restart. The length doubles with each further ejection in a row.
 	ejectionPeriod = 8 * model.Second
 	// maxEjectionDoublings is the number of times that the length of an ejection doubles: 8, 16, then 32 s.
 	maxEjectionDoublings = 2
@@ -19,27 +19,27 @@
 	outlierErrorRate  = 0.9
 	outlierErrorRatio = 3
 
-	// A replica counts as silent if the time since its last report exceeds silenceRatio times the sum of a report period
-	// and the silenceQuantile quantile of that time over the replicas in use, and at least minMissedAttempts attempts
-	// were expected in that time: fewer may be missing by chance.
+	// The silence of a replica is the time since its last load report. A replica counts as silent if its silence exceeds
+	// silenceRatio * (report period + silenceQuantile quantile of the silences of replicas in use with traffic), and at
+	// least minMissedAttempts attempts were expected since its last report: fewer attempts may be missing by chance.
 	silenceRatio      = 2
 	silenceQuantile   = 0.75
 	minMissedAttempts = 5
 
-	// ejectedShareDivisor: at most 1/ejectedShareDivisor of the replicas that are in use, or recently were, may be out
-	// of use at the same time.
+	// ejectedShareDivisor: at most 1/ejectedShareDivisor of the replicas that are in use or recently were in use may be
+	// out of use at the same time.
 	ejectedShareDivisor = 3
 )
 
 // outlierDetector finds replicas that do not respond: first their attempts fail, then no load report names them. Late
-// reports or an overload affect all replicas alike, so each replica is compared with the other replicas. A detector
-// is used for one comparison of the fleet.
+// reports or an overload affect all replicas alike, so each replica is compared with the other replicas. Each
+// call of ejectOutliers creates a detector.
 type outlierDetector struct {
-	fleet         attemptStats // brief statistics of all replicas in use
+	fleet         attemptStats // sum of the short-term statistics of the replicas in use with traffic
 	silenceLimit  float64      // in microseconds
-	reportedShare float64      // attempts reported divided by attempts expected, at most 1
-	unavailable   int          // replicas that were in use recently and no longer are
-	candidates    int          // unavailable replicas and replicas in use
+	reportedShare float64      // attempts reported divided by attempts expected, since reportsProcessedAt; at most 1
+	unavailable   int          // number of recently unavailable replicas
+	candidates    int          // number of unavailable replicas and of replicas in use
 }
 
 // newOutlierDetector computes the figures of the fleet that each replica is compared with.
@@ -48,14 +48,14 @@
 	var silences []float64
 	for _, r := range b.replicas {
 		if r.inUse() && r.expectedRate > 0 {
-			detector.fleet.add(r.load.brief)
+			detector.fleet.add(r.load.shortTerm)
 			silences = append(silences, b.silence(r))
 		}
 	}
 	detector.silenceLimit = silenceRatio * (quantile(silenceQuantile, silences) + float64(b.config.ReportPeriod))
-	expected := float64(b.now-b.load.digestedAt) * b.load.recentRate
+	expected := float64(b.now-b.load.reportsProcessedAt) * b.load.recentRate
 	detector.reportedShare = min(1, b.load.reportedAttempts/max(expected, epsilon))
-	detector.unavailable = b.countReplicas(b.leftRecently)
+	detector.unavailable = b.countReplicas(b.recentlyUnavailable)
 	detector.candidates = detector.unavailable + b.countReplicas((*replica).inUse)
 	return detector
 }
@@ -63,7 +63,9 @@
 // silence is the time since a replica's last report, in microseconds.
 func (b *Balancer) silence(r *replica) float64 { return float64(b.now - r.load.reportedAt) }
 
-func (b *Balancer) leftRecently(r *replica) bool {
+// recentlyUnavailable reports whether a replica that is not in use had a load report within the last slowStartSpan. A
+// replica without reports for longer does not count towards the limit of mayEject.
+func (b *Balancer) recentlyUnavailable(r *replica) bool {
 	return !r.inUse() && b.now-r.load.reportedAt < slowStartSpan
 }
 
@@ -72,35 +74,36 @@
 	return (d.unavailable+1)*ejectedShareDivisor <= d.candidates
 }
 
-// errorRateElsewhere is the error rate of the other replicas in use.
-func (d *outlierDetector) errorRateElsewhere(r *replica) float64 {
-	return (d.fleet.errored - r.load.brief.errored) / max(d.fleet.attempts-r.load.brief.attempts, 1)
+// errorRateOfOthers is the error rate of the other replicas in use.
+func (d *outlierDetector) errorRateOfOthers(r *replica) float64 {
+	return (d.fleet.erroredAttempts - r.load.shortTerm.erroredAttempts) /
+		max(d.fleet.attempts-r.load.shortTerm.attempts, 1)
 }
 
 // fails reports whether nearly all attempts at a replica fail, and many more than at the other replicas.
 func (d *outlierDetector) fails(r *replica) bool {
-	brief := &r.load.brief
-	byRate := outlierErrorRate * brief.attempts
-	byRatio := outlierErrorRatio * d.errorRateElsewhere(r) * brief.attempts
-	return brief.errored >= max(minOutlierErrors, byRate, byRatio)
+	shortTerm := &r.load.shortTerm
+	minErrorsByRate := outlierErrorRate * shortTerm.attempts
+	minErrorsByRatio := outlierErrorRatio * d.errorRateOfOthers(r) * shortTerm.attempts
+	return shortTerm.erroredAttempts >= max(minOutlierErrors, minErrorsByRate, minErrorsByRatio)
 }
 
-// missedAttempts is the number of attempts that were expected in load reports of a replica since its last one.
+// missedAttempts is the number of attempts that were expected in load reports of a replica since its last report.
 func (d *outlierDetector) missedAttempts(r *replica, silence float64) float64 {
 	return r.load.recent.rate() * d.reportedShare * silence
 }
 
-// isSilent reports whether a replica with traffic has been without a load report for longer than chance and the other
-// replicas explain.
+// isSilent reports whether a replica with traffic has had no load report for longer than silenceLimit, and at least
+// minMissedAttempts attempts at the replica were expected since its last report.
 func (d *outlierDetector) isSilent(r *replica, silence float64) bool {
 	return r.expectedRate > 0 && d.missedAttempts(r, silence) >= minMissedAttempts && silence > d.silenceLimit
 }
 
 // isOverloaded reports whether a replica with errors is overloaded rather than broken: the mean latency of its good
-// attempts is above the objective, and the load of the fleet is not normal. Ejecting it would overload the other
-// replicas next.
+// attempts is above the objective, and the load of the fleet is not normal. Ejecting the replica would overload
+// the other replicas next.
 func (b *Balancer) isOverloaded(r *replica) bool {
-	late := r.load.brief.latency > r.load.brief.good*b.load.objective
+	late := r.load.shortTerm.totalLatency > r.load.shortTerm.goodAttempts*b.load.objective
 	return late && b.load.normalizedLatency >= normalSaturation
 }
 
@@ -125,7 +128,7 @@
 	switch {
 	case detector.fails(r) && !b.isOverloaded(r):
 		return fmt.Sprintf(": %.1f of %.1f attempts errored, %.0f%% elsewhere",
-			r.load.brief.errored, r.load.brief.attempts, 100*detector.errorRateElsewhere(r))
+			r.load.shortTerm.erroredAttempts, r.load.shortTerm.attempts, 100*detector.errorRateOfOthers(r))
 	case detector.isSilent(r, silence):
 		return fmt.Sprintf(": not reported for %.1f s, over %.1f, %.0f attempts due",
 			silence/float64(model.Second), detector.silenceLimit/float64(model.Second), detector.missedAttempts(r, silence))
@@ -133,7 +136,8 @@
 	return ""
 }
 
-// beginEjection schedules the end of an ejection; each ejection in a row is longer than the previous one.
+// beginEjection cancels the replica's pending deadlines and schedules the end of its ejection. Each ejection in a row
+// is longer than the previous ejection, up to maxEjectionDoublings.
 func (b *Balancer) beginEjection(r *replica) {
 	r.generation++
 	length := ejectionPeriod << min(r.ejections, maxEjectionDoublings)
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -27,9 +27,9 @@
 		fleet.advance(4, fleet.reportsOf(1, 4, 1, 0, 100*model.Millisecond))
 		fleet.requireNeverWithdrawn(t)
 	})
-	t.Run("does not eject a full replica", func(t *testing.T) {
-		// After the loss of a third of the replicas, ejecting full replicas would overload the remaining ones one after the
-		// other.
+	t.Run("does not eject an overloaded replica", func(t *testing.T) {
+		// After the loss of a third of the replicas, ejecting overloaded replicas would overload the remaining replicas one
+		// after the other.
 		fleet := startWarmFleet(t, 9, nil)
 		fleet.advance(5, func() {
 			fleet.reportsOf(1, 8, 10, 0, 230*model.Millisecond)()
@@ -37,7 +37,7 @@
 		})
 		fleet.requireNeverWithdrawn(t)
 	})
-	t.Run("ejects a third of the replicas at most", func(t *testing.T) {
+	t.Run("ejects at most a third of the replicas", func(t *testing.T) {
 		fleet := startWarmFleet(t, 6, nil)
 		fleet.advance(5, func() {
 			fleet.goodReports(3)()
@@ -61,7 +61,7 @@
 	})
 }
 
-// The log message of an ejection has the measured error rates; the log message of another change has none.
+// The log message of an ejection has the measured error rates; the log message of a removal has no error rates.
 func TestEjectionLogMessageHasErrorRates(t *testing.T) {
 	fleet := startWarmFleet(t, 8, nil)
 	fleet.advance(4, func() {
@@ -69,8 +69,9 @@
 		fleet.reportsOf(2, 8, 10, 0, 100*model.Millisecond)()
 	})
 	fleet.remove(2)
-	all := strings.Join(fleet.logged, "\n")
+	all := strings.Join(fleet.logMessages, "\n")
 	require(t, strings.Contains(all, "zone 0 ejected: ") && strings.Contains(all, "attempts errored, 0% elsewhere"),
-		"logged: %s", all)
-	require(t, strings.Contains(all, "zone 0 gone\n") || strings.HasSuffix(all, "zone 0 gone"), "logged: %s", all)
+		"log messages %s, want an ejection with both error rates", all)
+	require(t, strings.Contains(all, "zone 0 gone\n") || strings.HasSuffix(all, "zone 0 gone"),
+		"log messages %s, want the removal without figures", all)
 }
--- a/internal/balancer/ranking.go
+++ b/internal/balancer/ranking.go
@@ -15,10 +15,10 @@
 	return x.score < other.score || x.score == other.score && x.index < other.index
 }
 
-// ranking is a heap of replicas: finding the next best among thousands does not scan them all.
+// ranking is a heap of replicas, so that the best of thousands of replicas is found without scanning all of them.
 type ranking struct{ heap rankingHeap }
 
-// rank returns a ranking of the replicas in use.
+// rank returns a ranking of the replicas in use by the given score.
 func (b *Balancer) rank(score func(*replica) int) *ranking {
 	ranked := make([]rankedReplica, len(b.replicas))
 	ranks := &ranking{heap: make(rankingHeap, 0, len(ranked))}
--- a/internal/balancer/replica.go
+++ b/internal/balancer/replica.go
@@ -63,15 +63,15 @@
 	slowStartAt model.Microseconds // when its slow start began
 	restarted   bool               // it had load statistics when its slow start began
 	generation  int                // raised to cancel pending deadlines, which hold an earlier generation
-	ejections   int                // number in a row
+	ejections   int                // number of ejections in a row
 
 	load             replicaLoad
 	expectedRate     float64 // requests a second, by its entries' shares of the expected rates of their tables
 	capacityEstimate float64 // load that it can serve; 1: as much as the average replica
 
-	withdrawn          bool               // its withdrawal was sent, and no readmission since
-	withdrawnAt        model.Microseconds // when a withdrawal or readmission was last sent
-	withdrawnElsewhere bool               // other balancers may have withdrawn the replica
+	withdrawn              bool               // its withdrawal was sent, and no readmission since
+	withdrawnAt            model.Microseconds // when a withdrawal or readmission was last sent
+	maybeWithdrawnByOthers bool               // other balancers may have withdrawn the replica
 }
 
 // listedReady reports whether the endpoint list has a replica as ready. The replica may be withdrawn.
@@ -131,7 +131,7 @@
 	return startedAt > 0 && startedAt != r.startedAt && b.now-startedAt < slowStartSpan
 }
 
-// removeUnlisted marks every replica that a complete endpoint list does not name as removed.
+// removeUnlisted applies removedFromList to every replica that a complete endpoint list does not name.
 func (b *Balancer) removeUnlisted(listed map[*replica]bool) {
 	for _, r := range b.replicas {
 		if !listed[r] {
@@ -145,9 +145,9 @@
 func (b *Balancer) applyReplicaEvent(r *replica, event replicaEvent, evidence string) {
 	previousState := r.state
 	applyEvent(b, replicaTransitions, &r.state, event, r)
-	b.changed = true
+	b.fleetChanged = true
 	worthLogging := previousState != r.state && event != listedAsReady
-	r.withdrawnElsewhere = r.withdrawnElsewhere || r.startedAt > 0 || worthLogging
+	r.maybeWithdrawnByOthers = r.maybeWithdrawnByOthers || r.startedAt > 0 || worthLogging
 	if worthLogging {
 		b.logReplica(r, replicaEventMessages[event]+evidence)
 	}
--- a/internal/balancer/safemode.go
+++ b/internal/balancer/safemode.go
@@ -6,8 +6,8 @@
 type safeModeState uint8
 
 const (
-	safeModeActive safeModeState = 1 << iota // weights stay; a proxy is bound only if its standing table may be empty
-	safeModeEnded                            // weights follow load reports
+	safeModeActive safeModeState = 1 << iota // no routine weight changes; binds only if a standing table may be empty
+	safeModeEnded                            // proxies are bound, and weights follow load reports
 )
 
 // safeModeEvent is an event of the safe mode's state machine.
--- a/internal/balancer/safemode_test.go
+++ b/internal/balancer/safemode_test.go
@@ -5,6 +5,7 @@
 func TestSafeModeEnds(t *testing.T) {
 	t.Run("once every listed replica is reported", func(t *testing.T) {
 		fleet := startFleet(t, 3, nil)
+		// Replicas 1 and 2 report five attempts each, without errors and with a latency of 100 ms; replica 3 does not.
 		fleet.advance(2, fleet.reportsOf(1, 2, 5, 0, 100000))
 		fleet.requireBound(t, 0, "with one replica unreported")
 		require(t, len(fleet.tableWeights) == 0, "tables %v with one replica unreported, want none", fleet.tableWeights)
@@ -36,9 +37,9 @@
 
 func TestWarmingUpReplicaIsWithdrawnInSafeMode(t *testing.T) {
 	fleet := startFleet(t, 8, nil)
-	fleet.listAsStarted(1, 1)
+	fleet.listAsStarted(1, 1) // replica 1, one microsecond ago
 	fleet.flush()
-	fleet.requireWithdrawn(t, 1, "standing tables may have it at full weight")
+	fleet.requireWithdrawn(t, 1, "standing tables may have replica 1 at full weight")
 	fleet.advance(13, fleet.goodReports(8))
 	fleet.requireNotWithdrawn(t, 1, "safe mode is over")
 }
--- a/internal/balancer/sendwindow.go
+++ b/internal/balancer/sendwindow.go
@@ -8,21 +8,21 @@
 
 // Shares of the queue limit that unacknowledged entries may fill, by the urgency of the next update.
 const (
-	urgentShare  = 0.9 // updates that must not be delayed
-	promptShare  = 0.7 // updates that should be sent soon
-	routineShare = 0.5 // all other updates
+	urgentShare  = 0.9 // for updates that must not be delayed
+	promptShare  = 0.7 // for updates that should be sent soon
+	routineShare = 0.5 // for all other updates
 )
 
-// budget limits what an update may use: a share of the queue limit, and the message limit of a proxy less
-// spareMessages, which are kept for more urgent updates.
+// budget is the limit of an update: a share of the queue limit, and the message limit of a proxy less spareMessages,
+// which are kept for more urgent updates.
 type budget struct {
 	queueShare    float64
 	spareMessages int
 }
 
 var (
-	withdrawalBudget  = budget{urgentShare, 1} // withdrawals of draining or unlisted replicas, or their substitutes
-	promptBudget      = budget{promptShare, 1} // temporary withdrawals and cut weights
+	withdrawalBudget  = budget{urgentShare, 1} // withdrawals of draining or unlisted replicas, and equally urgent updates
+	promptBudget      = budget{promptShare, 1} // temporary withdrawals, and weights to be sent at once
 	urgentBindBudget  = budget{urgentShare, 2}
 	routineBindBudget = budget{routineShare, 2}
 	quotaBudget       = budget{promptShare, 3}
@@ -37,7 +37,7 @@
 // sentMessage is a message that a proxy has not acknowledged.
 type sentMessage struct {
 	sequence int
-	entries  int                // entries charged for it
+	entries  int                // entries reserved for the message, including its overhead
 	at       model.Microseconds // send time
 }
 
@@ -52,7 +52,7 @@
 	agedEntries    int      // entries added for the age of unacknowledged messages
 	sequence       int      // sequence number of the last message
 	recipients     []*proxy // proxies that get the message being written
-	ackFromAll     bool     // every proxy is to acknowledge that message, also if it is not in recipients
+	ackFromAll     bool     // every proxy is to acknowledge the message, also proxies that are not in recipients
 }
 
 func newSendWindow(config model.Config) sendWindow {
@@ -64,20 +64,20 @@
 	}
 }
 
-// countAgedEntries counts the entries of a message once more for each second after the first that it has been
-// unacknowledged. A network that has become slow still has earlier messages queued, and withdrawals must not wait
+// countAgedEntries counts the entries of a message once more for each second after the first that the message has
+// been unacknowledged. A network that has become slow still has earlier messages queued, and withdrawals must not wait
 // behind weights.
 func (w *sendWindow) countAgedEntries(now model.Microseconds, proxies []*proxy) {
 	w.agedEntries = 0
 	for _, p := range proxies {
 		for _, message := range p.unacked {
-			late := int(max(0, now-message.at-model.Second))
-			w.agedEntries += late * message.entries / int(model.Second)
+			excessAge := int(max(0, now-message.at-model.Second))
+			w.agedEntries += excessAge * message.entries / int(model.Second)
 		}
 	}
 }
 
-// reserve charges entries to each of the given proxies if they may be sent now, and reports whether they may.
+// reserve reserves entries for each of the given proxies if the entries may be sent now, and reports whether they may.
 func (w *sendWindow) reserve(now model.Microseconds, proxies []*proxy, entries int, limits budget) bool {
 	total := w.unackedEntries
 	for _, p := range proxies {
@@ -145,11 +145,11 @@
 
 // acknowledge releases the entries of a proxy's messages up to a sequence number. An unknown number releases nothing.
 func (w *sendWindow) acknowledge(p *proxy, sequence int) {
-	last := slices.IndexFunc(p.unacked, func(m sentMessage) bool { return m.sequence == sequence })
-	w.release(p, last+1)
+	lastIndex := slices.IndexFunc(p.unacked, func(m sentMessage) bool { return m.sequence == sequence })
+	w.release(p, lastIndex+1)
 }
 
-// release releases the entries of a proxy's oldest unacknowledged messages; messages is their number.
+// release releases the entries of a proxy's oldest unacknowledged messages; count is the number of those messages.
 func (w *sendWindow) release(p *proxy, count int) {
 	for _, message := range p.unacked[:count] {
 		w.unackedEntries -= message.entries
--- a/internal/balancer/sendwindow_test.go
+++ b/internal/balancer/sendwindow_test.go
@@ -18,9 +18,9 @@
 		}
 		fleet.requireUnacked(t, 300, "after eight drains")
 	})
-	t.Run("messages to a proxy stay within the message limit, also with cut weights", func(t *testing.T) {
-		// Changes of the endpoint list every few hundred milliseconds cut weights each time; unlimited, that makes 13
-		// messages where 12 are allowed.
+	t.Run("messages to a proxy stay within the message limit when weights are reduced at once", func(t *testing.T) {
+		// Each start of a replica reduces its weight, which is sent at once; without the limit, 13 messages are sent where
+		// 12 are allowed.
 		fleet := startWarmFleet(t, 8, func(config *model.Config) {
 			config.MessageLimit = 12
 			config.MessageWindow = 10 * model.Second
@@ -61,8 +61,8 @@
 	})
 }
 
-func TestSendWindowWhenAcknowledgementsAreMissing(t *testing.T) {
-	t.Run("entries that are unacknowledged for long leave capacity for drains and none for weights", func(t *testing.T) {
+func TestSendWindowKeepsCapacityWhenAcknowledgementsAreMissing(t *testing.T) {
+	t.Run("entries unacknowledged for seconds leave capacity for drains and none for weights", func(t *testing.T) {
 		// Weights sent while the network is slow would delay withdrawals of draining replicas by 15 s.
 		fleet := startWarmFleet(t, 8, nil)
 		fleet.acknowledges = false
@@ -76,8 +76,8 @@
 		fleet.remove(3)
 		fleet.requireWithdrawn(t, 3, "withdrawals must not wait for the unacknowledged entries")
 	})
-	t.Run("only proxies with an entry are charged for its withdrawal", func(t *testing.T) {
-		// Entries charged to proxies that get no message would never be acknowledged.
+	t.Run("entries for a withdrawal are reserved only for proxies with an entry of the replica", func(t *testing.T) {
+		// Entries reserved for proxies that get no message would never be acknowledged.
 		fleet := startWarmFleet(t, 8, nil)
 		fleet.updateEndpoints(model.ChangedEntries, readyEndpoint(20, 0))
 		fleet.remove(20)
--- a/internal/balancer/simulatedfleet_test.go
+++ b/internal/balancer/simulatedfleet_test.go
@@ -13,8 +13,8 @@
 type fatalReporter interface{ Fatalf(string, ...any) }
 
 // simulatedFleet is a fleet behind a channel of limited speed. It delivers a balancer's updates to proxies with a
-// delay, acknowledges them, and checks the tables and withdrawals of the proxies. It sees nothing of the balancer but
-// its updates.
+// delay, acknowledges them, and checks the tables and withdrawals of the proxies. It uses only the updates of the
+// balancer.
 type simulatedFleet struct {
 	t        fatalReporter
 	config   model.Config
@@ -109,20 +109,20 @@
 	return f.pendingMessages[p]
 }
 
-func (f *simulatedFleet) SetWeight(table model.TableID, changed model.ReplicaID, weight float64) {
+func (f *simulatedFleet) SetWeight(table model.TableID, changedReplica model.ReplicaID, weight float64) {
 	if f.tables[table] == nil {
 		f.tables[table] = map[model.ReplicaID]float64{}
 	}
-	_, known := f.tables[table][changed]
-	f.tables[table][changed] = weight
+	_, known := f.tables[table][changedReplica]
+	f.tables[table][changedReplica] = weight
 	if weight == 0 {
-		delete(f.tables[table], changed)
+		delete(f.tables[table], changedReplica)
 	}
-	withdrawn := f.withdrawn[changed]
+	withdrawn := f.withdrawn[changedReplica]
 	apply := func(p *simulatedProxy) {
-		p.weights[changed] = weight
+		p.weights[changedReplica] = weight
 		if !known { // a new entry carries the withdrawal state of its replica
-			p.withdrawn[changed] = withdrawn
+			p.withdrawn[changedReplica] = withdrawn
 		}
 	}
 	for p := range f.users[table] {
@@ -152,7 +152,8 @@
 	message.changes = append(message.changes, func(p *simulatedProxy) { f.applyTable(p, table) })
 }
 
-// applyTable replaces the entries and withdrawals of a proxy by those of a table and of the balancer.
+// applyTable replaces the entries of a proxy by the entries of a table, and the withdrawals of the proxy by the
+// withdrawals of the balancer.
 func (f *simulatedFleet) applyTable(p *simulatedProxy, table model.TableID) {
 	clear(p.weights)
 	clear(p.withdrawn)
@@ -164,15 +165,15 @@
 	}
 }
 
-func (f *simulatedFleet) SetWithdrawn(changed model.ReplicaID, withdrawn bool) {
+func (f *simulatedFleet) SetWithdrawn(changedReplica model.ReplicaID, withdrawn bool) {
 	if withdrawn {
-		f.withdrawn[changed] = true
+		f.withdrawn[changedReplica] = true
 	} else {
-		delete(f.withdrawn, changed)
+		delete(f.withdrawn, changedReplica)
 	}
-	apply := func(p *simulatedProxy) { p.withdrawn[changed] = withdrawn }
+	apply := func(p *simulatedProxy) { p.withdrawn[changedReplica] = withdrawn }
 	for id, p := range f.proxies {
-		_, hasEntry := f.tables[p.table][changed]
+		_, hasEntry := f.tables[p.table][changedReplica]
 		if !p.connected || p.bound && !hasEntry {
 			continue
 		}
@@ -227,12 +228,12 @@
 		f.queue = append(f.queue, message)
 	}
 	clear(f.pendingMessages)
-	waiting := 0
+	queuedEntries := 0
 	for _, message := range f.queue {
-		waiting += message.cost
+		queuedEntries += message.cost
 	}
-	if waiting > f.config.QueueLimit {
-		f.t.Fatalf("short queue: %d entries are queued, the limit is %d", waiting, f.config.QueueLimit)
+	if queuedEntries > f.config.QueueLimit {
+		f.t.Fatalf("short queue: %d entries are queued, the limit is %d", queuedEntries, f.config.QueueLimit)
 	}
 }
 
@@ -293,14 +294,14 @@
 
 // checkProxies checks the entries and withdrawals of each connected proxy.
 func (f *simulatedFleet) checkProxies() {
-	warm := f.hasWarmReplica()
+	hasWarm := f.hasWarmReplica()
 	for id, p := range f.proxies {
 		if !p.connected {
 			continue
 		}
 		f.checkDrained(id, p)
 		switch empty := !p.mayPickAny(); {
-		case !empty || !warm:
+		case !empty || !hasWarm:
 			p.emptySince = never
 		case p.emptySince < 0:
 			p.emptySince = f.now
@@ -310,15 +311,15 @@
 	}
 }
 
-// checkDrained fails if a proxy may still pick a replica that drains or is gone after drainLimit.
+// checkDrained fails if a proxy may pick a replica for longer than drainLimit after the replica drains or is gone.
 func (f *simulatedFleet) checkDrained(id model.ProxyID, p *simulatedProxy) {
 	for r := range p.weights {
 		leftAt := f.replicas[r].leftListAt
 		if leftAt == never || !p.mayPick(r) {
 			continue
 		}
-		if late := f.now - max(leftAt, p.connectedAt); late > f.drainLimit {
-			f.t.Fatalf("drain: proxy %d may still pick %v %d us after the balancer was notified", id, r, late)
+		if sinceNotified := f.now - max(leftAt, p.connectedAt); sinceNotified > f.drainLimit {
+			f.t.Fatalf("drain: proxy %d may still pick %v %d us after the balancer was notified", id, r, sinceNotified)
 		}
 	}
 }
@@ -343,7 +344,8 @@
 	return false
 }
 
-// connect connects a proxy with a new stream. A new or fresh proxy gets a standing table of its zone.
+// connect connects a proxy with a new stream. A proxy that connects for the first time, or with
+// newStandingTable, gets a standing table of its zone.
 func (f *simulatedFleet) connect(id model.ProxyID, zone int, newStandingTable bool) {
 	if f.proxies[id] == nil || newStandingTable {
 		f.proxies[id] = &simulatedProxy{
@@ -360,9 +362,10 @@
 	f.balancer.ProxyConnected(f.now, id, p.zone, 5)
 }
 
-// standingTable returns a standing table: up to three ready replicas of a zone first, then others up to its size.
+// standingTable returns a standing table: up to three ready replicas of a zone, then ready replicas of any zone up to
+// six entries. StandingTableSize limits both numbers.
 func (f *simulatedFleet) standingTable(zone int) map[model.ReplicaID]float64 {
-	const zoneReplicas = 3
+	const maxZoneReplicas = 3
 	weights := map[model.ReplicaID]float64{}
 	add := func(limit int, wanted func(*simulatedReplica) bool) {
 		for n := 1; n <= len(f.replicas) && len(weights) < limit; n++ {
@@ -371,8 +374,8 @@
 			}
 		}
 	}
-	add(min(zoneReplicas, f.config.StandingTableSize), func(r *simulatedReplica) bool { return r.zone == zone })
-	add(min(2*zoneReplicas, f.config.StandingTableSize), func(*simulatedReplica) bool { return true })
+	add(min(maxZoneReplicas, f.config.StandingTableSize), func(r *simulatedReplica) bool { return r.zone == zone })
+	add(min(2*maxZoneReplicas, f.config.StandingTableSize), func(*simulatedReplica) bool { return true })
 	return weights
 }
 
@@ -392,8 +395,8 @@
 	f.balancer.ProxyDisconnected(f.now, id)
 }
 
-// restartBalancer replaces the balancer by a new one, which starts with a cached endpoint list only. All proxies are
-// disconnected.
+// restartBalancer replaces the balancer by a new balancer, which has nothing but a cached endpoint list. All proxies
+// are disconnected.
 func (f *simulatedFleet) restartBalancer(numbers []int) {
 	for id := range f.proxies {
 		f.proxies[id].connected = false
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -9,9 +9,10 @@
 	slowStartFloor = 0.25
 )
 
-// beginSlowStart sets a replica to a quarter of its weight and clears its statistics. Its weight in tables as sent
-// may be the full one, so that weight is cut at once. The span begins when the replica started, or now after an
-// ejection: otherwise a balancer that starts during a release would treat all replicas as equally new.
+// beginSlowStart starts the slow start of a replica, clears its statistics and cancels its pending deadlines. Tables as
+// sent may have the replica at full weight, so its reduced weight is sent at once. The slow start begins at the start
+// time of the replica, or now after an ejection: if it always began now, a balancer that starts during a release would
+// treat all replicas as equally new.
 func (b *Balancer) beginSlowStart(r *replica) {
 	r.generation++
 	r.restarted = r.load.recent.window > 0
@@ -21,12 +22,12 @@
 	}
 	r.load.reset(b.now)
 	for _, e := range r.entries {
-		e.cut = e.weight > 0
+		e.sendAtOnce = e.weight > 0
 	}
 	b.scheduleReplicaEvent(r, slowStartElapsed, r.slowStartAt+slowStartSpan)
 }
 
-// endSlowStart cancels pending deadlines and ends a series of ejections.
+// endSlowStart cancels the replica's pending deadlines and ends its series of ejections.
 func (b *Balancer) endSlowStart(r *replica) {
 	r.generation++
 	r.ejections = 0
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -44,7 +44,7 @@
 			fleet.flush()
 			fleet.advance(4, fleet.reportsOf(2, 8, 10, 7, 400*model.Millisecond))
 			require(t, fleet.isWithdrawn(1) == avoids,
-				"replica 1, which warms up in an overloaded fleet: withdrawn %v", fleet.isWithdrawn(1))
+				"replica 1 warms up in an overloaded fleet: withdrawn is %v, want the opposite", fleet.isWithdrawn(1))
 		})
 	}
 }
@@ -58,7 +58,8 @@
 		fleet.flush()
 		fleet.advance(4, fleet.reportsOf(2, 8, 100, 68, 100*model.Millisecond))
 		require(t, fleet.isWithdrawn(1) == withdrawn,
-			"started %d us ago, two attempts in three fail: withdrawn %v", age, fleet.isWithdrawn(1))
+			"replica 1, started %d us ago, two attempts in three fail: withdrawn is %v, want the opposite",
+			age, fleet.isWithdrawn(1))
 	}
 }
 
@@ -85,25 +86,26 @@
 	require(t, fleet.weight(9) == 0, "new entry with weight %v for a withdrawn replica, want none", fleet.weight(9))
 }
 
-func TestOverloadedFleetUsesNewReplicasAndWithdrawsRestartedOnes(t *testing.T) {
-	for name, known := range map[string]bool{
+func TestOverloadedFleetUsesNewReplicasAndWithdrawsRestartedReplicas(t *testing.T) {
+	for name, restarted := range map[string]bool{
 		// A fleet that doubles during an overload needs its new replicas; if they are withdrawn it stays overloaded.
 		"new replicas are used": false,
-		// When half of the fleet restarts at once in an overload, the restarted replicas would be overloaded one after the
-		// other.
+		// When half of the fleet restarts at once in an overload, the restarted replicas would be overloaded one after
+		// another if they were used.
 		"restarted replicas are withdrawn": true,
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := startFleet(t, 8, nil)
 			added := []int{9, 10, 11, 12, 13, 14, 15, 16}
-			if known {
+			if restarted {
 				fleet.updateStatus(model.EndpointReady, 0, added...)
 			}
 			fleet.advance(5, fleet.goodReports(16))
 			fleet.listAsStarted(model.Second, added...)
 			fleet.advance(5, fleet.reportsOf(1, 8, 10, 7, 900*model.Millisecond))
-			require(t, fleet.isWithdrawn(9) == known && fleet.isWithdrawn(16) == known,
-				"wrong state of replicas 9 and 16, withdrawn: %v", fleet.withdrawn)
+			require(t, fleet.isWithdrawn(9) == restarted && fleet.isWithdrawn(16) == restarted,
+				"replicas 9 and 16 must be withdrawn if and only if they restarted; withdrawn: %v",
+				fleet.withdrawn)
 		})
 	}
 }
--- a/internal/balancer/step_bench_test.go
+++ b/internal/balancer/step_bench_test.go
@@ -88,11 +88,11 @@
 // BenchmarkStepWithReports measures one tick of a warm fleet in which every zone reports every replica.
 func BenchmarkStepWithReports(b *testing.B) {
 	const (
-		proxies  = 2000
-		replicas = 200
-		zones    = 3
-		attempts = 17
-		warmUp   = 40 // steps
+		proxies     = 2000
+		replicas    = 200
+		zones       = 3
+		attempts    = 17
+		warmUpSteps = 40 // steps
 	)
 	fleet := newBenchFleet(tracedConfig(), proxies, replicas)
 	round := 0
@@ -102,7 +102,7 @@
 		fleet.report(zones, attempts, round)
 		fleet.tick()
 	}
-	for range warmUp {
+	for range warmUpSteps {
 		step()
 		fleet.acknowledge()
 	}
@@ -143,20 +143,20 @@
 // firstSteps measures the ticks of the first hundred seconds of a fleet.
 func firstSteps(fleet *benchFleet) (times []time.Duration) {
 	const (
-		steps         = 500
-		stepsPerSpan  = 5
-		stepSpan      = 200 * model.Millisecond
-		attempts      = 25
-		reportedZones = 1
+		steps          = 500
+		stepsPerReport = 5
+		stepSpan       = 200 * model.Millisecond
+		attempts       = 25
+		reportedZones  = 1
 	)
 	for k := range steps {
 		fleet.now += stepSpan
-		began := time.Now()
-		if k%stepsPerSpan == 0 {
+		startedAt := time.Now()
+		if k%stepsPerReport == 0 {
 			fleet.report(reportedZones, attempts, k)
 		}
 		fleet.tick()
-		times = append(times, time.Since(began))
+		times = append(times, time.Since(startedAt))
 		fleet.acknowledge()
 	}
 	return times
@@ -166,8 +166,8 @@
 	b.Helper()
 	slices.Sort(times)
 	total := time.Duration(0)
-	for _, span := range times {
-		total += span
+	for _, elapsed := range times {
+		total += elapsed
 	}
 	count := len(times)
 	b.ReportMetric(float64((total / time.Duration(count)).Microseconds()), "us/step")
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -11,7 +11,8 @@
 	// entryRequestInterval is the mean time between requests to an entry, in seconds, above which the entry is not worth
 	// its cost.
 	entryRequestInterval = 2.5
-	// entryRequestIntervalAtUnitCost, divided by the cost of publishing, replaces entryRequestInterval if it is shorter.
+	// entryRequestIntervalAtUnitCost, divided by the cost of publishing, replaces entryRequestInterval if the
+	// quotient is shorter.
 	entryRequestIntervalAtUnitCost = 0.05
 	// connectionDivisor: all proxies together use up to 1/connectionDivisor of the connections of the smallest replica.
 	connectionDivisor = 4
@@ -59,14 +60,14 @@
 	table      *table
 	weight     float64 // as last sent; 0: never sent, or removed
 	nextWeight float64 // weight to be sent next
-	cut        bool    // the reduced weight is to be sent at once
+	sendAtOnce bool    // the weight was reduced by a slow start and is to be sent at once
 }
 
 // isNew reports whether the table as sent does not contain the entry.
 func (e *entry) isNew() bool { return e.weight == 0 }
 
-// measure sets a table's normalized latency and failure risk from its open entries.
-func (t *table) measure() {
+// updateStatistics sets a table's normalized latency and failure risk from its open entries.
+func (t *table) updateStatistics() {
 	latencies := make([]float64, 0, len(t.entries))
 	risks := make([]float64, 0, len(t.entries))
 	for _, e := range t.entries {
@@ -89,29 +90,29 @@
 	return n
 }
 
-// missingEntries is the number of open entries that a table lacks; negative if it has more than wanted.
+// missingEntries is the number of open entries that a table lacks; negative if the table has more than wanted.
 func (t *table) missingEntries() int { return t.wantedEntries - t.openEntries() }
 
 func (t *table) has(r *replica) bool {
 	return slices.ContainsFunc(r.entries, func(e *entry) bool { return e.table == t })
 }
 
-// rateForEachEntryWith is the expected rate for each open entry if one more proxy used the table.
-func (t *table) rateForEachEntryWith(p *proxy) float64 {
+// ratePerEntryIfBound is the expected rate for each open entry if one more proxy used the table.
+func (t *table) ratePerEntryIfBound(p *proxy) float64 {
 	const almostNoEntry = 0.1 // keeps the load of a table without open entries finite
 	return (t.expectedRate + p.expectedRate) / (float64(t.openEntries()) + almostNoEntry)
 }
 
 // subsetTables holds all tables. The tables of a zone form a pool, at the index of the zone in pools. If only some
-// operations stay in the zone, the tables for those form a second pool of the zone; the second pools follow the first
-// pools of all zones.
+// operations stay in the zone, the tables for these operations form a second pool of the zone; the second pools follow
+// the first pools of all zones.
 type subsetTables struct {
 	zones         int
 	tables        []*table
 	pools         [][]*table
 	wantedEntries int // number of open entries wanted in a new table
-	mostEntries   int // largest number of entries in a table
-	firstToUpdate int // index of the table whose weights are sent first next time
+	maxEntries    int // largest number of entries in a table
+	nextToUpdate  int // index of the table that the next update of weights begins with
 }
 
 func newSubsetTables(config model.Config) subsetTables {
@@ -157,7 +158,7 @@
 	added := &entry{replica: r, table: t}
 	t.entries = append(t.entries, added)
 	r.entries = append(r.entries, added)
-	s.mostEntries = max(s.mostEntries, len(t.entries))
+	s.maxEntries = max(s.maxEntries, len(t.entries))
 }
 
 // createTables creates the tables of a pool, fills them and sends their first weights.
@@ -165,10 +166,10 @@
 	b.subsets.wantedEntries = b.wantedTableEntries()
 	zone := b.subsets.zoneOf(pool)
 	wantedEntries := b.subsets.wantedEntries
-	candidates := b.countReplicas(func(r *replica) bool { return r.zone == zone && r.listedReady() })
-	count := (sameZoneDenominator*candidates + wantedEntries - 1) / (sameZoneNumerator * wantedEntries)
+	candidateCount := b.countReplicas(func(r *replica) bool { return r.zone == zone && r.listedReady() })
+	tableCount := (sameZoneDenominator*candidateCount + wantedEntries - 1) / (sameZoneNumerator * wantedEntries)
 	zoneLocal := b.config.ZoneLocalOperations != 0 && b.subsets.isLastPoolOfZone(pool)
-	for range max(1, count) {
+	for range max(1, tableCount) {
 		b.subsets.addTable(pool, zoneLocal)
 	}
 	b.binder.clearCosts()
@@ -185,20 +186,22 @@
 	for _, p := range b.proxies {
 		meanRate += p.expectedRate / float64(len(b.proxies))
 	}
-	replicas := float64(len(b.replicas))
-	proxies := float64(max(b.config.ProxyCount, 1))
-	byTraffic := meanRate * min(entryRequestInterval, entryRequestIntervalAtUnitCost/max(b.config.PublishCost, epsilon))
-	byConnections := replicas / connectionDivisor * float64(b.config.MinReplicaConnections) / proxies
-	byProxiesPerReplica := minProxiesPerReplica * replicas / proxies
-	everyReplica := max(len(b.replicas), 1)
-	if byTraffic > 0 && byConnections > 0 {
-		return int(min(max(minTableEntries, byProxiesPerReplica, min(byTraffic, byConnections)), float64(everyReplica)))
+	replicaCount := float64(len(b.replicas))
+	proxyCount := float64(max(b.config.ProxyCount, 1))
+	entriesByTraffic := meanRate *
+		min(entryRequestInterval, entryRequestIntervalAtUnitCost/max(b.config.PublishCost, epsilon))
+	entriesByConnections := replicaCount / connectionDivisor * float64(b.config.MinReplicaConnections) / proxyCount
+	entriesByProxies := minProxiesPerReplica * replicaCount / proxyCount
+	maxEntries := max(len(b.replicas), 1)
+	if entriesByTraffic > 0 && entriesByConnections > 0 {
+		return int(min(
+			max(minTableEntries, entriesByProxies, min(entriesByTraffic, entriesByConnections)), float64(maxEntries)))
 	}
-	return everyReplica
+	return maxEntries
 }
 
-// fillTables adds entries to the tables of a pool, each time to the table that lacks most, until all tables have
-// enough open entries and each replica of the zone is in a table.
+// fillTables adds entries to the tables of a pool, each time to the table that lacks most entries, until all tables
+// have enough open entries and each replica of the zone is in a table.
 func (b *Balancer) fillTables(pool int) {
 	if !b.needsEntries(pool) {
 		return
@@ -253,7 +256,7 @@
 
 // mayAddEntry reports whether a replica may get an entry in a table that has openEntries open entries. Zone-local
 // tables have replicas of their zone only. A table that has enough open entries gets no replica of another zone that
-// warms up: proxies of a zone that is short of capacity would turn to it all at once.
+// warms up: proxies of a zone that is short of capacity would turn to that replica all at once.
 func (b *Balancer) mayAddEntry(t *table, r *replica, openEntries int) bool {
 	if !r.inUse() || t.has(r) {
 		return false
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	require(t, len(tables) >= 2 && len(placed) == wideFleetReplicas,
-		"%d tables, %d replicas with an entry", len(tables), len(placed))
+		"%d tables, want at least 2; %d replicas have an entry, want all 48", len(tables), len(placed))
 }
 
 func TestTableSlowerThanTheFleetGetsMoreEntries(t *testing.T) {
@@ -53,7 +53,7 @@
 			fleet.report(n, 10, 0, latency)
 		}
 	})
-	require(t, len(table.entries) > before, "table still has %d entries", before)
+	require(t, len(table.entries) > before, "table still has %d entries, want more", before)
 }
 
 func TestTablesHaveOpenEntriesAfterTheFleetGrowsAndShrinksInOneStep(t *testing.T) {
@@ -66,11 +66,12 @@
 	}
 	fleet.updateEndpoints(model.ChangedEntries, added...)
 	fleet.advance(6, fleet.goodReports(192))
-	require(t, fleet.weight(150)+fleet.weight(151)+fleet.weight(152) != 0, "new replicas have no entries")
+	require(t, fleet.weight(150)+fleet.weight(151)+fleet.weight(152) != 0,
+		"new replicas 150 to 152 have no weight in table 0, want at least one with a weight")
 	fleet.updateEndpoints(model.FullList, added[:3]...)
 	fleet.advance(2, fleet.goodReports(52))
 	for _, table := range fleet.balancer.subsets.tables {
-		require(t, table.openEntries() >= 3, "%d open entries, want at least 3", table.openEntries())
+		require(t, table.openEntries() >= 3, "table has %d open entries, want at least 3", table.openEntries())
 	}
 }
 
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -12,27 +12,30 @@
 	maxStepFactor   = 1.1
 	minWeightChange = 0.05
 
-	// priorAttempts is the number of attempts that the prior capacity estimate, 1, counts for. The latency of fewer
-	// attempts says little about a replica.
+	// priorAttempts is the weight of the prior capacity estimate, which is 1, in attempts: the prior is averaged in as if
+	// it were measured by priorAttempts attempts. The latency of fewer attempts says little about a replica.
 	priorAttempts = 10
-	// warmingCapacityLimit is the highest capacity estimate of a warming replica. Its reduced weight determines its
-	// served rate, so only its latency shows its speed.
+	// warmingCapacityLimit is the highest capacity estimate of a warming replica. The estimate is limited as it rests on
+	// latency alone: the served rate follows from the reduced weight and is not used.
 	warmingCapacityLimit = 2
 
 	// crossZonePenalty, multiplied by the cost of a request to another zone, sets the strength of the preference for the
-	// own zone. It is a compromise between the best value at low load and the best value in an overload.
+	// own zone: see zonePreference.crossZoneFactor. The best value at low load differs from the best value in an
+	// overload, and crossZonePenalty is a compromise between the two.
 	crossZonePenalty = 60
-	// belowFullWeightDivisor: once 1/belowFullWeightDivisor of the replicas of the zone, or of the fleet, is below full
-	// weight, the own zone is no longer preferred.
+	// belowFullWeightDivisor: once the share of the fleet's replicas at full weight, or the mean slow-start factor of the
+	// zone's replicas, is 1/belowFullWeightDivisor below 1, the own zone is no longer preferred.
 	belowFullWeightDivisor = 3
 	// epsilon is added to a divisor, or is its lowest value, to avoid a division by zero.
 	epsilon = 1e-9
 
-	// minOpenEntries is the number of open entries below which new entries of a table are sent at once.
+	// minOpenEntries is the number of open entries, those of replicas in use, below which new entries of a table are sent
+	// at once.
 	minOpenEntries = 3
 	// A table has more traffic than its entries can serve if the normalized latency of its median entry exceeds
-	// overloadedRatio times that of the fleet, and overloadedLatency. The number of open entries wanted in it is then
-	// raised to addedEntriesWhenOverloaded above the present number.
+	// overloadedRatio times that of the fleet, and overloadedLatency. Normalized latency is a fraction of the latency
+	// objective. The number of open entries wanted in the table is then set to addedEntriesWhenOverloaded above the
+	// present number.
 	overloadedRatio            = 1.25
 	overloadedLatency          = 0.25
 	addedEntriesWhenOverloaded = 2
@@ -53,14 +56,14 @@
 	}
 }
 
-// estimateCapacities estimates the load that each replica can serve: its served rate times the fleet's mean latency
-// divided by its own mean latency. Unreported replicas count as average.
+// estimateCapacities estimates the load that each replica can serve; see estimateCapacity. Unreported replicas count as
+// average.
 func (b *Balancer) estimateCapacities() {
-	fleet := b.totalRecentStats()
+	fleet := b.updateFleetStats()
 	preference := b.newZonePreference()
 	expectedRate := 0.0
 	for _, t := range b.subsets.tables {
-		t.measure()
+		t.updateStatistics()
 		t.crossZoneFactor = b.crossZoneFactor(t, preference)
 		b.distributeExpectedRate(t)
 		expectedRate += t.expectedRate
@@ -70,9 +73,9 @@
 	}
 }
 
-// totalRecentStats returns the sum of the recent statistics of the replicas that are listed as ready, sets the recent
-// rate of the fleet and resets the replicas' expected rates.
-func (b *Balancer) totalRecentStats() (fleet attemptStats) {
+// updateFleetStats sets the recent rate of the fleet, resets the replicas' expected rates and returns the sum of the
+// recent statistics of the replicas that are listed as ready.
+func (b *Balancer) updateFleetStats() (fleet attemptStats) {
 	b.load.recentRate = 0
 	for _, r := range b.replicas {
 		r.expectedRate = 0
@@ -85,12 +88,12 @@
 }
 
 // zonePreference is the present preference for replicas of the proxy's own zone, as requests to another zone cost
-// more. It weakens as the load approaches the level at which load is shed, if other zones have a lower latency, and
-// as replicas of the zone or of the fleet are below full weight.
+// more. The preference weakens in three cases: the load approaches the level at which load is shed, other zones have a
+// lower latency, or replicas of the zone or of the fleet are below full weight.
 type zonePreference struct {
 	crossZoneFactor      float64 // relative weight of a replica of another zone at full strength
 	strength             float64 // 1: full preference, 0: none
-	fleetFullWeightShare float64 // share of the replicas that are in use at full weight
+	fleetFullWeightShare float64 // replicas at full weight divided by replicas listed as ready
 }
 
 func (b *Balancer) newZonePreference() zonePreference {
@@ -104,13 +107,13 @@
 	}
 }
 
-// factorFor is the relative weight of a replica of another zone in a table, given the statistics of the replicas of
-// the zone and of the other replicas.
-func (z *zonePreference) factorFor(zoneFullWeightShare float64, sameZone, crossZone *attemptStats) float64 {
+// factorFor is the relative weight of a replica of another zone in a table, given the mean slow-start factor of the
+// replicas of the zone, and the statistics of the replicas of the zone and of the other replicas.
+func (z *zonePreference) factorFor(zoneSlowStartFactor float64, sameZone, crossZone *attemptStats) float64 {
 	fullWeightShare := max(0,
-		belowFullWeightDivisor*min(z.fleetFullWeightShare, zoneFullWeightShare)-(belowFullWeightDivisor-1))
+		belowFullWeightDivisor*min(z.fleetFullWeightShare, zoneSlowStartFactor)-(belowFullWeightDivisor-1))
 	factor := math.Pow(z.crossZoneFactor, z.strength*fullWeightShare)
-	if sameZone.good >= 1 && crossZone.good >= 1 {
+	if sameZone.goodAttempts >= 1 && crossZone.goodAttempts >= 1 {
 		factor *= sameZone.meanLatency() / max(crossZone.meanLatency(), 1)
 	}
 	return min(max(factor, z.crossZoneFactor), 1)
@@ -119,20 +122,20 @@
 // crossZoneFactor is the relative weight of a replica of another zone in a table.
 func (b *Balancer) crossZoneFactor(t *table, preference zonePreference) float64 {
 	var sameZone, crossZone attemptStats
-	sameZoneCapacity := 0.0
+	sameZoneSlowStartSum := 0.0
 	sameZoneCount := epsilon
 	for _, e := range t.entries {
 		switch r := e.replica; {
 		case !r.listedReady():
 		case r.zone == t.zone:
 			sameZone.add(r.load.recent)
-			sameZoneCapacity += b.slowStartFactor(r)
+			sameZoneSlowStartSum += b.slowStartFactor(r)
 			sameZoneCount++
 		default:
 			crossZone.add(r.load.recent)
 		}
 	}
-	return preference.factorFor(sameZoneCapacity/sameZoneCount, &sameZone, &crossZone)
+	return preference.factorFor(sameZoneSlowStartSum/sameZoneCount, &sameZone, &crossZone)
 }
 
 // distributeExpectedRate distributes a table's expected rate over its replicas, in proportion to the prior weights of
@@ -153,20 +156,20 @@
 func (b *Balancer) estimateCapacity(r *replica, fleet *attemptStats, expectedRate float64) float64 {
 	recent := &r.load.recent
 	estimate := 1.0
-	if r.listedReady() && recent.good >= 1 && recent.latency > 0 {
+	if r.listedReady() && recent.goodAttempts >= 1 && recent.totalLatency > 0 {
 		estimate = fleet.meanLatency() / recent.meanLatency()
 	}
 	if r.state == warming {
 		estimate = min(warmingCapacityLimit, estimate)
 	} else if r.expectedRate > 0 && b.load.recentRate > 0 && recent.window > 0 {
-		estimate *= math.Sqrt(recent.good / recent.window / b.load.recentRate * expectedRate / r.expectedRate)
+		estimate *= math.Sqrt(recent.goodAttempts / recent.window / b.load.recentRate * expectedRate / r.expectedRate)
 	}
 	return (estimate*recent.attempts + priorAttempts) / (recent.attempts + priorAttempts)
 }
 
 // updateWeights changes the weights once in a report period. If a table does not fit the send window, the next update
-// begins with that table. Cut weights are sent at once, and so are new entries of a table with fewer than
-// minOpenEntries open entries.
+// begins with that table. Weights reduced by a slow start are sent at once, and so are new entries of a table with
+// fewer than minOpenEntries open entries.
 func (b *Balancer) updateWeights() {
 	due := b.weightsDue()
 	if due {
@@ -176,9 +179,9 @@
 		b.fillTables(pool)
 	}
 	b.estimateCapacities()
-	first := b.subsets.firstToUpdate
+	firstIndex := b.subsets.nextToUpdate
 	for offset := range b.subsets.tables {
-		t := b.subsets.tables[(first+offset)%len(b.subsets.tables)]
+		t := b.subsets.tables[(firstIndex+offset)%len(b.subsets.tables)]
 		b.sendUrgentWeights(t)
 		if !due {
 			continue
@@ -187,7 +190,7 @@
 		b.extendIfOverloaded(t)
 		due = b.sendWeights(t, weightBudget, limitStep)
 		if !due {
-			b.subsets.firstToUpdate = first + offset
+			b.subsets.nextToUpdate = firstIndex + offset
 		}
 	}
 }
@@ -199,21 +202,22 @@
 	if b.config.MessageLimit > 0 {
 		period = max(period, weightMessageDivisor*b.config.MessageWindow/model.Microseconds(b.config.MessageLimit))
 	}
-	return !b.safeMode.active() && b.ticked && !b.binder.withdrawalsBlocked && b.now-b.weightsSentAt >= period
+	return !b.safeMode.active() && b.timerFired && !b.binder.withdrawalsBlocked && b.now-b.weightsSentAt >= period
 }
 
-// sendUrgentWeights sends cut weights and, if the table has few open entries, new entries too.
+// sendUrgentWeights sends weights reduced by a slow start. If the table has few open entries, it sends new entries too,
+// and both are as urgent as withdrawals.
 func (b *Balancer) sendUrgentWeights(t *table) {
 	if t.openEntries() < minOpenEntries {
-		b.sendWeights(t, withdrawalBudget, func(e *entry) bool { return e.cut || e.isNew() })
+		b.sendWeights(t, withdrawalBudget, func(e *entry) bool { return e.sendAtOnce || e.isNew() })
 		return
 	}
-	b.sendWeights(t, promptBudget, func(e *entry) bool { return e.cut })
+	b.sendWeights(t, promptBudget, func(e *entry) bool { return e.sendAtOnce })
 }
 
 // extendIfOverloaded raises the number of open entries wanted in a table if its median entry is slower than the fleet:
-// the traffic of its proxies grew, or it lost entries. If the whole fleet is short of capacity, more entries don't
-// help.
+// the traffic of its proxies grew, or the table lost entries. If the whole fleet is short of capacity, more entries
+// don't help.
 func (b *Balancer) extendIfOverloaded(t *table) {
 	limit := max(overloadedLatency, overloadedRatio*b.load.normalizedLatency)
 	if t.normalizedLatency > limit && b.load.saturation < sheddingSaturation {
@@ -241,7 +245,7 @@
 	}
 	for _, e := range changed {
 		e.weight = e.nextWeight
-		e.cut = false
+		e.sendAtOnce = false
 		b.publisher.SetWeight(t.id, e.replica.id, e.weight)
 	}
 	return true
@@ -256,8 +260,8 @@
 		if !wanted(e) || e.nextWeight == e.weight {
 			continue
 		}
-		withdrawnUnnoticed := e.isNew() && b.mustWithdraw(e.replica)
-		if withdrawnUnnoticed {
+		proxiesNotNotified := e.isNew() && b.mustWithdraw(e.replica)
+		if proxiesNotNotified {
 			continue
 		}
 		changed = append(changed, e)
--- a/internal/balancer/weights_test.go
+++ b/internal/balancer/weights_test.go
@@ -49,6 +49,7 @@
 			fleet.reportsOf(4, 6, 10, 0, 100*model.Millisecond)()
 		})
 		require(t, first <= 0.6*fleet.weight(1) && fleet.weight(4) >= 2*first,
-			"weight of the other zone is %v with equal latency, %v with half", first, fleet.weight(4))
+			"weight of the other zone is %v with equal latency, want at most 0.6 of the own zone; %v with half, want twice that",
+			first, fleet.weight(4))
 	})
 }
