--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -2,7 +2,7 @@
 
 // Budget bounds the bytes that are queued for peers. A peer's deltas are merged into one snapshot, which is sent later,
 // once its queue is over PerPeer, or over its even share of Total while all queues together are over Total. So a peer
-// that reads is not delayed by a peer that does not.
+// that reads is not delayed by a peer that does not read.
 //
 //	queued for this peer     queued for all    decision
 //	over PerPeer             any               merge
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -17,7 +17,7 @@
 // The decisions.
 const (
 	Admit  Decision = iota
-	Defer           // retry after the returned delay; a token is reserved for then
+	Defer           // retry after the returned delay; a token is reserved for that time
 	Reject          // MaxProxies are connected: retry much later, or at another controller
 )
 
@@ -163,9 +163,9 @@
 // duration of the storm: their proxies have probably connected to another controller. It also removes reservations from
 // before the storm.
 func (c *Controller) dropExpiredReservations(now model.Microseconds) {
-	expireAfter := 2*c.lastReservedTime - c.stormStartedAt
+	expireAt := 2*c.lastReservedTime - c.stormStartedAt
 	for name, reservedTime := range c.reservations {
-		if now > expireAfter || reservedTime <= c.stormStartedAt {
+		if now > expireAt || reservedTime <= c.stormStartedAt {
 			delete(c.reservations, name)
 		}
 	}
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -28,7 +28,7 @@
 	controller.Decide(0, "first", 0)
 	_, retryAfter := controller.Decide(0, "second", 1)
 	if decision, delay := controller.Decide(retryAfter/2, "second", 1); decision != Defer || delay != retryAfter/2 {
-		t.Fatalf("retry before the reserved time: got decision %v and retry after %d us", decision, delay)
+		t.Fatalf("early retry: got decision %v and retry after %d us, want Defer and the other half", decision, delay)
 	}
 	if decision, _ := controller.Decide(retryAfter, "second", 1); decision != Admit {
 		t.Fatal("a retry at the reserved time was not admitted")
@@ -110,8 +110,8 @@
 	}
 }
 
-// In any sequence of connections, no span has more admissions than burst and rate allow, a proxy that retries in time
-// is admitted, and there are no more reservations than proxies.
+// In any sequence of connections, no span has more admissions than burst and rate allow and one for each proxy; a proxy
+// that retries in time is admitted; and there are no more reservations than proxies.
 func TestAnySequenceOfConnectionsStaysWithinRate(t *testing.T) {
 	const proxies = 41
 	rapid.Check(t, func(t *rapid.T) {
@@ -129,8 +129,8 @@
 				delete(retryAt, proxy)
 				continue
 			}
-			due, isDeferred := retryAt[proxy]
-			if isDeferred && now >= due && now <= due+model.Second/model.Microseconds(rate) {
+			dueAt, isDeferred := retryAt[proxy]
+			if isDeferred && now >= dueAt && now <= dueAt+model.Second/model.Microseconds(rate) {
 				t.Fatalf("proxy %d retried in time and was deferred again", proxy)
 			}
 			if retryAfter <= 0 {
@@ -148,7 +148,7 @@
 			}
 		}
 		if len(controller.reservations) > proxies {
-			t.Fatalf("%d reservations are more than proxies", len(controller.reservations))
+			t.Fatalf("%d reservations, want at most 41, one for each proxy", len(controller.reservations))
 		}
 	})
 }
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -4,8 +4,8 @@
 //
 // A connection costs the controller a snapshot, a binding and, for a proxy that connects late, a repetition of all
 // withdrawals. So connections are admitted at a limited rate, with a burst for the routine restart of a few proxies.
-// Connections beyond the burst are deferred, with a Retry-After at which a token is reserved for them. Jitter spreads
-// the retries, so that a connection storm is not followed by a second one.
+// Connections beyond the burst are deferred, with a Retry-After; a token is reserved for them at that time. Jitter
+// spreads the retries, so that a connection storm is not followed by a second one.
 //
 // The decision table of Controller:
 //
@@ -18,6 +18,7 @@
 //	storm    all reservations have passed           normal       -
 //	any      connection, MaxProxies are connected   unchanged    reject
 //
-// Guarantees: no more than Burst + Rate x span connections are admitted in any span; a deferred proxy that retries at
-// its reserved time is admitted; the memory is bounded by maxReservations names.
+// Guarantees: no more than Burst + Rate x span connections are admitted in any span, and one for each unused
+// reservation from before the span; a deferred proxy that retries at its reserved time is admitted; the memory is
+// bounded by maxReservations names.
 package admission
--- a/internal/cluster/apply.go
+++ b/internal/cluster/apply.go
@@ -179,9 +179,9 @@
 
 func (unknownCommand) apply(*State, model.Microseconds) []ShardResponse { return nil }
 
-// lags reports whether a member sends commands but has not applied recent log entries: its disk is full, or a link
-// works in one direction only. Such a member would not learn that a lease was granted to it, and would keep other
-// members from holding that shard.
-func (s *State) lags(stamp, followedAt model.Microseconds) bool {
-	return stamp-followedAt > s.LeaseDuration
+// lags reports whether the sender of a command has applied no log entry of the last lease duration: its disk is full,
+// or a link works in one direction only. Such a member would not learn that a lease was granted to it, and would keep
+// other members from holding that shard.
+func (s *State) lags(stamp, appliedStamp model.Microseconds) bool {
+	return stamp-appliedStamp > s.LeaseDuration
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -12,12 +12,12 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Timing of a member, as fractions of the lease duration: 4 per lease is a quarter of it.
+// Timing of a member: the lease duration is divided by ticksPerLease and by each divisor.
 const (
-	ticksPerLease        = 100
-	ticksPerLoadReading  = 10
-	requestsPerLease     = 4 // timeout of a request to another member
-	gossipLeavesPerLease = 8 // timeout of leaving the gossip
+	ticksPerLease             = 100
+	ticksPerLoadReading       = 10
+	requestTimeoutDivisor     = 4 // timeout of a request to another member
+	gossipLeaveTimeoutDivisor = 8 // timeout for leaving the gossip
 )
 
 // leadershipTransferInterval is the time between two attempts to transfer leadership from a leader whose settings
@@ -41,7 +41,7 @@
 
 	mu          sync.Mutex
 	member      *Member
-	storeError  error  // why votes cannot be written; nil while they can
+	storeError  error  // error of the newest write of votes; nil if it succeeded
 	loggedFault string // the fault that was logged last
 	shardLoads  map[int]float64
 	misrouted   []MisroutedProxies
@@ -135,7 +135,7 @@
 func (c *Cluster) Close() {
 	close(c.done)
 	c.wait.Wait()
-	c.gossip.close(c.leaseDuration() / gossipLeavesPerLease)
+	c.gossip.close(c.leaseDuration() / gossipLeaveTimeoutDivisor)
 	c.node.close()
 	c.server.close()
 }
@@ -143,7 +143,7 @@
 func (c *Cluster) leaseDuration() time.Duration { return c.config.Settings.Lease.Duration.Duration() }
 
 // requestTimeout is the timeout of a request to another member.
-func (c *Cluster) requestTimeout() time.Duration { return c.leaseDuration() / requestsPerLease }
+func (c *Cluster) requestTimeout() time.Duration { return c.leaseDuration() / requestTimeoutDivisor }
 
 // runTicks calls tick after each applied entry, and at a fixed interval.
 func (c *Cluster) runTicks() {
@@ -254,8 +254,8 @@
 	return c.member.IsLeaseHolder(shard, c.config.Now())
 }
 
-// TargetChannel returns the channel address of the member that a shard is placed on. It returns "" if the shard is
-// placed on this member, or on no member that is alive.
+// TargetChannel returns the address at which proxies connect to the member that a shard is placed on. It returns "" if
+// the shard is placed on this member, on no member, or on a member without a recent heartbeat.
 func (c *Cluster) TargetChannel(shard int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,15 +269,15 @@
 		maxRequests = 20  // attempts to commit the request, spread over the timeout
 		maxChecks   = 100 // checks of the leases, spread over the timeout
 	)
-	end := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	words := []string{requestLeave, c.config.Name, leaveStopping}
-	for time.Now().Before(end) {
+	for time.Now().Before(deadline) {
 		if _, err := c.answerRequest(words); err == nil {
 			break
 		}
 		time.Sleep(timeout / maxRequests)
 	}
-	for time.Now().Before(end) && c.holdsAnyLease() {
+	for time.Now().Before(deadline) && c.holdsAnyLease() {
 		time.Sleep(timeout / maxChecks)
 	}
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -162,7 +162,7 @@
 		cluster.start(k)
 		cluster.awaitHeld(2, 2, 2)
 	}
-	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
+	newerEntry := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
 	cluster.await("a member of the newer version leads and commits an entry", func() bool {
 		k, known := cluster.leaderOf(2)
 		if !known {
@@ -172,7 +172,7 @@
 			_ = cluster.members[2].node.raft.LeadershipTransfer().Error()
 			return false
 		}
-		return cluster.members[k].node.propose(newer) == nil
+		return cluster.members[k].node.propose(newerEntry) == nil
 	})
 	cluster.awaitHeld(3, 3, 0)
 	if fault := cluster.members[2].Status().Fault; !strings.Contains(fault, "update it") {
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -31,7 +31,7 @@
 	Leader         string
 	SettingsDigest uint64
 	Observations   []ShardObservation            // indexed by shard number
-	RenewalAges    map[string]model.Microseconds // by member name: time since its newest renewal
+	RenewalAges    map[string]model.Microseconds // by member name: time since its newest RegisterMember or RenewLeases
 }
 
 // RegisterMember registers an incarnation of a member with its description.
@@ -110,5 +110,5 @@
 	Channel        string  `cbor:"Channel"` // where proxies connect
 	RequestAddress string  `cbor:"Request"` // where members and operators send requests
 	Capacity       float64 `cbor:"Limit"`   // requests a second; 0: unlimited
-	Digest         uint64  `cbor:"Digest"`  // of the settings that all members share
+	Digest         uint64  `cbor:"Digest"`  // hash of the settings that all members share
 }
--- a/internal/cluster/commands_test.go
+++ b/internal/cluster/commands_test.go
@@ -74,8 +74,8 @@
 	}
 	sim := newSimulation(t, 3)
 	sim.runFor(5 * model.Second)
-	undecodable := LogEntry{SchemaVersion: undecodableVersion, Command: unknownCommand{}}
-	sim.members[1].ApplyEntry(undecodable, sim.term, sim.now)
+	undecodableEntry := LogEntry{SchemaVersion: undecodableVersion, Command: unknownCommand{}}
+	sim.members[1].ApplyEntry(undecodableEntry, sim.term, sim.now)
 	sim.wantHeld(2, 0, 2)
 	var newer *NewerSchemaError
 	if _, err := sim.members[1].State().Encode(); !errors.As(err, &newer) || newer.Version != undecodableVersion {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -12,15 +12,15 @@
 	"peppervale/internal/model"
 )
 
-// Timing of gossip, as fractions (PerLease) or multiples (leases) of the lease duration. Gossip should report a failed
-// member about when its lease expires: much earlier, it would report a member that only paused; later, the member's
-// shards would wait for a new holder. At the default lease of 2 s, a probe is sent every 250 ms and suspicion lasts
-// about a second.
+// Timing of gossip. The lease duration is divided by PerLease and Divisor constants, and multiplied by leases
+// constants; suspicionMultiplier is memberlist's SuspicionMult. Gossip should report a failed member about when its
+// lease expires: much earlier, it would report a member that only paused; later, the member's shards would wait for a
+// new holder. At the default lease of 2 s, a probe is sent every 250 ms and suspicion lasts about a second.
 const (
 	probesPerLease         = 8
-	probeTimeoutsPerLease  = 16
+	probeTimeoutDivisor    = 16
 	gossipsPerLease        = 20
-	gossipTimeoutsPerLease = 4
+	gossipTimeoutDivisor   = 4
 	leasesPerFullExchange  = 4
 	suspicionMultiplier    = 3
 	leasesUntilNameReclaim = 1 // a member may then return under another address
@@ -39,10 +39,10 @@
 	duration := lease.Duration()
 	config := memberlist.DefaultLANConfig()
 	config.ProbeInterval = duration / probesPerLease
-	config.ProbeTimeout = duration / probeTimeoutsPerLease
+	config.ProbeTimeout = duration / probeTimeoutDivisor
 	config.SuspicionMult = suspicionMultiplier
 	config.GossipInterval = duration / gossipsPerLease
-	config.TCPTimeout = duration / gossipTimeoutsPerLease
+	config.TCPTimeout = duration / gossipTimeoutDivisor
 	config.PushPullInterval = leasesPerFullExchange * duration
 	config.DeadNodeReclaimTime = leasesUntilNameReclaim * duration
 	return config
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -26,7 +26,7 @@
 // maxLoggedReplicas bounds the withdrawn replicas that a log line names.
 const maxLoggedReplicas = 20
 
-// HandoverCallbacks are called at planned moves; nil ones are skipped.
+// HandoverCallbacks are called when shards are moved as planned; a nil callback is skipped.
 type HandoverCallbacks struct {
 	Export func() Handover // returns this member's measurements; the cluster sets From and Shards
 	Import func(Handover)  // receives the measurements of another member
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -12,33 +12,37 @@
 // and, while it leads, where shards are placed. It does no I/O and is not safe for concurrent use; its caller proposes
 // its commands, passes it the committed entries, and calls Tick.
 //
-//	shard      input                            next       effect
-//	not held   placed here                      requested  RenewLeases every Duration/3; Duration/10 after a refusal
-//	requested  granted                          held       gain is reported once
-//	held       renewal granted                  held       valid for Duration from the request
-//	held       renewal while the member lags    held       renewal has no effect: the lease expires
-//	held       placed on another member         released   loss is reported, then a ReleaseLeases sent
-//	held       the lease expires                not held   loss is reported
-//	not held   its renewal is granted late      held       gain is reported in the same epoch: it had no other holder
-//	held       newer schema, or other settings  not held   loss is reported, no ReleaseLeases: effect unknown
+//	lease      input                             next       effect
+//	not held   placed on this member             requested  RenewLeases every Duration/3; Duration/10 after a refusal
+//	requested  request is granted                held       gain is reported once
+//	held       renewal is granted                held       valid for Duration from the request
+//	held       newest applied entry too old (1)  held       renewals have no effect: the lease expires
+//	held       placed on another member          released   loss is reported, then a ReleaseLeases is sent
+//	held       lease expires                     not held   loss is reported
+//	not held   late renewal is granted           held       gain is reported, in the same epoch: no other holder since
+//	held       newer schema or other settings    not held   loss is reported, no ReleaseLeases is sent (2)
+//
+// (1) By more than Duration; see State.lags. (2) Its effect would be unknown.
 type Member struct {
 	Name        string
 	Incarnation uint64 // increases with each start, and differs between two processes that run under one name
 	Record      MemberRecord
 
-	settings Settings
-	state    *State
-	leases   []lease.Lease // by shard
-	notified []uint64      // by shard: the epoch that Tick reported last; 0: not held
+	settings       Settings
+	state          *State
+	leases         []lease.Lease // by shard
+	reportedEpochs []uint64      // by shard: the epoch that Tick reported last; 0: lease not held
 
 	loadOf           func(shard int) float64   // load of a held shard; below 0: not known
-	misroutedProxies func() []MisroutedProxies // nil: not known
+	misroutedProxies func() []MisroutedProxies // proxies that connect here for other members' shards; nil: not known
 
 	heartbeat heartbeat
 	planning  planning
 
-	shardRenewedAt []model.Microseconds          // by shard, by this clock: when its newest renewal was applied; 0: never
-	memberSeenAt   map[string]model.Microseconds // by member, by this clock: when its newest heartbeat was applied
+	// By this member's clock: when the newest granted request of each shard, and the newest RegisterMember or RenewLeases
+	// of each member, was applied; 0: never.
+	shardRenewedAt []model.Microseconds
+	memberSeenAt   map[string]model.Microseconds
 }
 
 // NewMember returns a member that has applied no entry yet. loadOf returns the requests a second of a shard that the
@@ -55,7 +59,7 @@
 		settings:       settings,
 		state:          state,
 		leases:         make([]lease.Lease, len(state.Shards)),
-		notified:       make([]uint64, len(state.Shards)),
+		reportedEpochs: make([]uint64, len(state.Shards)),
 		loadOf:         loadOf,
 		planning:       newPlanning(0, 0),
 		shardRenewedAt: make([]model.Microseconds, len(state.Shards)),
@@ -67,7 +71,8 @@
 // committed since do not revoke them.
 func (m *Member) Restore(state *State) { m.state = state }
 
-// State returns the state after the newest applied entry. The caller must hold its lock while it reads the state.
+// State returns the state after the newest applied entry. The caller must hold the lock that guards the member while it
+// reads the state.
 func (m *Member) State() *State { return m.state }
 
 // ApplyEntry applies a committed log entry.
@@ -78,7 +83,7 @@
 		m.heartbeat.restart(now) // a request to the previous leader is lost or already answered
 	}
 	if term == m.state.Term {
-		m.heartbeat.followedAt = entry.At
+		m.heartbeat.appliedStamp = entry.At
 	}
 	responses := m.state.Apply(entry, term)
 	switch command := entry.Command.(type) {
@@ -116,7 +121,7 @@
 	}
 	for _, request := range command.Requests {
 		if shard := m.state.shard(request.Shard); shard != nil && shard.Target == m.Name {
-			m.heartbeat.restart(now)
+			m.heartbeat.restart(now) // the shard is free: request its lease at once
 		}
 	}
 }
@@ -129,8 +134,8 @@
 	}
 }
 
-// IsLeaseHolder reports whether this member holds a shard's lease now, and in which epoch. The caller must hold its
-// lock. The call is cheap.
+// IsLeaseHolder reports whether this member holds a shard's lease now, and in which epoch. The caller must hold the
+// lock that guards the member. The call is cheap.
 func (m *Member) IsLeaseHolder(shard int, now model.Microseconds) (epoch uint64, ok bool) {
 	if shard < 0 || shard >= len(m.leases) || m.isExcluded() || !m.leases[shard].IsHeld(now) {
 		return 0, false
@@ -139,7 +144,7 @@
 }
 
 // isExcluded reports whether this member may hold no lease: it does not support the schema version of the log, or
-// its settings differ from the cluster's, so that its shards are different ones.
+// its settings differ from the cluster's, so the same shard number may mean another shard.
 func (m *Member) isExcluded() bool { return m.state.NewerSchemaVersion > 0 || m.HasOtherSettings() }
 
 // HasOtherSettings reports whether the cluster was started with settings that differ from this member's.
@@ -170,6 +175,7 @@
 		RenewalAges:    map[string]model.Microseconds{},
 	}
 	for i, shard := range m.state.Shards {
+		// Age -1: this incarnation has applied no renewal of the shard.
 		observation := ShardObservation{Epoch: shard.Lease.Epoch, Sequence: shard.Lease.Sequence, Age: -1}
 		if i < len(m.shardRenewedAt) && m.shardRenewedAt[i] > 0 {
 			observation.Age = now - m.shardRenewedAt[i]
@@ -225,17 +231,17 @@
 			releases = append(releases, ShardRequest{Shard: shard, Sequence: request.Sequence})
 		}
 		epoch, _ := m.IsLeaseHolder(shard, now)
-		if epoch != m.notified[shard] {
-			m.notified[shard] = epoch
+		if epoch != m.reportedEpochs[shard] {
+			m.reportedEpochs[shard] = epoch
 			changes = append(changes, LeaseChange{shard, epoch})
 		}
 	}
 	return changes, releases
 }
 
-// TargetChannel returns the channel address of the member that a shard is placed on. It returns "" if the shard is
-// placed on this member, on no member, or on a member without a recent heartbeat: a proxy redirected there would most
-// likely find no listener, and lose time.
+// TargetChannel returns the address at which proxies connect to the member that a shard is placed on. It returns "" if
+// the shard is placed on this member, on no member, or on a member without a recent heartbeat: a proxy redirected there
+// would most likely find no listener, and lose time.
 func (m *Member) TargetChannel(number int, now model.Microseconds) string {
 	shard := m.state.shard(number)
 	if shard == nil || shard.Target == m.Name {
@@ -243,7 +249,7 @@
 	}
 	target := m.state.Member(shard.Target)
 	seenAt, seen := m.memberSeenAt[shard.Target]
-	if target == nil || !seen || now-seenAt >= m.settings.Lease.Duration/recentHeartbeatsPerLease {
+	if target == nil || !seen || now-seenAt >= m.settings.Lease.Duration/recentHeartbeatDivisor {
 		return ""
 	}
 	return target.Record.Channel
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -13,9 +13,9 @@
 // later.
 func TestMembersHoldShardsOfTheirZonesWhenStartedTogether(t *testing.T) {
 	sim := newSimulation(t, 3)
-	sim.members[2].cut = true
+	sim.members[2].partitioned = true
 	sim.runFor(200 * model.Millisecond)
-	sim.members[2].cut = false
+	sim.members[2].partitioned = false
 	sim.runFor(20 * model.Second)
 	sim.wantHeld(2, 2, 2)
 	if n := len(sim.members[0].state.Events); n != 6 {
@@ -89,12 +89,12 @@
 func TestNoShardHasTwoHoldersWhenLaggingMemberIsElected(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.runFor(5 * model.Second)
-	lagging := sim.members[1]
-	lagging.cut = true // the other two members are a quorum
+	laggingMember := sim.members[1]
+	laggingMember.partitioned = true // the other two members are a quorum
 	sim.runFor(simulationSettings.Lease.Duration / 2)
-	lagging.cut = false
-	sim.elect(1)              // before it has applied the entries committed meanwhile
-	sim.members[2].cut = true // it holds the leases that were committed until then
+	laggingMember.partitioned = false
+	sim.elect(1)                      // before it has applied the entries committed meanwhile
+	sim.members[2].partitioned = true // it holds the leases that were committed until then
 	sim.runFor(3 * simulationSettings.Lease.Duration)
 	if sim.heldShards(0)+sim.heldShards(1) != 6 || sim.heldShards(2) > 0 {
 		t.Fatalf("m0, m1, m2 hold %d, %d, %d shards; want 6 in all, none at m2",
@@ -121,12 +121,12 @@
 func TestMemberHoldsNothingAfterLeaseExpiryWhenPartitioned(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.runFor(5 * model.Second)
-	sim.members[1].cut = true
+	sim.members[1].partitioned = true
 	sim.runFor(simulationSettings.Lease.Duration / 2)
 	sim.wantHeld(2, 2, 2)
 	sim.runFor(2 * simulationSettings.Lease.Duration)
 	sim.wantHeld(3, 0, 3)
-	sim.members[1].cut = false
+	sim.members[1].partitioned = false
 	sim.runFor(10 * model.Second)
 	sim.wantHeld(2, 2, 2)
 }
@@ -166,23 +166,23 @@
 func TestLeasesAreExpiredWhenProcessWasSuspended(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.runFor(5 * model.Second)
-	suspended := sim.members[2]
-	suspended.up = false
+	suspendedMember := sim.members[2]
+	suspendedMember.up = false
 	sim.runFor(3 * simulationSettings.Lease.Duration)
-	suspended.up = true
+	suspendedMember.up = true
 	sim.checkHolders()
 	sim.wantHeld(3, 3, 0)
 	sim.runFor(15 * model.Second)
 	sim.wantHeld(2, 2, 2)
 }
 
-// The clock of a partitioned member falls behind by the whole permitted drift, with the partition at different times
-// between renewals.
+// The clock of a partitioned member falls behind by the whole permitted drift. The partition begins at different times
+// between two renewals.
 func TestNoShardHasTwoHoldersWhenPartitionedClockDriftsToLimit(t *testing.T) {
 	for phase := range 40 {
 		sim := newSimulation(t, 3)
 		sim.runFor(5*model.Second + model.Microseconds(phase)*20*model.Millisecond)
-		sim.members[1].cut = true
+		sim.members[1].partitioned = true
 		sim.runFor(simulationSettings.Lease.Duration / 4)
 		sim.members[1].clockLoss += simulationSettings.Lease.MaxClockDrift
 		sim.runFor(3 * model.Second)
@@ -245,15 +245,15 @@
 func TestLaterIncarnationTakesOverWhenTwoProcessesShareName(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.runFor(5 * model.Second)
-	earlier := sim.members[1]
-	sim.members = append(sim.members, &simulatedMember{incarnations: earlier.incarnations})
-	later := sim.members[3]
+	earlierMember := sim.members[1]
+	sim.members = append(sim.members, &simulatedMember{incarnations: earlierMember.incarnations})
+	laterMember := sim.members[3]
 	sim.start(3)
 	record := MemberRecord{Zone: "partick", Channel: "127.0.0.1:7800"}
-	later.Member = NewMember("m1", 2, record, simulationSettings, constantLoad(10))
+	laterMember.Member = NewMember("m1", 2, record, simulationSettings, constantLoad(10))
 	sim.runFor(3 * simulationSettings.Lease.Duration)
 	sim.wantHeld(2, 0, 2, 2)
-	if !earlier.IsSuperseded() || later.IsSuperseded() {
+	if !earlierMember.IsSuperseded() || laterMember.IsSuperseded() {
 		t.Error("want the earlier incarnation to be superseded, and the later one not")
 	}
 }
@@ -263,8 +263,8 @@
 func TestMemberEncodesNoSnapshotWhenSchemaVersionIsNewer(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.runFor(5 * model.Second)
-	newer := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
-	sim.members[1].ApplyEntry(newer, sim.term, sim.now)
+	newerEntry := LogEntry{SchemaVersion: schemaVersion + 1, Command: unknownCommand{storedKind: 99}}
+	sim.members[1].ApplyEntry(newerEntry, sim.term, sim.now)
 	sim.wantHeld(2, 0, 2)
 	if _, err := sim.members[1].State().Encode(); err == nil {
 		t.Error("a snapshot was encoded after an entry of an unsupported version")
@@ -273,7 +273,8 @@
 	sim.wantHeld(3, 0, 3)
 }
 
-// A member whose settings differ from the cluster's is registered but granted no lease: its shards are different ones.
+// A member whose settings differ from the cluster's is registered but granted no lease: the same shard number means
+// another shard.
 func TestMemberHoldsNothingWhenSettingsDiffer(t *testing.T) {
 	sim := newSimulation(t, 3)
 	otherSettings := simulationSettings
@@ -294,8 +295,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := restored.Encode()
-	if string(again) != string(snapshot) || *restored.Shards[3] != *sim.members[0].state.Shards[3] {
+	reencoded, _ := restored.Encode()
+	if string(reencoded) != string(snapshot) || *restored.Shards[3] != *sim.members[0].state.Shards[3] {
 		t.Error("the state restored from a snapshot differs from the original")
 	}
 	for size := range len(snapshot) { // truncated at any byte, it is rejected without a panic
@@ -312,11 +313,11 @@
 	sim.elect(1)
 	sim.runFor(100 * model.Millisecond)
 	member := sim.members[0]
-	before := *member.state.Shards[0]
+	shardBefore := *member.state.Shards[0]
 	renewal := RenewLeases{Member: "m1", Incarnation: 1, Requests: []ShardRequest{{Shard: 0, Sequence: 9}}}
 	lateEntry := LogEntry{SchemaVersion: schemaVersion, At: sim.now + 3600*model.Second, Command: renewal}
 	member.ApplyEntry(lateEntry, sim.term-1, sim.now)
-	if *member.state.Shards[0] != before {
+	if *member.state.Shards[0] != shardBefore {
 		t.Error("an entry of a replaced leader changed a shard")
 	}
 }
@@ -337,9 +338,9 @@
 					sim.start(k)
 				}
 			case 2:
-				member.cut = !member.cut
+				member.partitioned = !member.partitioned
 			case 3:
-				if !member.cut && member.up {
+				if !member.partitioned && member.up {
 					sim.elect(k)
 				}
 			case 4:
@@ -353,7 +354,7 @@
 			}
 		}
 		for k, member := range sim.members {
-			if member.cut = false; !member.up {
+			if member.partitioned = false; !member.up {
 				sim.start(k)
 			}
 		}
--- a/internal/cluster/planning.go
+++ b/internal/cluster/planning.go
@@ -10,10 +10,10 @@
 // placementTimeout is how long a leader waits for its own SetPlacement to be applied before it plans again.
 const placementTimeout = model.Second
 
-// Timing of a leader, as fractions of the lease duration.
+// Timing of a leader: the lease duration is divided by each constant.
 const (
-	registrationTimesPerLease = 2 // time for the members of a new cluster to register
-	recentHeartbeatsPerLease  = 2 // a member with a younger heartbeat is alive, even if gossip reports a failure
+	registrationTimeDivisor = 2 // time for the members of a new cluster to register
+	recentHeartbeatDivisor  = 2 // a member with a younger heartbeat is alive, even if gossip reports a failure
 )
 
 // planning is a leader's state for planning the placement. It is reset in each term, as a new leader has not observed
@@ -62,7 +62,7 @@
 // be moved one by one.
 func (m *Member) waitsForFirstMembers(now model.Microseconds) bool {
 	neverHeld := func(shard *ShardState) bool { return shard.Lease.Epoch == 0 }
-	registrationTime := m.settings.Lease.Duration / registrationTimesPerLease
+	registrationTime := m.settings.Lease.Duration / registrationTimeDivisor
 	return now-m.planning.startedAt < registrationTime && slices.ContainsFunc(m.state.Shards, neverHeld)
 }
 
@@ -139,14 +139,14 @@
 // mostMisroutedMember returns the member, other than a shard's target, to which most of the shard's proxies connect
 // although it does not hold the shard; "" for none.
 func (m *Member) mostMisroutedMember(shard *ShardState) (name string) {
-	most := 0
+	maxProxies := 0
 	for _, member := range m.state.Members {
 		if member.Name == shard.Target {
 			continue
 		}
 		for _, misrouted := range member.MisroutedProxies {
-			if misrouted.Shard == shard.Number && misrouted.Proxies > most {
-				most = misrouted.Proxies
+			if misrouted.Shard == shard.Number && misrouted.Proxies > maxProxies {
+				maxProxies = misrouted.Proxies
 				name = member.Name
 			}
 		}
@@ -164,5 +164,5 @@
 	if member.Removed || member.Record.Digest != m.state.Digest || expired {
 		return false
 	}
-	return alive == nil || sinceRenewal < duration/recentHeartbeatsPerLease || alive(member.Name)
+	return alive == nil || sinceRenewal < duration/recentHeartbeatDivisor || alive(member.Name)
 }
--- a/internal/cluster/raftnode.go
+++ b/internal/cluster/raftnode.go
@@ -16,21 +16,22 @@
 const (
 	snapshotThreshold = 1024 // entries
 	snapshotInterval  = 30 * time.Second
-	trailingEntries   = 256 // that the log keeps from before a snapshot
+	trailingEntries   = 256 // entries from before a snapshot that the log keeps
 	retainedSnapshots = 2
 )
 
-// Timing of raft; PerLease is a fraction of the lease duration. A failed leader must be replaced while the leases of
-// the other members are valid. The timing allows two elections: a third of a second each at the default lease of 2 s.
+// Timing of raft. The lease duration is divided by Divisor and PerLease constants. A failed leader must be replaced
+// while the leases of the other members are valid. The timing allows two elections: a third of a second each at the
+// default lease of 2 s.
 const (
-	heartbeatsPerLease    = 6
-	leaderLeasesPerLease  = 8
-	transportsPerLease    = 4
-	storeRetriesPerLease  = 2
-	commitTimeout         = 10 * time.Millisecond
-	configurationTimeout  = 5 * time.Second
-	leadershipQueueLength = 16
-	raftConnectionPool    = 2
+	electionTimeoutDivisor  = 6
+	leaderLeaseDivisor      = 8
+	transportTimeoutDivisor = 4
+	storeRetriesPerLease    = 2
+	commitTimeout           = 10 * time.Millisecond
+	configurationTimeout    = 5 * time.Second
+	leadershipQueueLength   = 16
+	raftConnectionPool      = 2
 	// raftRequestsInFlight of one request disables raft's replication pipeline. In raft 1.7.3 the pipeline may block
 	// forever after a follower refuses an entry (its disk is full), and raft's shutdown then blocks too.
 	raftRequestsInFlight = 1
@@ -93,7 +94,7 @@
 		Stream:                streams,
 		MaxPool:               raftConnectionPool,
 		MaxRPCsInFlight:       raftRequestsInFlight,
-		Timeout:               node.leaseDuration() / transportsPerLease,
+		Timeout:               node.leaseDuration() / transportTimeoutDivisor,
 		Logger:                logger,
 		ServerAddressProvider: peerAddresses{config},
 	})
@@ -139,9 +140,9 @@
 	duration := n.leaseDuration()
 	settings := raft.DefaultConfig()
 	settings.LocalID = raft.ServerID(n.config.Name)
-	settings.HeartbeatTimeout = duration / heartbeatsPerLease
-	settings.ElectionTimeout = duration / heartbeatsPerLease
-	settings.LeaderLeaseTimeout = duration / leaderLeasesPerLease
+	settings.HeartbeatTimeout = duration / electionTimeoutDivisor
+	settings.ElectionTimeout = duration / electionTimeoutDivisor
+	settings.LeaderLeaseTimeout = duration / leaderLeaseDivisor
 	settings.CommitTimeout = commitTimeout
 	settings.SnapshotThreshold = snapshotThreshold
 	settings.SnapshotInterval = snapshotInterval
@@ -202,7 +203,7 @@
 	if err != nil {
 		panic(err) // plain values can always be encoded
 	}
-	return n.raft.Apply(data, n.leaseDuration()/transportsPerLease)
+	return n.raft.Apply(data, n.leaseDuration()/transportTimeoutDivisor)
 }
 
 // propose appends an entry to the log, if this member leads, and waits until it is applied. Otherwise it fails with
--- a/internal/cluster/renewal.go
+++ b/internal/cluster/renewal.go
@@ -5,24 +5,24 @@
 	"peppervale/internal/model"
 )
 
-// Timing of renewals, as fractions of the lease duration.
+// Timing of renewals: the lease duration is divided by each constant.
 const (
-	responseTimeoutsPerLease = 2 // a request without a response for this long is sent again
-	renewalsPerLease         = 3
-	refusedRetriesPerLease   = 10 // after a refusal: the shard may be free soon
-	failedRetriesPerLease    = 20 // after a renewal that could not be proposed
+	responseTimeoutDivisor = 2 // a request without a response for this long is sent again
+	renewalsPerLease       = 3
+	refusedRetryDivisor    = 10 // after a refusal: the shard may be free soon
+	failedRetryDivisor     = 20 // after a renewal that could not be proposed
 )
 
-// heartbeat schedules the registrations and renewals of a member. All times except followedAt are of the member's own
-// clock.
+// heartbeat schedules the registrations and renewals of a member. All times except appliedStamp are by the member's
+// own clock.
 type heartbeat struct {
-	nextAt      model.Microseconds // of the next RenewLeases
-	sentAt      model.Microseconds // of the newest RenewLeases
-	pending     bool               // the newest RenewLeases has no response yet
-	refused     bool               // a shard was refused since the newest RenewLeases was sent
-	registerAt  model.Microseconds // of the next RegisterMember
-	confirmedAt model.Microseconds // when the newest RenewLeases of this incarnation was applied; 0: never
-	followedAt  model.Microseconds // the leader's stamp of the newest applied entry of its term
+	nextAt       model.Microseconds // of the next RenewLeases
+	sentAt       model.Microseconds // of the newest RenewLeases
+	pending      bool               // the newest RenewLeases has no response yet
+	refused      bool               // a lease was refused since the newest RenewLeases was sent
+	registerAt   model.Microseconds // of the next RegisterMember
+	confirmedAt  model.Microseconds // when the newest RenewLeases of this incarnation was applied; 0: never
+	appliedStamp model.Microseconds // the leader's stamp of the newest applied entry of the current term
 }
 
 // restart makes the next RenewLeases due at once, even if one is pending.
@@ -49,12 +49,12 @@
 
 // isDue reports whether the next RenewLeases is to be sent.
 func (h *heartbeat) isDue(now, duration model.Microseconds) bool {
-	responseMayCome := h.pending && now-h.sentAt < duration/responseTimeoutsPerLease
-	if responseMayCome { // another request would invalidate this response
+	responseMayCome := h.pending && now-h.sentAt < duration/responseTimeoutDivisor
+	if responseMayCome { // after a new request, the member would ignore this response
 		return false
 	}
 	if h.refused && !h.pending {
-		h.nextAt = min(h.nextAt, h.sentAt+duration/refusedRetriesPerLease)
+		h.nextAt = min(h.nextAt, h.sentAt+duration/refusedRetryDivisor)
 	}
 	return now >= h.nextAt
 }
@@ -72,7 +72,7 @@
 func (m *Member) ProposalFailed(command Command, now model.Microseconds) {
 	if _, renews := command.(RenewLeases); renews && m.heartbeat.pending {
 		m.heartbeat.pending = false
-		m.heartbeat.nextAt = now + m.settings.Lease.Duration/failedRetriesPerLease
+		m.heartbeat.nextAt = now + m.settings.Lease.Duration/failedRetryDivisor
 	}
 }
 
@@ -88,7 +88,7 @@
 		Member:      m.Name,
 		Incarnation: m.Incarnation,
 		Record:      &record,
-		FollowedAt:  m.heartbeat.followedAt,
+		FollowedAt:  m.heartbeat.appliedStamp,
 	}, true
 }
 
@@ -99,7 +99,7 @@
 		return nil, false
 	}
 	m.heartbeat.recordSent(now, duration)
-	renewal := RenewLeases{Member: m.Name, Incarnation: m.Incarnation, FollowedAt: m.heartbeat.followedAt}
+	renewal := RenewLeases{Member: m.Name, Incarnation: m.Incarnation, FollowedAt: m.heartbeat.appliedStamp}
 	if m.misroutedProxies != nil {
 		renewal.MisroutedProxies = m.misroutedProxies()
 	}
--- a/internal/cluster/requests_test.go
+++ b/internal/cluster/requests_test.go
@@ -11,10 +11,10 @@
 func TestOperatorRequestsSucceedAtAnyMember(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
-	invalid := [][]string{
+	invalidRequests := [][]string{
 		{"MOVE", "6", "m1"}, {"MOVE", "0", "nobody"}, {"LEAVE", "m1", "perhaps"}, {"STRIKE"}, {"UNKNOWN"}, {"PROPOSE", "x"},
 	}
-	for _, words := range invalid {
+	for _, words := range invalidRequests {
 		var refusal *RemoteError
 		if err := cluster.request(1, words...); !errors.As(err, &refusal) {
 			t.Errorf("request %v: error %v, want a RemoteError", words, err)
@@ -27,14 +27,14 @@
 			return ok
 		})
 	}
-	drained := 0
+	drainedMember := 0
 	if leader, _ := cluster.members[0].node.leader(); leader == "m0" {
-		drained = 1
+		drainedMember = 1
 	}
-	name := fmt.Sprint("m", drained)
+	name := fmt.Sprint("m", drainedMember)
 	cluster.mustRequest(2, "LEAVE", name, "on")
-	cluster.await("the drained member holds no shard", func() bool { return cluster.held()[drained] == 0 })
-	cluster.stop(drained)
+	cluster.await("the drained member holds no shard", func() bool { return cluster.held()[drainedMember] == 0 })
+	cluster.stop(drainedMember)
 	cluster.mustRequest(2, "STRIKE", name)
 	cluster.await("the member is removed", func() bool {
 		for _, member := range cluster.members[2].Status().Members {
@@ -50,15 +50,15 @@
 func TestPortAnswersWhenOtherConnectionsAreMalformed(t *testing.T) {
 	cluster := newTestCluster(t, 1)
 	cluster.awaitHeld(6)
-	malformed := []string{
+	malformedInputs := []string{
 		"", "GET / HTTP/1.1\r\n\r\n", "Q\x00*1\r\n$6\r\nSTATUS\r\n*x\r\n", "Q\xff", "R\x00\x09\x09\x09\x09",
 	}
-	for _, bytes := range malformed {
+	for _, input := range malformedInputs {
 		conn, err := net.Dial("tcp", cluster.configs[0].ListenAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = conn.Write([]byte(bytes))
+		_, _ = conn.Write([]byte(input))
 		_ = conn.Close()
 	}
 	cluster.mustRequest(0, "STATUS")
--- a/internal/cluster/simulation_test.go
+++ b/internal/cluster/simulation_test.go
@@ -20,7 +20,7 @@
 const simulationTick = 20 * model.Millisecond
 
 // simulation is a cluster on a log in memory: an entry is committed at once and delivered to each member that is up and
-// not cut off.
+// not partitioned.
 type simulation struct {
 	t       testing.TB
 	now     model.Microseconds
@@ -38,7 +38,7 @@
 // simulatedMember is a member with its simulated process, network and clock.
 type simulatedMember struct {
 	*Member
-	up, cut           bool
+	up, partitioned   bool
 	receivesNoEntries bool // it receives no entries, but its proposals reach the leader
 	appliedEntries    int  // number of entries that it has applied
 	clockLoss         model.Microseconds
@@ -84,20 +84,20 @@
 func (s *simulation) elect(k int) {
 	s.term++
 	s.leader = k
-	elected := s.members[k]
-	s.commit(elected.Announcement(elected.localTime(s)), elected.localTime(s))
+	electedMember := s.members[k]
+	s.commit(electedMember.Announcement(electedMember.localTime(s)), electedMember.localTime(s))
 }
 
-// hasQuorum reports whether anything can be committed.
+// hasQuorum reports whether entries can be committed.
 func (s *simulation) hasQuorum() bool {
 	connected := 0
 	for _, m := range s.members {
-		if m.up && !m.cut {
+		if m.up && !m.partitioned {
 			connected++
 		}
 	}
 	leader := s.members[s.leader]
-	return 2*connected > len(s.members) && leader.up && !leader.cut
+	return 2*connected > len(s.members) && leader.up && !leader.partitioned
 }
 
 // runTick advances the time by a tick and runs each member that is up. It checks the lease holders after each member.
@@ -109,11 +109,11 @@
 			continue
 		}
 		s.deliver(m)
-		leads := k == s.leader && !m.cut
+		leads := k == s.leader && !m.partitioned
 		changes, proposals := m.Tick(m.localTime(s), leads, s.seemsAlive)
 		m.changes = append(m.changes, changes...)
 		for _, command := range proposals {
-			if !m.cut && s.hasQuorum() {
+			if !m.partitioned && s.hasQuorum() {
 				s.commit(command, s.members[s.leader].localTime(s))
 			}
 		}
@@ -122,11 +122,11 @@
 }
 
 func (s *simulation) electIfLeaderIsLost() {
-	if leader := s.members[s.leader]; leader.up && !leader.cut {
+	if leader := s.members[s.leader]; leader.up && !leader.partitioned {
 		return
 	}
 	for k, m := range s.members {
-		if m.up && !m.cut {
+		if m.up && !m.partitioned {
 			s.elect(k)
 			return
 		}
@@ -138,12 +138,12 @@
 	if _, err := fmt.Sscanf(name, "m%d", &k); err != nil {
 		s.t.Fatal(err)
 	}
-	return s.members[k].up && !s.members[k].cut
+	return s.members[k].up && !s.members[k].partitioned
 }
 
 // deliver makes a member apply the entries that it has not applied yet.
 func (s *simulation) deliver(m *simulatedMember) {
-	for ; !m.cut && !m.receivesNoEntries && s.hasQuorum() && m.appliedEntries < len(s.log); m.appliedEntries++ {
+	for ; !m.partitioned && !m.receivesNoEntries && s.hasQuorum() && m.appliedEntries < len(s.log); m.appliedEntries++ {
 		committed := s.log[m.appliedEntries]
 		m.ApplyEntry(committed.entry, committed.term, m.localTime(s))
 	}
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -14,7 +14,7 @@
 	Name             string             `cbor:"Name"`
 	Incarnation      uint64             `cbor:"Life"`
 	Record           MemberRecord       `cbor:"Record"`
-	RenewedAt        model.Microseconds `cbor:"Heard"`   // its newest heartbeat, by the leader's clock
+	RenewedAt        model.Microseconds `cbor:"Heard"`   // its newest RegisterMember or RenewLeases, by the leader's clock
 	Draining         bool               `cbor:"Leaving"` // an operator moves all its shards to other members
 	Stopping         bool               `cbor:"Ending"`  // its process is about to stop; its next incarnation resets this
 	MisroutedProxies []MisroutedProxies `cbor:"Strays"`
@@ -52,7 +52,7 @@
 // State is the replicated state of a cluster. It does no I/O: the same entries in the same order give the same state.
 type State struct {
 	SchemaVersion uint8              `cbor:"Form"`
-	Digest        uint64             `cbor:"Digest"` // of the first leader's settings; a member with others is excluded
+	Digest        uint64             `cbor:"Digest"` // of the first leader's settings; members with others hold no lease
 	LeaseDuration model.Microseconds `cbor:"Span"`
 	MaxClockDrift model.Microseconds `cbor:"Drift"`
 	Leader        string             `cbor:"Leader"`
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -92,7 +92,7 @@
 // Every value is encoded as the bytes of its golden file, and decoded from them completely.
 func TestEncodedBytesAreUnchangedWhenValuesAreStored(t *testing.T) {
 	for name, value := range goldens() {
-		written, err := cbor.Marshal(value)
+		encoded, err := cbor.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 			if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, []byte(hex.EncodeToString(written)+"\n"), 0o644); err != nil {
+			if err := os.WriteFile(path, []byte(hex.EncodeToString(encoded)+"\n"), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -109,18 +109,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before, err := hex.DecodeString(strings.TrimSpace(string(text)))
+		storedBytes, err := hex.DecodeString(strings.TrimSpace(string(text)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(written, before) {
-			t.Errorf("%s is encoded as\n%x, want\n%x", name, written, before)
+		if !bytes.Equal(encoded, storedBytes) {
+			t.Errorf("%s is encoded as\n%x, want\n%x", name, encoded, storedBytes)
 		}
-		read := reflect.New(reflect.TypeOf(value))
-		if err := cbor.Unmarshal(before, read.Interface()); err != nil {
+		decoded := reflect.New(reflect.TypeOf(value))
+		if err := cbor.Unmarshal(storedBytes, decoded.Interface()); err != nil {
 			t.Fatal(err)
 		}
-		if got := read.Elem().Interface(); !reflect.DeepEqual(got, value) {
+		if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, value) {
 			t.Errorf("%s is decoded as\n%s, want\n%s", name, describe(got), describe(value))
 		}
 	}
@@ -172,14 +172,14 @@
 	}
 }
 
-// A member with another digest holds no lease: the same settings must have the same digest in every version.
-func TestDigestIsPinned(t *testing.T) {
+// A member with another digest holds no lease, so the same settings must have the same digest in every version.
+func TestSettingsDigestIsSameInEveryVersion(t *testing.T) {
 	if got := testSettings.Digest(); got != 5410384689389861377 {
 		t.Errorf("settings digest is %d, want 5410384689389861377", got)
 	}
 }
 
-// Every value is read from the directories that an earlier program wrote.
+// Votes, log entries and snapshots are read from the directories that an earlier version wrote.
 func TestStoredDirectoriesAreRead(t *testing.T) {
 	if *update {
 		writeDirectories(t)
@@ -188,28 +188,29 @@
 		name := fmt.Sprint("m", k)
 		directory := filepath.Join(t.TempDir(), name)
 		unpackDirectory(t, name, directory)
-		read := readDirectory(t, directory)
-		state, err := DecodeState(read.snapshot)
+		content := readDirectory(t, directory)
+		state, err := DecodeState(content.snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := state.Encode()
+		reencoded, err := state.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !sameCBOR(t, again, read.snapshot) {
+		if !sameCBOR(t, reencoded, content.snapshot) {
 			t.Errorf("%s: the snapshot is encoded differently from the stored one", name)
 		}
-		meta := fmt.Sprintf("index %d term %d%s", read.meta.Index, read.meta.Term, describeServers(read.meta.Configuration))
+		meta := fmt.Sprintf("index %d term %d%s",
+			content.meta.Index, content.meta.Term, describeServers(content.meta.Configuration))
 		if *update {
-			logWant(t, name, read, meta, state)
+			logWant(t, name, content, meta, state)
 			continue
 		}
-		checkText(t, name+" votes", read.votes, wantVotes)
-		checkText(t, name+" log", describeLog(t, read.entries), wantLog)
+		checkText(t, name+" votes", content.votes, wantVotes)
+		checkText(t, name+" log", describeLog(t, content.entries), wantLog)
 		checkText(t, name+" snapshot metadata", meta, wantMeta)
 		checkText(t, name+" snapshot", describeState(state), wantSnapshot)
-		checkText(t, name+" state after snapshot and log", describeState(replay(t, read)), wantReplayed)
+		checkText(t, name+" state after snapshot and log", describeState(replay(t, content)), wantReplayed)
 	}
 }
 
@@ -292,9 +293,9 @@
 		checkText(t, fmt.Sprintf("%s takeover %d", name, i), describe(status.Takeovers[i]), describe(event))
 	}
 	for i, shard := range status.Shards {
-		if before := stored.Shards[i].Lease.Epoch; before != wantEpochs[i] || shard.Epoch <= before {
+		if storedEpoch := stored.Shards[i].Lease.Epoch; storedEpoch != wantEpochs[i] || shard.Epoch <= storedEpoch {
 			t.Errorf("%s: shard %d is in epoch %d, stored epoch is %d; want a newer one than %d",
-				name, i, shard.Epoch, before, wantEpochs[i])
+				name, i, shard.Epoch, storedEpoch, wantEpochs[i])
 		}
 	}
 	for i, member := range status.Members {
--- a/internal/cluster/storedstate_test.go
+++ b/internal/cluster/storedstate_test.go
@@ -234,17 +234,17 @@
 	snapshot []byte
 }
 
-func readDirectory(t *testing.T, directory string) (read storedDirectory) {
+func readDirectory(t *testing.T, directory string) (content storedDirectory) {
 	t.Helper()
 	store, err := openLogStore(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = store.Close() }()
-	read.votes = readVotes(t, store)
-	read.entries = readEntries(t, store)
-	read.meta, read.snapshot = readSnapshot(t, filepath.Join(directory, "snapshots"))
-	return read
+	content.votes = readVotes(t, store)
+	content.entries = readEntries(t, store)
+	content.meta, content.snapshot = readSnapshot(t, filepath.Join(directory, "snapshots"))
+	return content
 }
 
 func readVotes(t *testing.T, store *boltraft.BoltStore) string {
@@ -330,11 +330,11 @@
 			if err := cbor.Unmarshal(entry.Data, record); err != nil {
 				t.Fatal(err)
 			}
-			again, err := cbor.Marshal(record)
+			reencoded, err := cbor.Marshal(record)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !sameCBOR(t, again, entry.Data) {
+			if !sameCBOR(t, reencoded, entry.Data) {
 				t.Errorf("entry %d is encoded differently from the stored one", entry.Index)
 			}
 			checkTypedEntry(t, entry)
@@ -348,16 +348,16 @@
 // checkTypedEntry checks that a stored entry, decoded into its command type, is encoded again without change.
 func checkTypedEntry(t *testing.T, entry raft.Log) {
 	t.Helper()
-	typed, err := DecodeLogEntry(entry.Data)
+	typedEntry, err := DecodeLogEntry(entry.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := typed.Encode()
+	reencoded, err := typedEntry.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !sameCBOR(t, again, entry.Data) {
-		t.Errorf("entry %d is encoded differently from its command type %T", entry.Index, typed.Command)
+	if !sameCBOR(t, reencoded, entry.Data) {
+		t.Errorf("entry %d is encoded differently from its command type %T", entry.Index, typedEntry.Command)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -100,7 +100,7 @@
 
 // OldestDecision returns the number of the oldest decision log entry in memory. If there is no entry, it returns the
 // number of the next one.
-func (c *Controller) OldestDecision() uint64 { return c.decisions.oldest() }
+func (c *Controller) OldestDecision() uint64 { return c.decisions.oldestNumber() }
 
 // ProxyConnected reports a proxy's new stream. It replaces a connection of the proxy that still waits for the balancer.
 func (c *Controller) ProxyConnected(p model.ProxyID, stream uint64, join pubsubmsg.Join, zone int) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -158,7 +158,7 @@
 }
 
 // A detail is copied only while DetailedView is called.
-func TestDetailIsCopiedOnDemand(t *testing.T) {
+func TestDetailIsCopiedWhenDetailedViewIsCalled(t *testing.T) {
 	controller, env := startController(t, readyEndpoints(1, 2), testConfig())
 	controller.ProxyConnected(7, 70, pubsubmsg.Join{Name: "proxy-1", ExpectedRate: 5}, 0)
 	env.expectEvent(t, "admit 7 70")
--- a/internal/controller/decisionlog.go
+++ b/internal/controller/decisionlog.go
@@ -19,7 +19,7 @@
 	At             model.Microseconds `json:"At"`             // time of the step
 	Number         uint64             `json:"Number"`         // within its incarnation, from 1
 	Incarnation    uint64             `json:"Life,omitempty"` // earlier incarnation that took the step; 0: current
-	Inputs         []string           `json:"Came"`           // events as text; reports and acks only counted
+	Inputs         []string           `json:"Came"`           // events as text; reports and acknowledgements only counted
 	Reasons        []string           `json:"Said"`           // messages that the balancer logged
 	Updates        []string           `json:"Orders"`         // published updates as text
 	OmittedUpdates int                `json:"Cut"`            // published updates left out of Updates
@@ -33,8 +33,8 @@
 		slices.ContainsFunc(d.Updates, containsText)
 }
 
-// Limits of the decision log. At five flushes a second with a few steps each, maxDecisions covers about an hour of a
-// fleet without incidents. If a table of hundreds of entries changes, the first updates show what kind of change it is.
+// Limits of the decision log. At about five recorded steps a second, as in a fleet without incidents, maxDecisions
+// covers about an hour. If a table of hundreds of entries changes, the first updates show what kind of change it is.
 const (
 	maxDecisions = 16384
 	maxUpdates   = 64 // recorded in one entry
@@ -44,19 +44,19 @@
 // Texts of decision log entries. They must not change: entries of earlier versions are searched together with new ones,
 // and the console searches for some of the texts.
 const (
-	inputEndpoints    = "list %s of %d"
-	inputConnected    = "joined %s"
-	inputDisconnected = "left %s"
-	inputOmitted      = "and %d more"
-	inputReports      = "%d sums"
-	inputAcks         = "%d receipts"
+	inputEndpoints    = "list %s of %d" // kind and number of entries of an endpoint list
+	inputConnected    = "joined %s"     // name of a proxy
+	inputDisconnected = "left %s"       // name of a proxy
+	inputOmitted      = "and %d more"   // inputs beyond maxInputs
+	inputReports      = "%d sums"       // load reports
+	inputAcks         = "%d receipts"   // acknowledgements
 	inputTimer        = "timer"
 
 	updateWeight    = "table %d: %s weighs %.4g"
 	updateBinding   = "forwarder %d on table %d"
 	updateWithdrawn = "withdraw "
-	updateReadmit   = "let back "
-	updateQuota     = "level of operations %#b: share %.3g, way %d"
+	updateReadmit   = "let back "                                   // readmission
+	updateQuota     = "level of operations %#b: share %.3g, way %d" // mask, quota and retry policy
 )
 
 var endpointUpdateNames = map[model.EndpointUpdate]string{
@@ -68,24 +68,24 @@
 
 // decisionLog keeps the newest decisions in memory. The event loop's goroutine writes it; any goroutine may read it.
 type decisionLog struct {
-	disabled bool            // no entry is recorded
-	persist  func(*Decision) // called with each entry, must not block; nil: entries are not persisted
-	current  stepRecord
-
-	mu     sync.Mutex
-	ring   []*Decision // entries are immutable
-	start  int         // index of the oldest entry
-	number uint64      // of the newest entry
+	disabled    bool            // no entry is recorded
+	persist     func(*Decision) // called with each entry, must not block; nil: entries are not persisted
+	currentStep stepRecord
+
+	mu           sync.Mutex
+	ring         []*Decision // entries are immutable
+	oldestIndex  int         // index of the oldest entry
+	newestNumber uint64      // of the newest entry
 }
 
 // stepRecord collects the events of the current step.
 type stepRecord struct {
-	inputs           []string // the first maxInputs of them
-	inputCount       int
-	reasons          []string
-	reports          int
-	acknowledgements int
-	timer            bool
+	inputs               []string // the first maxInputs of them
+	inputCount           int
+	reasons              []string
+	reportCount          int
+	acknowledgementCount int
+	timerFired           bool
 }
 
 // describeInputs returns the inputs as text, including the counts of inputs that are not listed one by one.
@@ -94,13 +94,13 @@
 	if s.inputCount > maxInputs {
 		inputs = append(inputs, fmt.Sprintf(inputOmitted, s.inputCount-maxInputs))
 	}
-	if s.reports > 0 {
-		inputs = append(inputs, fmt.Sprintf(inputReports, s.reports))
+	if s.reportCount > 0 {
+		inputs = append(inputs, fmt.Sprintf(inputReports, s.reportCount))
 	}
-	if s.acknowledgements > 0 {
-		inputs = append(inputs, fmt.Sprintf(inputAcks, s.acknowledgements))
+	if s.acknowledgementCount > 0 {
+		inputs = append(inputs, fmt.Sprintf(inputAcks, s.acknowledgementCount))
 	}
-	if s.timer {
+	if s.timerFired {
 		inputs = append(inputs, inputTimer)
 	}
 	return inputs
@@ -111,9 +111,9 @@
 	if l.disabled {
 		return
 	}
-	l.current.inputCount++
-	if l.current.inputCount <= maxInputs {
-		l.current.inputs = append(l.current.inputs, fmt.Sprintf(format, args...))
+	l.currentStep.inputCount++
+	if l.currentStep.inputCount <= maxInputs {
+		l.currentStep.inputs = append(l.currentStep.inputs, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -122,18 +122,18 @@
 	if l.disabled {
 		return
 	}
-	l.current.reasons = append(l.current.reasons, text)
+	l.currentStep.reasons = append(l.currentStep.reasons, text)
 }
 
-func (l *decisionLog) addReports(count int) { l.current.reports += count }
-func (l *decisionLog) addAcknowledgement()  { l.current.acknowledgements++ }
-func (l *decisionLog) addTimer()            { l.current.timer = true }
+func (l *decisionLog) addReports(count int) { l.currentStep.reportCount += count }
+func (l *decisionLog) addAcknowledgement()  { l.currentStep.acknowledgementCount++ }
+func (l *decisionLog) addTimer()            { l.currentStep.timerFired = true }
 
 // closeStep ends the current step and appends its entry. A step without reasons and updates is not recorded if its only
 // inputs are load reports, acknowledgements and the timer.
 func (l *decisionLog) closeStep(now model.Microseconds, updates []snapshot.Update) {
-	step := l.current
-	l.current = stepRecord{}
+	step := l.currentStep
+	l.currentStep = stepRecord{}
 	isIdle := step.inputCount == 0 && len(step.reasons) == 0 && len(updates) == 0
 	if l.disabled || isIdle {
 		return
@@ -150,8 +150,8 @@
 func (l *decisionLog) append(entry *Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.number++
-	entry.Number = l.number
+	l.newestNumber++
+	entry.Number = l.newestNumber
 	if l.persist != nil {
 		l.persist(entry)
 	}
@@ -159,8 +159,8 @@
 		l.ring = append(l.ring, entry)
 		return
 	}
-	l.ring[l.start] = entry
-	l.start = (l.start + 1) % maxDecisions
+	l.ring[l.oldestIndex] = entry
+	l.oldestIndex = (l.oldestIndex + 1) % maxDecisions
 }
 
 func describeUpdate(update snapshot.Update) string {
@@ -200,12 +200,12 @@
 func (l *decisionLog) entries() []*Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Concat(l.ring[l.start:], l.ring[:l.start])
+	return slices.Concat(l.ring[l.oldestIndex:], l.ring[:l.oldestIndex])
 }
 
-// oldest returns the number of the oldest entry in memory, or the number of the next entry if there is none.
-func (l *decisionLog) oldest() uint64 {
+// oldestNumber returns the number of the oldest entry in memory, or the number of the next entry if there is none.
+func (l *decisionLog) oldestNumber() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.number - uint64(len(l.ring)) + 1
+	return l.newestNumber - uint64(len(l.ring)) + 1
 }
--- a/internal/controller/decisionlog_test.go
+++ b/internal/controller/decisionlog_test.go
@@ -49,7 +49,7 @@
 	log.closeStep(9, updates)
 	got := log.find(1, nil)[0]
 	if len(got.Updates) != maxUpdates || got.OmittedUpdates != 1000-maxUpdates || len(got.Inputs) != maxInputs+1 {
-		t.Fatalf("wrong limits: %d updates, %d omitted, %d inputs", len(got.Updates), got.OmittedUpdates, len(got.Inputs))
+		t.Fatalf("%d updates, %d omitted, %d inputs: not limited", len(got.Updates), got.OmittedUpdates, len(got.Inputs))
 	}
 }
 
@@ -61,7 +61,7 @@
 		log.addReason("gate open")
 		log.closeStep(model.Microseconds(n), []snapshot.Update{{Kind: snapshot.BindProxy}})
 	}
-	kept := len(log.ring) + len(log.current.inputs) + len(log.current.reasons)
+	kept := len(log.ring) + len(log.currentStep.inputs) + len(log.currentStep.reasons)
 	if kept > 0 || len(log.find(10, nil)) > 0 {
 		t.Fatalf("a disabled log has %d entries", len(log.ring))
 	}
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -10,8 +10,8 @@
 //   - the queue of events for the balancer is bounded by the size of the fleet, not by time: it holds the newest
 //     connection or disconnection and the newest acknowledgement of each proxy (which covers the earlier ones), the
 //     newest endpoint list, and one load report for each replica and zone. Load reports that arrive faster than the
-//     report limit are merged and the merges counted; connections, disconnections, acknowledgements and endpoint lists
-//     are never merged;
+//     report limit are merged and the merges counted; an older connection, disconnection, acknowledgement or endpoint
+//     list is replaced by the newer one;
 //   - after each step one View is stored, which is immutable.
 //
 // Times are in whole microseconds of this process's monotonic clock, which is set to the wall clock at the start.
--- a/internal/controller/eventloop.go
+++ b/internal/controller/eventloop.go
@@ -84,7 +84,7 @@
 		if event.connected {
 			c.deliverConnected(now, event)
 		}
-		if event.acknowledged != noAcknowledgement {
+		if event.acknowledgedSequence != noAcknowledgement {
 			c.deliverAcknowledged(now, event)
 		}
 	}
@@ -118,7 +118,7 @@
 		return
 	}
 	c.decisions.addAcknowledgement()
-	c.balancer.Acknowledged(now, event.proxy, uint32(event.acknowledged))
+	c.balancer.Acknowledged(now, event.proxy, uint32(event.acknowledgedSequence))
 }
 
 func (c *Controller) deliverReports(now model.Microseconds, reports []model.LoadReport) {
--- a/internal/controller/latestreports.go
+++ b/internal/controller/latestreports.go
@@ -45,12 +45,12 @@
 }
 
 // receivedSince returns the reports received at or after a time, in no particular order.
-func (l *latestReports) receivedSince(oldest model.Microseconds) []model.LoadReport {
+func (l *latestReports) receivedSince(since model.Microseconds) []model.LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var reports []model.LoadReport
 	for _, received := range l.byKey {
-		if received.receivedAt >= oldest {
+		if received.receivedAt >= since {
 			reports = append(reports, received.report)
 		}
 	}
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -17,7 +17,7 @@
 	signal chan struct{} // contains a value while a step is requested
 
 	mu           sync.Mutex
-	proxies      map[model.ProxyID]*proxySlot // proxies with an open stream or with waiting events
+	proxies      map[model.ProxyID]*proxySlot // of proxies with an open stream or with waiting events
 	waitingSlots []*proxySlot                 // slots with waiting events, in the order of their first event
 	endpoints    *endpointEvent               // the waiting event; nil: none
 	reports      pendingReports
@@ -31,15 +31,15 @@
 	join   pubsubmsg.Join
 	zone   int
 
-	disconnected bool // the stream that is registered with the balancer has ended
-	connected    bool // the newest stream is not yet registered with the balancer
-	acknowledged int  // the newest acknowledgement sequence, or noAcknowledgement
+	disconnected         bool // the stream that is registered with the balancer has ended
+	connected            bool // the newest stream is not yet registered with the balancer
+	acknowledgedSequence int  // the newest acknowledgement sequence, or noAcknowledgement
 }
 
 // proxySlot is the mailbox's state of one proxy.
 type proxySlot struct {
 	proxyEvents
-	isWaiting bool // it is in mailbox.waiting
+	isWaiting bool // it is in mailbox.waitingSlots
 }
 
 // clearEvents removes the events after they were drained.
@@ -47,7 +47,7 @@
 	s.isWaiting = false
 	s.disconnected = false
 	s.connected = false
-	s.acknowledged = noAcknowledgement
+	s.acknowledgedSequence = noAcknowledgement
 }
 
 // endpointEvent is an event of endpoint discovery.
@@ -83,7 +83,7 @@
 func (m *mailbox) waitingSlot(proxy model.ProxyID) *proxySlot {
 	slot := m.proxies[proxy]
 	if slot == nil {
-		slot = &proxySlot{proxyEvents: proxyEvents{proxy: proxy, acknowledged: noAcknowledgement}}
+		slot = &proxySlot{proxyEvents: proxyEvents{proxy: proxy, acknowledgedSequence: noAcknowledgement}}
 		m.proxies[proxy] = slot
 	}
 	if !slot.isWaiting {
@@ -107,7 +107,7 @@
 	slot.join = join
 	slot.zone = zone
 	slot.connected = true
-	slot.acknowledged = noAcknowledgement
+	slot.acknowledgedSequence = noAcknowledgement
 	m.wake()
 }
 
@@ -121,7 +121,7 @@
 	slot.stream = 0
 	slot.connected = false
 	slot.disconnected = true
-	slot.acknowledged = noAcknowledgement
+	slot.acknowledgedSequence = noAcknowledgement
 	m.wake()
 }
 
@@ -132,7 +132,7 @@
 	if !m.isNewestStream(proxy, stream) || m.proxies[proxy].connected {
 		return
 	}
-	m.waitingSlot(proxy).acknowledged = int(sequence)
+	m.waitingSlot(proxy).acknowledgedSequence = int(sequence)
 	m.wake()
 }
 
@@ -187,5 +187,5 @@
 func (m *mailbox) reportCounts() (pending int, merged uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.reports.order), m.reports.merged
+	return len(m.reports.order), m.reports.mergedCount
 }
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -20,13 +20,13 @@
 	box.proxyDisconnected(1, 10) // the end of the old stream arrives late
 	got := box.drain(10).proxies
 	if len(got) != 1 || !got[0].connected || got[0].stream != 11 || got[0].join.ExpectedRate != 2 ||
-		got[0].acknowledged != noAcknowledgement {
+		got[0].acknowledgedSequence != noAcknowledgement {
 		t.Fatalf("after two connections: got %+v, want the newest connection only", got)
 	}
 	box.acknowledged(1, 11, 4)
 	box.acknowledged(1, 11, 5)
 	box.acknowledged(1, 10, 9) // sent over the old stream
-	if got = box.drain(10).proxies; len(got) != 1 || got[0].acknowledged != 5 || got[0].connected {
+	if got = box.drain(10).proxies; len(got) != 1 || got[0].acknowledgedSequence != 5 || got[0].connected {
 		t.Fatalf("after acknowledgements: got %+v, want sequence 5 only", got)
 	}
 	box.proxyDisconnected(1, 11)
@@ -86,8 +86,8 @@
 	want := []model.LoadReport{
 		{Replica: id(1), Attempts: 4, MeanLatency: 175, Window: model.Second, Readings: []float64{3}},
 	}
-	if box.reports.merged != 1 || !reflect.DeepEqual(got, want) {
-		t.Fatalf("got %d merges and reports %+v", box.reports.merged, got)
+	if box.reports.mergedCount != 1 || !reflect.DeepEqual(got, want) {
+		t.Fatalf("got %d merges and reports %+v, want 1 merge and a mean latency of 175 us", box.reports.mergedCount, got)
 	}
 }
 
--- a/internal/controller/pendingreports.go
+++ b/internal/controller/pendingreports.go
@@ -10,9 +10,9 @@
 
 // pendingReports merges the load reports that wait for the balancer, one for each replica and zone.
 type pendingReports struct {
-	byKey  map[reportKey]*mergedReport
-	order  []reportKey // in the order of the first report of each
-	merged uint64      // reports merged into a report that a step had left waiting
+	byKey       map[reportKey]*mergedReport
+	order       []reportKey // keys of byKey, in the order of their first reports
+	mergedCount uint64      // reports merged into a report that a step had left waiting
 }
 
 // mergedReport is a load report with the total latency that its mean latency is computed from.
@@ -34,7 +34,7 @@
 		p.byKey[key] = merged
 		p.order = append(p.order, key)
 	} else if merged.leftWaiting {
-		p.merged++
+		p.mergedCount++
 	}
 	merged.add(report)
 }
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -24,11 +24,11 @@
 	} {
 		body, err := json.Marshal(&tt.decision)
 		if err != nil || string(body) != tt.stored {
-			t.Errorf("stored as %s, %v; want %s", body, err, tt.stored)
+			t.Errorf("stored as %s, error %v; want %s", body, err, tt.stored)
 		}
 		var decoded Decision
 		if err := json.Unmarshal([]byte(tt.stored), &decoded); err != nil || !reflect.DeepEqual(decoded, tt.decision) {
-			t.Errorf("read back as %+v, %v; want %+v", decoded, err, tt.decision)
+			t.Errorf("read back as %+v, error %v; want %+v", decoded, err, tt.decision)
 		}
 	}
 }
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,6 +1,6 @@
 // Package lease decides which member holds the lease of a shard of the fleet. It does no I/O and implements both sides
-// of the protocol: the replicated record of a shard (Shard), and the holder, which requests a lease and stops before it
-// expires (Lease). Proxies use a Fence.
+// of the lease protocol: the replicated record of a shard (Shard), and the holder, which requests a lease and stops
+// before it expires (Lease). Proxies use a Fence.
 //
 // Guarantees, as long as no holder's clock loses more than MaxClockDrift against the leader's clock within a lease: no
 // two holders hold the lease of a shard at once; an epoch has one holder, in one incarnation; epochs only grow; a proxy
@@ -16,8 +16,8 @@
 //	state                    input                         next             effect
 //	free                     request                       held, epoch + 1  granted
 //	held                     request of the holder         held, from now   granted, in the same epoch
-//	held                     request of another            held             refused
-//	held, the lease expired  request of another            held, epoch + 1  granted
+//	held                     request of another Holder     held             refused
+//	held, the lease expired  request of another Holder     held, epoch + 1  granted
 //	held                     release of the holder         free             the epoch stays
 //	any                      new leader, saw no renewal    same state       the lease counts from now
 //	any                      new leader, saw the renewal   same state       the lease counts from when it saw the renewal
--- a/internal/lease/fence.go
+++ b/internal/lease/fence.go
@@ -1,6 +1,6 @@
 package lease
 
-// Fence is the proxy's side of the protocol, for the proxy's own shard. The zero Fence has seen no epoch.
+// Fence is the proxy's side of the lease protocol, for the proxy's own shard. The zero Fence has seen no epoch.
 type Fence struct{ Epoch uint64 }
 
 // Accept reports whether a message of an epoch is accepted. A newer epoch becomes the fence: changed is then true, and
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -2,8 +2,8 @@
 
 import "peppervale/internal/model"
 
-// Lease is the holder's side of the protocol, for one shard. The zero Lease is not held. All times are by the holder's
-// own clock.
+// Lease is the holder's side of the lease protocol (see the package comment), for one shard. The zero Lease is not
+// held. All times are by the holder's own clock.
 type Lease struct {
 	Epoch       uint64 // epoch of the newest grant
 	held        bool
@@ -12,15 +12,16 @@
 	sequence    uint32             // sequence of the newest request or release
 }
 
-// Request records the time and returns the request. The time must be recorded before the request is sent.
+// Request returns the next request and records now as its time. It must be called before the request is sent, because a
+// granted lease runs from that time.
 func (l *Lease) Request(from Holder, now model.Microseconds) Request {
 	l.sequence++
 	l.requestedAt = now
 	return Request{From: from, Sequence: l.sequence}
 }
 
-// HandleResponse processes a response. A response to any other than the newest request is ignored, as the time of that
-// request is no longer known.
+// HandleResponse processes a response. Responses to older requests are ignored, as only the time of the newest request
+// is kept.
 func (l *Lease) HandleResponse(config Config, response Response) {
 	if response.Sequence != l.sequence {
 		return
@@ -34,10 +35,10 @@
 	l.expiresAt = l.requestedAt + config.Duration
 }
 
-// IsHeld reports whether the holder may act now.
+// IsHeld reports whether the lease is valid now.
 func (l *Lease) IsHeld(now model.Microseconds) bool { return l.held && now < l.expiresAt }
 
-// Remaining returns how long the holder may still act without another renewal; 0 if the lease is not held.
+// Remaining returns the time until the lease expires; 0 if it is not held.
 func (l *Lease) Remaining(now model.Microseconds) model.Microseconds {
 	if !l.IsHeld(now) {
 		return 0
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -9,7 +9,7 @@
 }
 
 // Holder identifies one incarnation of a member. An incarnation that starts after a crash cannot use the lease of the
-// previous incarnation, as it does not know which messages that one sent.
+// previous incarnation, as it does not know which messages the previous one sent.
 type Holder struct {
 	Member      uint16 `cbor:"Member"` // number of the member, from 1
 	Incarnation uint64 `cbor:"Life"`   // grows with each restart
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -47,7 +47,7 @@
 	lostTicks     [memberCount]uint8 // ticks that a member's clock has lost
 	requests      [maxInFlight]inFlight[Request]
 	responses     [maxInFlight]inFlight[Response]
-	releases      [memberCount][shardCount]Request // newest release of each
+	releases      [memberCount][shardCount]Request // newest release of each member and shard
 	crashes       uint8
 	leaderChanges uint8
 	observation   observedRenewal // by the member that leads next
@@ -114,18 +114,18 @@
 	if s.now >= bounds.ticks {
 		return
 	}
-	for lostBy := range 1 << memberCount {
+	for losingClocks := range 1 << memberCount {
 		next := s
 		next.now++
 		withinBounds := true
 		for member := range memberCount {
-			if lostBy>>member&1 == 1 {
+			if losingClocks>>member&1 == 1 {
 				next.lostTicks[member]++
 				withinBounds = withinBounds && next.lostTicks[member] <= bounds.lostTicks
 			}
 		}
 		if withinBounds {
-			visit(fmt.Sprintf("a tick, lost by the clocks %03b", lostBy), next)
+			visit(fmt.Sprintf("a tick, lost by the clocks %03b", losingClocks), next)
 		}
 	}
 }
--- a/internal/lease/shard.go
+++ b/internal/lease/shard.go
@@ -26,7 +26,7 @@
 	return Response{To: request.From, Sequence: request.Sequence, Granted: true, Epoch: s.Epoch}
 }
 
-// isHeld reports whether the holder may still act, given that its clock may have lost up to MaxClockDrift.
+// isHeld reports whether the lease may still be valid at the holder, whose clock may have lost up to MaxClockDrift.
 func (s *Shard) isHeld(config Config, now model.Microseconds) bool {
 	return s.Holder != (Holder{}) && now-s.RenewedAt < config.Duration+config.MaxClockDrift
 }
@@ -36,8 +36,8 @@
 func (s *Shard) LeaderChanged(now model.Microseconds) { s.RenewedAt = now }
 
 // LeaderChangedWithObservation begins the term of a leader that saw a renewal of the lease. If the lease was renewed
-// since, or the leader saw no renewal, it does the same as LeaderChanged. A renewal that arrived twice or late does not
-// change the sequence. It need not, because it does not extend the lease at the holder.
+// since, or the leader saw no renewal, it does the same as LeaderChanged. A renewal that arrived twice or late leaves
+// the sequence unchanged, but does not extend the lease at the holder either.
 func (s *Shard) LeaderChangedWithObservation(observation Observation, now model.Microseconds) {
 	isNewest := s.Epoch == observation.Epoch && s.Sequence == observation.Sequence
 	if !isNewest || observation.Age < 0 {
@@ -47,8 +47,8 @@
 	s.RenewedAt = now - observation.Age
 }
 
-// Release applies a holder's message that it has stopped, so that no member has to wait for the lease to expire. It has
-// no effect if the sender is not the holder, or if the holder has requested the lease again since.
+// Release applies a holder's release of the lease, so that no member has to wait for the lease to expire. It has no
+// effect if the sender is not the holder, or if the holder has requested the lease again since.
 func (s *Shard) Release(release Request) {
 	if s.Holder == release.From && s.Sequence < release.Sequence {
 		s.Holder = Holder{}
--- a/internal/model/stored_test.go
+++ b/internal/model/stored_test.go
@@ -13,11 +13,11 @@
 	const stored = `{"ID":{"Addr":[10,1,2,3],"Port":8081},"Zone":4,"Life":2,"Since":5000006}`
 	body, err := json.Marshal(endpoint)
 	if err != nil || string(body) != stored {
-		t.Errorf("stored as %s, %v; want %s", body, err, stored)
+		t.Errorf("stored as %s, error %v; want %s", body, err, stored)
 	}
 	var decoded Endpoint
 	if err := json.Unmarshal([]byte(stored), &decoded); err != nil || decoded != endpoint {
-		t.Errorf("read back as %+v, %v; want %+v", decoded, err, endpoint)
+		t.Errorf("read back as %+v, error %v; want %+v", decoded, err, endpoint)
 	}
 }
 
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -4,8 +4,9 @@
 // here: a late or wrong migration degrades the service, but does not break an invariant.
 //
 // Guarantees: no shard is placed on a member that is not alive, is draining or stopping, or lacks the capacity; the
-// loss of a member migrates only its own shards; a member that has returned gets no shard before it has been alive for
-// the stabilization period, and then one each move interval; the same input gives the same migrations.
+// loss of a member migrates only its own shards; a member that has returned gets no shard that need not migrate before
+// it has been alive for the stabilization period, and then one such shard each move interval; the same input gives the
+// same migrations.
 //
 // The load of a shard is the sum of the request rates that its proxies expect when they connect, not of the requests
 // that they forward. If no member has capacity left, a shard stays without a target, and its proxies keep using the
@@ -16,15 +17,16 @@
 //
 //	state of the shard                          migrates to                              when
 //	no target, or target is not a member        a member with capacity                   at once
-//	target not alive                            another with capacity                    at once: it serves nothing
+//	target not alive                            another member with capacity             at once: it serves no proxy
 //	its proxies reach another member only       that member                              at once; no return for a minute
-//	target stopping                             another with capacity                    at once: its process waits
-//	target draining                             another with capacity                    one each move interval
+//	target stopping                             another member with capacity             at once: process waits for it
+//	target draining                             another member with capacity             one each move interval
 //	pinned by an operator                       -                                        -
-//	target over its capacity                    another with capacity                    one each move interval
+//	target over its capacity                    another member with capacity             one each move interval
 //	target in another zone                      a stable member of its zone              one each move interval
-//	target has more load than another as near   a stable member, if it balances load     one each move interval
+//	target has more load than another member    a stable member as near, to balance load one each move interval
 //
-// A stable member has been alive for the stabilization period. The move interval applies to the member that gives
-// up the shard, and in the last two rules also to the member that gets it.
+// A member is as near as the target if it is in the shard's zone, or if the target is not. A stable member has been
+// alive for the stabilization period. The move interval applies to the member that gives up the shard, and in the last
+// two rules also to the member that gets it.
 package placement
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -14,7 +14,7 @@
 type Member struct {
 	Name       string
 	Zone       string
-	Alive      bool               // it renews its leases, or gossip says that it is alive
+	Alive      bool               // the leader regards it as alive, by heartbeats and gossip
 	AliveSince model.Microseconds // when Alive last became true
 	Draining   bool               // an operator requested that it give up all shards
 	Stopping   bool               // its process is about to end
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -87,18 +87,18 @@
 func TestReturnedMemberGetsOneShardEachMoveInterval(t *testing.T) {
 	cluster := newTestCluster(3, 4, 10)
 	cluster.planAfter(0)
-	lost := &cluster.members[0]
-	lost.Alive = false
+	lostMember := &cluster.members[0]
+	lostMember.Alive = false
 	if migrations := cluster.planAfter(model.Second); len(migrations) != 4 {
 		t.Fatalf("got %d migrations, want one of each of 4 shards", len(migrations))
 	}
 	if a, b := cluster.shardCount("member-zone1"), cluster.shardCount("member-zone2"); a != 6 || b != 6 {
 		t.Fatalf("the remaining members have %d and %d shards, want 6 each", a, b)
 	}
-	lost.Alive, lost.AliveSince = true, cluster.now
-	for cluster.now-lost.AliveSince < testConfig.StabilizationPeriod-model.Second {
+	lostMember.Alive, lostMember.AliveSince = true, cluster.now
+	for cluster.now-lostMember.AliveSince < testConfig.StabilizationPeriod-model.Second {
 		if migrations := cluster.planAfter(model.Second); len(migrations) != 0 {
-			t.Fatalf("%v us after the return: got migrations %v, want none", cluster.now-lost.AliveSince, migrations)
+			t.Fatalf("%v us after the return: got migrations %v, want none", cluster.now-lostMember.AliveSince, migrations)
 		}
 	}
 	lastMigrationAt := model.Microseconds(0)
@@ -203,9 +203,9 @@
 			cluster.drawEvent(t)
 			lost := cluster.lostShards()
 			span := model.Microseconds(rapid.IntRange(0, 3).Draw(t, "seconds")) * model.Second
-			forced := cluster.checkMigrations(t, cluster.planAfter(span))
-			if forced > lost {
-				t.Fatalf("got %d migrations of %d shards whose members are lost", forced, lost)
+			fromLostMembers := cluster.checkMigrations(t, cluster.planAfter(span))
+			if fromLostMembers > lost {
+				t.Fatalf("got %d migrations of %d shards whose members are lost", fromLostMembers, lost)
 			}
 		}
 		for k := 0; ; k++ {
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -20,7 +20,7 @@
 
 	staysOnTarget   bool // the shard does not migrate
 	rateLimited     bool // one migration each move interval
-	needsStable     bool // only to a member that is alive for the stabilization period
+	needsStable     bool // only to a member that has been alive for the stabilization period
 	sameZone        bool // only to the shard's own zone
 	toReachable     bool // only to the member that the shard's proxies connect to
 	mustBalanceLoad bool // only if it reduces the difference between the two members' loads
--- a/internal/snapshot/delivery.go
+++ b/internal/snapshot/delivery.go
@@ -51,7 +51,7 @@
 
 // message returns a snapshot for a newly bound subscriber and a delta for any other.
 func (s *State) message(subscriber *Subscriber, changed *changes) *pubsubmsg.Message {
-	if !changed.bound {
+	if !changed.newlyBound {
 		return s.delta(subscriber, changed)
 	}
 	message := s.Snapshot(subscriber)
@@ -67,11 +67,11 @@
 		Version:         s.Version,
 	}
 	subscriber.version = s.Version
-	if changed.quotas {
+	if changed.quotasChanged {
 		message.Quotas = slices.Clone(s.Quotas)
 	}
-	message.Entries = subscriber.Table.currentEntries(changed.entries)
-	for _, replica := range unique(changed.withdrawals) {
+	message.Entries = subscriber.Table.currentEntries(changed.changedReplicas)
+	for _, replica := range unique(changed.withdrawalChanges) {
 		withdrawn := s.isWithdrawn[replica]
 		message.Withdrawals = append(message.Withdrawals, pubsubmsg.Withdrawal{Replica: replica, Withdrawn: withdrawn})
 		subscriber.setWithdrawn(replica, withdrawn)
@@ -107,8 +107,8 @@
 
 // endedWithdrawals returns the readmissions that a snapshot must contain. On a snapshot, a bound proxy drops every
 // withdrawal that the snapshot does not contain. A proxy on its standing table keeps the withdrawals of other
-// controllers, so it is notified when one of this controller ends. The result is sorted by address, so that the same
-// updates give the same bytes.
+// controllers, so it is notified when a withdrawal by this controller ends. The result is sorted by address, so that
+// the same updates give the same bytes.
 func (s *State) endedWithdrawals(subscriber *Subscriber) []pubsubmsg.Withdrawal {
 	if subscriber.Table != nil {
 		return nil
@@ -143,7 +143,7 @@
 }
 
 // splitByOperations moves the entries out of a message and returns them by table, if the subscriber's tables are for
-// some operations each. It returns nil for a table for all operations.
+// separate operations. It returns nil if the subscriber's table is for all operations.
 func (s *Subscriber) splitByOperations(changed *changes, message *pubsubmsg.Message) []OperationTable {
 	if s.Operations == 0 {
 		return nil
@@ -168,11 +168,11 @@
 }
 
 func (s *Subscriber) zoneLocalChanges(changed *changes) OperationTable {
-	table := OperationTable{Operations: s.ZoneLocalOperations, Full: changed.bound}
+	table := OperationTable{Operations: s.ZoneLocalOperations, Full: changed.newlyBound}
 	if table.Full {
 		table.Entries = slices.Clone(s.ZoneLocalTable.Entries)
 	} else {
-		table.Entries = s.ZoneLocalTable.currentEntries(changed.zoneLocalEntries)
+		table.Entries = s.ZoneLocalTable.currentEntries(changed.zoneLocalChangedReplicas)
 	}
 	return table
 }
--- a/internal/snapshot/delivery_test.go
+++ b/internal/snapshot/delivery_test.go
@@ -22,6 +22,7 @@
 		{1, true, []pubsubmsg.Entry{{Replica: id(1), Weight: 1}, {Replica: id(2), Weight: 1}}},
 		{2, true, []pubsubmsg.Entry{{Replica: id(1), Weight: 0.5}}},
 	}
+	// Cost: the overhead, a binding, two entries, the acknowledgement request, one entry and a binding.
 	if len(got) != 1 || !reflect.DeepEqual(got[0].OperationTables, want) || got[0].Message.Entries != nil ||
 		got[0].Message.Cost != 6+1+2+1+1+1 || len(got[0].Readmitted) != 2 {
 		t.Fatalf("bound to both tables: got %+v", got)
--- a/internal/snapshot/state.go
+++ b/internal/snapshot/state.go
@@ -93,7 +93,8 @@
 	}
 }
 
-func (s *State) table(id model.TableID) *Table {
+// tableOrNew returns a table, which it creates if there is none with this number.
+func (s *State) tableOrNew(id model.TableID) *Table {
 	table := s.Tables[id]
 	if table == nil {
 		table = newTable(id)
@@ -103,21 +104,21 @@
 }
 
 func (s *State) setWeight(update *Update) {
-	table := s.table(update.Table)
+	table := s.tableOrNew(update.Table)
 	replica := update.Replica
-	isNew := !table.has(replica)
+	isNew := !table.hasEntry(replica)
 	table.setWeight(replica, update.Weight)
 	for _, subscriber := range table.subscribers {
 		pending := subscriber.pendingChanges()
 		if subscriber.ZoneLocalTable == table {
-			pending.zoneLocalEntries = append(pending.zoneLocalEntries, replica)
+			pending.zoneLocalChangedReplicas = append(pending.zoneLocalChangedReplicas, replica)
 		} else {
-			pending.entries = append(pending.entries, replica)
+			pending.changedReplicas = append(pending.changedReplicas, replica)
 		}
-		// A subscriber without entry for the replica was not sent its withdrawal or readmission, so it is sent with the
-		// entry.
+		// A withdrawal or readmission is sent only to subscribers that may use the replica; to a subscriber that gets a new
+		// entry for the replica, it is sent together with the entry.
 		if isNew && s.isWithdrawn[replica] != subscriber.IsWithdrawn(replica) {
-			pending.withdrawals = append(pending.withdrawals, replica)
+			pending.withdrawalChanges = append(pending.withdrawalChanges, replica)
 		}
 	}
 }
@@ -127,9 +128,9 @@
 	if subscriber == nil {
 		return
 	}
-	subscriber.bind(s.table(update.Table), update.Operations)
+	subscriber.bind(s.tableOrNew(update.Table), update.Operations)
 	pending := subscriber.pendingChanges()
-	pending.bound = true
+	pending.newlyBound = true
 	pending.readmitted = append(pending.readmitted, update.Readmitted...)
 }
 
@@ -141,7 +142,7 @@
 	for _, subscriber := range s.Subscribers {
 		if subscriber.mayUse(replica) {
 			pending := subscriber.pendingChanges()
-			pending.withdrawals = append(pending.withdrawals, replica)
+			pending.withdrawalChanges = append(pending.withdrawalChanges, replica)
 		}
 	}
 }
@@ -164,6 +165,6 @@
 		s.Quotas = append(s.Quotas, quota)
 	}
 	for _, subscriber := range s.Subscribers {
-		subscriber.pendingChanges().quotas = true
+		subscriber.pendingChanges().quotasChanged = true
 	}
 }
--- a/internal/snapshot/state_test.go
+++ b/internal/snapshot/state_test.go
@@ -45,6 +45,6 @@
 	apply(state, withdrawalUpdate(9, true))
 	got = state.Apply(&Batch{AckSequence: 5, AckFromAll: true, Updates: []Update{withdrawalUpdate(9, false)}})
 	if len(got) != 2 || len(state.Snapshot(bound).Withdrawals) != 0 || got[1].Message.AckSequence != 5 {
-		t.Fatalf("a readmission with acknowledgements from all: got %+v", got)
+		t.Fatalf("a readmission with acknowledgements from all: got %+v, want sequence 5 at both", got)
 	}
 }
--- a/internal/snapshot/subscriber.go
+++ b/internal/snapshot/subscriber.go
@@ -21,12 +21,12 @@
 // changes lists what a subscriber's next message must contain. Replicas are in the order of their changes and may occur
 // several times.
 type changes struct {
-	bound            bool              // it was newly bound: the message is a snapshot
-	readmitted       []model.ReplicaID // replicas of its tables that other controllers may have withdrawn
-	entries          []model.ReplicaID // changed in its table
-	zoneLocalEntries []model.ReplicaID // changed in its zone-local table
-	withdrawals      []model.ReplicaID // withdrawn or readmitted
-	quotas           bool
+	newlyBound               bool              // it was newly bound: the message is a snapshot
+	readmitted               []model.ReplicaID // replicas of its tables that other controllers may have withdrawn
+	changedReplicas          []model.ReplicaID // changed in its table
+	zoneLocalChangedReplicas []model.ReplicaID // changed in its zone-local table
+	withdrawalChanges        []model.ReplicaID // withdrawn or readmitted
+	quotasChanged            bool              // an admission quota or retry policy was set
 }
 
 // IsWithdrawn reports whether the subscriber was sent a replica as withdrawn and not as readmitted since.
@@ -61,10 +61,10 @@
 	if s.Table == nil {
 		return true
 	}
-	if s.ZoneLocalTable != nil && s.ZoneLocalTable.has(replica) {
+	if s.ZoneLocalTable != nil && s.ZoneLocalTable.hasEntry(replica) {
 		return true
 	}
-	return s.Table.has(replica)
+	return s.Table.hasEntry(replica)
 }
 
 // bind binds the subscriber to a table for some operations (0: all). A table for operations that the current table is
--- a/internal/snapshot/table.go
+++ b/internal/snapshot/table.go
@@ -27,14 +27,14 @@
 	case isListed && weight > 0:
 		t.Entries[position].Weight = weight
 	case isListed:
-		t.remove(position)
+		t.removeAt(position)
 	case weight > 0:
 		t.index[replica] = len(t.Entries)
 		t.Entries = append(t.Entries, pubsubmsg.Entry{Replica: replica, Weight: weight})
 	}
 }
 
-func (t *Table) remove(position int) {
+func (t *Table) removeAt(position int) {
 	delete(t.index, t.Entries[position].Replica)
 	t.Entries = slices.Delete(t.Entries, position, position+1)
 	for moved := position; moved < len(t.Entries); moved++ {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (t *Table) has(replica model.ReplicaID) bool {
+func (t *Table) hasEntry(replica model.ReplicaID) bool {
 	_, found := t.index[replica]
 	return found
 }
