--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -37,10 +37,10 @@
 	tokens     float64
 	refilledAt model.Microseconds
 
-	inStorm          bool
-	stormStartedAt   model.Microseconds
-	reservations     map[string]model.Microseconds // when a proxy may connect, by its name
-	lastReservedTime model.Microseconds            // latest time that was reserved
+	inStorm            bool
+	stormStartedAt     model.Microseconds
+	reservations       map[string]model.Microseconds // when a proxy may connect, by its name
+	latestReservedTime model.Microseconds            // latest time that was reserved
 }
 
 // Stats counts decisions.
@@ -132,12 +132,12 @@
 		c.Stats.Storms++
 	}
 	interval := model.Microseconds(float64(model.Second) / c.limits.Rate)
-	c.lastReservedTime = max(c.lastReservedTime, now) + interval
+	c.latestReservedTime = max(c.latestReservedTime, now) + interval
 	if len(c.reservations) < maxReservations {
-		c.reservations[name] = c.lastReservedTime
+		c.reservations[name] = c.latestReservedTime
 	}
 	spread := model.Microseconds(c.limits.Jitter * float64(interval))
-	return Defer, c.lastReservedTime - now + c.jitter.draw(spread)
+	return Defer, c.latestReservedTime - now + c.jitter.draw(spread)
 }
 
 // refill adds the tokens for the time since the last call. In a storm these tokens are used for the reservations; the
@@ -149,13 +149,13 @@
 		c.tokens = min(c.tokens+c.tokensFor(elapsed), c.burst())
 		return
 	}
-	if now < c.lastReservedTime {
+	if now < c.latestReservedTime {
 		return
 	}
 	c.dropExpiredReservations(now)
 	if len(c.reservations) == 0 {
 		c.inStorm = false
-		c.tokens = c.tokensFor(now - c.lastReservedTime)
+		c.tokens = c.tokensFor(now - c.latestReservedTime)
 	}
 }
 
@@ -163,7 +163,7 @@
 // duration of the storm: their proxies have probably connected to another controller. It also removes reservations from
 // before the storm.
 func (c *Controller) dropExpiredReservations(now model.Microseconds) {
-	expireAt := 2*c.lastReservedTime - c.stormStartedAt
+	expireAt := 2*c.latestReservedTime - c.stormStartedAt
 	for name, reservedTime := range c.reservations {
 		if now > expireAt || reservedTime <= c.stormStartedAt {
 			delete(c.reservations, name)
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -101,7 +101,7 @@
 		heap.Push(&queue, arrival{next.at + retryAfter, next.proxy})
 	}
 	if admitted != proxies || lastAdmitted > model.Microseconds(float64(proxies)/rate*1.1)*model.Second {
-		t.Fatalf("%d proxies were admitted, the last after %d us", admitted, lastAdmitted)
+		t.Fatalf("%d proxies were admitted, the last after %d us; want 2000 within 11 s", admitted, lastAdmitted)
 	}
 	for second, count := range connectionsInSecond {
 		if second > 0 && count > rate+burst {
@@ -134,7 +134,7 @@
 				t.Fatalf("proxy %d retried in time and was deferred again", proxy)
 			}
 			if retryAfter <= 0 {
-				t.Fatalf("deferred by %d us, want more than 0", retryAfter)
+				t.Fatalf("a proxy was deferred by %d us, want more than 0", retryAfter)
 			}
 			retryAt[proxy] = now + retryAfter
 		}
@@ -143,7 +143,7 @@
 				// Unused reservations stay valid for the duration of the storm after it, so each proxy may add one admission.
 				seconds := float64(until-from) / float64(model.Second)
 				if limit := float64(burst) + seconds*float64(rate) + proxies; float64(k+1) > limit {
-					t.Fatalf("%d connections were admitted within %d us", k+1, until-from)
+					t.Fatalf("%d connections admitted within %d us exceed rate, burst and reservations", k+1, until-from)
 				}
 			}
 		}
--- a/internal/admission/tokenbucket_test.go
+++ b/internal/admission/tokenbucket_test.go
@@ -9,7 +9,7 @@
 )
 
 // A peer does not exceed its rate and burst, and a command that is retried after the Retry-After is accepted.
-func TestTokenBucketLimitsRate(t *testing.T) {
+func TestTokenBucketAcceptsAtMostRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := Rate{
 			PerSecond: float64(rapid.IntRange(1, 1000).Draw(t, "rate")),
--- a/internal/cluster/apply.go
+++ b/internal/cluster/apply.go
@@ -109,7 +109,7 @@
 	return response
 }
 
-// recordTakeover records a grant in a new epoch, and drops the oldest takeover beyond maxEvents.
+// recordTakeover records a grant in a new epoch, and drops the oldest takeover beyond maxTakeovers.
 func (s *State) recordTakeover(shard *ShardState, previous lease.Holder, holder string, stamp model.Microseconds) {
 	event := Takeover{
 		At:      stamp,
@@ -126,7 +126,7 @@
 	}
 	shard.LastHolder = holder
 	delete(s.WaitReasons, shard.Number)
-	if len(s.Events) >= maxEvents {
+	if len(s.Events) >= maxTakeovers {
 		s.Events = append(s.Events[:0], s.Events[1:]...)
 	}
 	s.Events = append(s.Events, event)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -15,9 +15,9 @@
 // Timing of a member: the lease duration is divided by ticksPerLease and by each divisor.
 const (
 	ticksPerLease             = 100
-	ticksPerLoadReading       = 10
-	requestTimeoutDivisor     = 4 // timeout of a request to another member
-	gossipLeaveTimeoutDivisor = 8 // timeout for leaving the gossip
+	ticksPerLoadReading       = 10 // ticks between two readings of the shards' loads
+	requestTimeoutDivisor     = 4  // timeout of a request to another member
+	gossipLeaveTimeoutDivisor = 8  // timeout for leaving the gossip
 )
 
 // leadershipTransferInterval is the time between two attempts to transfer leadership from a leader whose settings
--- a/internal/cluster/logstore_test.go
+++ b/internal/cluster/logstore_test.go
@@ -40,7 +40,7 @@
 		if !errors.As(err, &damaged) || !strings.Contains(err.Error(), "group strike") {
 			t.Errorf("truncated at %d bytes: error %v, want a DamagedLogError with the remedy", size, err)
 		}
-		if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, content[:size]) {
+		if contentAfter, err := os.ReadFile(path); err != nil || !bytes.Equal(contentAfter, content[:size]) {
 			t.Errorf("truncated at %d bytes: the file was changed; read error %v", size, err)
 		}
 	}
@@ -51,17 +51,17 @@
 func TestOtherMembersTakeOverWhenDiskIsFull(t *testing.T) {
 	cluster := newTestCluster(t, 3)
 	cluster.awaitHeld(2, 2, 2)
-	leader, _ := cluster.members[0].node.leader()
-	follower := 0
-	if leader == "m0" {
-		follower = 1
+	leaderName, _ := cluster.members[0].node.leader()
+	followerIndex := 0
+	if leaderName == "m0" {
+		followerIndex = 1
 	}
-	cluster.checkTakeoverWhileDiskIsFull(follower)
-	k, known := cluster.leaderOf(0)
+	cluster.checkTakeoverWhileDiskIsFull(followerIndex)
+	leaderIndex, known := cluster.leaderOf(0)
 	if !known {
 		t.Fatal("m0 knows no leader")
 	}
-	cluster.checkTakeoverWhileDiskIsFull(k)
+	cluster.checkTakeoverWhileDiskIsFull(leaderIndex)
 }
 
 // checkTakeoverWhileDiskIsFull fills a member's disk until the other members hold its shards, then frees it and waits
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -99,18 +99,18 @@
 }
 
 func (m *Member) handleAppliedRenewal(command RenewLeases, responses []ShardResponse, now model.Microseconds) {
-	own := command.Member == m.Name && command.Incarnation == m.Incarnation
+	isOwn := command.Member == m.Name && command.Incarnation == m.Incarnation
 	for _, response := range responses {
 		if response.Granted && response.Shard < len(m.shardRenewedAt) {
 			m.shardRenewedAt[response.Shard] = now
 		}
-		if own && response.Shard < len(m.leases) {
+		if isOwn && response.Shard < len(m.leases) {
 			m.leases[response.Shard].HandleResponse(m.settings.Lease, response.Response)
 			m.heartbeat.recordResponse(response.Granted)
 		}
 	}
 	m.memberSeenAt[command.Member] = now
-	if own {
+	if isOwn {
 		m.heartbeat.recordApplied(len(command.Requests), now)
 	}
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -46,8 +46,8 @@
 	Reason  string             `cbor:"Why" json:"Why"`
 }
 
-// maxEvents bounds the takeovers in the state; they take some ten kilobytes of a snapshot.
-const maxEvents = 200
+// maxTakeovers bounds the takeovers in the state; they take some ten kilobytes of a snapshot.
+const maxTakeovers = 200
 
 // State is the replicated state of a cluster. It does no I/O: the same entries in the same order give the same state.
 type State struct {
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -214,7 +214,8 @@
 	}
 }
 
-// A member that starts without the others has exactly the state of its snapshot, as no entry can be committed.
+// A member that starts while all other members are stopped has exactly the state of its snapshot, as no entry can be
+// committed.
 func TestMemberStartsFromStoredDirectory(t *testing.T) {
 	for k := range fixtureMembers {
 		cluster := prepareTestCluster(t, fixtureMembers)
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -33,9 +33,9 @@
 // decreases or an epoch has two holders. A member that lost a lease may gain it again in the same epoch and the same
 // incarnation: its renewal was committed late, and no other member was granted the lease meanwhile.
 type leaseRecorder struct {
-	t      *testing.T
-	mu     sync.Mutex
-	newest map[int]recordedLease // by shard
+	t            *testing.T
+	mu           sync.Mutex
+	newestLeases map[int]recordedLease // by shard
 }
 
 type recordedLease struct {
@@ -51,32 +51,32 @@
 	incarnation uint64
 }
 
-func (e memberListener) LeaseGained(shard int, epoch uint64) {
-	recorder := e.recorder
+func (l memberListener) LeaseGained(shard int, epoch uint64) {
+	recorder := l.recorder
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	newest := recorder.newest[shard]
+	newest := recorder.newestLeases[shard]
 	switch {
 	case epoch > newest.epoch:
 	case epoch < newest.epoch:
-		recorder.t.Errorf("%s gains shard %d in epoch %d, want an epoch of at least %d", e.name, shard, epoch, newest.epoch)
+		recorder.t.Errorf("%s gains shard %d in epoch %d, want an epoch of at least %d", l.name, shard, epoch, newest.epoch)
 		return
-	case newest.holder != e:
+	case newest.holder != l:
 		recorder.t.Errorf("%s, incarnation %d, gains shard %d in epoch %d, which %s, incarnation %d, held",
-			e.name, e.incarnation, shard, epoch, newest.holder.name, newest.holder.incarnation)
+			l.name, l.incarnation, shard, epoch, newest.holder.name, newest.holder.incarnation)
 	case newest.held:
-		recorder.t.Errorf("%s gains shard %d in epoch %d twice without a loss", e.name, shard, epoch)
+		recorder.t.Errorf("%s gains shard %d in epoch %d twice without a loss", l.name, shard, epoch)
 	}
-	recorder.newest[shard] = recordedLease{holder: e, epoch: epoch, held: true}
+	recorder.newestLeases[shard] = recordedLease{holder: l, epoch: epoch, held: true}
 }
 
-func (e memberListener) LeaseLost(shard int) {
-	recorder := e.recorder
+func (l memberListener) LeaseLost(shard int) {
+	recorder := l.recorder
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	if newest := recorder.newest[shard]; newest.holder == e {
+	if newest := recorder.newestLeases[shard]; newest.holder == l {
 		newest.held = false
-		recorder.newest[shard] = newest
+		recorder.newestLeases[shard] = newest
 	}
 }
 
@@ -128,13 +128,13 @@
 // prepareTestCluster returns a cluster with no member started.
 func prepareTestCluster(t *testing.T, size int) *testCluster {
 	t.Helper()
-	start := time.Now()
+	startedAt := time.Now()
 	cluster := &testCluster{
 		t:      t,
 		links:  &testLinks{cut: map[[2]string]bool{}},
-		leases: &leaseRecorder{t: t, newest: map[int]recordedLease{}},
+		leases: &leaseRecorder{t: t, newestLeases: map[int]recordedLease{}},
 		now: func() model.Microseconds {
-			return model.Second + model.Microseconds(time.Since(start)/time.Microsecond)
+			return model.Second + model.Microseconds(time.Since(startedAt)/time.Microsecond)
 		},
 		members:  make([]*Cluster, size),
 		diskFull: make([]atomic.Bool, size),
@@ -246,8 +246,8 @@
 // await waits until a condition is true, and fails the test after a timeout.
 func (c *testCluster) await(description string, condition func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			for _, member := range c.members {
 				if member != nil {
 					c.t.Logf("%+v", member.Status())
--- a/internal/controller/decisionlog_test.go
+++ b/internal/controller/decisionlog_test.go
@@ -9,7 +9,7 @@
 
 // The decision log keeps the newest steps that had an input, a reason or an update, and finds them by a text that they
 // mention.
-func TestDecisionLogKeepsNewestEntries(t *testing.T) {
+func TestDecisionLogKeepsNewestEntriesWhenFull(t *testing.T) {
 	log := &decisionLog{}
 	log.addTimer()
 	log.closeStep(1, nil)
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -17,7 +17,7 @@
 	signal chan struct{} // contains a value while a step is requested
 
 	mu           sync.Mutex
-	proxies      map[model.ProxyID]*proxySlot // of proxies with an open stream or with waiting events
+	proxies      map[model.ProxyID]*proxySlot // for each proxy with an open stream or waiting events
 	waitingSlots []*proxySlot                 // slots with waiting events, in the order of their first event
 	endpoints    *endpointEvent               // the waiting event; nil: none
 	reports      pendingReports
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -71,7 +71,7 @@
 
 // Load reports that wait longer than a step are merged, and the merges are counted. The mean latency is weighted by
 // successful attempts.
-func TestMergedReportsAreCounted(t *testing.T) {
+func TestReportsAreMergedAndCountedWhenStepLeavesThemWaiting(t *testing.T) {
 	box := newMailbox()
 	report := func(attempts int, latency model.Microseconds) {
 		box.loadReported(0, []model.LoadReport{{
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -263,11 +263,11 @@
 // exploration visits states breadth-first. It keeps only a hash of each visited state. A hash collision would hide a
 // state; one occurs in about one of ten thousand runs.
 type exploration struct {
-	config Config
-	bounds limits
-	seed   maphash.Seed
-	seen   map[uint64]struct{} // hashes of the visited states
-	visits []visitRecord       // indexed by the number of the state
+	config     Config
+	bounds     limits
+	seed       maphash.Seed
+	seenHashes map[uint64]struct{} // hashes of the visited states
+	visits     []visitRecord       // indexed by the number of the state
 }
 
 // numberedState is a state with its number.
@@ -280,9 +280,9 @@
 // complete reports that all states were visited without a violation.
 func explore(config Config, bounds limits, maxStates int) (trace []string, visited int, complete bool) {
 	search := &exploration{config: config, bounds: bounds, seed: maphash.MakeSeed(), visits: []visitRecord{{previous: -1}}}
-	var first modelState
-	search.seen = map[uint64]struct{}{maphash.Comparable(search.seed, first): {}}
-	frontier := []numberedState{{first, 0}}
+	var initialState modelState
+	search.seenHashes = map[uint64]struct{}{maphash.Comparable(search.seed, initialState): {}}
+	frontier := []numberedState{{initialState, 0}}
 	for len(frontier) > 0 {
 		var next []numberedState
 		for _, current := range frontier {
@@ -305,7 +305,7 @@
 	current.steps(e.config, e.bounds, func(event string, next modelState) {
 		step++
 		key := maphash.Comparable(e.seed, next)
-		if _, known := e.seen[key]; known {
+		if _, known := e.seenHashes[key]; known {
 			return
 		}
 		for shard := range shardCount {
@@ -313,7 +313,7 @@
 				panic("an epoch decreased: " + event)
 			}
 		}
-		e.seen[key] = struct{}{}
+		e.seenHashes[key] = struct{}{}
 		frontier = append(frontier, numberedState{next, int32(len(e.visits))})
 		e.visits = append(e.visits, visitRecord{current.number, step})
 	})
@@ -343,9 +343,9 @@
 
 // firstShardRequests returns the limits for requests of the first shard only, one for each member. One shard suffices
 // for most explorations, as shards only share the members' clocks and incarnations.
-func firstShardRequests(requests ...uint32) (all [shardCount][memberCount]uint32) {
-	copy(all[0][:], requests)
-	return all
+func firstShardRequests(requests ...uint32) (byShard [shardCount][memberCount]uint32) {
+	copy(byShard[0][:], requests)
+	return byShard
 }
 
 // maxStates bounds a test's time and memory to some seconds and some hundred megabytes.
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func TestShardsArePlacedInTheirZone(t *testing.T) {
+func TestShardsArePlacedInTheirZoneWhenClusterStarts(t *testing.T) {
 	cluster := newTestCluster(3, 4, 10)
 	if migrations := cluster.planAfter(0); len(migrations) != 12 {
 		t.Fatalf("got %d migrations at the start, want 12", len(migrations))
@@ -118,7 +118,7 @@
 }
 
 // A shard stays unplaced while no member has capacity for it, and is placed once a member has.
-func TestCapacityIsNotExceeded(t *testing.T) {
+func TestShardStaysUnplacedWhenNoMemberHasCapacity(t *testing.T) {
 	cluster := newTestCluster(2, 2, 10)
 	cluster.members[0].Capacity, cluster.members[1].Capacity = 20, 30
 	cluster.planAfter(0)
@@ -154,7 +154,7 @@
 
 // If a shard's proxies reach another member and not their target, the shard migrates there and does not return before
 // returnDelay has passed.
-func TestShardMigratesToReachableMember(t *testing.T) {
+func TestShardMigratesToReachableMemberWhenTargetIsUnreachable(t *testing.T) {
 	cluster := newTestCluster(2, 2, 10)
 	cluster.planAfter(0)
 	cluster.shards[0].ReachableMember = "member-zone1"
