--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -28,7 +28,7 @@
 	controller.Decide(0, "first", 0)
 	_, retryAfter := controller.Decide(0, "second", 1)
 	if decision, delay := controller.Decide(retryAfter/2, "second", 1); decision != Defer || delay != retryAfter/2 {
-		t.Fatalf("retry before the reserved time: got decision %v and retry after %d us", decision, delay)
+		t.Fatalf("early retry: got decision %v and retry after %d us, want Defer and the other half", decision, delay)
 	}
 	if decision, _ := controller.Decide(retryAfter, "second", 1); decision != Admit {
 		t.Fatal("a retry at the reserved time was not admitted")
@@ -101,7 +101,7 @@
 		heap.Push(&queue, arrival{next.at + retryAfter, next.proxy})
 	}
 	if admitted != proxies || lastAdmitted > model.Microseconds(float64(proxies)/rate*1.1)*model.Second {
-		t.Fatalf("%d proxies were admitted, the last after %d us", admitted, lastAdmitted)
+		t.Fatalf("%d proxies were admitted, the last after %d us; want 2000 within 11 s", admitted, lastAdmitted)
 	}
 	for second, count := range connectionsInSecond {
 		if second > 0 && count > rate+burst {
@@ -110,8 +110,8 @@
 	}
 }
 
-// In any sequence of connections, no span has more admissions than burst and rate allow, a proxy that retries in time
-// is admitted, and there are no more reservations than proxies.
+// In any sequence of connections, no span has more admissions than burst and rate allow and one for each proxy; a proxy
+// that retries in time is admitted; and there are no more reservations than proxies.
 func TestAnySequenceOfConnectionsStaysWithinRate(t *testing.T) {
 	const proxies = 41
 	rapid.Check(t, func(t *rapid.T) {
@@ -129,12 +129,12 @@
 				delete(retryAt, proxy)
 				continue
 			}
-			due, isDeferred := retryAt[proxy]
-			if isDeferred && now >= due && now <= due+model.Second/model.Microseconds(rate) {
+			dueAt, isDeferred := retryAt[proxy]
+			if isDeferred && now >= dueAt && now <= dueAt+model.Second/model.Microseconds(rate) {
 				t.Fatalf("proxy %d retried in time and was deferred again", proxy)
 			}
 			if retryAfter <= 0 {
-				t.Fatalf("deferred by %d us, want more than 0", retryAfter)
+				t.Fatalf("a proxy was deferred by %d us, want more than 0", retryAfter)
 			}
 			retryAt[proxy] = now + retryAfter
 		}
@@ -143,12 +143,12 @@
 				// Unused reservations stay valid for the duration of the storm after it, so each proxy may add one admission.
 				seconds := float64(until-from) / float64(model.Second)
 				if limit := float64(burst) + seconds*float64(rate) + proxies; float64(k+1) > limit {
-					t.Fatalf("%d connections were admitted within %d us", k+1, until-from)
+					t.Fatalf("%d connections admitted within %d us exceed rate, burst and reservations", k+1, until-from)
 				}
 			}
 		}
 		if len(controller.reservations) > proxies {
-			t.Fatalf("%d reservations are more than proxies", len(controller.reservations))
+			t.Fatalf("%d reservations, want at most 41, one for each proxy", len(controller.reservations))
 		}
 	})
 }
