--- a/internal/codec/http1/golden_test.go
+++ b/internal/codec/http1/golden_test.go
@@ -12,9 +12,9 @@
 
 // goldenMessage is a message in encoded and in parsed form.
 type goldenMessage struct {
-	response bool
-	encoded  []byte // nil: this package never encodes such a message
-	parsed   Message
+	isResponse bool
+	encoded    []byte // nil: this package never encodes such a message
+	parsed     Message
 }
 
 var goldenMessages = map[string]goldenMessage{
@@ -39,8 +39,8 @@
 		},
 	},
 	"answer.http": {
-		response: true,
-		encoded:  AppendResponse(nil, 200, []byte("[]"), "X-Consul-Index", "9"),
+		isResponse: true,
+		encoded:    AppendResponse(nil, 200, []byte("[]"), "X-Consul-Index", "9"),
 		parsed: Message{
 			Status: 200,
 			Header: map[string]string{"x-consul-index": "9", "content-length": "2"},
@@ -57,8 +57,8 @@
 		},
 	},
 	"no-body.http": {
-		response: true,
-		parsed:   Message{Status: 204, Header: map[string]string{"connection": "keep-alive"}},
+		isResponse: true,
+		parsed:     Message{Status: 204, Header: map[string]string{"connection": "keep-alive"}},
 	},
 }
 
@@ -67,7 +67,7 @@
 		if message.encoded != nil {
 			goldentest.Check(t, file, message.encoded)
 		}
-		got, err := parse(string(goldentest.Read(t, file)), message.response, 1)
+		got, err := parse(string(goldentest.Read(t, file)), message.isResponse, 1)
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(*got[0], message.parsed) {
 			t.Errorf("%s: parsed as %+v, error %v", file, got, err)
 		}
@@ -76,11 +76,11 @@
 
 // TestReasonPhrasesMatchGoldenFile encodes a response for each status code with a reason phrase and for one without.
 func TestReasonPhrasesMatchGoldenFile(t *testing.T) {
-	var all []byte
+	var responses []byte
 	for _, status := range []int{200, 400, 404, 413, 429, 431, 500, 501, 503, 505, 418} {
-		all = AppendResponse(all, status, nil)
+		responses = AppendResponse(responses, status, nil)
 	}
-	goldentest.Check(t, "reasons.http", all)
+	goldentest.Check(t, "reasons.http", responses)
 }
 
 // malformedStreams holds a stream for each reason of a ProtocolError. The key of a stream of responses contains
--- a/internal/codec/http1/head.go
+++ b/internal/codec/http1/head.go
@@ -10,7 +10,8 @@
 	minStatus = 100
 	maxStatus = 999
 
-	// lengthBits bounds lengths and chunk sizes: an int holds the largest one plus a line end.
+	// lengthBits bounds the size in bits of lengths and chunk sizes, so that the largest one plus a line end fits into
+	// an int.
 	lengthBits = 62
 )
 
@@ -41,7 +42,7 @@
 	message := &Message{Header: map[string]string{}}
 	words := strings.SplitN(text, " ", 3)
 	var version string
-	if p.responses {
+	if p.parsesResponses {
 		if len(words) < 2 {
 			return p.fail(http.StatusBadRequest, "malformed status line: %.40q", text)
 		}
@@ -97,7 +98,7 @@
 	coding, hasCoding := message.Header[headerTransferEncoding]
 	p.lineBytes = 0
 	switch {
-	case p.responses && statusHasNoBody(message.Status):
+	case p.parsesResponses && statusHasNoBody(message.Status):
 		return p.deliver(receive)
 	case hasCoding && hasLength:
 		return p.fail(http.StatusBadRequest, "both Content-Length and Transfer-Encoding are present")
@@ -108,7 +109,7 @@
 		return nil
 	case hasLength:
 		return p.beginBody(length)
-	case p.responses:
+	case p.parsesResponses:
 		return p.fail(http.StatusBadRequest, "response has neither Content-Length nor Transfer-Encoding")
 	default:
 		return p.deliver(receive)
@@ -116,8 +117,8 @@
 }
 
 func statusHasNoBody(status int) bool {
-	informational := status < http.StatusOK
-	return informational || status == http.StatusNoContent || status == http.StatusNotModified
+	isInformational := status < http.StatusOK
+	return isInformational || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
 // beginBody parses the length of a body; the body follows as content.
--- a/internal/codec/http1/parser.go
+++ b/internal/codec/http1/parser.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// Defaults of Limits.
+// Defaults of Limits, in bytes.
 const (
 	defaultHeadLimit = 16 << 10
 	defaultBodyLimit = 1 << 20
@@ -33,8 +33,8 @@
 
 // Parser parses one direction of a connection. It is created by NewParser and is not safe for concurrent use.
 type Parser struct {
-	responses bool
-	limits    Limits
+	parsesResponses bool
+	limits          Limits
 
 	state     parserState
 	line      []byte // the start of an unfinished line
@@ -50,14 +50,14 @@
 }
 
 // NewParser returns a Parser of responses if responses is true, and of requests otherwise.
-func NewParser(responses bool, limits Limits) *Parser {
+func NewParser(parsesResponses bool, limits Limits) *Parser {
 	if limits.Head <= 0 {
 		limits.Head = defaultHeadLimit
 	}
 	if limits.Body <= 0 {
 		limits.Body = defaultBodyLimit
 	}
-	return &Parser{responses: responses, limits: limits}
+	return &Parser{parsesResponses: parsesResponses, limits: limits}
 }
 
 // Idle reports whether the stream is between two messages.
@@ -124,8 +124,8 @@
 func (p *Parser) feedLine(data []byte, receive func(*Message) error) ([]byte, error) {
 	n := len(data)
 	newline := bytes.IndexByte(data, '\n')
-	complete := newline >= 0
-	if complete {
+	hasLineEnd := newline >= 0
+	if hasLineEnd {
 		n = newline + 1
 	}
 	p.lineBytes += n
@@ -133,7 +133,7 @@
 		return nil, p.fail(http.StatusRequestHeaderFieldsTooLarge, "head or trailer exceeds %d bytes", p.limits.Head)
 	}
 	line := data[:n]
-	if len(p.line) > 0 || !complete {
+	if len(p.line) > 0 || !hasLineEnd {
 		p.line = append(p.line, line...)
 		line = p.line
 	}
@@ -141,7 +141,7 @@
 	if p.state == inHead && p.message == nil && !canStartMessage(line[0]) {
 		return nil, p.fail(http.StatusBadRequest, "not HTTP: the first byte is %#x", line[0])
 	}
-	if !complete {
+	if !hasLineEnd {
 		return nil, nil
 	}
 	text := string(bytes.TrimSuffix(line[:len(line)-1], []byte("\r")))
--- a/internal/codec/http1/parser_test.go
+++ b/internal/codec/http1/parser_test.go
@@ -25,12 +25,12 @@
 }
 
 // parse returns the messages of a stream that were parsed before the first error.
-func parse(stream string, responses bool, chunkSize int) (messages []*Message, err error) {
+func parse(stream string, parsesResponses bool, chunkSize int) (messages []*Message, err error) {
 	collect := func(message *Message) error {
 		messages = append(messages, message)
 		return nil
 	}
-	err = feedInChunks(NewParser(responses, testLimits), stream, chunkSize, collect)
+	err = feedInChunks(NewParser(parsesResponses, testLimits), stream, chunkSize, collect)
 	return messages, err
 }
 
--- a/internal/codec/pubsubmsg/append.go
+++ b/internal/codec/pubsubmsg/append.go
@@ -84,7 +84,7 @@
 
 // AppendLoadReports appends a SUMS command. Times are in microseconds.
 func AppendLoadReports(dst []byte, reports LoadReports) []byte {
-	dst = resp.AppendHeader(dst, resp.Array, 1+loadReportsHeaderLength+loadReportLength*len(reports.Reports))
+	dst = resp.AppendHeader(dst, resp.Array, 1+loadReportsHeaderCount+loadReportArgumentCount*len(reports.Reports))
 	dst = resp.AppendBulk(dst, commandLoadReports)
 	dst = resp.AppendInt(dst, int64(reports.Sequence))
 	dst = resp.AppendInt(dst, int64(reports.Window))
--- a/internal/codec/pubsubmsg/doc.go
+++ b/internal/codec/pubsubmsg/doc.go
@@ -1,5 +1,5 @@
 // Package pubsubmsg converts the messages of the publish-subscribe channel to and from RESP3 values, and validates
-// them: what a controller publishes to a proxy (Message) and the commands that a proxy sends (Join, Ack,
+// them: the updates that a controller publishes to a proxy (Message) and the commands that a proxy sends (Join, Ack,
 // LoadReports). Nothing in this package does I/O.
 //
 // A Message carries the controller's version and the version of the message sent to the same proxy before it. A
--- a/internal/codec/pubsubmsg/parse_command.go
+++ b/internal/codec/pubsubmsg/parse_command.go
@@ -9,19 +9,21 @@
 
 const (
 	// Numbers of arguments of JOIN without and with the epoch.
-	joinLengthWithoutEpoch = 6
-	joinLength             = 7
+	joinArgumentCountWithoutEpoch = 6
+	joinArgumentCount             = 7
 
-	ackLength = 3
+	// Number of arguments of ACK.
+	ackArgumentCount = 3
 
 	// Numbers of arguments of SUMS before the reports, and of each report.
-	loadReportsHeaderLength = 2
-	loadReportLength        = 5
+	loadReportsHeaderCount  = 2
+	loadReportArgumentCount = 5
 
 	// maxExpectedRate bounds the request rate of a proxy, in requests per second.
 	maxExpectedRate = 1e9
 
-	// maxReadings bounds the readings in the load report of one replica.
+	// maxReadings bounds the readings in the load report of one replica. A reading is a value that the replica reports
+	// about its load, such as its CPU utilization.
 	maxReadings = 4
 
 	// maxWindow bounds the time that load reports cover.
@@ -33,7 +35,7 @@
 
 // ParseJoin parses the arguments of JOIN. Its error is a *ParseError.
 func ParseJoin(arguments []resp.Value) (Join, error) {
-	if len(arguments) != joinLengthWithoutEpoch && len(arguments) != joinLength {
+	if len(arguments) != joinArgumentCountWithoutEpoch && len(arguments) != joinArgumentCount {
 		return Join{}, parseErrorf("", "JOIN takes name, zone, rate, fresh, life, version and epoch; %d words came",
 			len(arguments))
 	}
@@ -57,7 +59,7 @@
 	if join.Version, err = parseUnsigned(arguments[5]); err != nil {
 		return Join{}, parseErrorf("version", "JOIN: %.40q is no version", arguments[5].ArgumentText())
 	}
-	if len(arguments) == joinLengthWithoutEpoch {
+	if len(arguments) == joinArgumentCountWithoutEpoch {
 		return join, nil
 	}
 	if join.Epoch, err = parseUnsigned(arguments[6]); err != nil {
@@ -72,7 +74,7 @@
 
 // ParseAck parses the arguments of ACK. Its error is a *ParseError.
 func ParseAck(arguments []resp.Value) (Ack, error) {
-	if len(arguments) != ackLength {
+	if len(arguments) != ackArgumentCount {
 		return Ack{}, parseErrorf("", "ACK takes life, version and receipt; %d words came", len(arguments))
 	}
 	incarnation, err := parseUnsigned(arguments[0])
@@ -94,10 +96,10 @@
 	return parseErrorf(field, "ACK takes three numbers")
 }
 
-// ParseLoadReports parses the arguments of SUMS; numbers may arrive as numbers or as text. Its error is a
-// *ParseError.
+// ParseLoadReports parses the arguments of SUMS. A number may arrive as a RESP number or as decimal text. Its error is
+// a *ParseError.
 func ParseLoadReports(arguments []resp.Value) (LoadReports, error) {
-	if !hasLoadReportsLength(arguments) {
+	if !hasLoadReportsArgumentCount(arguments) {
 		return LoadReports{}, parseErrorf("", "SUMS takes number, span and five values a replica; %d words came",
 			len(arguments))
 	}
@@ -106,8 +108,8 @@
 		Sequence: uint64(parser.number("sequence", arguments[0])),
 		Window:   model.Microseconds(parser.number("window", arguments[1])),
 	}
-	for rest := arguments[loadReportsHeaderLength:]; len(rest) > 0; rest = rest[loadReportLength:] {
-		report, err := parser.report(rest[:loadReportLength])
+	for rest := arguments[loadReportsHeaderCount:]; len(rest) > 0; rest = rest[loadReportArgumentCount:] {
+		report, err := parser.report(rest[:loadReportArgumentCount])
 		if err != nil {
 			return LoadReports{}, err
 		}
@@ -122,18 +124,18 @@
 	return reports, nil
 }
 
-func hasLoadReportsLength(arguments []resp.Value) bool {
-	reportValues := len(arguments) - loadReportsHeaderLength
-	return reportValues >= 0 && reportValues%loadReportLength == 0
+func hasLoadReportsArgumentCount(arguments []resp.Value) bool {
+	reportValues := len(arguments) - loadReportsHeaderCount
+	return reportValues >= 0 && reportValues%loadReportArgumentCount == 0
 }
 
-// loadReportParser parses the numbers of SUMS and keeps an error until all reports are parsed: the error of the last
-// malformed number or, if there is none, of the first report whose numbers contradict each other.
+// loadReportParser parses the numbers of SUMS. Its err is returned after all reports are parsed: a malformed number
+// replaces it, and a report whose numbers contradict each other sets it only if it is nil.
 type loadReportParser struct {
 	err *ParseError
 }
 
-// number returns an integer. The error of a malformed integer replaces the kept error.
+// number returns an integer. The error of a malformed integer replaces p.err.
 func (p *loadReportParser) number(field string, value resp.Value) int64 {
 	if value.Kind == resp.Number {
 		return value.Int
@@ -145,7 +147,7 @@
 	return number
 }
 
-// report returns the report of one replica. An error that it returns takes precedence over the kept error.
+// report returns the report of one replica. An error that it returns takes precedence over p.err.
 func (p *loadReportParser) report(values []resp.Value) (model.LoadReport, error) {
 	address := values[0].ArgumentText()
 	replica, err := ParseAddress(address)
--- a/internal/codec/resp/reader.go
+++ b/internal/codec/resp/reader.go
@@ -94,15 +94,15 @@
 func (r *Reader) feedLine(data []byte, receive func(Value) error) ([]byte, error) {
 	n := len(data)
 	newline := bytes.IndexByte(data, '\n')
-	complete := newline >= 0
-	if complete {
+	hasLineFeed := newline >= 0
+	if hasLineFeed {
 		n = newline + 1
 	}
 	if len(r.line)+n > maxLineLength {
 		return nil, r.fail(fmt.Sprintf("a line of over %d bytes", maxLineLength))
 	}
 	line := data[:n]
-	if len(r.line) > 0 || !complete {
+	if len(r.line) > 0 || !hasLineFeed {
 		r.line = append(r.line, line...)
 		line = r.line
 	}
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	rest := data[n:]
-	if !complete {
+	if !hasLineFeed {
 		return rest, nil
 	}
 	content, terminated := bytes.CutSuffix(line[1:], []byte(lineEnd))
--- a/internal/codec/simulator/frame.go
+++ b/internal/codec/simulator/frame.go
@@ -12,14 +12,14 @@
 
 // Sizes in bytes.
 const (
-	batchHeaderSize     = 20
-	replyHeaderSize     = 12
-	batchLengthExcludes = 8  // leading bytes of the batch header that its length field does not count
-	replyLengthExcludes = 4  // leading bytes of the reply header that its length field does not count
-	eventSize           = 56 // of an event record
-	actionSize          = 24 // of an action record
-	endpointSize        = 24 // of an endpoint in the tail
-	maxFrameLength      = 1 << 28
+	batchHeaderSize          = 20
+	replyHeaderSize          = 12
+	uncountedBatchHeaderSize = 8  // leading bytes of the batch header that its length field does not count
+	uncountedReplyHeaderSize = 4  // leading bytes of the reply header that its length field does not count
+	eventSize                = 56 // of an event record
+	actionSize               = 24 // of an action record
+	endpointSize             = 24 // of an endpoint in the tail
+	maxFrameLength           = 1 << 28
 )
 
 // Batch is one frame of events.
@@ -44,7 +44,7 @@
 	count := int64(fields.uint32())
 	length := int64(fields.uint32())
 	batch := &Batch{Clock: fields.milliseconds(), Number: fields.uint32()}
-	const countedHeaderSize = batchHeaderSize - batchLengthExcludes
+	const countedHeaderSize = batchHeaderSize - uncountedBatchHeaderSize
 	if length < countedHeaderSize || length > maxFrameLength || count*eventSize > length-countedHeaderSize {
 		return nil, fmt.Errorf("%d records do not fit a frame of %d bytes", count, length)
 	}
@@ -70,7 +70,7 @@
 func (r *Reply) Frame(number uint32) []byte {
 	length := replyHeaderSize + len(r.records) + len(r.tail)
 	frame := make([]byte, 0, length)
-	frame = binary.LittleEndian.AppendUint32(frame, uint32(length-replyLengthExcludes))
+	frame = binary.LittleEndian.AppendUint32(frame, uint32(length-uncountedReplyHeaderSize))
 	frame = binary.LittleEndian.AppendUint32(frame, uint32(len(r.records)/actionSize))
 	frame = binary.LittleEndian.AppendUint32(frame, number)
 	frame = append(frame, r.records...)
--- a/internal/netpoll/accept.go
+++ b/internal/netpoll/accept.go
@@ -64,9 +64,10 @@
 }
 
 // newNBConn converts a connection to an nbio connection. nbio duplicates the descriptor without close-on-exec. A child
-// process that is started before the flag is set would keep the connection open, and the poller would keep reporting
-// its end under a descriptor number that another connection has by then. (When a scenario restarted controllers, this
-// broke hundreds of unrelated streams.) The fork lock prevents a process from being started before the flag is set.
+// process that is started before the flag is set would keep the connection open. The poller would keep reporting the
+// end of that connection under a descriptor number that another connection has by then, and so end the other one: a
+// restart of controllers would end hundreds of unrelated connections. The fork lock prevents a process from being
+// started before the flag is set.
 func newNBConn(accepted net.Conn) (*nbio.Conn, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/internal/netpoll/connserver/server.go
+++ b/internal/netpoll/connserver/server.go
@@ -29,7 +29,7 @@
 // Handlers are the events of a Server's connections, called without the lock. Opened and Received run on the
 // connection's poller, Closed after them on another goroutine.
 type Handlers[S Session] struct {
-	// Opened is called for a new connection. It must call Register before it uses the connection otherwise.
+	// Opened is called for a new connection. It must call Register before any other use of the connection.
 	Opened func(socket *nbio.Conn)
 	// Received receives the bytes read from a connection that has not ended. They are valid during the call only.
 	Received func(session S, data []byte)
@@ -112,8 +112,8 @@
 	s.engine.Stop()
 }
 
-// RunOnPoller runs a task on the first poller's goroutine, after the data that was readable there at the time of the
-// call.
+// RunOnPoller runs a task on the first poller's goroutine, once the data that was readable there at the time of the
+// call has been handled.
 func (s *Server[S]) RunOnPoller(task func()) { s.engine.RunOnPoller(task) }
 
 // Register adds a connection to the register; the lock is held.
@@ -196,10 +196,10 @@
 	// Subtract no more than the remaining count: Unregister has already subtracted the connection's unsent bytes.
 	unsent := &session.base().unsentBytes
 	for {
-		waiting := unsent.Load()
-		taken := min(waiting, int64(count))
-		if unsent.CompareAndSwap(waiting, waiting-taken) {
-			s.unsentBytes.Add(-taken)
+		unsentBytes := unsent.Load()
+		subtracted := min(unsentBytes, int64(count))
+		if unsent.CompareAndSwap(unsentBytes, unsentBytes-subtracted) {
+			s.unsentBytes.Add(-subtracted)
 			return
 		}
 	}
--- a/internal/netpoll/descriptorreuse_test.go
+++ b/internal/netpoll/descriptorreuse_test.go
@@ -30,7 +30,7 @@
 	conn := connect(t, engine.Addrs[0])
 	descriptors := <-occupied
 	waitForEnd(t, conn)
-	engine.pollerLoops[0].waitForScheduled()
+	engine.pollerLoops[0].waitForScheduledTasks()
 	watched := watchedDescriptors(t)
 	for _, descriptor := range descriptors {
 		if slices.Contains(watched, fmt.Sprint(descriptor)) {
--- a/internal/netpoll/doc.go
+++ b/internal/netpoll/doc.go
@@ -7,7 +7,7 @@
 //   - A connection that is being accepted or dialled while the engine stops is closed by the engine, and Stop returns.
 //   - If no descriptor is free, accepting waits and continues once one is free.
 //
-// Handlers.Open, Handlers.Data and a dial's callback run on the connection's poller, and Handlers.Close runs after them
-// on another goroutine. Use Engine.CloseOnPoller to close a connection, because its poller may be adding it or reading
-// from it.
+// Handlers.Open, Handlers.Data and the callback of a successful dial run on the connection's poller, and Handlers.Close
+// runs after them on another goroutine. Use Engine.CloseOnPoller to close a connection, because its poller may be
+// adding it or reading from it.
 package netpoll
--- a/internal/netpoll/engine.go
+++ b/internal/netpoll/engine.go
@@ -31,7 +31,7 @@
 	pollerLoops []*pollerLoop
 	listeners   []net.Listener
 
-	dialContext context.Context // cancels dials and ends the waits of acceptors
+	dialContext context.Context // its end cancels dials and ends the acceptors' pauses
 	cancelDials context.CancelFunc
 	background  sync.WaitGroup // acceptors and dials
 
@@ -41,7 +41,7 @@
 }
 
 // openFence orders the writes of Open before the reads of Data on another goroutine. The kernel's poller orders the two
-// calls, but Go's memory model does not cover it.
+// calls, but Go's memory model does not include this order.
 var openFence atomic.Int64
 
 // silenceLog turns off nbio's log output.
@@ -74,8 +74,8 @@
 }
 
 // startPollers starts the pollers and waits until each of them runs. An nbio engine that is stopped before its
-// goroutines have begun never stops, because each goroutine clears its stop flag when it begins. (A controller that was
-// shut down just as it began to serve hung, and kept a core busy.)
+// goroutines have begun never stops and keeps a core busy, because each goroutine clears its stop flag when it begins.
+// Each poller gets a pollerLoop, whose connection lets the poller run scheduled tasks.
 func (e *Engine) startPollers(pollers int, handlers Handlers) error {
 	nbioEngine := nbio.NewEngine(nbio.Config{Network: "tcp", NPoller: pollers})
 	setHandlers(nbioEngine, handlers)
@@ -96,7 +96,7 @@
 		if _, err := nbioEngine.AddConn(loop.conn); err != nil {
 			return err // do not stop the engine: its goroutines may not have begun
 		}
-		loop.waitForScheduled()
+		loop.waitForScheduledTasks()
 	}
 	return nil
 }
@@ -140,8 +140,8 @@
 	}
 }
 
-// Stop closes the addresses and all connections, cancels the dials in progress, and waits for all of it. It may be
-// called more than once, but not from a handler.
+// Stop closes the addresses and all connections, cancels the dials in progress, and waits until acceptors, dials and
+// connections have ended. It may be called more than once, but not from a handler.
 func (e *Engine) Stop() { e.stopOnce.Do(e.stopAll) }
 
 func (e *Engine) stopAll() {
@@ -151,10 +151,10 @@
 	e.cancelDials()
 	e.closeListeners()
 	e.background.Wait()
-	// From here on, only connections that were already scheduled are added. nbio's Stop closes the connections that were
-	// added before it, and waits for them.
+	// From here on, only connections that were already scheduled are added. nbio's Stop closes the connections that
+	// were added before it, and waits for them.
 	for _, loop := range e.pollerLoops {
-		loop.waitForScheduled()
+		loop.waitForScheduledTasks()
 	}
 	e.nbio.Stop()
 	for _, loop := range e.pollerLoops {
@@ -169,8 +169,8 @@
 	e.loopFor(conn).schedule(func() { _ = conn.Close() })
 }
 
-// RunOnPoller runs a task on the first poller's goroutine, between two polling rounds, after the data that was readable
-// at the time of the call. It returns false once the engine has stopped; the task then never runs.
+// RunOnPoller runs a task on the first poller's goroutine, between two polling rounds, once the data that was readable
+// at the time of the call has been handled. It returns false once the engine has stopped; the task then never runs.
 func (e *Engine) RunOnPoller(task func()) bool { return e.pollerLoops[0].schedule(task) }
 
 // loopFor returns the loop of a connection's poller.
@@ -181,11 +181,11 @@
 // addToPoller adds a connection on its poller's goroutine and calls done there. If the engine has stopped, it closes
 // the connection and calls done with an error at once.
 func (e *Engine) addToPoller(conn *nbio.Conn, done func(error)) {
-	posted := e.loopFor(conn).schedule(func() {
+	isScheduled := e.loopFor(conn).schedule(func() {
 		_, err := e.nbio.AddConn(conn)
 		done(err)
 	})
-	if !posted {
+	if !isScheduled {
 		_ = conn.Close()
 		done(net.ErrClosed)
 	}
--- a/internal/netpoll/inherited.go
+++ b/internal/netpoll/inherited.go
@@ -38,10 +38,10 @@
 // inheritedCount returns how many descriptors were passed to the process; 0 if the variables are invalid.
 func inheritedCount() int {
 	count, countErr := strconv.Atoi(os.Getenv(inheritedCountVariable))
-	process, processErr := strconv.Atoi(os.Getenv(inheritedProcessVariable))
+	processID, processErr := strconv.Atoi(os.Getenv(inheritedProcessVariable))
 	_ = os.Unsetenv(inheritedCountVariable)
 	_ = os.Unsetenv(inheritedProcessVariable)
-	isForThisProcess := countErr == nil && processErr == nil && process == os.Getpid()
+	isForThisProcess := countErr == nil && processErr == nil && processID == os.Getpid()
 	if !isForThisProcess || count < 1 || count > maxInheritedDescriptors {
 		return 0
 	}
--- a/internal/netpoll/inherited_test.go
+++ b/internal/netpoll/inherited_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// expectEchoFromNewProcess starts an echo server that inherits the held socket, and reads its answer to hello.
+// expectEchoFromNewProcess starts an echo server that inherits the socket, and reads its answer to hello.
 func expectEchoFromNewProcess(t *testing.T, conn net.Conn, address string, socket *os.File) {
 	t.Helper()
 	process := exec.Command("sh", "-c", `LISTEN_FDS=1 LISTEN_PID=$$ exec "$0"`, os.Args[0])
--- a/internal/netpoll/netpolltest/client.go
+++ b/internal/netpoll/netpolltest/client.go
@@ -37,11 +37,11 @@
 func DialWithReceiveBuffer(tb testing.TB, address string, timeout time.Duration, size int) *Client {
 	tb.Helper()
 	limitBuffer := func(_, _ string, socket syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := socket.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, size)
+			optionErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, size)
 		})
-		return errors.Join(err, failed)
+		return errors.Join(err, optionErr)
 	}
 	return dial(tb, net.Dialer{Control: limitBuffer}, address, timeout)
 }
--- a/internal/netpoll/pollerloop.go
+++ b/internal/netpoll/pollerloop.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// waitForScheduled waits until all tasks scheduled before have run.
-func (l *pollerLoop) waitForScheduled() {
+// waitForScheduledTasks waits until all tasks that were scheduled before the call have run.
+func (l *pollerLoop) waitForScheduledTasks() {
 	done := make(chan struct{})
 	if l.schedule(func() { close(done) }) {
 		<-done
--- a/internal/platform/acknowledge.go
+++ b/internal/platform/acknowledge.go
@@ -13,14 +13,14 @@
 
 // deliveryProgress numbers the messages that request an acknowledgement, across all streams.
 type deliveryProgress struct {
-	sent         uint64 // number of the newest message sent
-	acknowledged uint64 // number of the newest message that any proxy acknowledged
+	newestSent         uint64 // number of the newest message that requests an acknowledgement
+	newestAcknowledged uint64 // number of the newest message that any proxy acknowledged
 }
 
 // ackQueue holds the pending acknowledgements of one stream.
 type ackQueue struct {
-	pending []pendingAck // oldest first
-	newest  uint32       // newest sequence requested on this stream
+	pending        []pendingAck // oldest first
+	newestSequence uint32       // sequence of the newest acknowledgement requested on this stream
 
 	retriedAt       model.Microseconds // when an acknowledgement was last requested again; 0: never
 	retriedSequence uint32             // the sequence of that request
@@ -32,15 +32,15 @@
 
 // pendingAck is one acknowledgement that was requested on a stream and has not arrived.
 type pendingAck struct {
-	sequence uint32
-	sentAt   model.Microseconds
-	number   uint64 // number of the message, see deliveryProgress
+	sequence      uint32
+	sentAt        model.Microseconds
+	messageNumber uint64 // see deliveryProgress
 }
 
 // addPendingAck adds an acknowledgement to the stream's pending ones; s.mu is held.
 func (s *Server) addPendingAck(queue *ackQueue, sentAt model.Microseconds) {
-	s.progress.sent++
-	queue.pending = append(queue.pending, pendingAck{queue.newest, sentAt, s.progress.sent})
+	s.progress.newestSent++
+	queue.pending = append(queue.pending, pendingAck{queue.newestSequence, sentAt, s.progress.newestSent})
 }
 
 // indexOf returns the index of a sequence in pending, or -1 if it is not pending.
@@ -56,8 +56,9 @@
 
 // acknowledge handles a proxy's acknowledgement, which also covers all earlier pending ones of the stream.
 // Acknowledgements arrive in the order in which they were requested, so a malformed one is counted as the oldest
-// pending one. Otherwise the entries that it covers would count as unacknowledged until the next acknowledgement.
-func (s *Server) acknowledge(stream *stream, message platformmsg.Message, malformed error) {
+// pending one. Otherwise the entries that the malformed one covers would count as unacknowledged until the next
+// acknowledgement. The same applies to an acknowledgement whose sequence is not pending.
+func (s *Server) acknowledge(stream *stream, message platformmsg.Message, parseErr error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.connections.Registered(stream.conn) { // ended in the meantime
@@ -65,14 +66,14 @@
 	}
 	queue := &stream.acks
 	index := -1
-	if malformed == nil {
+	if parseErr == nil {
 		index = queue.indexOf(message.AckSequence)
 	}
 	if index < 0 {
-		if malformed == nil && queue.isLateDuplicate(message.AckSequence) {
+		if parseErr == nil && queue.isLateDuplicate(message.AckSequence) {
 			return
 		}
-		s.countMalformed().Err(malformed).Int("proxy", int(stream.proxy)).Uint32("ack_sequence", message.AckSequence).
+		s.countInvalidMessage().Err(parseErr).Int("proxy", int(stream.proxy)).Uint32("ack_sequence", message.AckSequence).
 			Int("pending_acks", len(queue.pending)).Msg("malformed acknowledgement counted as the oldest pending one")
 		if len(queue.pending) == 0 {
 			return
@@ -80,7 +81,7 @@
 		index = 0
 	}
 	acknowledged := queue.pending[index]
-	s.progress.acknowledged = max(s.progress.acknowledged, acknowledged.number)
+	s.progress.newestAcknowledged = max(s.progress.newestAcknowledged, acknowledged.messageNumber)
 	queue.pending = append(queue.pending[:0], queue.pending[index+1:]...)
 	queue.overtakenSince = 0
 	s.events.Acknowledged(stream.proxy, stream.id, acknowledged.sequence)
--- a/internal/platform/collector.go
+++ b/internal/platform/collector.go
@@ -27,16 +27,16 @@
 		s.mu.Unlock()
 		return errEnded
 	}
-	s.authenticate(conn)
+	s.markJoined(conn)
 	conn.collectorZone = zone
-	var replaced []*connection
+	var replacedConnections []*connection
 	if len(s.collectors[zone]) >= maxCollectorsPerZone {
-		replaced = append(replaced, slices.MinFunc(s.collectors[zone], compareLastReceived))
-		s.unregister(replaced...)
+		replacedConnections = append(replacedConnections, slices.MinFunc(s.collectors[zone], compareLastReceived))
+		s.unregister(replacedConnections...)
 	}
 	s.collectors[zone] = append(s.collectors[zone], conn)
 	s.mu.Unlock()
-	s.connections.CloseOnPoller(replaced...)
+	s.connections.CloseOnPoller(replacedConnections...)
 	return nil
 }
 
--- a/internal/platform/collector_test.go
+++ b/internal/platform/collector_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestLoadReportsUseConfiguredFieldNames: Readings are looked up by the configured field names. With other names no
-// reading is found, and controllers miss an overload: a third of the requests were late without a reaction.
+// reading is found, and the controller does not react to an overload that delays a third of the requests.
 func TestLoadReportsUseConfiguredFieldNames(t *testing.T) {
 	harness := startServer(t, nil)
 	harness.dial(t).send(
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -19,8 +19,8 @@
 // noZone is the collector zone of a connection that does not belong to a collector.
 const noZone = -1
 
-// maxMalformedLogged is how many malformed messages are logged; further ones are only counted.
-const maxMalformedLogged = 20
+// maxInvalidMessagesLogged is how many invalid messages are logged; further ones are only counted.
+const maxInvalidMessagesLogged = 20
 
 // errEnded stops the reader of a connection that has ended; it is not reported.
 var errEnded = errors.New("connection has ended")
@@ -28,33 +28,33 @@
 // connection is one connection of a proxy, a collector or an unknown client.
 type connection struct {
 	connserver.Conn
-	server                 *Server
-	reader                 *resp.Reader
-	openedAt               model.Microseconds
-	lastReceivedAt         atomic.Int64  // in model.Microseconds
-	unauthenticatedElement *list.Element // element in Server.unauthenticated; nil once the peer has joined
-	collectorZone          int           // zone of the collector, or noZone
-	stream                 *stream       // nil unless a proxy has joined on it
+	server              *Server
+	reader              *resp.Reader
+	openedAt            model.Microseconds
+	lastReceivedAt      atomic.Int64  // in model.Microseconds
+	awaitingJoinElement *list.Element // element in Server.awaitingJoin; nil once the peer has joined
+	collectorZone       int           // zone of the collector, or noZone
+	stream              *stream       // nil unless a proxy has joined on it
 }
 
-// registerConnection registers a new connection. Above the connection limit, it closes the oldest unauthenticated
-// connection.
+// registerConnection registers a new connection. Above the connection limit, it closes the oldest connection that has
+// not joined.
 func (s *Server) registerConnection(socket *nbio.Conn) {
 	conn := &connection{server: s, reader: resp.NewReader(platformmsg.MessageLimits), collectorZone: noZone}
 	s.mu.Lock()
 	conn.openedAt = s.config.Now()
 	conn.lastReceivedAt.Store(int64(conn.openedAt))
 	s.connections.Register(socket, conn)
-	conn.unauthenticatedElement = s.unauthenticated.PushBack(conn)
-	var evicted []*connection
+	conn.awaitingJoinElement = s.awaitingJoin.PushBack(conn)
+	var evictedConnections []*connection
 	if s.connections.Count() > s.config.Limits.Connections {
-		oldest := s.unauthenticated.Front().Value.(*connection)
+		oldest := s.awaitingJoin.Front().Value.(*connection)
 		s.stats.Evicted++
 		s.unregister(oldest)
-		evicted = append(evicted, oldest)
+		evictedConnections = append(evictedConnections, oldest)
 	}
 	s.mu.Unlock()
-	s.connections.CloseOnPoller(evicted...)
+	s.connections.CloseOnPoller(evictedConnections...)
 }
 
 // readMessages decodes received bytes into messages. Bytes that cannot be decoded end the connection.
@@ -65,7 +65,7 @@
 		return
 	}
 	s.mu.Lock()
-	hasJoined := conn.unauthenticatedElement == nil
+	hasJoined := conn.awaitingJoinElement == nil
 	if hasJoined {
 		s.stats.ProtocolErrors++
 	}
@@ -91,7 +91,7 @@
 	s.mu.Unlock()
 }
 
-// reject sends an unauthenticated connection the reason for its rejection, and ends it.
+// reject sends the peer of a connection that has not joined the reason for its rejection, and ends the connection.
 func (s *Server) reject(conn *connection, reason string) {
 	s.mu.Lock()
 	s.stats.Rejected++
@@ -115,9 +115,9 @@
 		if !s.connections.Unregister(c) {
 			continue
 		}
-		if c.unauthenticatedElement != nil {
-			s.unauthenticated.Remove(c.unauthenticatedElement)
-			s.stats.Unauthenticated++
+		if c.awaitingJoinElement != nil {
+			s.awaitingJoin.Remove(c.awaitingJoinElement)
+			s.stats.EndedBeforeJoin++
 		}
 		if c.collectorZone != noZone {
 			s.removeCollector(c)
@@ -128,16 +128,16 @@
 	}
 }
 
-// authenticate marks a connection as joined; s.mu is held.
-func (s *Server) authenticate(conn *connection) {
-	s.unauthenticated.Remove(conn.unauthenticatedElement)
-	conn.unauthenticatedElement = nil
+// markJoined marks a connection as joined; s.mu is held.
+func (s *Server) markJoined(conn *connection) {
+	s.awaitingJoin.Remove(conn.awaitingJoinElement)
+	conn.awaitingJoinElement = nil
 }
 
-func (s *Server) isUnauthenticated(conn *connection) bool {
+func (s *Server) isAwaitingJoin(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return conn.unauthenticatedElement != nil
+	return conn.awaitingJoinElement != nil
 }
 
 // exceedsUnsentLimit reports whether a peer's unsent bytes exceed Limits.UnsentBytes.
@@ -154,19 +154,20 @@
 	if err == nil && message.Kind == platformmsg.KindPing {
 		return c.server.answerPing(c)
 	}
-	if c.server.isUnauthenticated(c) {
+	if c.server.isAwaitingJoin(c) {
 		if err != nil {
 			return err
 		}
 		return c.server.handleGreeting(c, message)
 	}
 	if err := c.server.handleJoined(c, message, err); err != nil {
-		c.server.dropMalformed(err)
+		c.server.dropMessage(err)
 	}
 	return nil
 }
 
-// handleGreeting handles the first message of a connection. An error is the reason for the connection's rejection.
+// handleGreeting handles the first message of a connection other than a ping. An error is the reason for the
+// connection's rejection.
 func (s *Server) handleGreeting(conn *connection, message platformmsg.Message) error {
 	switch message.Kind {
 	case platformmsg.KindProxyJoined:
@@ -179,13 +180,13 @@
 }
 
 // handleJoined handles a message of a connection that has joined. An error is the reason why the message is dropped.
-func (s *Server) handleJoined(conn *connection, message platformmsg.Message, malformed error) error {
+func (s *Server) handleJoined(conn *connection, message platformmsg.Message, parseErr error) error {
 	if message.Kind == platformmsg.KindAcknowledgement && conn.stream != nil {
-		s.acknowledge(conn.stream, message, malformed)
+		s.acknowledge(conn.stream, message, parseErr)
 		return nil
 	}
-	if malformed != nil {
-		return malformed
+	if parseErr != nil {
+		return parseErr
 	}
 	switch {
 	case message.Kind == platformmsg.KindLoadReport && conn.collectorZone != noZone:
@@ -194,41 +195,41 @@
 		s.countUsage(message)
 		return nil
 	default:
-		return fmt.Errorf("%s: a message that this connection may not send", message.Kind)
+		return fmt.Errorf("%s: message not permitted on this connection", message.Kind)
 	}
 }
 
-// answerPing answers a ping. A peer that pings and does not read the answers is closed: unsent answers count towards
-// Limits.UnsentBytes.
+// answerPing answers a ping. It closes the connection if the peer does not read the answers: unsent answers count
+// towards Limits.UnsentBytes.
 func (s *Server) answerPing(conn *connection) error {
 	s.mu.Lock()
 	s.connections.Write(conn, platformmsg.AppendPong(nil))
-	slow := s.exceedsUnsentLimit(conn)
-	if slow {
-		s.stats.Slow++
+	isSlowReader := s.exceedsUnsentLimit(conn)
+	if isSlowReader {
+		s.stats.ClosedAsSlow++
 		s.unregister(conn)
 	}
 	s.mu.Unlock()
-	if !slow {
+	if !isSlowReader {
 		return nil
 	}
 	s.connections.CloseOnPoller(conn)
 	return errEnded
 }
 
-// dropMalformed counts and logs a malformed message that is dropped.
-func (s *Server) dropMalformed(reason error) {
+// dropMessage counts and logs a message that is dropped because it is malformed or not permitted.
+func (s *Server) dropMessage(reason error) {
 	s.mu.Lock()
-	event := s.countMalformed()
+	event := s.countInvalidMessage()
 	s.mu.Unlock()
-	event.Err(reason).Msg("malformed message dropped")
+	event.Err(reason).Msg("invalid message dropped")
 }
 
-// countMalformed counts a malformed message and returns the event to log it with. After maxMalformedLogged messages it
-// returns nil, which logs nothing. s.mu is held.
-func (s *Server) countMalformed() *zerolog.Event {
-	s.stats.MalformedMessages++
-	if s.stats.MalformedMessages > maxMalformedLogged {
+// countInvalidMessage counts an invalid message and returns the event to log it with. After maxInvalidMessagesLogged
+// messages it returns nil, which logs nothing. s.mu is held.
+func (s *Server) countInvalidMessage() *zerolog.Event {
+	s.stats.InvalidMessages++
+	if s.stats.InvalidMessages > maxInvalidMessagesLogged {
 		return nil
 	}
 	return s.config.Log.Warn()
--- a/internal/platform/connection_test.go
+++ b/internal/platform/connection_test.go
@@ -10,9 +10,9 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-// TestUnauthenticatedConnectionsTimeOut: Connections that send nothing, half a message, or only a ping are closed after
-// the greeting timeout.
-func TestUnauthenticatedConnectionsTimeOut(t *testing.T) {
+// TestConnectionsThatDoNotJoinAreClosedAfterGreetingTimeout: Connections that send nothing, half a
+// message, or only a ping are closed after the greeting timeout.
+func TestConnectionsThatDoNotJoinAreClosedAfterGreetingTimeout(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = 300 * time.Millisecond })
 	for _, bytes := range []string{"", "*3\r\n$4\r\njo", netpolltest.Command("ping")} {
 		client := harness.dial(t)
@@ -29,9 +29,9 @@
 	harness.waitForNoConnections()
 }
 
-// TestUnauthenticatedConnectionFloodDoesNotDisplaceProxies: A flood of silent connections does not displace proxies:
-// the oldest silent connections are closed.
-func TestUnauthenticatedConnectionFloodDoesNotDisplaceProxies(t *testing.T) {
+// TestFloodOfConnectionsThatDoNotJoinDoesNotDisplaceProxies: A flood of silent connections does not displace
+// proxies: the oldest silent connections are closed.
+func TestFloodOfConnectionsThatDoNotJoinDoesNotDisplaceProxies(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 10 })
 	for range 50 {
 		harness.dial(t)
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestUnauthenticatedConnectionAtLimitIsEvicted: If streams use all connections that the limit allows, a new connection
-// is closed, because it is the oldest unauthenticated one. The streams are not affected.
-func TestUnauthenticatedConnectionAtLimitIsEvicted(t *testing.T) {
+// TestNewConnectionIsEvictedWhenStreamsUseAllConnections: If streams use all connections that the limit allows, a new
+// connection is closed, because it is the only one that has not joined. The streams are not affected.
+func TestNewConnectionIsEvictedWhenStreamsUseAllConnections(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 3 })
 	var joined []*testClient
 	for n := range 3 {
@@ -100,7 +100,7 @@
 	harness.waitUntil("end of all connections but one", func() bool {
 		stats := harness.server.Stats()
 		onlyOneLeft := stats.Connections == 1 && stats.Collectors == 0
-		return onlyOneLeft && harness.unauthenticatedCount() == 0 && descriptors() == before
+		return onlyOneLeft && harness.awaitingJoinCount() == 0 && descriptors() == before
 	})
 	if open := harness.expectStreamOrder(); len(open) != 1 {
 		t.Fatalf("open streams: %v, want 1", open)
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -3,9 +3,9 @@
 //
 // Guarantees:
 //   - A connection that has not joined within Limits.GreetingTimeout is closed. When there are too many connections,
-//     the oldest unauthenticated one is closed first, so that unauthenticated connections do not displace proxies.
-//   - Bytes that cannot be decoded end their connection. A decodable message with a malformed field is counted and
-//     dropped, and has no other effect.
+//     the oldest one that has not joined is closed first, so that proxies keep their connections.
+//   - Bytes that cannot be decoded end their connection. Any other invalid message of a joined connection is counted
+//     and dropped, and has no other effect; only an invalid acknowledgement counts as the oldest pending one.
 //   - The number of unsent bytes for one peer is bounded.
 //   - The events of a stream are reported in order: its join first and its end exactly once, even if both happen at the
 //     same time. Each event is decided and reported while Server.mu is held.
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -96,11 +96,11 @@
 	h.reports = append(h.reports, reports...)
 }
 
-// unauthenticatedCount returns the number of connections that have not joined.
-func (h *testHarness) unauthenticatedCount() int {
+// awaitingJoinCount returns the number of connections that have not joined.
+func (h *testHarness) awaitingJoinCount() int {
 	h.server.mu.Lock()
 	defer h.server.mu.Unlock()
-	return h.server.unauthenticated.Len()
+	return h.server.awaitingJoin.Len()
 }
 
 // waitForAdmission waits until a proxy's stream is admitted and meets a condition.
--- a/internal/platform/protocolerror_test.go
+++ b/internal/platform/protocolerror_test.go
@@ -13,10 +13,10 @@
 	"peppervale/internal/netpoll/netpolltest"
 )
 
-// TestMalformedMessagesAreDropped: A malformed message is dropped without further effect. A malformed acknowledgement
-// counts as the oldest pending one: otherwise the entries that it covers would count as unacknowledged forever, and
-// delay all weights.
-func TestMalformedMessagesAreDropped(t *testing.T) {
+// TestInvalidMessagesOfJoinedConnectionsAreDropped: A message that is malformed or not permitted is dropped without
+// further effect. A malformed acknowledgement counts as the oldest pending one: otherwise the entries that it covers
+// would count as unacknowledged forever, and delay all weights.
+func TestInvalidMessagesOfJoinedConnectionsAreDropped(t *testing.T) {
 	harness := startServer(t, nil)
 	reports := harness.dial(t).send("collector site kelvin")
 	reports.send(
@@ -35,7 +35,7 @@
 	reports.send("heard site kelvin target s-1 count 1 fail 0 mean 1 over 1")
 	harness.waitUntil("load report", func() bool { return harness.reportCount() == 1 })
 	stats := harness.server.Stats()
-	if stats.MalformedMessages != 11 || stats.ProtocolErrors != 0 || stats.Collectors != 1 {
+	if stats.InvalidMessages != 11 || stats.ProtocolErrors != 0 || stats.Collectors != 1 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	client := harness.join(t, 7)
@@ -157,14 +157,14 @@
 	})
 	client.Close()
 	harness.waitForNoConnections()
-	if stats := harness.server.Stats(); stats.MalformedMessages != 0 || stats.ProtocolErrors != 0 {
+	if stats := harness.server.Stats(); stats.InvalidMessages != 0 || stats.ProtocolErrors != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
 
-// TestPeerThatReadsNoPongIsClosed: A peer that pings and does not read the answers is closed when its unsent bytes
-// exceed the limit.
-func TestPeerThatReadsNoPongIsClosed(t *testing.T) {
+// TestConnectionOfPeerThatReadsNoPongIsClosed: The connection of a peer that pings and does not read the answers is
+// closed when its unsent bytes exceed the limit.
+func TestConnectionOfPeerThatReadsNoPongIsClosed(t *testing.T) {
 	harness := startServer(t, nil)
 	client := netpolltest.DialWithReceiveBuffer(t, harness.server.Addr(), waitTimeout, 4<<10)
 	client.SendCommands("collector site govan")
@@ -181,6 +181,6 @@
 	}
 	harness.waitUntil("end of the slow peer", func() bool {
 		stats := harness.server.Stats()
-		return stats.Slow == 1 && stats.Connections == 0
+		return stats.ClosedAsSlow == 1 && stats.Connections == 0
 	})
 }
--- a/internal/platform/publish.go
+++ b/internal/platform/publish.go
@@ -10,7 +10,7 @@
 // acknowledges too slowly is closed.
 func (s *Server) Publish(batch *snapshot.Batch) {
 	s.mu.Lock()
-	var slow []*connection
+	var slowConnections []*connection
 	for _, delivery := range s.published.Apply(batch) {
 		stream := s.streams[delivery.Subscriber.Proxy]
 		if stream == nil || stream.subscriber != delivery.Subscriber {
@@ -21,17 +21,17 @@
 			continue
 		}
 		if s.isSlow(stream) {
-			slow = append(slow, stream.conn)
+			slowConnections = append(slowConnections, stream.conn)
 		}
 	}
-	s.stats.Slow += uint64(len(slow))
-	for _, c := range slow {
+	s.stats.ClosedAsSlow += uint64(len(slowConnections))
+	for _, c := range slowConnections {
 		s.config.Log.Warn().Int("proxy", int(c.stream.proxy)).Int64("unsent_bytes", c.UnsentBytes()).
 			Int("pending_acks", len(c.stream.acks.pending)).Msg("stream closed: proxy reads or acknowledges too slowly")
 	}
-	s.unregister(slow...)
+	s.unregister(slowConnections...)
 	s.mu.Unlock()
-	s.connections.CloseOnPoller(slow...)
+	s.connections.CloseOnPoller(slowConnections...)
 }
 
 // isSlow reports whether a stream has too many unsent bytes or pending acknowledgements; s.mu is held.
@@ -48,7 +48,7 @@
 		return err
 	}
 	if message.AckSequence >= 0 {
-		stream.acks.newest = uint32(message.AckSequence)
+		stream.acks.newestSequence = uint32(message.AckSequence)
 		s.addPendingAck(&stream.acks, s.config.Now())
 	}
 	s.stats.Updates++
@@ -81,7 +81,7 @@
 		}
 		stream.readmissions.markSettled(withdrawal.Replica)
 	}
-	for _, replica := range stream.readmissions.forDelivery(delivery, s.spareReadmissionCount(stream, message)) {
+	for _, replica := range stream.readmissions.replicasToReadmit(delivery, s.spareReadmissionCount(stream, message)) {
 		update.Readmitted = append(update.Readmitted, s.config.ReplicaNames.Name(replica))
 	}
 	for _, quota := range message.Quotas {
--- a/internal/platform/publish_test.go
+++ b/internal/platform/publish_test.go
@@ -8,9 +8,9 @@
 	"peppervale/internal/snapshot"
 )
 
-// TestWithdrawalsOfOtherControllersAreReadmitted: A proxy that joins with withdrawals of other controllers never uses
-// an entry whose replica one of them has withdrawn. The replicas of its entries are therefore readmitted.
-func TestWithdrawalsOfOtherControllersAreReadmitted(t *testing.T) {
+// TestReplicasThatOtherControllersWithdrewAreReadmitted: A proxy that joins with withdrawals of other controllers does
+// not use an entry whose replica one of them has withdrawn. The replicas of its entries are therefore readmitted.
+func TestReplicasThatOtherControllersWithdrewAreReadmitted(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.dial(t).send("joined id 7 site govan rps 1 new 0")
 	harness.waitForEvent("connected 7 zone 0 rate 1 standing false")
@@ -35,8 +35,8 @@
 	client.expectMessage("update lines s-1:1")
 }
 
-// TestOperationTablesAreSentInSeparateUpdateParts: An update has one part for each table of its own that an operation
-// has, with the operation's name.
+// TestOperationTablesAreSentInSeparateUpdateParts: An update has one part for each operation that has its own
+// table, with the operation's name.
 func TestOperationTablesAreSentInSeparateUpdateParts(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.dial(t).send("joined id 7 site govan rps 1 new 0")
@@ -62,13 +62,14 @@
 	client.expectMessage("update classes log lines s-3:2")
 }
 
-// TestProxyThatReadsNothingIsClosed: A proxy that reads nothing is closed when its unsent bytes exceed the limit.
-func TestProxyThatReadsNothingIsClosed(t *testing.T) {
+// TestConnectionOfProxyThatReadsNothingIsClosed: The connection of a proxy that reads nothing is closed when its unsent
+// bytes exceed the limit.
+func TestConnectionOfProxyThatReadsNothingIsClosed(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.dial(t).send(joinMessage(7))
 	_ = client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	harness.waitForEvent("connected 7 zone 0 rate 1 standing true")
-	for n := 0; harness.server.Stats().Slow == 0; n++ {
+	for n := 0; harness.server.Stats().ClosedAsSlow == 0; n++ {
 		harness.publish(-1, harness.setWithdrawn(n%9+1, n%2 == 0))
 		if n > 5_000_000 {
 			t.Fatal("the proxy is still joined after 5,000,000 updates")
--- a/internal/platform/readmission.go
+++ b/internal/platform/readmission.go
@@ -13,8 +13,8 @@
 // own replica: the cost of both includes the readmission. The remaining replicas of a bind are readmitted later, in
 // messages with spare capacity.
 type readmissions struct {
-	// settled holds the replicas that were withdrawn or readmitted on this stream, or are deferred. It is nil for a proxy
-	// that joined on the standing table: no replica is readmitted for it.
+	// settled holds the replicas that were withdrawn or readmitted on this stream, or are deferred. It is nil for a
+	// proxy that joined on the standing table: no replica is readmitted for it.
 	settled map[model.ReplicaID]bool
 	// deferred lists the replicas of a bind that are readmitted later, in that order.
 	deferred []model.ReplicaID
@@ -27,9 +27,9 @@
 	}
 }
 
-// forDelivery returns the replicas that a message readmits in addition to its own readmissions, including at most spare
-// deferred ones.
-func (r *readmissions) forDelivery(delivery snapshot.Delivery, spare int) (readmitted []model.ReplicaID) {
+// replicasToReadmit returns the replicas that a message readmits in addition to its own readmissions, including at most
+// maxDeferred deferred ones.
+func (r *readmissions) replicasToReadmit(delivery snapshot.Delivery, maxDeferred int) (readmitted []model.ReplicaID) {
 	if r.settled == nil {
 		return nil
 	}
@@ -54,18 +54,18 @@
 			}
 		}
 	}
-	return append(readmitted, r.takeDeferred(delivery.Subscriber, spare)...)
+	return append(readmitted, r.takeDeferred(delivery.Subscriber, maxDeferred)...)
 }
 
-// takeDeferred removes and returns the next deferred replicas, at most spare of them. Replicas that are withdrawn for
-// the subscriber are dropped and do not count.
-func (r *readmissions) takeDeferred(subscriber *snapshot.Subscriber, spare int) (readmitted []model.ReplicaID) {
-	for spare > 0 && len(r.deferred) > 0 {
+// takeDeferred removes and returns the next deferred replicas, at most maxReplicas of them. Replicas that are withdrawn
+// for the subscriber are dropped and do not count.
+func (r *readmissions) takeDeferred(subscriber *snapshot.Subscriber, maxReplicas int) (readmitted []model.ReplicaID) {
+	for maxReplicas > 0 && len(r.deferred) > 0 {
 		replica := r.deferred[0]
 		r.deferred = r.deferred[1:]
 		if !subscriber.IsWithdrawn(replica) {
 			readmitted = append(readmitted, replica)
-			spare--
+			maxReplicas--
 		}
 	}
 	return readmitted
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -15,29 +15,29 @@
 	Proxies         int    `json:"Proxies"`     // joined now
 	Collectors      int    `json:"Collectors"`  // registered now
 	Connections     int    `json:"Connections"` // open now
-	Unauthenticated uint64 `json:"Strangers"`   // ended without having joined
-	Rejected        uint64 `json:"Refused"`     // of the unauthenticated: those that were sent a reason
-	Evicted         uint64 `json:"Evicted"`     // of the unauthenticated: those closed at the connection limit
+	EndedBeforeJoin uint64 `json:"Strangers"`   // ended without having joined
+	Rejected        uint64 `json:"Refused"`     // of those ended without having joined: sent the reason
+	Evicted         uint64 `json:"Evicted"`     // of those ended without having joined: closed at the connection limit
 }
 
 // ProtocolErrorStats describes invalid input.
 type ProtocolErrorStats struct {
-	MalformedMessages uint64 `json:"Spoilt"` // dropped, or counted as the oldest pending acknowledgement
-	ProtocolErrors    uint64 `json:"Faults"` // joined connections closed because their bytes could not be decoded
+	InvalidMessages uint64 `json:"Spoilt"` // on joined connections: dropped, or counted as the oldest pending ack
+	ProtocolErrors  uint64 `json:"Faults"` // joined connections closed because their bytes could not be decoded
 }
 
 // StreamStats describes why streams were closed, and the acknowledgements that were requested again.
 type StreamStats struct {
-	Silent     uint64 `json:"Silent"`     // closed because the proxy was silent
-	Slow       uint64 `json:"Slow"`       // closed because the proxy read or acknowledged too slowly
-	Replaced   uint64 `json:"Replaced"`   // closed because the proxy joined again
-	AckRetries uint64 `json:"AskedAgain"` // acknowledgements requested again
+	ClosedAsSilent uint64 `json:"Silent"`     // closed because the proxy was silent
+	ClosedAsSlow   uint64 `json:"Slow"`       // closed because the proxy read or acknowledged too slowly
+	Replaced       uint64 `json:"Replaced"`   // closed because the proxy joined again
+	AckRetries     uint64 `json:"AskedAgain"` // acknowledgements requested again
 }
 
 // PublishStats describes the updates sent.
 type PublishStats struct {
 	Updates uint64 `json:"Updates"`
-	Entries uint64 `json:"Lines"` // by cost
+	Entries uint64 `json:"Lines"` // sum of the costs of the updates, in entries
 	Bytes   uint64 `json:"Bytes"`
 }
 
--- a/internal/platform/stats_test.go
+++ b/internal/platform/stats_test.go
@@ -11,9 +11,9 @@
 		`"Spoilt":7,"Faults":8,"Silent":9,"Slow":10,"Replaced":11,"AskedAgain":12,` +
 		`"Updates":13,"Lines":14,"Bytes":15,"Sums":16,"Tries":17,"Owed":18,"Usage":19}`
 	stats := Stats{
-		ConnectionStats{Proxies: 1, Collectors: 2, Connections: 3, Unauthenticated: 4, Rejected: 5, Evicted: 6},
-		ProtocolErrorStats{MalformedMessages: 7, ProtocolErrors: 8},
-		StreamStats{Silent: 9, Slow: 10, Replaced: 11, AckRetries: 12},
+		ConnectionStats{Proxies: 1, Collectors: 2, Connections: 3, EndedBeforeJoin: 4, Rejected: 5, Evicted: 6},
+		ProtocolErrorStats{InvalidMessages: 7, ProtocolErrors: 8},
+		StreamStats{ClosedAsSilent: 9, ClosedAsSlow: 10, Replaced: 11, AckRetries: 12},
 		PublishStats{Updates: 13, Entries: 14, Bytes: 15},
 		ReportStats{LoadReports: 16, Attempts: 17, PendingAcks: 18, UsageRequests: 19},
 	}
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -36,13 +36,13 @@
 		s.mu.Unlock()
 		return errEnded
 	}
-	var replaced []*connection
+	var replacedConnections []*connection
 	if older := s.streams[proxy]; older != nil {
 		s.stats.Replaced++
 		s.unregister(older.conn)
-		replaced = append(replaced, older.conn)
+		replacedConnections = append(replacedConnections, older.conn)
 	}
-	s.authenticate(conn)
+	s.markJoined(conn)
 	s.lastStreamID++
 	conn.stream = &stream{conn: conn, proxy: proxy, id: s.lastStreamID, onStandingTable: message.OnStandingTable}
 	s.streams[proxy] = conn.stream
@@ -53,7 +53,7 @@
 		OnStandingTable: message.OnStandingTable,
 	}, zone)
 	s.mu.Unlock()
-	s.connections.CloseOnPoller(replaced...)
+	s.connections.CloseOnPoller(replacedConnections...)
 	return nil
 }
 
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -48,8 +48,8 @@
 	newer.expectMessage("update out s-1 ticket 1")
 }
 
-// TestUnreadableBytesEndStream: A joined connection that sends bytes that cannot be decoded is closed.
-func TestUnreadableBytesEndStream(t *testing.T) {
+// TestBytesThatCannotBeDecodedEndStream: A joined connection that sends bytes that cannot be decoded is closed.
+func TestBytesThatCannotBeDecodedEndStream(t *testing.T) {
 	harness := startServer(t, nil)
 	client := harness.join(t, 7)
 	client.Send([]byte("\x00\x01\x02"))
--- a/internal/platform/timeouts.go
+++ b/internal/platform/timeouts.go
@@ -5,34 +5,36 @@
 	"peppervale/internal/model"
 )
 
-// idleTimeoutFactor is the multiple of Limits.SilenceTimeout for which a stream may send nothing while no stream
-// acknowledges anything: the platform's channel can be five times slower than its stated pace.
+// idleTimeoutFactor is the multiple of Limits.SilenceTimeout for which a stream with a pending acknowledgement may send
+// nothing, whether or not other streams acknowledge: the platform's channel can be five times slower than its
+// configured rate.
 const idleTimeoutFactor = 5
 
 // checkTimeouts ends connections that did not join in time and streams whose proxy's host has vanished. TCP does not
-// report a vanished host, but its pending acknowledgements and all other messages of the stream fail to arrive.
+// report a vanished host. It is detected because neither acknowledgements nor other messages arrive from it.
 //
-// The platform's channel delivers messages one after another at its own pace, so an acknowledgement is overdue only
+// The platform's channel delivers messages one after another at a limited rate, so an acknowledgement is overdue only
 // once another stream has acknowledged a message that was sent later. Without this rule, a stream would be ended
-// because its message is still queued. A stream that is silent for idleTimeoutFactor times as long is ended regardless.
+// because its message is still queued. A stream whose oldest acknowledgement is pending and which sends nothing, both
+// for idleTimeoutFactor * Limits.SilenceTimeout, is ended regardless.
 //
-// If a stream sends messages but an acknowledgement is overdue, the acknowledgement was lost. A stream that sends
-// nothing may have vanished without a pending acknowledgement. Each check requests an acknowledgement again from one of
-// these streams, with a message that changes nothing. Its cost fits into the messages and entries that the balancer
-// leaves unused in each proxy's budget. The new acknowledgement covers all earlier requests. The retry itself does not
-// count as an acknowledgement.
+// Two kinds of streams are asked for an acknowledgement again: those with an overdue acknowledgement, which was lost if
+// the stream still sends messages, and silent ones without a pending acknowledgement, whose host may have vanished.
+// Each check asks one of them, with a message that changes nothing. The cost of this message fits into the messages and
+// entries that the balancer leaves unused in each proxy's budget. The requested acknowledgement covers all earlier
+// ones, which stay pending until it arrives.
 func (s *Server) checkTimeouts() {
 	s.mu.Lock()
 	now := s.config.Now()
-	ended := s.timedOutGreetings(now)
+	timedOutConnections := s.connectionsNotJoinedInTime(now)
 	var retryStream *stream
 	for _, stream := range s.streams {
-		stream.acks.markOvertaken(s.progress.acknowledged, now)
+		stream.acks.markOvertaken(s.progress.newestAcknowledged, now)
 		switch {
 		case s.isSilent(stream, now):
-			s.stats.Silent++
+			s.stats.ClosedAsSilent++
 			s.config.Log.Warn().Int("proxy", int(stream.proxy)).Msg("stream closed: proxy is silent")
-			ended = append(ended, stream.conn)
+			timedOutConnections = append(timedOutConnections, stream.conn)
 		case s.shouldRetryAck(stream, now) && retriedEarlier(stream, retryStream):
 			retryStream = stream
 		}
@@ -40,26 +42,26 @@
 	if retryStream != nil {
 		s.retryAck(retryStream, now)
 	}
-	s.unregister(ended...)
+	s.unregister(timedOutConnections...)
 	s.mu.Unlock()
-	s.connections.CloseOnPoller(ended...)
+	s.connections.CloseOnPoller(timedOutConnections...)
 }
 
-// timedOutGreetings returns the connections that did not join in time; s.mu is held.
-func (s *Server) timedOutGreetings(now model.Microseconds) (overdue []*connection) {
-	for element := s.unauthenticated.Front(); element != nil; element = element.Next() {
+// connectionsNotJoinedInTime returns the connections that did not join in time; s.mu is held.
+func (s *Server) connectionsNotJoinedInTime(now model.Microseconds) (connections []*connection) {
+	for element := s.awaitingJoin.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*connection)
 		if now-c.openedAt < microseconds(s.config.Limits.GreetingTimeout) {
 			break
 		}
-		overdue = append(overdue, c)
+		connections = append(connections, c)
 	}
-	return overdue
+	return connections
 }
 
 // markOvertaken records when the oldest pending acknowledgement was first seen to be overtaken.
 func (q *ackQueue) markOvertaken(newestAcknowledged uint64, now model.Microseconds) {
-	if len(q.pending) > 0 && q.overtakenSince == 0 && newestAcknowledged > q.pending[0].number {
+	if len(q.pending) > 0 && q.overtakenSince == 0 && newestAcknowledged > q.pending[0].messageNumber {
 		q.overtakenSince = now
 	}
 }
@@ -80,12 +82,12 @@
 // isSilent reports whether a stream's proxy counts as vanished; s.mu is held.
 func (s *Server) isSilent(stream *stream, now model.Microseconds) bool {
 	limit := microseconds(s.config.Limits.SilenceTimeout)
-	silent := stream.conn.silentFor(now)
-	if stream.acks.overdueFor(now) > limit && silent > limit {
+	silentFor := stream.conn.silentFor(now)
+	if stream.acks.overdueFor(now) > limit && silentFor > limit {
 		return true
 	}
 	pending := stream.acks.pending
-	return len(pending) > 0 && min(now-pending[0].sentAt, silent) > idleTimeoutFactor*limit
+	return len(pending) > 0 && min(now-pending[0].sentAt, silentFor) > idleTimeoutFactor*limit
 }
 
 // shouldRetryAck reports whether a stream's acknowledgement is to be requested again; s.mu is held.
@@ -107,12 +109,12 @@
 func (s *Server) retryAck(stream *stream, now model.Microseconds) {
 	queue := &stream.acks
 	queue.retriedAt = now
-	queue.retriedSequence = queue.newest
+	queue.retriedSequence = queue.newestSequence
 	s.stats.AckRetries++
 	if len(queue.pending) == 0 {
 		s.addPendingAck(queue, now)
 	}
-	update := platformmsg.Update{AckSequence: int(queue.newest)}
+	update := platformmsg.Update{AckSequence: int(queue.newestSequence)}
 	encoded, _ := update.Append(nil) // an update without lists always fits
 	s.connections.Write(stream.conn, encoded)
 }
--- a/internal/platform/timeouts_test.go
+++ b/internal/platform/timeouts_test.go
@@ -40,7 +40,7 @@
 	proxy.expectMessage("update out s-2 ticket 4")
 	proxy.send("applied id 7 seq 3 ms 1") // the lost acknowledgement arrives late
 	proxy.ping()
-	if stats := harness.server.Stats(); stats.PendingAcks != 2 || stats.MalformedMessages != 0 {
+	if stats := harness.server.Stats(); stats.PendingAcks != 2 || stats.InvalidMessages != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	proxy.send("applied id 7 seq 4 ms 1")
@@ -73,7 +73,7 @@
 	responsive.ping()
 	harness.server.checkTimeouts()
 	harness.waitForEvent("disconnected 1")
-	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Silent != 1 || stats.PendingAcks != 0 {
+	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.ClosedAsSilent != 1 || stats.PendingAcks != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 }
@@ -81,7 +81,7 @@
 // TestVanishedProxyIsDisconnectedAfterLaterAcknowledgement: The stream of a proxy whose host has vanished ends once
 // another proxy has acknowledged a message that was sent later, and its pending acknowledgements no longer count. A
 // stream with a pending acknowledgement that still sends messages stays. So does a stream whose message is still queued
-// in the channel: without that rule, 701 of 2,400 streams were ended on a day without faults. If no stream acknowledges
+// in the channel: without that rule, 701 of 2,400 streams ended in a scenario without faults. If no stream acknowledges
 // anything, a silent stream ends after five times the timeout.
 func TestVanishedProxyIsDisconnectedAfterLaterAcknowledgement(t *testing.T) {
 	clock := &testClock{now: 1}
@@ -96,7 +96,7 @@
 	active.expectMessage("update out s-1 ticket 1")
 	clock.advance(60 * time.Millisecond) // no stream has acknowledged: the channel may be slow
 	harness.server.checkTimeouts()
-	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.Silent != 0 {
+	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.ClosedAsSilent != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	active.send("applied id 2 seq 1 ms 1")
@@ -111,7 +111,7 @@
 	clock.advance(20 * time.Millisecond)
 	harness.server.checkTimeouts()
 	harness.waitForEvent("disconnected 1")
-	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.Silent != 1 {
+	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.ClosedAsSilent != 1 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
 	idle.expectMessage("update out s-2 ticket 2")
--- a/internal/pubsub/config.go
+++ b/internal/pubsub/config.go
@@ -20,7 +20,7 @@
 }
 
 // DefaultLimits are suitable for some thousand proxies: 64 KiB hold a table of 2,000 entries. All peers together may
-// have a quarter of a gigabyte unsent. A proxy sends one load report each report period and one acknowledgement for
+// have 256 MiB unsent. A proxy sends one load report each report period and one acknowledgement for
 // each message, so 200 commands a second are twenty times what it needs.
 var DefaultLimits = Limits{
 	Connections:      8192,
@@ -64,7 +64,7 @@
 	Zones            []string
 	ReportPeriod     model.Microseconds // over which proxies aggregate a load report
 	MessageOverhead  int                // cost of a message in entries, added to its own entries
-	EntriesPerSecond float64            // pace of the channel
+	EntriesPerSecond float64            // rate at which messages are sent, by their cost
 	Limits           Limits
 	JoinLimits       admission.Limits // rate at which proxies may join; zero: unlimited
 	Leases           Leases           // nil: this controller may send updates to every joined proxy
--- a/internal/pubsub/connection.go
+++ b/internal/pubsub/connection.go
@@ -41,16 +41,16 @@
 	resyncedAt         model.Microseconds
 }
 
-// An error that ends a connection although its peer did nothing wrong begins with one of these words; all other errors
-// begin with ERR.
+// An error that ends a connection and tells the peer when or where to join again begins with one of these words; any
+// other error that ends a connection begins with ERR.
 const (
 	errorLater  = "LATER"  // retry after the given time
 	errorEnding = "ENDING" // this controller shuts down
 	errorMoved  = "MOVED"  // another controller holds the proxy's shard
 )
 
-// isExpectedEnd reports whether an error ends a connection although its peer did nothing wrong. These errors are logged
-// at debug level: a join storm causes thousands of them.
+// isExpectedEnd reports whether an error that ends a connection tells the peer when or where to join again. These
+// errors are logged at debug level: a join storm causes thousands of them.
 func isExpectedEnd(reason string) bool {
 	return strings.HasPrefix(reason, errorLater) ||
 		strings.HasPrefix(reason, errorEnding) ||
--- a/internal/pubsub/joinstorm_test.go
+++ b/internal/pubsub/joinstorm_test.go
@@ -45,11 +45,11 @@
 	const maxLateIntervals = 2
 	for intervals := 1; intervals <= stormProxies-stormBurst+maxLateIntervals; intervals++ {
 		clock.advance(interval)
-		least := min(stormBurst+intervals-maxLateIntervals, stormProxies)
-		most := stormBurst + intervals
-		storm.waitUntil(fmt.Sprintf("%d joined", least), func(c joinCounts) bool { return c.joined >= least })
-		if counts := storm.counts(); counts.joined > most {
-			t.Fatalf("%+v after %d us of the clock, want at most %d joined", counts, clock.now(), most)
+		minJoined := min(stormBurst+intervals-maxLateIntervals, stormProxies)
+		maxJoined := stormBurst + intervals
+		storm.waitUntil(fmt.Sprintf("%d joined", minJoined), func(c joinCounts) bool { return c.joined >= minJoined })
+		if counts := storm.counts(); counts.joined > maxJoined {
+			t.Fatalf("%+v after %d us of the clock, want at most %d joined", counts, clock.now(), maxJoined)
 		}
 	}
 
--- a/internal/pubsub/lease_test.go
+++ b/internal/pubsub/lease_test.go
@@ -75,12 +75,12 @@
 func TestLostLeaseEndsStreamsOfItsShardOnly(t *testing.T) {
 	leases := &testLeases{held: map[int]uint64{0: 5, 1: 8}, holders: map[int]string{1: "127.0.0.1:7001"}}
 	harness := startServer(t, func(config *Config) { config.Leases = leases })
-	stays := harness.tryJoin(t, "stays", "govan")
-	stays.expectMap()
-	if message := stays.message(); message.Epoch != 5 {
+	otherShardClient := harness.tryJoin(t, "stays", "govan")
+	otherShardClient.expectMap()
+	if message := otherShardClient.message(); message.Epoch != 5 {
 		t.Fatalf("unexpected epoch in %+v", message)
 	}
-	moves, first := harness.join(t, "moves")
+	lostShardClient, first := harness.join(t, "moves")
 	if first.Epoch != 8 {
 		t.Fatalf("unexpected epoch in %+v", first)
 	}
@@ -89,14 +89,14 @@
 	}
 	leases.lose(1)
 	harness.server.LeaseLost(1)
-	moves.expectError("MOVED 1 127.0.0.1:7001")
-	moves.expectClosed()
+	lostShardClient.expectError("MOVED 1 127.0.0.1:7001")
+	lostShardClient.expectClosed()
 	harness.waitForEvent("disconnected 1")
 	harness.publish(3, withdrawReplica(1))
-	stays.expectAckSequence(3)
-	stays.Send(resp.AppendCommand(nil, "FENCED", "6", "3", "1"))
-	stays.Send(pingCommand())
-	stays.expectPong()
+	otherShardClient.expectAckSequence(3)
+	otherShardClient.Send(resp.AppendCommand(nil, "FENCED", "6", "3", "1"))
+	otherShardClient.Send(pingCommand())
+	otherShardClient.expectPong()
 	if stats := harness.server.Stats(); stats.Fenced != 1 || stats.Redirected != 1 || stats.Proxies != 1 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
@@ -121,7 +121,7 @@
 	misrouted.record("changes shard", 2, 2*model.Second)
 	for _, tt := range []struct {
 		name         string
-		now, atLeast model.Microseconds
+		now, minSpan model.Microseconds
 		want         int
 	}{
 		{"long enough", 2 * model.Second, 2 * model.Second, 1},
@@ -129,7 +129,7 @@
 		{"just before expiry", 2*model.Second + misroutedExpiry - 1, model.Second, 1},
 		{"expired", 2*model.Second + misroutedExpiry, model.Second, 0},
 	} {
-		if got := misrouted.count(tt.now, tt.atLeast); got[1] != tt.want || got[2] != 0 {
+		if got := misrouted.count(tt.now, tt.minSpan); got[1] != tt.want || got[2] != 0 {
 			t.Errorf("%s: counts by shard %v, want %d of shard 1 and none of shard 2", tt.name, got, tt.want)
 		}
 	}
--- a/internal/pubsub/limits_test.go
+++ b/internal/pubsub/limits_test.go
@@ -9,9 +9,9 @@
 	"peppervale/internal/codec/resp"
 )
 
-// TestSilentConnectionsAreClosed: A thousand connections that send nothing are closed; a proxy that joins in the
-// meantime is served.
-func TestSilentConnectionsAreClosed(t *testing.T) {
+// TestSilentConnectionsAreClosedAfterGreetingTimeout: A thousand connections that send nothing are closed; a proxy that
+// joins in the meantime is served.
+func TestSilentConnectionsAreClosedAfterGreetingTimeout(t *testing.T) {
 	harness := startServer(t, func(config *Config) {
 		config.Limits.GreetingTimeout = 300 * time.Millisecond
 		config.Limits.Connections = 1000
@@ -28,9 +28,9 @@
 	proxy.expectAckSequence(1)
 }
 
-// TestConnectionWithUnfinishedStringIsClosed: A connection that sends the beginning of a string and never its end is
-// closed after the greeting timeout; a proxy that joins in the meantime is served.
-func TestConnectionWithUnfinishedStringIsClosed(t *testing.T) {
+// TestConnectionWithUnfinishedStringIsClosedAfterGreetingTimeout: A connection that sends the beginning of a string and
+// never its end is closed after the greeting timeout; a proxy that joins in the meantime is served.
+func TestConnectionWithUnfinishedStringIsClosedAfterGreetingTimeout(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = 300 * time.Millisecond })
 	client := harness.dial(t)
 	client.Send([]byte("*2\r\n$1000000\r\nbegun"))
--- a/internal/pubsub/misrouted.go
+++ b/internal/pubsub/misrouted.go
@@ -7,57 +7,59 @@
 	"peppervale/internal/model"
 )
 
-// noHolderRetryDelay is the retry delay for a proxy whose shard has no lease holder. The transfer of a lease takes a
-// few times as long.
+// noHolderRetryDelay is the retry delay for a proxy whose shard has no lease holder. The transfer of a lease takes
+// several times this delay, so that the proxy retries a few times.
 const noHolderRetryDelay = 100 * time.Millisecond
 
 // maxMisroutedProxies bounds the number of tracked misrouted proxies; further ones are not counted.
 const maxMisroutedProxies = 10_000
 
-// misroutedExpiry is how long a misrouted proxy is tracked after its last join. A proxy that cannot reach its own
-// controller joins here again within a dial timeout and some backoff.
+// misroutedExpiry is how long a misrouted proxy is tracked after its last attempt to join. A proxy that cannot reach
+// its own controller tries to join here again after its dial timeout and its retry delay, which together have to be
+// shorter than misroutedExpiry.
 const misroutedExpiry = 5 * model.Second
 
-// misroutedProxies holds the proxies that joined here although another controller has their shard, by name.
+// misroutedProxies holds the proxies that tried to join here although this controller does not hold their shard's
+// lease, by name.
 type misroutedProxies map[string]*misroutedProxy
 
 type misroutedProxy struct {
-	shard        int
-	firstAskedAt model.Microseconds
-	lastAskedAt  model.Microseconds
+	shard       int
+	firstJoinAt model.Microseconds
+	lastJoinAt  model.Microseconds
 }
 
 // record records that a proxy of a shard has tried to join.
 func (m misroutedProxies) record(name string, shard int, now model.Microseconds) {
 	known := m[name]
 	switch {
-	case known != nil && now-known.lastAskedAt < misroutedExpiry && known.shard == shard:
-		known.lastAskedAt = now
+	case known != nil && now-known.lastJoinAt < misroutedExpiry && known.shard == shard:
+		known.lastJoinAt = now
 	case known != nil || len(m) < maxMisroutedProxies:
-		m[name] = &misroutedProxy{shard: shard, firstAskedAt: now, lastAskedAt: now}
+		m[name] = &misroutedProxy{shard: shard, firstJoinAt: now, lastJoinAt: now}
 	}
 }
 
-// count returns, by shard, how many proxies have tried to join for a span of at least atLeast. It removes proxies that
+// count returns, by shard, how many proxies have tried to join for at least minSpan. It removes proxies that
 // have stopped trying.
-func (m misroutedProxies) count(now, atLeast model.Microseconds) map[int]int {
+func (m misroutedProxies) count(now, minSpan model.Microseconds) map[int]int {
 	counts := map[int]int{}
 	for name, proxy := range m {
-		if now-proxy.lastAskedAt >= misroutedExpiry {
+		if now-proxy.lastJoinAt >= misroutedExpiry {
 			delete(m, name)
-		} else if proxy.lastAskedAt-proxy.firstAskedAt >= atLeast {
+		} else if proxy.lastJoinAt-proxy.firstJoinAt >= minSpan {
 			counts[proxy.shard]++
 		}
 	}
 	return counts
 }
 
-// MisroutedProxies returns, by shard, how many proxies have tried to join here for a span of at least atLeast, although
-// they were redirected.
-func (s *Server) MisroutedProxies(atLeast model.Microseconds) map[int]int {
+// MisroutedProxies returns, by shard, how many proxies have tried to join here for at least minSpan, although they were
+// redirected.
+func (s *Server) MisroutedProxies(minSpan model.Microseconds) map[int]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.misrouted.count(s.config.Now(), atLeast)
+	return s.misrouted.count(s.config.Now(), minSpan)
 }
 
 // LeaseLost ends the streams of a shard whose lease this controller no longer holds. When it returns, no message for
--- a/internal/pubsub/observer_test.go
+++ b/internal/pubsub/observer_test.go
@@ -41,13 +41,13 @@
 }
 
 // receive decodes the next message of a subscription.
-func receive(ctx context.Context, t *testing.T, subscription *redis.PubSub, into any) {
+func receive(ctx context.Context, t *testing.T, subscription *redis.PubSub, target any) {
 	t.Helper()
 	message, err := subscription.ReceiveMessage(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal([]byte(message.Payload), into); err != nil {
+	if err := json.Unmarshal([]byte(message.Payload), target); err != nil {
 		t.Fatalf("payload %s cannot be decoded: %v", message.Payload, err)
 	}
 }
--- a/internal/pubsub/observermessage_test.go
+++ b/internal/pubsub/observermessage_test.go
@@ -39,7 +39,7 @@
 
 // checkMessage compares a message's JSON with a golden file, decodes the file into empty and compares that with the
 // message.
-func checkMessage(t *testing.T, name string, message, empty any) {
+func checkMessage(t *testing.T, name string, message, decoded any) {
 	t.Helper()
 	got, err := json.Marshal(message)
 	if err != nil {
@@ -59,8 +59,8 @@
 	if !bytes.Equal(got, want) {
 		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
 	}
-	err = json.Unmarshal(want, empty)
-	if err != nil || !reflect.DeepEqual(reflect.ValueOf(empty).Elem().Interface(), message) {
-		t.Errorf("%s: decoded as %+v, %v; want %+v", file, empty, err, message)
+	err = json.Unmarshal(want, decoded)
+	if err != nil || !reflect.DeepEqual(reflect.ValueOf(decoded).Elem().Interface(), message) {
+		t.Errorf("%s: decoded as %+v, %v; want %+v", file, decoded, err, message)
 	}
 }
--- a/internal/pubsub/pacedqueue.go
+++ b/internal/pubsub/pacedqueue.go
@@ -5,7 +5,7 @@
 	"peppervale/internal/snapshot"
 )
 
-// pacedQueue holds queued messages and releases them one after another at the channel's pace. The cost of a message in
+// pacedQueue holds queued messages and releases them one after another at entriesPerSecond. The cost of a message in
 // entries determines how long it occupies the channel. It does no I/O.
 type pacedQueue struct {
 	entriesPerSecond  float64
--- a/internal/pubsub/stats.go
+++ b/internal/pubsub/stats.go
@@ -9,7 +9,7 @@
 	QueuedEntries    int    `json:"queue_lines"`      // entries queued now
 	MaxQueuedEntries int    `json:"queue_most_lines"` // most entries queued at any time
 	Messages         uint64 `json:"messages"`         // messages sent to proxies
-	Entries          uint64 `json:"lines"`            // entries sent to proxies, by cost
+	Entries          uint64 `json:"lines"`            // sum of the costs of these messages, in entries
 	Bytes            uint64 `json:"bytes"`
 	SnapshotFolds    uint64 `json:"snapshot_folds"` // slow readers whose changes were folded into a snapshot
 	Resyncs          uint64 `json:"resyncs"`        // snapshots sent in answer to RESYNC
