--- a/internal/codec/consulcatalog/parse.go
+++ b/internal/codec/consulcatalog/parse.go
@@ -32,7 +32,7 @@
 // Parse parses the body of a response. A zone is identified by its index in zones. An instance in maintenance is
 // draining; one with any other critical check is gone. Instances without a usable address, in an unknown zone or
 // listed twice are skipped and counted.
-func Parse(body []byte, zones []string) (endpoints []model.Endpoint, skipped int, err error) {
+func Parse(body []byte, zones []string) (endpoints []model.Endpoint, skippedCount int, err error) {
 	var entries []ServiceEntry
 	if err := json.Unmarshal(body, &entries); err != nil {
 		return nil, 0, fmt.Errorf("health endpoint response: %w", err)
@@ -40,17 +40,17 @@
 	if len(entries) > maxEntries {
 		return nil, 0, fmt.Errorf("health endpoint response: %d entries; at most %d are accepted", len(entries), maxEntries)
 	}
-	seen := map[model.ReplicaID]bool{}
+	seenReplicas := map[model.ReplicaID]bool{}
 	for i := range entries {
 		endpoint, ok := entries[i].endpoint(zones)
-		if !ok || seen[endpoint.ID] {
-			skipped++
+		if !ok || seenReplicas[endpoint.ID] {
+			skippedCount++
 			continue
 		}
-		seen[endpoint.ID] = true
+		seenReplicas[endpoint.ID] = true
 		endpoints = append(endpoints, endpoint)
 	}
-	return endpoints, skipped, nil
+	return endpoints, skippedCount, nil
 }
 
 // endpoint converts an entry; ok is false if its address or zone is invalid.
--- a/internal/codec/simulator/golden_test.go
+++ b/internal/codec/simulator/golden_test.go
@@ -130,21 +130,21 @@
 
 // TestReplyMatchesGoldenFile encodes each action, some of them appended from another reply.
 func TestReplyMatchesGoldenFile(t *testing.T) {
-	first, second := &Reply{}, &Reply{}
-	first.Log("first")
-	first.SetWeight(65534, replicaID(1), 0.1+0.2)
-	first.BindProxy(258, 3, 6, []model.ReplicaID{replicaID(9)})
-	first.SetWithdrawn(replicaID(2), true)
-	first.SetWithdrawn(replicaID(3), false)
-	first.SetQuota(5, math.MaxFloat32, model.RetryTwiceOnAnyFailure)
-	second.RequestAck(0x01020304, true)
-	second.RequestAck(7, false)
-	second.SetTimer(1_234_567)
-	second.Subscribe()
-	second.OnBehalf(772)
-	second.Exception("a cause")
-	first.Append(second)
-	goldentest.Check(t, "reply.hex", hexText(first.Frame(0xfedcba98)))
+	firstReply, secondReply := &Reply{}, &Reply{}
+	firstReply.Log("first")
+	firstReply.SetWeight(65534, replicaID(1), 0.1+0.2)
+	firstReply.BindProxy(258, 3, 6, []model.ReplicaID{replicaID(9)})
+	firstReply.SetWithdrawn(replicaID(2), true)
+	firstReply.SetWithdrawn(replicaID(3), false)
+	firstReply.SetQuota(5, math.MaxFloat32, model.RetryTwiceOnAnyFailure)
+	secondReply.RequestAck(0x01020304, true)
+	secondReply.RequestAck(7, false)
+	secondReply.SetTimer(1_234_567)
+	secondReply.Subscribe()
+	secondReply.OnBehalf(772)
+	secondReply.Exception("a cause")
+	firstReply.Append(secondReply)
+	goldentest.Check(t, "reply.hex", hexText(firstReply.Frame(0xfedcba98)))
 }
 
 func TestFrameErrorsMatchGoldenFile(t *testing.T) {
--- a/internal/netpoll/accept.go
+++ b/internal/netpoll/accept.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// waitBeforeRetry waits for a duration. It returns false if the engine stops first.
+// waitBeforeRetry waits before the next accept. It returns false if the engine stops first.
 func (e *Engine) waitBeforeRetry(duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
--- a/internal/netpoll/connserver/server.go
+++ b/internal/netpoll/connserver/server.go
@@ -50,7 +50,7 @@
 	// guarded by lock
 	sessions     map[*nbio.Conn]S
 	bytesWritten uint64
-	closing      bool
+	isClosing    bool
 }
 
 // New creates a server that does not listen yet. The lock is that of the protocol server.
@@ -101,11 +101,11 @@
 // Calls after the first have no effect.
 func (s *Server[S]) Close() {
 	s.lock.Lock()
-	if s.closing {
+	if s.isClosing {
 		s.lock.Unlock()
 		return
 	}
-	s.closing = true
+	s.isClosing = true
 	s.lock.Unlock()
 	close(s.done)
 	s.routines.Wait()
--- a/internal/netpoll/connserver/server_test.go
+++ b/internal/netpoll/connserver/server_test.go
@@ -122,13 +122,13 @@
 	server := startServer(t)
 	client := netpolltest.Dial(t, server.Addr(), waitTimeout)
 	<-server.opened
-	ended := false
+	hasEnded := false
 	server.Go(func() {
 		<-server.Done()
-		ended = true
+		hasEnded = true
 	})
 	server.Close()
-	if !ended {
+	if !hasEnded {
 		t.Error("a background routine is still running after Close")
 	}
 	if value, ok := client.Next(); ok {
--- a/internal/netpoll/descriptorreuse_test.go
+++ b/internal/netpoll/descriptorreuse_test.go
@@ -117,27 +117,27 @@
 	address := poller.Addrs[0]
 	// The kernel assigns the lowest free number. The accepted connection will get this one once it is freed, and nbio's
 	// duplicate will get the number of the closed connection.
-	freed, err := syscall.Dup(0)
+	freedDescriptor, err := syscall.Dup(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	blocker := connect(t, address)
-	first := connect(t, address)
-	second := connect(t, address)
+	blockerConn := connect(t, address)
+	firstConn := connect(t, address)
+	secondConn := connect(t, address)
 	poller.waitForConnections(t, 3)
 	newSocket := unconnectedSocket(t)
-	send(t, blocker, "block")
+	send(t, blockerConn, "block")
 	<-poller.received // the poller is in the blocker's event; the next two events come in one round
-	send(t, first, "first")
-	resetConnection(t, second)
+	send(t, firstConn, "first")
+	resetConnection(t, secondConn)
 	poller.release <- struct{}{}
 	if got := <-poller.received; got != "first" {
 		t.Fatalf("received %q, want first", got)
 	}
-	stale := poller.opened.all()[2]
-	occupyDescriptorsBelow(t, stale.Hash())
-	_ = stale.Close()
-	_ = syscall.Close(freed)
+	staleConn := poller.opened.all()[2]
+	occupyDescriptorsBelow(t, staleConn.Hash())
+	_ = staleConn.Close()
+	_ = syscall.Close(freedDescriptor)
 	if err := connectSocket(newSocket, port(t, address)); err != nil {
 		t.Fatal(err)
 	}
@@ -147,8 +147,8 @@
 		expectEcho(t, newSocket)
 	}
 	conns := poller.opened.all()
-	if n := len(conns); n != 4 || conns[3].Hash() != stale.Hash() {
-		t.Errorf("%d connections, want 4; the last one has descriptor %d, want %d", n, conns[3].Hash(), stale.Hash())
+	if n := len(conns); n != 4 || conns[3].Hash() != staleConn.Hash() {
+		t.Errorf("%d connections, want 4; the last one has descriptor %d, want %d", n, conns[3].Hash(), staleConn.Hash())
 	}
 }
 
@@ -168,7 +168,7 @@
 }
 
 // waitForEarlyAccept waits up to 200 ms for the given number of opened connections. If connections are opened while the
-// poller is blocked, the new connection has the stale number by then.
+// poller is blocked, the new connection has the closed connection's descriptor by then.
 func (p *blockingPoller) waitForEarlyAccept(count int) {
 	for deadline := time.Now().Add(200 * time.Millisecond); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if len(p.opened.all()) == count {
--- a/internal/netpoll/dial.go
+++ b/internal/netpoll/dial.go
@@ -15,7 +15,7 @@
 var dialSlots = make(chan struct{}, maxDials)
 
 // Dial connects in the background and calls done once: with the connection, whose session is set, on its poller before
-// any of its data is read, or with an error on any goroutine other than the caller's. The dial function of nbio
+// any of its data is read, or with an error on any goroutine. The dial function of nbio
 // 1.6.8 is not used: it parses IPv4 addresses other than 127.0.0.1 incorrectly, and reports a refused connection as
 // established.
 func Dial(engine *Engine, address string, timeout time.Duration, session any, done func(*nbio.Conn, error)) {
--- a/internal/netpoll/engine.go
+++ b/internal/netpoll/engine.go
@@ -31,7 +31,7 @@
 	pollerLoops []*pollerLoop
 	listeners   []net.Listener
 
-	dialContext context.Context // its end cancels dials and ends the acceptors' pauses
+	dialContext context.Context // cancelled by Stop: ends dials and the waits of acceptors
 	cancelDials context.CancelFunc
 	background  sync.WaitGroup // acceptors and dials
 
--- a/internal/netpoll/socketpair.go
+++ b/internal/netpoll/socketpair.go
@@ -33,17 +33,17 @@
 // attemptPollerConn creates a connection that belongs to the given poller, unless another goroutine takes the
 // descriptor number first.
 func attemptPollerConn(poller, pollers int) (conn *nbio.Conn, farDescriptor int, err error) {
-	near, farDescriptor, err := socketPair()
+	nearConn, farDescriptor, err := socketPair()
 	if err != nil {
 		return nil, 0, err
 	}
 	release, err := occupyDescriptors(farDescriptor, poller, pollers)
 	if err == nil {
-		conn, err = newNBConn(near)
+		conn, err = newNBConn(nearConn)
 	}
 	release()
 	if err != nil {
-		_ = near.Close()
+		_ = nearConn.Close()
 		_ = syscall.Close(farDescriptor)
 		return nil, 0, err
 	}
@@ -51,19 +51,19 @@
 }
 
 // socketPair returns a connection and the descriptor of its far end.
-func socketPair() (near net.Conn, farDescriptor int, err error) {
+func socketPair() (nearConn net.Conn, farDescriptor int, err error) {
 	ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, 0, err
 	}
 	file := os.NewFile(uintptr(ends[0]), "poller loop")
-	near, err = net.FileConn(file)
+	nearConn, err = net.FileConn(file)
 	_ = file.Close() // near has a duplicate
 	if err != nil {
 		_ = syscall.Close(ends[1])
 		return nil, 0, err
 	}
-	return near, ends[1], nil
+	return nearConn, ends[1], nil
 }
 
 // occupyDescriptors occupies the lowest free descriptors until the next one belongs to the poller. release closes the
--- a/internal/platform/connection_test.go
+++ b/internal/platform/connection_test.go
@@ -54,9 +54,9 @@
 // connection is closed, because it is the only one that has not joined. The streams are not affected.
 func TestNewConnectionIsEvictedWhenStreamsUseAllConnections(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.Connections = 3 })
-	var joined []*testClient
+	var joinedClients []*testClient
 	for n := range 3 {
-		joined = append(joined, harness.join(t, n))
+		joinedClients = append(joinedClients, harness.join(t, n))
 	}
 	for range 20 {
 		if got := harness.dial(t).nextMessage(); got != closedConnection {
@@ -64,7 +64,7 @@
 		}
 	}
 	harness.publish(1, harness.setWithdrawn(1, true))
-	for _, client := range joined {
+	for _, client := range joinedClients {
 		client.expectMessage("update out s-1 ticket 1")
 	}
 	if stats := harness.server.Stats(); stats.Proxies != 3 || stats.Connections != 3 || stats.Evicted != 20 {
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -22,7 +22,7 @@
 // waitTimeout is how long a test waits for an expected event before it fails.
 const waitTimeout = 20 * time.Second
 
-// closedConnection is the result of testClient.next once the server has closed the connection.
+// closedConnection is the result of testClient.nextMessage once the server has closed the connection.
 const closedConnection = "closed"
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -152,20 +152,20 @@
 	h.t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	open := map[model.ProxyID]uint64{}
+	openStreams := map[model.ProxyID]uint64{}
 	for i, event := range h.streamEvents {
-		current := open[event.proxy]
+		current := openStreams[event.proxy]
 		switch {
 		case event.kind == streamConnected && current == 0:
-			open[event.proxy] = event.stream
+			openStreams[event.proxy] = event.stream
 		case event.kind == streamDisconnected && current == event.stream:
-			delete(open, event.proxy)
+			delete(openStreams, event.proxy)
 		case event.kind == streamAcknowledged && current == event.stream:
 		default:
 			h.t.Fatalf("event %d is %+v while stream %d is open", i, event, current)
 		}
 	}
-	return open
+	return openStreams
 }
 
 // startServer starts a server with two zones, two operations, twenty proxies and nine listed replicas, s-1 to s-9.
--- a/internal/platform/protocolerror_test.go
+++ b/internal/platform/protocolerror_test.go
@@ -18,8 +18,8 @@
 // would count as unacknowledged forever, and delay all weights.
 func TestInvalidMessagesOfJoinedConnectionsAreDropped(t *testing.T) {
 	harness := startServer(t, nil)
-	reports := harness.dial(t).send("collector site kelvin")
-	reports.send(
+	collector := harness.dial(t).send("collector site kelvin")
+	collector.send(
 		"heard site kelvin target s-77 count 1 fail 0 mean 1 over 1",
 		"heard site nowhere target s-1 count 1 fail 0 mean 1 over 1",
 		"heard site kelvin target s-1 count -1 fail 0 mean 1 over 1",
@@ -32,7 +32,7 @@
 		"update whole 1",
 		"collector site govan",
 	)
-	reports.send("heard site kelvin target s-1 count 1 fail 0 mean 1 over 1")
+	collector.send("heard site kelvin target s-1 count 1 fail 0 mean 1 over 1")
 	harness.waitUntil("load report", func() bool { return harness.reportCount() == 1 })
 	stats := harness.server.Stats()
 	if stats.InvalidMessages != 11 || stats.ProtocolErrors != 0 || stats.Collectors != 1 {
@@ -58,7 +58,7 @@
 // gets an error, or is closed, at once. A joined proxy is not affected.
 func TestInvalidFirstMessagesAreRejected(t *testing.T) {
 	harness := startServer(t, nil)
-	joined := harness.join(t, 7)
+	joinedClient := harness.join(t, 7)
 	for name, bytes := range map[string]string{
 		"HTTP":                           "GET / HTTP/1.1\r\n\r\n",
 		"zeros":                          strings.Repeat("\x00", 100),
@@ -85,7 +85,7 @@
 		})
 	}
 	harness.publish(1, harness.setWithdrawn(1, true))
-	joined.expectMessage("update out s-1 ticket 1")
+	joinedClient.expectMessage("update out s-1 ticket 1")
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Connections != 1 || stats.Rejected != 17 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
--- a/internal/platform/publish.go
+++ b/internal/platform/publish.go
@@ -11,7 +11,7 @@
 func (s *Server) Publish(batch *snapshot.Batch) {
 	s.mu.Lock()
 	var slowConnections []*connection
-	for _, delivery := range s.published.Apply(batch) {
+	for _, delivery := range s.publishedState.Apply(batch) {
 		stream := s.streams[delivery.Subscriber.Proxy]
 		if stream == nil || stream.subscriber != delivery.Subscriber {
 			continue
--- a/internal/platform/publish_test.go
+++ b/internal/platform/publish_test.go
@@ -14,13 +14,13 @@
 	harness := startServer(t, nil)
 	client := harness.dial(t).send("joined id 7 site govan rps 1 new 0")
 	harness.waitForEvent("connected 7 zone 0 rate 1 standing false")
-	bound := bindProxy(7)
-	bound.Readmitted = []model.ReplicaID{harness.replica(1), harness.replica(2)}
+	bind := bindProxy(7)
+	bind.Readmitted = []model.ReplicaID{harness.replica(1), harness.replica(2)}
 	var updates []snapshot.Update
 	for _, replica := range []int{1, 2, 4, 5, 6, 7} {
 		updates = append(updates, harness.setWeight(replica, 1))
 	}
-	harness.publish(-1, append(updates, harness.setWithdrawn(2, true), bound)...)
+	harness.publish(-1, append(updates, harness.setWithdrawn(2, true), bind)...)
 	client.expectMessage("update whole 1 lines s-1:1,s-2:1,s-4:1,s-5:1,s-6:1,s-7:1 out s-2 back s-1")
 	// The remaining replicas are readmitted two at a time, in the message's unused capacity for quotas; a new entry
 	// readmits its own replica in addition.
@@ -41,22 +41,23 @@
 	harness := startServer(t, nil)
 	client := harness.dial(t).send("joined id 7 site govan rps 1 new 0")
 	harness.waitForEvent("connected 7 zone 0 rate 1 standing false")
-	read := bindProxy(7)
-	read.Operations = 1
-	log := bindProxy(7)
-	log.Operations = 2
-	log.Table = 2
-	log.Readmitted = []model.ReplicaID{harness.replica(3)}
-	near := harness.setWeight(3, 1)
-	near.Table = 2
-	harness.publish(5, harness.setWeight(1, 1), harness.setWeight(2, 1), near, read, log, harness.setWithdrawn(2, true))
+	readBind := bindProxy(7)
+	readBind.Operations = 1
+	logBind := bindProxy(7)
+	logBind.Operations = 2
+	logBind.Table = 2
+	logBind.Readmitted = []model.ReplicaID{harness.replica(3)}
+	tableTwoWeight := harness.setWeight(3, 1)
+	tableTwoWeight.Table = 2
+	harness.publish(5, harness.setWeight(1, 1), harness.setWeight(2, 1), tableTwoWeight, readBind, logBind,
+		harness.setWithdrawn(2, true))
 	client.expectMessage("update out s-2 back s-3 more 1")
 	client.expectMessage("update classes read whole 1 lines s-1:1,s-2:1 more 1")
 	client.expectMessage("update classes log whole 1 lines s-3:1 ticket 5")
 	client.send("applied id 7 seq 5 ms 1")
 	harness.waitForEvent("acknowledged 7 5")
-	near.Weight = 2
-	harness.publish(-1, near, harness.setWeight(4, 1))
+	tableTwoWeight.Weight = 2
+	harness.publish(-1, tableTwoWeight, harness.setWeight(4, 1))
 	client.expectMessage("update back s-4,s-1 more 1")
 	client.expectMessage("update classes read lines s-4:1 more 1")
 	client.expectMessage("update classes log lines s-3:2")
--- a/internal/platform/race_test.go
+++ b/internal/platform/race_test.go
@@ -29,7 +29,7 @@
 		peer := harness.dial(t)
 		joinBytes := netpolltest.Command(joinMessage(n))
 		peer.Send([]byte(joinBytes[:len(joinBytes)-1]))
-		harness.waitUntil("bytes", func() bool {
+		harness.waitUntil("registration of the connection", func() bool {
 			harness.server.mu.Lock()
 			defer harness.server.mu.Unlock()
 			return harness.server.connections.Count() == joinedCount+1
@@ -104,18 +104,18 @@
 func TestConcurrentStreamEndAndRejoinKeepEventOrder(t *testing.T) {
 	harness := startServer(t, nil)
 	for round := range 30 {
-		old := harness.dial(t).send(joinMessage(3))
+		oldClient := harness.dial(t).send(joinMessage(3))
 		harness.waitForAdmission(3, func(stream *stream) bool { return stream.id == harness.server.lastStreamID })
 		harness.publish(round, harness.setWithdrawn(1, round%2 == 0))
-		old.nextMessage()
-		newer := harness.dial(t)
+		oldClient.nextMessage()
+		newerClient := harness.dial(t)
 		var routines sync.WaitGroup
 		for _, action := range []func(){
 			func() {
-				_, _ = old.Conn.Write([]byte(netpolltest.Command(fmt.Sprintf("applied id 3 seq %d ms 1", round))))
-				_ = old.Conn.Close()
+				_, _ = oldClient.Conn.Write([]byte(netpolltest.Command(fmt.Sprintf("applied id 3 seq %d ms 1", round))))
+				_ = oldClient.Conn.Close()
 			},
-			func() { _, _ = newer.Conn.Write([]byte(netpolltest.Command(joinMessage(3)))) },
+			func() { _, _ = newerClient.Conn.Write([]byte(netpolltest.Command(joinMessage(3)))) },
 			func() { harness.publish(-1, harness.setWithdrawn(2, round%2 == 0)) },
 		} {
 			routines.Add(1)
@@ -129,7 +129,7 @@
 		if open := harness.expectStreamOrder(); open[3] == 0 {
 			t.Fatalf("open streams: %v, want one of proxy 3", open)
 		}
-		newer.Close()
+		newerClient.Close()
 		harness.waitUntil("end of all streams", func() bool { return harness.server.Stats().Proxies == 0 })
 		if open := harness.expectStreamOrder(); len(open) != 0 {
 			t.Fatalf("open streams: %v, want none", open)
@@ -191,7 +191,7 @@
 	}
 	harness.server.mu.Lock()
 	defer harness.server.mu.Unlock()
-	if n := len(harness.server.published.Subscribers); n != 0 {
+	if n := len(harness.server.publishedState.Subscribers); n != 0 {
 		t.Fatalf("%d subscribers without a stream", n)
 	}
 }
--- a/internal/platform/readmission.go
+++ b/internal/platform/readmission.go
@@ -57,15 +57,15 @@
 	return append(readmitted, r.takeDeferred(delivery.Subscriber, maxDeferred)...)
 }
 
-// takeDeferred removes and returns the next deferred replicas, at most maxReplicas of them. Replicas that are withdrawn
-// for the subscriber are dropped and do not count.
-func (r *readmissions) takeDeferred(subscriber *snapshot.Subscriber, maxReplicas int) (readmitted []model.ReplicaID) {
-	for maxReplicas > 0 && len(r.deferred) > 0 {
+// takeDeferred removes and returns the next deferred replicas, at most as many as remaining. Replicas that are
+// withdrawn for the subscriber are dropped and do not count.
+func (r *readmissions) takeDeferred(subscriber *snapshot.Subscriber, remaining int) (readmitted []model.ReplicaID) {
+	for remaining > 0 && len(r.deferred) > 0 {
 		replica := r.deferred[0]
 		r.deferred = r.deferred[1:]
 		if !subscriber.IsWithdrawn(replica) {
 			readmitted = append(readmitted, replica)
-			maxReplicas--
+			remaining--
 		}
 	}
 	return readmitted
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -27,25 +27,25 @@
 
 	timeoutCheckPending atomic.Bool // a check was passed to the poller and has not run yet
 
-	mu           sync.Mutex
-	published    *snapshot.State
-	awaitingJoin *list.List // connections (*connection) that have not joined, oldest first
-	streams      map[model.ProxyID]*stream
-	collectors   map[int][]*connection // by zone, oldest first
-	lastStreamID uint64
-	progress     deliveryProgress
-	stats        Stats
+	mu             sync.Mutex
+	publishedState *snapshot.State
+	awaitingJoin   *list.List // connections (*connection) that have not joined, oldest first
+	streams        map[model.ProxyID]*stream
+	collectors     map[int][]*connection // by zone, oldest first
+	lastStreamID   uint64
+	progress       deliveryProgress
+	stats          Stats
 }
 
 // Listen opens the address and serves it until Close. It returns an error if the address cannot be opened.
 func Listen(config Config, events connserver.ProxyEvents) (*Server, error) {
 	server := &Server{
-		config:       config,
-		events:       events,
-		published:    snapshot.New(1, config.MessageOverhead),
-		awaitingJoin: list.New(),
-		streams:      map[model.ProxyID]*stream{},
-		collectors:   map[int][]*connection{},
+		config:         config,
+		events:         events,
+		publishedState: snapshot.New(1, config.MessageOverhead),
+		awaitingJoin:   list.New(),
+		streams:        map[model.ProxyID]*stream{},
+		collectors:     map[int][]*connection{},
 	}
 	server.connections = connserver.New(&server.mu, connserver.Handlers[*connection]{
 		Opened:   server.registerConnection,
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -66,7 +66,7 @@
 	if stream == nil || stream.id != streamID {
 		return
 	}
-	stream.subscriber = s.published.Subscribe(proxy, strconv.Itoa(int(proxy)))
+	stream.subscriber = s.publishedState.Subscribe(proxy, strconv.Itoa(int(proxy)))
 	if !stream.onStandingTable {
 		stream.readmissions.settled = map[model.ReplicaID]bool{}
 	}
@@ -76,7 +76,7 @@
 func (s *Server) removeStream(stream *stream) {
 	delete(s.streams, stream.proxy)
 	if stream.subscriber != nil {
-		s.published.Unsubscribe(stream.proxy)
+		s.publishedState.Unsubscribe(stream.proxy)
 	}
 	s.events.ProxyDisconnected(stream.proxy, stream.id)
 }
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -30,9 +30,9 @@
 // ends and the controller is notified of both events in order.
 func TestNewerStreamReplacesOlder(t *testing.T) {
 	harness := startServer(t, nil)
-	old := harness.join(t, 7)
-	newer := harness.dial(t).send("joined id 7 site govan rps 2 new 0")
-	old.expectMessage(closedConnection)
+	oldClient := harness.join(t, 7)
+	newerClient := harness.dial(t).send("joined id 7 site govan rps 2 new 0")
+	oldClient.expectMessage(closedConnection)
 	harness.waitForEvent("connected 7 zone 0 rate 2 standing false")
 	harness.mu.Lock()
 	want := []string{
@@ -45,7 +45,7 @@
 	}
 	harness.mu.Unlock()
 	harness.publish(1, harness.setWithdrawn(1, true))
-	newer.expectMessage("update out s-1 ticket 1")
+	newerClient.expectMessage("update out s-1 ticket 1")
 }
 
 // TestBytesThatCannotBeDecodedEndStream: A joined connection that sends bytes that cannot be decoded is closed.
@@ -75,8 +75,8 @@
 	harness.waitForEvent("connected 7 zone 0 rate 2 standing true")
 	harness.publish(1, harness.setWithdrawn(1, true))
 	second.expectMessage("update out s-1 ticket 1")
-	if len(harness.server.published.Subscribers) != 1 {
-		t.Fatalf("%d subscribers, want 1", len(harness.server.published.Subscribers))
+	if len(harness.server.publishedState.Subscribers) != 1 {
+		t.Fatalf("%d subscribers, want 1", len(harness.server.publishedState.Subscribers))
 	}
 	harness.expectStreamOrder()
 }
--- a/internal/platform/timeouts_test.go
+++ b/internal/platform/timeouts_test.go
@@ -14,36 +14,36 @@
 		config.Limits.AckRetryInterval = time.Minute
 		config.Now = clock.read
 	})
-	proxy := harness.join(t, 7)
-	other := harness.join(t, 8)
+	client := harness.join(t, 7)
+	otherClient := harness.join(t, 8)
 	harness.publish(3, harness.setWithdrawn(1, true))
-	proxy.expectMessage("update out s-1 ticket 3")
-	other.expectMessage("update out s-1 ticket 3")
-	other.send("applied id 8 seq 3 ms 1") // sent after proxy 7's message: that acknowledgement is overdue
+	client.expectMessage("update out s-1 ticket 3")
+	otherClient.expectMessage("update out s-1 ticket 3")
+	otherClient.send("applied id 8 seq 3 ms 1") // sent after proxy 7's message: that acknowledgement is overdue
 	harness.waitForEvent("acknowledged 8 3")
 	harness.server.checkTimeouts()
 	clock.advance(time.Minute)
-	proxy.send("usage id 7 lane read count 1 fail 0 over 1000") // sends messages, but does not acknowledge
-	proxy.ping()
-	other.ping()
+	client.send("usage id 7 lane read count 1 fail 0 over 1000") // sends messages, but does not acknowledge
+	client.ping()
+	otherClient.ping()
 	harness.server.checkTimeouts()
 	clock.advance(time.Second)
 	harness.server.checkTimeouts()
-	proxy.expectMessage("update ticket 3")
+	client.expectMessage("update ticket 3")
 	harness.server.checkTimeouts() // no second retry within the interval
 	if stats := harness.server.Stats(); stats.AckRetries != 1 || stats.PendingAcks != 1 || stats.Proxies != 2 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
-	proxy.send("applied id 7 seq 3 ms 1")
+	client.send("applied id 7 seq 3 ms 1")
 	harness.waitForEvent("acknowledged 7 3")
 	harness.publish(4, harness.setWithdrawn(2, true))
-	proxy.expectMessage("update out s-2 ticket 4")
-	proxy.send("applied id 7 seq 3 ms 1") // the lost acknowledgement arrives late
-	proxy.ping()
+	client.expectMessage("update out s-2 ticket 4")
+	client.send("applied id 7 seq 3 ms 1") // the lost acknowledgement arrives late
+	client.ping()
 	if stats := harness.server.Stats(); stats.PendingAcks != 2 || stats.InvalidMessages != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
-	proxy.send("applied id 7 seq 4 ms 1")
+	client.send("applied id 7 seq 4 ms 1")
 	harness.waitForEvent("acknowledged 7 4")
 }
 
@@ -55,22 +55,22 @@
 		config.Limits.AckRetryInterval = time.Minute
 		config.Now = clock.read
 	})
-	vanished := harness.join(t, 1)
-	responsive := harness.join(t, 2)
+	vanishedClient := harness.join(t, 1)
+	responsiveClient := harness.join(t, 2)
 	clock.advance(time.Minute + time.Second)
 	harness.server.checkTimeouts()
 	harness.server.checkTimeouts() // each check retries one stream
-	vanished.expectMessage("update ticket 0")
-	responsive.expectMessage("update ticket 0")
-	responsive.send("applied id 2 seq 0 ms 1")
+	vanishedClient.expectMessage("update ticket 0")
+	responsiveClient.expectMessage("update ticket 0")
+	responsiveClient.send("applied id 2 seq 0 ms 1")
 	harness.waitForEvent("acknowledged 2 0")
 	harness.publish(1, harness.setWithdrawn(1, true))
-	responsive.expectMessage("update out s-1 ticket 1")
-	responsive.send("applied id 2 seq 1 ms 1")
+	responsiveClient.expectMessage("update out s-1 ticket 1")
+	responsiveClient.send("applied id 2 seq 1 ms 1")
 	harness.waitForEvent("acknowledged 2 1")
 	harness.server.checkTimeouts() // a message sent later than that of the vanished proxy is acknowledged
 	clock.advance(21 * time.Second)
-	responsive.ping()
+	responsiveClient.ping()
 	harness.server.checkTimeouts()
 	harness.waitForEvent("disconnected 1")
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.ClosedAsSilent != 1 || stats.PendingAcks != 0 {
@@ -91,30 +91,30 @@
 		config.Now = clock.read
 	})
 	harness.join(t, 1)
-	active := harness.join(t, 2)
+	activeClient := harness.join(t, 2)
 	harness.publish(1, harness.setWithdrawn(1, true)) // to both, to proxy 1 first
-	active.expectMessage("update out s-1 ticket 1")
+	activeClient.expectMessage("update out s-1 ticket 1")
 	clock.advance(60 * time.Millisecond) // no stream has acknowledged: the channel may be slow
 	harness.server.checkTimeouts()
 	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.ClosedAsSilent != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
-	active.send("applied id 2 seq 1 ms 1")
-	active.ping()
-	idle := harness.join(t, 3)
+	activeClient.send("applied id 2 seq 1 ms 1")
+	activeClient.ping()
+	idleClient := harness.join(t, 3)
 	harness.publish(2, harness.setWithdrawn(2, true))
-	active.expectMessage("update out s-2 ticket 2") // this one stays pending, and the proxy sends messages
-	harness.server.checkTimeouts()                  // proxy 1's acknowledgement is overtaken
+	activeClient.expectMessage("update out s-2 ticket 2") // this one stays pending, and the proxy sends messages
+	harness.server.checkTimeouts()                        // proxy 1's acknowledgement is overtaken
 	clock.advance(40 * time.Millisecond)
-	active.send("usage id 2 lane read count 0 fail 0 over 40")
-	active.ping()
+	activeClient.send("usage id 2 lane read count 0 fail 0 over 40")
+	activeClient.ping()
 	clock.advance(20 * time.Millisecond)
 	harness.server.checkTimeouts()
 	harness.waitForEvent("disconnected 1")
 	if stats := harness.server.Stats(); stats.Proxies != 2 || stats.ClosedAsSilent != 1 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
-	idle.expectMessage("update out s-2 ticket 2")
+	idleClient.expectMessage("update out s-2 ticket 2")
 	clock.advance(250 * time.Millisecond) // no stream sends anything
 	harness.server.checkTimeouts()
 	harness.waitForEvent("disconnected 3")
--- a/internal/pubsub/connection.go
+++ b/internal/pubsub/connection.go
@@ -106,7 +106,7 @@
 		s.mu.Unlock()
 		return
 	}
-	delete(s.folded, conn)
+	delete(s.slowReaders, conn)
 	if conn.isObserver {
 		s.observerCount--
 	}
@@ -124,7 +124,7 @@
 func (s *Server) removeStream(conn *connection) {
 	delete(s.streams, conn.stream.proxy)
 	if conn.stream.subscriber != nil {
-		s.published.Unsubscribe(conn.stream.proxy)
+		s.publishedState.Unsubscribe(conn.stream.proxy)
 	}
 	s.queue.dropStream(conn.stream.id)
 }
--- a/internal/pubsub/delivery.go
+++ b/internal/pubsub/delivery.go
@@ -15,7 +15,7 @@
 	if conn == nil || conn.stream.id != streamID {
 		return
 	}
-	conn.stream.subscriber = s.published.Subscribe(proxy, conn.stream.join.Name)
+	conn.stream.subscriber = s.publishedState.Subscribe(proxy, conn.stream.join.Name)
 	s.sendSnapshot(conn)
 }
 
@@ -24,7 +24,7 @@
 func (s *Server) Publish(batch *snapshot.Batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, delivery := range s.published.Apply(batch) {
+	for _, delivery := range s.publishedState.Apply(batch) {
 		conn := s.streams[delivery.Subscriber.Proxy]
 		if conn != nil && conn.stream.subscriber == delivery.Subscriber {
 			s.queue.enqueue(batch.At, delivery, conn.stream.id)
@@ -51,11 +51,11 @@
 
 // sendFoldedSnapshots sends a snapshot to each slow reader that has resumed reading; s.mu is held.
 func (s *Server) sendFoldedSnapshots() {
-	for conn := range s.folded {
+	for conn := range s.slowReaders {
 		if conn.UnsentBytes() >= int64(s.config.Limits.UnsentBytes)/2 {
 			continue
 		}
-		delete(s.folded, conn)
+		delete(s.slowReaders, conn)
 		if conn.isObserver {
 			s.sendObserverSnapshot(conn)
 		} else {
@@ -66,7 +66,7 @@
 
 // send writes a message, or folds it into a later snapshot if the proxy reads too slowly; s.mu is held.
 func (s *Server) send(conn *connection, message *pubsubmsg.Message) {
-	if s.folded[conn] {
+	if s.slowReaders[conn] {
 		return
 	}
 	if s.exceedsUnsentBudget(conn) {
@@ -90,7 +90,7 @@
 
 // sendSnapshot sends a proxy its complete state; s.mu is held.
 func (s *Server) sendSnapshot(conn *connection) {
-	message := s.published.Snapshot(conn.stream.subscriber)
+	message := s.publishedState.Snapshot(conn.stream.subscriber)
 	message.UpdatedAt = s.config.Now()
 	s.send(conn, message)
 }
@@ -104,6 +104,6 @@
 
 // fold marks a slow reader, which gets a snapshot once it resumes reading; s.mu is held.
 func (s *Server) fold(conn *connection) {
-	s.folded[conn] = true
+	s.slowReaders[conn] = true
 	s.stats.SnapshotFolds++
 }
--- a/internal/pubsub/join.go
+++ b/internal/pubsub/join.go
@@ -118,8 +118,8 @@
 // answerJoin sends a proxy the incarnation, version, report period and epoch; s.mu is held.
 func (s *Server) answerJoin(conn *connection, epoch uint64) {
 	encoded := resp.AppendHeader(nil, resp.Map, 4)
-	encoded = appendNumber(encoded, "life", int64(s.published.Incarnation))
-	encoded = appendNumber(encoded, "version", int64(s.published.Version))
+	encoded = appendNumber(encoded, "life", int64(s.publishedState.Incarnation))
+	encoded = appendNumber(encoded, "version", int64(s.publishedState.Version))
 	encoded = appendNumber(encoded, "period", int64(s.config.ReportPeriod))
 	encoded = appendNumber(encoded, "epoch", int64(epoch))
 	s.connections.Write(conn, encoded)
--- a/internal/pubsub/limits_test.go
+++ b/internal/pubsub/limits_test.go
@@ -16,12 +16,12 @@
 		config.Limits.GreetingTimeout = 300 * time.Millisecond
 		config.Limits.Connections = 1000
 	})
-	var silent []*testClient
+	var silentClients []*testClient
 	for range 990 {
-		silent = append(silent, harness.dial(t))
+		silentClients = append(silentClients, harness.dial(t))
 	}
 	proxy, _ := harness.join(t, "till")
-	for _, client := range silent {
+	for _, client := range silentClients {
 		client.expectClosed()
 	}
 	harness.publish(1, withdrawReplica(1))
@@ -61,9 +61,9 @@
 		t.Fatal("the other connection is closed")
 	}
 	pings := []byte(strings.Repeat(string(pingCommand()), flood))
-	flooding := harness.dial(t)
-	flooding.Send(pings)
-	flooding.expectDeferralAfter(burst)
+	floodingClient := harness.dial(t)
+	floodingClient.Send(pings)
+	floodingClient.expectDeferralAfter(burst)
 	if stats := harness.server.Stats(); stats.RateLimited != 1 || stats.ProtocolErrors != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
@@ -71,10 +71,10 @@
 	otherPeer.expectPong()
 	raised := Limits{CommandRate: admission.Rate{PerSecond: 10, Burst: 200}}
 	harness.server.SetLimits(raised, admission.Limits{})
-	flooding = harness.dial(t)
-	flooding.Send(pings)
+	floodingClient = harness.dial(t)
+	floodingClient.Send(pings)
 	for range flood {
-		flooding.expectPong()
+		floodingClient.expectPong()
 	}
 }
 
--- a/internal/pubsub/observer.go
+++ b/internal/pubsub/observer.go
@@ -45,7 +45,7 @@
 	if c.isObserver {
 		c.isObserver = false
 		server.observerCount--
-		delete(server.folded, c)
+		delete(server.slowReaders, c)
 	}
 	server.connections.Write(c, encodeSubscription("unsubscribe", 0))
 	return nil
@@ -75,7 +75,7 @@
 	encoded := encodeTopicMessage(text)
 	for conn := range s.connections.Sessions() {
 		switch {
-		case !conn.isObserver || s.folded[conn]:
+		case !conn.isObserver || s.slowReaders[conn]:
 		case s.exceedsUnsentBudget(conn):
 			s.fold(conn)
 		default:
--- a/internal/pubsub/observermessage.go
+++ b/internal/pubsub/observermessage.go
@@ -64,30 +64,30 @@
 
 // snapshotMessage returns the published state; s.mu is held.
 func (s *Server) snapshotMessage() Snapshot {
-	published := s.published
+	state := s.publishedState
 	message := Snapshot{
 		Kind:        kindSnapshot,
-		Incarnation: published.Incarnation,
-		Version:     published.Version,
+		Incarnation: state.Incarnation,
+		Version:     state.Version,
 		Tables:      map[string][]TableEntry{},
 		Withdrawn:   []string{},
 		Quotas:      []Quota{},
 		Proxies:     map[string]string{},
 	}
-	for id, table := range published.Tables {
+	for id, table := range state.Tables {
 		entries := make([]TableEntry, 0, len(table.Entries))
 		for _, entry := range table.Entries {
 			entries = append(entries, TableEntry{pubsubmsg.FormatAddress(entry.Replica), entry.Weight})
 		}
 		message.Tables[fmt.Sprint(id)] = entries
 	}
-	for _, replica := range published.Withdrawn {
+	for _, replica := range state.Withdrawn {
 		message.Withdrawn = append(message.Withdrawn, pubsubmsg.FormatAddress(replica))
 	}
-	for _, quota := range published.Quotas {
+	for _, quota := range state.Quotas {
 		message.Quotas = append(message.Quotas, quotaMessage(quota))
 	}
-	for _, subscriber := range published.Subscribers {
+	for _, subscriber := range state.Subscribers {
 		table := ""
 		if subscriber.Table != nil {
 			table = fmt.Sprint(subscriber.Table.ID)
@@ -101,8 +101,8 @@
 func (s *Server) changeMessage(batch *snapshot.Batch) Change {
 	message := Change{
 		Kind:        kindChange,
-		Incarnation: s.published.Incarnation,
-		Version:     s.published.Version,
+		Incarnation: s.publishedState.Incarnation,
+		Version:     s.publishedState.Version,
 		Updates:     []ChangeUpdate{},
 	}
 	for _, update := range batch.Updates {
@@ -123,7 +123,7 @@
 		}
 	case snapshot.BindProxy:
 		bind := ChangeUpdate{Action: "bind", Table: fmt.Sprint(update.Table)}
-		if subscriber := s.published.SubscribersByProxy[update.Proxy]; subscriber != nil {
+		if subscriber := s.publishedState.SubscribersByProxy[update.Proxy]; subscriber != nil {
 			bind.Proxy = subscriber.Name
 		}
 		return bind
--- a/internal/pubsub/observermessage_test.go
+++ b/internal/pubsub/observermessage_test.go
@@ -32,7 +32,7 @@
 		{Kind: snapshot.SetQuota, Quota: pubsubmsg.Quota{Operations: 3, Share: 0.5, RetryPolicy: model.RetryOnAnyFailure}},
 	}}
 	published.Apply(batch)
-	server := &Server{published: published}
+	server := &Server{publishedState: published}
 	checkMessage(t, "change.json", server.changeMessage(batch), &Change{})
 	checkMessage(t, "snapshot.json", server.snapshotMessage(), &Snapshot{})
 }
--- a/internal/pubsub/protocolerror_test.go
+++ b/internal/pubsub/protocolerror_test.go
@@ -19,8 +19,8 @@
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = time.Minute })
 	otherProxy, _ := harness.join(t, "till")
 	hello := string(helloCommand())
-	joined := hello + string(joinCommand("other", "govan"))
-	contradicting := resp.AppendCommand(nil, "SUMS", "1", "1000000", "127.0.0.1:80", "1", "2", "0", "")
+	helloAndJoin := hello + string(joinCommand("other", "govan"))
+	contradictingReports := resp.AppendCommand(nil, "SUMS", "1", "1000000", "127.0.0.1:80", "1", "2", "0", "")
 	for name, tt := range map[string]struct{ sent, reason string }{
 		"not RESP":               {"GET / HTTP/1.1\r\n\r\n", "opens no value"},
 		"a length of 2^62":       {"$4611686018427387904\r\n", "a string of"},
@@ -28,16 +28,16 @@
 		"a value, not a command": {":1\r\n", "a command is an array"},
 		"a join without hello":   {string(joinCommand("x", "govan")), "HELLO 3 first"},
 		"an unknown zone":        {hello + string(joinCommand("x", "leith")), "there are govan, kelvin"},
-		"contradicting reports":  {joined + string(contradicting), "tries"},
+		"contradicting reports":  {helloAndJoin + string(contradictingReports), "tries"},
 		"an acknowledgement without join": {
 			hello + string(resp.AppendCommand(nil, "ACK", "1", "1", "1")), "JOIN first",
 		},
-		"a second join": {joined + string(joinCommand("y", "govan")), "has joined as"},
+		"a second join": {helloAndJoin + string(joinCommand("y", "govan")), "has joined as"},
 		"a subscription without hello": {
 			string(resp.AppendCommand(nil, "SUBSCRIBE", "tables")), "HELLO 3 first",
 		},
 		"an incomplete join":         {hello + string(resp.AppendCommand(nil, "JOIN", "x")), "JOIN takes"},
-		"reports over a window of 0": {joined + string(resp.AppendCommand(nil, "SUMS", "1", "0")), "a span of"},
+		"reports over a window of 0": {helloAndJoin + string(resp.AppendCommand(nil, "SUMS", "1", "0")), "a span of"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := harness.dial(t)
@@ -45,9 +45,9 @@
 			client.expectEndWith(tt.reason)
 		})
 	}
-	unknown := harness.dial(t)
-	unknown.Send(resp.AppendCommand(nil, "FLUSHALL"))
-	unknown.expectError("known are ACK")
+	unknownCommandClient := harness.dial(t)
+	unknownCommandClient.Send(resp.AppendCommand(nil, "FLUSHALL"))
+	unknownCommandClient.expectError("known are ACK")
 	harness.publish(1, withdrawReplica(1))
 	otherProxy.expectAckSequence(1)
 }
--- a/internal/pubsub/proxy_test.go
+++ b/internal/pubsub/proxy_test.go
@@ -18,17 +18,17 @@
 		t.Fatalf("the first message is %+v", first)
 	}
 	harness.publish(7, setWeight(1, 0.5), setWeight(2, 1), bindProxy(0), withdrawReplica(2))
-	bound := client.message()
-	if !bound.Full || !bound.Bound || len(bound.Entries) != 2 || len(bound.Withdrawals) != 1 {
-		t.Fatalf("the bind is %+v, want a full table of 2 entries with 1 withdrawal", bound)
+	bind := client.message()
+	if !bind.Full || !bind.Bound || len(bind.Entries) != 2 || len(bind.Withdrawals) != 1 {
+		t.Fatalf("the bind is %+v, want a full table of 2 entries with 1 withdrawal", bind)
 	}
-	if bound.AckSequence != 7 || bound.PreviousVersion != first.Version {
-		t.Fatalf("the bind is %+v, want acknowledgement sequence 7 and the snapshot as previous version", bound)
+	if bind.AckSequence != 7 || bind.PreviousVersion != first.Version {
+		t.Fatalf("the bind is %+v, want acknowledgement sequence 7 and the snapshot as previous version", bind)
 	}
 	harness.publish(8, setWeight(1, 0.6), setWeight(2, 0))
-	changed := client.message()
-	expectChangeWithRemoval(t, changed, bound.Version)
-	acknowledgeAndReport(client, changed.Version)
+	change := client.message()
+	expectChangeWithRemoval(t, change, bind.Version)
+	acknowledgeAndReport(client, change.Version)
 	harness.waitForEvent("acknowledged 0 8")
 	harness.waitForEvent("reported 1 1")
 	client.Close()
@@ -77,14 +77,14 @@
 	harness.publish(1, setWeight(1, 1), bindProxy(0))
 	client.Close()
 	harness.waitForEvent("disconnected 0")
-	newer, first := harness.join(t, "till")
+	newerClient, first := harness.join(t, "till")
 	if first.Bound || first.AckSequence != -1 {
 		t.Fatalf("the new stream begins with %+v", first)
 	}
 	harness.publish(2, bindProxy(0))
-	bound := newer.message()
-	if bound.AckSequence != 2 || bound.PreviousVersion != first.Version || !bound.Bound {
-		t.Fatalf("the message after the snapshot is %+v", bound)
+	bind := newerClient.message()
+	if bind.AckSequence != 2 || bind.PreviousVersion != first.Version || !bind.Bound {
+		t.Fatalf("the message after the snapshot is %+v", bind)
 	}
 	if stats := harness.server.Stats(); stats.QueuedEntries != 0 {
 		t.Fatalf("%d entries of the ended stream are still counted as queued", stats.QueuedEntries)
@@ -99,12 +99,12 @@
 	})
 	client, _ := harness.join(t, "till")
 	harness.publish(1, setWeight(1, 1), bindProxy(0))
-	bound := client.message()
+	bind := client.message()
 	client.Send(resp.AppendCommand(nil, "RESYNC"))
-	resynced := client.message()
-	isComplete := resynced.Full && resynced.Bound && len(resynced.Entries) == 1
-	if !isComplete || resynced.Version != bound.Version || resynced.AckSequence != 1 {
-		t.Fatalf("the reply to RESYNC is %+v, want a snapshot of the same version", resynced)
+	snapshot := client.message()
+	isComplete := snapshot.Full && snapshot.Bound && len(snapshot.Entries) == 1
+	if !isComplete || snapshot.Version != bind.Version || snapshot.AckSequence != 1 {
+		t.Fatalf("the reply to RESYNC is %+v, want a snapshot of the same version", snapshot)
 	}
 	client.Send(resp.AppendCommand(nil, "RESYNC"))
 	client.Send(pingCommand())
@@ -114,11 +114,11 @@
 // TestNewerConnectionReplacesOlder: A newer connection with the same proxy name replaces the older one.
 func TestNewerConnectionReplacesOlder(t *testing.T) {
 	harness := startServer(t, nil)
-	older, _ := harness.join(t, "till")
-	newer, _ := harness.join(t, "till")
-	older.expectError("replaced")
+	olderClient, _ := harness.join(t, "till")
+	newerClient, _ := harness.join(t, "till")
+	olderClient.expectError("replaced")
 	harness.publish(4, withdrawReplica(1))
-	newer.expectAckSequence(4)
+	newerClient.expectAckSequence(4)
 	if stats := harness.server.Stats(); stats.Proxies != 1 || stats.Replaced != 1 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
--- a/internal/pubsub/server.go
+++ b/internal/pubsub/server.go
@@ -30,12 +30,12 @@
 
 	mu               sync.Mutex
 	joins            *admission.Controller
-	published        *snapshot.State
+	publishedState   *snapshot.State
 	queue            pacedQueue
 	streams          map[model.ProxyID]*connection // the joined connections, by proxy
 	proxyIDs         map[string]model.ProxyID      // by name, of all proxies that joined in this incarnation
 	observerCount    int
-	folded           map[*connection]bool // slow readers, which get a snapshot once they resume reading
+	slowReaders      map[*connection]bool // slow readers, which get a snapshot once they resume reading
 	misrouted        misroutedProxies
 	lastID           uint64 // last number of a connection or a stream
 	shutdownDeadline time.Time
@@ -46,16 +46,16 @@
 func Listen(config Config, events connserver.ProxyEvents) (*Server, error) {
 	config.Limits = config.Limits.withDefaults()
 	server := &Server{
-		config:     config,
-		events:     events,
-		wakeSender: make(chan struct{}, 1),
-		joins:      admission.New(config.JoinLimits, config.Now()),
-		published:  snapshot.New(config.Incarnation, config.MessageOverhead),
-		queue:      pacedQueue{entriesPerSecond: config.EntriesPerSecond},
-		streams:    map[model.ProxyID]*connection{},
-		proxyIDs:   map[string]model.ProxyID{},
-		folded:     map[*connection]bool{},
-		misrouted:  misroutedProxies{},
+		config:         config,
+		events:         events,
+		wakeSender:     make(chan struct{}, 1),
+		joins:          admission.New(config.JoinLimits, config.Now()),
+		publishedState: snapshot.New(config.Incarnation, config.MessageOverhead),
+		queue:          pacedQueue{entriesPerSecond: config.EntriesPerSecond},
+		streams:        map[model.ProxyID]*connection{},
+		proxyIDs:       map[string]model.ProxyID{},
+		slowReaders:    map[*connection]bool{},
+		misrouted:      misroutedProxies{},
 	}
 	server.connections = connserver.New(&server.mu, connserver.Handlers[*connection]{
 		Opened:   server.registerConnection,
@@ -112,7 +112,7 @@
 	if departsAt, ok := s.queue.nextDeparture(); ok {
 		wait = time.Duration(departsAt-now) * time.Microsecond
 	}
-	if len(s.folded) > 0 {
+	if len(s.slowReaders) > 0 {
 		wait = min(wait, foldedCheckInterval)
 	}
 	return wait
--- a/internal/pubsub/shutdown.go
+++ b/internal/pubsub/shutdown.go
@@ -37,7 +37,7 @@
 func (s *Server) requestMoves(step int) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, subscriber := range s.published.Subscribers {
+	for _, subscriber := range s.publishedState.Subscribers {
 		conn := s.streams[subscriber.Proxy]
 		if conn == nil || int(conn.stream.id%shutdownSteps) != step {
 			continue
@@ -45,7 +45,7 @@
 		encoded := resp.AppendHeader(nil, resp.Push, 2)
 		s.connections.Write(conn, appendNumber(encoded, "elsewhere", s.restartDelayMilliseconds()))
 	}
-	return len(s.published.Subscribers)
+	return len(s.publishedState.Subscribers)
 }
 
 // isShuttingDown reports whether Shutdown was called; s.mu is held.
--- a/internal/pubsub/shutdown_test.go
+++ b/internal/pubsub/shutdown_test.go
@@ -21,10 +21,10 @@
 	if value, _ := client.Next(); value.Kind != resp.Push || value.Items[0].Text != "elsewhere" {
 		t.Fatalf("a proxy receives %v during a shutdown, want the push elsewhere", value)
 	}
-	late := harness.dial(t)
-	late.Send(append(helloCommand(), joinCommand("late", "kelvin")...))
-	late.Next()
-	if value, _ := late.Next(); value.Kind != resp.SimpleError || !strings.HasPrefix(value.Text, "ENDING ") {
+	lateClient := harness.dial(t)
+	lateClient.Send(append(helloCommand(), joinCommand("late", "kelvin")...))
+	lateClient.Next()
+	if value, _ := lateClient.Next(); value.Kind != resp.SimpleError || !strings.HasPrefix(value.Text, "ENDING ") {
 		t.Fatalf("the reply to a join during a shutdown is %v, want an error with ENDING", value)
 	}
 	client.Close()
--- a/internal/pubsub/slowreader_test.go
+++ b/internal/pubsub/slowreader_test.go
@@ -28,20 +28,20 @@
 		config.Limits.UnsentBytes = 4096
 		config.EntriesPerSecond = 1e9
 	})
-	slow, _ := harness.join(t, "slow")
-	fast, _ := harness.join(t, "quick")
-	slow.limitReceiveBuffer(64 << 10)
+	slowClient, _ := harness.join(t, "slow")
+	fastClient, _ := harness.join(t, "quick")
+	slowClient.limitReceiveBuffer(64 << 10)
 	harness.publish(-1, bindProxy(0), bindProxy(1), setWeight(1, 1))
 	last := 0
 	for n := 1; harness.server.Stats().SnapshotFolds == 0; n++ {
 		harness.publish(n%65536, setWeights(float64(n))...)
-		fast.receiveUntil(n) // receives every update
+		fastClient.receiveUntil(n) // receives every update
 		last = n
 		if n > 5000 {
 			t.Fatal("no changes were folded after 5000 updates that the slow proxy did not read")
 		}
 	}
-	for !isSnapshotOf(slow.message(), last) {
+	for !isSnapshotOf(slowClient.message(), last) {
 	}
 }
 
@@ -59,7 +59,7 @@
 		config.Limits.UnsentBytes = 4096 // also limits the kernel's send buffer
 		config.EntriesPerSecond = 1e9
 	})
-	fast, _ := harness.join(t, "reads")
+	fastClient, _ := harness.join(t, "reads")
 	updates := []snapshot.Update{bindProxy(0)}
 	for n := range slowReaders {
 		client, _ := harness.join(t, fmt.Sprint("slow", n))
@@ -71,7 +71,7 @@
 	var maxUnsent int64
 	for n := 1; harness.server.Stats().SnapshotFolds < slowReaders; n++ {
 		harness.publish(n%65536, setWeights(float64(n))...)
-		fast.receiveUntil(n % 65536) // receives every update
+		fastClient.receiveUntil(n % 65536) // receives every update
 		maxUnsent = max(maxUnsent, harness.server.Stats().UnsentBytes)
 		if n > 20_000 {
 			t.Fatalf("%d folds after 20,000 updates, want one for each slow reader", harness.server.Stats().SnapshotFolds)
--- a/internal/pubsub/stats.go
+++ b/internal/pubsub/stats.go
@@ -29,10 +29,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stats := s.stats
-	stats.Proxies = len(s.published.Subscribers)
+	stats.Proxies = len(s.publishedState.Subscribers)
 	stats.Observers = s.observerCount
 	stats.Connections = s.connections.Count()
-	stats.Version = s.published.Version
+	stats.Version = s.publishedState.Version
 	stats.QueuedEntries = s.queue.waitingEntries
 	stats.MaxQueuedEntries = s.queue.maxWaitingEntries
 	stats.Bytes = s.connections.BytesWritten()
