--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -36,13 +36,13 @@
 		s.mu.Unlock()
 		return errEnded
 	}
-	var replaced []*connection
+	var replacedConnections []*connection
 	if older := s.streams[proxy]; older != nil {
 		s.stats.Replaced++
 		s.unregister(older.conn)
-		replaced = append(replaced, older.conn)
+		replacedConnections = append(replacedConnections, older.conn)
 	}
-	s.authenticate(conn)
+	s.markJoined(conn)
 	s.lastStreamID++
 	conn.stream = &stream{conn: conn, proxy: proxy, id: s.lastStreamID, onStandingTable: message.OnStandingTable}
 	s.streams[proxy] = conn.stream
@@ -53,7 +53,7 @@
 		OnStandingTable: message.OnStandingTable,
 	}, zone)
 	s.mu.Unlock()
-	s.connections.CloseOnPoller(replaced...)
+	s.connections.CloseOnPoller(replacedConnections...)
 	return nil
 }
 
@@ -66,7 +66,7 @@
 	if stream == nil || stream.id != streamID {
 		return
 	}
-	stream.subscriber = s.published.Subscribe(proxy, strconv.Itoa(int(proxy)))
+	stream.subscriber = s.publishedState.Subscribe(proxy, strconv.Itoa(int(proxy)))
 	if !stream.onStandingTable {
 		stream.readmissions.settled = map[model.ReplicaID]bool{}
 	}
@@ -76,7 +76,7 @@
 func (s *Server) removeStream(stream *stream) {
 	delete(s.streams, stream.proxy)
 	if stream.subscriber != nil {
-		s.published.Unsubscribe(stream.proxy)
+		s.publishedState.Unsubscribe(stream.proxy)
 	}
 	s.events.ProxyDisconnected(stream.proxy, stream.id)
 }
--- a/internal/pubsub/limits_test.go
+++ b/internal/pubsub/limits_test.go
@@ -9,28 +9,28 @@
 	"peppervale/internal/codec/resp"
 )
 
-// TestSilentConnectionsAreClosed: A thousand connections that send nothing are closed; a proxy that joins in the
-// meantime is served.
-func TestSilentConnectionsAreClosed(t *testing.T) {
+// TestSilentConnectionsAreClosedAfterGreetingTimeout: A thousand connections that send nothing are closed; a proxy that
+// joins in the meantime is served.
+func TestSilentConnectionsAreClosedAfterGreetingTimeout(t *testing.T) {
 	harness := startServer(t, func(config *Config) {
 		config.Limits.GreetingTimeout = 300 * time.Millisecond
 		config.Limits.Connections = 1000
 	})
-	var silent []*testClient
+	var silentClients []*testClient
 	for range 990 {
-		silent = append(silent, harness.dial(t))
+		silentClients = append(silentClients, harness.dial(t))
 	}
 	proxy, _ := harness.join(t, "till")
-	for _, client := range silent {
+	for _, client := range silentClients {
 		client.expectClosed()
 	}
 	harness.publish(1, withdrawReplica(1))
 	proxy.expectAckSequence(1)
 }
 
-// TestConnectionWithUnfinishedStringIsClosed: A connection that sends the beginning of a string and never its end is
-// closed after the greeting timeout; a proxy that joins in the meantime is served.
-func TestConnectionWithUnfinishedStringIsClosed(t *testing.T) {
+// TestConnectionWithUnfinishedStringIsClosedAfterGreetingTimeout: A connection that sends the beginning of a string and
+// never its end is closed after the greeting timeout; a proxy that joins in the meantime is served.
+func TestConnectionWithUnfinishedStringIsClosedAfterGreetingTimeout(t *testing.T) {
 	harness := startServer(t, func(config *Config) { config.Limits.GreetingTimeout = 300 * time.Millisecond })
 	client := harness.dial(t)
 	client.Send([]byte("*2\r\n$1000000\r\nbegun"))
@@ -61,9 +61,9 @@
 		t.Fatal("the other connection is closed")
 	}
 	pings := []byte(strings.Repeat(string(pingCommand()), flood))
-	flooding := harness.dial(t)
-	flooding.Send(pings)
-	flooding.expectDeferralAfter(burst)
+	floodingClient := harness.dial(t)
+	floodingClient.Send(pings)
+	floodingClient.expectDeferralAfter(burst)
 	if stats := harness.server.Stats(); stats.RateLimited != 1 || stats.ProtocolErrors != 0 {
 		t.Fatalf("unexpected statistics: %+v", stats)
 	}
@@ -71,10 +71,10 @@
 	otherPeer.expectPong()
 	raised := Limits{CommandRate: admission.Rate{PerSecond: 10, Burst: 200}}
 	harness.server.SetLimits(raised, admission.Limits{})
-	flooding = harness.dial(t)
-	flooding.Send(pings)
+	floodingClient = harness.dial(t)
+	floodingClient.Send(pings)
 	for range flood {
-		flooding.expectPong()
+		floodingClient.expectPong()
 	}
 }
 
--- a/internal/pubsub/observermessage_test.go
+++ b/internal/pubsub/observermessage_test.go
@@ -32,14 +32,14 @@
 		{Kind: snapshot.SetQuota, Quota: pubsubmsg.Quota{Operations: 3, Share: 0.5, RetryPolicy: model.RetryOnAnyFailure}},
 	}}
 	published.Apply(batch)
-	server := &Server{published: published}
+	server := &Server{publishedState: published}
 	checkMessage(t, "change.json", server.changeMessage(batch), &Change{})
 	checkMessage(t, "snapshot.json", server.snapshotMessage(), &Snapshot{})
 }
 
 // checkMessage compares a message's JSON with a golden file, decodes the file into empty and compares that with the
 // message.
-func checkMessage(t *testing.T, name string, message, empty any) {
+func checkMessage(t *testing.T, name string, message, decoded any) {
 	t.Helper()
 	got, err := json.Marshal(message)
 	if err != nil {
@@ -59,8 +59,8 @@
 	if !bytes.Equal(got, want) {
 		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
 	}
-	err = json.Unmarshal(want, empty)
-	if err != nil || !reflect.DeepEqual(reflect.ValueOf(empty).Elem().Interface(), message) {
-		t.Errorf("%s: decoded as %+v, %v; want %+v", file, empty, err, message)
+	err = json.Unmarshal(want, decoded)
+	if err != nil || !reflect.DeepEqual(reflect.ValueOf(decoded).Elem().Interface(), message) {
+		t.Errorf("%s: decoded as %+v, %v; want %+v", file, decoded, err, message)
 	}
 }
