--- a/internal/config/channel.go
+++ b/internal/config/channel.go
@@ -12,13 +12,13 @@
 // PeerLimits are the limits on peers of the publish-subscribe channel. Zero selects the channel's own default, unless
 // the field's comment says otherwise.
 type PeerLimits struct {
-	Connections      int           // open at once
-	Observers        int           // open at once
+	Connections      int           // open connections
+	Observers        int           // open connections of observers
 	UnsentBytes      int           // unsent bytes to one peer
 	TotalUnsentBytes int           // unsent bytes to all peers in total
 	CommandRate      float64       // commands per second from one peer
 	CommandBurst     int           // commands from one peer at once
-	GreetingTimeout  time.Duration // within which a peer must join or subscribe
+	GreetingTimeout  time.Duration // time within which a peer must join or subscribe
 	JoinRate         float64       // joins per second; 0: no limit
 	JoinBurst        int           // joins at once
 	MaxProxies       int           // joined proxies in total; 0: no limit
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -25,11 +25,11 @@
 // Cluster is the block group { }: the cluster of instances that share the fleet and take over each other's shards.
 // ShardsPerZone and the durations must be the same on all members.
 type Cluster struct {
-	ListenAddress       string // address for raft and commands
-	GossipAddress       string // address for gossip
-	Zone                string
+	ListenAddress       string             // address for raft and commands
+	GossipAddress       string             // address for gossip
+	Zone                string             // zone of this member
 	Join                bool               // join a running cluster rather than form one
-	ShardsPerZone       int                // of the fleet
+	ShardsPerZone       int                // number of shards in each zone
 	LeaseDuration       model.Microseconds // of a shard's lease
 	MaxClockDrift       model.Microseconds // between the clocks of two members during a lease
 	StabilizationPeriod model.Microseconds // time that a returned member must be alive before shards move back to it
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Error is one error of a file.
+// Error is one error of a configuration file.
 type Error struct {
 	File         string
 	Line, Column int    // from 1; 0 in JSON, where Field gives the position
@@ -41,15 +41,15 @@
 
 // Unwrap returns each error.
 func (es Errors) Unwrap() []error {
-	all := make([]error, len(es))
+	errs := make([]error, len(es))
 	for i, e := range es {
-		all[i] = e
+		errs[i] = e
 	}
-	return all
+	return errs
 }
 
-// inFileOrder sorts errors by their position; errors at the same position keep their order.
-func inFileOrder(es []Error) {
+// sortByPosition sorts errors by their position; errors at the same position keep their order.
+func sortByPosition(es []Error) {
 	slices.SortStableFunc(es, func(a, b Error) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,16 +7,16 @@
 	"peppervale/internal/model"
 )
 
-// Guarantees are the properties of the fleet that the five invariants depend on. The invariant checker uses the same
-// values.
+// Guarantees are the limits and the properties of the fleet that five of the invariants depend on. The invariant
+// checker is configured with them.
 type Guarantees struct {
 	MaxTimeWithoutReplica model.Microseconds // maximum time that a proxy may have no replica to pick
-	DrainGracePeriod      model.Microseconds // time within which draining and warming replicas must be withdrawn
+	DrainGracePeriod      model.Microseconds // time to withdraw a draining or warming replica from all proxies
 	WarmUpPeriod          model.Microseconds // time after which a started replica is warm
-	ColdCapacity          float64            // minimum fraction of its capacity that a replica has when it starts
-	OverloadFactor        float64            // a replica fails under a load of this multiple of its capacity...
-	OverloadDuration      model.Microseconds // ...that lasts for this time
-	MaxPollInterval       model.Microseconds // without a subscription, a change counts as known after this time
+	ColdCapacity          float64            // minimum fraction of its full capacity that a replica has when it starts
+	OverloadFactor        float64            // a warming replica fails under a load of this multiple of its capacity
+	OverloadDuration      model.Microseconds // time for which the load must last
+	MaxPollInterval       model.Microseconds // time after which a change counts as known without a subscription
 	QueueLimit            int                // maximum number of queued entries in the channel
 	MessageLimit          int                // maximum number of messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow         model.Microseconds
@@ -29,8 +29,8 @@
 
 // Values of the setting admits.
 const (
-	admitsQuota = "share"
-	admitsAll   = "none"
+	admitsQuota = "share" // proxies apply admission quotas
+	admitsAll   = "none"  // proxies admit every request
 )
 
 // utilizationReading is the name of the load report reading that the balancer uses.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxPlatformFile is the maximum size of the platform's file, in bytes.
-	maxPlatformFile = 16 << 20
+	// maxPlatformFileBytes is the maximum size of the platform's file, in bytes.
+	maxPlatformFileBytes = 16 << 20
 
 	bytesPerMegabyte   = 1 << 20
 	minMemoryMegabytes = 8
@@ -78,14 +78,17 @@
 	MaxDeliveryDelay float64 `json:"push_delay_max"` // milliseconds
 }
 
-// LoadPlatform reads the file that LB_CONFIG names. It returns Errors or an error of the file system.
+// LoadPlatform reads the file at path, which the environment variable LB_CONFIG names. It returns Errors or an error of
+// the file system.
 func LoadPlatform(path string) (*Platform, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > maxPlatformFile {
-		return nil, Errors{{File: path, Text: fmt.Sprintf("file size %d exceeds %d bytes", info.Size(), maxPlatformFile)}}
+	if info.Size() > maxPlatformFileBytes {
+		return nil, Errors{{
+			File: path, Text: fmt.Sprintf("file size %d exceeds %d bytes", info.Size(), maxPlatformFileBytes),
+		}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -101,12 +104,12 @@
 	if err == nil {
 		return platform, nil
 	}
-	var located Error
-	if !errors.As(err, &located) {
-		located = Error{Text: err.Error(), Cause: err}
+	var fieldErr Error
+	if !errors.As(err, &fieldErr) {
+		fieldErr = Error{Text: err.Error(), Cause: err}
 	}
-	located.File = path
-	return nil, Errors{located}
+	fieldErr.File = path
+	return nil, Errors{fieldErr}
 }
 
 // fieldError returns an error of a field of the platform's JSON.
@@ -116,9 +119,9 @@
 
 // wrapError wraps a decoder error of a field of the file, or of the nested field that the decoder names.
 func wrapError(field, prefix string, err error) error {
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
-		field = strings.Trim(field+"."+wrongType.Field, ".")
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		field = strings.Trim(field+"."+typeErr.Field, ".")
 	}
 	return Error{Field: field, Text: prefix + err.Error(), Cause: err}
 }
@@ -147,7 +150,7 @@
 	if err := p.setNames(file.Settings); err != nil {
 		return err
 	}
-	return p.setKnown(file.Known)
+	return p.setInitialEndpoints(file.Known)
 }
 
 func (p *Platform) setAddresses(listen, discovery string) error {
@@ -177,8 +180,8 @@
 	return nil
 }
 
-// setNames reads the names and the maximum delivery delay from the settings. Load reports on sockets use the names of
-// the settings.
+// setNames reads the names and the maximum delivery delay from the settings. Peers on sockets use these
+// names in load reports.
 func (p *Platform) setNames(text []byte) error {
 	var settings platformSettings
 	if err := json.Unmarshal(text, &settings); err != nil {
@@ -199,14 +202,14 @@
 	return nil
 }
 
-func (p *Platform) setKnown(text []byte) error {
+func (p *Platform) setInitialEndpoints(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
-	known, err := platformmsg.ParseEndpointList(text)
+	list, err := platformmsg.ParseEndpointList(text)
 	if err != nil {
 		return wrapError("known", "known: ", err)
 	}
-	p.InitialEndpoints = known
+	p.InitialEndpoints = list
 	return nil
 }
--- a/internal/config/platform_property_test.go
+++ b/internal/config/platform_property_test.go
@@ -27,14 +27,14 @@
 // TestBalancerRunsOrErrorNamesFieldForAnySettings checks that for any settings either a balancer starts and runs for
 // half a minute, or a one-line error names the invalid field. At least a quarter of the drawn settings must be valid.
 func TestBalancerRunsOrErrorNamesFieldForAnySettings(t *testing.T) {
-	total, started := 0, 0
+	drawnCount, validCount := 0, 0
 	defer func() {
-		if started*4 < total {
-			t.Errorf("%d of %d settings were valid, want at least a quarter", started, total)
+		if validCount*4 < drawnCount {
+			t.Errorf("%d of %d settings were valid, want at least a quarter", validCount, drawnCount)
 		}
 	}()
 	rapid.Check(t, func(t *rapid.T) {
-		total++
+		drawnCount++
 		platform, err := parsePlatform("config.json", drawPlatformFile(t))
 		if err != nil {
 			text := err.Error()
@@ -44,17 +44,17 @@
 			}
 			return
 		}
-		started++
+		validCount++
 		runBalancer(t, platform)
 	})
 }
 
 // drawNumber draws the typical value or, sometimes, an unusual one; nil omits the setting.
 func drawNumber(t *rapid.T, name string, typical float64) any {
-	odd := []any{0.0, 1.0, 0.001, 1e9, nil, -1.0, 1e300, "x"}
+	unusualValues := []any{0.0, 1.0, 0.001, 1e9, nil, -1.0, 1e300, "x"}
 	index := rapid.IntRange(0, 99).Draw(t, name) - 50 // draws are biased to the ends of the range
-	if index >= 0 && index < len(odd) {
-		return odd[index]
+	if index >= 0 && index < len(unusualValues) {
+		return unusualValues[index]
 	}
 	return typical
 }
@@ -136,41 +136,41 @@
 // runBalancer runs a balancer for half a minute with proxies, load reports and an endpoint that drains.
 func runBalancer(t *rapid.T, platform *Platform) {
 	const (
-		tick          = 200 * model.Millisecond
-		ticks         = 150
-		reportEvery   = 5
-		drainAt       = 100
-		proxyCount    = 10
-		attemptsEach  = 5
-		reportLatency = 100 * model.Millisecond
+		tickInterval      = 200 * model.Millisecond
+		ticks             = 150
+		ticksPerReport    = 5
+		drainTick         = 100 // the first endpoint drains at this tick
+		proxyCount        = 10
+		attemptsPerReport = 5
+		reportLatency     = 100 * model.Millisecond
 	)
-	decisions := balancer.New(platform.Balancer, discardingPublisher{}, model.Second)
+	testBalancer := balancer.New(platform.Balancer, discardingPublisher{}, model.Second)
 	endpoints := drawEndpoints(t, len(platform.Zones))
-	decisions.EndpointsChanged(model.Second, model.FullList, endpoints)
+	testBalancer.EndpointsChanged(model.Second, model.FullList, endpoints)
 	for proxy := range model.ProxyID(proxyCount) {
-		decisions.ProxyConnected(model.Second, proxy, int(proxy)%len(platform.Zones), float64(proxy))
+		testBalancer.ProxyConnected(model.Second, proxy, int(proxy)%len(platform.Zones), float64(proxy))
 	}
 	for step := range model.Microseconds(ticks) {
-		now := model.Second + step*tick
-		if step%reportEvery == 0 {
+		now := model.Second + step*tickInterval
+		if step%ticksPerReport == 0 {
 			for number, endpoint := range endpoints {
-				decisions.LoadReported(now, model.LoadReport{
+				testBalancer.LoadReported(now, model.LoadReport{
 					Zone:        endpoint.Zone,
 					Replica:     endpoint.ID,
-					Attempts:    attemptsEach,
-					Errors:      number % 2 * attemptsEach,
+					Attempts:    attemptsPerReport,
+					Errors:      number % 2 * attemptsPerReport,
 					MeanLatency: reportLatency,
 					Window:      model.Second,
 					Readings:    []float64{1, 1},
 				})
 			}
 		}
-		if step == drainAt && len(endpoints) > 0 {
+		if step == drainTick && len(endpoints) > 0 {
 			endpoints[0].Status = model.EndpointDraining
-			decisions.EndpointsChanged(now, model.ChangedEntries, endpoints[:1])
+			testBalancer.EndpointsChanged(now, model.ChangedEntries, endpoints[:1])
 		}
-		decisions.TimerFired(now)
-		decisions.Flush(now)
+		testBalancer.TimerFired(now)
+		testBalancer.Flush(now)
 	}
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -66,8 +66,8 @@
 // TestPlatformErrorsNameField checks that the error of an invalid file names the invalid field.
 func TestPlatformErrorsNameField(t *testing.T) {
 	for _, tt := range []struct {
-		name, from, to string
-		word, field    string
+		name, text, replacement string
+		wantText, wantField     string
 	}{
 		{"listen", `"10.0.0.4:3000"`, `"n3"`, "listen", "listen"},
 		{"discovery", `"10.2.0.1:8500"`, `"10.2.0.1:0"`, "discovery", "discovery"},
@@ -86,13 +86,13 @@
 		{"slices", `"slices":0`, `"slices":4`, "slices", "settings"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := loadPlatformText(t, strings.Replace(validPlatformFile, tt.from, tt.to, 1))
-			if err == nil || !strings.Contains(err.Error(), tt.word) {
-				t.Errorf("%s for %s: error %v does not name the field", tt.to, tt.from, err)
+			_, err := loadPlatformText(t, strings.Replace(validPlatformFile, tt.text, tt.replacement, 1))
+			if err == nil || !strings.Contains(err.Error(), tt.wantText) {
+				t.Errorf("%s for %s: error %v does not name the field", tt.replacement, tt.text, err)
 			}
-			var located Error
-			if !errors.As(err, &located) || located.Field != tt.field || filepath.Base(located.File) != "config.json" {
-				t.Errorf("%s for %s: error %+v, want field %s", tt.to, tt.from, located, tt.field)
+			var fieldErr Error
+			if !errors.As(err, &fieldErr) || fieldErr.Field != tt.wantField || filepath.Base(fieldErr.File) != "config.json" {
+				t.Errorf("%s for %s: error %+v, want field %s", tt.replacement, tt.text, fieldErr, tt.wantField)
 			}
 		})
 	}
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -10,7 +10,7 @@
 
 // Reader reads one HCL file and collects its errors.
 type Reader struct {
-	file    string
+	path    string
 	sources map[string][]byte // by path; more than one if the file inherits from another
 	errors  []Error
 }
@@ -19,19 +19,19 @@
 func Open(path string) (*Reader, *Block) {
 	source, err := os.ReadFile(path)
 	if err != nil {
-		return &Reader{file: path, errors: []Error{unreadable(path, err)}}, nil
+		return &Reader{path: path, errors: []Error{newReadError(path, err)}}, nil
 	}
 	return Parse(path, source)
 }
 
-// unreadable returns the error of a file that cannot be read, positioned at its start.
-func unreadable(path string, cause error) Error {
+// newReadError returns the error of a file that cannot be read, positioned at its start.
+func newReadError(path string, cause error) Error {
 	return Error{File: path, Line: 1, Column: 1, Text: cause.Error(), Cause: cause}
 }
 
 // Parse is like Open for a source in memory.
 func Parse(path string, source []byte) (*Reader, *Block) {
-	reader := &Reader{file: path, sources: map[string][]byte{path: source}}
+	reader := &Reader{path: path, sources: map[string][]byte{path: source}}
 	file, diagnostics := hclsyntax.ParseConfig(source, path, hcl.InitialPos)
 	for _, diagnostic := range diagnostics {
 		reader.addDiagnostic(diagnostic)
@@ -48,22 +48,22 @@
 	if diagnostic.Severity != hcl.DiagError {
 		return
 	}
-	var at hcl.Range
+	var position hcl.Range
 	if diagnostic.Subject != nil {
-		at = *diagnostic.Subject
+		position = *diagnostic.Subject
 	}
-	r.addError(at, "", "%s: %s", diagnostic.Summary, diagnostic.Detail)
+	r.addError(position, "", "%s: %s", diagnostic.Summary, diagnostic.Detail)
 }
 
-func (r *Reader) addError(at hcl.Range, field, format string, args ...any) {
-	file := r.file
-	if at.Filename != "" {
-		file = at.Filename
+func (r *Reader) addError(position hcl.Range, field, format string, args ...any) {
+	path := r.path
+	if position.Filename != "" {
+		path = position.Filename
 	}
 	r.errors = append(r.errors, Error{
-		File:   file,
-		Line:   max(at.Start.Line, 1),
-		Column: max(at.Start.Column, 1),
+		File:   path,
+		Line:   max(position.Start.Line, 1),
+		Column: max(position.Start.Column, 1),
 		Field:  field,
 		Text:   fmt.Sprintf(format, args...),
 	})
@@ -74,6 +74,6 @@
 	if len(r.errors) == 0 {
 		return nil
 	}
-	inFileOrder(r.errors)
+	sortByPosition(r.errors)
 	return Errors(r.errors)
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// reloadRule defines whether a running instance can adopt a change of one part of a file.
+// reloadRule defines whether a running instance can adopt a change of one part of a configuration file.
 type reloadRule struct {
 	name          string
 	value         func(*Server) any
@@ -15,17 +15,17 @@
 
 // Restart reasons that apply to several parts.
 const (
-	reasonWireFormat = "its numbers are used on the wire and in the tables of proxies"
-	reasonBalancer   = "the balancer is created with it, and its statistics depend on it"
+	reasonWireFormat = "zone and operation numbers are used on the wire and in the tables of proxies"
+	reasonBalancer   = "the balancer is created with these settings, and its statistics depend on them"
 	reasonSocket     = "the listening socket is already open"
 )
 
-// reloadRules covers every part of a file; Reload compares only these parts.
+// reloadRules covers every part of a configuration file; Reload compares only these parts.
 var reloadRules = []reloadRule{
-	{"governor: the name", func(s *Server) any { return s.Name }, "logs, console pages and Consul show it"},
+	{"governor: the name", func(s *Server) any { return s.Name }, "logs, console pages and Consul show the name"},
 	{"governor: listen", func(s *Server) any { return s.ListenAddress }, reasonSocket},
 	{"governor: state", func(s *Server) any { return s.StateDir }, "the directory is locked and open"},
-	{"governor: seed", func(s *Server) any { return s.Balancer.Seed }, "random numbers are derived from it since startup"},
+	{"governor: seed", func(s *Server) any { return s.Balancer.Seed }, "random numbers have been derived from the seed"},
 	{"governor: log", func(s *Server) any { return s.LogLevel }, ""},
 	{"governor: farewell", func(s *Server) any { return s.ShutdownGracePeriod }, ""},
 	{"zones", func(s *Server) any { return s.Zones }, reasonWireFormat},
@@ -38,10 +38,10 @@
 	},
 	{
 		"group", func(s *Server) any { return s.Cluster },
-		"the replicated state of the cluster depends on it; restart the members one at a time",
+		"the replicated state of the cluster depends on these settings; restart the members one at a time",
 	},
 	{"console: listen", func(s *Server) any { return s.ConsoleAddress }, reasonSocket},
-	{"machine_list", func(s *Server) any { return s.Discovery }, "a poll is in flight"},
+	{"machine_list", func(s *Server) any { return s.Discovery }, "the running endpoint poll uses these settings"},
 	{"fleet, rules, channel: queue, overhead, period, messages_most", remainingBalancerConfig, reasonBalancer},
 	{"fleet, rules: what only checkers read", func(s *Server) any { return s.Guarantees }, reasonBalancer},
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	edited := strings.Replace(text, kind+" {", kind+" {\n  "+setting, 1)
 	if edited == text {
-		t.Fatalf("the example has no block %s", kind)
+		t.Fatalf("the example file has no block %s", kind)
 	}
 	return edited
 }
@@ -39,30 +39,33 @@
 		}
 		return server
 	}
-	withJoins := withSetting(t, example, "channel", "joins = 7")
-	withIntake := withSetting(t, example, "channel", "intake = 77")
+	fileWithJoins := withSetting(t, example, "channel", "joins = 7")
+	fileWithIntake := withSetting(t, example, "channel", "intake = 77")
 	old := load(t, example)
 	for _, tt := range []struct {
-		name, text       string
-		changed, refused string
+		name, text            string
+		wantChange, wantError string
 	}{
-		{"nothing", example, "", ""},
-		{"joins", withJoins, "joins", ""},
+		{"no change", example, "", ""},
+		{"joins", fileWithJoins, "joins", ""},
 		{"unsent bytes", withSetting(t, example, "channel", "unsent_all_bytes = 100000"), "unsent_all_bytes", ""},
-		{"two settings", withSetting(t, withIntake, "channel", "commands = 9"), "intake: 77, was 500", ""},
+		{"two settings", withSetting(t, fileWithIntake, "channel", "commands = 9"), "intake: 77, was 500", ""},
 		{"pace", strings.Replace(example, "pace  = 3000", "pace = 77", 1), "", "pace: queued updates"},
-		{"cold", withSetting(t, example, "rules", "cold = \"3s\""), "", "the balancer is created with it"},
-		{"joins and cold", withSetting(t, withJoins, "rules", "cold = \"3s\""), "", "the balancer is created with it"},
-		{"zones", strings.Replace(example, "zones", "zones = [\"else\"]\n//", 1), "", "zones: its numbers"},
+		{"cold", withSetting(t, example, "rules", "cold = \"3s\""), "", "the balancer is created with these settings"},
+		{
+			"joins and cold", withSetting(t, fileWithJoins, "rules", "cold = \"3s\""), "",
+			"the balancer is created with these settings",
+		},
+		{"zones", strings.Replace(example, "zones", "zones = [\"else\"]\n//", 1), "", "zones: zone and operation numbers"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			changed, err := Reload(old, load(t, tt.text))
-			if (err != nil) != (tt.refused != "") || err != nil && !strings.Contains(err.Error(), tt.refused) {
-				t.Errorf("want refusal %q, got error %v", tt.refused, err)
+			if (err != nil) != (tt.wantError != "") || err != nil && !strings.Contains(err.Error(), tt.wantError) {
+				t.Errorf("want refusal %q, got error %v", tt.wantError, err)
 			}
 			all := strings.Join(changed, "; ")
-			if !strings.Contains(all, tt.changed) || tt.changed == "" && all != "" {
-				t.Errorf("want change %q, got %q", tt.changed, all)
+			if !strings.Contains(all, tt.wantChange) || tt.wantChange == "" && all != "" {
+				t.Errorf("want change %q, got %q", tt.wantChange, all)
 			}
 		})
 	}
--- a/internal/config/server.go
+++ b/internal/config/server.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/model"
 )
 
-// Limits of the file's numbers. They are wide and only detect a wrong unit or an extra digit.
+// Limits of the numbers in a configuration file. They are wide and only detect a wrong unit or an extra digit.
 const (
 	maxDuration         = 3600 * model.Second
 	maxCount            = 1_000_000
@@ -39,11 +39,11 @@
 
 // Discovery is the source of the endpoint list.
 type Discovery struct {
-	Kind    string // "consul"
+	Kind    string // "consul" is the only one
 	Address string
 	Service string
-	Wait    time.Duration // of a blocking query
-	Timeout time.Duration // after the wait
+	Wait    time.Duration // how long a blocking query may wait for a change
+	Timeout time.Duration // time to connect, and time for the response beyond the wait
 }
 
 // LoadServer reads the file of an instance. The error has the type Errors.
--- a/internal/config/server_test.go
+++ b/internal/config/server_test.go
@@ -78,8 +78,8 @@
 // values.
 func TestServerErrorsNamePositionAndAcceptedValues(t *testing.T) {
 	for _, tt := range []struct {
-		name, from, to       string
-		place, field, remedy string
+		name, text, replacement           string
+		wantPosition, wantField, wantText string
 	}{
 		{
 			"unknown block", "rules {", "rulez {",
@@ -97,31 +97,31 @@
 			"unknown effect", `"idempotent"`, `"safe"`,
 			":9:15", "effect", "not one of idempotent, fingerprinted, side-effecting",
 		},
-		{"window missing", "  window       = \"1200ms\"\n", "", ":11:1", "window", "window is missing"},
+		{"missing window", "  window       = \"1200ms\"\n", "", ":11:1", "window", "window is missing"},
 		{"timeout too short", `"1200ms"`, `"100ms"`, ":8:15", "timeout", "must not be shorter than objective"},
 		{"host name as an address", `"127.0.0.1:7700"`, `"localhost"`, ":2:12", "listen", "such as 127.0.0.1:7700"},
 		{"unknown kind of discovery", `"consul"`, `"zookeeper"`, ":28:1", "machine_list", "only supported kind is consul"},
 		{"number out of range", "forwarders  = 40", "forwarders  = 70000", ":19:17", "forwarders", "expected 1 to 65535"},
-		{"fraction", "forwarders  = 40", "forwarders  = 4.5", ":19:17", "forwarders", "expected an integer"},
+		{"fraction for an integer", "forwarders  = 40", "forwarders  = 4.5", ":19:17", "forwarders", "expected an integer"},
 		{"invalid syntax", "zones =", "zones", ":5:1", "", "use the equals sign"},
-		{"reference", `"recipe"`, "var.name", ":30:13", "service", "expected a literal value"},
+		{"reference for a literal", `"recipe"`, "var.name", ":30:13", "service", "expected a literal value"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := loadServerText(t, strings.Replace(validServerFile, tt.from, tt.to, 1))
-			var all Errors
-			if !errors.As(err, &all) {
+			_, err := loadServerText(t, strings.Replace(validServerFile, tt.text, tt.replacement, 1))
+			var errs Errors
+			if !errors.As(err, &errs) {
 				t.Fatalf("LoadServer returned %v, want Errors", err)
 			}
-			described := func(e Error) bool {
+			matches := func(e Error) bool {
 				text := e.Error()
-				return strings.Contains(text, tt.place) && strings.Contains(text, tt.remedy)
+				return strings.Contains(text, tt.wantPosition) && strings.Contains(text, tt.wantText)
 			}
-			i := slices.IndexFunc(all, described)
+			i := slices.IndexFunc(errs, matches)
 			if i < 0 {
-				t.Fatalf("no error with %q and %q in\n%s", tt.place, tt.remedy, err)
+				t.Fatalf("no error with %q and %q in\n%s", tt.wantPosition, tt.wantText, err)
 			}
-			if all[i].Field != tt.field {
-				t.Fatalf("field %q, want %q", all[i].Field, tt.field)
+			if errs[i].Field != tt.wantField {
+				t.Fatalf("field %q, want %q", errs[i].Field, tt.wantField)
 			}
 		})
 	}
@@ -131,8 +131,8 @@
 func TestAllServerErrorsAreReported(t *testing.T) {
 	edits := strings.NewReplacer(`"500ms"`, "500", "forwarders  = 40", "forwarders = 0")
 	_, err := loadServerText(t, edits.Replace(validServerFile))
-	var all Errors
-	if !errors.As(err, &all) || len(all) != 2 || all[0].Line > all[1].Line {
+	var errs Errors
+	if !errors.As(err, &errs) || len(errs) != 2 || errs[0].Line > errs[1].Line {
 		t.Fatalf("LoadServer returned %v, want two errors in file order", err)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,8 +16,8 @@
 	l.add(name, fmt.Sprintf(format, args...))
 }
 
-// Settings returns the name and the value of each setting, including defaults, in the order of the file. The console
-// shows these texts, so they use the terms of the file format.
+// Settings returns the names and values, including defaults, of the settings that the console shows. These texts use
+// the terms of the file format.
 func (s *Server) Settings() [][2]string {
 	var list settingList
 	list.add("governor", s.Name)
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -15,8 +15,8 @@
 
 // value evaluates a setting. If the setting is not a literal value, or is required and missing, it reports an error and
 // ok is false. If an optional setting is missing, ok is false without an error.
-func (b *Block) value(name string, required bool) (value cty.Value, at hcl.Range, ok bool) {
-	b.attributes = append(b.attributes, name)
+func (b *Block) value(name string, required bool) (value cty.Value, position hcl.Range, ok bool) {
+	b.knownSettings = append(b.knownSettings, name)
 	attribute := b.body.Attributes[name]
 	if attribute == nil {
 		if required {
@@ -24,28 +24,28 @@
 		}
 		return cty.NilVal, hcl.Range{}, false
 	}
-	at = attribute.Expr.Range()
+	position = attribute.Expr.Range()
 	value, diagnostics := attribute.Expr.Value(nil)
 	if diagnostics.HasErrors() || value.IsNull() || !value.IsWhollyKnown() {
-		b.reader.addError(at, name, "%s: expected a literal value", name)
-		return cty.NilVal, at, false
+		b.reader.addError(position, name, "%s: expected a literal value", name)
+		return cty.NilVal, position, false
 	}
-	return value, at, true
+	return value, position, true
 }
 
 // String reads a string; an empty fallback makes it required. If allowed values are given, it must be one of them.
-func (b *Block) String(name, fallback string, allowed ...string) string {
-	value, at, ok := b.value(name, fallback == "")
+func (b *Block) String(name, fallback string, allowedValues ...string) string {
+	value, position, ok := b.value(name, fallback == "")
 	if !ok {
 		return fallback
 	}
 	if value.Type() != cty.String {
-		b.reader.addError(at, name, "%s: expected a string in quotes", name)
+		b.reader.addError(position, name, "%s: expected a string in quotes", name)
 		return fallback
 	}
 	text := value.AsString()
-	if len(allowed) > 0 && !slices.Contains(allowed, text) {
-		b.reader.addError(at, name, "%s: %q is not one of %s", name, text, strings.Join(allowed, ", "))
+	if len(allowedValues) > 0 && !slices.Contains(allowedValues, text) {
+		b.reader.addError(position, name, "%s: %q is not one of %s", name, text, strings.Join(allowedValues, ", "))
 	}
 	return text
 }
@@ -53,7 +53,7 @@
 // OptionalString reads an optional string; it returns "" if the setting is missing.
 func (b *Block) OptionalString(name string) string {
 	if !b.HasSetting(name) {
-		b.attributes = append(b.attributes, name)
+		b.knownSettings = append(b.knownSettings, name)
 		return ""
 	}
 	return b.String(name, "")
@@ -98,23 +98,23 @@
 	return texts
 }
 
-func (b *Block) addNotAListError(at hcl.Range, name string) {
-	b.reader.addError(at, name, "%s: expected a list of strings, such as [\"a\", \"b\"]", name)
+func (b *Block) addNotAListError(position hcl.Range, name string) {
+	b.reader.addError(position, name, "%s: expected a list of strings, such as [\"a\", \"b\"]", name)
 }
 
 // Float reads a number from lowest to highest; NaN as the fallback makes it required.
 func (b *Block) Float(name string, fallback, lowest, highest float64) float64 {
-	value, at, ok := b.value(name, math.IsNaN(fallback))
+	value, position, ok := b.value(name, math.IsNaN(fallback))
 	if !ok {
 		return fallback
 	}
 	if value.Type() != cty.Number {
-		b.reader.addError(at, name, "%s: expected a number", name)
+		b.reader.addError(position, name, "%s: expected a number", name)
 		return fallback
 	}
 	number, _ := value.AsBigFloat().Float64()
 	if number < lowest || number > highest {
-		b.reader.addError(at, name, "%s: %v is out of range, expected %v to %v", name, number, lowest, highest)
+		b.reader.addError(position, name, "%s: %v is out of range, expected %v to %v", name, number, lowest, highest)
 	}
 	return number
 }
@@ -137,12 +137,12 @@
 
 // Bool reads a boolean.
 func (b *Block) Bool(name string, fallback bool) bool {
-	value, at, ok := b.value(name, false)
+	value, position, ok := b.value(name, false)
 	if !ok {
 		return fallback
 	}
 	if value.Type() != cty.Bool {
-		b.reader.addError(at, name, "%s: expected true or false", name)
+		b.reader.addError(position, name, "%s: expected true or false", name)
 		return fallback
 	}
 	return value.True()
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -16,10 +16,10 @@
 	names   *platformmsg.ReplicaNames
 	log     zerolog.Logger
 	entries map[string]platformmsg.Endpoint // by name
-	version uint64                          // of the list; 0: request the complete list
+	version uint64                          // of the list; 0: the next watch requests the complete list
 }
 
-// applyEvent merges a watch event, which is a complete list or a list of changed entries.
+// merge applies a watch event, which is a complete list or a list of changed entries.
 func (c *endpointCache) merge(list *platformmsg.EndpointList) {
 	if list.Full {
 		clear(c.entries)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -18,7 +18,7 @@
 // errResponseComplete stops the parser after the response to a call.
 var errResponseComplete = errors.New("the HTTP response is complete")
 
-// httpClient makes HTTP calls over connections of its own socket engine.
+// httpClient makes HTTP calls. It has its own socket engine.
 type httpClient struct {
 	engine *netpoll.Engine
 }
@@ -26,13 +26,13 @@
 func newHTTPClient() (*httpClient, error) {
 	engine, err := netpoll.Start(1, netpoll.Handlers{
 		Data: func(conn *nbio.Conn, data []byte) {
-			if current, ok := conn.Session().(*call); ok {
-				current.receiveData(data)
+			if httpCall, ok := conn.Session().(*call); ok {
+				httpCall.receiveData(data)
 			}
 		},
 		Close: func(conn *nbio.Conn, err error) {
-			if current, ok := conn.Session().(*call); ok {
-				current.finish(nil, fmt.Errorf("connection closed: %w", err))
+			if httpCall, ok := conn.Session().(*call); ok {
+				httpCall.finish(nil, fmt.Errorf("connection closed: %w", err))
 			}
 		},
 	})
@@ -109,7 +109,7 @@
 	}
 }
 
-// receiveBody parses bytes of the response.
+// receiveData parses bytes of the response.
 func (c *call) receiveData(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/consul.go
+++ b/internal/discovery/consul.go
@@ -22,7 +22,7 @@
 	UserAgent string        // identifies this instance in the agent's log
 	Zones     []string      // zone names that are accepted in an entry's metadata
 	Wait      time.Duration // how long a blocking query may wait for a change
-	Timeout   time.Duration // how long after Wait the response may arrive before the poll fails
+	Timeout   time.Duration // time to connect, and time for the response beyond the query's wait
 	Log       zerolog.Logger
 }
 
@@ -34,7 +34,7 @@
 	// at most 20 polls per second.
 	minPollInterval = 50 * time.Millisecond
 
-	// waitJitterDivisor is the divisor of the random delay that the agent adds: up to a sixteenth of the wait.
+	// waitJitterDivisor limits the random delay that the agent adds to the wait: up to wait/waitJitterDivisor.
 	waitJitterDivisor = 16
 
 	consulIndexHeader = "x-consul-index"
@@ -48,12 +48,13 @@
 	poller   *poller
 
 	// State of the subscription, used only by the poller's goroutine.
-	index uint64     // index that the next query waits to change; 0: request the current list
-	body  []byte     // of the last response
-	conn  *nbio.Conn // kept open for the next poll; nil if there is none
+	index    uint64     // index of the last response, sent with the next query; 0: request the current list
+	lastBody []byte     // of the last response
+	conn     *nbio.Conn // kept open for the next poll; nil if there is none
 }
 
-// NewConsulClient starts a client; it makes no call before Subscribe. An error comes from the socket engine.
+// NewConsulClient returns a client that makes no call before Subscribe. It fails if the socket engine cannot be
+// started.
 func NewConsulClient(config ConsulConfig, receiver Receiver) (*ConsulClient, error) {
 	client, err := newHTTPClient()
 	if err != nil {
@@ -65,8 +66,8 @@
 	return c, nil
 }
 
-// Subscribe follows the list until a poll fails. It does not block. If the client is already subscribed, the new
-// subscription starts after the current one fails.
+// Subscribe starts a subscription, which lasts until a poll fails. It does not block. If the client is already
+// subscribed, the new subscription starts after the current one fails.
 func (c *ConsulClient) Subscribe() { c.poller.subscribe() }
 
 // Close stops the client and cancels a poll in flight.
@@ -77,7 +78,7 @@
 
 func (c *ConsulClient) startSubscription() {
 	c.index = 0
-	c.body = nil
+	c.lastBody = nil
 }
 
 func (c *ConsulClient) pollFailed(err error) {
@@ -105,19 +106,19 @@
 func (c *ConsulClient) query() (*http1.Message, error) {
 	request := http1.AppendRequest(nil, "GET", c.target(), c.config.Address, nil,
 		"Accept", "application/json", "User-Agent", c.config.UserAgent)
-	current := c.http.newCall(request, http1.NewParser(true, http1.Limits{Body: maxConsulResponseBytes}))
+	httpCall := c.http.newCall(request, http1.NewParser(true, http1.Limits{Body: maxConsulResponseBytes}))
 	if c.conn != nil {
-		current.reuse(c.conn)
+		httpCall.reuse(c.conn)
 	} else {
-		current.dial(c.config.Address, c.config.Timeout)
+		httpCall.dial(c.config.Address, c.config.Timeout)
 	}
-	message, err := c.poller.awaitCall(current, &fixedTimeout{startedAt: current.startedAt, timeout: c.timeout()})
+	message, err := c.poller.awaitCall(httpCall, &fixedTimeout{startedAt: httpCall.startedAt, timeout: c.timeout()})
 	if err != nil {
-		current.abandon()
+		httpCall.abandon()
 		c.conn = nil
 		return nil, err
 	}
-	c.conn = current.connection()
+	c.conn = httpCall.connection()
 	return message, nil
 }
 
@@ -151,7 +152,7 @@
 // handleResponse parses a response and passes its list to the receiver if the list may have changed.
 func (c *ConsulClient) handleResponse(message *http1.Message) error {
 	if message.Status != statusOK {
-		return fmt.Errorf("status %d: %.80q", message.Status, message.Body)
+		return fmt.Errorf("response has status %d: %.80q", message.Status, message.Body)
 	}
 	index, err := strconv.ParseUint(message.Header[consulIndexHeader], 10, 64)
 	if err != nil {
@@ -167,10 +168,10 @@
 	}
 	// If the index is wrong (it went back, or does not advance), the list may change without a new index. Only a
 	// comparison of the body detects this.
-	if index != c.index || c.index == 0 || !bytes.Equal(message.Body, c.body) {
+	if index != c.index || c.index == 0 || !bytes.Equal(message.Body, c.lastBody) {
 		c.receiver.EndpointsChanged(model.FullList, endpoints)
 	}
-	c.body = message.Body
+	c.lastBody = message.Body
 	c.index = nextIndex(c.index, index)
 	return nil
 }
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -40,7 +40,7 @@
 	arrived chan struct{} // one token for each update
 }
 
-// initialList describes the initial list of a fixture.
+// initialList is the initial list of a fixture in the notation of describe.
 const initialList = "list 1/0/1/0 2/1/1/7000"
 
 func newConsulFixture(t *testing.T) *consulFixture {
@@ -138,8 +138,8 @@
 		name  string
 		fault registry.Faults
 	}{
-		{"down", registry.Faults{Fails: true}},
-		{"silent", registry.Faults{Silent: true}},
+		{"status 500", registry.Faults{Fails: true}},
+		{"no response", registry.Faults{Silent: true}},
 		{"truncated body", registry.Faults{TruncatesBody: true}},
 		{"response after the timeout", registry.Faults{Delay: 900 * model.Millisecond}},
 	} {
@@ -221,8 +221,8 @@
 		changed.entries[1].Checks.AggregatedStatus() != consul.HealthMaint || changed.meta.LastIndex <= meta.LastIndex {
 		t.Fatalf("changed entries %v, error %v", changed.entries, changed.err)
 	}
-	if none, _, err := client.Health().Service("other", "", false, nil); err != nil || len(none) != 0 {
-		t.Fatalf("unknown service has entries %v, error %v", none, err)
+	if otherEntries, _, err := client.Health().Service("other", "", false, nil); err != nil || len(otherEntries) != 0 {
+		t.Fatalf("unknown service has entries %v, error %v", otherEntries, err)
 	}
 }
 
--- a/internal/discovery/fakeplatform_test.go
+++ b/internal/discovery/fakeplatform_test.go
@@ -22,8 +22,8 @@
 	// unavailableResponse is the response of a discovery service that is down.
 	unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-	// oneChunk is a chunk size in bytes that no event of these tests exceeds.
-	oneChunk = 1000
+	// singleChunkSize is a chunk size in bytes that no single event of these tests exceeds.
+	singleChunkSize = 1000
 )
 
 // fakePlatform is a discovery service whose responses the test writes itself.
@@ -66,10 +66,10 @@
 	p.write(response)
 }
 
-// expectNoRequest fails the test if a request arrives within the given time.
-func (p *fakePlatform) expectNoRequest(within time.Duration) {
+// expectNoRequest fails the test if a request arrives within the given duration.
+func (p *fakePlatform) expectNoRequest(duration time.Duration) {
 	p.t.Helper()
-	p.setAcceptDeadline(within)
+	p.setAcceptDeadline(duration)
 	if conn, err := p.listener.Accept(); err == nil {
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		p.t.Fatalf("unexpected request %q", line)
@@ -100,8 +100,8 @@
 		number, zones[number%2], health, number)
 }
 
-// describe formats an update for comparison: "list" or "poll failed", followed by address/zone/status/start for each
-// endpoint.
+// describe formats an update for comparison: "list" or "poll failed", followed for each endpoint by the last byte of
+// its address, its zone, its status and its start in ms, as in "list 1/0/1/0".
 func describe(update model.EndpointUpdate, endpoints []model.Endpoint) string {
 	text := fmt.Sprint("update ", update)
 	switch update {
@@ -138,18 +138,18 @@
 }
 
 // startWatch creates a watcher and subscribes it to a platform's list.
-func startWatch(t *testing.T, platform *fakePlatform, known *platformmsg.EndpointList) (*Watcher, updateRecorder) {
+func startWatch(t *testing.T, platform *fakePlatform, list *platformmsg.EndpointList) (*Watcher, updateRecorder) {
 	t.Helper()
-	watcher, updates := newTestWatcher(t, platform, known)
+	watcher, updates := newTestWatcher(t, platform, list)
 	watcher.Subscribe()
 	return watcher, updates
 }
 
 // newTestWatcher creates a watcher without a subscription.
-func newTestWatcher(t *testing.T, platform *fakePlatform, known *platformmsg.EndpointList) (*Watcher, updateRecorder) {
+func newTestWatcher(t *testing.T, platform *fakePlatform, list *platformmsg.EndpointList) (*Watcher, updateRecorder) {
 	t.Helper()
 	updates := make(updateRecorder, 100)
-	watcher, err := NewWatcher(watchConfig(platform, known), updates)
+	watcher, err := NewWatcher(watchConfig(platform, list), updates)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,12 +157,12 @@
 	return watcher, updates
 }
 
-func watchConfig(platform *fakePlatform, known *platformmsg.EndpointList) WatchConfig {
+func watchConfig(platform *fakePlatform, list *platformmsg.EndpointList) WatchConfig {
 	return WatchConfig{
 		Address:          platform.address(),
 		Zones:            zones,
 		Names:            platformmsg.NewReplicaNames(),
-		InitialEndpoints: known,
+		InitialEndpoints: list,
 		Log:              zerolog.Nop(),
 	}
 }
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -39,8 +39,8 @@
 type pollSource interface {
 	// startSubscription starts a subscription.
 	startSubscription()
-	// poll makes one call, waits for its end and passes the received lists on. It returns the delay before the next
-	// call, or the reason that the subscription ends: errClosed or the failure.
+	// poll makes one call, waits for its end and passes the received lists to the receiver. It returns the delay before
+	// the next call, or the reason that the subscription ends: errClosed or the failure.
 	poll() (delay time.Duration, err error)
 	// pollFailed reports the failure that ended a subscription.
 	pollFailed(err error)
@@ -55,36 +55,36 @@
 	superseded() bool
 }
 
-// poller runs the subscriptions of a source: on request it makes one call after another until one fails, and then waits
-// for the next request. It has one goroutine and therefore one call in flight.
+// poller runs the subscriptions of a source: when subscribe is called it makes one poll after another until one fails,
+// and then waits for the next call of subscribe. It has one goroutine and therefore one call in flight.
 type poller struct {
-	source         pollSource
-	requested      chan struct{} // a subscription was requested
-	addressChanges chan struct{} // the source's address changed
-	closing        chan struct{}
-	stopped        chan struct{}
+	source            pollSource
+	subscribeRequests chan struct{} // filled by subscribe
+	addressChanges    chan struct{} // filled by signalAddressChange
+	closing           chan struct{}
+	stopped           chan struct{}
 }
 
 func newPoller(source pollSource) *poller {
 	return &poller{
-		source:         source,
-		requested:      make(chan struct{}, 1),
-		addressChanges: make(chan struct{}, 1),
-		closing:        make(chan struct{}),
-		stopped:        make(chan struct{}),
+		source:            source,
+		subscribeRequests: make(chan struct{}, 1),
+		addressChanges:    make(chan struct{}, 1),
+		closing:           make(chan struct{}),
+		stopped:           make(chan struct{}),
 	}
 }
 
 // subscribe requests a subscription; it does not block.
-func (p *poller) subscribe() { signal(p.requested) }
+func (p *poller) subscribe() { signal(p.subscribeRequests) }
 
-// addressChanged ends a delay, a superseded call, or the wait for the next request after a failure.
-func (p *poller) addressChanged() { signal(p.addressChanges) }
+// signalAddressChange ends a delay, a superseded call, or the wait for the next request after a failure.
+func (p *poller) signalAddressChange() { signal(p.addressChanges) }
 
-// discardRequest drops a pending request for a subscription.
-func (p *poller) discardRequest() {
+// discardSubscribeRequest drops a pending request for a subscription.
+func (p *poller) discardSubscribeRequest() {
 	select {
-	case <-p.requested:
+	case <-p.subscribeRequests:
 	default:
 	}
 }
@@ -99,18 +99,18 @@
 func (p *poller) run() {
 	defer close(p.stopped)
 	subscribedBefore := false
-	for p.awaitRequest(subscribedBefore) {
+	for p.awaitSubscribeRequest(subscribedBefore) {
 		subscribedBefore = true
 		p.pollUntilFailure()
 	}
 }
 
-// awaitRequest waits until a subscription is requested. A changed address counts as a request if there was a
-// subscription before. It returns false if the poller is closed.
-func (p *poller) awaitRequest(subscribedBefore bool) bool {
+// awaitSubscribeRequest waits until a subscription is requested. A changed address counts as a request if there was an
+// earlier subscription. It returns false if the poller is closed.
+func (p *poller) awaitSubscribeRequest(subscribedBefore bool) bool {
 	for {
 		select {
-		case <-p.requested:
+		case <-p.subscribeRequests:
 			return true
 		case <-p.addressChanges:
 			if subscribedBefore {
@@ -157,8 +157,8 @@
 	}
 }
 
-// awaitCall waits for the end of a call and returns its response or an error: the call's own, the monitor's,
-// errAddressChanged or errClosed.
+// awaitCall waits for the end of a call and returns its response or an error: the error of the call, the error of the
+// monitor if the time expired, errAddressChanged or errClosed.
 func (p *poller) awaitCall(c *call, monitor callMonitor) (*http1.Message, error) {
 	remaining, _ := monitor.remaining()
 	timer := time.NewTimer(remaining)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,30 +14,36 @@
 	"peppervale/internal/model"
 )
 
-// WatchConfig describes the endpoint list of the operators' platform to watch.
+// WatchConfig is the configuration of a watch on the endpoint list of the operators' platform.
 type WatchConfig struct {
 	Address          string // host:port
 	Zones            []string
 	Names            *platformmsg.ReplicaNames // every listed replica is registered here
-	InitialEndpoints *platformmsg.EndpointList // the last known list of this instance; nil: none
+	InitialEndpoints *platformmsg.EndpointList // the list at startup; nil: none
 	Seed             uint64                    // of the pseudorandom retry delays
 	Log              zerolog.Logger
 }
 
-// In the platform's protocol a watch event counts as delivered 6 s after it was due, even if it did not arrive. The
-// platform writes an empty line to a watch every 2 s, and ends a call that waits for longer than a second. A watch is
-// therefore considered dead after 3 s without a complete line: the interval of the empty lines and a second for the
-// network. With the retry delay (0.25 s at most) and a call (a second and the network delay), the list arrives 4.3 to
-// 4.8 s after the last line, or after about 6 s if a call is lost in between (1.5 s and 0.25 s).
+// Timing of a watch. In the platform's protocol a watch event counts as delivered 6 s after it was due, even if it did
+// not arrive. The platform writes an empty line to a watch every 2 s and ends a call that waits for its response for
+// longer than a second. If a watch stops, the list of the next watch arrives 4.3 to 4.8 s after the last line:
+//
+//   - 3 s (watchIdleTimeout): the interval of the empty lines and a second for the network
+//   - up to 0.25 s (maxWatchRetryDelay)
+//   - a call: a second and the network delay
+//
+// If a call is lost in between, watchResponseTimeout (1.5 s) and a retry delay (0.25 s) are added: about 6 s.
 const (
 	watchIdleTimeout     = 3 * time.Second
 	watchResponseTimeout = 1500 * time.Millisecond // includes the time to connect
 	maxWatchRetryDelay   = 250 * time.Millisecond
 
-	// maxWatchRetries is the number of unanswered calls after a live watch ended before the poll fails.
+	// maxWatchRetries is the number of calls after the end of a live watch. If all of them time out without a response,
+	// the poll fails; any other error fails it immediately.
 	maxWatchRetries = 2
 
-	// minLiveDuration is the minimum time from the call to the last progress of its watch for the watch to count as live.
+	// minLiveDuration is the minimum time from the start of a call to the last progress of its watch (a complete line, or
+	// progressStepBytes of a long one) for the watch to count as live.
 	minLiveDuration = watchIdleTimeout / 2
 )
 
@@ -57,7 +63,7 @@
 	cache   endpointCache
 }
 
-// NewWatcher starts a client; it makes no call before Subscribe. An error comes from the socket engine.
+// NewWatcher returns a watcher that makes no call before Subscribe. It fails if the socket engine cannot be started.
 func NewWatcher(config WatchConfig, receiver Receiver) (*Watcher, error) {
 	client, err := newHTTPClient()
 	if err != nil {
@@ -84,7 +90,8 @@
 	return watcher, nil
 }
 
-// Subscribe keeps a watch open until a poll fails. It does not block. It has no effect while subscribed.
+// Subscribe starts a subscription, which keeps a watch open until a poll fails. It does not block. It has no effect
+// during a subscription.
 func (w *Watcher) Subscribe() { w.poller.subscribe() }
 
 // SetAddress moves the watch to another address and continues from the cached version. It does not wait for a failure
@@ -95,11 +102,11 @@
 	w.address = address
 	w.mu.Unlock()
 	if !unchanged {
-		w.poller.addressChanged()
+		w.poller.signalAddressChange()
 	}
 }
 
-// Close stops the client and its watch.
+// Close stops the watcher and cancels a call in flight.
 func (w *Watcher) Close() {
 	w.poller.close()
 	w.http.close()
@@ -120,14 +127,15 @@
 
 func (w *Watcher) startSubscription() { w.retriesLeft = 0 }
 
-// pollFailed reports the failure and discards a subscription that was requested before it.
+// pollFailed reports the failure. It discards earlier Subscribe calls, so that the receiver decides after the failure
+// when to subscribe again.
 func (w *Watcher) pollFailed(error) {
-	w.poller.discardRequest()
+	w.poller.discardSubscribeRequest()
 	w.receiver.EndpointsChanged(model.PollFailed, nil)
 }
 
 // poll makes one call and follows its watch until it ends. The end of a live watch is not a failure: the call is
-// repeated.
+// repeated. poll returns the delay before the next call, or an error that ends the subscription.
 func (w *Watcher) poll() (time.Duration, error) {
 	stream := w.newWatchStream()
 	err := w.follow(stream)
--- a/internal/discovery/watch_address_test.go
+++ b/internal/discovery/watch_address_test.go
@@ -10,33 +10,33 @@
 // TestWatchContinuesAtNewAddress checks that the watch continues at the new address from the same version, and that
 // events from the old address, whose connection is still open, are ignored.
 func TestWatchContinuesAtNewAddress(t *testing.T) {
-	from, target := startPlatform(t), startPlatform(t)
-	watcher, updates := startWatch(t, from, nil)
-	from.expectRequest(0, watchResponseHead)
-	from.writeChunks(eventLine(7, true, hostEntry(1, "ready")), oneChunk)
+	oldPlatform, newPlatform := startPlatform(t), startPlatform(t)
+	watcher, updates := startWatch(t, oldPlatform, nil)
+	oldPlatform.expectRequest(0, watchResponseHead)
+	oldPlatform.writeChunks(eventLine(7, true, hostEntry(1, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1")
-	watcher.SetAddress(from.address()) // the same address: no effect
-	watcher.SetAddress(target.address())
-	target.expectRequest(7, watchResponseHead)
-	from.writeChunks(eventLine(9, true), oneChunk)
-	target.writeChunks(eventLine(8, false, hostEntry(2, "ready")), oneChunk)
+	watcher.SetAddress(oldPlatform.address()) // the same address: no effect
+	watcher.SetAddress(newPlatform.address())
+	newPlatform.expectRequest(7, watchResponseHead)
+	oldPlatform.writeChunks(eventLine(9, true), singleChunkSize)
+	newPlatform.writeChunks(eventLine(8, false, hostEntry(2, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1 2/0/1/2")
 }
 
 // TestResponseOfOldAddressIsIgnoredAfterChange checks that the response to a call at the old address is ignored if the
-// address changes before it arrives, and that the new address is called immediately.
+// address changes before the response arrives, and that the new address is called immediately.
 func TestResponseOfOldAddressIsIgnoredAfterChange(t *testing.T) {
 	t.Parallel()
-	from, target := startPlatform(t), startPlatform(t)
-	watcher, updates := startWatch(t, from, nil)
-	from.expectRequest(0, "")
-	watcher.SetAddress(target.address())
-	target.expectRequest(0, watchResponseHead)
-	from.write(watchResponseHead)
-	from.writeChunks(eventLine(9, true, hostEntry(3, "ready")), oneChunk)
-	target.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
+	oldPlatform, newPlatform := startPlatform(t), startPlatform(t)
+	watcher, updates := startWatch(t, oldPlatform, nil)
+	oldPlatform.expectRequest(0, "")
+	watcher.SetAddress(newPlatform.address())
+	newPlatform.expectRequest(0, watchResponseHead)
+	oldPlatform.write(watchResponseHead)
+	oldPlatform.writeChunks(eventLine(9, true, hostEntry(3, "ready")), singleChunkSize)
+	newPlatform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1")
-	target.writeChunks(eventLine(9, false, hostEntry(2, "ready")), oneChunk)
+	newPlatform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1 2/0/1/2")
 }
 
@@ -44,22 +44,22 @@
 // Subscribe, and that failures at both addresses do not change the cache.
 func TestNewAddressIsCalledAfterFailure(t *testing.T) {
 	t.Parallel()
-	from, target := startPlatform(t), startPlatform(t)
-	watcher, updates := startWatch(t, from, nil)
-	from.expectRequest(0, watchResponseHead)
-	from.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
+	oldPlatform, newPlatform := startPlatform(t), startPlatform(t)
+	watcher, updates := startWatch(t, oldPlatform, nil)
+	oldPlatform.expectRequest(0, watchResponseHead)
+	oldPlatform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1")
-	from.disconnect()
+	oldPlatform.disconnect()
 	updates.expect(t, "poll failed")
-	watcher.SetAddress(target.address())
-	target.expectRequest(8, unavailableResponse)
+	watcher.SetAddress(newPlatform.address())
+	newPlatform.expectRequest(8, unavailableResponse)
 	updates.expect(t, "poll failed")
 	if cached := watcher.Endpoints(); len(cached) != 1 || cached[0].Status != model.EndpointReady {
-		t.Fatalf("cached endpoints %v, want 1 that is ready", cached)
+		t.Fatalf("cached endpoints %v, want one that is ready", cached)
 	}
 	watcher.Subscribe()
-	target.expectRequest(8, watchResponseHead)
-	target.writeChunks(eventLine(9, false, hostEntry(2, "ready")), oneChunk)
+	newPlatform.expectRequest(8, watchResponseHead)
+	newPlatform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1 2/0/1/2")
 }
 
@@ -73,7 +73,7 @@
 	platform.expectNoRequest(100 * time.Millisecond)
 	watcher.Subscribe()
 	platform.expectRequest(0, watchResponseHead)
-	platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
+	platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1")
 	watcher.mu.Lock() // makes both changes before the watcher checks the address
 	watcher.address = other.address()
@@ -81,6 +81,6 @@
 	watcher.SetAddress(platform.address())
 	platform.expectNoRequest(200 * time.Millisecond)
 	other.expectNoRequest(time.Millisecond)
-	platform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), oneChunk)
+	platform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1 2/0/1/2")
 }
--- a/internal/discovery/watch_liveness_test.go
+++ b/internal/discovery/watch_liveness_test.go
@@ -12,8 +12,8 @@
 // not arrive.
 const deliveryDeadline = 6 * time.Second
 
-// TestSilentCallFailsAndIsRepeatedInTime checks that a call fails if data stops before the watch is live, at any point
-// of the response, and that the next call comes before the delivery deadline of an event.
+// TestSilentCallFailsAndIsRepeatedInTime checks that a poll fails if data stops before the watch is live, at any point
+// of the response, and that the next call is made before the delivery deadline of an event.
 func TestSilentCallFailsAndIsRepeatedInTime(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
@@ -26,7 +26,7 @@
 		{"after the response head", func(p *fakePlatform) { p.write(watchResponseHead) }, false},
 		{"after the first event", func(p *fakePlatform) {
 			p.write(watchResponseHead)
-			p.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
+			p.writeChunks(eventLine(8, true, hostEntry(1, "ready")), singleChunkSize)
 		}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -42,10 +42,10 @@
 			}
 			lastDataAt := time.Now()
 			updates.expect(t, "poll failed")
-			time.AfterFunc(1250*time.Millisecond, watcher.Subscribe) // the balancer waits slightly more than 1 s
+			time.AfterFunc(1250*time.Millisecond, watcher.Subscribe) // the balancer retries after slightly over 1 s
 			platform.expectRequest(version, watchResponseHead)
 			checkRepeatedInTime(t, lastDataAt)
-			platform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), oneChunk)
+			platform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), singleChunkSize)
 			updates.expect(t, want)
 		})
 	}
@@ -56,11 +56,11 @@
 func TestSilentLiveWatchIsRepeatedWithoutFailure(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
-		name  string
-		write func(platform *fakePlatform)
-		then  func(platform *fakePlatform, stop <-chan struct{}) // continues until stop is closed; nil for none
+		name        string
+		write       func(platform *fakePlatform)
+		keepWriting func(platform *fakePlatform, stop <-chan struct{}) // writes until stop is closed; nil for none
 	}{
-		{"within a line", func(p *fakePlatform) { p.writeChunks(`{"seq":9,"whole":false,"ho`, oneChunk) }, nil},
+		{"within a line", func(p *fakePlatform) { p.writeChunks(`{"seq":9,"whole":false,"ho`, singleChunkSize) }, nil},
 		{"within a chunk", func(p *fakePlatform) { p.write("40\r\n\n\n") }, nil},
 		{"after empty lines", func(*fakePlatform) {}, nil},
 		{"spaces without a line end", func(*fakePlatform) {}, trickle},
@@ -70,7 +70,7 @@
 			platform := startPlatform(t)
 			_, updates := startWatch(t, platform, &platformmsg.EndpointList{Version: 7, Full: true})
 			platform.expectRequest(7, watchResponseHead)
-			platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
+			platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), singleChunkSize)
 			updates.expect(t, "list 1/1/1/1")
 			for range 2 {
 				time.Sleep(time.Second) // the watch becomes live
@@ -80,12 +80,12 @@
 			lastDataAt := time.Now()
 			stop := make(chan struct{})
 			defer close(stop)
-			if tt.then != nil {
-				tt.then(platform, stop)
+			if tt.keepWriting != nil {
+				tt.keepWriting(platform, stop)
 			}
 			platform.expectRequest(8, watchResponseHead)
 			checkRepeatedInTime(t, lastDataAt)
-			platform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), oneChunk)
+			platform.writeChunks(eventLine(9, false, hostEntry(2, "ready")), singleChunkSize)
 			updates.expect(t, "list 1/1/1/1 2/0/1/2")
 		})
 	}
@@ -109,13 +109,13 @@
 func checkRepeatedInTime(t *testing.T, lastDataAt time.Time) {
 	t.Helper()
 	if took := time.Since(lastDataAt); took > deliveryDeadline || took < time.Second {
-		t.Errorf("repeated after %s, want 1 s to the delivery deadline", took)
+		t.Errorf("call repeated %s after the last data, want 1 s to 6 s", took)
 	}
 }
 
-// TestPollFailsAfterTwoUnansweredRetriesOfLiveWatch checks that unanswered calls after a live watch are made twice
-// before the poll fails, because the delivery deadline is near by then and the balancer decides when to subscribe
-// again. A rejected call fails the poll immediately.
+// TestPollFailsAfterTwoUnansweredRetriesOfLiveWatch checks that two unanswered calls after a live watch fail the poll:
+// the delivery deadline is near by then, and the balancer decides when to subscribe again. A rejected call fails the
+// poll immediately.
 func TestPollFailsAfterTwoUnansweredRetriesOfLiveWatch(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
@@ -130,7 +130,7 @@
 			platform := startPlatform(t)
 			_, updates := startWatch(t, platform, nil)
 			platform.expectRequest(0, watchResponseHead)
-			platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
+			platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), singleChunkSize)
 			updates.expect(t, "list 1/1/1/1")
 			time.Sleep(minLiveDuration + 100*time.Millisecond)
 			platform.writeChunks("\n", 1)
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestSlowLongListIsAccepted checks that a long list is accepted although it takes longer than the timeout, as long as
-// it makes progress.
+// TestSlowLongListIsAccepted checks that a long list is accepted although it takes longer than watchIdleTimeout, as
+// long as its line grows.
 func TestSlowLongListIsAccepted(t *testing.T) {
 	t.Parallel()
 	const hostCount = 1500
@@ -174,7 +174,7 @@
 			t.Fatalf("update %.80q, want the complete list", got)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("no update")
+		t.Fatal("no update, want the complete list")
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	platform.expectNoRequest(200 * time.Millisecond)
 	platform.write(watchResponseHead)
-	platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
+	platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1")
 	watcher.Subscribe()
 	platform.expectNoRequest(200 * time.Millisecond)
@@ -204,15 +204,16 @@
 	platform.expectRequest(8, watchResponseHead)
 }
 
-// TestRetryDelaysDiffer checks that instances that lose their connections at the same time retry at different times.
-func TestRetryDelaysDiffer(t *testing.T) {
+// TestRetryDelaysDifferBetweenSeeds checks that instances that lose their connections at the same time retry at
+// different times.
+func TestRetryDelaysDifferBetweenSeeds(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		delays := jitter{seed: seed}
 		for range 5 {
 			delay := delays.next(maxWatchRetryDelay)
 			if delay < 0 || delay >= maxWatchRetryDelay {
-				t.Fatalf("delay %s is out of range", delay)
+				t.Fatalf("delay %s, want 0 s to below 250 ms", delay)
 			}
 			seen[delay.Round(time.Millisecond)] = true
 		}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,23 +17,23 @@
 	}
 }
 
-// TestWatchMergesChanges checks that changes are merged into the known list, for any split into chunks, and that
-// endpoints that are gone are removed.
+// TestWatchMergesChanges checks that changes are merged into the list at startup, for any split into chunks, and
+// that endpoints that are gone are removed.
 func TestWatchMergesChanges(t *testing.T) {
 	platform := startPlatform(t)
 	watcher, updates := startWatch(t, platform, knownList(41, zones[1]))
-	if known := watcher.Endpoints(); len(known) != 1 {
-		t.Fatalf("known endpoints %v, want 1", known)
+	if cached := watcher.Endpoints(); len(cached) != 1 {
+		t.Fatalf("initially cached endpoints %v, want 1", cached)
 	}
 	platform.expectRequest(41, watchResponseHead)
 	platform.writeChunks("\n"+eventLine(42, false, hostEntry(2, "ready"))+"\n\n", 3)
 	updates.expect(t, "list 1/1/1/0 2/0/1/2")
 	platform.writeChunks(eventLine(43, false, hostEntry(1, "draining"))+
-		eventLine(44, false, hostEntry(2, "gone"), hostEntry(3, "ready")), oneChunk)
+		eventLine(44, false, hostEntry(2, "gone"), hostEntry(3, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/2/1 2/0/1/2")
 	updates.expect(t, "list 1/1/2/1 3/1/1/3")
 	unknownZone := `{"host":"s-5","site":"nowhere","health":"ready"}`
-	platform.writeChunks(eventLine(45, true, hostEntry(4, "ready"), unknownZone), oneChunk)
+	platform.writeChunks(eventLine(45, true, hostEntry(4, "ready"), unknownZone), singleChunkSize)
 	updates.expect(t, "list 4/0/1/4")
 }
 
@@ -43,7 +43,7 @@
 	platform := startPlatform(t)
 	watcher, updates := startWatch(t, platform, nil)
 	platform.expectRequest(0, watchResponseHead)
-	platform.writeChunks(eventLine(7, true, hostEntry(1, "ready")), oneChunk)
+	platform.writeChunks(eventLine(7, true, hostEntry(1, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1")
 	platform.disconnect()
 	updates.expect(t, "poll failed")
@@ -52,7 +52,7 @@
 	updates.expect(t, "poll failed")
 	watcher.Subscribe()
 	platform.expectRequest(7, watchResponseHead)
-	platform.writeChunks(eventLine(8, false, hostEntry(2, "ready")), oneChunk)
+	platform.writeChunks(eventLine(8, false, hostEntry(2, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1 2/0/1/2")
 }
 
@@ -86,11 +86,11 @@
 	platform := startPlatform(t)
 	watcher, updates := startWatch(t, platform, &platformmsg.EndpointList{Version: 41, Full: true})
 	platform.expectRequest(41, watchResponseHead)
-	platform.writeChunks(eventLine(3, false, hostEntry(1, "ready")), oneChunk)
+	platform.writeChunks(eventLine(3, false, hostEntry(1, "ready")), singleChunkSize)
 	updates.expect(t, "poll failed")
 	watcher.Subscribe()
 	platform.expectRequest(0, watchResponseHead)
-	platform.writeChunks(eventLine(3, true, hostEntry(2, "ready")), oneChunk)
+	platform.writeChunks(eventLine(3, true, hostEntry(2, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/0/1/2")
 }
 
@@ -105,15 +105,16 @@
 		platform.writeChunks(eventLine(8, true, hostEntry(1, "ready"), hostEntry(2, "draining")), 7)
 		updates.expect(t, "list 1/1/1/1 2/0/2/2")
 	}
-	platform.writeChunks(eventLine(9, true, hostEntry(2, "draining")), oneChunk)
+	platform.writeChunks(eventLine(9, true, hostEntry(2, "draining")), singleChunkSize)
 	updates.expect(t, "list 2/0/2/2")
-	platform.writeChunks(eventLine(4, true, hostEntry(1, "ready")), oneChunk)
+	platform.writeChunks(eventLine(4, true, hostEntry(1, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1")
-	platform.writeChunks(eventLine(5, false, hostEntry(3, "ready")), oneChunk)
+	platform.writeChunks(eventLine(5, false, hostEntry(3, "ready")), singleChunkSize)
 	updates.expect(t, "list 1/1/1/1 3/1/1/3")
 }
 
-// TestCloseReturnsInEachState checks that Close returns in each state of the client, and that no update follows.
+// TestCloseReturnsInEachState checks that Close returns in each state of the client, and that no update is reported
+// afterwards.
 func TestCloseReturnsInEachState(t *testing.T) {
 	t.Parallel()
 	for _, state := range []string{"idle", "dialing", "waiting for a response", "watching"} {
@@ -132,7 +133,7 @@
 				platform.expectRequest(0, "")
 			case "watching":
 				platform.expectRequest(0, watchResponseHead)
-				platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), oneChunk)
+				platform.writeChunks(eventLine(8, true, hostEntry(1, "ready")), singleChunkSize)
 				updates.expect(t, "list 1/1/1/1")
 			}
 			closed := make(chan struct{})
@@ -143,7 +144,7 @@
 			select {
 			case <-closed:
 			case <-time.After(700 * time.Millisecond):
-				t.Fatal("Close did not return")
+				t.Fatal("Close did not return within 700 ms")
 			}
 			if len(updates) > 0 {
 				t.Errorf("unexpected update %q after Close", <-updates)
--- a/internal/discovery/watchstream.go
+++ b/internal/discovery/watchstream.go
@@ -13,8 +13,8 @@
 	// maxEventBytes is the maximum size of one line of a watch, in bytes.
 	maxEventBytes = 2 << 20
 
-	// progressStepBytes is the number of received bytes that counts as progress within an incomplete line, because a list
-	// may be long.
+	// progressStepBytes is the number of received bytes that counts as progress within an incomplete line: a long list
+	// may take longer than watchIdleTimeout.
 	progressStepBytes = 16 << 10
 )
 
@@ -28,7 +28,8 @@
 	return fmt.Sprintf("no progress of the watch for %s", e.timeout)
 }
 
-// watchStream is one call for a watch and its streamed response. The call's mu guards line, progress and progressAt.
+// watchStream is one call for a watch and its streamed response. The call's mu guards line, progressSteps and
+// progressAt.
 type watchStream struct {
 	watcher *Watcher
 	address string
@@ -36,7 +37,7 @@
 
 	line          []byte    // received bytes of the incomplete line
 	progressSteps int       // size of the incomplete line in units of progressStepBytes
-	progressAt    time.Time // when a line was completed or grew by progressStepBytes; zero before that
+	progressAt    time.Time // when a line last was completed or grew by progressStepBytes; zero before that
 }
 
 // superseded reports whether the watcher's address differs from the address of the call. An address that changed and
@@ -45,7 +46,7 @@
 	return s.watcher.currentAddress() != s.address
 }
 
-// remaining returns how long the watch may continue without further progress.
+// remaining returns how long the call may still wait for a response or, after its first byte, for progress.
 func (s *watchStream) remaining() (time.Duration, error) {
 	s.call.mu.Lock()
 	defer s.call.mu.Unlock()
--- a/internal/statestore/decisionlog.go
+++ b/internal/statestore/decisionlog.go
@@ -55,12 +55,12 @@
 // trimDecisions deletes the oldest entries until size is within the limits.
 func trimDecisions(bucket *bolt.Bucket, size *logSize) error {
 	for size.exceedsLimits() {
-		key, stored := bucket.Cursor().First()
+		key, storedBytes := bucket.Cursor().First()
 		if key == nil {
 			return nil
 		}
 		size.entries--
-		size.bytes -= len(stored) - checksumSize
+		size.bytes -= len(storedBytes) - checksumSize
 		if err := bucket.Delete(key); err != nil {
 			return err
 		}
@@ -74,25 +74,25 @@
 func (s *Store) Decisions(
 	incarnation, number uint64, limit int, match func(DecisionRecord) bool,
 ) ([]DecisionRecord, error) {
-	var found []DecisionRecord
+	var records []DecisionRecord
 	err := s.db.View(func(tx *bolt.Tx) error {
 		cursor := tx.Bucket(decisionsBucket).Cursor()
-		key, stored := seekBefore(cursor, decisionKey(incarnation, number))
-		for key != nil && len(found) < limit {
-			record, ok := parseDecision(key, stored)
+		key, storedBytes := seekBefore(cursor, decisionKey(incarnation, number))
+		for key != nil && len(records) < limit {
+			record, ok := parseDecision(key, storedBytes)
 			if ok && match(record) {
 				record.Body = bytes.Clone(record.Body)
-				found = append(found, record)
+				records = append(records, record)
 			}
-			key, stored = cursor.Prev()
+			key, storedBytes = cursor.Prev()
 		}
 		return nil
 	})
-	return found, err
+	return records, err
 }
 
 // seekBefore moves a cursor to the last entry before a key.
-func seekBefore(cursor *bolt.Cursor, bound []byte) (key, stored []byte) {
+func seekBefore(cursor *bolt.Cursor, bound []byte) (key, storedBytes []byte) {
 	if next, _ := cursor.Seek(bound); next == nil {
 		return cursor.Last()
 	}
--- a/internal/statestore/doc.go
+++ b/internal/statestore/doc.go
@@ -13,7 +13,7 @@
 // old one. Incrementing the incarnation, reclaiming free pages and migrating earlier schema versions are part of this
 // rename.
 //
-// Limits: values are written after the decisions that they record (see Writer), so a crash loses the last fraction of a
+// Limits: the writer stores changes after they have taken effect (see Writer), so a crash loses the last fraction of a
 // second. The lock is a kernel lock (flock): the kernel releases it when the process ends, and it does not work across
 // network file systems. Open rewrites the file, so it takes as long as the disk needs to write maxDecisionBytes at
 // most.
--- a/internal/statestore/migrate_test.go
+++ b/internal/statestore/migrate_test.go
@@ -26,7 +26,7 @@
 		incarnation     []byte
 		list            []byte
 		wantIncarnation uint64
-		wantDamage      int
+		wantDamageCount int
 		wantList        bool
 	}{
 		{"both files", incarnation, list, 7, 0, true},
@@ -40,7 +40,7 @@
 			writeFirstVersionFile(t, dir, firstIncarnationFile, tt.incarnation)
 			writeFirstVersionFile(t, dir, firstEndpointsFile, tt.list)
 			_, recovered := openStore(t, dir, 900)
-			if recovered.Incarnation != tt.wantIncarnation || len(recovered.Damage) != tt.wantDamage ||
+			if recovered.Incarnation != tt.wantIncarnation || len(recovered.Damage) != tt.wantDamageCount ||
 				recovered.MigratedFrom != 1 || (recovered.Endpoints != nil) != tt.wantList {
 				t.Fatalf("recovered %+v", recovered)
 			}
--- a/internal/statestore/records.go
+++ b/internal/statestore/records.go
@@ -16,18 +16,18 @@
 
 // withChecksum returns the stored form of a value: its checksum followed by its bytes.
 func withChecksum(value []byte) []byte {
-	stored := make([]byte, 0, checksumSize+len(value))
-	stored = binary.BigEndian.AppendUint32(stored, crc32.Checksum(value, castagnoliTable))
-	return append(stored, value...)
+	storedBytes := make([]byte, 0, checksumSize+len(value))
+	storedBytes = binary.BigEndian.AppendUint32(storedBytes, crc32.Checksum(value, castagnoliTable))
+	return append(storedBytes, value...)
 }
 
 // verifyChecksum returns the value part of stored bytes, without a copy, and whether its checksum matches.
-func verifyChecksum(stored []byte) (value []byte, ok bool) {
-	if len(stored) < checksumSize {
+func verifyChecksum(storedBytes []byte) (value []byte, ok bool) {
+	if len(storedBytes) < checksumSize {
 		return nil, false
 	}
-	value = stored[checksumSize:]
-	return value, binary.BigEndian.Uint32(stored) == crc32.Checksum(value, castagnoliTable)
+	value = storedBytes[checksumSize:]
+	return value, binary.BigEndian.Uint32(storedBytes) == crc32.Checksum(value, castagnoliTable)
 }
 
 func encodeUint64(number uint64) []byte {
@@ -49,8 +49,8 @@
 
 // parseDecision decodes an entry of the decision log; the body is not copied from the stored bytes. ok is false if the
 // entry is damaged.
-func parseDecision(key, stored []byte) (record DecisionRecord, ok bool) {
-	body, ok := verifyChecksum(stored)
+func parseDecision(key, storedBytes []byte) (record DecisionRecord, ok bool) {
+	body, ok := verifyChecksum(storedBytes)
 	if !ok || len(key) != decisionKeySize {
 		return DecisionRecord{}, false
 	}
--- a/internal/statestore/recovery.go
+++ b/internal/statestore/recovery.go
@@ -15,17 +15,17 @@
 	"peppervale/internal/model"
 )
 
-// databaseTimeout limits the wait for bbolt's own file lock.
-const databaseTimeout = time.Second
+// databaseLockTimeout limits the wait for bbolt's own file lock.
+const databaseLockTimeout = time.Second
 
 // Recovered is the state that Open found.
 type Recovered struct {
-	Incarnation         uint64           // of this start; the first is 1
+	Incarnation         uint64           // of this start; 1 in a directory without stored state
 	Endpoints           []model.Endpoint // the last complete list; nil if none is usable
 	Published           []byte           // the tables last published, in the caller's encoding; nil if none are usable
-	PreviousIncarnation uint64           // the stored number; 0 if none was usable
-	Empty               bool             // nothing was stored
-	MigratedFrom        int              // the migrated schema version; 0 if the state had the current one
+	PreviousIncarnation uint64           // the stored incarnation; 0 if none was usable
+	Empty               bool             // the directory had no stored state
+	MigratedFrom        int              // schema version that was migrated; 0 if the state had the current one
 	Damage              []error          // one *DamageError or disk error for each unusable part
 }
 
@@ -49,8 +49,8 @@
 	return decodeUint64(st.values[string(incarnationKey)])
 }
 
-// nextIncarnation returns the next incarnation when the previous number is lost: at least floor, and above every
-// incarnation in the decision log.
+// nextIncarnation returns the next incarnation when the previous number is lost: at least floor (see Open), and above
+// every incarnation in the decision log.
 func (st *storedState) nextIncarnation(floor uint64) uint64 {
 	next := max(floor, 1)
 	if len(st.decisions) > 0 {
@@ -62,7 +62,7 @@
 
 // recoverState reads the stored state and replaces the state file with one for the next incarnation.
 func (s *Store) recoverState(floor uint64) (*Recovered, error) {
-	interruptedFile := filepath.Join(s.dir, newFile) // from an interrupted start
+	interruptedFile := filepath.Join(s.dir, newFile) // left by an interrupted start
 	if err := os.Remove(interruptedFile); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 	}
 	recovered.Published = stored.values[string(publishedKey)]
 	if err := s.replaceFile(stored, recovered); err != nil {
-		return nil, fmt.Errorf("state: %w", err)
+		return nil, fmt.Errorf("replace state file: %w", err)
 	}
 	return recovered, nil
 }
@@ -107,7 +107,7 @@
 }
 
 // readStateFile returns the usable part of a state file. A missing or invalid page causes a panic or a memory fault in
-// bbolt; both are recovered in the reading goroutine and reported as damage.
+// bbolt; readStateFile recovers from both and reports them as damage.
 func readStateFile(path string) (stored *storedState, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 			err = nil
 		}
 	}()
-	db, err := bolt.Open(path, 0o644, &bolt.Options{ReadOnly: true, Timeout: databaseTimeout})
+	db, err := bolt.Open(path, 0o644, &bolt.Options{ReadOnly: true, Timeout: databaseLockTimeout})
 	if err != nil {
 		stored.addDamage(stateFile, err)
 		return stored, nil
@@ -158,11 +158,11 @@
 
 func (st *storedState) loadValues(bucket *bolt.Bucket) {
 	for _, key := range [][]byte{schemaVersionKey, incarnationKey, endpointsKey, publishedKey} {
-		stored := bucket.Get(key)
-		if stored == nil {
+		storedBytes := bucket.Get(key)
+		if storedBytes == nil {
 			continue
 		}
-		value, ok := verifyChecksum(stored)
+		value, ok := verifyChecksum(storedBytes)
 		if !ok {
 			st.addDamage(fmt.Sprintf("%s: %s", stateFile, key), errChecksum)
 			continue
@@ -171,12 +171,14 @@
 	}
 }
 
+// loadDecisions reads the decision log. It stops adding entries at 2*maxDecisions, because a damaged page may make the
+// cursor return entries repeatedly.
 func (st *storedState) loadDecisions(bucket *bolt.Bucket) {
 	damaged := 0
 	cursor := bucket.Cursor()
-	for key, stored := cursor.First(); key != nil; key, stored = cursor.Next() {
-		record, ok := parseDecision(key, stored)
-		if !ok || len(st.decisions) >= 2*maxDecisions { // a damaged page may make the cursor loop
+	for key, storedBytes := cursor.First(); key != nil; key, storedBytes = cursor.Next() {
+		record, ok := parseDecision(key, storedBytes)
+		if !ok || len(st.decisions) >= 2*maxDecisions { // only a damaged file has more
 			damaged++
 			continue
 		}
@@ -192,7 +194,7 @@
 // file.
 func (s *Store) replaceFile(stored *storedState, recovered *Recovered) error {
 	currentPath, newPath := filepath.Join(s.dir, stateFile), filepath.Join(s.dir, newFile)
-	options := &bolt.Options{Timeout: databaseTimeout, FreelistType: bolt.FreelistMapType}
+	options := &bolt.Options{Timeout: databaseLockTimeout, FreelistType: bolt.FreelistMapType}
 	database, err := bolt.Open(newPath, 0o644, options)
 	if err != nil {
 		return err
@@ -251,12 +253,12 @@
 	return nil
 }
 
-// keepDamagedFile keeps a damaged state file under a second name before it is replaced. It makes a hard link instead of
-// a rename, so that a crash before the replacement does not leave a directory that looks empty. On a file system
-// without hard links the damaged file is not kept.
-func keepDamagedFile(current, linkPath string) {
+// keepDamagedFile keeps a damaged state file under a second name before the file is replaced. It makes a hard link
+// instead of a rename, so that a crash before the replacement does not leave a directory that looks empty. On a file
+// system without hard links the damaged file is not kept.
+func keepDamagedFile(path, linkPath string) {
 	_ = os.Remove(linkPath)
-	_ = os.Link(current, linkPath)
+	_ = os.Link(path, linkPath)
 }
 
 func syncDirectory(dir string) error {
--- a/internal/statestore/recovery_test.go
+++ b/internal/statestore/recovery_test.go
@@ -116,7 +116,7 @@
 	if err != nil || len(undamaged.values) != 4 || len(undamaged.decisions) != 9 {
 		t.Fatalf("undamaged file read as %+v, %v; want 4 values and 9 decisions", undamaged, err)
 	}
-	reported := 0
+	damageReports := 0
 	for offset, original := range image {
 		if original == 0 && offset%16 != 0 { // pages are mostly empty; test a sample of the empty bytes
 			continue
@@ -129,17 +129,18 @@
 		writeByte(t, file, offset, original)
 		checkUnaltered(t, offset, stored, undamaged)
 		if len(stored.damage) > 0 {
-			reported++
+			damageReports++
 		} else if len(stored.values) < 4 && stored.incarnation() != 1 {
 			t.Fatalf("byte %d: values are missing and no damage is reported: %v", offset, stored.values)
 		}
 	}
-	if reported < 100 {
-		t.Fatalf("%d changed bytes were reported as damage, want at least 100", reported)
+	if damageReports < 100 {
+		t.Fatalf("%d changed bytes were reported as damage, want at least 100", damageReports)
 	}
 }
 
-// checkUnaltered asserts that each value and decision read after a byte changed equals one that was written.
+// checkUnaltered asserts that each value read after a byte changed is the written one, and that each decision has the
+// prefix of the written ones.
 func checkUnaltered(t *testing.T, offset int, stored, undamaged *storedState) {
 	t.Helper()
 	for key, value := range stored.values {
@@ -194,7 +195,7 @@
 		t.Fatalf("recovered %+v, want damage and incarnation 2 or at least 900", recovered)
 	}
 	if kept, _ := os.ReadFile(filepath.Join(dir, damagedFile)); !bytes.Equal(kept, damaged) {
-		t.Error("the damaged file was not kept")
+		t.Error("the damaged file was not kept unchanged")
 	}
 	if err := store.Write(&Change{Endpoints: endpointList(7)}); err != nil {
 		t.Fatal(err)
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -46,9 +46,9 @@
 }
 
 // Open creates the directory if it is missing, locks it, recovers the stored state and increments the incarnation. If
-// the last incarnation number is lost, the next one is at least floor (for example the clock's seconds), because the
-// lost number is unknown. Open returns an error that matches ErrLocked or ErrNewer, or a disk error. Damage is not an
-// error; see Recovered.Damage.
+// the last incarnation number is lost, the next one is at least floor (for example the clock's seconds), which the
+// caller chooses above every number that it may have used. Open returns an error that matches ErrLocked or ErrNewer, or
+// a disk error. Damage is not an error; see Recovered.Damage.
 func Open(dir string, floor uint64) (*Store, *Recovered, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, nil, fmt.Errorf("state directory: %w", err)
@@ -111,7 +111,7 @@
 		return trimDecisions(decisions, &size)
 	})
 	if err != nil {
-		return fmt.Errorf("state: %w", err)
+		return fmt.Errorf("write state file: %w", err)
 	}
 	s.logSize = size
 	return nil
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -81,7 +81,7 @@
 		store, recovered := openStore(t, dir, 1000)
 		if recovered.Incarnation != incarnation || recovered.PreviousIncarnation != incarnation-1 ||
 			len(recovered.Damage) > 0 || recovered.Empty != (incarnation == 1) {
-			t.Fatalf("incarnation %d: %+v", incarnation, recovered)
+			t.Fatalf("incarnation %d recovered %+v", incarnation, recovered)
 		}
 		if incarnation > 1 {
 			checkPreviousState(t, recovered, incarnation-1)
@@ -112,7 +112,7 @@
 	t.Helper()
 	if !reflect.DeepEqual(recovered.Endpoints, endpointList(uint16(previous))) ||
 		string(recovered.Published) != fmt.Sprint("tables of ", previous) {
-		t.Fatalf("after incarnation %d: %+v", previous, recovered)
+		t.Fatalf("state after incarnation %d recovered as %+v", previous, recovered)
 	}
 }
 
@@ -142,7 +142,7 @@
 				t.Fatal(err)
 			}
 			if found != store.logSize || found.exceedsLimits() || found.entries < tt.minEntries {
-				t.Fatalf("the log has size %+v; the store recorded %+v", found, store.logSize)
+				t.Fatalf("the log has size %+v, the store recorded %+v; want equal sizes within the limits", found, store.logSize)
 			}
 		})
 	}
--- a/internal/statestore/stored_format_test.go
+++ b/internal/statestore/stored_format_test.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/statestore"
 )
 
-// The program wrote the fixtures in testdata: go test ./internal/server -run StoredState -update
+// The fixtures in testdata are files that the program wrote. go test ./internal/server -run StoredState -update
 // rewrites them, which is only allowed with a change of the schema version.
 
 // openFixture opens a copy of a fixture, because Open writes to the directory.
@@ -58,19 +58,21 @@
 		t.Fatalf("%d endpoints, want %d: %+v", len(endpoints), len(want), endpoints)
 	}
 	for i, endpoint := range endpoints {
-		wanted := want[i]
-		if endpoint.ID.Addr != wanted.address || endpoint.ID.Port != wanted.port || endpoint.Zone != wanted.zone ||
-			endpoint.Status != wanted.status || endpoint.StartedAt != wanted.startedAt {
-			t.Errorf("endpoint %d is %+v, want %+v", i, endpoint, wanted)
+		wantEndpoint := want[i]
+		if endpoint.ID.Addr != wantEndpoint.address || endpoint.ID.Port != wantEndpoint.port ||
+			endpoint.Zone != wantEndpoint.zone || endpoint.Status != wantEndpoint.status ||
+			endpoint.StartedAt != wantEndpoint.startedAt {
+			t.Errorf("endpoint %d is %+v, want %+v", i, endpoint, wantEndpoint)
 		}
 	}
 }
 
-// The bytes of the fixture's published state and of its decision log entries, newest first.
+// storedPublished is the published state in the fixture state.db.
 const storedPublished = `{"kind":"snapshot","life":2,"version":34,` +
 	`"tables":{"5":[{"replica":"10.1.2.3:8081","weight":0.25},{"replica":"10.4.5.6:8082","weight":0.75}]},` +
 	`"withdrawn":["10.7.8.9:8083"],"levels":[{"operations":3,"share":0.5,"way":2}],"forwarders":{"till-1":"5"}}`
 
+// storedDecisions are the decision log entries in the fixture state.db, newest first.
 var storedDecisions = []struct {
 	incarnation, number uint64
 	body                string
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -37,14 +37,14 @@
 	stop    chan struct{}
 	stopped chan struct{}
 
-	mu      sync.Mutex
-	pending Change
-	dropped uint64
+	mu               sync.Mutex
+	pending          Change
+	droppedDecisions uint64
 }
 
 // NewWriter starts a writer for an open store. The writer's goroutine calls report with the error when writes start to
 // fail, and with nil when they succeed again; dropped is the number of decisions dropped so far.
-func NewWriter(store *Store, report func(err error, dropped uint64)) *Writer {
+func NewWriter(store *Store, report func(err error, droppedDecisions uint64)) *Writer {
 	w := &Writer{
 		store:   store,
 		report:  report,
@@ -78,7 +78,7 @@
 func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.dropped
+	return w.droppedDecisions
 }
 
 // Close makes one attempt to write the pending changes and stops the writer. It does not close the store.
@@ -109,7 +109,7 @@
 	if excess <= 0 {
 		return
 	}
-	w.dropped += uint64(excess)
+	w.droppedDecisions += uint64(excess)
 	w.pending.Decisions = append([]DecisionRecord(nil), w.pending.Decisions[excess:]...)
 }
 
@@ -142,7 +142,7 @@
 }
 
 // waitForChange waits until a change is pending and then for the delay. It returns false if the writer is closed before
-// that.
+// the delay ends.
 func (w *Writer) waitForChange(delay time.Duration) bool {
 	select {
 	case <-w.wake:
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -66,16 +66,16 @@
 
 // forbidFileGrowth sets the file size limit so low that no file can grow, and returns a function that restores it.
 func forbidFileGrowth() (restore func() error, err error) {
-	var original syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &original); err != nil {
+	var originalLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &originalLimit); err != nil {
 		return nil, err
 	}
-	full := original
-	full.Cur = 1
-	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &full); err != nil {
+	reducedLimit := originalLimit
+	reducedLimit.Cur = 1
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &reducedLimit); err != nil {
 		return nil, err
 	}
-	return func() error { return syscall.Setrlimit(syscall.RLIMIT_FSIZE, &original) }, nil
+	return func() error { return syscall.Setrlimit(syscall.RLIMIT_FSIZE, &originalLimit) }, nil
 }
 
 // checkWritesOnFullDisk gives the writer more decisions than it may queue and waits for its report.
@@ -110,7 +110,7 @@
 		return err
 	}
 	if !reflect.DeepEqual(recovered.Endpoints, endpointList(2)) || string(recovered.Published) != "before" {
-		return fmt.Errorf("state after space was available again: %+v", recovered)
+		return fmt.Errorf("state after space was available again: %+v; want the pending list", recovered)
 	}
 	return store.Close()
 }
