--- a/internal/config/platform_golden_test.go
+++ b/internal/config/platform_golden_test.go
@@ -56,6 +56,6 @@
 func TestLoadPlatformReadsEveryField(t *testing.T) {
 	got, err := LoadPlatform("testdata/golden/platform.json")
 	if err != nil || !reflect.DeepEqual(got, goldenPlatform) {
-		t.Errorf("LoadPlatform returned %+v, %v", got, err)
+		t.Errorf("LoadPlatform returned %+v, %v; want the golden configuration", got, err)
 	}
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -69,21 +69,21 @@
 		name, text, replacement string
 		wantText, wantField     string
 	}{
-		{"listen", `"10.0.0.4:3000"`, `"n3"`, "listen", "listen"},
-		{"discovery", `"10.2.0.1:8500"`, `"10.2.0.1:0"`, "discovery", "discovery"},
-		{"seed", `"fe429af2f6dae94c"`, `"xyz"`, "seed", "seed"},
-		{"memory", `"memory_mb":48`, `"memory_mb":0`, "limits", "limits"},
-		{"sockets", `"sockets":256`, `"sockets":3`, "limits", "limits"},
+		{"listen is no address", `"10.0.0.4:3000"`, `"n3"`, "listen", "listen"},
+		{"discovery port 0", `"10.2.0.1:8500"`, `"10.2.0.1:0"`, "discovery", "discovery"},
+		{"seed is not hexadecimal", `"fe429af2f6dae94c"`, `"xyz"`, "seed", "seed"},
+		{"too little memory", `"memory_mb":48`, `"memory_mb":0`, "limits", "limits"},
+		{"too few sockets", `"sockets":256`, `"sockets":3`, "limits", "limits"},
 		{"class without name", `"name":"batch-log",`, ``, "class 1", "settings"},
 		{"no zones", `"zones":["govan","maryhill"]`, `"zones":[]`, "zones", "settings"},
 		{"negative delay", `"push_delay_max":555.0`, `"push_delay_max":-1`, "push_delay_max", "settings"},
 		{
-			"type of a delay", `"push_delay_max":555.0`, `"push_delay_max":"x"`,
+			"delay of the wrong type", `"push_delay_max":555.0`, `"push_delay_max":"x"`,
 			"push_delay_max", "settings.Extra.push_delay_max",
 		},
-		{"known list", `"known":{"seq":41,`, `"known":{`, "known", "known"},
-		{"type of a name", `"name":"n3"`, `"name":3`, "Name", "Name"},
-		{"slices", `"slices":0`, `"slices":4`, "slices", "settings"},
+		{"list without version", `"known":{"seq":41,`, `"known":{`, "known", "known"},
+		{"name of the wrong type", `"name":"n3"`, `"name":3`, "Name", "Name"},
+		{"unsupported slices", `"slices":0`, `"slices":4`, "slices", "settings"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := loadPlatformText(t, strings.Replace(validPlatformFile, tt.text, tt.replacement, 1))
--- a/internal/config/server_test.go
+++ b/internal/config/server_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func FuzzFiles(f *testing.F) {
+func FuzzReadServer(f *testing.F) {
 	f.Add(validServerFile)
 	f.Add("governor \"a\" { listen = [1, {}] }\noperation x y { }")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -200,7 +200,7 @@
 	entries, meta, err := client.Health().Service(serviceName, "", false, nil)
 	if err != nil || len(entries) != 2 || entries[0].Service.Meta["zone"] != zones[0] ||
 		entries[0].Checks.AggregatedStatus() != consul.HealthPassing || meta.LastIndex == 0 {
-		t.Fatalf("entries %v, meta %v, error %v", entries, meta, err)
+		t.Fatalf("entries %v, meta %v, error %v; want 2 entries, the first one passing", entries, meta, err)
 	}
 	type queryResult struct {
 		entries []*consul.ServiceEntry
@@ -219,10 +219,10 @@
 	changed := <-results
 	if changed.err != nil || len(changed.entries) != 2 ||
 		changed.entries[1].Checks.AggregatedStatus() != consul.HealthMaint || changed.meta.LastIndex <= meta.LastIndex {
-		t.Fatalf("changed entries %v, error %v", changed.entries, changed.err)
+		t.Fatalf("changed entries %v, error %v; want 2 entries, the second one in maintenance", changed.entries, changed.err)
 	}
 	if otherEntries, _, err := client.Health().Service("other", "", false, nil); err != nil || len(otherEntries) != 0 {
-		t.Fatalf("unknown service has entries %v, error %v", otherEntries, err)
+		t.Fatalf("unknown service has entries %v, error %v; want none", otherEntries, err)
 	}
 }
 
--- a/internal/discovery/watch_liveness_test.go
+++ b/internal/discovery/watch_liveness_test.go
@@ -109,7 +109,7 @@
 func checkRepeatedInTime(t *testing.T, lastDataAt time.Time) {
 	t.Helper()
 	if took := time.Since(lastDataAt); took > deliveryDeadline || took < time.Second {
-		t.Errorf("call repeated %s after the last data, want 1 s to 6 s", took)
+		t.Errorf("call repeated %s after the last data, want 1 s to deliveryDeadline", took)
 	}
 }
 
@@ -213,7 +213,7 @@
 		for range 5 {
 			delay := delays.next(maxWatchRetryDelay)
 			if delay < 0 || delay >= maxWatchRetryDelay {
-				t.Fatalf("delay %s, want 0 s to below 250 ms", delay)
+				t.Fatalf("delay %s, want 0 s to below maxWatchRetryDelay", delay)
 			}
 			seen[delay.Round(time.Millisecond)] = true
 		}
--- a/internal/statestore/migrate_test.go
+++ b/internal/statestore/migrate_test.go
@@ -42,7 +42,7 @@
 			_, recovered := openStore(t, dir, 900)
 			if recovered.Incarnation != tt.wantIncarnation || len(recovered.Damage) != tt.wantDamageCount ||
 				recovered.MigratedFrom != 1 || (recovered.Endpoints != nil) != tt.wantList {
-				t.Fatalf("recovered %+v", recovered)
+				t.Fatalf("recovered %+v, want the incarnation, damage and list of the test case", recovered)
 			}
 			if !tt.wantList {
 				return
--- a/internal/statestore/recovery_test.go
+++ b/internal/statestore/recovery_test.go
@@ -85,11 +85,11 @@
 		writeByte(t, file, offset, after[offset])
 		stored, err := readStateFile(path)
 		if err != nil || len(stored.damage) > 0 {
-			t.Fatalf("interrupted after byte %d: %v, %v", offset, err, stored.damage)
+			t.Fatalf("interrupted after byte %d: read error %v, damage %v", offset, err, stored.damage)
 		}
 		published := string(stored.values["published"])
 		if len(stored.decisions) != wantDecisions[published] || stored.incarnation() != 1 {
-			t.Fatalf("interrupted after byte %d: %q with %d decisions, incarnation %d",
+			t.Fatalf("interrupted after byte %d: tables %q, %d decisions, incarnation %d; want one complete state",
 				offset, published, len(stored.decisions), stored.incarnation())
 		}
 		statesFound[published]++
@@ -124,7 +124,7 @@
 		writeByte(t, file, offset, original^0x21)
 		stored, err := readStateFile(path)
 		if err != nil {
-			t.Fatalf("byte %d: %v", offset, err)
+			t.Fatalf("byte %d: read error %v", offset, err)
 		}
 		writeByte(t, file, offset, original)
 		checkUnaltered(t, offset, stored, undamaged)
@@ -145,7 +145,7 @@
 	t.Helper()
 	for key, value := range stored.values {
 		if !bytes.Equal(value, undamaged.values[key]) {
-			t.Fatalf("byte %d: %s is read as %q", offset, key, value)
+			t.Fatalf("byte %d: %s is read as %q, want the written value", offset, key, value)
 		}
 	}
 	for _, record := range stored.decisions {
@@ -156,7 +156,8 @@
 }
 
 // TestOpenReportsAndKeepsDamagedFile checks that a truncated file or a file of another format is reported, kept under
-// another name and not used, that the next incarnation is at least floor, and that later writes are stored.
+// another name and not used, that the next incarnation is 2 if the previous number is readable and at least floor
+// otherwise, and that later writes are stored.
 func TestOpenReportsAndKeepsDamagedFile(t *testing.T) {
 	skipUnderRaceDetector(t)
 	metaSize := 2 * os.Getpagesize()
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -81,7 +81,7 @@
 		store, recovered := openStore(t, dir, 1000)
 		if recovered.Incarnation != incarnation || recovered.PreviousIncarnation != incarnation-1 ||
 			len(recovered.Damage) > 0 || recovered.Empty != (incarnation == 1) {
-			t.Fatalf("incarnation %d recovered %+v", incarnation, recovered)
+			t.Fatalf("start %d recovered %+v, want the next incarnation without damage", incarnation, recovered)
 		}
 		if incarnation > 1 {
 			checkPreviousState(t, recovered, incarnation-1)
@@ -104,7 +104,7 @@
 	}
 	want := []string{"3/2 step 2", "2/4 step 4", "2/3 step 3", "2/2 step 2"}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("decisions %q, %v", got, err)
+		t.Fatalf("decisions %q, error %v; want 3/2 and 2/4 to 2/2", got, err)
 	}
 }
 
@@ -112,7 +112,7 @@
 	t.Helper()
 	if !reflect.DeepEqual(recovered.Endpoints, endpointList(uint16(previous))) ||
 		string(recovered.Published) != fmt.Sprint("tables of ", previous) {
-		t.Fatalf("state after incarnation %d recovered as %+v", previous, recovered)
+		t.Fatalf("state after incarnation %d recovered as %+v, want the state that it wrote", previous, recovered)
 	}
 }
 
--- a/internal/statestore/stored_format_test.go
+++ b/internal/statestore/stored_format_test.go
@@ -94,7 +94,7 @@
 	store, recovered := openFixture(t, "state.db")
 	if recovered.Incarnation != 3 || recovered.PreviousIncarnation != 2 || recovered.Empty ||
 		recovered.MigratedFrom != 0 || len(recovered.Damage) > 0 {
-		t.Errorf("recovered %+v", recovered)
+		t.Errorf("recovered %+v, want incarnation 3 without damage or migration", recovered)
 	}
 	checkEndpoints(t, recovered.Endpoints)
 	if string(recovered.Published) != storedPublished {
@@ -102,7 +102,7 @@
 	}
 	records, err := store.Decisions(3, 1, 10, func(statestore.DecisionRecord) bool { return true })
 	if err != nil || len(records) != len(storedDecisions) {
-		t.Fatalf("%d records, %v; want %d", len(records), err, len(storedDecisions))
+		t.Fatalf("%d records, error %v; want %d records", len(records), err, len(storedDecisions))
 	}
 	for i, record := range records {
 		want := storedDecisions[i]
@@ -121,7 +121,7 @@
 	}
 	var newest controller.Decision
 	if err := json.Unmarshal(records[0].Body, &newest); err != nil || !reflect.DeepEqual(newest, want) {
-		t.Errorf("newest record is %+v, %v; want %+v", newest, err, want)
+		t.Errorf("newest record is %+v, error %v; want %+v", newest, err, want)
 	}
 }
 
@@ -130,7 +130,7 @@
 	_, recovered := openFixture(t, "first/life", "first/list")
 	if recovered.Incarnation != 7 || recovered.PreviousIncarnation != 6 || recovered.Empty ||
 		recovered.MigratedFrom != 1 || len(recovered.Damage) > 0 || recovered.Published != nil {
-		t.Errorf("recovered %+v", recovered)
+		t.Errorf("recovered %+v, want incarnation 7 migrated from version 1 without damage", recovered)
 	}
 	checkEndpoints(t, recovered.Endpoints)
 }
@@ -144,6 +144,6 @@
 		`{"ID":{"Addr":[10,4,5,6],"Port":8082},"Zone":2,"Life":2,"Since":1700000000000002},` +
 		`{"ID":{"Addr":[10,7,8,9],"Port":8083},"Zone":3,"Life":0,"Since":1700000000000003}]`
 	if err != nil || string(body) != want {
-		t.Errorf("endpoint list encoded as %s, %v; want %s", body, err, want)
+		t.Errorf("endpoint list encoded as %s, error %v; want %s", body, err, want)
 	}
 }
