--- a/internal/statestore/recovery_test.go
+++ b/internal/statestore/recovery_test.go
@@ -85,11 +85,11 @@
 		writeByte(t, file, offset, after[offset])
 		stored, err := readStateFile(path)
 		if err != nil || len(stored.damage) > 0 {
-			t.Fatalf("interrupted after byte %d: %v, %v", offset, err, stored.damage)
+			t.Fatalf("interrupted after byte %d: read error %v, damage %v", offset, err, stored.damage)
 		}
 		published := string(stored.values["published"])
 		if len(stored.decisions) != wantDecisions[published] || stored.incarnation() != 1 {
-			t.Fatalf("interrupted after byte %d: %q with %d decisions, incarnation %d",
+			t.Fatalf("interrupted after byte %d: tables %q, %d decisions, incarnation %d; want one complete state",
 				offset, published, len(stored.decisions), stored.incarnation())
 		}
 		statesFound[published]++
@@ -116,7 +116,7 @@
 	if err != nil || len(undamaged.values) != 4 || len(undamaged.decisions) != 9 {
 		t.Fatalf("undamaged file read as %+v, %v; want 4 values and 9 decisions", undamaged, err)
 	}
-	reported := 0
+	damageReports := 0
 	for offset, original := range image {
 		if original == 0 && offset%16 != 0 { // pages are mostly empty; test a sample of the empty bytes
 			continue
@@ -124,27 +124,28 @@
 		writeByte(t, file, offset, original^0x21)
 		stored, err := readStateFile(path)
 		if err != nil {
-			t.Fatalf("byte %d: %v", offset, err)
+			t.Fatalf("byte %d: read error %v", offset, err)
 		}
 		writeByte(t, file, offset, original)
 		checkUnaltered(t, offset, stored, undamaged)
 		if len(stored.damage) > 0 {
-			reported++
+			damageReports++
 		} else if len(stored.values) < 4 && stored.incarnation() != 1 {
 			t.Fatalf("byte %d: values are missing and no damage is reported: %v", offset, stored.values)
 		}
 	}
-	if reported < 100 {
-		t.Fatalf("%d changed bytes were reported as damage, want at least 100", reported)
+	if damageReports < 100 {
+		t.Fatalf("%d changed bytes were reported as damage, want at least 100", damageReports)
 	}
 }
 
-// checkUnaltered asserts that each value and decision read after a byte changed equals one that was written.
+// checkUnaltered asserts that each value read after a byte changed is the written one, and that each decision has the
+// prefix of the written ones.
 func checkUnaltered(t *testing.T, offset int, stored, undamaged *storedState) {
 	t.Helper()
 	for key, value := range stored.values {
 		if !bytes.Equal(value, undamaged.values[key]) {
-			t.Fatalf("byte %d: %s is read as %q", offset, key, value)
+			t.Fatalf("byte %d: %s is read as %q, want the written value", offset, key, value)
 		}
 	}
 	for _, record := range stored.decisions {
@@ -155,7 +156,8 @@
 }
 
 // TestOpenReportsAndKeepsDamagedFile checks that a truncated file or a file of another format is reported, kept under
-// another name and not used, that the next incarnation is at least floor, and that later writes are stored.
+// another name and not used, that the next incarnation is 2 if the previous number is readable and at least floor
+// otherwise, and that later writes are stored.
 func TestOpenReportsAndKeepsDamagedFile(t *testing.T) {
 	skipUnderRaceDetector(t)
 	metaSize := 2 * os.Getpagesize()
@@ -194,7 +196,7 @@
 		t.Fatalf("recovered %+v, want damage and incarnation 2 or at least 900", recovered)
 	}
 	if kept, _ := os.ReadFile(filepath.Join(dir, damagedFile)); !bytes.Equal(kept, damaged) {
-		t.Error("the damaged file was not kept")
+		t.Error("the damaged file was not kept unchanged")
 	}
 	if err := store.Write(&Change{Endpoints: endpointList(7)}); err != nil {
 		t.Fatal(err)
--- a/internal/statestore/stored_format_test.go
+++ b/internal/statestore/stored_format_test.go
@@ -12,7 +12,7 @@
 	"peppervale/internal/statestore"
 )
 
-// The program wrote the fixtures in testdata: go test ./internal/server -run StoredState -update
+// The fixtures in testdata are files that the program wrote. go test ./internal/server -run StoredState -update
 // rewrites them, which is only allowed with a change of the schema version.
 
 // openFixture opens a copy of a fixture, because Open writes to the directory.
@@ -58,19 +58,21 @@
 		t.Fatalf("%d endpoints, want %d: %+v", len(endpoints), len(want), endpoints)
 	}
 	for i, endpoint := range endpoints {
-		wanted := want[i]
-		if endpoint.ID.Addr != wanted.address || endpoint.ID.Port != wanted.port || endpoint.Zone != wanted.zone ||
-			endpoint.Status != wanted.status || endpoint.StartedAt != wanted.startedAt {
-			t.Errorf("endpoint %d is %+v, want %+v", i, endpoint, wanted)
+		wantEndpoint := want[i]
+		if endpoint.ID.Addr != wantEndpoint.address || endpoint.ID.Port != wantEndpoint.port ||
+			endpoint.Zone != wantEndpoint.zone || endpoint.Status != wantEndpoint.status ||
+			endpoint.StartedAt != wantEndpoint.startedAt {
+			t.Errorf("endpoint %d is %+v, want %+v", i, endpoint, wantEndpoint)
 		}
 	}
 }
 
-// The bytes of the fixture's published state and of its decision log entries, newest first.
+// storedPublished is the published state in the fixture state.db.
 const storedPublished = `{"kind":"snapshot","life":2,"version":34,` +
 	`"tables":{"5":[{"replica":"10.1.2.3:8081","weight":0.25},{"replica":"10.4.5.6:8082","weight":0.75}]},` +
 	`"withdrawn":["10.7.8.9:8083"],"levels":[{"operations":3,"share":0.5,"way":2}],"forwarders":{"till-1":"5"}}`
 
+// storedDecisions are the decision log entries in the fixture state.db, newest first.
 var storedDecisions = []struct {
 	incarnation, number uint64
 	body                string
@@ -92,7 +94,7 @@
 	store, recovered := openFixture(t, "state.db")
 	if recovered.Incarnation != 3 || recovered.PreviousIncarnation != 2 || recovered.Empty ||
 		recovered.MigratedFrom != 0 || len(recovered.Damage) > 0 {
-		t.Errorf("recovered %+v", recovered)
+		t.Errorf("recovered %+v, want incarnation 3 without damage or migration", recovered)
 	}
 	checkEndpoints(t, recovered.Endpoints)
 	if string(recovered.Published) != storedPublished {
@@ -100,7 +102,7 @@
 	}
 	records, err := store.Decisions(3, 1, 10, func(statestore.DecisionRecord) bool { return true })
 	if err != nil || len(records) != len(storedDecisions) {
-		t.Fatalf("%d records, %v; want %d", len(records), err, len(storedDecisions))
+		t.Fatalf("%d records, error %v; want %d records", len(records), err, len(storedDecisions))
 	}
 	for i, record := range records {
 		want := storedDecisions[i]
@@ -119,7 +121,7 @@
 	}
 	var newest controller.Decision
 	if err := json.Unmarshal(records[0].Body, &newest); err != nil || !reflect.DeepEqual(newest, want) {
-		t.Errorf("newest record is %+v, %v; want %+v", newest, err, want)
+		t.Errorf("newest record is %+v, error %v; want %+v", newest, err, want)
 	}
 }
 
@@ -128,7 +130,7 @@
 	_, recovered := openFixture(t, "first/life", "first/list")
 	if recovered.Incarnation != 7 || recovered.PreviousIncarnation != 6 || recovered.Empty ||
 		recovered.MigratedFrom != 1 || len(recovered.Damage) > 0 || recovered.Published != nil {
-		t.Errorf("recovered %+v", recovered)
+		t.Errorf("recovered %+v, want incarnation 7 migrated from version 1 without damage", recovered)
 	}
 	checkEndpoints(t, recovered.Endpoints)
 }
@@ -142,6 +144,6 @@
 		`{"ID":{"Addr":[10,4,5,6],"Port":8082},"Zone":2,"Life":2,"Since":1700000000000002},` +
 		`{"ID":{"Addr":[10,7,8,9],"Port":8083},"Zone":3,"Life":0,"Since":1700000000000003}]`
 	if err != nil || string(body) != want {
-		t.Errorf("endpoint list encoded as %s, %v; want %s", body, err, want)
+		t.Errorf("endpoint list encoded as %s, error %v; want %s", body, err, want)
 	}
 }
