--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -52,7 +52,7 @@
 func openPortServer(config *Config, answer answerFunc) (*portServer, error) {
 	listener, err := net.Listen("tcp", config.ListenAddress)
 	if err != nil {
-		return nil, fmt.Errorf("cluster: %w; another process may have the address", err)
+		return nil, fmt.Errorf("cluster: %w; another process may be listening on it", err)
 	}
 	server := &portServer{
 		config:   config,
--- a/internal/console/browser_test.go
+++ b/internal/console/browser_test.go
@@ -13,8 +13,8 @@
 const (
 	browserPath = "/usr/bin/chromium"
 
-	phoneWidth  = 380
-	phoneHeight = 800
+	phoneWidth  = 380 // pixels
+	phoneHeight = 800 // pixels
 )
 
 // browser is a Chromium process that views a fixture's console.
@@ -35,10 +35,10 @@
 	)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
-	ctx, stop := chromedp.NewExecAllocator(ctx, options...)
-	t.Cleanup(stop)
-	ctx, end := chromedp.NewContext(ctx)
-	t.Cleanup(end)
+	ctx, cancelAllocator := chromedp.NewExecAllocator(ctx, options...)
+	t.Cleanup(cancelAllocator)
+	ctx, cancelBrowser := chromedp.NewContext(ctx)
+	t.Cleanup(cancelBrowser)
 	return &browser{t: t, ctx: ctx}
 }
 
@@ -74,8 +74,8 @@
 		}
 	}
 	browser.perform(chromedp.Navigate(url+"/replicas"), chromedp.WaitVisible("#live:not(:empty)"))
-	if live := browser.text("#live"); !strings.HasPrefix(live, "Now: 3 forwarders") {
-		t.Fatalf("line of the live stream on the page: %q", live)
+	if liveText := browser.text("#live"); !strings.HasPrefix(liveText, "Now: 3 forwarders") {
+		t.Fatalf("line of the live stream on the page: %q", liveText)
 	}
 	if _, err := chromedp.RunResponse(browser.ctx, chromedp.Click("tbody a")); err != nil {
 		t.Fatal(err)
--- a/internal/console/cluster_test.go
+++ b/internal/console/cluster_test.go
@@ -75,8 +75,8 @@
 			t.Errorf("status %d, want 200 and %q:\n%s", status, want, text)
 		}
 	}
-	newest, oldest := strings.Index(text, "its member is gone"), strings.Index(text, "with nobody")
-	if newest > oldest {
+	newestIndex, oldestIndex := strings.Index(text, "its member is gone"), strings.Index(text, "with nobody")
+	if newestIndex > oldestIndex {
 		t.Error("want the newest takeover first")
 	}
 	if status, text := httpGet(t, url+"/group?as=json"); status != 200 || !strings.Contains(text, `"epoch": 7`) {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestClusterPageSaysSoWithoutCluster(t *testing.T) {
+func TestClusterPageOfNonMemberHasExplanationAndNoLink(t *testing.T) {
 	fixture := startFixture(t, 2, 0)
 	status, text, _ := fixture.get("/group")
 	if status != 200 || !strings.Contains(text, "not a member of a cluster") || strings.Contains(text, `href="/group"`) {
--- a/internal/console/comparison/controllers.go
+++ b/internal/console/comparison/controllers.go
@@ -11,7 +11,7 @@
 // decreasedIncarnations returns the controllers that report an earlier incarnation than before, and records the highest
 // incarnation of each controller.
 func (t *tracker) decreasedIncarnations(controllers []polledController) []disagreement {
-	var found []disagreement
+	var disagreements []disagreement
 	for _, controller := range controllers {
 		view := controller.view
 		highest := t.incarnations[controller.address]
@@ -20,28 +20,28 @@
 			continue
 		}
 		report := fmt.Sprintf("life %d, after %d", view.incarnation, highest)
-		found = append(found, disagreement{
+		disagreements = append(disagreements, disagreement{
 			Kind:    incarnationDecreased,
 			Subject: view.name,
 			Sides:   []side{{Controller: view.name, Report: report}},
 		})
 	}
-	return found
+	return disagreements
 }
 
 // duplicateNames returns a disagreement for each name that several controllers share.
 func duplicateNames(controllers []polledController) []disagreement {
-	byName := map[string][]side{}
+	sidesByName := map[string][]side{}
 	for _, controller := range controllers {
 		view := controller.view
 		report := fmt.Sprintf("life %d at %s", view.incarnation, controller.address)
-		byName[view.name] = append(byName[view.name], side{Controller: view.name, Report: report})
+		sidesByName[view.name] = append(sidesByName[view.name], side{Controller: view.name, Report: report})
 	}
-	var found []disagreement
-	for name, sides := range byName {
+	var disagreements []disagreement
+	for name, sides := range sidesByName {
 		if len(sides) > 1 {
-			found = append(found, disagreement{Kind: duplicateName, Subject: name, Sides: sides})
+			disagreements = append(disagreements, disagreement{Kind: duplicateName, Subject: name, Sides: sides})
 		}
 	}
-	return found
+	return disagreements
 }
--- a/internal/console/comparison/disagreement.go
+++ b/internal/console/comparison/disagreement.go
@@ -8,8 +8,9 @@
 	"peppervale/internal/model"
 )
 
-// settlingTime is how long a disagreement usually lasts without a fault: a change of the endpoint list reaches all
-// controllers within the time of a blocking query and its slack.
+// settlingTime is the duration from which a disagreement counts as persistent. A shorter disagreement may occur without
+// a fault: the blocking queries of the controllers return a change of the endpoint list at different times, and the
+// consoles are polled at different times.
 const settlingTime = 4 * model.Second
 
 // disagreementKind is what a disagreement is about. Its values are served as JSON.
@@ -45,7 +46,8 @@
 	Report     string `json:"says"`
 }
 
-// disagreement is a difference between the reports of controllers. Every comparison since Since has found it.
+// disagreement is a difference between the reports of controllers. All comparisons from the time Since to the newest
+// one have found it.
 type disagreement struct {
 	Kind    disagreementKind   `json:"kind"`
 	Subject string             `json:"about"` // a replica's address, or the name of a proxy or a controller
@@ -53,8 +55,8 @@
 	Since   model.Microseconds `json:"since_us"`
 }
 
-// isStanding reports whether a disagreement has lasted for settlingTime or longer.
-func (d *disagreement) isStanding(now model.Microseconds) bool {
+// isPersistent reports whether a disagreement has lasted for settlingTime or longer.
+func (d *disagreement) isPersistent(now model.Microseconds) bool {
 	return now-d.Since >= settlingTime
 }
 
@@ -63,12 +65,12 @@
 	return string(d.Kind) + " " + d.Subject
 }
 
-// sortDisagreements sorts standing disagreements first. Within each group, the most severe and then the oldest
+// sortDisagreements sorts persistent disagreements first. Within each group, the most severe and then the oldest
 // disagreements come first.
 func sortDisagreements(disagreements []disagreement, now model.Microseconds) {
 	slices.SortFunc(disagreements, func(a, b disagreement) int {
 		return cmp.Or(
-			compareTrueFirst(a.isStanding(now), b.isStanding(now)),
+			compareTrueFirst(a.isPersistent(now), b.isPersistent(now)),
 			cmp.Compare(slices.Index(kindsBySeverity, a.Kind), slices.Index(kindsBySeverity, b.Kind)),
 			cmp.Compare(a.Since, b.Since),
 			strings.Compare(a.Subject, b.Subject),
--- a/internal/console/comparison/json_golden_test.go
+++ b/internal/console/comparison/json_golden_test.go
@@ -69,27 +69,27 @@
 		now:           func() model.Microseconds { return now },
 		poller:        &poller{controllers: controllers},
 		disagreements: disagreements,
-		compared:      7,
+		comparedCount: 7,
 	}
 }
 
 // goldenServer returns a server of one controller with the given number of disagreements.
-func goldenServer(t *testing.T, disagreements int) *Server {
+func goldenServer(t *testing.T, count int) *Server {
 	t.Helper()
 	controllers := []polledController{{
 		address: "http://127.0.0.1:7780", view: parseConsolePages(t), receivedAt: 199 * model.Second,
 		lastError: "a try failed", polls: 3, failures: 2,
 	}}
-	found := make([]disagreement, disagreements)
-	for i := range found {
-		found[i] = disagreement{
+	disagreementList := make([]disagreement, count)
+	for i := range disagreementList {
+		disagreementList[i] = disagreement{
 			Kind:    sendsToLeaving,
 			Subject: "10.0.0.1:81",
 			Sides:   []side{{"govan-1", "serving, listed ready"}},
 			Since:   150 * model.Second,
 		}
 	}
-	return newIdleServer(200*model.Second, controllers, found)
+	return newIdleServer(200*model.Second, controllers, disagreementList)
 }
 
 // TestEachPageMatchesItsGoldenJSON guards the JSON that programs parse: a changed key or value would break them.
--- a/internal/console/comparison/matrix.go
+++ b/internal/console/comparison/matrix.go
@@ -38,7 +38,7 @@
 	report   func(view *reportedView, subject string) (text string, known bool)
 }
 
-var replicaRows = rowSource{
+var replicaRowSource = rowSource{
 	path:     "/replicas/",
 	subjects: func(view *reportedView) iter.Seq[string] { return maps.Keys(view.replicas) },
 	report: func(view *reportedView, address string) (text string, known bool) {
@@ -47,7 +47,7 @@
 	},
 }
 
-var proxyRows = rowSource{
+var proxyRowSource = rowSource{
 	path:     "/forwarders/",
 	subjects: func(view *reportedView) iter.Seq[string] { return maps.Keys(view.proxies) },
 	report: func(view *reportedView, name string) (text string, known bool) {
@@ -91,18 +91,18 @@
 
 // matchingSubjects returns the subjects that any controller reports on and that contain the filter, in order.
 func (s rowSource) matchingSubjects(controllers []polledController, filter string) []string {
-	matching := map[string]bool{}
+	subjects := map[string]bool{}
 	for _, controller := range controllers {
 		if controller.view == nil {
 			continue
 		}
 		for subject := range s.subjects(controller.view) {
 			if strings.Contains(subject, filter) {
-				matching[subject] = true
+				subjects[subject] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(matching))
+	return slices.Sorted(maps.Keys(subjects))
 }
 
 func (s rowSource) cell(now model.Microseconds, controller *polledController, subject string) matrixCell {
--- a/internal/console/comparison/overview.go
+++ b/internal/console/comparison/overview.go
@@ -18,8 +18,8 @@
 // overviewBody lists the controllers and their disagreements.
 type overviewBody struct {
 	Controllers          []controllerRow   `json:"governors"`
-	Compared             int               `json:"compared"`
-	Standing             int               `json:"standing"`
+	ComparedCount        int               `json:"compared"`
+	PersistentCount      int               `json:"standing"`
 	OmittedDisagreements int               `json:"disagreements_left_out,omitempty"`
 	Disagreements        []disagreementRow `json:"disagreements"`
 }
@@ -68,8 +68,8 @@
 // disagreementRow is a disagreement and its duration.
 type disagreementRow struct {
 	disagreement
-	Duration string `json:"stands_for"`
-	Standing bool   `json:"standing"`
+	Duration     string `json:"stands_for"`
+	IsPersistent bool   `json:"standing"`
 }
 
 func (s *Server) overview(now model.Microseconds, controllers []polledController) overviewBody {
@@ -79,11 +79,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	body.Compared = s.compared
+	body.ComparedCount = s.comparedCount
 	for i := range s.disagreements {
 		row := newDisagreementRow(now, s.disagreements[i])
-		if row.Standing {
-			body.Standing++
+		if row.IsPersistent {
+			body.PersistentCount++
 		}
 		if len(body.Disagreements) < maxShownDisagreements {
 			body.Disagreements = append(body.Disagreements, row)
@@ -122,10 +122,10 @@
 	return row
 }
 
-func newDisagreementRow(now model.Microseconds, found disagreement) disagreementRow {
+func newDisagreementRow(now model.Microseconds, source disagreement) disagreementRow {
 	return disagreementRow{
-		disagreement: found,
-		Duration:     (now - found.Since).Duration().Round(durationPrecision).String(),
-		Standing:     found.isStanding(now),
+		disagreement: source,
+		Duration:     (now - source.Since).Duration().Round(durationPrecision).String(),
+		IsPersistent: source.isPersistent(now),
 	}
 }
--- a/internal/console/comparison/poller.go
+++ b/internal/console/comparison/poller.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	pollInterval = time.Second
-	pollTimeout  = 3 * time.Second
+	pollInterval   = time.Second
+	requestTimeout = 3 * time.Second // of each of a poll's requests
 
 	// maxPageBytes bounds one page. A console's largest page, that of 5,000 proxies, has about 2 MB.
 	maxPageBytes = 16 << 20
@@ -44,10 +44,10 @@
 // poller polls the consoles of controllers, each in a goroutine of its own, so that a console that hangs does not delay
 // the polls of other consoles. It is created by startPoller.
 type poller struct {
-	now     func() model.Microseconds
-	client  *http.Client
-	cancel  context.CancelFunc
-	polling sync.WaitGroup
+	now       func() model.Microseconds
+	client    *http.Client
+	cancel    context.CancelFunc
+	pollLoops sync.WaitGroup
 
 	mu          sync.Mutex
 	controllers []polledController
@@ -59,14 +59,14 @@
 	transport := &http.Transport{MaxConnsPerHost: maxConnections, IdleConnTimeout: idleTimeout}
 	p := &poller{
 		now:    now,
-		client: &http.Client{Timeout: pollTimeout, Transport: transport},
+		client: &http.Client{Timeout: requestTimeout, Transport: transport},
 		cancel: cancel,
 	}
 	for _, address := range addresses {
 		p.controllers = append(p.controllers, polledController{address: consoleURL(address)})
 	}
 	for i := range addresses {
-		p.polling.Add(1)
+		p.pollLoops.Add(1)
 		go p.pollRepeatedly(ctx, i)
 	}
 	return p
@@ -82,7 +82,7 @@
 // close stops the polling and waits for polls in progress.
 func (p *poller) close() {
 	p.cancel()
-	p.polling.Wait()
+	p.pollLoops.Wait()
 	p.client.CloseIdleConnections()
 }
 
@@ -94,7 +94,7 @@
 }
 
 func (p *poller) pollRepeatedly(ctx context.Context, index int) {
-	defer p.polling.Done()
+	defer p.pollLoops.Done()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/console/comparison/proxies.go
+++ b/internal/console/comparison/proxies.go
@@ -11,7 +11,7 @@
 	// removed or renamed.
 	maxMissingTime = 120 * model.Second
 
-	// maxKnownProxies bounds the proxies whose last connection is recorded.
+	// maxKnownProxies bounds the proxies that are tracked.
 	maxKnownProxies = 20_000
 )
 
@@ -20,44 +20,44 @@
 func (t *tracker) compareProxies(
 	now model.Microseconds, controllers []polledController, allRecent bool,
 ) []disagreement {
-	var found []disagreement
+	var disagreements []disagreement
 	for name, sides := range t.connections(now, controllers) {
 		if len(sides) > 1 {
-			found = append(found, disagreement{Kind: connectedTwice, Subject: name, Sides: sides})
+			disagreements = append(disagreements, disagreement{Kind: connectedTwice, Subject: name, Sides: sides})
 		}
 	}
-	for name, connectedAt := range t.connectedAt {
+	for name, connectedAt := range t.lastConnectedAt {
 		switch {
 		case now-connectedAt > maxMissingTime:
-			delete(t.connectedAt, name)
+			delete(t.lastConnectedAt, name)
 		case allRecent && connectedAt < now:
-			found = append(found, disagreement{Kind: connectedNowhere, Subject: name, Sides: []side{}})
+			disagreements = append(disagreements, disagreement{Kind: connectedNowhere, Subject: name, Sides: []side{}})
 		}
 	}
-	return found
+	return disagreements
 }
 
-// connections returns the controllers that each proxy is connected to, by the proxy's name, and records the time of the
-// proxies' last connections.
+// connections returns the controllers that each proxy is connected to, by the proxy's name, and records the time at
+// which the proxies were reported as connected.
 func (t *tracker) connections(now model.Microseconds, controllers []polledController) map[string][]side {
 	connections := map[string][]side{}
 	for _, controller := range controllers {
 		for name, proxy := range controller.view.proxies {
-			report := side{Controller: controller.view.name, Report: "on " + proxy.tableName("its own tables")}
-			connections[name] = append(connections[name], report)
-			_, known := t.connectedAt[name]
-			if known || len(t.connectedAt) < maxKnownProxies {
-				t.connectedAt[name] = now
+			newSide := side{Controller: controller.view.name, Report: "on " + proxy.tableName("its own tables")}
+			connections[name] = append(connections[name], newSide)
+			_, known := t.lastConnectedAt[name]
+			if known || len(t.lastConnectedAt) < maxKnownProxies {
+				t.lastConnectedAt[name] = now
 			}
 		}
 	}
 	return connections
 }
 
-// tableName returns the name of the table that the proxy uses, or ownTables if it uses tables of its own.
-func (p reportedProxy) tableName(ownTables string) string {
+// tableName returns the name of the table that the proxy is bound to, or unboundText if it is bound to none.
+func (p reportedProxy) tableName(unboundText string) string {
 	if p.Table < 0 {
-		return ownTables
+		return unboundText
 	}
 	return fmt.Sprintf("table %d", p.Table)
 }
--- a/internal/console/comparison/replicas.go
+++ b/internal/console/comparison/replicas.go
@@ -22,15 +22,15 @@
 	return description
 }
 
-// replicaComparison counts what the controllers report about one replica.
+// replicaComparison counts controllers by their reports about one replica.
 type replicaComparison struct {
-	sides          []side
-	listedReady    int
-	listedLeaving  int // draining or gone
-	unlisted       int
-	receiving      int
-	receivingReady int // receiving and listed as ready
-	withdrawnReady int // withdrawn although listed as ready
+	sides               []side
+	listedReadyCount    int
+	listedLeavingCount  int // draining or gone
+	unlistedCount       int
+	receivingCount      int
+	receivingReadyCount int // receiving and listed as ready
+	withdrawnReadyCount int // withdrawn although listed as ready
 }
 
 // compareReplicas returns the disagreements about replicas.
@@ -41,14 +41,14 @@
 			addresses[address] = true
 		}
 	}
-	var found []disagreement
+	var disagreements []disagreement
 	for address := range addresses {
 		comparison := compareReplica(controllers, address)
-		if kind, disagree := comparison.kind(); disagree {
-			found = append(found, disagreement{Kind: kind, Subject: address, Sides: comparison.sides})
+		if kind, isDisagreement := comparison.kind(); isDisagreement {
+			disagreements = append(disagreements, disagreement{Kind: kind, Subject: address, Sides: comparison.sides})
 		}
 	}
-	return found
+	return disagreements
 }
 
 func compareReplica(controllers []polledController, address string) *replicaComparison {
@@ -68,35 +68,35 @@
 	c.sides = append(c.sides, side{Controller: controller, Report: replica.describe()})
 	ready := replica.ListedStatus == statusReady
 	if ready {
-		c.listedReady++
+		c.listedReadyCount++
 	} else {
-		c.listedLeaving++
+		c.listedLeavingCount++
 	}
 	switch {
 	case replica.receivesRequests() && ready:
-		c.receiving++
-		c.receivingReady++
+		c.receivingCount++
+		c.receivingReadyCount++
 	case replica.receivesRequests():
-		c.receiving++
+		c.receivingCount++
 	case ready && replica.Withdrawn:
-		c.withdrawnReady++
+		c.withdrawnReadyCount++
 	}
 }
 
 func (c *replicaComparison) addUnlisted(controller string) {
 	c.sides = append(c.sides, side{Controller: controller, Report: "never heard of it"})
-	c.unlisted++
+	c.unlistedCount++
 }
 
 // kind classifies the disagreement, if there is one. It is no disagreement if one controller's list has a replica as
 // draining or gone and another controller never listed it.
-func (c *replicaComparison) kind() (kind disagreementKind, disagree bool) {
+func (c *replicaComparison) kind() (kind disagreementKind, isDisagreement bool) {
 	switch {
-	case c.listedLeaving > 0 && c.receivingReady > 0:
+	case c.listedLeavingCount > 0 && c.receivingReadyCount > 0:
 		return sendsToLeaving, true
-	case c.listedReady > 0 && c.listedLeaving+c.unlisted > 0:
+	case c.listedReadyCount > 0 && c.listedLeavingCount+c.unlistedCount > 0:
 		return listDiffers, true
-	case c.receiving > 0 && c.withdrawnReady > 0:
+	case c.receivingCount > 0 && c.withdrawnReadyCount > 0:
 		return stateDiffers, true
 	default:
 		return "", false
--- a/internal/console/comparison/server.go
+++ b/internal/console/comparison/server.go
@@ -12,8 +12,8 @@
 	"peppervale/internal/model"
 )
 
-// compareInterval is the time between two comparisons. Comparisons run without viewers too, as the duration of a
-// disagreement is known only if it is tracked from its start.
+// compareInterval is the time between two comparisons. Comparisons also run while nobody views a page, as the duration
+// of a disagreement is known only if the disagreement is tracked from its start.
 const compareInterval = pollInterval / 2
 
 //go:embed templates/*.html
@@ -25,27 +25,27 @@
 
 // Server serves the comparison of several controllers. It is created by Listen.
 type Server struct {
-	poller    *poller
-	http      *httpserver.Server
-	now       func() model.Microseconds
-	comparing sync.WaitGroup
+	poller      *poller
+	http        *httpserver.Server
+	now         func() model.Microseconds
+	compareLoop sync.WaitGroup
 
 	mu            sync.Mutex
 	tracker       *tracker
 	disagreements []disagreement
-	compared      int // controllers in the newest comparison
+	comparedCount int // controllers in the newest comparison
 }
 
 // Listen listens on the address, polls the controllers' consoles, and serves until Close. It fails only if it cannot
 // listen on the address.
-func Listen(address string, consoles []string, now func() model.Microseconds) (*Server, error) {
+func Listen(address string, consoleAddresses []string, now func() model.Microseconds) (*Server, error) {
 	server, err := httpserver.Listen(address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{now: now, http: server, tracker: newTracker(), poller: startPoller(consoles, now)}
+	s := &Server{now: now, http: server, tracker: newTracker(), poller: startPoller(consoleAddresses, now)}
 	s.http.Serve(s.serve, nil)
-	s.comparing.Add(1)
+	s.compareLoop.Add(1)
 	go s.compareRepeatedly()
 	return s, nil
 }
@@ -59,11 +59,11 @@
 func (s *Server) Close() {
 	s.http.Close()
 	s.poller.close()
-	s.comparing.Wait()
+	s.compareLoop.Wait()
 }
 
 func (s *Server) compareRepeatedly() {
-	defer s.comparing.Done()
+	defer s.compareLoop.Done()
 	s.http.RunEvery(compareInterval, s.compare)
 }
 
@@ -72,7 +72,7 @@
 	controllers := s.poller.snapshot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.disagreements, s.compared = s.tracker.compare(now, controllers)
+	s.disagreements, s.comparedCount = s.tracker.compare(now, controllers)
 }
 
 // pageModel is the data of the template "page". It is also served as JSON.
@@ -99,12 +99,12 @@
 		page.Title = "Replicas, as each governor believes"
 		page.Heading = "Replicas, as each controller reports them"
 		page.Template = "matrix"
-		page.Body = replicaRows.matrix(now, controllers, filter)
+		page.Body = replicaRowSource.matrix(now, controllers, filter)
 	case "forwarders":
 		page.Title = "Forwarders, and where they are joined"
 		page.Heading = "Proxies, and the controllers that they are connected to"
 		page.Template = "matrix"
-		page.Body = proxyRows.matrix(now, controllers, filter)
+		page.Body = proxyRowSource.matrix(now, controllers, filter)
 	default:
 		httpserver.WriteText(w, http.StatusNotFound, "no page here; there are / /replicas /forwarders, each with ?about=")
 		return
--- a/internal/console/comparison/server_test.go
+++ b/internal/console/comparison/server_test.go
@@ -111,7 +111,7 @@
 }
 
 // awaitOverview waits until the overview meets a condition, and returns the overview.
-func awaitOverview(t *testing.T, server *Server, what string, condition func(overviewBody) bool) overviewBody {
+func awaitOverview(t *testing.T, server *Server, expectation string, condition func(overviewBody) bool) overviewBody {
 	t.Helper()
 	var text string
 	for deadline := time.Now().Add(overviewDeadline); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
@@ -121,20 +121,20 @@
 			return page.Body
 		}
 	}
-	t.Fatalf("the overview does not show %s within overviewDeadline:\n%s", what, text)
+	t.Fatalf("the overview does not show %s within overviewDeadline:\n%s", expectation, text)
 	return overviewBody{}
 }
 
 func bothCompared(overview overviewBody) bool {
-	return overview.Compared == 2
+	return overview.ComparedCount == 2
 }
 
 // startComparison starts a server of two stub consoles and an address without a console. The first controller sends
 // requests to a replica that the second controller has ejected.
-func startComparison(t *testing.T) (server *Server, second *stubConsole) {
+func startComparison(t *testing.T) (server *Server, secondConsole *stubConsole) {
 	t.Helper()
 	_, firstURL := newStubConsole(t, "govan-1", "serving")
-	second, secondURL := newStubConsole(t, "partick-1", "resting")
+	secondConsole, secondURL := newStubConsole(t, "partick-1", "resting")
 	consoles := []string{strings.TrimPrefix(firstURL, "http://"), secondURL + "/", "127.0.0.1:1"}
 	server, err := Listen("127.0.0.1:0", consoles, controller.NewClock())
 	if err != nil {
@@ -142,7 +142,7 @@
 	}
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	t.Cleanup(server.Close)
-	return server, second
+	return server, secondConsole
 }
 
 func TestOverviewShowsDisagreementAndUnreachableConsole(t *testing.T) {
@@ -150,12 +150,12 @@
 	overview := awaitOverview(t, server, "a disagreement", func(overview overviewBody) bool {
 		return bothCompared(overview) && len(overview.Disagreements) == 1
 	})
-	found := overview.Disagreements[0]
-	if found.Kind != stateDiffers || found.Subject != "127.0.0.1:80" {
-		t.Errorf("want stateDiffers about 127.0.0.1:80, got %+v", found)
+	disagreement := overview.Disagreements[0]
+	if disagreement.Kind != stateDiffers || disagreement.Subject != "127.0.0.1:80" {
+		t.Errorf("want stateDiffers about 127.0.0.1:80, got %+v", disagreement)
 	}
-	if silent := overview.Controllers[2]; silent.ViewAge != "never" || silent.Error == "" {
-		t.Errorf("controller that never responded: want no view and an error, got %+v", silent)
+	if unreachable := overview.Controllers[2]; unreachable.ViewAge != "never" || unreachable.Error == "" {
+		t.Errorf("controller that never responded: want no view and an error, got %+v", unreachable)
 	}
 }
 
@@ -184,7 +184,7 @@
 // controllers. The second console fails in every way in turn. Its last view is shown with the age and the error, and
 // the first controller's view stays recent.
 func TestLastViewOfFailingConsoleIsShown(t *testing.T) {
-	server, second := startComparison(t)
+	server, secondConsole := startComparison(t)
 	awaitOverview(t, server, "a comparison of two controllers", bothCompared)
 	for failure, reason := range map[failure]string{
 		garbage:     "is not a peppervale console's",
@@ -192,26 +192,26 @@
 		unavailable: "has not finished a step",
 		hangs:       "Timeout exceeded",
 	} {
-		second.failure.Store(failure)
+		secondConsole.failure.Store(failure)
 		start := time.Now()
 		overview := awaitOverview(t, server, string(failure), func(overview overviewBody) bool {
 			return strings.Contains(overview.Controllers[1].Error, reason)
 		})
-		failed := overview.Controllers[1]
-		if failed.Name != "partick-1" || failed.Incarnation != 3 || failed.ViewAge == "never" {
-			t.Errorf("failure %q: want the last view of the failed console, got %+v", failure, failed)
+		failedController := overview.Controllers[1]
+		if failedController.Name != "partick-1" || failedController.Incarnation != 3 || failedController.ViewAge == "never" {
+			t.Errorf("failure %q: want the last view of the failed console, got %+v", failure, failedController)
 		}
 		if !overview.Controllers[0].Recent {
 			t.Errorf("failure %q: the view of the other controller is not recent: %+v", failure, overview.Controllers[0])
 		}
-		if took := time.Since(start); took > maxReportTime {
-			t.Errorf("failure %q: shown after %s, over maxReportTime", failure, took)
+		if elapsed := time.Since(start); elapsed > maxReportTime {
+			t.Errorf("failure %q: shown after %s, over maxReportTime", failure, elapsed)
 		}
 	}
 	awaitOverview(t, server, "an old view that is not compared", func(overview overviewBody) bool {
-		return !overview.Controllers[1].Recent && overview.Compared == 1 && len(overview.Disagreements) == 0
+		return !overview.Controllers[1].Recent && overview.ComparedCount == 1 && len(overview.Disagreements) == 0
 	})
-	second.failure.Store(noFailure)
+	secondConsole.failure.Store(noFailure)
 	awaitOverview(t, server, "a recent view after the failures", func(overview overviewBody) bool {
 		return overview.Controllers[1].Recent && bothCompared(overview)
 	})
--- a/internal/console/comparison/tracker_test.go
+++ b/internal/console/comparison/tracker_test.go
@@ -85,41 +85,41 @@
 				t.Fatalf("%d controllers compared, want 2; disagreements: %+v", compared, found)
 			}
 			if len(found) > 0 && (found[0].Kind != test.want || len(found[0].Sides) != 2) {
-				t.Errorf("unexpected kind or sides: %+v", found)
+				t.Errorf("want the test's kind and two sides, got %+v", found)
 			}
 		})
 	}
 }
 
-// TestDisagreementBecomesStandingOnlyIfItLasts shows that a disagreement ends when a delayed endpoint list arrives, and
-// becomes standing and is reported first if the list never arrives.
-func TestDisagreementBecomesStandingOnlyIfItLasts(t *testing.T) {
+// TestDisagreementBecomesPersistentOnlyIfItLasts shows that a disagreement ends when a delayed endpoint list arrives,
+// and becomes persistent and is reported first if the list never arrives.
+func TestDisagreementBecomesPersistentOnlyIfItLasts(t *testing.T) {
 	tracker := newTracker()
-	complete := testView{name: "a", replicas: map[string]string{"late": "gone", "never": "gone"}}
-	compare := func(now model.Microseconds, late, never string) []disagreement {
-		other := testView{name: "b", replicas: map[string]string{"late": late, "never": never}}
-		found, _ := tracker.compare(now, polledControllers(now, complete, other))
+	firstView := testView{name: "a", replicas: map[string]string{"late": "gone", "never": "gone"}}
+	compare := func(now model.Microseconds, lateReport, neverReport string) []disagreement {
+		secondView := testView{name: "b", replicas: map[string]string{"late": lateReport, "never": neverReport}}
+		found, _ := tracker.compare(now, polledControllers(now, firstView, secondView))
 		return found
 	}
 	compare(0, "serving", "serving")
 
 	now := 2 * model.Second
 	found := compare(now, "gone", "serving")
-	if len(found) != 1 || found[0].Subject != "never" || found[0].isStanding(now) {
-		t.Fatalf("want one disagreement that is not standing yet, got %+v", found)
+	if len(found) != 1 || found[0].Subject != "never" || found[0].isPersistent(now) {
+		t.Fatalf("want one disagreement that is not persistent yet, got %+v", found)
 	}
 
 	now = 5 * model.Second
 	found = compare(now, "serving", "serving")
-	if len(found) != 2 || found[0].Subject != "never" || !found[0].isStanding(now) || found[0].Since != 0 {
-		t.Fatalf("want the standing disagreement first of two, got %+v", found)
+	if len(found) != 2 || found[0].Subject != "never" || !found[0].isPersistent(now) || found[0].Since != 0 {
+		t.Fatalf("want the persistent disagreement first of two, got %+v", found)
 	}
-	if found[1].isStanding(now) || found[1].Since != now {
+	if found[1].isPersistent(now) || found[1].Since != now {
 		t.Fatalf("want a new start for the disagreement that had ended, got %+v", found)
 	}
 
 	if found = compare(6*model.Second, "gone", "gone"); len(found) != 0 {
-		t.Fatalf("the lists are the same again, got %+v", found)
+		t.Fatalf("want no disagreement once the lists are the same, got %+v", found)
 	}
 }
 
@@ -150,7 +150,7 @@
 
 	now = 300 * model.Second
 	if found, _ = tracker.compare(now, polledControllers(now, withoutBar...)); len(found) != 0 {
-		t.Fatalf("a proxy is still reported after maxMissingTime: %+v", found)
+		t.Fatalf("want no report of a proxy missing for longer than maxMissingTime, got %+v", found)
 	}
 }
 
@@ -174,16 +174,16 @@
 // disagree about replicas, the order of the controllers does not matter, and no disagreement starts in the future.
 func TestComparisonIgnoresOrderAndAcceptsEqualReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		forward, backward := newTracker(), newTracker()
+		forwardTracker, reverseTracker := newTracker(), newTracker()
 		var now model.Microseconds
 		for range rapid.IntRange(1, 12).Draw(t, "comparisons") {
 			now += model.Microseconds(rapid.IntRange(0, 6).Draw(t, "pause")) * model.Second
 			views := drawViews(t)
 			checkAgreement(t, now, views)
 			controllers := polledControllers(now, views...)
-			found, _ := forward.compare(now, controllers)
+			found, _ := forwardTracker.compare(now, controllers)
 			slices.Reverse(controllers)
-			reversed, _ := backward.compare(now, controllers)
+			reversed, _ := reverseTracker.compare(now, controllers)
 			checkSameDisagreements(t, now, found, reversed)
 		}
 	})
@@ -213,11 +213,11 @@
 // checkAgreement fails if there is a disagreement when all controllers report the replicas as the first one does.
 func checkAgreement(t *rapid.T, now model.Microseconds, views []testView) {
 	t.Helper()
-	same := slices.Clone(views)
-	for i := range same {
-		same[i].replicas = views[0].replicas
+	equalViews := slices.Clone(views)
+	for i := range equalViews {
+		equalViews[i].replicas = views[0].replicas
 	}
-	if found, _ := newTracker().compare(now, polledControllers(now, same...)); len(found) != 0 {
+	if found, _ := newTracker().compare(now, polledControllers(now, equalViews...)); len(found) != 0 {
 		t.Fatalf("disagreements although all reports are the same: %+v", found)
 	}
 }
@@ -229,8 +229,8 @@
 	}
 	for i, first := range found {
 		second := reversed[i]
-		same := first.Kind == second.Kind && first.Subject == second.Subject && first.Since == second.Since
-		if !same || first.Since > now {
+		equal := first.Kind == second.Kind && first.Subject == second.Subject && first.Since == second.Since
+		if !equal || first.Since > now {
 			t.Fatalf("disagreements differ by the order of controllers, or start in the future:\n%+v\n%+v", first, second)
 		}
 	}
--- a/internal/console/comparison/view.go
+++ b/internal/console/comparison/view.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/model"
 )
 
-// maxRows bounds the rows that are read from one page of a console. A console sends no more.
+// maxRows bounds the rows of one page. A console sends no more; a page with more rows is rejected.
 const maxRows = 5000
 
 // errNotAConsole is returned for pages that are valid JSON but not the pages of a console.
@@ -49,7 +49,7 @@
 type reportedProxy struct {
 	Name  string `json:"name"`
 	Zone  string `json:"zone"`
-	Table int    `json:"table"` // -1: the proxy uses tables of its own
+	Table int    `json:"table"` // -1: the proxy is not bound to a table of the controller
 }
 
 type overviewObject struct {
--- a/internal/console/decisions.go
+++ b/internal/console/decisions.go
@@ -27,7 +27,7 @@
 // decisionRow is a step of the event loop: its inputs, the balancer's reasons, and the updates that were published.
 type decisionRow struct {
 	Number         uint64   `json:"number"`
-	Incarnation    uint64   `json:"life,omitempty"` // of an earlier incarnation; 0: the present one
+	Incarnation    uint64   `json:"life,omitempty"` // the earlier incarnation that logged it; 0: the present one
 	Age            string   `json:"at"`
 	Inputs         []string `json:"came"`
 	Reasons        []string `json:"said"`
--- a/internal/console/fixture_test.go
+++ b/internal/console/fixture_test.go
@@ -28,8 +28,8 @@
 		`"forwarders":{"till":"0","<script>alert(2)</script>":""},` +
 		`"tables":{"0":[{"replica":"127.0.0.1:80","weight":0.5}]}}`
 
-	// fixtureProxies is the number of proxies that are connected.
-	fixtureProxies = 3
+	// fixtureProxyCount is the number of proxies that are connected.
+	fixtureProxyCount = 3
 
 	secondZone   = "partick"
 	secondMember = "partick-1"
@@ -45,7 +45,8 @@
 	"/orders", "/orders?about=table", "/settings", "/before",
 }
 
-// consoleFixture is a controller with its console. The channel is a substitute that acknowledges each batch at once.
+// consoleFixture is a controller with its console. The fixture replaces the channel, and acknowledges each batch after
+// publishDelay.
 type consoleFixture struct {
 	t            *testing.T
 	controller   *controller.Controller
@@ -62,7 +63,7 @@
 	if batch.AckSequence < 0 {
 		return
 	}
-	for proxy := range model.ProxyID(fixtureProxies) {
+	for proxy := range model.ProxyID(fixtureProxyCount) {
 		f.controller.Acknowledged(proxy, uint64(proxy)+1, uint32(batch.AckSequence))
 	}
 }
@@ -72,7 +73,7 @@
 
 // Stats implements Source.
 func (f *consoleFixture) Stats() pubsub.Stats {
-	return pubsub.Stats{Proxies: fixtureProxies, Version: 7, QueuedEntries: 12}
+	return pubsub.Stats{Proxies: fixtureProxyCount, Version: 7, QueuedEntries: 12}
 }
 
 // fixtureSource is a Source of a fixture's controller and channel.
@@ -151,15 +152,15 @@
 	f.t.Helper()
 	for deadline := time.Now().Add(startDeadline); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		view := f.controller.View()
-		if view != nil && view.SafeModeEnded && view.ConnectedProxies == fixtureProxies {
+		if view != nil && view.SafeModeEnded && view.ConnectedProxies == fixtureProxyCount {
 			return
 		}
 	}
-	f.t.Fatal("safe mode has not ended, or proxies are not connected, within startDeadline")
+	f.t.Fatal("safe mode has not ended, or not all proxies are connected, within startDeadline")
 }
 
 // get returns the status and text of a page, and the duration of the request.
-func (f *consoleFixture) get(path string) (status int, text string, took time.Duration) {
+func (f *consoleFixture) get(path string) (status int, text string, elapsed time.Duration) {
 	f.t.Helper()
 	start := time.Now()
 	status, text = httpGet(f.t, "http://"+f.console.Addr()+path)
--- a/internal/console/httpserver/server.go
+++ b/internal/console/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package httpserver serves read-only pages over HTTP with limits on requests: the pages that are rendered at the same
-// time, the length of paths, and the time that a viewer may take to read a response. Each page is available as HTML and
-// as JSON under the same path.
+// Package httpserver serves read-only pages over HTTP. It limits the pages that are rendered at the same time, the
+// length of paths, and the time that a viewer may take to read a response. Each page is available as HTML and as JSON
+// under the same path.
 //
 // There is no authentication. A server that listens beyond loopback shows its pages to every client that can reach it.
 package httpserver
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// WriteTimeout is how long a viewer may take to read a page, or one line of a stream.
+// WriteTimeout is how long a viewer may take to read a page, or one line of a stream. It also limits the time to send a
+// request's header, and the wait of Close for pages in progress.
 const WriteTimeout = 5 * time.Second
 
 const (
@@ -22,7 +23,7 @@
 	// Retry-After header.
 	maxConcurrentPages = 64
 
-	maxPathLength  = 1024
+	maxPathLength  = 1024 // bytes
 	maxHeaderBytes = 16 << 10
 	idleTimeout    = time.Minute
 
@@ -35,23 +36,23 @@
 
 // Server serves pages. It is created by Listen.
 type Server struct {
-	listener net.Listener
-	http     *http.Server
-	done     chan struct{}
-	serving  sync.WaitGroup
+	listener  net.Listener
+	http      *http.Server
+	done      chan struct{}
+	serveLoop sync.WaitGroup
 }
 
 // Listen listens on the address. The server accepts requests from the call of Serve until Close.
 func Listen(address string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("console: %w; another process may have the address", err)
+		return nil, fmt.Errorf("console: %w; another process may be listening on it", err)
 	}
 	return &Server{listener: listener, done: make(chan struct{})}, nil
 }
 
-// Serve starts to serve and returns at once. It is called once. The page handler responds with a page. The stream
-// handler, if any, serves /live and may take any time; it must return when Done is closed.
+// Serve starts to serve and returns at once. It must be called only once. The page handler responds with a page. The
+// stream handler, if any, serves /live. It may run for any time, but must return when the channel of Done is closed.
 func (s *Server) Serve(page, stream http.HandlerFunc) {
 	s.http = &http.Server{
 		Handler:           boundedHandler(page, stream),
@@ -59,10 +60,10 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	s.serving.Add(1)
+	s.serveLoop.Add(1)
 	go func() {
-		defer s.serving.Done()
-		_ = s.http.Serve(s.listener) // Serve always returns an error; after Close it says that the server is closed
+		defer s.serveLoop.Done()
+		_ = s.http.Serve(s.listener) // the error is not reported; after Close it is http.ErrServerClosed
 	}()
 }
 
@@ -96,9 +97,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), WriteTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
-		_ = s.http.Close() // connections are closed even if it returns an error
+		_ = s.http.Close() // http.Server.Close closes the connections even if it returns an error
 	}
-	s.serving.Wait()
+	s.serveLoop.Wait()
 }
 
 // boundedHandler wraps the handlers and enforces the limits on requests.
--- a/internal/console/json_golden_test.go
+++ b/internal/console/json_golden_test.go
@@ -48,13 +48,13 @@
 			OmittedUpdates: 23,
 		},
 	}
-	var found []controller.Decision
+	var matches []controller.Decision
 	for _, decision := range decisions {
-		if match(&decision) && len(found) < limit {
-			found = append(found, decision)
+		if match(&decision) && len(matches) < limit {
+			matches = append(matches, decision)
 		}
 	}
-	return found
+	return matches
 }
 
 var (
@@ -151,7 +151,7 @@
 
 // fixedServers returns a server after safe mode and one in safe mode, both with every value set, and one that has
 // neither a cluster nor a previous incarnation.
-func fixedServers() (afterSafeMode, inSafeMode, alone *Server) {
+func fixedServers() (afterSafeModeServer, safeModeServer, standaloneServer *Server) {
 	instance := Instance{
 		Name:             "govan-1",
 		Incarnation:      26,
@@ -163,38 +163,38 @@
 		Now:              func() model.Microseconds { return 100 * model.Second },
 		Cluster:          fixedClusterStatus,
 	}
-	afterSafeMode = &Server{instance: instance, source: fixedSource{fixedView(true)}}
-	inSafeMode = &Server{instance: instance, source: fixedSource{fixedView(false)}}
+	afterSafeModeServer = &Server{instance: instance, source: fixedSource{fixedView(true)}}
+	safeModeServer = &Server{instance: instance, source: fixedSource{fixedView(false)}}
 	instance.Cluster = nil
 	instance.PreviousSnapshot = nil
-	alone = &Server{instance: instance, source: fixedSource{fixedView(true)}}
-	return afterSafeMode, inSafeMode, alone
+	standaloneServer = &Server{instance: instance, source: fixedSource{fixedView(true)}}
+	return afterSafeModeServer, safeModeServer, standaloneServer
 }
 
 // TestEachPageMatchesItsGoldenJSON guards the JSON that programs parse: a changed key or value would break them.
 func TestEachPageMatchesItsGoldenJSON(t *testing.T) {
-	afterSafeMode, inSafeMode, alone := fixedServers()
+	afterSafeModeServer, safeModeServer, standaloneServer := fixedServers()
 	for _, test := range []struct {
 		file   string
 		server *Server
 		path   string
 	}{
-		{"overview.json", inSafeMode, "/"},
-		{"overview_open.json", afterSafeMode, "/"},
-		{"zones.json", afterSafeMode, "/zones"},
-		{"replicas.json", afterSafeMode, "/replicas"},
-		{"replica.json", afterSafeMode, "/replicas/10.0.0.1:81"},
-		{"forwarders.json", afterSafeMode, "/forwarders"},
-		{"forwarder.json", afterSafeMode, "/forwarders/till-1"},
-		{"tables.json", afterSafeMode, "/tables"},
-		{"table.json", afterSafeMode, "/tables/6"},
-		{"orders.json", afterSafeMode, "/orders"},
-		{"orders_about.json", afterSafeMode, "/orders?about=gate"},
-		{"settings.json", afterSafeMode, "/settings"},
-		{"before.json", afterSafeMode, "/before"},
-		{"before_unknown.json", alone, "/before"},
-		{"group.json", afterSafeMode, "/group"},
-		{"group_alone.json", alone, "/group"},
+		{"overview.json", safeModeServer, "/"},
+		{"overview_open.json", afterSafeModeServer, "/"},
+		{"zones.json", afterSafeModeServer, "/zones"},
+		{"replicas.json", afterSafeModeServer, "/replicas"},
+		{"replica.json", afterSafeModeServer, "/replicas/10.0.0.1:81"},
+		{"forwarders.json", afterSafeModeServer, "/forwarders"},
+		{"forwarder.json", afterSafeModeServer, "/forwarders/till-1"},
+		{"tables.json", afterSafeModeServer, "/tables"},
+		{"table.json", afterSafeModeServer, "/tables/6"},
+		{"orders.json", afterSafeModeServer, "/orders"},
+		{"orders_about.json", afterSafeModeServer, "/orders?about=gate"},
+		{"settings.json", afterSafeModeServer, "/settings"},
+		{"before.json", afterSafeModeServer, "/before"},
+		{"before_unknown.json", standaloneServer, "/before"},
+		{"group.json", afterSafeModeServer, "/group"},
+		{"group_alone.json", standaloneServer, "/group"},
 	} {
 		t.Run(test.file, func(t *testing.T) {
 			request := httptest.NewRequest(http.MethodGet, test.path, nil)
@@ -212,13 +212,13 @@
 // TestEachPageRendersAsHTML guards against templates that use a field or a value that the page's body does not have.
 // Such a template fails only when the page is rendered.
 func TestEachPageRendersAsHTML(t *testing.T) {
-	afterSafeMode, inSafeMode, alone := fixedServers()
+	afterSafeModeServer, safeModeServer, standaloneServer := fixedServers()
 	paths := []string{
 		"/", "/zones", "/replicas", "/replicas/10.0.0.1:81", "/forwarders", "/forwarders/till-1", "/tables", "/tables/6",
 		"/orders", "/settings", "/before", "/group",
 	}
 	for name, server := range map[string]*Server{
-		"after safe mode": afterSafeMode, "in safe mode": inSafeMode, "alone": alone,
+		"after safe mode": afterSafeModeServer, "in safe mode": safeModeServer, "without a cluster": standaloneServer,
 	} {
 		for _, path := range paths {
 			t.Run(name+path, func(t *testing.T) {
--- a/internal/console/live.go
+++ b/internal/console/live.go
@@ -17,7 +17,7 @@
 )
 
 // serveLive streams a line about the current state every second, as server-sent events. A viewer that does not read is
-// disconnected at the write deadline.
+// disconnected when a line cannot be written before the write deadline.
 func (s *Server) serveLive(w http.ResponseWriter, r *http.Request) {
 	if !s.tryOpenStream() {
 		w.Header().Set("Retry-After", "5")
@@ -53,17 +53,17 @@
 func (s *Server) tryOpenStream() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.streams >= maxStreams {
+	if s.openStreams >= maxStreams {
 		return false
 	}
-	s.streams++
+	s.openStreams++
 	return true
 }
 
 func (s *Server) closeStream() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.streams--
+	s.openStreams--
 }
 
 // liveLine describes the current state in one line. Programs read it, so its words must not change.
--- a/internal/console/live_test.go
+++ b/internal/console/live_test.go
@@ -24,7 +24,7 @@
 func TestLiveStreamBeyondLimitIsRejected(t *testing.T) {
 	fixture := startFixture(t, 6, 0)
 	fixture.console.mu.Lock()
-	fixture.console.streams = maxStreams
+	fixture.console.openStreams = maxStreams
 	fixture.console.mu.Unlock()
 	if status, text, _ := fixture.get("/live"); status != 503 || !strings.Contains(text, "reload by hand") {
 		t.Fatalf("stream beyond maxStreams: want status 503, got %d %s", status, text)
--- a/internal/console/metrics.go
+++ b/internal/console/metrics.go
@@ -24,8 +24,8 @@
 	now   model.Microseconds
 }
 
-// metric is a metric without labels of its own. Monitoring relies on its name, type and help text: they must not
-// change.
+// metric is a metric whose only label is the controller's name. Monitoring relies on its name, type and help text: they
+// must not change.
 type metric struct {
 	name  string
 	help  string
--- a/internal/console/overload_test.go
+++ b/internal/console/overload_test.go
@@ -39,11 +39,11 @@
 	var slowest time.Duration
 	for range 3 {
 		for _, path := range pagePaths {
-			status, text, took := fixture.get(path)
+			status, text, elapsed := fixture.get(path)
 			if status != 200 || !strings.Contains(text, "state as of") {
 				t.Fatalf("%s while overloaded: want a page with status 200, got %d\n%.300s", path, status, text)
 			}
-			slowest = max(slowest, took)
+			slowest = max(slowest, elapsed)
 		}
 	}
 	t.Logf("slowest page %s; %d load reports were merged", slowest, fixture.controller.View().MergedReports)
--- a/internal/console/overview.go
+++ b/internal/console/overview.go
@@ -114,13 +114,13 @@
 
 // countBound returns the number of proxies that use a table of this controller.
 func countBound(proxies []balancer.ProxyView) int {
-	bound := 0
+	count := 0
 	for _, proxy := range proxies {
 		if proxy.Table >= 0 {
-			bound++
+			count++
 		}
 	}
-	return bound
+	return count
 }
 
 func (s *Server) quotaRows(shares []float64) []quotaRow {
--- a/internal/console/pages_test.go
+++ b/internal/console/pages_test.go
@@ -51,7 +51,7 @@
 	fixture := startFixture(t, 6, 0)
 	status, text, _ := fixture.get("/replicas?as=json")
 	if status != 200 || strings.Count(text, `"state": "serving"`) != 6 {
-		t.Errorf("want 6 serving replicas: %s", text)
+		t.Errorf("want status 200 and 6 serving replicas, got: %s", text)
 	}
 }
 
@@ -59,7 +59,7 @@
 	fixture := startFixture(t, 6, 0)
 	status, text, _ := fixture.get("/forwarders/till?as=json")
 	if status != 200 || !strings.Contains(text, "on table") || !strings.Contains(text, "joined till") {
-		t.Errorf("the decisions do not mention the proxy's join and its table: %s", text)
+		t.Errorf("want status 200 and decisions about the proxy's join and its table, got: %s", text)
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 	status, text, _ := fixture.get("/forwarders")
 	if status != 200 || !strings.Contains(text, "&lt;script&gt;") || !strings.Contains(text, longName) {
-		t.Errorf("want the escaped name and the long name: %s", text)
+		t.Errorf("want status 200, the escaped name and the long name, got: %s", text)
 	}
 }
 
--- a/internal/console/previous.go
+++ b/internal/console/previous.go
@@ -13,12 +13,12 @@
 // previousBody is the last snapshot that the previous incarnation published. Proxies that have not been bound since
 // then still use its tables.
 type previousBody struct {
-	Known          bool            `json:"known"`
-	Incarnation    uint64          `json:"life"`
-	Version        uint64          `json:"version"`
-	Withdrawn      []string        `json:"withdrawn"`
-	ProxiesByTable map[string]int  `json:"forwarders_by_table"` // by table name; empty: on tables of their own
-	Tables         []previousTable `json:"tables"`
+	Known             bool            `json:"known"`
+	Incarnation       uint64          `json:"life"`
+	Version           uint64          `json:"version"`
+	WithdrawnReplicas []string        `json:"withdrawn"`
+	ProxiesByTable    map[string]int  `json:"forwarders_by_table"` // by table name; empty: not bound
+	Tables            []previousTable `json:"tables"`
 }
 
 type previousTable struct {
@@ -35,11 +35,11 @@
 		return previousBody{} // the previous incarnation is shown as unknown
 	}
 	body := previousBody{
-		Known:          true,
-		Incarnation:    snapshot.Incarnation,
-		Version:        snapshot.Version,
-		Withdrawn:      snapshot.Withdrawn,
-		ProxiesByTable: map[string]int{},
+		Known:             true,
+		Incarnation:       snapshot.Incarnation,
+		Version:           snapshot.Version,
+		WithdrawnReplicas: snapshot.Withdrawn,
+		ProxiesByTable:    map[string]int{},
 	}
 	for _, table := range snapshot.Proxies {
 		body.ProxiesByTable[table]++
--- a/internal/console/proxies.go
+++ b/internal/console/proxies.go
@@ -15,14 +15,14 @@
 	Name            string  `json:"name"`
 	Number          int     `json:"number"`
 	Zone            string  `json:"zone"`
-	Table           int     `json:"table"` // -1: its standing table, or a table of another controller
+	Table           int     `json:"table"` // -1: not bound to a table of this controller
 	ExpectedRate    float64 `json:"usual_rate"`
 	ConnectedAge    string  `json:"joined"`
 	UnackedMessages int     `json:"unacknowledged_messages"`
 	OldestUnacked   string  `json:"oldest_unacknowledged,omitempty"`
 }
 
-// proxyBody is one proxy: its table's entries and the decisions that led to them.
+// proxyBody is one proxy, with the entries of its table and the decisions that led to them.
 type proxyBody struct {
 	proxyRow
 	Entries   []entryRow    `json:"lines"`
--- a/internal/console/replicas.go
+++ b/internal/console/replicas.go
@@ -23,13 +23,13 @@
 	WithdrawnAge      string  `json:"withdrawn_at,omitempty"`
 	WarmingUp         bool    `json:"cold"`
 	SlowStartFactor   float64 `json:"part"`
-	RequestRate       float64 `json:"tries_a_second"`
+	AttemptRate       float64 `json:"tries_a_second"`
 	ErrorRate         float64 `json:"errors"`
 	NormalizedLatency float64 `json:"time_over_objective"`
 	Utilization       float64 `json:"busy"`
 	ReportAge         string  `json:"heard"`
 	UtilizationAge    string  `json:"load_report"`
-	Entries           int     `json:"lines"`
+	EntryCount        int     `json:"lines"`
 	Ejections         int     `json:"rests"`
 	StartAge          string  `json:"started"`
 }
@@ -37,8 +37,8 @@
 // replicaBody is one replica: its state, the table entries that name it, and the decisions about it.
 type replicaBody struct {
 	replicaRow
-	Entries   []entryRow    `json:"tables"`
-	Decisions []decisionRow `json:"causes"`
+	TableEntries []entryRow    `json:"tables"`
+	Decisions    []decisionRow `json:"causes"`
 }
 
 // statusNames are the JSON values of a replica's status in the endpoint list.
@@ -57,13 +57,13 @@
 		Withdrawn:         replica.Withdrawn,
 		WarmingUp:         replica.WarmingUp,
 		SlowStartFactor:   replica.SlowStartFactor,
-		RequestRate:       replica.AttemptRate,
+		AttemptRate:       replica.AttemptRate,
 		ErrorRate:         replica.ErrorRate,
 		NormalizedLatency: replica.NormalizedLatency,
 		Utilization:       replica.Utilization,
 		ReportAge:         FormatAge(page.Now, replica.ReportedAt),
 		UtilizationAge:    FormatAge(page.Now, replica.UtilizationAt),
-		Entries:           replica.Entries,
+		EntryCount:        replica.Entries,
 		Ejections:         replica.Ejections,
 		StartAge:          "long ago",
 	}
@@ -107,11 +107,11 @@
 	for _, table := range view.Tables {
 		for _, entry := range s.entryRows(view, table) {
 			if entry.Replica == address {
-				body.Entries = append(body.Entries, entry)
+				body.TableEntries = append(body.TableEntries, entry)
 			}
 		}
 	}
-	// The balancer's reasons identify a replica by its ID.
+	// Reasons contain the replica's ID with the address as a byte array: "[10 0 0 1]:81" in place of "10.0.0.1:81".
 	id := fmt.Sprintf("%v:%d", replica.ID.Addr, replica.ID.Port)
 	mentionsReplica := func(decision *controller.Decision) bool {
 		return decision.Mentions(address) || decision.Mentions(id)
--- a/internal/console/samples.go
+++ b/internal/console/samples.go
@@ -22,7 +22,7 @@
 
 // collectSamples takes a sample every second until the server is closed.
 func (s *Server) collectSamples() {
-	defer s.sampling.Done()
+	defer s.sampleLoop.Done()
 	s.http.RunEvery(sampleInterval, s.takeSample)
 }
 
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -23,9 +23,10 @@
 
 // Source provides the state of the controller and the channel that the console shows.
 type Source interface {
-	// View returns the newest view without any work of the event loop. It is nil before the event loop's first step.
+	// View returns the newest view and causes no work in the event loop. The view is nil before the event loop's first
+	// step.
 	View() *controller.View
-	// DetailedView returns the newest view, and requests that the event loop adds details to its next views.
+	// DetailedView returns the newest view, and requests that the event loop add details to its next views.
 	DetailedView() *controller.View
 	// Decisions returns up to limit decisions that match, newest first.
 	Decisions(limit int, match func(*controller.Decision) bool) []controller.Decision
@@ -50,15 +51,15 @@
 
 // Server serves one controller's pages. It is created by Listen.
 type Server struct {
-	instance Instance
-	source   Source
-	http     *httpserver.Server
-	metrics  http.Handler
-	sampling sync.WaitGroup
+	instance   Instance
+	source     Source
+	http       *httpserver.Server
+	metrics    http.Handler
+	sampleLoop sync.WaitGroup
 
-	mu      sync.Mutex
-	samples []sample
-	streams int // open live streams
+	mu          sync.Mutex
+	samples     []sample
+	openStreams int // open live streams
 }
 
 // Listen listens on the address and serves until Close. It fails only if it cannot listen on the address.
@@ -69,7 +70,7 @@
 	}
 	s := &Server{instance: instance, source: source, http: server, metrics: newMetricsHandler(instance, source)}
 	s.http.Serve(s.serve, s.serveLive)
-	s.sampling.Add(1)
+	s.sampleLoop.Add(1)
 	go s.collectSamples()
 	return s, nil
 }
@@ -82,7 +83,7 @@
 // Close stops the server and ends its live streams.
 func (s *Server) Close() {
 	s.http.Close()
-	s.sampling.Wait()
+	s.sampleLoop.Wait()
 }
 
 // serve serves every path except that of the live stream.
--- a/internal/console/zones.go
+++ b/internal/console/zones.go
@@ -13,8 +13,8 @@
 	Proxies         int            `json:"forwarders"`
 	ExpectedRate    float64        `json:"usual_rate"`
 	ReplicasByState map[string]int `json:"replicas_by_state"`
-	// WeightShares are the shares of each target zone, by the weights of the tables' entries and the expected rates of
-	// the tables' proxies.
+	// WeightShares are the shares of the zone's expected rate that its tables send to the replicas of each zone, by the
+	// name of the replicas' zone.
 	WeightShares map[string]float64 `json:"weight_share_by_zone"`
 }
 
@@ -39,26 +39,26 @@
 	return rows
 }
 
-// addWeightShares sets the weight shares of the zones that each zone's tables send requests to.
+// addWeightShares sets the weight shares of all rows. A table counts in proportion to its expected rate.
 func (s *Server) addWeightShares(rows []zoneRow, view *balancer.View) {
-	zoneOf := map[string]string{}
+	zoneByAddress := map[string]string{}
 	for _, replica := range view.Replicas {
-		zoneOf[pubsubmsg.FormatAddress(replica.ID)] = s.zoneName(replica.Zone)
+		zoneByAddress[pubsubmsg.FormatAddress(replica.ID)] = s.zoneName(replica.Zone)
 	}
-	tableRates := make([]float64, len(rows))
+	totalRates := make([]float64, len(rows))
 	for _, table := range view.Tables {
 		if table.Zone >= len(rows) {
 			continue
 		}
-		tableRates[table.Zone] += table.ExpectedRate
+		totalRates[table.Zone] += table.ExpectedRate
 		for _, entry := range s.entryRows(view, table) {
-			rows[table.Zone].WeightShares[zoneOf[entry.Replica]] += entry.Share * table.ExpectedRate
+			rows[table.Zone].WeightShares[zoneByAddress[entry.Replica]] += entry.Share * table.ExpectedRate
 		}
 	}
 	for i := range rows {
 		for target := range rows[i].WeightShares {
-			if tableRates[i] > 0 {
-				rows[i].WeightShares[target] /= tableRates[i]
+			if totalRates[i] > 0 {
+				rows[i].WeightShares[target] /= totalRates[i]
 			}
 		}
 	}
