--- a/internal/benchmark/channel.go
+++ b/internal/benchmark/channel.go
@@ -11,14 +11,14 @@
 
 const (
 	unlimitedRate      = 1e12    // entries a second
-	maxUnsent          = 4 << 20 // bytes
-	spareConnections   = 10
+	maxUnsentBytes     = 4 << 20 // for each connection
+	spareConnections   = 10      // connections allowed beyond those of the proxies
 	channelJoinTimeout = 30 * time.Second
 	channelTable       = model.TableID(1)
 )
 
 // ChannelResult is the result of Channel for one size. A round lasts from the call of Publish to the last proxy's
-// acknowledgement.
+// acknowledgement. Median and P99 are durations of rounds.
 type ChannelResult struct {
 	Proxies             int
 	Entries             int // changed in each round
@@ -32,40 +32,41 @@
 	Raw                 RawCost       // of the same number of bytes over plain sockets
 }
 
-// Channel publishes changes of the given number of entries to proxies in each round, without a rate limit.
+// Channel publishes new weights of the given number of entries to proxies in each round, without a rate limit. It also
+// sends the same number of bytes over plain sockets.
 func Channel(proxies, entries, rounds int) (*ChannelResult, error) {
 	memoryBefore := memoryInUse()
-	bed, err := newTestbed()
+	testbed, err := newTestbed()
 	if err != nil {
 		return nil, err
 	}
-	defer bed.close()
-	source, err := newPublisher(bed.now, publisherSettings{
+	defer testbed.close()
+	source, err := newPublisher(testbed.now, publisherSettings{
 		proxies: proxies,
 		rate:    unlimitedRate,
-		limits:  pubsub.Limits{Connections: proxies + spareConnections, UnsentBytes: maxUnsent},
+		limits:  pubsub.Limits{Connections: proxies + spareConnections, UnsentBytes: maxUnsentBytes},
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer source.server.Close()
-	bed.addListeners(proxies, source.server.Addr(), model.Second, ignoreEvent)
-	defer bed.stopProxies()
-	updates, err := source.bindProxies(bed, proxies, entries)
+	testbed.addIdleProxies(proxies, source.server.Addr(), model.Second, ignoreEvent)
+	defer testbed.stopProxies()
+	updates, err := source.bindProxies(testbed, proxies, entries)
 	if err != nil {
 		return nil, err
 	}
 	result := &ChannelResult{Proxies: proxies, Entries: entries, Rounds: rounds}
 	result.MemoryPerConnection = (memoryInUse() - memoryBefore) / proxies
-	if err := result.measureRounds(source, updates, bed.now); err != nil {
+	if err := result.measureRounds(source, updates, testbed.now); err != nil {
 		return nil, err
 	}
 	result.Raw, err = measureRawSockets(proxies, result.BytesPerRound/proxies, rounds)
 	return result, err
 }
 
-// bindProxies binds all proxies to one table and returns the updates of the table's entries.
-func (p *publisher) bindProxies(bed *testbed, proxies, entries int) ([]snapshot.Update, error) {
+// bindProxies binds all proxies to one table and returns the updates that set the weights of the entries.
+func (p *publisher) bindProxies(testbed *testbed, proxies, entries int) ([]snapshot.Update, error) {
 	var updates []snapshot.Update
 	for k := range entries {
 		updates = append(updates, snapshot.Update{
@@ -75,14 +76,14 @@
 			Weight:  1,
 		})
 	}
-	connected, err := p.awaitProxies(proxies, channelJoinTimeout)
+	proxyIDs, err := p.awaitProxies(proxies, channelJoinTimeout)
 	if err != nil {
 		return nil, err
 	}
-	for _, proxy := range connected {
+	for _, proxy := range proxyIDs {
 		updates = append(updates, snapshot.Update{Kind: snapshot.BindProxy, Proxy: proxy, Table: channelTable})
 	}
-	if _, err := p.publishRound(updates, 0, proxies, bed.now); err != nil {
+	if _, err := p.publishRound(updates, 0, proxies, testbed.now); err != nil {
 		return nil, err
 	}
 	return updates[:entries], nil
--- a/internal/benchmark/idle.go
+++ b/internal/benchmark/idle.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	clockDriftDivisor = 20 // the maximum clock drift is the lease duration divided by this
-	raftLogFile       = "agreed.db"
-	addressesOfMember = 2 // raft and gossip
-	unusedAddress     = "127.0.0.1:1"
+	clockDriftDivisor  = 20 // the maximum clock drift is the lease duration divided by this
+	raftLogFile        = "agreed.db"
+	addressesPerMember = 2 // raft and gossip
+	unusedAddress      = "127.0.0.1:1"
 )
 
 // IdleClusterResult is the result of IdleCluster.
@@ -31,7 +31,7 @@
 	Shards            int
 	LeaseDuration     time.Duration
 	MessagesPerSecond float64 // stream writes and datagrams of all members together
-	EntriesPerSecond  float64 // appended to the raft log
+	EntriesPerSecond  float64 // applied from the raft log
 	LogBytes          int64   // size of one member's raft log at the end
 }
 
@@ -49,19 +49,23 @@
 	if err != nil {
 		return nil, err
 	}
-	idle := &idleCluster{directory: directory, peers: peers, settings: idleSettings(members, shardsPerZone, leaseDuration)}
-	defer idle.close()
-	if err := idle.open(); err != nil {
+	experiment := &idleCluster{
+		directory: directory,
+		peers:     peers,
+		settings:  idleSettings(members, shardsPerZone, leaseDuration),
+	}
+	defer experiment.close()
+	if err := experiment.open(); err != nil {
 		return nil, err
 	}
-	if err := await(ctx, "all shards have a lease holder", idle.allShardsHeld); err != nil {
+	if err := await(ctx, "all shards have a lease holder", experiment.allShardsHeld); err != nil {
 		return nil, err
 	}
-	return idle.measure(duration), nil
+	return experiment.measure(duration), nil
 }
 
 func newPeers(members int) ([]cluster.Peer, error) {
-	addresses, err := reserveAddresses(members * addressesOfMember)
+	addresses, err := reserveAddresses(members * addressesPerMember)
 	if err != nil {
 		return nil, err
 	}
@@ -69,8 +73,8 @@
 	for k := range members {
 		peers = append(peers, cluster.Peer{
 			Name:          memberName(k),
-			Address:       addresses[k*addressesOfMember],
-			GossipAddress: addresses[k*addressesOfMember+1],
+			Address:       addresses[k*addressesPerMember],
+			GossipAddress: addresses[k*addressesPerMember+1],
 		})
 	}
 	return peers, nil
@@ -141,15 +145,15 @@
 func (c *idleCluster) shards() int { return len(c.settings.Zones) * c.settings.ShardsPerZone }
 
 func (c *idleCluster) allShardsHeld() bool {
-	held := 0
+	heldCount := 0
 	for _, member := range c.members {
 		for shard := range c.shards() {
 			if _, isHolder := member.IsLeaseHolder(shard); isHolder {
-				held++
+				heldCount++
 			}
 		}
 	}
-	return held == c.shards()
+	return heldCount == c.shards()
 }
 
 // measure counts the messages that are sent and the raft log entries that are applied within a duration.
@@ -174,21 +178,22 @@
 func (c *idleCluster) messagesSent() int64 {
 	var total int64
 	for _, counter := range c.counters {
-		total += counter.sent.Load()
+		total += counter.messages.Load()
 	}
 	return total
 }
 
-// sendCounter counts the messages that one member sends. It lets all messages pass.
+// sendCounter counts the messages that one member sends. It keeps all links open.
 type sendCounter struct {
-	name string
-	sent atomic.Int64
+	name     string
+	messages atomic.Int64
 }
 
-// Open is called for each message and counts it if this member sends it.
+// Open is called before each dial, stream write and datagram, and after each read. It counts the calls with this
+// member as the sender.
 func (c *sendCounter) Open(from, _ string) bool {
 	if from == c.name {
-		c.sent.Add(1)
+		c.messages.Add(1)
 	}
 	return true
 }
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -18,12 +18,12 @@
 	return durations[count/2], durations[min(count-1, count*99/100)]
 }
 
-// quantile returns a quantile of sorted durations.
+// quantile returns a quantile of sorted durations, of which there must be at least one.
 func quantile(sorted []model.Microseconds, fraction float64) time.Duration {
 	return sorted[int(fraction*float64(len(sorted)-1))].Duration()
 }
 
-// cpuTime returns the CPU time of this process, including system time.
+// cpuTime returns the CPU time of this process, including system time, or 0 if the kernel does not report it.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -40,7 +40,7 @@
 	return int(statistics.HeapInuse + statistics.StackInuse)
 }
 
-// printf writes a part of a table. It ignores the writer's errors, as the tables are written to a terminal.
+// printf writes formatted text. It ignores the writer's errors, as the text is written to a terminal.
 func printf(out io.Writer, format string, arguments ...any) {
 	_, _ = fmt.Fprintf(out, format, arguments...)
 }
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -28,7 +28,7 @@
 	command    *exec.Cmd // nil: the process is not running
 }
 
-// start starts the process and returns when it logs that it is serving.
+// start starts the process and returns when the process logs that it is serving.
 func (p *instanceProcess) start(ctx context.Context) error {
 	arguments := append(slices.Clone(p.program), instanceCommand, "--config", p.configPath)
 	if p.socket != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// stop sends the process a signal that ends it, and waits for it to exit.
+// stop ends the process, if it is running, with a signal and waits for its exit.
 func (p *instanceProcess) stop(signal syscall.Signal) {
 	if p.command == nil {
 		return
@@ -64,7 +64,7 @@
 	p.command = nil
 }
 
-// textWatcher closes a channel when a text is written to it within a single write.
+// textWatcher is a writer that closes a channel when a single write contains a text.
 type textWatcher struct {
 	text  []byte
 	found chan struct{}
--- a/internal/benchmark/publisher.go
+++ b/internal/benchmark/publisher.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	noReportPeriod  = 3600 * model.Second // longer than any experiment
-	messageOverhead = 6                   // entries that cost as much as a message without entries
-	roundTimeout    = 30 * time.Second
+	longReportPeriod = 3600 * model.Second // longer than any experiment
+	messageOverhead  = 6                   // cost of a message without entries, in entries
+	roundTimeout     = 30 * time.Second
 )
 
 // publisher is a publish-subscribe server that admits every proxy and collects acknowledgements.
 type publisher struct {
-	server       *pubsub.Server
-	onConnected  func() // called for each proxy before it is admitted; nil: none
-	admitted     chan model.ProxyID
-	acknowledged chan uint32
+	server          *pubsub.Server
+	onConnected     func() // called for each proxy before it is admitted; nil: none
+	admittedProxies chan model.ProxyID
+	ackSequences    chan uint32 // sequence of each acknowledgement
 }
 
 // publisherSettings are the settings that differ between the experiments.
@@ -37,28 +37,28 @@
 }
 
 func newPublisher(now func() model.Microseconds, settings publisherSettings) (*publisher, error) {
-	created := &publisher{
-		onConnected:  settings.onConnected,
-		admitted:     make(chan model.ProxyID, settings.proxies),
-		acknowledged: make(chan uint32, 2*settings.proxies),
+	source := &publisher{
+		onConnected:     settings.onConnected,
+		admittedProxies: make(chan model.ProxyID, settings.proxies),
+		ackSequences:    make(chan uint32, 2*settings.proxies),
 	}
 	var err error
-	created.server, err = pubsub.Listen(pubsub.Config{
+	source.server, err = pubsub.Listen(pubsub.Config{
 		Listen:           loopbackAnyPort,
 		Incarnation:      1,
 		Zones:            []string{"zone"},
-		ReportPeriod:     noReportPeriod,
+		ReportPeriod:     longReportPeriod,
 		MessageOverhead:  messageOverhead,
 		EntriesPerSecond: settings.rate,
 		Now:              now,
 		Log:              zerolog.Nop(),
 		Limits:           settings.limits,
 		JoinLimits:       settings.admission,
-	}, created)
+	}, source)
 	if err != nil {
 		return nil, err
 	}
-	return created, nil
+	return source, nil
 }
 
 // ProxyConnected admits the proxy on a separate goroutine, because the server handles the connection's next event only
@@ -69,7 +69,7 @@
 	}
 	go func() {
 		p.server.AdmitProxy(proxy, stream)
-		p.admitted <- proxy
+		p.admittedProxies <- proxy
 	}()
 }
 
@@ -78,19 +78,19 @@
 
 // Acknowledged passes the acknowledgement to publishRound.
 func (p *publisher) Acknowledged(_ model.ProxyID, _ uint64, sequence uint32) {
-	p.acknowledged <- sequence
+	p.ackSequences <- sequence
 }
 
 // LoadReported ignores the event.
 func (p *publisher) LoadReported(int, []model.LoadReport) {}
 
-// awaitProxies waits until the given number of proxies is admitted and returns them. The timeout applies to each
-// proxy.
+// awaitProxies waits until the given number of proxies is admitted and returns them. The timeout applies to the
+// wait for each proxy.
 func (p *publisher) awaitProxies(count int, timeout time.Duration) ([]model.ProxyID, error) {
 	var proxies []model.ProxyID
 	for range count {
 		select {
-		case proxy := <-p.admitted:
+		case proxy := <-p.admittedProxies:
 			proxies = append(proxies, proxy)
 		case <-time.After(timeout):
 			return nil, &TimeoutError{Condition: fmt.Sprintf("%d proxies connected", count)}
@@ -106,14 +106,14 @@
 	started := time.Now()
 	p.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: sequence, At: now()})
 	timeout := time.After(roundTimeout)
-	for received := 0; received < proxies; {
+	for acks := 0; acks < proxies; {
 		select {
-		case acknowledged := <-p.acknowledged:
-			if acknowledged == uint32(sequence) {
-				received++
+		case ackSequence := <-p.ackSequences:
+			if ackSequence == uint32(sequence) {
+				acks++
 			}
 		case <-timeout:
-			condition := fmt.Sprintf("round %d acknowledged by %d proxies; %d have acknowledged it", sequence, proxies, received)
+			condition := fmt.Sprintf("round %d acknowledged by %d proxies; %d have acknowledged it", sequence, proxies, acks)
 			return 0, &TimeoutError{Condition: condition}
 		}
 	}
--- a/internal/benchmark/rawsockets.go
+++ b/internal/benchmark/rawsockets.go
@@ -15,22 +15,22 @@
 	CPUPerMessage time.Duration // of sender and receiver
 }
 
-// rawSockets holds both ends of the connections. Receivers answer each message of a sender.
+// rawSockets holds both ends of the connections. Each receiver answers the messages of its sender.
 type rawSockets struct {
 	senders   []net.Conn
 	receivers []net.Conn
 	answers   chan struct{}
 }
 
-// measureRawSockets writes a message of the given size to each connection in each round and waits for all answers. An
-// answer has the size of an acknowledgement.
-func measureRawSockets(connections, size, rounds int) (RawCost, error) {
+// measureRawSockets writes a message of the given size in bytes to each connection in each round and waits for all
+// answers. An answer has the size of an acknowledgement, but at most that of the message.
+func measureRawSockets(connections, messageSize, rounds int) (RawCost, error) {
 	sockets := &rawSockets{answers: make(chan struct{}, connections)}
 	defer sockets.close()
-	if err := sockets.connect(connections, size); err != nil {
+	if err := sockets.connect(connections, messageSize); err != nil {
 		return RawCost{}, err
 	}
-	message := make([]byte, size)
+	message := make([]byte, messageSize)
 	cpuBefore := cpuTime()
 	var durations []time.Duration
 	for range rounds {
@@ -44,7 +44,7 @@
 	return RawCost{Median: median, CPUPerMessage: (cpuTime() - cpuBefore) / time.Duration(connections*rounds)}, nil
 }
 
-func (s *rawSockets) connect(connections, size int) error {
+func (s *rawSockets) connect(connections, messageSize int) error {
 	listener, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return err
@@ -61,27 +61,27 @@
 			return err
 		}
 		s.senders = append(s.senders, sender)
-		go answerMessages(receiver, size)
-		go s.readAnswers(sender, min(ackSize, size))
+		go answerMessages(receiver, messageSize)
+		go s.readAnswers(sender, min(ackSize, messageSize))
 	}
 	return nil
 }
 
 // answerMessages answers each message until the connection is closed.
-func answerMessages(connection net.Conn, size int) {
-	message := make([]byte, size)
+func answerMessages(connection net.Conn, messageSize int) {
+	message := make([]byte, messageSize)
 	for {
 		if _, err := io.ReadFull(connection, message); err != nil {
 			return
 		}
-		if _, err := connection.Write(message[:min(ackSize, size)]); err != nil {
+		if _, err := connection.Write(message[:min(ackSize, messageSize)]); err != nil {
 			return
 		}
 	}
 }
 
-func (s *rawSockets) readAnswers(connection net.Conn, size int) {
-	answer := make([]byte, size)
+func (s *rawSockets) readAnswers(connection net.Conn, answerSize int) {
+	answer := make([]byte, answerSize)
 	for {
 		if _, err := io.ReadFull(connection, answer); err != nil {
 			return
--- a/internal/benchmark/reconnect.go
+++ b/internal/benchmark/reconnect.go
@@ -16,32 +16,32 @@
 	stormJoinTimeout = 60 * time.Second
 )
 
-// ConnectionStormResult is the result of ConnectionStorm, in which all proxies connect within a tenth of a second.
+// ConnectionStormResult is the result of ConnectionStorm, in which all proxies connect at once.
 type ConnectionStormResult struct {
 	Proxies       int
 	AdmissionRate float64       // admitted joins a second; 0: no limit
 	Duration      time.Duration // until all proxies are admitted
-	Deferrals     uint64
-	MaxDeferrals  int // of one proxy
-	PeakJoins     int // within a second
-	Storms        uint64
+	Deferrals     uint64        // of all proxies
+	MaxDeferrals  int           // largest number of deferrals of one proxy
+	PeakJoins     int           // largest number of joins within a second of the clock
+	Storms        uint64        // changes of the server from the normal state to the storm state
 	CPU           time.Duration // of server and proxies
 }
 
 // ConnectionStorm measures how the server admits the given number of proxies that connect at once.
 func ConnectionStorm(proxies int, admissionRate float64) (*ConnectionStormResult, error) {
-	bed, err := newTestbed()
+	testbed, err := newTestbed()
 	if err != nil {
 		return nil, err
 	}
-	defer bed.close()
+	defer testbed.close()
 	joinSeconds := make(chan model.Microseconds, 10*proxies)
-	source, err := newPublisher(bed.now, publisherSettings{
+	source, err := newPublisher(testbed.now, publisherSettings{
 		proxies:     proxies,
 		rate:        stormEntryRate,
 		limits:      pubsub.Limits{Connections: 2 * proxies},
 		admission:   admission.Limits{Rate: admissionRate, Burst: stormBurst, Jitter: 1, Seed: 1},
-		onConnected: func() { joinSeconds <- bed.now() / model.Second },
+		onConnected: func() { joinSeconds <- testbed.now() / model.Second },
 	})
 	if err != nil {
 		return nil, err
@@ -49,8 +49,8 @@
 	defer source.server.Close()
 	started := time.Now()
 	cpuBefore := cpuTime()
-	bed.addListeners(proxies, source.server.Addr(), model.Second, ignoreEvent)
-	defer bed.stopProxies()
+	testbed.addIdleProxies(proxies, source.server.Addr(), model.Second, ignoreEvent)
+	defer testbed.stopProxies()
 	if _, err := source.awaitProxies(proxies, stormJoinTimeout); err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 	statistics := source.server.Stats()
 	result.Deferrals = statistics.JoinsDeferred
 	result.Storms = statistics.JoinStorms
-	result.MaxDeferrals = bed.maxDeferrals()
+	result.MaxDeferrals = testbed.maxDeferrals()
 	result.PeakJoins = peakPerSecond(joinSeconds)
 	return result, nil
 }
@@ -72,14 +72,14 @@
 func (b *testbed) maxDeferrals() int {
 	maximum := 0
 	b.loop.Do(func() {
-		for _, connected := range b.proxies {
-			maximum = max(maximum, connected.Deferred)
+		for _, p := range b.proxies {
+			maximum = max(maximum, p.Deferred)
 		}
 	})
 	return maximum
 }
 
-// peakPerSecond drains the channel and returns the maximum number of joins within a second.
+// peakPerSecond reads the seconds of all joins from the channel and returns the maximum number of joins in one second.
 func peakPerSecond(joinSeconds chan model.Microseconds) int {
 	counts := map[model.Microseconds]int{}
 	peak := 0
--- a/internal/benchmark/restart.go
+++ b/internal/benchmark/restart.go
@@ -54,34 +54,36 @@
 		return nil, err
 	}
 	defer removeDirectory()
-	bed, err := newTestbed()
+	testbed, err := newTestbed()
 	if err != nil {
 		return nil, err
 	}
-	defer bed.close()
-	if err := bed.addRegistry(ignoreEvent); err != nil {
+	defer testbed.close()
+	if err := testbed.addRegistry(ignoreEvent); err != nil {
 		return nil, err
 	}
-	restarted := &instanceProcess{program: program, configPath: filepath.Join(directory, "governor.hcl")}
-	address, closeSocket, err := restarted.configure(mode, bed.registry.Addr())
+	instance := &instanceProcess{program: program, configPath: filepath.Join(directory, "governor.hcl")}
+	address, closeSocket, err := instance.configure(mode, testbed.registry.Addr())
 	if err != nil {
 		return nil, err
 	}
 	defer closeSocket()
-	if err := restarted.start(ctx); err != nil {
+	if err := instance.start(ctx); err != nil {
 		return nil, err
 	}
-	defer restarted.stop(syscall.SIGKILL)
-	streams := newStreamWatch()
-	bed.addListeners(proxies, address, redialInterval, streams.observe)
-	defer bed.stopProxies()
-	experiment := &restartExperiment{instance: restarted, mode: mode, proxies: proxies, streams: streams}
+	defer instance.stop(syscall.SIGKILL)
+	streams := newStreamObserver()
+	testbed.addIdleProxies(proxies, address, redialInterval, streams.observe)
+	defer testbed.stopProxies()
+	experiment := &restartExperiment{instance: instance, mode: mode, proxies: proxies, streams: streams}
 	return experiment.run(ctx, rounds)
 }
 
-// configure writes the configuration file with an address whose port is free. If the mode keeps the listening socket,
-// the socket stays open until closeSocket is called.
-func (p *instanceProcess) configure(mode RestartMode, registry string) (address string, closeSocket func(), err error) {
+// configure writes the configuration file with a listening address whose port is free, and returns the address. If the
+// mode keeps the listening socket, the socket stays open until closeSocket is called.
+func (p *instanceProcess) configure(
+	mode RestartMode, registryAddress string,
+) (address string, closeSocket func(), err error) {
 	listener, err := net.Listen("tcp4", loopbackAnyPort)
 	if err != nil {
 		return "", nil, err
@@ -97,7 +99,7 @@
 		p.socket = socket
 		closeSocket = func() { _ = socket.Close() }
 	}
-	text := fmt.Appendf(nil, restartConfigFormat, address, registry)
+	text := fmt.Appendf(nil, restartConfigFormat, address, registryAddress)
 	if err := os.WriteFile(p.configPath, text, 0o644); err != nil {
 		closeSocket()
 		return "", nil, err
@@ -135,14 +137,14 @@
 	instance *instanceProcess
 	mode     RestartMode
 	proxies  int
-	streams  *streamWatch
+	streams  *streamObserver
 }
 
 func (e *restartExperiment) run(ctx context.Context, rounds int) (*RestartResult, error) {
 	if err := e.awaitStreams(ctx); err != nil {
 		return nil, err
 	}
-	_, opened := e.streams.count()
+	_, openedAtStart := e.streams.count()
 	var downtimes []time.Duration
 	for range rounds {
 		started := time.Now()
@@ -166,7 +168,7 @@
 		Median:            quantile(gaps, 0.5),
 		P99:               quantile(gaps, 0.99),
 		Longest:           quantile(gaps, 1),
-		StreamsPerRestart: float64(openedAtEnd-opened) / float64(e.proxies*rounds),
+		StreamsPerRestart: float64(openedAtEnd-openedAtStart) / float64(e.proxies*rounds),
 	}, nil
 }
 
@@ -177,59 +179,59 @@
 	})
 }
 
-// streamWatch records the times during which proxies have no stream. It is safe for concurrent use.
-type streamWatch struct {
-	mu        sync.Mutex
-	connected map[string]bool
-	lostAt    map[string]model.Microseconds
-	gaps      []model.Microseconds // between the loss of a stream and the next one
-	opened    int
+// streamObserver records the times during which proxies have no stream. It is safe for concurrent use.
+type streamObserver struct {
+	mu          sync.Mutex
+	connected   map[string]bool
+	lostAt      map[string]model.Microseconds
+	gaps        []model.Microseconds // from the loss of a proxy's stream to its next stream
+	openedCount int
 }
 
-func newStreamWatch() *streamWatch {
-	return &streamWatch{connected: map[string]bool{}, lostAt: map[string]model.Microseconds{}}
+func newStreamObserver() *streamObserver {
+	return &streamObserver{connected: map[string]bool{}, lostAt: map[string]model.Microseconds{}}
 }
 
-func (w *streamWatch) observe(observation invariants.Event) {
+func (o *streamObserver) observe(observation invariants.Event) {
 	event, ok := observation.(invariants.StreamChanged)
 	if !ok {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if event.Up {
-		w.streamOpened(event)
-	} else if w.connected[event.Proxy] {
-		w.lostAt[event.Proxy] = event.At
-		w.connected[event.Proxy] = false
+		o.streamOpened(event)
+	} else if o.connected[event.Proxy] {
+		o.lostAt[event.Proxy] = event.At
+		o.connected[event.Proxy] = false
 	}
 }
 
-func (w *streamWatch) streamOpened(event invariants.StreamChanged) {
-	if lostAt, wasLost := w.lostAt[event.Proxy]; wasLost {
-		w.gaps = append(w.gaps, event.At-lostAt)
-		delete(w.lostAt, event.Proxy)
+func (o *streamObserver) streamOpened(event invariants.StreamChanged) {
+	if lostAt, wasLost := o.lostAt[event.Proxy]; wasLost {
+		o.gaps = append(o.gaps, event.At-lostAt)
+		delete(o.lostAt, event.Proxy)
 	}
-	w.opened++
-	w.connected[event.Proxy] = true
+	o.openedCount++
+	o.connected[event.Proxy] = true
 }
 
 // count returns the number of proxies that have a stream and the number of streams opened so far.
-func (w *streamWatch) count() (connected, opened int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, isConnected := range w.connected {
+func (o *streamObserver) count() (connected, opened int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, isConnected := range o.connected {
 		if isConnected {
 			connected++
 		}
 	}
-	return connected, w.opened
+	return connected, o.openedCount
 }
 
-func (w *streamWatch) sortedGaps() []model.Microseconds {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Sorted(slices.Values(w.gaps))
+func (o *streamObserver) sortedGaps() []model.Microseconds {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return slices.Sorted(slices.Values(o.gaps))
 }
 
 // PrintRestarts writes a table of the results of Restart.
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -16,7 +16,7 @@
 
 const (
 	takeoverMembers         = 3 // each in a separate zone
-	takeoverShards          = 4 // of each zone, and so of each member while all members are alive
+	takeoverShards          = 4 // shards of each zone; a member holds its zone's shards while all members are alive
 	takeoverReplicasPerZone = 4
 	takeoverReplicas        = takeoverReplicasPerZone * takeoverMembers
 	progressInterval        = 10 // rounds between two progress messages
@@ -28,17 +28,18 @@
 	proxies       int
 	rounds        int
 	leaseDuration model.Microseconds
-	shared        bool
+	inCluster     bool // the instances form a cluster
 	seed          uint64
 	progress      io.Writer // nil: none
 }
 
 // Takeover kills one of three instances at a random moment in each round. It waits until all proxies of the killed
-// instance are bound by another one, restarts the instance and waits until it holds its shards again. If shared is
-// false, the instances form no cluster and each of them serves every proxy that connects. program is the command line
-// that runs an instance.
+// instance are bound by another one, restarts the instance and waits until all proxies are bound and, in a cluster,
+// connected to the member of their zone. The result has the times that the proxies of the killed instances had to wait
+// and the number of leases that were granted. If inCluster is false, the instances form no cluster and each of them
+// serves every proxy that connects. program is the command line that runs an instance.
 func Takeover(
-	ctx context.Context, program []string, proxies, rounds int, leaseDuration model.Microseconds, shared bool,
+	ctx context.Context, program []string, proxies, rounds int, leaseDuration model.Microseconds, inCluster bool,
 	seed uint64, progress io.Writer,
 ) (*TakeoverResult, error) {
 	experiment := &takeoverExperiment{
@@ -47,12 +48,12 @@
 			proxies:       proxies,
 			rounds:        rounds,
 			leaseDuration: leaseDuration,
-			shared:        shared,
+			inCluster:     inCluster,
 			seed:          seed,
 			progress:      progress,
 		},
-		random: standin.NewRandom(seed, "takeover"),
-		watch:  newTakeoverWatch(),
+		random:   standin.NewRandom(seed, "takeover"),
+		observer: newTakeoverObserver(),
 	}
 	return experiment.run(ctx)
 }
@@ -61,8 +62,8 @@
 type takeoverExperiment struct {
 	settings takeoverSettings
 	random   *standin.Random
-	watch    *takeoverWatch
-	bed      *testbed
+	observer *takeoverObserver
+	testbed  *testbed
 	members  []*takeoverMember
 }
 
@@ -73,14 +74,14 @@
 		return nil, err
 	}
 	defer removeDirectory()
-	if e.bed, err = newTestbed(); err != nil {
+	if e.testbed, err = newTestbed(); err != nil {
 		return nil, err
 	}
-	defer e.bed.close()
+	defer e.testbed.close()
 	if err := e.addRegistry(); err != nil {
 		return nil, err
 	}
-	if e.members, err = newTakeoverMembers(directory, e.bed.registry.Addr(), e.settings); err != nil {
+	if e.members, err = newTakeoverMembers(directory, e.testbed.registry.Addr(), e.settings); err != nil {
 		return nil, err
 	}
 	defer e.stopMembers()
@@ -90,17 +91,17 @@
 		}
 	}
 	e.addProxies()
-	defer e.bed.stopProxies()
+	defer e.testbed.stopProxies()
 	return e.measure(ctx)
 }
 
 func (e *takeoverExperiment) addRegistry() error {
-	if err := e.bed.addRegistry(e.watch.observe); err != nil {
+	if err := e.testbed.addRegistry(e.observer.observe); err != nil {
 		return err
 	}
-	e.bed.loop.Do(func() {
+	e.testbed.loop.Do(func() {
 		for k := range takeoverReplicas {
-			e.bed.registry.Set(registry.Entry{ID: replicaID(k), Zone: zoneName(k % takeoverMembers)})
+			e.testbed.registry.Set(registry.Entry{ID: replicaID(k), Zone: zoneName(k % takeoverMembers)})
 		}
 	})
 	return nil
@@ -112,12 +113,12 @@
 	}
 }
 
-// addProxies starts proxies in all zones. Each proxy knows all members and dials the one of its own zone first.
+// addProxies starts proxies in all zones. Each proxy knows all members and dials the member of its own zone first.
 func (e *takeoverExperiment) addProxies() {
-	e.bed.loop.Do(func() {
+	e.testbed.loop.Do(func() {
 		for k := range e.settings.proxies {
 			standing := []invariants.TableEntry{{Replica: replicaID(k % takeoverReplicas), Weight: 1}}
-			e.bed.startProxy(e.proxySettings(k), e.settings.seed, standing, e.watch.observe)
+			e.testbed.startProxy(e.proxySettings(k), e.settings.seed, standing, e.observer.observe)
 		}
 	})
 }
@@ -125,14 +126,14 @@
 func (e *takeoverExperiment) proxySettings(index int) proxy.Config {
 	zone := index % takeoverMembers
 	settings := proxy.Config{
-		Name:            listenerName(index),
+		Name:            proxyName(index),
 		Zone:            zoneName(zone),
 		ExpectedRate:    1,
 		RedialInterval:  redialInterval,
 		DialTimeout:     model.Second,
 		OmitLoadReports: true,
 		OnMessage: func(receiver *proxy.Proxy, sender string, message *pubsubmsg.Message) {
-			e.watch.messageApplied(e.bed.now(), receiver.Name, sender, message)
+			e.observer.messageApplied(e.testbed.now(), receiver.Name, sender, message)
 		},
 	}
 	for k := range takeoverMembers {
@@ -142,15 +143,15 @@
 	return settings
 }
 
-// allProxiesBound reports whether all proxies are bound and, if the instances share the shards, connected to the member
+// allProxiesBound reports whether all proxies are bound and, if the instances form a cluster, connected to the member
 // of their zone.
 func (e *takeoverExperiment) allProxiesBound() bool {
 	allBound := true
-	e.bed.loop.Do(func() {
-		for k, connected := range e.bed.proxies {
-			instance := connected.JoinedInstance()
-			isBound := connected.Bound() && instance != ""
-			isAtOwnMember := !e.settings.shared || instance == e.members[k%takeoverMembers].name
+	e.testbed.loop.Do(func() {
+		for k, p := range e.testbed.proxies {
+			instance := p.JoinedInstance()
+			isBound := p.Bound() && instance != ""
+			isAtOwnMember := !e.settings.inCluster || instance == e.members[k%takeoverMembers].name
 			allBound = allBound && isBound && isAtOwnMember
 		}
 	})
@@ -176,28 +177,28 @@
 	return e.result(totals), nil
 }
 
-// takeoverRound counts the leases that are granted in a round.
+// takeoverRound counts the leases that are granted in a round, or in all rounds together.
 type takeoverRound struct {
-	takeoverGrants float64 // from the kill until all proxies are bound again
-	returnGrants   float64 // from the restart until the killed member holds its shards again
+	takeoverGrants float64 // from the kill until the killed member's proxies are bound again
+	returnGrants   float64 // from the restart until allProxiesBound reports true
 }
 
 // killAndRestart kills a member and waits until the other members have taken over its proxies. It then restarts the
 // member and waits until the proxies have returned to it.
 func (e *takeoverExperiment) killAndRestart(ctx context.Context) (takeoverRound, error) {
-	// The kill is at a random point between two renewals of the leases.
+	// A random part of the lease duration passes, so that the kill is at a random time between two lease renewals.
 	time.Sleep(time.Duration(e.random.Float() * float64(e.settings.leaseDuration.Duration())))
 	index := e.drawMember()
 	killed := e.members[index]
 	survivor := e.members[(index+1)%takeoverMembers]
-	grantsBefore := survivor.grantsKnown(e.settings.shared)
-	e.watch.beginRound(killed.name, e.bed.now())
+	grantsBefore := survivor.leaseGrants(e.settings.inCluster)
+	e.observer.beginRound(killed.name, e.testbed.now())
 	killed.stop(syscall.SIGKILL)
-	if err := await(ctx, "all proxies of the killed instance bound again", e.watch.allDisplacedBound); err != nil {
+	if err := await(ctx, "all proxies of the killed instance bound again", e.observer.allDisplacedBound); err != nil {
 		return takeoverRound{}, err
 	}
-	grantsAfterTakeover := survivor.grantsKnown(e.settings.shared)
-	e.watch.endRound()
+	grantsAfterTakeover := survivor.leaseGrants(e.settings.inCluster)
+	e.observer.endRound()
 	if err := killed.start(ctx); err != nil {
 		return takeoverRound{}, err
 	}
@@ -206,18 +207,18 @@
 	}
 	return takeoverRound{
 		takeoverGrants: float64(grantsAfterTakeover - grantsBefore),
-		returnGrants:   float64(survivor.grantsKnown(e.settings.shared) - grantsAfterTakeover),
+		returnGrants:   float64(survivor.leaseGrants(e.settings.inCluster) - grantsAfterTakeover),
 	}, nil
 }
 
-// drawMember draws the member to kill. Without a cluster, proxies do not return to a restarted member, so it skips
-// members without proxies.
+// drawMember draws the member to kill. Without a cluster, proxies do not return to a restarted member. drawMember then
+// skips members without proxies.
 func (e *takeoverExperiment) drawMember() int {
 	index := e.random.IntN(takeoverMembers)
-	if e.settings.shared {
+	if e.settings.inCluster {
 		return index
 	}
-	for e.watch.proxiesOf(e.members[index].name) == 0 {
+	for e.observer.proxyCount(e.members[index].name) == 0 {
 		index = (index + 1) % takeoverMembers
 	}
 	return index
@@ -226,14 +227,14 @@
 func (e *takeoverExperiment) result(totals takeoverRound) *TakeoverResult {
 	rounds := float64(e.settings.rounds)
 	result := &TakeoverResult{
-		Shared:         e.settings.shared,
-		Proxies:        e.settings.proxies,
-		Rounds:         e.settings.rounds,
-		LeaseDuration:  e.settings.leaseDuration.Duration(),
-		ShardsMoved:    totals.takeoverGrants / rounds,
-		MinShardsMoved: takeoverShards,
-		ShardsReturned: totals.returnGrants / rounds,
-	}
-	e.watch.summarize(result, e.bed.now())
+		InCluster:          e.settings.inCluster,
+		Proxies:            e.settings.proxies,
+		Rounds:             e.settings.rounds,
+		LeaseDuration:      e.settings.leaseDuration.Duration(),
+		MeanShardsMoved:    totals.takeoverGrants / rounds,
+		MinShardsMoved:     takeoverShards,
+		MeanShardsReturned: totals.returnGrants / rounds,
+	}
+	e.observer.summarize(result, e.testbed.now())
 	return result
 }
--- a/internal/benchmark/takeovermembers.go
+++ b/internal/benchmark/takeovermembers.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	addressesOfTakeoverMember = 3 // channel, raft and gossip
-	statusTimeout             = 5 * time.Second
+	addressesPerTakeoverMember = 3 // channel, raft and gossip
+	statusTimeout              = 5 * time.Second
 )
 
 // takeoverMember is the process of an instance and its addresses.
@@ -27,14 +27,14 @@
 }
 
 // newTakeoverMembers creates the members, which are not running, and writes their configuration files.
-func newTakeoverMembers(directory, registry string, settings takeoverSettings) ([]*takeoverMember, error) {
-	addresses, err := reserveAddresses(takeoverMembers * addressesOfTakeoverMember)
+func newTakeoverMembers(directory, registryAddress string, settings takeoverSettings) ([]*takeoverMember, error) {
+	addresses, err := reserveAddresses(takeoverMembers * addressesPerTakeoverMember)
 	if err != nil {
 		return nil, err
 	}
 	var members []*takeoverMember
 	for k := range takeoverMembers {
-		memberAddresses := addresses[k*addressesOfTakeoverMember:]
+		memberAddresses := addresses[k*addressesPerTakeoverMember:]
 		member := &takeoverMember{
 			index:          k,
 			name:           memberName(k),
@@ -48,8 +48,8 @@
 	}
 	for _, member := range members {
 		text := fmt.Sprintf(takeoverConfigFormat, member.name, member.channelAddress, member.name+".state",
-			member.index+1, settings.proxies, registry)
-		if settings.shared {
+			member.index+1, settings.proxies, registryAddress)
+		if settings.inCluster {
 			text += member.clusterConfig(members, settings)
 		}
 		if err := os.WriteFile(member.configPath, []byte(text), 0o644); err != nil {
@@ -114,10 +114,10 @@
 	return text.String()
 }
 
-// grantsKnown returns the number of leases granted so far according to the member's status, which is the sum of the
-// shards' epochs. It returns 0 if the member does not answer or the instances form no cluster.
-func (m *takeoverMember) grantsKnown(shared bool) uint64 {
-	if !shared {
+// leaseGrants returns the number of leases granted so far: the sum of the shards' epochs in the member's status. It
+// returns 0 if the member does not answer or the instances form no cluster.
+func (m *takeoverMember) leaseGrants(inCluster bool) uint64 {
+	if !inCluster {
 		return 0
 	}
 	text, err := cluster.Request(m.raftAddress, statusTimeout, "STATUS")
--- a/internal/benchmark/takeoverresult.go
+++ b/internal/benchmark/takeoverresult.go
@@ -8,9 +8,10 @@
 
 // TakeoverResult is the result of Takeover. Median, P99 and Worst are times from the kill until a proxy of the killed
 // instance has applied another instance's first message. BoundMedian and BoundWorst are times from the kill until such
-// a proxy has applied the first message that binds it to a table.
+// a proxy has applied the first message that binds it to a table. The displaced proxies are those of the killed
+// instance.
 type TakeoverResult struct {
-	Shared             bool // the instances form a cluster; otherwise each serves every proxy that connects
+	InCluster          bool // the instances form a cluster; otherwise each serves every proxy that connects
 	Proxies            int
 	Rounds             int
 	LeaseDuration      time.Duration
@@ -19,10 +20,10 @@
 	Worst              time.Duration
 	BoundMedian        time.Duration
 	BoundWorst         time.Duration
-	OtherStreamsBroken int     // streams to instances other than the killed one that broke, in all rounds
-	ShardsMoved        float64 // leases granted per round until all shards were held again
-	MinShardsMoved     float64 // number of shards of the killed instance
-	ShardsReturned     float64 // leases granted per round until the restarted instance held its shards
+	OtherStreamsBroken int     // broken streams to instances other than the killed one, in all rounds
+	MeanShardsMoved    float64 // leases granted per round from the kill until the displaced proxies were bound again
+	MinShardsMoved     float64 // theoretical minimum of MeanShardsMoved: the number of shards of the killed instance
+	MeanShardsReturned float64 // leases granted per round from the restart until the proxies had returned
 	Violations         []string
 }
 
@@ -33,15 +34,16 @@
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, result := range results {
 		printf(out, "| %s | %d | %d | %s | %s | %s | %s | %s | %s | %d | %.2f, %.2f | %.2f | %s |\n",
-			result.kind(), result.Proxies, result.Rounds, result.LeaseDuration,
+			result.modeText(), result.Proxies, result.Rounds, result.LeaseDuration,
 			roundMilliseconds(result.Median), roundMilliseconds(result.P99), roundMilliseconds(result.Worst),
 			roundMilliseconds(result.BoundMedian), roundMilliseconds(result.BoundWorst),
-			result.OtherStreamsBroken, result.ShardsMoved, result.MinShardsMoved, result.ShardsReturned, result.verdict())
+			result.OtherStreamsBroken, result.MeanShardsMoved, result.MinShardsMoved, result.MeanShardsReturned,
+			result.verdict())
 	}
 }
 
-func (r *TakeoverResult) kind() string {
-	if r.Shared {
+func (r *TakeoverResult) modeText() string {
+	if r.InCluster {
 		return "share the fleet"
 	}
 	return "share nothing"
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -52,14 +52,14 @@
 	return err
 }
 
-// addListeners starts proxies that handle no requests and know only one instance.
-func (b *testbed) addListeners(
+// addIdleProxies starts proxies that handle no requests and know only one instance.
+func (b *testbed) addIdleProxies(
 	count int, address string, redial model.Microseconds, observe func(invariants.Event),
 ) {
 	b.loop.Do(func() {
 		for k := range count {
 			settings := proxy.Config{
-				Name:            listenerName(k),
+				Name:            proxyName(k),
 				Zone:            "zone",
 				RedialInterval:  redial,
 				DialTimeout:     10 * model.Second,
@@ -75,16 +75,16 @@
 func (b *testbed) startProxy(
 	settings proxy.Config, seed uint64, standing []invariants.TableEntry, observe func(invariants.Event),
 ) {
-	started := proxy.New(b.loop, b.engine, settings, seed, observe)
-	started.Start(standing)
-	b.proxies = append(b.proxies, started)
+	p := proxy.New(b.loop, b.engine, settings, seed, observe)
+	p.Start(standing)
+	b.proxies = append(b.proxies, p)
 }
 
 // stopProxies stops all proxies. A second call does nothing.
 func (b *testbed) stopProxies() {
 	b.loop.Do(func() {
-		for _, running := range b.proxies {
-			running.Kill()
+		for _, p := range b.proxies {
+			p.Kill()
 		}
 	})
 	b.proxies = nil
@@ -99,7 +99,7 @@
 	b.loop.Stop()
 }
 
-func listenerName(index int) string { return fmt.Sprint("listener-", index) }
+func proxyName(index int) string { return fmt.Sprint("listener-", index) }
 
 // ignoreEvent ignores a stand-in's observation.
 func ignoreEvent(invariants.Event) {}
@@ -135,7 +135,7 @@
 	Condition string
 }
 
-func (e *TimeoutError) Error() string { return "benchmark: timed out: " + e.Condition }
+func (e *TimeoutError) Error() string { return "benchmark: timed out waiting until: " + e.Condition }
 
 // reserveAddresses returns distinct loopback addresses with free ports. It keeps all ports open until the last one is
 // found, so that no two addresses are equal. Another process may take a port before it is used.
--- a/internal/benchmark/testbed_test.go
+++ b/internal/benchmark/testbed_test.go
@@ -19,7 +19,7 @@
 	err := await(ctx, "nothing", func() bool { return false })
 	var timeout *TimeoutError
 	if !errors.As(err, &timeout) || timeout.Condition != "nothing" {
-		t.Errorf("got %v, want a TimeoutError", err)
+		t.Errorf("got %v, want a TimeoutError with the condition \"nothing\"", err)
 	}
 }
 
@@ -34,7 +34,7 @@
 		distinct[address] = true
 	}
 	if len(distinct) != count {
-		t.Errorf("%d of %d addresses are distinct", len(distinct), count)
+		t.Errorf("%d of %d addresses are distinct, want all", len(distinct), count)
 	}
 }
 
--- a/internal/standin/loop.go
+++ b/internal/standin/loop.go
@@ -50,25 +50,25 @@
 // Do queues an action for the loop and waits until it has run or the loop has stopped. It must not be called on the
 // loop.
 func (l *Loop) Do(action func()) {
-	ready := make(chan struct{})
+	done := make(chan struct{})
 	l.Post(func() {
 		action()
-		close(ready)
+		close(done)
 	})
 	select {
-	case <-ready:
+	case <-done:
 	case <-l.stopped:
 	}
 }
 
 // Timer is an action that is due at a given time.
 type Timer struct {
-	at       model.Microseconds
+	dueAt    model.Microseconds
 	sequence uint64
 	action   func()
 }
 
-// Cancel keeps the timer from running. It must be called on the loop; a nil timer is allowed.
+// Cancel keeps the timer's action from running. It must be called on the loop; a nil timer is allowed.
 func (t *Timer) Cancel() {
 	if t != nil {
 		t.action = nil
@@ -83,12 +83,12 @@
 // At schedules an action at a given time. It must be called on the loop.
 func (l *Loop) At(at model.Microseconds, action func()) *Timer {
 	l.timerCount++
-	timer := &Timer{at: at, sequence: l.timerCount, action: action}
+	timer := &Timer{dueAt: at, sequence: l.timerCount, action: action}
 	heap.Push(&l.timers, timer)
 	return timer
 }
 
-// Stop ends the loop and waits for it. Actions that are due or posted later do not run.
+// Stop ends the loop and waits until its goroutine has ended. Actions that are due or posted later do not run.
 func (l *Loop) Stop() {
 	close(l.stop)
 	<-l.stopped
@@ -121,10 +121,10 @@
 	}
 }
 
-// runDue runs the timers that are due now. Timers that become due meanwhile wait for the next round.
+// runDue runs the timers that are due now. Timers that become due while it runs wait for the next call.
 func (l *Loop) runDue() {
 	now := l.now()
-	for len(l.timers) > 0 && l.timers[0].at <= now {
+	for len(l.timers) > 0 && l.timers[0].dueAt <= now {
 		if t := heap.Pop(&l.timers).(*Timer); t.action != nil {
 			t.action()
 		}
@@ -136,7 +136,7 @@
 	if len(l.timers) == 0 {
 		return time.Hour
 	}
-	return max(0, time.Duration(l.timers[0].at-l.now())*time.Microsecond)
+	return max(0, time.Duration(l.timers[0].dueAt-l.now())*time.Microsecond)
 }
 
 // timerQueue is a heap of timers, ordered by due time and then by creation.
@@ -145,8 +145,8 @@
 func (q timerQueue) Len() int { return len(q) }
 
 func (q timerQueue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+	if q[i].dueAt != q[j].dueAt {
+		return q[i].dueAt < q[j].dueAt
 	}
 	return q[i].sequence < q[j].sequence
 }
--- a/internal/standin/proxy/connection.go
+++ b/internal/standin/proxy/connection.go
@@ -16,7 +16,7 @@
 // connection is a connection to a replica; it carries one attempt at a time.
 type connection struct {
 	proxy      *Proxy
-	generation int // the proxy's at the time of the dial
+	generation int // the proxy's generation when it dialed the connection
 	replica    *replicaState
 	conn       *nbio.Conn
 	parser     *http1.Parser
@@ -41,10 +41,10 @@
 // popIdleConnection returns the most recently used idle connection to a replica, or nil. It closes connections that
 // were idle for longer than IdleTimeout.
 func (p *Proxy) popIdleConnection(r *replicaState) *connection {
-	for len(r.idle) > 0 {
-		last := len(r.idle) - 1
-		c := r.idle[last]
-		r.idle = r.idle[:last]
+	for len(r.idleConnections) > 0 {
+		last := len(r.idleConnections) - 1
+		c := r.idleConnections[last]
+		r.idleConnections = r.idleConnections[:last]
 		expired := p.IdleTimeout > 0 && p.loop.Now()-c.idleSince > p.IdleTimeout
 		if !c.isClosed && !expired {
 			return c
@@ -64,7 +64,7 @@
 	switch {
 	case c.generation != c.proxy.generation:
 		c.close()
-	case a.isFinished: // it timed out while dialing: a later attempt uses the connection
+	case a.isFinished: // the attempt timed out during the dial: a later attempt uses the connection
 		c.keepIdle()
 	default:
 		a.sendOver(c)
@@ -77,7 +77,7 @@
 		return
 	}
 	c.idleSince = c.proxy.loop.Now()
-	c.replica.idle = append(c.replica.idle, c)
+	c.replica.idleConnections = append(c.replica.idleConnections, c)
 }
 
 func (c *connection) close() {
@@ -92,10 +92,10 @@
 
 // closeIdle closes the idle connections to a replica.
 func (r *replicaState) closeIdle() {
-	for _, c := range r.idle {
+	for _, c := range r.idleConnections {
 		c.close()
 	}
-	r.idle = nil
+	r.idleConnections = nil
 }
 
 // onData is called on the poller's goroutine.
@@ -104,7 +104,7 @@
 		if c.isClosed || c.generation != c.proxy.generation {
 			return
 		}
-		c.proxy.whenRunning(func() { c.parse(data) })
+		c.proxy.runAfterStall(func() { c.parse(data) })
 	})
 }
 
@@ -128,7 +128,7 @@
 	}
 }
 
-// handleResponse ends the connection's attempt with the response.
+// handleResponse ends the attempt that the connection carries with the response.
 func (c *connection) handleResponse(response *http1.Message) {
 	a := c.attempt
 	if a == nil {
@@ -152,7 +152,7 @@
 	return invariants.ErrorResponse
 }
 
-// utilization parses cpu_utilization from an ORCA text header.
+// utilization parses cpu_utilization from an ORCA text header. ok is false if the header has no valid value.
 func utilization(header string) (load float64, ok bool) {
 	pairs, ok := strings.CutPrefix(header, "TEXT ")
 	if !ok {
--- a/internal/standin/proxy/doc.go
+++ b/internal/standin/proxy/doc.go
@@ -3,6 +3,7 @@
 // another instance if necessary. It sends requests to replicas over HTTP/1.1, and load reports to its instance once per
 // report period.
 //
-// The channel: stream.go handles the connection, messages.go table messages, report.go load reports. The replicas:
-// table.go holds the table and picks replicas, request.go handles requests and attempts, connection.go connections.
+// Files of the channel: stream.go handles the connection to the instance, messages.go table messages, report.go load
+// reports. Files of the requests: table.go holds the table and picks replicas, request.go handles requests and
+// attempts, connection.go the connections to replicas.
 package proxy
--- a/internal/standin/proxy/messages.go
+++ b/internal/standin/proxy/messages.go
@@ -20,7 +20,8 @@
 	afterGap
 )
 
-// compareVersion compares a message with the newest applied message of the same instance.
+// compareVersion compares a message with the newest applied message of the same instance. A snapshot is out of order
+// only if the proxy is bound and has applied a newer message of the same incarnation.
 func (s *stream) compareVersion(m *pubsubmsg.Message) messageOrder {
 	applied := s.proxy.appliedVersions[s.instance.Name]
 	sameIncarnation := m.Incarnation == applied.incarnation
@@ -64,7 +65,7 @@
 	if p.StallPerEntry > 0 {
 		p.Stall(p.StallPerEntry * model.Microseconds(len(m.Entries)))
 	}
-	p.whenRunning(func() { s.acknowledge(m) })
+	p.runAfterStall(func() { s.acknowledge(m) })
 }
 
 // reportFenced notifies an instance that its message was not applied because the proxy has seen a newer epoch.
@@ -78,14 +79,15 @@
 // resync requests a snapshot, unless one was requested within the last resyncInterval.
 func (s *stream) resync() {
 	now := s.proxy.loop.Now()
-	if s.resyncedAt != 0 && now-s.resyncedAt <= resyncInterval {
+	if s.resyncRequestedAt != 0 && now-s.resyncRequestedAt <= resyncInterval {
 		return
 	}
-	s.resyncedAt = now
+	s.resyncRequestedAt = now
 	s.proxy.Resyncs++
 	_, _ = s.conn.Write(resp.AppendCommand(nil, "RESYNC"))
 }
 
+// acknowledge acknowledges a message if the instance has requested it.
 func (s *stream) acknowledge(m *pubsubmsg.Message) {
 	if s.proxy.Misbehavior.NeverAcks || m.AckSequence < 0 || s.isClosed {
 		return
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -30,19 +30,19 @@
 type Config struct {
 	Name, Zone         string
 	ZoneIndex          int
-	Instances          []Instance // the one of the proxy's zone first
+	Instances          []Instance // first the instance of the proxy's zone
 	ExpectedRate       float64    // requests a second; the proxy reports it when it joins
 	Pick               Pick
 	Operations         []Operation
-	DefaultRetryPolicy model.RetryPolicy // in force until a quota sets one
-	FirstAttemptShare  float64           // timeout of an attempt that may be retried, as a share of the latency objective
-	EjectAfter         int               // consecutive failures after which the proxy ejects a replica by itself; 0: never
-	EjectFor           model.Microseconds
+	DefaultRetryPolicy model.RetryPolicy  // applies until a quota sets a retry policy
+	FirstAttemptShare  float64            // timeout of an attempt that may be retried, as a share of the latency objective
+	EjectAfter         int                // consecutive failures after which the proxy itself ejects a replica; 0: never
+	EjectFor           model.Microseconds // duration of such an ejection
 	RedialInterval     model.Microseconds // a reconnect waits for one to three times this, at random
 	DialTimeout        model.Microseconds
-	IdleTimeout        model.Microseconds
+	IdleTimeout        model.Microseconds // of connections to replicas; 0: no limit
 	StallPerEntry      model.Microseconds // duration of the stall for each entry received
-	// OnMessage is called with each message that the proxy has applied and the name of its instance; it may be nil.
+	// OnMessage is called with each message that the proxy has applied and the name of its sender. It may be nil.
 	OnMessage       func(receiver *Proxy, instance string, message *pubsubmsg.Message)
 	OmitLoadReports bool // the proxy sends no load reports; used to measure the channel
 }
@@ -61,7 +61,7 @@
 type Proxy struct {
 	Config
 	Misbehavior Misbehavior
-	// ReportDelay postpones each load report by this much.
+	// ReportDelay is the time by which each load report is postponed.
 	ReportDelay model.Microseconds
 	// Unreachable holds the names of the instances that the proxy cannot dial, as if the link were down.
 	Unreachable map[string]bool
@@ -81,7 +81,7 @@
 	replicas map[model.ReplicaID]*replicaState
 
 	stream          *stream
-	nextInstance    int                       // index of the instance to dial next
+	nextInstance    int                       // index of the instance to dial next, modulo their number
 	appliedVersions map[string]appliedVersion // version of the newest applied message, by the instance's name
 	fence           lease.Fence
 	// awaitsNewHolder is set while the shard's lease holder has changed and the new holder has sent no updates yet.
@@ -91,8 +91,8 @@
 // appliedVersion identifies the newest applied message of an instance.
 type appliedVersion struct{ incarnation, version uint64 }
 
-// New creates a proxy that is not running. engine is made by NewEngine. The seed and the proxy's name determine its
-// random draws. observe is called on the loop.
+// New creates a proxy that is not running. engine is made by NewEngine. The seed and the proxy's name determine the
+// proxy's random draws. observe is called on the loop.
 func New(
 	loop *standin.Loop, engine *netpoll.Engine, config Config, seed uint64, observe func(invariants.Event),
 ) *Proxy {
@@ -176,7 +176,7 @@
 // stall is a period in which the proxy does nothing, like a process that is not scheduled.
 type stall struct {
 	until   model.Microseconds
-	pending []func() // actions that were due meanwhile
+	pending []func() // actions that became due during the stall
 }
 
 // Stall suspends the proxy for a time span, which begins after any stall in progress. Received data and due actions
@@ -196,9 +196,9 @@
 	})
 }
 
-// whenRunning runs an action now or, if the proxy is stalled, after the stall. It drops the action if the proxy is
+// runAfterStall runs an action now or, if the proxy is stalled, after the stall. It drops the action if the proxy is
 // killed during the stall.
-func (p *Proxy) whenRunning(action func()) {
+func (p *Proxy) runAfterStall(action func()) {
 	if p.stall.until <= p.loop.Now() {
 		action()
 		return
@@ -219,13 +219,13 @@
 	return ""
 }
 
-// acceptEpoch reports whether a message of this epoch may be applied, which is so if the proxy has seen no newer epoch.
+// acceptEpoch reports whether the proxy may apply a message of this epoch: it may if it has seen no newer epoch.
 // After a change of the lease holder, a request that may have been executed is not retried until the new holder has
 // sent updates, because the retry policies in force were set by the former holder.
 func (p *Proxy) acceptEpoch(epoch uint64) bool {
-	before := p.fence.Epoch
+	previousEpoch := p.fence.Epoch
 	accepted, changed := p.fence.Accept(epoch)
-	if changed && before > 0 {
+	if changed && previousEpoch > 0 {
 		p.awaitsNewHolder = true
 	}
 	return accepted
--- a/internal/standin/proxy/report.go
+++ b/internal/standin/proxy/report.go
@@ -13,21 +13,21 @@
 // replicaReport counts a proxy's attempts at a replica since its last load report.
 type replicaReport struct {
 	attempts, errors int
-	totalLatency     float64 // of the successful attempts, in microseconds
-	readings         []float64
+	totalLatency     float64   // of the successful attempts, in microseconds
+	readings         []float64 // only the newest utilization that the replica reported, if any
 }
 
 // minReportPeriod is the minimum time between two reports, also if an instance announces a shorter period.
 const minReportPeriod = 10 * model.Millisecond
 
-// reportPeriodically sends the load reports of a period and schedules the next ones.
+// reportPeriodically sends the load reports of a period and schedules its next call.
 func (s *stream) reportPeriodically() {
 	p := s.proxy
 	if s.isClosed || s.generation != p.generation {
 		return
 	}
 	p.loop.After(max(s.reportPeriod, minReportPeriod), s.reportPeriodically)
-	p.whenRunning(s.sendReports)
+	p.runAfterStall(s.sendReports)
 }
 
 func (s *stream) sendReports() {
@@ -76,12 +76,12 @@
 	replica.report.attempts++
 	if outcome == invariants.Succeeded {
 		replica.report.totalLatency += float64(now - a.startedAt)
-		replica.failures = 0
+		replica.consecutiveFailures = 0
 	} else {
 		replica.report.errors++
-		replica.failures++
-		if p.EjectAfter > 0 && replica.failures >= p.EjectAfter {
-			replica.failures = 0
+		replica.consecutiveFailures++
+		if p.EjectAfter > 0 && replica.consecutiveFailures >= p.EjectAfter {
+			replica.consecutiveFailures = 0
 			replica.avoidUntil = now + p.EjectFor
 		}
 	}
--- a/internal/standin/proxy/request.go
+++ b/internal/standin/proxy/request.go
@@ -16,8 +16,8 @@
 // The results of requests.
 const (
 	Succeeded   Result = iota
-	RateLimited        // not sent, or rejected by every replica that received it
-	Failed             // an error, or no response within the operation's timeout
+	RateLimited        // not sent, or the last attempt was rejected or could not connect
+	Failed             // the last attempt failed otherwise, or the operation's timeout elapsed
 )
 
 // Request is a client's request to the proxy.
@@ -32,17 +32,17 @@
 // request is a client's request while the proxy handles it.
 type request struct {
 	*Request
-	proxy       *Proxy
-	generation  int // the proxy's when the request started
-	startedAt   model.Microseconds
-	timeout     *standin.Timer
-	attempts    int
-	pending     int // attempts in progress
-	retriesLeft int // retries that are still allowed
-	policy      model.RetryPolicy
-	epoch       uint64 // of the lease holder when the request started
-	isFinished  bool
-	timeLimits  Operation
+	proxy           *Proxy
+	generation      int // the proxy's generation when the request started
+	startedAt       model.Microseconds
+	timeout         *standin.Timer
+	attempts        int
+	pending         int // attempts in progress
+	retriesLeft     int // retries that are still allowed
+	policy          model.RetryPolicy
+	epoch           uint64 // newest epoch that the proxy had seen when the request started
+	isFinished      bool
+	operationLimits Operation
 }
 
 // attempt is one attempt at a request.
@@ -57,36 +57,36 @@
 }
 
 // HandleRequest accepts a client's request. The request's Done is called once, on the loop.
-func (p *Proxy) HandleRequest(submitted *Request) {
-	p.whenRunning(func() { p.startRequest(submitted) })
+func (p *Proxy) HandleRequest(clientRequest *Request) {
+	p.runAfterStall(func() { p.startRequest(clientRequest) })
 }
 
-func (p *Proxy) startRequest(submitted *Request) {
+func (p *Proxy) startRequest(clientRequest *Request) {
 	if !p.running {
-		submitted.Done(Failed, 0)
+		clientRequest.Done(Failed, 0)
 		return
 	}
-	share, policy := p.quota(submitted.Operation)
+	share, policy := p.quotaAndPolicy(clientRequest.Operation)
 	if share < 1 && p.random.Float() >= share {
-		submitted.Done(RateLimited, 0)
+		clientRequest.Done(RateLimited, 0)
 		return
 	}
 	replica := p.pickReplica(model.ReplicaID{})
 	if replica == nil {
-		submitted.Done(RateLimited, 0)
+		clientRequest.Done(RateLimited, 0)
 		return
 	}
 	r := &request{
-		Request:     submitted,
-		proxy:       p,
-		generation:  p.generation,
-		startedAt:   p.loop.Now(),
-		retriesLeft: maxRetries(policy),
-		policy:      policy,
-		epoch:       p.fence.Epoch,
-		timeLimits:  p.Operations[submitted.Operation],
-	}
-	r.timeout = p.loop.After(r.timeLimits.Timeout, func() { r.finish(Failed) })
+		Request:         clientRequest,
+		proxy:           p,
+		generation:      p.generation,
+		startedAt:       p.loop.Now(),
+		retriesLeft:     maxRetries(policy),
+		policy:          policy,
+		epoch:           p.fence.Epoch,
+		operationLimits: p.Operations[clientRequest.Operation],
+	}
+	r.timeout = p.loop.After(r.operationLimits.Timeout, func() { r.finish(Failed) })
 	r.sendTo(replica)
 }
 
@@ -114,22 +114,22 @@
 
 // timeLeft returns the remaining part of the operation's timeout.
 func (r *request) timeLeft(now model.Microseconds) model.Microseconds {
-	return r.timeLimits.Timeout - (now - r.startedAt)
+	return r.operationLimits.Timeout - (now - r.startedAt)
 }
 
-// sendTo starts an attempt at a replica. An attempt that may be retried after a timeout has a shorter timeout than the
-// request.
+// sendTo starts an attempt at a replica. If the request may be retried after a timeout, the timeout of the attempt is
+// limited by FirstAttemptShare.
 func (r *request) sendTo(replica *replicaState) {
 	p := r.proxy
 	r.attempts++
 	r.pending++
 	replica.inFlight++
 	a := &attempt{request: r, number: r.attempts, replica: replica, startedAt: p.loop.Now()}
-	wait := r.timeLeft(a.startedAt)
+	timeout := r.timeLeft(a.startedAt)
 	if r.retriesLeft > 0 && r.policy >= model.RetryOnAnyFailure {
-		wait = min(wait, model.Microseconds(p.FirstAttemptShare*float64(r.timeLimits.LatencyObjective)))
+		timeout = min(timeout, model.Microseconds(p.FirstAttemptShare*float64(r.operationLimits.LatencyObjective)))
 	}
-	a.timeout = p.loop.After(max(wait, 0), func() { a.finish(invariants.TimedOut, nil) })
+	a.timeout = p.loop.After(max(timeout, 0), func() { a.finish(invariants.TimedOut, nil) })
 	p.connectAttempt(a)
 }
 
@@ -180,7 +180,7 @@
 		return
 	}
 	switch {
-	case req.pending > 0:
+	case req.pending > 0: // another attempt decides the result
 	case outcome.NotExecuted():
 		req.finish(RateLimited)
 	default:
@@ -188,7 +188,7 @@
 	}
 }
 
-// releaseConnection detaches the attempt from its connection, if it has one.
+// releaseConnection detaches the attempt from its connection, if it has one. After a timeout it closes the connection.
 func (a *attempt) releaseConnection(outcome invariants.Outcome, now model.Microseconds) {
 	if a.connection == nil {
 		return
@@ -207,16 +207,19 @@
 	}
 }
 
-// minRetryTimeDivisor limits retries: the time left must exceed the latency objective divided by this.
+// minRetryTimeDivisor limits retries: the time left must exceed the latency objective divided by minRetryTimeDivisor.
 const minRetryTimeDivisor = 10
 
-// retry starts another attempt at another replica, if the policy, the time left and the table allow it.
+// retry starts an attempt at another replica if the policy, the time left and the table allow it. It reports whether it
+// has started one.
 func (r *request) retry(failed *attempt, outcome invariants.Outcome, now model.Microseconds) bool {
-	if r.epoch != r.proxy.fence.Epoch { // a former lease holder set the request's policy
+	// A policy that a former lease holder set allows only retries of attempts that were not executed. The policies are
+	// ordered by the retries that they allow.
+	if r.epoch != r.proxy.fence.Epoch {
 		r.policy = min(r.policy, model.RetryIfNotExecuted)
 	}
 	allowed := outcome.NotExecuted() || r.policy >= model.RetryOnAnyFailure
-	enoughTime := r.timeLeft(now) > r.timeLimits.LatencyObjective/minRetryTimeDivisor
+	enoughTime := r.timeLeft(now) > r.operationLimits.LatencyObjective/minRetryTimeDivisor
 	if r.retriesLeft <= 0 || r.isFinished || !allowed || !enoughTime {
 		return false
 	}
--- a/internal/standin/proxy/stream.go
+++ b/internal/standin/proxy/stream.go
@@ -16,7 +16,7 @@
 // stream is a connection to an instance.
 type stream struct {
 	proxy      *Proxy
-	generation int // the proxy's at the time of the dial
+	generation int // the proxy's generation when it dialed the stream
 	instance   Instance
 	conn       *nbio.Conn
 	reader     *resp.Reader
@@ -25,33 +25,33 @@
 	isClosed   bool
 	beforeJoin []byte // bytes received before the reply to the join
 
-	reportPeriod   model.Microseconds // of the load reports
-	reportSequence uint64
-	resyncedAt     model.Microseconds // when a snapshot was last requested; 0: never
+	reportPeriod      model.Microseconds // of the load reports
+	reportSequence    uint64
+	resyncRequestedAt model.Microseconds // when a snapshot was last requested; 0: never
 }
 
 const (
 	minDialTimeout    = 100 * model.Millisecond
 	minRedialInterval = model.Millisecond
-	// maxWaitMilliseconds limits the wait that an instance can request of a proxy.
+	// maxWaitMilliseconds is the limit of the wait that an instance can request. The proxy ignores longer waits.
 	maxWaitMilliseconds = 600_000
 )
 
 // dialTimeout is the timeout for establishing a connection.
 func (p *Proxy) dialTimeout() model.Microseconds { return max(p.DialTimeout, minDialTimeout) }
 
-// dialAfter dials the next instance after a delay, unless the proxy has a stream by then.
+// dialAfter dials the instance with index nextInstance after a delay, unless the proxy has a stream by then.
 func (p *Proxy) dialAfter(delay model.Microseconds) {
 	generation := p.generation
 	p.loop.After(delay, func() {
 		if p.generation != generation || p.stream != nil && !p.stream.isClosed {
 			return
 		}
-		p.whenRunning(p.dial)
+		p.runAfterStall(p.dial)
 	})
 }
 
-// redial dials after one to three redial intervals.
+// redial dials the instance with index nextInstance after one to three redial intervals.
 func (p *Proxy) redial() { p.dialAfter(p.redialWait(1, 3)) }
 
 // redialWait draws a wait between two multiples of the redial interval.
@@ -59,7 +59,7 @@
 	return model.Microseconds(p.random.Between(minFactor, maxFactor) * float64(max(p.RedialInterval, minRedialInterval)))
 }
 
-// redialNext dials the next instance after one to three redial intervals.
+// redialNext advances to the next instance and dials it after one to three redial intervals.
 func (p *Proxy) redialNext() {
 	p.nextInstance++
 	p.redial()
@@ -81,13 +81,13 @@
 
 // onDialed handles the result of a dial.
 func (s *stream) onDialed(conn *nbio.Conn, err error) {
-	current := s.generation == s.proxy.generation && !s.isClosed
+	isCurrent := s.generation == s.proxy.generation && !s.isClosed
 	switch {
-	case err != nil && current:
+	case err != nil && isCurrent:
 		s.close()
 		s.proxy.redialNext()
-	case err != nil:
-	case !current:
+	case err != nil: // an abandoned dial failed
+	case !isCurrent:
 		_ = conn.Close()
 	default:
 		s.conn = conn
@@ -128,14 +128,13 @@
 	}
 }
 
-// onData is called on the poller's goroutine. Bytes count as observed when the proxy reads them, which a stall
-// postpones.
+// onData is called on the poller's goroutine. A stalled proxy reads the bytes after the stall; they are observed then.
 func (s *stream) onData(data []byte) {
 	s.proxy.loop.Post(func() {
 		if s.isClosed || s.generation != s.proxy.generation {
 			return
 		}
-		s.proxy.whenRunning(func() { s.parse(data) })
+		s.proxy.runAfterStall(func() { s.parse(data) })
 	})
 }
 
@@ -187,7 +186,7 @@
 			s.handleJoinReply(value.Items)
 		}
 	case pubsubmsg.IsMessage(value):
-		if m, err := pubsubmsg.Parse(value); err == nil {
+		if m, err := pubsubmsg.Parse(value); err == nil { // a malformed message is ignored
 			s.handleMessage(m)
 		}
 	case value.Kind == resp.Push && len(value.Items) == 2 && value.Items[0].Text == "elsewhere":
@@ -227,8 +226,8 @@
 	return 0, false
 }
 
-// handleJoinRejection handles the error of an instance that rejects the join: the proxy joins later, or joins another
-// instance.
+// handleJoinRejection handles the error of an instance that rejects the join. The proxy dials the same instance later,
+// or another one.
 func (p *Proxy) handleJoinRejection(text string) {
 	var wait int
 	if n, _ := fmt.Sscanf(text, "LATER %d ", &wait); n == 1 && isAllowedWait(wait) {
@@ -253,7 +252,8 @@
 	return milliseconds >= 0 && milliseconds < maxWaitMilliseconds
 }
 
-// redirectTo dials the lease holder of this proxy's shard. If no instance has the given address, it dials the next one.
+// redirectTo dials the instance with the given address, which holds the lease of the proxy's shard. If no instance has
+// this address, it dials the next instance.
 func (p *Proxy) redirectTo(address string) {
 	p.Redirected++
 	p.nextInstance++
@@ -265,13 +265,13 @@
 	p.redial()
 }
 
-// leaveInstance dials the next instance. If the proxy knows no other, it dials the same one after the time that the
-// instance gave, plus up to two redial intervals at random so that not all proxies reconnect at once.
-func (p *Proxy) leaveInstance(milliseconds int) {
+// leaveInstance dials the next instance. If the proxy knows only one instance, it dials it again after the wait that
+// the instance requested, plus up to two redial intervals at random so that not all proxies reconnect at once.
+func (p *Proxy) leaveInstance(waitMilliseconds int) {
 	p.nextInstance++
-	if len(p.Instances) > 1 || !isAllowedWait(milliseconds) {
+	if len(p.Instances) > 1 || !isAllowedWait(waitMilliseconds) {
 		p.redial()
 		return
 	}
-	p.dialAfter(model.Microseconds(milliseconds)*model.Millisecond + p.redialWait(0, 2))
+	p.dialAfter(model.Microseconds(waitMilliseconds)*model.Millisecond + p.redialWait(0, 2))
 }
--- a/internal/standin/proxy/table.go
+++ b/internal/standin/proxy/table.go
@@ -25,20 +25,20 @@
 
 // replicaState is the proxy's state for a replica: requests in flight, failures, connections and load report.
 type replicaState struct {
-	id         model.ReplicaID
-	inFlight   int
-	failures   int                // consecutive
-	avoidUntil model.Microseconds // the proxy sends it no requests until then, unless it avoids all replicas
-	idle       []*connection
-	report     replicaReport
+	id                  model.ReplicaID
+	inFlight            int
+	consecutiveFailures int
+	avoidUntil          model.Microseconds // the proxy sends it no requests until then, unless it avoids all replicas
+	idleConnections     []*connection
+	report              replicaReport
 }
 
 func newTable(standing []invariants.TableEntry) table {
-	created := table{withdrawn: map[model.ReplicaID]bool{}}
+	t := table{withdrawn: map[model.ReplicaID]bool{}}
 	for _, e := range standing {
-		created.entries = append(created.entries, &entry{id: e.Replica, weight: e.Weight})
+		t.entries = append(t.entries, &entry{id: e.Replica, weight: e.Weight})
 	}
-	return created
+	return t
 }
 
 // Bound reports whether the proxy uses a table that an instance published, not its standing table.
@@ -52,11 +52,11 @@
 }
 
 // HeldEntries returns the entries of the proxy's table, including those of withdrawn replicas.
-func (p *Proxy) HeldEntries() (all []HeldEntry) {
+func (p *Proxy) HeldEntries() (entries []HeldEntry) {
 	for _, e := range p.table.entries {
-		all = append(all, HeldEntry{e.id, e.weight, p.table.withdrawn[e.id]})
+		entries = append(entries, HeldEntry{e.id, e.weight, p.table.withdrawn[e.id]})
 	}
-	return all
+	return entries
 }
 
 func (p *Proxy) replicaState(id model.ReplicaID) *replicaState {
@@ -68,9 +68,9 @@
 	return r
 }
 
-// quota returns the admitted share of an operation's requests and their retry policy. Both come from the newest quota
-// that covers the operation.
-func (p *Proxy) quota(operation int) (share float64, policy model.RetryPolicy) {
+// quotaAndPolicy returns the admitted share of an operation's requests and their retry policy. Both come from the
+// newest quota that covers the operation.
+func (p *Proxy) quotaAndPolicy(operation int) (share float64, policy model.RetryPolicy) {
 	share, policy = 1, p.DefaultRetryPolicy
 	for _, q := range p.table.quotas {
 		if q.Operations == 0 || q.Operations&(1<<operation) != 0 {
@@ -190,15 +190,15 @@
 }
 
 // setEntry sets an entry's weight. Weight 0 removes the entry, unless removals are ignored.
-func (t *table) setEntry(changed pubsubmsg.Entry, ignoreRemoval bool) {
-	i := slices.IndexFunc(t.entries, func(e *entry) bool { return e.id == changed.Replica })
+func (t *table) setEntry(update pubsubmsg.Entry, ignoreRemoval bool) {
+	i := slices.IndexFunc(t.entries, func(e *entry) bool { return e.id == update.Replica })
 	switch {
-	case i >= 0 && changed.Weight > 0:
-		t.entries[i].weight = changed.Weight
+	case i >= 0 && update.Weight > 0:
+		t.entries[i].weight = update.Weight
 	case i >= 0 && !ignoreRemoval:
 		t.entries = slices.Delete(t.entries, i, i+1)
-	case i < 0 && changed.Weight > 0:
-		t.entries = append(t.entries, &entry{id: changed.Replica, weight: changed.Weight})
+	case i < 0 && update.Weight > 0:
+		t.entries = append(t.entries, &entry{id: update.Replica, weight: update.Weight})
 	}
 }
 
@@ -210,12 +210,12 @@
 	}
 }
 
-func (t *table) setQuota(changed pubsubmsg.Quota) {
-	i := slices.IndexFunc(t.quotas, func(q pubsubmsg.Quota) bool { return q.Operations == changed.Operations })
+func (t *table) setQuota(update pubsubmsg.Quota) {
+	i := slices.IndexFunc(t.quotas, func(q pubsubmsg.Quota) bool { return q.Operations == update.Operations })
 	if i >= 0 {
-		t.quotas[i] = changed
+		t.quotas[i] = update
 	} else {
-		t.quotas = append(t.quotas, changed)
+		t.quotas = append(t.quotas, update)
 	}
 }
 
@@ -227,7 +227,7 @@
 // closeUnusedConnections closes idle connections to replicas that are withdrawn or no longer in the table.
 func (p *Proxy) closeUnusedConnections() {
 	for id, r := range p.replicas {
-		if len(r.idle) > 0 && !p.table.holds(id) {
+		if len(r.idleConnections) > 0 && !p.table.holds(id) {
 			r.closeIdle()
 		}
 	}
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -84,7 +84,8 @@
 	i.Publish(batch)
 }
 
-// fixture holds two instances, a proxy and two replicas. The replicas send no responses after the first call of send.
+// fixture holds two instances, a proxy and two replicas. The replicas send no responses after the first call of
+// startSilentRequest.
 type fixture struct {
 	t             *testing.T
 	now           func() model.Microseconds
@@ -212,7 +213,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("condition does not hold: %s", conditionText)
+			t.Fatalf("timed out waiting until %s", conditionText)
 		}
 	}
 }
@@ -255,14 +256,14 @@
 	fixture.second.setEpoch(2)
 	fixture.first.setEpoch(0)
 	fixture.first.LeaseLost(0)
-	redirected := <-fixture.second.joined
+	redirectedProxy := <-fixture.second.joined
 	if n := fixture.awaitAttempts(number); n != 1 {
 		t.Errorf("%d attempts although the lease holder changed after the first, want 1", n)
 	}
 	if n := fixture.awaitAttempts(fixture.startSilentRequest()); n != 1 {
 		t.Errorf("%d attempts before the new lease holder has published a retry policy, want 1", n)
 	}
-	fixture.second.publish(redirected, model.RetryOnAnyFailure, fixture.ids...)
+	fixture.second.publish(redirectedProxy, model.RetryOnAnyFailure, fixture.ids...)
 	fixture.waitUntil("the proxy has applied the new holder's retry policy", func() bool {
 		return !fixture.proxy.awaitsNewHolder && fixture.proxy.JoinedInstance() == "b"
 	})
--- a/internal/standin/random.go
+++ b/internal/standin/random.go
@@ -33,7 +33,8 @@
 	return float64(mix(hash.Sum64())>>11) / (1 << 53)
 }
 
-// mix is MurmurHash3's finalizer. It spreads the low bits of an FNV hash, which hardly affect the hash's high bits.
+// mix spreads the low bits of an FNV hash over its high bits: the last bytes of an FNV input hardly affect the hash's
+// high bits. It is the first half of MurmurHash3's finalizer.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -47,8 +48,7 @@
 // Between draws uniformly from [a, b).
 func (r *Random) Between(a, b float64) float64 { return a + (b-a)*r.Float() }
 
-// Interval draws the time in seconds until the next event of a Poisson process. rate is in events
-// per second.
+// Interval draws the time in seconds until the next event of a Poisson process. rate is in events per second.
 func (r *Random) Interval(rate float64) float64 { return -math.Log(1-r.Float()) / rate }
 
 // LogNormal draws a log-normally distributed factor with mean 1 and the coefficient of variation cv.
--- a/internal/standin/registry/body.go
+++ b/internal/standin/registry/body.go
@@ -12,13 +12,13 @@
 
 // EndpointListJSON returns the endpoint list as JSON in the format of Consul's health endpoint.
 func (r *Registry) EndpointListJSON() []byte {
-	all := []consulcatalog.ServiceEntry{}
+	catalog := []consulcatalog.ServiceEntry{}
 	for _, entry := range r.entries {
-		all = append(all, r.catalogEntry(entry))
+		catalog = append(catalog, r.catalogEntry(entry))
 	}
-	body, err := json.Marshal(all)
+	body, err := json.Marshal(catalog)
 	if err != nil {
-		return []byte("[]") // does not happen: strings and numbers can always be marshaled
+		return []byte("[]") // cannot happen: the entries have only strings and numbers
 	}
 	return body
 }
@@ -27,7 +27,7 @@
 	address, portText, _ := strings.Cut(pubsubmsg.FormatAddress(entry.ID), ":")
 	node := "node-" + portText
 	id := r.service + "-" + portText
-	listed := consulcatalog.ServiceEntry{
+	catalogEntry := consulcatalog.ServiceEntry{
 		Node: consulcatalog.Node{Node: node, Address: address},
 		Service: consulcatalog.Service{
 			ID:      id,
@@ -41,15 +41,15 @@
 		},
 	}
 	if entry.StartedAt > 0 {
-		listed.Service.Meta["started"] = strconv.FormatInt(int64(entry.StartedAt/model.Millisecond), 10)
+		catalogEntry.Service.Meta["started"] = strconv.FormatInt(int64(entry.StartedAt/model.Millisecond), 10)
 	}
 	if entry.Draining {
-		listed.Checks = append(listed.Checks, consulcatalog.Check{
+		catalogEntry.Checks = append(catalogEntry.Checks, consulcatalog.Check{
 			Node:    node,
 			CheckID: "_service_maintenance:" + id,
 			Name:    "Service Maintenance Mode",
 			Status:  "critical",
 		})
 	}
-	return listed
+	return catalogEntry
 }
--- a/internal/standin/registry/query.go
+++ b/internal/standin/registry/query.go
@@ -35,7 +35,7 @@
 type query struct {
 	conn     *nbio.Conn
 	instance string
-	index    uint64
+	index    uint64 // index of the list that the client has; 0: the query does not block
 	timer    *standin.Timer
 }
 
@@ -51,7 +51,7 @@
 		_, _ = conn.Write(http1.AppendResponse(nil, 404, nil))
 	case service != r.service:
 		_, _ = conn.Write(http1.AppendResponse(nil, 200, []byte("[]"), indexHeader, "1", contentType, jsonContent))
-	case r.Faults.Silent:
+	case r.Faults.Silent: // no response
 	case r.Faults.Fails:
 		respondNoLeader(conn)
 	default:
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -1,5 +1,5 @@
 // Package registry is a stand-in for an endpoint registry. It serves Consul's health endpoint with blocking queries as
-// Consul documents them. On demand, its responses fail or are delayed.
+// Consul documents them. Faults make its responses fail or arrive late.
 package registry
 
 import (
@@ -51,9 +51,9 @@
 
 // New starts a registry that listens on an address. observe is called on the loop with each endpoint list that is sent.
 // New fails if it cannot listen on the address.
-func New(loop *standin.Loop, listen, service string, observe func(invariants.Event)) (*Registry, error) {
+func New(loop *standin.Loop, listenAddress, service string, observe func(invariants.Event)) (*Registry, error) {
 	r := &Registry{loop: loop, service: service, observe: observe, index: firstIndex}
-	engine, err := netpoll.Start(1, r.handlers(), listen)
+	engine, err := netpoll.Start(1, r.handlers(), listenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
@@ -83,9 +83,9 @@
 
 // Remove removes an entry if there is one with this ID.
 func (r *Registry) Remove(id model.ReplicaID) {
-	before := len(r.entries)
+	countBefore := len(r.entries)
 	r.entries = slices.DeleteFunc(r.entries, func(entry Entry) bool { return entry.ID == id })
-	if len(r.entries) < before {
+	if len(r.entries) < countBefore {
 		r.listChanged()
 	}
 }
--- a/internal/standin/replica/deduplication.go
+++ b/internal/standin/replica/deduplication.go
@@ -20,8 +20,8 @@
 	if len(g.firstSeenAt) > maxKeysBeforeExpiry {
 		g.removeOlderThan(now - window)
 	}
-	at, known := g.firstSeenAt[key]
-	if known && now-at <= window {
+	firstSeen, known := g.firstSeenAt[key]
+	if known && now-firstSeen <= window {
 		return true
 	}
 	g.firstSeenAt[key] = now
--- a/internal/standin/replica/load.go
+++ b/internal/standin/replica/load.go
@@ -35,11 +35,11 @@
 
 type arrival struct {
 	at   model.Microseconds
-	work float64
+	work float64 // in microseconds
 }
 
-// totalWith adds an arrival and returns the work received within the span that ends with it.
-func (m *overloadMeter) totalWith(a arrival, span model.Microseconds) float64 {
+// addArrival adds an arrival and returns the work received within the span that ends with it.
+func (m *overloadMeter) addArrival(a arrival, span model.Microseconds) float64 {
 	m.recent = append(m.recent, a)
 	for len(m.recent) > 0 && m.recent[0].at <= a.at-span {
 		m.recent = m.recent[1:]
@@ -57,7 +57,7 @@
 	if r.availableShare(now) >= 1 || r.OverloadFactor <= 0 {
 		return false
 	}
-	total := r.overload.totalWith(arrival{now, work}, r.OverloadWindow)
+	total := r.overload.addArrival(arrival{now, work}, r.OverloadWindow)
 	if total-work > r.OverloadFactor*r.capacity()*r.availableShare(now)*float64(r.OverloadWindow) {
 		r.Overloaded = true
 	}
--- a/internal/standin/replica/replica.go
+++ b/internal/standin/replica/replica.go
@@ -20,12 +20,12 @@
 	Zone, DeduplicationGroup string // the group's replicas deduplicate requests among themselves
 	Cores                    int
 	Speed                    float64 // of a core: microseconds of work per microsecond
-	QueueLimit               int     // waiting requests; requests above it are rejected
-	MaxConnections           int     // open at the same time
+	QueueLimit               int     // maximum number of waiting requests; requests above it are rejected
+	MaxConnections           int     // open at the same time; connections above it are closed
 	InitialShare             float64 // of the capacity, right after a cold start
 	WarmUpPeriod             model.Microseconds
-	OverloadFactor           float64            // multiple of the capacity: a warming replica that receives more work...
-	OverloadWindow           model.Microseconds // ...within this window fails until it is restarted
+	OverloadFactor           float64            // a warming replica fails above this multiple of its current capacity
+	OverloadWindow           model.Microseconds // window of OverloadFactor; only a restart ends the failure
 	ReportInterval           model.Microseconds // between two refreshes of the load report
 	HandshakeWork            float64            // work of accepting a connection, in microseconds
 }
@@ -39,7 +39,7 @@
 	ReportsIdle       bool         // reports a low utilization at any load
 	FailingOperations map[int]bool // by index of the operation; responds with status 500
 
-	StartedAt  model.Microseconds // 0: it started before the scenario and is warm
+	StartedAt  model.Microseconds // 0: the replica started warm
 	Running    bool
 	Overloaded bool // it has failed because of overload
 	Served     int  // number of requests executed and answered, over all runs
@@ -73,8 +73,8 @@
 	}
 }
 
-// Start listens on the replica's address, which stays the same over restarts. The replica is cold or warm at first.
-// Start does nothing if the replica is running. It fails if it cannot listen on the address.
+// Start listens on the replica's address, which stays the same over restarts. A replica that starts cold warms up over
+// WarmUpPeriod. Start does nothing if the replica is running. It fails if it cannot listen on the address.
 func (r *Replica) Start(cold bool) error {
 	if r.Running {
 		return nil
--- a/internal/standin/replica/serve.go
+++ b/internal/standin/replica/serve.go
@@ -17,7 +17,7 @@
 const (
 	executed    = "yes"
 	notExecuted = "no"
-	repeated    = "repeat" // executed before, as an earlier request with the same key
+	repeated    = "repeat" // not executed again: an earlier request had the same idempotency key
 )
 
 // handlers returns handlers that post the sockets' events to the loop. Events of another generation are ignored.
@@ -73,13 +73,13 @@
 // request is a request that waits for a core or is being executed.
 type request struct {
 	conn          *nbio.Conn
-	work          float64
+	work          float64 // in microseconds
 	operation     int
 	number        uint64
 	clientAttempt int
 }
 
-var errInvalidRequest = errors.New("not a request for a replica")
+var errInvalidRequest = errors.New("request is not a POST or its operation is unknown")
 
 func (r *Replica) parseRequest(conn *nbio.Conn, message *http1.Message) (*request, error) {
 	if message.Method != "POST" {
@@ -87,15 +87,15 @@
 	}
 	work, err := strconv.ParseFloat(message.Header["work-us"], 64)
 	if err != nil {
-		return nil, fmt.Errorf("work: %w", err)
+		return nil, fmt.Errorf("header work-us: %w", err)
 	}
 	operation, err := strconv.Atoi(message.Header["operation"])
 	if err != nil {
-		return nil, fmt.Errorf("operation: %w", err)
+		return nil, fmt.Errorf("header operation: %w", err)
 	}
 	number, err := strconv.ParseUint(message.Header["invocation"], 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("request: %w", err)
+		return nil, fmt.Errorf("header invocation: %w", err)
 	}
 	if operation < 0 || operation >= len(r.deduplicationWindows) {
 		return nil, errInvalidRequest
@@ -164,7 +164,7 @@
 	}
 }
 
-// finishRequest ends a request's work and frees its core.
+// finishRequest frees a request's core, answers the request and serves the next one.
 func (r *Replica) finishRequest(req *request, duration float64) {
 	r.queue.busyCores--
 	r.load.coreTime += duration
--- a/internal/testaddr/testaddr.go
+++ b/internal/testaddr/testaddr.go
@@ -30,13 +30,13 @@
 	firstPort = 10000
 	lastPort  = 29999
 
-	firstSecondOctet = 64
+	minSecondOctet   = 64
 	hostAddressCount = 64 << 16 // number of IP addresses from 127.64.0.0 to 127.127.255.255
-	claimAttempts    = 1000
+	claimAttempts    = 1000     // number of IP addresses that are tried
 )
 
-// errPortsExhausted is returned when a process has used all ports.
-var errPortsExhausted = errors.New("testaddr: all ports have been handed out")
+// errPortsExhausted is returned when all ports from firstPort to lastPort have been tried.
+var errPortsExhausted = errors.New("testaddr: all ports of the claimed IP address have been handed out")
 
 // processAllocator claims an IP address for this process at its first use.
 var processAllocator = sync.OnceValues(func() (*allocator, error) { return newAllocator(os.Getpid()) })
@@ -83,7 +83,7 @@
 // hostAddress returns the IP address with an index in 127.64.0.0/10. Indexes wrap around after the last address.
 func hostAddress(index int) string {
 	index %= hostAddressCount
-	return net.IPv4(127, byte(firstSecondOctet+index>>16), byte(index>>8), byte(index)).String()
+	return net.IPv4(127, byte(minSecondOctet+index>>16), byte(index>>8), byte(index)).String()
 }
 
 // next returns the address with the next free port.
--- a/internal/testaddr/testaddr_test.go
+++ b/internal/testaddr/testaddr_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// startChild starts a process that keeps an IP address claimed until the test ends, and returns the address.
+// startChild starts a process that keeps an IP address claimed until the test ends, and returns the IP address.
 func startChild(t *testing.T) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -152,8 +152,8 @@
 
 func TestHostAddressWrapsAroundAfterLastAddress(t *testing.T) {
 	tests := []struct {
-		number int
-		want   string
+		index int
+		want  string
 	}{
 		{0, "127.64.0.0"},
 		{1, "127.64.0.1"},
@@ -162,8 +162,8 @@
 		{hostAddressCount, "127.64.0.0"},
 	}
 	for _, tt := range tests {
-		t.Run(strconv.Itoa(tt.number), func(t *testing.T) {
-			if got := hostAddress(tt.number); got != tt.want {
+		t.Run(strconv.Itoa(tt.index), func(t *testing.T) {
+			if got := hostAddress(tt.index); got != tt.want {
 				t.Errorf("got %s, want %s", got, tt.want)
 			}
 		})
