--- a/internal/invariants/attempts.go
+++ b/internal/invariants/attempts.go
@@ -10,10 +10,10 @@
 // attempts at the same request.
 func (c *checker) attemptStarted(event AttemptStarted) {
 	key := requestKey{event.Request, event.ClientAttempt}
-	earlier := c.attempts[key]
-	c.attempts[key] = append(earlier, &attempt{AttemptStarted: event})
+	previousAttempts := c.attempts[key]
+	c.attempts[key] = append(previousAttempts, &attempt{AttemptStarted: event})
 	c.checkDrain(event)
-	for _, previous := range earlier {
+	for _, previous := range previousAttempts {
 		c.checkRetry(previous, event)
 	}
 }
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -47,27 +47,27 @@
 // proxyState is the state of a proxy as derived from the messages that it received.
 type proxyState struct {
 	name             string
-	epoch            uint64            // the newest epoch of the messages that it received
-	epochHolder      map[uint64]string // the instance that published in each epoch
+	epoch            uint64            // the newest epoch of the messages that the proxy received
+	holderByEpoch    map[uint64]string // the instance that published in each epoch
 	running          bool
 	instance         *instanceState // nil: not joined
 	joinedAt         model.Microseconds
 	reader           *resp.Reader
 	weights          map[model.ReplicaID]float64
 	withdrawn        map[model.ReplicaID]bool
-	emptySince       model.Microseconds   // notEmpty: the proxy has a usable entry or is not joined
-	lastPublishedAt  model.Microseconds   // the newest publication time in a message to it, by the publisher's clock
+	emptySince       model.Microseconds   // noEmptyPeriod: the proxy has a usable entry or is not joined
+	lastPublishedAt  model.Microseconds   // newest publication time of the messages to the proxy, by the publisher's clock
 	publicationTimes []model.Microseconds // publication times of the messages on this stream, by the publisher's clock
 }
 
 // instanceState holds the notifications that a control-plane instance received, and the messages that it sent.
 type instanceState struct {
 	name            string
-	drainNotifiedAt map[model.ReplicaID]model.Microseconds // when it was notified that the replica drains or is gone
-	startNotifiedAt map[model.ReplicaID]model.Microseconds // when it was notified of the replica's newest start
-	startedAt       map[model.ReplicaID]model.Microseconds
-	listed          map[model.ReplicaID]bool
-	warmListedFrom  model.Microseconds // since when a ready, warm replica is listed; never: none is listed
+	drainNotifiedAt map[model.ReplicaID]model.Microseconds // when the instance was notified of a drain or removal
+	startNotifiedAt map[model.ReplicaID]model.Microseconds // when the instance was notified of the replica's newest start
+	newestStartAt   map[model.ReplicaID]model.Microseconds // newest start time in the endpoint lists
+	everListed      map[model.ReplicaID]bool               // replicas that any endpoint list so far contained
+	warmListedFrom  model.Microseconds                     // when a listed replica is warm (may be later); never: none
 	sentMessages    []sentMessage
 }
 
@@ -99,8 +99,8 @@
 }
 
 const (
-	never    = model.Microseconds(math.MaxInt64)
-	notEmpty = model.Microseconds(-1)
+	never         = model.Microseconds(math.MaxInt64) // later than every time
+	noEmptyPeriod = model.Microseconds(-1)            // value of emptySince outside of empty periods
 )
 
 func newChecker(limits Limits) *checker {
@@ -142,8 +142,8 @@
 			name:            name,
 			drainNotifiedAt: map[model.ReplicaID]model.Microseconds{},
 			startNotifiedAt: map[model.ReplicaID]model.Microseconds{},
-			startedAt:       map[model.ReplicaID]model.Microseconds{},
-			listed:          map[model.ReplicaID]bool{},
+			newestStartAt:   map[model.ReplicaID]model.Microseconds{},
+			everListed:      map[model.ReplicaID]bool{},
 			warmListedFrom:  never,
 		}
 		c.instances[name] = i
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -29,8 +29,8 @@
 	MessageWindow:  10 * second,
 }
 
-// timeline holds the observations of a small run. In each, proxy till joins instance g at second 1, replicas 1 and 2
-// are listed, each in its own deduplication group, and the standing table of the proxy contains replica 1.
+// timeline holds the observations of a small run. In each, the proxy "till" joins the instance "g" after one second,
+// replicas 1 and 2 are listed, each in its own deduplication group, and the proxy's standing table contains replica 1.
 type timeline []Event
 
 func newTimeline() timeline {
@@ -38,12 +38,12 @@
 		ProxyStarted{At: 0, Proxy: "till", Standing: []TableEntry{{id(1), 1}}},
 		ReplicaStarted{At: 0, Replica: id(1), DeduplicationGroup: "a", Capacity: 1, InitialShare: 1},
 		ReplicaStarted{At: 0, Replica: id(2), DeduplicationGroup: "b", Capacity: 1, InitialShare: 1},
-		listed(0, 1, 2),
+		endpointsListed(0, 1, 2),
 		StreamChanged{At: 1 * second, Proxy: "till", Instance: "g", Up: true},
 	}
 }
 
-func listed(at model.Microseconds, numbers ...byte) EndpointsSent {
+func endpointsListed(at model.Microseconds, numbers ...byte) EndpointsSent {
 	var all []string
 	for _, n := range numbers {
 		all = append(all, fmt.Sprintf(`{"Service":{"Address":"127.0.0.%d","Port":80,"Meta":{"zone":"govan"}}}`, n))
@@ -51,7 +51,7 @@
 	return EndpointsSent{At: at, Instance: "g", Body: []byte("[" + strings.Join(all, ",") + "]")}
 }
 
-func listedWarming(at model.Microseconds, n byte, since model.Microseconds) EndpointsSent {
+func warmingEndpointListed(at model.Microseconds, n byte, since model.Microseconds) EndpointsSent {
 	const entry = `[{"Service":{"Address":"127.0.0.%d","Port":80,"Meta":{"zone":"govan","started":"%d"}}}]`
 	return EndpointsSent{At: at, Instance: "g", Body: fmt.Appendf(nil, entry, n, since/model.Millisecond)}
 }
@@ -68,15 +68,17 @@
 	return messageReceived(at, pubsubmsg.Message{Withdrawals: []pubsubmsg.Withdrawal{{Replica: id(1), Withdrawn: true}}})
 }
 
-func attemptAt(at model.Microseconds, op int, n byte, count int) AttemptStarted {
-	return AttemptStarted{At: at, Proxy: "till", Replica: id(n), Operation: op, Request: requestNumber, Attempt: count}
+func attemptSent(at model.Microseconds, op int, n byte, attemptNumber int) AttemptStarted {
+	return AttemptStarted{
+		At: at, Proxy: "till", Replica: id(n), Operation: op, Request: requestNumber, Attempt: attemptNumber,
+	}
 }
 
 func firstAttemptEnded(at model.Microseconds, o Outcome) AttemptEnded {
 	return AttemptEnded{At: at, Request: requestNumber, Attempt: 1, Outcome: o}
 }
 
-// steadyLoad returns work that arrives at a replica at a constant rate.
+// steadyLoad returns ten arrivals per second at a replica, each with the given work in microseconds.
 func steadyLoad(replica byte, from, to model.Microseconds, work float64) (arrivals timeline) {
 	for at := from; at < to; at += second / 10 {
 		arrivals = append(arrivals, WorkArrived{At: at, Replica: id(replica), Proxy: "till", Work: work})
@@ -84,7 +86,7 @@
 	return arrivals
 }
 
-// violationCase is a timeline that violates one invariant, or that narrowly does not.
+// violationCase is a timeline that either violates one invariant or violates none.
 type violationCase struct {
 	name     string
 	violated bool
@@ -102,8 +104,8 @@
 }
 
 var emptyTableCases = []violationCase{
-	{"no usable entry for three seconds", true, timeline{withdrawalReceived(5 * second)}},
-	{"no usable entry for one second", false, timeline{
+	{"no usable entry until five seconds after the replicas are warm", true, timeline{withdrawalReceived(5 * second)}},
+	{"no usable entry for one second before the replicas are warm", false, timeline{
 		withdrawalReceived(5 * second),
 		messageReceived(6*second, pubsubmsg.Message{Entries: []pubsubmsg.Entry{{Replica: id(2), Weight: 1}}}),
 	}},
@@ -111,57 +113,57 @@
 		withdrawalReceived(5 * second),
 		StreamChanged{At: 6 * second, Proxy: "till", Instance: "g"},
 	}},
-	{"no usable entry while only a warming replica is listed", false, timeline{
-		listedWarming(4*second, 2, 3*second),
+	{"no usable entry until two seconds after a warming replica is warm", false, timeline{
+		warmingEndpointListed(4*second, 2, 3*second),
 		withdrawalReceived(5 * second),
 	}},
-	{"no usable entry for some time after the replica is warm", true, timeline{
-		listedWarming(1*second, 2, 0),
-		listedWarming(2*second, 2, 1),
+	{"no usable entry until five seconds after a warming replica is warm", true, timeline{
+		warmingEndpointListed(1*second, 2, 0),
+		warmingEndpointListed(2*second, 2, 1),
 		withdrawalReceived(3 * second),
 	}},
 	{"endpoint lists while there is no usable entry", true, timeline{
 		withdrawalReceived(5 * second),
-		listed(6*second, 1, 2),
-		listed(7*second, 1, 2),
+		endpointsListed(6*second, 1, 2),
+		endpointsListed(7*second, 1, 2),
 	}},
 	{"a table without entries", true, timeline{messageReceived(5*second, pubsubmsg.Message{Full: true, Bound: true})}},
 }
 
 var repeatedEffectCases = []violationCase{
 	{"a payment repeated after a time-out", true, timeline{
-		attemptAt(5*second, 2, 1, 1),
+		attemptSent(5*second, 2, 1, 1),
 		firstAttemptEnded(6*second, TimedOut),
-		attemptAt(6*second, 2, 2, 2),
+		attemptSent(6*second, 2, 2, 2),
 	}},
 	{"a payment repeated after a rejection", false, timeline{
-		attemptAt(5*second, 2, 1, 1),
+		attemptSent(5*second, 2, 1, 1),
 		firstAttemptEnded(6*second, Rejected),
-		attemptAt(6*second, 2, 2, 2),
+		attemptSent(6*second, 2, 2, 2),
 	}},
 	{"a payment repeated before the first attempt ends", true, timeline{
-		attemptAt(5*second, 2, 1, 1),
-		attemptAt(5*second, 2, 2, 2),
+		attemptSent(5*second, 2, 1, 1),
+		attemptSent(5*second, 2, 2, 2),
 	}},
 	{"a log repeated in another deduplication group", true, timeline{
-		attemptAt(5*second, 1, 1, 1),
+		attemptSent(5*second, 1, 1, 1),
 		firstAttemptEnded(5*second, ConnectionLost),
-		attemptAt(5*second, 1, 2, 2),
+		attemptSent(5*second, 1, 2, 2),
 	}},
 	{"a log repeated in its deduplication group", false, timeline{
-		attemptAt(5*second, 1, 1, 1),
+		attemptSent(5*second, 1, 1, 1),
 		firstAttemptEnded(5*second, ConnectionLost),
-		attemptAt(5*second+second/2, 1, 1, 2),
+		attemptSent(5*second+second/2, 1, 1, 2),
 	}},
 	{"a log repeated in its deduplication group after the window", true, timeline{
-		attemptAt(5*second, 1, 1, 1),
+		attemptSent(5*second, 1, 1, 1),
 		firstAttemptEnded(5*second, ConnectionLost),
-		attemptAt(6*second+second/2, 1, 1, 2),
+		attemptSent(6*second+second/2, 1, 1, 2),
 	}},
 	{"a read repeated at another replica", false, timeline{
-		attemptAt(5*second, 0, 1, 1),
+		attemptSent(5*second, 0, 1, 1),
 		firstAttemptEnded(6*second, TimedOut),
-		attemptAt(6*second, 0, 2, 2),
+		attemptSent(6*second, 0, 2, 2),
 	}},
 	{"a payment executed twice", true, timeline{
 		RequestExecuted{At: 5 * second, Replica: id(1), Operation: 2, Request: 9},
@@ -171,32 +173,32 @@
 
 var drainCases = []violationCase{
 	{"an attempt three seconds after the notification of a drain", true, timeline{
-		listed(4*second, 2),
-		attemptAt(7*second, 0, 1, 1),
+		endpointsListed(4*second, 2),
+		attemptSent(7*second, 0, 1, 1),
 	}},
-	{"an attempt within the drain grace", false, timeline{listed(4*second, 2), attemptAt(5*second, 0, 1, 1)}},
+	{"an attempt within the drain grace", false, timeline{endpointsListed(4*second, 2), attemptSent(5*second, 0, 1, 1)}},
 	{"an attempt after the replica is listed again", false, timeline{
-		listed(4*second, 2),
-		listed(5*second, 1, 2),
-		attemptAt(7*second, 0, 1, 1),
+		endpointsListed(4*second, 2),
+		endpointsListed(5*second, 1, 2),
+		attemptSent(7*second, 0, 1, 1),
 	}},
 	{"an attempt within the drain grace after a new join", false, timeline{
-		listed(4*second, 2),
+		endpointsListed(4*second, 2),
 		StreamChanged{At: 5 * second, Proxy: "till", Instance: "g"},
 		StreamChanged{At: 6 * second, Proxy: "till", Instance: "g", Up: true},
-		attemptAt(7*second, 0, 1, 1),
+		attemptSent(7*second, 0, 1, 1),
 	}},
 }
 
 var coldStartCases = []violationCase{
 	{
 		"a warming replica receives ten times its capacity", true,
-		append(timeline{warmingReplicaStart, listedWarming(3*second, 3, 3*second)},
+		append(timeline{warmingReplicaStart, warmingEndpointListed(3*second, 3, 3*second)},
 			steadyLoad(3, 6*second, 9*second, 4e5)...),
 	},
 	{
 		"a warming replica receives no more than its capacity", false,
-		append(timeline{warmingReplicaStart, listedWarming(3*second, 3, 3*second)},
+		append(timeline{warmingReplicaStart, warmingEndpointListed(3*second, 3, 3*second)},
 			steadyLoad(3, 6*second, 9*second, 3e4)...),
 	},
 	{
@@ -211,7 +213,7 @@
 		messageReceived(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
 		messageReceived(6*second, pubsubmsg.Message{UpdatedAt: 5*second + 1, Cost: 60}),
 	}},
-	{"as many entries one message after the other", false, timeline{
+	{"sixty entries in flight, then sixty others", false, timeline{
 		messageReceived(6*second, pubsubmsg.Message{UpdatedAt: 5 * second, Cost: 60}),
 		messageReceived(7*second, pubsubmsg.Message{UpdatedAt: 6*second + 1, Cost: 60}),
 	}},
@@ -250,8 +252,8 @@
 	}
 }
 
-func TestViolationStatesProxyReplicaAndTimes(t *testing.T) {
-	events := append(newTimeline(), listed(4*second, 2), attemptAt(7*second, 0, 1, 1))
+func TestViolationStatesProxyReplicaAndTimesWhenADrainIsLate(t *testing.T) {
+	events := append(newTimeline(), endpointsListed(4*second, 2), attemptSent(7*second, 0, 1, 1))
 	for _, v := range Check(events, testLimits, 15*second) {
 		if v.Invariant == LateDrain && (len(v.Violations) != 1 || v.Violations[0] !=
 			"7.000 s: till sent to 127.0.0.1:80 3.000 s after g was notified that it drains or is gone, 2.000 s are allowed") {
@@ -260,14 +262,14 @@
 	}
 }
 
-func TestViolationListIsCutAtItsLimit(t *testing.T) {
-	all := append(newTimeline(), listed(4*second, 2))
+func TestViolationListIsTruncatedWhenItExceedsItsLimit(t *testing.T) {
+	events := append(newTimeline(), endpointsListed(4*second, 2))
 	for n := range 1000 {
 		at := 8*second + model.Microseconds(n)
-		all = append(all, AttemptStarted{At: at, Proxy: "till", Replica: id(1), Request: uint64(n), Attempt: 1})
+		events = append(events, AttemptStarted{At: at, Proxy: "till", Replica: id(1), Request: uint64(n), Attempt: 1})
 	}
-	if v := Check(all, testLimits, 15*second)[2]; len(v.Violations) != maxViolations+1 {
-		t.Fatalf("%d violations are listed", len(v.Violations))
+	if v := Check(events, testLimits, 15*second)[2]; len(v.Violations) != maxViolations+1 {
+		t.Fatalf("%d violations are listed, want maxViolations and a note that there are more", len(v.Violations))
 	}
 }
 
--- a/internal/invariants/coldstart.go
+++ b/internal/invariants/coldstart.go
@@ -9,9 +9,9 @@
 	"peppervale/internal/model"
 )
 
-// informed reports whether the proxy could know, when it sent the work, that the replica had just started. This is the
-// case if its instance has sent it an update after being notified of the start, or was notified of the start longer
-// than the drain grace ago.
+// informed reports whether the proxy could know, when it sent the request, that the replica had just started. A proxy
+// could know if its instance was notified of the start and has sent the proxy an update since. If the notification is
+// older than the drain grace, the instance must have sent an update, so the proxy counts as informed too.
 func (c *checker) informed(e WorkArrived) bool {
 	p := c.proxies[e.Proxy]
 	if p == nil || p.instance == nil {
@@ -42,39 +42,40 @@
 
 // workWindow holds the work that arrived within the last OverloadWindow.
 type workWindow struct {
-	arrivals []arrival
-	total    float64
-	informed float64
-	largest  float64 // largest work of one arrival since the replica's start
+	arrivals     []arrival
+	totalWork    float64 // in microseconds of a core of speed 1, like the next two fields
+	informedWork float64 // part of totalWork from informed proxies
+	largestWork  float64 // largest work of one arrival in this warm-up
 }
 
 func (w *workWindow) add(a arrival) {
 	w.arrivals = append(w.arrivals, a)
-	w.total += a.Work
+	w.totalWork += a.Work
 	if a.informed {
-		w.informed += a.Work
+		w.informedWork += a.Work
 	}
-	w.largest = max(w.largest, a.Work)
+	w.largestWork = max(w.largestWork, a.Work)
 }
 
-// removeArrivedBy removes the work that arrived at the given time or earlier.
-func (w *workWindow) removeArrivedBy(at model.Microseconds) {
+// removeArrivedUntil removes the work that arrived at the given time or earlier.
+func (w *workWindow) removeArrivedUntil(at model.Microseconds) {
 	for len(w.arrivals) > 0 && w.arrivals[0].At <= at {
 		a := w.arrivals[0]
 		w.arrivals = w.arrivals[1:]
-		w.total -= a.Work
+		w.totalWork -= a.Work
 		if a.informed {
-			w.informed -= a.Work
+			w.informedWork -= a.Work
 		}
 	}
 }
 
 // mostlyInformed reports whether at least two thirds of the work came from informed proxies. Otherwise an overload is
 // caused by proxies that could not know of the start yet, and is no violation.
-func (w *workWindow) mostlyInformed() bool { return w.informed >= w.total*2/3 }
+func (w *workWindow) mostlyInformed() bool { return w.informedWork >= w.totalWork*2/3 }
 
-// checkColdStart checks the windows during one warm-up that end with an arrival. The largest request is not counted, as
-// only a part of it may belong to the window.
+// checkColdStart checks, for each arrival during one warm-up, the window that ends with it. The work of the largest
+// arrival of the warm-up is subtracted, as only a part of that work may belong to the window. The description of a
+// result counts it.
 func (c *checker) checkColdStart(id model.ReplicaID, start ReplicaStarted, arrivals []arrival) {
 	window := &workWindow{}
 	for _, last := range arrivals {
@@ -83,21 +84,22 @@
 			continue
 		}
 		window.add(last)
-		window.removeArrivedBy(last.At - c.limits.OverloadWindow)
+		window.removeArrivedUntil(last.At - c.limits.OverloadWindow)
 		capacity := c.capacity(start, last.At)
-		ratio := (window.total - window.largest) / (c.limits.OverloadFactor * capacity)
+		ratio := (window.totalWork - window.largestWork) / (c.limits.OverloadFactor * capacity)
 		if ratio > 1 && !window.mostlyInformed() {
 			continue
 		}
 		c.results[ColdOverload].record(ratio,
 			"%s: %s, up for %s, was sent %.1f times what it can do within %s, %.1f are allowed",
 			c.sinceStart(last.At), pubsubmsg.FormatAddress(id), formatSeconds(last.At-start.At),
-			window.total/capacity, formatSeconds(c.limits.OverloadWindow), c.limits.OverloadFactor)
+			window.totalWork/capacity, formatSeconds(c.limits.OverloadWindow), c.limits.OverloadFactor)
 	}
 }
 
-// capacity returns the work that a warming replica can complete in the window that ends at the given time. As capacity
-// rises linearly, its mean is its value in the middle of the window.
+// capacity returns the work that a warming replica can complete within OverloadWindow at its mean capacity in the
+// window that ends at the given time. If the window begins before the start, the mean is that since the start. As the
+// capacity rises linearly, its mean is its value in the middle of the window.
 func (c *checker) capacity(start ReplicaStarted, end model.Microseconds) float64 {
 	from := max(start.At, end-c.limits.OverloadWindow)
 	middle := float64((from+end)/2-start.At) / float64(start.WarmUpPeriod)
--- a/internal/invariants/endpoints.go
+++ b/internal/invariants/endpoints.go
@@ -20,7 +20,7 @@
 		}
 	}
 	ready, warmFrom := instance.readyEndpoints(endpoints, list.At, c.limits.WarmUpPeriod)
-	for id := range instance.listed {
+	for id := range instance.everListed {
 		if _, known := instance.drainNotifiedAt[id]; !known && !ready[id] {
 			instance.drainNotifiedAt[id] = list.At
 		}
@@ -30,23 +30,23 @@
 	}
 }
 
-// readyEndpoints records the listed replicas and their start times. It returns the ready replicas and the earliest time
-// at which one of them is warm.
+// readyEndpoints records the listed replicas and their start times, and removes the drain notifications of the ready
+// replicas. It returns the ready replicas and the earliest time from now on at which one of them is warm.
 func (i *instanceState) readyEndpoints(
 	endpoints []model.Endpoint, now, warmUp model.Microseconds,
 ) (ready map[model.ReplicaID]bool, warmFrom model.Microseconds) {
 	ready = map[model.ReplicaID]bool{}
 	warmFrom = never
 	for _, endpoint := range endpoints {
-		i.listed[endpoint.ID] = true
+		i.everListed[endpoint.ID] = true
 		if endpoint.Status != model.EndpointReady {
 			continue
 		}
 		ready[endpoint.ID] = true
 		warmFrom = min(warmFrom, max(now, endpoint.StartedAt+warmUp))
 		delete(i.drainNotifiedAt, endpoint.ID)
-		if endpoint.StartedAt > 0 && i.startedAt[endpoint.ID] != endpoint.StartedAt {
-			i.startedAt[endpoint.ID] = endpoint.StartedAt
+		if endpoint.StartedAt > 0 && i.newestStartAt[endpoint.ID] != endpoint.StartedAt {
+			i.newestStartAt[endpoint.ID] = endpoint.StartedAt
 			i.startNotifiedAt[endpoint.ID] = now
 		}
 	}
--- a/internal/invariants/limits.go
+++ b/internal/invariants/limits.go
@@ -24,12 +24,12 @@
 	Zones          []string
 	Operations     []Operation
 	MaxEmptyTime   model.Microseconds // longest time that a joined proxy may have no usable entry
-	DrainGrace     model.Microseconds // how long proxies may send to a replica after it starts to drain
+	DrainGrace     model.Microseconds // how long after its instance is notified of a drain a proxy may send
 	WarmUpPeriod   model.Microseconds // after which a started replica is warm
 	OverloadFactor float64            // multiple of its capacity within OverloadWindow that overloads a warming replica
 	OverloadWindow model.Microseconds
-	QueueLimit     int                // most entries of an instance that may be in flight
-	MessageLimit   int                // most messages to one proxy within MessageWindow; 0: no limit
+	QueueLimit     int                // maximum number of an instance's entries in flight
+	MessageLimit   int                // maximum number of messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow  model.Microseconds // window of MessageLimit
 }
 
--- a/internal/invariants/proxies.go
+++ b/internal/invariants/proxies.go
@@ -8,12 +8,12 @@
 
 func (c *checker) proxyStarted(event ProxyStarted) {
 	proxy := &proxyState{
-		name:        event.Proxy,
-		running:     true,
-		weights:     map[model.ReplicaID]float64{},
-		withdrawn:   map[model.ReplicaID]bool{},
-		epochHolder: map[uint64]string{},
-		emptySince:  notEmpty,
+		name:          event.Proxy,
+		running:       true,
+		weights:       map[model.ReplicaID]float64{},
+		withdrawn:     map[model.ReplicaID]bool{},
+		holderByEpoch: map[uint64]string{},
+		emptySince:    noEmptyPeriod,
 	}
 	for _, entry := range event.Standing {
 		proxy.weights[entry.Replica] = entry.Weight
@@ -57,7 +57,8 @@
 	if p == nil || p.instance == nil {
 		return
 	}
-	// A proxy closes a stream that it cannot parse, which is observed as a StreamChanged event.
+	// A proxy closes a stream whose RESP syntax it cannot parse, which is observed as a StreamChanged event. Like
+	// valueReceived, it ignores a push that is not a valid message.
 	_ = p.reader.Feed(e.Data, func(v resp.Value) error {
 		c.valueReceived(p, v, e.At)
 		return nil
@@ -86,16 +87,17 @@
 	if epoch == 0 {
 		return
 	}
-	previous := p.epochHolder[epoch]
+	previous := p.holderByEpoch[epoch]
 	if previous != "" && previous != p.instance.name {
 		c.results[SharedEpoch].record(violationRatio, "%s: %s was sent updates in epoch %d by %s and by %s",
 			c.sinceStart(now), p.name, epoch, previous, p.instance.name)
 	}
 	p.epoch = epoch
-	p.epochHolder[epoch] = p.instance.name
+	p.holderByEpoch[epoch] = p.instance.name
 }
 
-// applyMessage applies a message to the proxy's table and withdrawals.
+// applyMessage applies a message to the proxy's table and withdrawals. Only a snapshot of a bound proxy replaces them.
+// A proxy that is not bound keeps its table.
 func (p *proxyState) applyMessage(m *pubsubmsg.Message) {
 	if m.Full && m.Bound {
 		clear(p.weights)
@@ -133,7 +135,7 @@
 		c.endEmptyPeriod(p, now)
 		return
 	}
-	if p.emptySince == notEmpty {
+	if p.emptySince == noEmptyPeriod {
 		p.emptySince = now
 	}
 }
@@ -141,7 +143,7 @@
 // checkEmptyPeriod checks the length up to now of a period without a usable entry. The time before a warm replica was
 // listed to the proxy's instance does not count.
 func (c *checker) checkEmptyPeriod(p *proxyState, now model.Microseconds) {
-	if p.emptySince == notEmpty || p.instance == nil || p.instance.warmListedFrom >= now {
+	if p.emptySince == noEmptyPeriod || p.instance == nil || p.instance.warmListedFrom >= now {
 		return
 	}
 	emptyTime := now - max(p.emptySince, p.instance.warmListedFrom)
@@ -152,5 +154,5 @@
 
 func (c *checker) endEmptyPeriod(p *proxyState, now model.Microseconds) {
 	c.checkEmptyPeriod(p, now)
-	p.emptySince = notEmpty
+	p.emptySince = noEmptyPeriod
 }
--- a/internal/invariants/queue.go
+++ b/internal/invariants/queue.go
@@ -19,15 +19,16 @@
 	if c.limits.MessageLimit <= 0 {
 		return
 	}
-	recent := 0
+	recentMessages := 0
 	for _, at := range proxy.publicationTimes {
 		if message.UpdatedAt-at < c.limits.MessageWindow {
-			recent++
+			recentMessages++
 		}
 	}
-	c.results[LongQueue].record(float64(recent)/float64(c.limits.MessageLimit),
+	c.results[LongQueue].record(float64(recentMessages)/float64(c.limits.MessageLimit),
 		"%s: %s wrote %d messages to %s within %s, %d are allowed",
-		c.sinceStart(now), instance.name, recent, proxy.name, formatSeconds(c.limits.MessageWindow), c.limits.MessageLimit)
+		c.sinceStart(now), instance.name, recentMessages, proxy.name,
+		formatSeconds(c.limits.MessageWindow), c.limits.MessageLimit)
 }
 
 // queueChange is a change in the number of an instance's entries that are in flight.
--- a/internal/invariants/result.go
+++ b/internal/invariants/result.go
@@ -19,7 +19,7 @@
 // invariantNames lists all invariants in the order of the results.
 var invariantNames = []string{EmptyTable, RepeatedEffect, LateDrain, ColdOverload, LongQueue, SharedEpoch}
 
-// Result is the result of one invariant. Nearest is the highest ratio of an observation to the limit, and Where
+// Result is the result of one invariant. MaxRatio is the highest ratio of an observation to the limit, and Where
 // describes that observation.
 type Result struct {
 	Invariant  string   `json:"rule"`
@@ -28,8 +28,8 @@
 	Violations []string `json:"breaks,omitempty"`
 }
 
-// maxViolations is the most violations that a result lists. If there are more, it ends with one more string that says
-// so.
+// maxViolations is the maximum number of violations that a result lists. If there are more, the string
+// "and more" follows them.
 const maxViolations = 20
 
 // violationRatio is the ratio to the limit that is recorded for a violation of an invariant without a numeric limit.
@@ -52,7 +52,7 @@
 	}
 }
 
-// formatSeconds formats a duration.
+// formatSeconds formats a duration in seconds.
 func formatSeconds(t model.Microseconds) string {
 	return fmt.Sprintf("%.3f s", float64(t)/float64(model.Second))
 }
--- a/internal/scenario/console_test.go
+++ b/internal/scenario/console_test.go
@@ -18,17 +18,17 @@
 const (
 	survivingInstance = "govan-1"
 	lostInstance      = lostZone + "-2"
-	lostReplicas      = 5 // replicas of the lost zone
+	lostReplicaCount  = 5 // number of replicas of the lost zone
 )
 
-var consolePages = []string{
+var consolePagePaths = []string{
 	"/", "/zones", "/replicas", "/forwarders", "/tables", "/orders?about=" + lostZone, "/settings", "/plot/ready.svg",
 }
 
-var comparisonPages = []string{"/", "/replicas", "/forwarders"}
+var comparisonPagePaths = []string{"/", "/replicas", "/forwarders"}
 
 // Every page of the consoles answers while a zone is lost and recovers, and the pages show the loss and the recovery.
-func TestConsolesShowZoneLossAndRecovery(t *testing.T) {
+func TestConsolesShowLossAndRecoveryWhenAZoneIsLost(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a scenario on sockets takes seconds")
 	}
@@ -59,9 +59,10 @@
 	defer http.DefaultClient.CloseIdleConnections()
 	consoles := awaitConsoles(progress)
 	if len(consoles) != len(twoInstanceZones) {
-		return fmt.Errorf("consoles of %d instances, want %d", len(consoles), len(twoInstanceZones))
+		return fmt.Errorf("the progress lines name the consoles of %d instances, want %d",
+			len(consoles), len(twoInstanceZones))
 	}
-	// The comparison has to know the incarnations of the instances from before the loss.
+	// The comparison must read the incarnations of the instances before the zone is lost.
 	addresses := []string{consoles[survivingInstance], consoles[lostInstance]}
 	server, err := comparison.Listen("127.0.0.1:0", addresses, controller.NewClock())
 	if err != nil {
@@ -71,13 +72,13 @@
 	awaitStep(progress, ZoneLoss)
 	watch := consoleWatch{console: consoles[survivingInstance], comparison: "http://" + server.Addr()}
 	deadline := time.Now().Add(14 * time.Second)
-	for time.Now().Before(deadline) && !watch.complete() {
+	for time.Now().Before(deadline) && !watch.isComplete() {
 		if err := watch.observe(); err != nil {
 			return err
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if !watch.complete() {
+	if !watch.isComplete() {
 		return fmt.Errorf("the consoles have not shown the loss and cold restart of the zone and its instance: %+v", watch)
 	}
 	return nil
@@ -124,17 +125,17 @@
 	incarnationBeforeLoss uint64
 }
 
-func (w *consoleWatch) complete() bool {
+func (w *consoleWatch) isComplete() bool {
 	return w.zoneLossShown && w.zoneRecoveryShown && w.instanceRestartShown
 }
 
 func (w *consoleWatch) observe() error {
-	for _, page := range consolePages {
+	for _, page := range consolePagePaths {
 		if _, err := getPage(w.console + page); err != nil {
 			return err
 		}
 	}
-	for _, page := range comparisonPages {
+	for _, page := range comparisonPagePaths {
 		if _, err := getPage(w.comparison + page); err != nil {
 			return err
 		}
@@ -165,18 +166,18 @@
 	if len(page.Body.Instances) != 2 {
 		return fmt.Errorf("comparison shows %d instances, want 2: %.300s", len(page.Body.Instances), text)
 	}
-	shown := page.Body.Instances[1]
-	if shown.Name != lostInstance {
+	lastInstance := page.Body.Instances[1]
+	if lastInstance.Name != lostInstance {
 		return nil
 	}
-	if shown.Error != "" && shown.Incarnation > 0 {
+	if lastInstance.Error != "" && lastInstance.Incarnation > 0 {
 		w.instanceLossShown = true
 	}
-	if w.instanceLossShown && shown.Error == "" && shown.Incarnation > w.incarnationBeforeLoss {
+	if w.instanceLossShown && lastInstance.Error == "" && lastInstance.Incarnation > w.incarnationBeforeLoss {
 		w.instanceRestartShown = true
 	}
 	if !w.instanceLossShown {
-		w.incarnationBeforeLoss = shown.Incarnation
+		w.incarnationBeforeLoss = lastInstance.Incarnation
 	}
 	return nil
 }
@@ -186,12 +187,12 @@
 	if err != nil {
 		return err
 	}
-	absent := strings.Count(text, `"state": "away"`)
-	warming := strings.Count(text, `"state": "easing"`)
-	if absent == lostReplicas {
+	absentReplicas := strings.Count(text, `"state": "away"`)
+	warmingReplicas := strings.Count(text, `"state": "easing"`)
+	if absentReplicas == lostReplicaCount {
 		w.zoneLossShown = true
 	}
-	if w.zoneLossShown && absent == 0 && warming >= lostReplicas {
+	if w.zoneLossShown && absentReplicas == 0 && warmingReplicas >= lostReplicaCount {
 		w.zoneRecoveryShown = true
 	}
 	return nil
--- a/internal/scenario/faulty.go
+++ b/internal/scenario/faulty.go
@@ -13,25 +13,27 @@
 
 // The kinds of faulty controllers, as written in scenario files.
 const (
-	emptiesTable       = "empty-table"      // removes every table entry
-	retriesAnything    = "repeats-anything" // orders retries after any failure, for every operation
-	hidesDrains        = "hides-drains"     // never withdraws draining replicas
-	fullLoadToCold     = "full-to-cold"     // gives a started replica nearly all traffic at once
-	floodsWithMessages = "floods"           // sends every entry to every proxy repeatedly
+	emptyTableFault    = "empty-table"      // removes every table entry
+	retryAnythingFault = "repeats-anything" // orders retries after any failure, for every operation
+	hiddenDrainsFault  = "hides-drains"     // never withdraws draining replicas
+	coldOverloadFault  = "full-to-cold"     // gives a started replica nearly all traffic at once
+	messageFloodFault  = "floods"           // sends every entry to every proxy repeatedly
 )
 
 // FaultyControllerKinds are the kinds of faulty controllers. Each binds all proxies to one table of all replicas and
-// then violates one invariant, which shows that the check of that invariant can fail.
-var FaultyControllerKinds = []string{emptiesTable, retriesAnything, hidesDrains, fullLoadToCold, floodsWithMessages}
+// then violates one invariant. Scenarios with them show that the check of that invariant detects a violation.
+var FaultyControllerKinds = []string{
+	emptyTableFault, retryAnythingFault, hiddenDrainsFault, coldOverloadFault, messageFloodFault,
+}
 
 const (
 	faultyControllerName = "rogue"
 	faultyTable          = model.TableID(1)
 	faultyTickInterval   = 200 * model.Millisecond
-	faultyStartDelay     = 3 * model.Second // from the start of the scenario to that of the fault
-	faultyColdWeight     = 1000
-	faultyFloodSize      = 20 // batches per tick
-	faultyMessageRate    = 1e6
+	faultyStartDelay     = 3 * model.Second // from the creation of the controller to the first faulty update of tick
+	faultyColdWeight     = 1000             // of a replica that started after the controller; others have weight 1
+	floodBatchesPerTick  = 20               // how often a tick publishes all entries
+	faultyEntryRate      = 1e6              // entries per second
 	ackSequenceLimit     = 65536
 )
 
@@ -63,9 +65,9 @@
 		Listen:           run.network.instanceAddress(0, channelPort),
 		Incarnation:      1,
 		Zones:            run.script.Zones,
-		ReportPeriod:     run.script.Config.ReportPeriod,
-		MessageOverhead:  run.script.Config.MessageOverhead,
-		EntriesPerSecond: faultyMessageRate,
+		ReportPeriod:     run.script.Balancer.ReportPeriod,
+		MessageOverhead:  run.script.Balancer.MessageOverhead,
+		EntriesPerSecond: faultyEntryRate,
 		Now:              run.now,
 		Log:              zerolog.Nop(),
 	}, controller)
@@ -73,7 +75,7 @@
 		return nil, err
 	}
 	controller.registry, err = discovery.NewConsulClient(discovery.ConsulConfig{
-		Address:   run.endpoints.Addr(),
+		Address:   run.registry.Addr(),
 		Service:   serviceName,
 		UserAgent: "peppervale/" + faultyControllerName,
 		Zones:     run.script.Zones,
@@ -115,7 +117,8 @@
 // LoadReported does nothing.
 func (c *faultyController) LoadReported(int, []model.LoadReport) {}
 
-// EndpointsChanged publishes the endpoint list. All kinds but hidesDrains withdraw the replicas that are not ready.
+// EndpointsChanged publishes the endpoint list. All kinds but hiddenDrainsFault withdraw the replicas that are not
+// ready.
 func (c *faultyController) EndpointsChanged(scope model.EndpointUpdate, endpoints []model.Endpoint) {
 	c.loop.Post(func() {
 		if scope == model.PollFailed {
@@ -147,7 +150,7 @@
 }
 
 func (c *faultyController) initialWeight(endpoint model.Endpoint) float64 {
-	if c.kind == fullLoadToCold && endpoint.StartedAt > c.startedAt {
+	if c.kind == coldOverloadFault && endpoint.StartedAt > c.startedAt {
 		return faultyColdWeight
 	}
 	return 1
@@ -155,17 +158,17 @@
 
 // withdrawMissing removes the replicas that are no longer ready and returns the updates that withdraw them.
 func (c *faultyController) withdrawMissing(endpoints []model.Endpoint) []snapshot.Update {
-	stillReady := map[model.ReplicaID]bool{}
+	isReady := map[model.ReplicaID]bool{}
 	for _, endpoint := range endpoints {
-		stillReady[endpoint.ID] = endpoint.Status == model.EndpointReady
+		isReady[endpoint.ID] = endpoint.Status == model.EndpointReady
 	}
 	var updates []snapshot.Update
 	for id := range c.readyEndpoints {
-		if stillReady[id] {
+		if isReady[id] {
 			continue
 		}
 		delete(c.readyEndpoints, id)
-		if c.kind != hidesDrains {
+		if c.kind != hiddenDrainsFault {
 			updates = append(updates, snapshot.Update{Kind: snapshot.SetWithdrawn, Replica: id, Withdrawn: true})
 		}
 	}
@@ -180,20 +183,21 @@
 	c.server.Publish(&snapshot.Batch{Updates: updates, AckSequence: c.ackSequence, At: c.now()})
 }
 
-// tick publishes the faulty updates of the controller's kind every faultyTickInterval, after faultyStartDelay.
+// tick publishes the faulty updates of the controller's kind every faultyTickInterval, after faultyStartDelay. The
+// faults of hiddenDrainsFault and coldOverloadFault are in EndpointsChanged.
 func (c *faultyController) tick() {
 	c.loop.After(faultyTickInterval, c.tick)
 	if c.now()-c.startedAt < faultyStartDelay {
 		return
 	}
 	switch c.kind {
-	case emptiesTable:
+	case emptyTableFault:
 		c.publish(c.setAllWeights(0)...)
-	case retriesAnything:
+	case retryAnythingFault:
 		quota := pubsubmsg.Quota{Operations: 0, Share: 1, RetryPolicy: model.RetryTwiceOnAnyFailure}
 		c.publish(snapshot.Update{Kind: snapshot.SetQuota, Quota: quota})
-	case floodsWithMessages:
-		for range faultyFloodSize {
+	case messageFloodFault:
+		for range floodBatchesPerTick {
 			c.publish(c.setAllWeights(1)...)
 		}
 	}
--- a/internal/scenario/faulty_test.go
+++ b/internal/scenario/faulty_test.go
@@ -8,14 +8,15 @@
 	"peppervale/internal/invariants"
 )
 
-// Each faulty controller violates its own invariant and no other, and the violation states its time and limit.
+// Each faulty controller violates its own invariant and no other. The violation states its time, and its limit unless
+// the invariant has no numeric limit (RepeatedEffect).
 func TestEachFaultyControllerViolatesItsOwnInvariantOnly(t *testing.T) {
 	for kind, invariant := range map[string]string{
-		emptiesTable:       invariants.EmptyTable,
-		retriesAnything:    invariants.RepeatedEffect,
-		hidesDrains:        invariants.LateDrain,
-		fullLoadToCold:     invariants.ColdOverload,
-		floodsWithMessages: invariants.LongQueue,
+		emptyTableFault:    invariants.EmptyTable,
+		retryAnythingFault: invariants.RepeatedEffect,
+		hiddenDrainsFault:  invariants.LateDrain,
+		coldOverloadFault:  invariants.ColdOverload,
+		messageFloodFault:  invariants.LongQueue,
 	} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -40,9 +41,9 @@
 		return
 	}
 	violation := verdict.Violations[0]
-	namesTime := strings.Contains(violation, " s: ")
-	namesLimit := strings.Contains(violation, "allowed") || verdict.Invariant == invariants.RepeatedEffect
-	if !namesTime || !namesLimit {
+	statesTime := strings.Contains(violation, " s: ")
+	statesLimit := strings.Contains(violation, "allowed") || verdict.Invariant == invariants.RepeatedEffect
+	if !statesTime || !statesLimit {
 		t.Errorf("%s: violation without its time or limit: %s", verdict.Invariant, violation)
 	}
 }
--- a/internal/scenario/instance.go
+++ b/internal/scenario/instance.go
@@ -25,7 +25,7 @@
 	name       string
 	zone       string
 	address    string // of the publish-subscribe channel
-	console    string // listen address
+	console    string // listen address of the console
 	configPath string
 	logPath    string
 	program    []string
@@ -97,24 +97,24 @@
 // configureInstances writes the configuration file of each instance and checks that it is valid.
 func (r *runner) configureInstances() error {
 	for i, zone := range r.script.InstanceZones {
-		configured := r.newInstance(i, zone)
+		instance := r.newInstance(i, zone)
 		settings := instanceSettings{
 			index:    i,
-			name:     configured.name,
-			listen:   configured.address,
-			console:  configured.console,
-			state:    filepath.Join(r.directory, configured.name+".state"),
-			registry: r.endpoints.Addr(),
+			name:     instance.name,
+			listen:   instance.address,
+			console:  instance.console,
+			state:    filepath.Join(r.directory, instance.name+".state"),
+			registry: r.registry.Addr(),
 			seed:     r.script.Seed*100 + uint64(i),
 			network:  r.network,
 		}
-		if err := os.WriteFile(configured.configPath, r.script.instanceConfig(settings), 0o644); err != nil {
+		if err := os.WriteFile(instance.configPath, r.script.instanceConfig(settings), 0o644); err != nil {
 			return err
 		}
-		if _, err := config.LoadServer(configured.configPath); err != nil {
+		if _, err := config.LoadServer(instance.configPath); err != nil {
 			return fmt.Errorf("the generated instance configuration is invalid:\n%w", err)
 		}
-		r.instances = append(r.instances, configured)
+		r.instances = append(r.instances, instance)
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-// awaitListener waits until the address accepts a connection. It gives up after listenTimeout.
+// awaitListener waits until the address accepts a connection. It gives up after listenTimeout or when ctx is done.
 func awaitListener(ctx context.Context, address string) error {
 	deadline := time.Now().Add(listenTimeout)
 	for {
--- a/internal/scenario/instancesteps.go
+++ b/internal/scenario/instancesteps.go
@@ -11,7 +11,7 @@
 	killTimeout     = time.Second
 	shutdownTimeout = 5 * time.Second
 
-	// The time between repeated crashes is the step's size times a factor drawn uniformly from this range.
+	// The time between repeated crashes, in seconds, is the step's size times a factor drawn uniformly from this range.
 	minCrashIntervalFactor = 0.7
 	maxCrashIntervalFactor = 1.3
 )
@@ -31,7 +31,7 @@
 	}
 }
 
-// crashInstance kills an instance and restarts it after the given time with only its state directory.
+// crashInstance kills an instance and restarts it after the given time. Only its state directory is preserved.
 func (r *runner) crashInstance(target *instance, downtime model.Microseconds) {
 	target.stop(syscall.SIGKILL, killTimeout)
 	r.loop.After(downtime, func() { r.restartInstance(target) })
@@ -53,14 +53,15 @@
 
 // rollInstances restarts the targets one after the other within the duration of the step.
 func (r *runner) rollInstances(step Step) {
-	targets, candidates := r.targetInstances(step)
+	targets, candidateCount := r.targetInstances(step)
 	for k, target := range targets {
-		delay := step.Duration * model.Microseconds(k) / model.Microseconds(candidates)
+		delay := step.Duration * model.Microseconds(k) / model.Microseconds(candidateCount)
 		r.loop.After(delay, func() { r.restartGracefully(target) })
 	}
 }
 
-// restartGracefully shuts an instance down gracefully and starts it again. It waits for the shutdown outside the loop.
+// restartGracefully shuts an instance down gracefully and starts it again. A separate goroutine waits for the process
+// to exit, so that the loop is not blocked.
 func (r *runner) restartGracefully(target *instance) {
 	wait := target.terminate(syscall.SIGTERM, shutdownTimeout)
 	go func() {
@@ -72,7 +73,9 @@
 	}()
 }
 
-// failZone stops all replicas, proxies and instances of a zone. They restart when the step is over.
+// failZone stops all replicas, proxies and instances of a zone and restarts them when the step is over. If the step is
+// Silent, the replicas keep running but do not answer. A replica that a later fault affects is not
+// restarted by this step.
 func (r *runner) failZone(step Step) {
 	for _, target := range r.replicas {
 		if target.Zone == step.Zone && target.Running {
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -28,7 +28,7 @@
 // The zones of the instances in most tests.
 var (
 	twoInstanceZones = []string{"govan", lostZone}
-	oneInstanceZone  = twoInstanceZones[:1]
+	oneInstanceZones = twoInstanceZones[:1]
 )
 
 // TestMain runs the tests. Started with "governor --config FILE", the test binary runs an instance instead.
@@ -113,13 +113,14 @@
 	return report
 }
 
-// requireInvariants requires that a scenario violated no invariant and ended with proxies bound.
+// requireInvariants requires that a scenario violated no invariant, that no replica failed from overload, and that a
+// proxy is bound at the end.
 func requireInvariants(t *testing.T, report *Report) {
 	t.Helper()
 	var text bytes.Buffer
 	report.Print(&text)
 	if report.Violated() || report.OverloadedReplicas > 0 {
-		t.Errorf("an invariant was violated:\n%s", text.String())
+		t.Errorf("an invariant was violated or a replica failed from overload:\n%s", text.String())
 	}
 	if report.Channel.Bound == 0 {
 		t.Errorf("no proxy is bound at the end:\n%s", text.String())
--- a/internal/scenario/network.go
+++ b/internal/scenario/network.go
@@ -38,11 +38,12 @@
 var startedScenarios atomic.Int64
 
 // findFreeNetwork finds a network on whose probePort nothing listens. The port is released again, so another process
-// may still choose the same network. Scenarios get different networks because their searches begin at different ones.
+// may still choose the same network. Scenarios usually get different networks because their searches begin at different
+// networks.
 func findFreeNetwork() (loopbackNetwork, error) {
-	first := os.Getpid() + int(startedScenarios.Add(1))*scenarioStride
+	searchOffset := os.Getpid() + int(startedScenarios.Add(1))*scenarioStride
 	for k := range maxNetworkAttempts {
-		network := loopbackNetwork(firstNetwork + (first+k*searchStride)%networkCount)
+		network := loopbackNetwork(firstNetwork + (searchOffset+k*searchStride)%networkCount)
 		listener, err := net.Listen("tcp", network.registryAddress(probePort))
 		if err == nil {
 			_ = listener.Close()
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -54,7 +54,7 @@
 		}
 	}
 	script.Operations = config.ReadOperations(top)
-	script.Config, script.Guarantees = config.ReadBalancerConfig(top, script.Seed, script.Zones, script.Operations)
+	script.Balancer, script.Guarantees = config.ReadBalancerConfig(top, script.Seed, script.Zones, script.Operations)
 	script.readChannel(top.SingleBlock("channel", 0, true))
 	script.instanceBlocks = top.Source("zones", "operation", "fleet", "rules", "channel")
 	script.Replicas = readReplicas(top.SingleBlock("replicas", 0, true))
@@ -88,9 +88,9 @@
 	block.RejectUnknown()
 }
 
-// readChannel reads the settings of the publish-subscribe channel into Config and Guarantees.
+// readChannel reads the settings of the publish-subscribe channel into Balancer and Guarantees.
 func (s *Script) readChannel(block *config.Block) {
-	_, _ = config.ReadChannelConfig(block, &s.Config, &s.Guarantees)
+	_, _ = config.ReadChannelConfig(block, &s.Balancer, &s.Guarantees)
 	block.PeerLimits()
 	block.RejectUnknown()
 }
@@ -102,8 +102,8 @@
 		QueueLimit:             block.Int("waiting", 20, 0, 1_000_000),
 		MaxConnections:         block.Int("connections", 200, 1, 1_000_000),
 		DeduplicationGroupSize: block.Int("bay_size", 3, 1, 1000),
-		SpeedFrom:              block.Float("speed_from", 0.85, 0.01, 100),
-		SpeedTo:                block.Float("speed_to", 1.1, 0.01, 100),
+		MinSpeed:               block.Float("speed_from", 0.85, 0.01, 100),
+		MaxSpeed:               block.Float("speed_to", 1.1, 0.01, 100),
 		InitialShare:           block.Float("cold_share", 0.25, 0.01, 1),
 		WarmUpPeriod:           block.Duration("cold_span", 8*model.Second, 0, maxDuration),
 		ReportInterval:         block.Duration("report_every", 500*model.Millisecond, 0, maxDuration),
--- a/internal/scenario/proxysteps.go
+++ b/internal/scenario/proxysteps.go
@@ -70,6 +70,6 @@
 }
 
 func (r *runner) injectRegistryFault(step Step, fault registry.Faults) {
-	r.endpoints.Faults = fault
-	r.loop.After(step.Duration, func() { r.endpoints.Faults = registry.Faults{} })
+	r.registry.Faults = fault
+	r.loop.After(step.Duration, func() { r.registry.Faults = registry.Faults{} })
 }
--- a/internal/scenario/replicasteps.go
+++ b/internal/scenario/replicasteps.go
@@ -6,15 +6,15 @@
 	toggleInterval  = model.Second
 	agingInterval   = 500 * model.Millisecond
 	restartDelay    = 50 * model.Millisecond
-	startMaxRetries = 20
+	maxStartRetries = 20
 )
 
 // injectReplicaFault starts a fault on the targets of a step. When the step is over, it ends the fault on the targets
 // that no later fault affects.
 //
-// Caveat: end does not stop the actions that begin scheduled. The recurring faults (toggleFault and increaseSlowdown)
-// continue after their step until a later fault affects the replica, so the effect of end is soon undone. Changing this
-// behavior changes the results of scenarios with such steps.
+// Caveat: end does not cancel the actions that begin has scheduled. The recurring faults (toggleFault and
+// increaseSlowdown) continue after their step until a later fault affects the replica, so the effect of end is soon
+// undone. Changing this behavior changes the results of scenarios with such steps.
 func (r *runner) injectReplicaFault(step Step, begin, end func(target *managedReplica)) {
 	for _, target := range r.targetReplicas(step) {
 		begin(target)
@@ -125,20 +125,20 @@
 // restartCold restarts a replica at its previous address, cold.
 func (r *runner) restartCold(target *managedReplica) {
 	target.Stop()
-	r.startCold(target, startMaxRetries)
+	r.startCold(target, maxStartRetries)
 }
 
 // startCold starts a replica. It retries, as the port of the previous process may still be in use.
-func (r *runner) startCold(target *managedReplica, retries int) {
+func (r *runner) startCold(target *managedReplica, retriesLeft int) {
 	r.loop.After(restartDelay, func() {
 		err := target.Start(true)
 		switch {
 		case err == nil:
 			r.register(target, r.script.Registry.AddDelay)
-		case retries == 0:
+		case retriesLeft == 0:
 			r.failures = append(r.failures, err)
 		default:
-			r.startCold(target, retries-1)
+			r.startCold(target, retriesLeft-1)
 		}
 	})
 }
@@ -188,9 +188,9 @@
 
 // drainAllButLast drains all replicas but the last one, which is in the last zone.
 func (r *runner) drainAllButLast(step Step) {
-	spared := r.replicas[len(r.replicas)-1]
+	excluded := r.replicas[len(r.replicas)-1]
 	for _, target := range r.replicas {
-		if target != spared && target.Running {
+		if target != excluded && target.Running {
 			r.drainReplica(target)
 		}
 	}
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -9,7 +9,8 @@
 )
 
 // Report is the result of a scenario. Service is the billed value of the requests that were served within the latency
-// objective, as a share of the billed value of all requests.
+// objective, as a share of the billed value of all requests. WorstService is the lowest service of any ten consecutive
+// seconds.
 type Report struct {
 	Scenario           string              `json:"day"`
 	Seconds            float64             `json:"seconds"`
@@ -38,7 +39,7 @@
 	P99         float64 `json:"p99_ms"`
 }
 
-// AttemptReport counts the proxies' attempts by outcome.
+// AttemptReport counts the proxies' attempts by outcome. Errored counts error responses and lost connections.
 type AttemptReport struct {
 	Sent          int `json:"sent"`
 	Retries       int `json:"again"`
@@ -50,14 +51,15 @@
 }
 
 // ChannelReport holds the proxies' statistics of the publish-subscribe channel and the instances' CPU time in seconds.
+// Bound is the number of proxies that are bound at the end.
 type ChannelReport struct {
-	Messages    int     `json:"messages"`
-	Entries     int     `json:"lines"`
-	Bytes       int     `json:"bytes"`
-	Joins       int     `json:"joins"`
-	Resyncs     int     `json:"resyncs"`
-	Bound       int     `json:"bound_at_the_end"`
-	InstanceCPU float64 `json:"governor_cpu_s"`
+	Messages           int     `json:"messages"`
+	Entries            int     `json:"lines"`
+	Bytes              int     `json:"bytes"`
+	Joins              int     `json:"joins"`
+	Resyncs            int     `json:"resyncs"`
+	Bound              int     `json:"bound_at_the_end"`
+	InstanceCPUSeconds float64 `json:"governor_cpu_s"`
 }
 
 // Violated reports whether an invariant was violated.
@@ -110,7 +112,7 @@
 	fmt.Fprintf(text, "channel: %d messages of %d lines and %d bytes, %d joins, %d snapshots asked for; "+
 		"%d forwarders bound at the end; governors used %.2f s of CPU\n\n",
 		channel.Messages, channel.Entries, channel.Bytes, channel.Joins, channel.Resyncs, channel.Bound,
-		channel.InstanceCPU)
+		channel.InstanceCPUSeconds)
 }
 
 func writeVerdict(text *strings.Builder, verdict invariants.Result) {
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -10,7 +10,7 @@
 	"peppervale/internal/standin"
 )
 
-func TestInvariantsHoldThroughFaults(t *testing.T) {
+func TestInvariantsHoldDuringFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("each scenario on sockets takes seconds")
 	}
@@ -39,7 +39,7 @@
 }
 
 func runOnlyInstanceKilled(t *testing.T) {
-	report := runSteps(t, 18, oneInstanceZone, 100,
+	report := runSteps(t, 18, oneInstanceZones, 100,
 		Step{Kind: InstanceCrash, At: seconds(6), Duration: seconds(2), Fraction: 1},
 		Step{Kind: Drain, At: seconds(7), Duration: seconds(8), Fraction: 0.2})
 	if report.Channel.Joins < 80 {
@@ -107,8 +107,8 @@
 	}
 }
 
-// An instance that is suspended for longer than its lease continues to publish when it resumes. Its leases have
-// expired, so no proxy may apply its messages.
+// An instance that is suspended for longer than the lease duration continues to publish when it is resumed. Its leases
+// have expired by then, so no proxy may apply its messages.
 func TestProxiesIgnoreAnInstanceSuspendedLongerThanItsLease(t *testing.T) {
 	runSharded(t, 14, Step{Kind: InstanceStall, At: seconds(4), Duration: seconds(5), Fraction: 0.34})
 }
@@ -121,7 +121,7 @@
 	}
 }
 
-// The check for leaked goroutines in TestMain detects what a canceled scenario leaves running.
+// The check in TestMain detects goroutines that a canceled scenario leaves running.
 func TestRunStopsEverythingWhenCanceled(t *testing.T) {
 	script := openScript(t, zoneLossFile)
 	script.Steps = []Step{{Kind: ProxyReconnect, At: seconds(1), Fraction: 1}}
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -43,29 +43,30 @@
 	return run.runToEnd(ctx)
 }
 
-// runner runs a scenario. The fields from startedAt on may be accessed on the goroutine of loop only.
+// runner runs a scenario. The fields from startedAt on are accessed on the goroutine of loop, except by prepare, by
+// close and at the end of runToEnd.
 type runner struct {
-	script          *Script
-	options         Options
-	now             func() model.Microseconds
-	random          *standin.Random
-	directory       string
-	removeDirectory bool
-	network         loopbackNetwork
-	engine          *netpoll.Engine
-	loop            *standin.Loop
-	instances       []*instance
-	faulty          *faultyController // nil: the scenario runs real instances
+	script           *Script
+	options          Options
+	now              func() model.Microseconds
+	random           *standin.Random
+	directory        string
+	removeDirectory  bool
+	network          loopbackNetwork
+	engine           *netpoll.Engine
+	loop             *standin.Loop
+	instances        []*instance
+	faultyController *faultyController // nil: the scenario runs real instances
 
-	startedAt           model.Microseconds
+	startedAt           model.Microseconds // when the load started; before that, when the stand-ins were started
 	observations        []invariants.Event
-	endpoints           *registry.Registry
+	registry            *registry.Registry
 	replicas            []*managedReplica
 	proxies             []*managedProxy
 	deduplicationGroups map[string]*replica.DeduplicationGroup
 	totalShare          float64 // sum of the operations' shares of the load
-	lastRequest         uint64
-	heavyTail           heavyTail
+	lastRequestNumber   uint64
+	heavyTail           heavyTail // set by HeavyTail steps
 	statistics          *statistics
 	failures            []error // errors of steps
 }
@@ -75,7 +76,7 @@
 	r.observations = append(r.observations, observation)
 }
 
-// writeProgress writes a line with the time since the start and a message.
+// writeProgress writes a line with the time since startedAt and a message.
 func (r *runner) writeProgress(format string, args ...any) {
 	if r.options.Progress == nil {
 		return
@@ -132,7 +133,7 @@
 	r.addProxies()
 	if r.script.FaultyController != noFaultyController {
 		var err error
-		r.faulty, err = newFaultyController(r)
+		r.faultyController, err = newFaultyController(r)
 		return err
 	}
 	return r.configureInstances()
@@ -157,9 +158,10 @@
 		report = r.buildReport(invariants.Check(r.observations, r.script.invariantLimits(), end))
 	})
 	for _, instance := range r.instances {
+		// An InstanceStall step may have suspended the process, which then cannot handle SIGTERM.
 		instance.signal(syscall.SIGCONT)
 		instance.stop(syscall.SIGTERM, shutdownTimeout)
-		report.Channel.InstanceCPU += instance.cpuTime.Seconds()
+		report.Channel.InstanceCPUSeconds += instance.cpuTime.Seconds()
 	}
 	return report, errors.Join(r.failures...)
 }
@@ -203,7 +205,7 @@
 // instanceCount returns the number of instances. A faulty controller counts as one.
 func (r *runner) instanceCount() int { return max(len(r.instances), 1) }
 
-// waitFor waits for the given time of the scenario. It returns an error if ctx is done before then.
+// waitFor waits for the given duration. It returns an error if ctx is done before then.
 func (r *runner) waitFor(ctx context.Context, duration model.Microseconds) error {
 	select {
 	case <-ctx.Done():
@@ -227,13 +229,13 @@
 		instance.signal(syscall.SIGCONT)
 		instance.stop(syscall.SIGKILL, killTimeout)
 	}
-	if r.faulty != nil {
-		r.faulty.close()
+	if r.faultyController != nil {
+		r.faultyController.close()
 	}
 	if r.loop != nil {
 		r.loop.Do(r.stopStandIns)
-		if r.endpoints != nil {
-			r.endpoints.Close()
+		if r.registry != nil {
+			r.registry.Close()
 		}
 	}
 	if r.engine != nil {
@@ -248,10 +250,10 @@
 }
 
 func (r *runner) stopStandIns() {
-	for _, running := range r.proxies {
-		running.Kill()
+	for _, target := range r.proxies {
+		target.Kill()
 	}
-	for _, running := range r.replicas {
-		running.Stop()
+	for _, target := range r.replicas {
+		target.Stop()
 	}
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -16,7 +16,7 @@
 	Sharding         *Sharding // nil: the instances form no cluster
 	FaultyController string    // the kind of faulty controller that replaces the instances, or noFaultyController
 	Operations       []config.Operation
-	Config           model.Config
+	Balancer         model.Config
 	Guarantees       config.Guarantees
 	Replicas         Replicas
 	Proxies          Proxies
@@ -31,35 +31,35 @@
 	ShardsPerZone       int
 	LeaseDuration       model.Microseconds
 	StabilizationPeriod model.Microseconds // how long membership must be unchanged before shards move
-	MoveInterval        model.Microseconds // least time between two moves
+	MoveInterval        model.Microseconds // minimum time between two moves
 }
 
 // Replicas describes the replicas of each zone.
 type Replicas struct {
 	PerZone                int
 	Cores                  int
-	QueueLimit             int // most requests that may wait
-	MaxConnections         int // most connections at the same time
-	DeduplicationGroupSize int // replicas that share a store of idempotency keys
-	SpeedFrom              float64
-	SpeedTo                float64
+	QueueLimit             int     // maximum number of requests that wait for a core
+	MaxConnections         int     // maximum number of simultaneous connections
+	DeduplicationGroupSize int     // replicas that share a store of idempotency keys
+	MinSpeed               float64 // lowest speed of a replica's core; 1: executes one microsecond of work per microsecond
+	MaxSpeed               float64 // highest speed; speeds are drawn uniformly
 	InitialShare           float64 // the share of its capacity that a cold replica starts with
 	WarmUpPeriod           model.Microseconds
-	ReportInterval         model.Microseconds
+	ReportInterval         model.Microseconds // time between two refreshes of a replica's load report
 	HandshakeWork          model.Microseconds // work to accept a connection
 }
 
 // Proxies describes the proxies of each zone and the clients that send requests to them.
 type Proxies struct {
 	PerZone        int
-	EjectAfter     int // consecutive failures after which a proxy ejects a replica by itself; 0: never
-	ClientAttempts int // most attempts of a client at a request, including the first
-	Pick           string
+	EjectAfter     int    // consecutive failures after which a proxy ejects a replica by itself; 0: never
+	ClientAttempts int    // maximum number of attempts of a client at a request, including the first
+	Pick           string // policy by which a proxy chooses a replica: lottery, wheel or pair
 	RedialInterval model.Microseconds
 	EjectFor       model.Microseconds
 	StallPerEntry  model.Microseconds // how long a proxy stalls for each entry that it receives
-	ClientBackoff  model.Microseconds
-	RateSpread     float64 // coefficient of variation of the proxies' request rates
+	ClientBackoff  model.Microseconds // from the end of a client's attempt to its next attempt
+	RateSpread     float64            // coefficient of variation of the proxies' request rates
 }
 
 // Registry holds the delays after which the endpoint registry shows changes.
@@ -90,8 +90,8 @@
 	Duration model.Microseconds
 	Zone     string  // limits the step to one zone; "": all
 	Fraction float64 // the fraction of the candidates that the step affects
-	Size     float64 // its meaning depends on the kind
-	Number   int     // its meaning depends on the kind
+	Size     float64 // see the constants of StepKind
+	Number   int     // see the constants of StepKind
 	Silent   bool    // zone_loss: the replicas keep running but do not answer
 	Group    string  // a variant of the kind or the name of an operation
 }
--- a/internal/scenario/simulatorformat.go
+++ b/internal/scenario/simulatorformat.go
@@ -34,14 +34,14 @@
 		Retries int `json:"retries"`
 	} `json:"clients"`
 	Discovery struct {
-		Notice       float64 `json:"notice"`
-		SilentNotice float64 `json:"silent_notice"`
-		Add          float64 `json:"add"`
+		ExitDelay   float64 `json:"notice"`
+		SilentDelay float64 `json:"silent_notice"`
+		AddDelay    float64 `json:"add"`
 	} `json:"discovery"`
-	DrainGrace   float64 `json:"drain_grace"`
-	FallMultiple float64 `json:"fall_multiple"`
-	FallFor      float64 `json:"fall_for"`
-	Prices       struct {
+	DrainGrace       float64 `json:"drain_grace"`
+	OverloadFactor   float64 `json:"fall_multiple"`
+	OverloadDuration float64 `json:"fall_for"`
+	Prices           struct {
 		CrossZone float64 `json:"cross_zone"`
 	} `json:"prices"`
 	Operations []simulatorOperation `json:"classes"`
@@ -53,16 +53,16 @@
 }
 
 type simulatorOperation struct {
-	Name      string  `json:"name"`
-	Effect    string  `json:"effect"`
-	Group     string  `json:"group"`
-	Share     float64 `json:"share"`
-	Work      float64 `json:"work"` // mean
-	CV        float64 `json:"cv"`   // coefficient of variation of the work
-	Objective float64 `json:"aim"`
-	Timeout   float64 `json:"deadline"`
-	Value     float64 `json:"worth"`
-	Window    float64 `json:"window"`
+	Name          string  `json:"name"`
+	Effect        string  `json:"effect"`
+	Group         string  `json:"group"`
+	Share         float64 `json:"share"`
+	Work          float64 `json:"work"` // mean
+	WorkVariation float64 `json:"cv"`   // coefficient of variation of the work
+	Objective     float64 `json:"aim"`
+	Timeout       float64 `json:"deadline"`
+	Value         float64 `json:"worth"`
+	Window        float64 `json:"window"`
 }
 
 type simulatorTier struct {
@@ -71,16 +71,16 @@
 	ReportPeriod       float64                `json:"report_period"`
 	HandshakeWork      float64                `json:"handshake_work"`
 	ConnectionsPerCore float64                `json:"conn_cap_per_core"`
-	StatedColdFrom     float64                `json:"stated_cold_from"`
-	StatedCold         float64                `json:"stated_cold"`
+	StatedInitialShare float64                `json:"stated_cold_from"`
+	StatedWarmUpPeriod float64                `json:"stated_cold"`
 }
 
 type simulatorReplicaKind struct {
-	Name     string  `json:"name"`
-	Cores    int     `json:"cores"`
-	Queue    int     `json:"queue"`
-	Cold     float64 `json:"cold"`
-	ColdFrom float64 `json:"cold_from"`
+	Name         string  `json:"name"`
+	Cores        int     `json:"cores"`
+	Queue        int     `json:"queue"`
+	WarmUpPeriod float64 `json:"cold"`
+	InitialShare float64 `json:"cold_from"`
 }
 
 type simulatorReplica struct {
@@ -95,34 +95,34 @@
 }
 
 type simulatorFault struct {
-	Kind   string  `json:"kind"`
-	At     float64 `json:"at"`
-	Length float64 `json:"len"`
-	Size   float64 `json:"size"`
-	Extra  float64 `json:"extra"` // its meaning depends on the kind
-	On     []int   `json:"on"`    // indices of its targets; empty: all
-	Which  int     `json:"which"` // index of a zone or an operation, depending on the kind
+	Kind     string  `json:"kind"`
+	StartsAt float64 `json:"at"`
+	Duration float64 `json:"len"`
+	Size     float64 `json:"size"`
+	Extra    float64 `json:"extra"` // its meaning depends on the kind
+	Targets  []int   `json:"on"`    // indices of the targets; empty: all
+	Index    int     `json:"which"` // index of a zone or an operation, depending on the kind
 }
 
 // simulatorControl holds the settings of the controllers, the channel and the proxies.
 type simulatorControl struct {
-	ControllerZones []int   `json:"controllers"`
-	Backlog         float64 `json:"backlog"`
-	Bare            float64 `json:"bare"`
-	ReportPeriod    float64 `json:"period"`
-	MessageOverhead float64 `json:"head"`
-	Rate            float64 `json:"rate"`
-	Intake          float64 `json:"intake"`
-	MessagesMost    int     `json:"messages_most"`
-	StandingTable   int     `json:"standing"`
-	Pick            string  `json:"pick"`
-	EjectAfter      int     `json:"ejects"`
-	EjectFor        float64 `json:"eject"`
-	Redial          float64 `json:"redial"`
-	OrderPrice      float64 `json:"order_price"`
-	FirstWait       float64 `json:"try_aims"`
-	RetryPolicy     int     `json:"usual_how"`
-	Admission       string  `json:"admit"`
+	ControllerZones       []int   `json:"controllers"`
+	QueueLimit            float64 `json:"backlog"`
+	MaxTimeWithoutReplica float64 `json:"bare"`
+	ReportPeriod          float64 `json:"period"`
+	MessageOverhead       float64 `json:"head"`
+	EntriesPerSecond      float64 `json:"rate"`
+	ReportLimit           float64 `json:"intake"`
+	MessageLimit          int     `json:"messages_most"`
+	StandingTableSize     int     `json:"standing"`
+	Pick                  string  `json:"pick"`
+	EjectAfter            int     `json:"ejects"`
+	EjectFor              float64 `json:"eject"`
+	RedialInterval        float64 `json:"redial"`
+	PublishCost           float64 `json:"order_price"`
+	FirstAttemptFraction  float64 `json:"try_aims"`
+	RetryPolicy           int     `json:"usual_how"`
+	Admission             string  `json:"admit"`
 }
 
 // parseSimulatorScenario reads a simulator's scenario and checks the fields that the conversion needs.
@@ -135,7 +135,7 @@
 		problem := "expected exactly one tier with kinds, and at least one server, balancer, zone and class"
 		return nil, &SimulatorScenarioError{Problem: problem}
 	}
-	if scenario.Length <= 0 || scenario.Control.ReportPeriod <= 0 || scenario.Control.Rate <= 0 {
+	if scenario.Length <= 0 || scenario.Control.ReportPeriod <= 0 || scenario.Control.EntriesPerSecond <= 0 {
 		problem := "length, report period and channel rate must be above 0"
 		return nil, &SimulatorScenarioError{Problem: problem}
 	}
--- a/internal/scenario/simulatorimport.go
+++ b/internal/scenario/simulatorimport.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	minReplicasPerZone    = 3
-	minRedialMicroseconds = 1000
-	minFirstWaitFraction  = 0.01 // of the latency objective
-	utilizationField      = "util"
-	quotaAdmission        = "share"
-	noAdmission           = "none"
+	minReplicasPerZone      = 3
+	minRedialMicroseconds   = 1000
+	minFirstAttemptFraction = 0.01 // time before a retry, as a fraction of the latency objective
+	utilizationField        = "util"
+	quotaAdmission          = "share"
+	noAdmission             = "none"
 )
 
 // The values of the simulator's settings and the corresponding values in scenario files.
@@ -23,8 +23,10 @@
 	retryNames  = []string{"never", "when-unrun", "any-failure", "two-more"}
 )
 
-// ImportSimulatorScenario converts a scenario of the operators' simulator into a scenario file with at most maxProxies
-// proxies. Fleet, load, channel rate and queue are scaled by the same factor. notes lists what could not be converted.
+// ImportSimulatorScenario converts a scenario of the operators' simulator into a scenario file with about maxProxies
+// proxies, at least one per zone. The fleet, channel rate and queue are scaled by the same factor, but a zone has at
+// least minReplicasPerZone replicas. The load stays the same share of the capacity. notes lists what could not be
+// converted.
 // Deduplication groups, random draws and exact times differ from the simulator's. Errors are of type
 // *SimulatorScenarioError.
 func ImportSimulatorScenario(text []byte, maxProxies int) (script []byte, notes []string, err error) {
@@ -32,7 +34,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	fleet, err := source.scaledFleet(maxProxies)
+	fleet, err := source.scaleFleet(maxProxies)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -54,7 +56,7 @@
 	requestRate     float64 // requests per second
 }
 
-// runningReplicas summarizes the replicas that run at the start.
+// runningReplicas summarizes the simulator's replicas that run at the start of the scenario.
 type runningReplicas struct {
 	count      int
 	totalSpeed float64
@@ -63,7 +65,7 @@
 	maxSpeed   float64
 }
 
-func (s *simulatorScenario) runningReplicas() runningReplicas {
+func (s *simulatorScenario) summarizeRunningReplicas() runningReplicas {
 	running := runningReplicas{minSpeed: 1e9}
 	kinds := s.tier().Kinds
 	for _, replica := range s.Replicas {
@@ -79,12 +81,12 @@
 	return running
 }
 
-// scaledFleet scales the fleet down to fewer replicas. Each replica has the mean number of cores, and the request rate
-// is set so that the load stays the same share of the capacity.
-func (s *simulatorScenario) scaledFleet(maxProxies int) (scaledFleet, error) {
-	running := s.runningReplicas()
+// scaleFleet scales the fleet down to about maxProxies proxies. Each replica has the mean number of cores of the
+// simulator's replicas. The request rate is set so that the load stays the same share of the capacity.
+func (s *simulatorScenario) scaleFleet(maxProxies int) (scaledFleet, error) {
+	running := s.summarizeRunningReplicas()
 	if running.count == 0 {
-		return scaledFleet{}, &SimulatorScenarioError{Problem: "no server runs at the start"}
+		return scaledFleet{}, &SimulatorScenarioError{Problem: "no entry of servers is up and of a valid kind"}
 	}
 	zoneCount := float64(len(s.Zones))
 	scale := min(1, float64(max(maxProxies, len(s.Zones)))/float64(len(s.Proxies)))
@@ -98,19 +100,19 @@
 		minSpeed:        running.minSpeed,
 		maxSpeed:        running.maxSpeed,
 	}
-	capacity := s.Traffic.Load * float64(fleet.replicasPerZone) * zoneCount * float64(fleet.cores)
-	fleet.requestRate = capacity * running.totalSpeed / float64(running.count) / s.meanWork() * 1e6
+	busyCores := s.Traffic.Load * float64(fleet.replicasPerZone) * zoneCount * float64(fleet.cores)
+	fleet.requestRate = busyCores * running.totalSpeed / float64(running.count) / s.meanWork() * 1e6
 	return fleet, nil
 }
 
 // meanWork returns the mean work of a request in microseconds.
 func (s *simulatorScenario) meanWork() float64 {
-	shares, work := 0.0, 0.0
+	totalShare, totalWork := 0.0, 0.0
 	for _, operation := range s.Operations {
-		shares += operation.Share
-		work += operation.Share * operation.Work
+		totalShare += operation.Share
+		totalWork += operation.Share * operation.Work
 	}
-	return work / max(shares, 1e-9)
+	return totalWork / max(totalShare, 1e-9)
 }
 
 // simulatorConverter writes the blocks of the scenario file one after the other.
@@ -135,12 +137,12 @@
 		c.writeStep(fault)
 	}
 	if c.fleet.scale < 1 {
-		note := fmt.Sprintf("the fleet is scaled to %.2f of its size, channel pace and queue likewise", c.fleet.scale)
+		note := fmt.Sprintf("the fleet is scaled to %.2f of its size, the channel rate and queue too", c.fleet.scale)
 		c.notes = append(c.notes, note)
 	}
 }
 
-// writeLine writes a line.
+// writeLine writes a formatted line of the scenario file.
 func (c *simulatorConverter) writeLine(format string, arguments ...any) {
 	fmt.Fprintf(&c.text, format+"\n", arguments...)
 }
@@ -209,18 +211,18 @@
 	}
 	c.openBlock("fleet")
 	c.setAttribute("forwarders", "%d", c.fleet.proxiesPerZone*len(c.source.Zones))
-	c.setAttribute("standing", "%d", control.StandingTable)
+	c.setAttribute("standing", "%d", control.StandingTableSize)
 	c.setAttribute("connections_least", "%d", c.connectionsPerReplica())
 	c.setAttribute("avoids", "%v", control.EjectAfter > 0)
 	c.setAttribute("admits", "%q", admission)
 	c.setAttribute("crossing_price", "%g", c.source.Prices.CrossZone)
-	c.setAttribute("order_price", "%g", control.OrderPrice)
+	c.setAttribute("order_price", "%g", control.PublishCost)
 	if slices.Contains(c.source.tier().ReportFields, utilizationField) {
 		c.setAttribute("load_report", "[%q]", utilizationField)
 	}
 	policy := min(max(control.RetryPolicy, 0), len(retryNames)-1)
 	c.setAttribute("usual_way", "%q", retryNames[policy])
-	c.setAttribute("first_wait", "%g", max(control.FirstWait, minFirstWaitFraction))
+	c.setAttribute("first_wait", "%g", max(control.FirstAttemptFraction, minFirstAttemptFraction))
 	c.closeBlock()
 }
 
@@ -230,24 +232,24 @@
 
 func (c *simulatorConverter) writeGuarantees() {
 	c.openBlock("rules")
-	c.setDurationAttribute("bare", c.source.Control.Bare)
+	c.setDurationAttribute("bare", c.source.Control.MaxTimeWithoutReplica)
 	c.setDurationAttribute("drain_grace", c.source.DrainGrace)
-	c.setDurationAttribute("cold", c.source.tier().StatedCold)
-	c.setAttribute("cold_share", "%g", c.source.tier().StatedColdFrom)
-	c.setAttribute("tip_factor", "%g", c.source.FallMultiple)
-	c.setDurationAttribute("tip_span", c.source.FallFor)
+	c.setDurationAttribute("cold", c.source.tier().StatedWarmUpPeriod)
+	c.setAttribute("cold_share", "%g", c.source.tier().StatedInitialShare)
+	c.setAttribute("tip_factor", "%g", c.source.OverloadFactor)
+	c.setDurationAttribute("tip_span", c.source.OverloadDuration)
 	c.closeBlock()
 }
 
 func (c *simulatorConverter) writeChannel() {
 	control := c.source.Control
 	c.openBlock("channel")
-	c.setAttribute("pace", "%d", roundToAtLeastOne(control.Rate*c.fleet.scale))
-	c.setAttribute("queue", "%d", roundToAtLeastOne(control.Backlog*c.fleet.scale))
+	c.setAttribute("pace", "%d", roundToAtLeastOne(control.EntriesPerSecond*c.fleet.scale))
+	c.setAttribute("queue", "%d", roundToAtLeastOne(control.QueueLimit*c.fleet.scale))
 	c.setAttribute("overhead", "%d", int(control.MessageOverhead))
 	c.setDurationAttribute("period", control.ReportPeriod)
-	c.setAttribute("intake", "%d", roundToAtLeastOne(control.Intake))
-	c.setAttribute("messages_most", "%d", control.MessagesMost)
+	c.setAttribute("intake", "%d", roundToAtLeastOne(control.ReportLimit))
+	c.setAttribute("messages_most", "%d", control.MessageLimit)
 	c.closeBlock()
 }
 
@@ -261,8 +263,8 @@
 	c.setAttribute("speed_to", "%.3f", c.fleet.maxSpeed)
 	c.setAttribute("waiting", "%d", kind.Queue)
 	c.setAttribute("connections", "%d", c.connectionsPerReplica())
-	c.setAttribute("cold_share", "%.3f", kind.ColdFrom)
-	c.setDurationAttribute("cold_span", kind.Cold)
+	c.setAttribute("cold_share", "%.3f", kind.InitialShare)
+	c.setDurationAttribute("cold_span", kind.WarmUpPeriod)
 	c.setDurationAttribute("report_every", tier.ReportPeriod)
 	c.setDurationAttribute("handshake", tier.HandshakeWork)
 	c.closeBlock()
@@ -275,7 +277,7 @@
 	c.setAttribute("pick", "%q", pickNames[control.Pick])
 	c.setAttribute("ejects", "%d", control.EjectAfter)
 	c.setDurationAttribute("eject_for", control.EjectFor)
-	c.setDurationAttribute("redial", max(control.Redial, minRedialMicroseconds))
+	c.setDurationAttribute("redial", max(control.RedialInterval, minRedialMicroseconds))
 	c.setAttribute("client_tries", "%d", 1+c.source.Clients.Retries)
 	c.closeBlock()
 }
@@ -283,9 +285,9 @@
 func (c *simulatorConverter) writeRegistry() {
 	discovery := c.source.Discovery
 	c.openBlock("list")
-	c.setDurationAttribute("notice", discovery.Notice)
-	c.setDurationAttribute("silent_notice", discovery.SilentNotice)
-	c.setDurationAttribute("add", discovery.Add)
+	c.setDurationAttribute("notice", discovery.ExitDelay)
+	c.setDurationAttribute("silent_notice", discovery.SilentDelay)
+	c.setDurationAttribute("add", discovery.AddDelay)
 	c.closeBlock()
 }
 
@@ -294,7 +296,7 @@
 	c.setAttribute("rate", "%.1f", c.fleet.requestRate)
 	for _, operation := range c.source.Operations {
 		c.writeLine("  work %q {\n    share = %g\n    mean = %s\n    spread = %.2f\n  }",
-			operation.Name, operation.Share, quotedDuration(operation.Work), operation.CV)
+			operation.Name, operation.Share, quotedDuration(operation.Work), operation.WorkVariation)
 	}
 	c.closeBlock()
 }
--- a/internal/scenario/simulatorimport_test.go
+++ b/internal/scenario/simulatorimport_test.go
@@ -36,7 +36,7 @@
 	return strings.TrimSuffix(strings.Repeat(element+",", count), ",")
 }
 
-// importScenario converts a simulator's scenario to half its size and parses the converted scenario.
+// importScenario converts the scenario of simulatorText to half its size, which is 40 proxies, and parses the result.
 func importScenario(t *testing.T, faults string) (script *Script, notes []string) {
 	t.Helper()
 	text, notes, err := ImportSimulatorScenario(simulatorText(faults), 40)
@@ -50,7 +50,7 @@
 	return script, notes
 }
 
-func TestImportedFleetIsScaledByOneFactor(t *testing.T) {
+func TestImportScalesFleetByOneFactorWhenProxiesAreLimited(t *testing.T) {
 	script, notes := importScenario(t, "")
 	for _, tt := range []struct {
 		name      string
@@ -58,7 +58,7 @@
 	}{
 		{"proxies of a zone", script.Proxies.PerZone, 20},
 		{"replicas of a zone", script.Replicas.PerZone, 10},
-		{"queue", script.Config.QueueLimit, 4000},
+		{"queue", script.Balancer.QueueLimit, 4000},
 		{"instances", len(script.InstanceZones), 2},
 		{"warm-up period", int(script.Guarantees.WarmUpPeriod), int(17 * model.Second)},
 	} {
@@ -162,13 +162,13 @@
 }
 
 func TestImportRejectsInvalidSimulatorScenarios(t *testing.T) {
-	noReplicaRuns := strings.ReplaceAll(string(simulatorText("")), `"up":true`, `"up":false`)
+	textWithoutRunningReplica := strings.ReplaceAll(string(simulatorText("")), `"up":true`, `"up":false`)
 	for _, tt := range []struct{ name, text string }{
 		{"empty text", ""},
 		{"empty object", "{}"},
 		{"no fleet", `{"length":1,"zones":["a"]}`},
 		{"no length", strings.Replace(string(simulatorText("")), `"length":50000000`, `"length":0`, 1)},
-		{"no running replica", noReplicaRuns},
+		{"no running replica", textWithoutRunningReplica},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			_, _, err := ImportSimulatorScenario([]byte(tt.text), 40)
--- a/internal/scenario/standins.go
+++ b/internal/scenario/standins.go
@@ -33,7 +33,7 @@
 
 func (r *runner) addRegistry() error {
 	var err error
-	r.endpoints, err = registry.New(r.loop, r.network.registryAddress(0), serviceName, r.observe)
+	r.registry, err = registry.New(r.loop, r.network.registryAddress(0), serviceName, r.observe)
 	return err
 }
 
@@ -54,12 +54,13 @@
 	if r.deduplicationGroups[settings.DeduplicationGroup] == nil {
 		r.deduplicationGroups[settings.DeduplicationGroup] = replica.NewDeduplicationGroup()
 	}
-	windows := make([]model.Microseconds, len(r.script.Operations))
+	deduplicationWindows := make([]model.Microseconds, len(r.script.Operations))
 	for i, operation := range r.script.Operations {
-		windows[i] = operation.IdempotencyWindow
+		deduplicationWindows[i] = operation.IdempotencyWindow
 	}
-	added := &managedReplica{
-		Replica: replica.New(r.loop, settings, r.deduplicationGroups[settings.DeduplicationGroup], windows, r.observe),
+	newReplica := &managedReplica{
+		Replica: replica.New(
+			r.loop, settings, r.deduplicationGroups[settings.DeduplicationGroup], deduplicationWindows, r.observe),
 		entry: registry.Entry{
 			ID:                 settings.ID,
 			Zone:               settings.Zone,
@@ -67,48 +68,48 @@
 			Kind:               fmt.Sprintf("%d-core", settings.Cores),
 		},
 	}
-	r.replicas = append(r.replicas, added)
-	if err := added.Start(cold); err != nil {
+	r.replicas = append(r.replicas, newReplica)
+	if err := newReplica.Start(cold); err != nil {
 		return err
 	}
-	added.entry.StartedAt = added.StartedAt
+	newReplica.entry.StartedAt = newReplica.StartedAt
 	if cold {
-		r.register(added, r.script.Registry.AddDelay)
+		r.register(newReplica, r.script.Registry.AddDelay)
 	} else {
-		r.endpoints.Set(added.entry)
+		r.registry.Set(newReplica.entry)
 	}
 	return nil
 }
 
 // replicaSettings returns the settings of a replica, with a randomly drawn speed.
 func (r *runner) replicaSettings(zone, index int) replica.Config {
-	common := r.script.Replicas
+	commonSettings := r.script.Replicas
 	return replica.Config{
 		ID:                 r.network.replicaID(zone, index),
 		Zone:               r.script.Zones[zone],
-		DeduplicationGroup: fmt.Sprintf("%s-%d", r.script.Zones[zone], index/common.DeduplicationGroupSize),
-		Cores:              common.Cores,
-		Speed:              r.random.Between(common.SpeedFrom, common.SpeedTo),
-		QueueLimit:         common.QueueLimit,
-		MaxConnections:     common.MaxConnections,
-		InitialShare:       common.InitialShare,
-		WarmUpPeriod:       common.WarmUpPeriod,
-		ReportInterval:     common.ReportInterval,
-		HandshakeWork:      float64(common.HandshakeWork),
+		DeduplicationGroup: fmt.Sprintf("%s-%d", r.script.Zones[zone], index/commonSettings.DeduplicationGroupSize),
+		Cores:              commonSettings.Cores,
+		Speed:              r.random.Between(commonSettings.MinSpeed, commonSettings.MaxSpeed),
+		QueueLimit:         commonSettings.QueueLimit,
+		MaxConnections:     commonSettings.MaxConnections,
+		InitialShare:       commonSettings.InitialShare,
+		WarmUpPeriod:       commonSettings.WarmUpPeriod,
+		ReportInterval:     commonSettings.ReportInterval,
+		HandshakeWork:      float64(commonSettings.HandshakeWork),
 		OverloadFactor:     r.script.Guarantees.OverloadFactor,
 		OverloadWindow:     r.script.Guarantees.OverloadDuration,
 	}
 }
 
-// register adds a replica to the registry after a delay, with its state at that time. It does nothing if the process
-// has ended or restarted by then.
+// register adds a replica to the registry after a delay, with its drain state at that time. It does nothing if the
+// process has ended or restarted by then.
 func (r *runner) register(target *managedReplica, delay model.Microseconds) {
 	incarnation := target.StartedAt
 	r.loop.After(delay, func() {
 		if target.Running && target.StartedAt == incarnation {
 			target.entry.StartedAt = target.StartedAt
 			target.entry.Draining = target.Draining
-			r.endpoints.Set(target.entry)
+			r.registry.Set(target.entry)
 		}
 	})
 }
@@ -117,7 +118,7 @@
 func (r *runner) deregister(target *managedReplica, delay model.Microseconds) {
 	r.loop.After(delay, func() {
 		if !target.Running || target.Silent {
-			r.endpoints.Remove(target.ID)
+			r.registry.Remove(target.ID)
 		}
 	})
 }
@@ -125,15 +126,15 @@
 // addProxies draws the proxies' request rates and creates the proxies without starting them.
 func (r *runner) addProxies() {
 	zoneCount := len(r.script.Zones)
-	weights := make([]float64, r.script.Proxies.PerZone*zoneCount)
-	totalWeight := 0.0
-	for i := range weights {
-		weights[i] = r.random.LogNormal(r.script.Proxies.RateSpread)
-		totalWeight += weights[i]
+	rateFactors := make([]float64, r.script.Proxies.PerZone*zoneCount)
+	totalRateFactor := 0.0
+	for i := range rateFactors {
+		rateFactors[i] = r.random.LogNormal(r.script.Proxies.RateSpread)
+		totalRateFactor += rateFactors[i]
 	}
 	operations := r.proxyOperations()
-	for i, weight := range weights {
-		rate := r.script.Load.Rate * weight / totalWeight
+	for i, rateFactor := range rateFactors {
+		rate := r.script.Load.Rate * rateFactor / totalRateFactor
 		settings := r.proxySettings(i, rate, operations)
 		r.proxies = append(r.proxies, &managedProxy{
 			Proxy:       proxy.New(r.loop, r.engine, settings, r.script.Seed, r.observe),
@@ -155,31 +156,31 @@
 }
 
 func (r *runner) proxySettings(index int, rate float64, operations []proxy.Operation) proxy.Config {
-	common := r.script.Proxies
+	commonSettings := r.script.Proxies
 	zone := index % len(r.script.Zones)
 	return proxy.Config{
 		Name:               fmt.Sprintf("%s-till-%d", r.script.Zones[zone], index/len(r.script.Zones)+1),
 		Zone:               r.script.Zones[zone],
 		ZoneIndex:          zone,
 		ExpectedRate:       rate,
-		Pick:               proxy.Pick(common.Pick),
+		Pick:               proxy.Pick(commonSettings.Pick),
 		Operations:         operations,
 		DefaultRetryPolicy: r.script.Guarantees.DefaultRetryPolicy,
 		FirstAttemptShare:  r.script.Guarantees.FirstAttemptFraction,
-		EjectAfter:         common.EjectAfter,
-		EjectFor:           common.EjectFor,
-		RedialInterval:     common.RedialInterval,
+		EjectAfter:         commonSettings.EjectAfter,
+		EjectFor:           commonSettings.EjectFor,
+		RedialInterval:     commonSettings.RedialInterval,
 		DialTimeout:        proxyConnectTimeout,
 		IdleTimeout:        proxyIdleTimeout,
-		StallPerEntry:      common.StallPerEntry,
+		StallPerEntry:      commonSettings.StallPerEntry,
 	}
 }
 
 // instanceAddresses returns the instances that a proxy connects to, instances of its own zone first. The order is
 // rotated by the proxy's index.
 func (r *runner) instanceAddresses(target *managedProxy, proxyIndex int) []proxy.Instance {
-	if r.faulty != nil {
-		return []proxy.Instance{{Name: faultyControllerName, Address: r.faulty.server.Addr()}}
+	if r.faultyController != nil {
+		return []proxy.Instance{{Name: faultyControllerName, Address: r.faultyController.server.Addr()}}
 	}
 	zone := r.script.Zones[target.zone]
 	var local, remote []proxy.Instance
@@ -199,7 +200,7 @@
 func (r *runner) standingTable(target *managedProxy) []invariants.TableEntry {
 	candidates := r.standingCandidates(r.script.Zones[target.zone])
 	var entries []invariants.TableEntry
-	for len(entries) < r.script.Config.StandingTableSize && len(candidates) > 0 {
+	for len(entries) < r.script.Balancer.StandingTableSize && len(candidates) > 0 {
 		k := r.random.IntN(len(candidates))
 		entries = append(entries, invariants.TableEntry{Replica: candidates[k].ID, Weight: 1})
 		candidates = slices.Delete(candidates, k, k+1)
@@ -207,6 +208,7 @@
 	return entries
 }
 
+// standingCandidates returns the replicas that a standing table may contain.
 func (r *runner) standingCandidates(zone string) []*managedReplica {
 	var local, all []*managedReplica
 	for _, candidate := range r.replicas {
--- a/internal/scenario/statistics.go
+++ b/internal/scenario/statistics.go
@@ -12,14 +12,14 @@
 
 const (
 	latencyDigits      = 3  // significant digits of the latency histograms
-	worstWindowSeconds = 10 // length of the windows that the worst service level is taken from
+	worstWindowSeconds = 10 // length of the windows over which the worst service level is computed
 )
 
 // statistics counts requests by operation and sums their billed value by the second in which they were sent.
 type statistics struct {
-	settings   []config.Operation
-	operations []operationStatistics
-	seconds    []billedValue
+	settings      []config.Operation
+	operations    []operationStatistics
+	valueBySecond []billedValue
 }
 
 type operationStatistics struct {
@@ -38,15 +38,15 @@
 }
 
 func newStatistics(script *Script) *statistics {
-	created := &statistics{
-		settings: script.Operations,
-		seconds:  make([]billedValue, int(script.Length/model.Second)+1),
+	empty := &statistics{
+		settings:      script.Operations,
+		valueBySecond: make([]billedValue, int(script.Length/model.Second)+1),
 	}
 	for range script.Operations {
 		histogram := hdrhistogram.New(1, int64(maxDuration), latencyDigits)
-		created.operations = append(created.operations, operationStatistics{latency: histogram})
+		empty.operations = append(empty.operations, operationStatistics{latency: histogram})
 	}
-	return created
+	return empty
 }
 
 // recordRequest records the result of a request. sentAt is the time since the start of the scenario. latency is the
@@ -54,7 +54,7 @@
 func (s *statistics) recordRequest(operation int, result proxy.Result, latency, sentAt model.Microseconds) {
 	counts := &s.operations[operation]
 	settings := s.settings[operation]
-	second := &s.seconds[min(max(int(sentAt/model.Second), 0), len(s.seconds)-1)]
+	second := &s.valueBySecond[min(max(int(sentAt/model.Second), 0), len(s.valueBySecond)-1)]
 	counts.requests++
 	second.requested += settings.PriorityWeight
 	switch result {
@@ -77,13 +77,13 @@
 // seconds.
 func (s *statistics) serviceLevel() (overall, worst float64) {
 	var total billedValue
-	for _, second := range s.seconds {
+	for _, second := range s.valueBySecond {
 		total.add(second)
 	}
 	worst = 1
-	for end := worstWindowSeconds; end <= len(s.seconds); end++ {
+	for end := worstWindowSeconds; end <= len(s.valueBySecond); end++ {
 		var window billedValue
-		for _, second := range s.seconds[end-worstWindowSeconds : end] {
+		for _, second := range s.valueBySecond[end-worstWindowSeconds : end] {
 			window.add(second)
 		}
 		if window.requested > 0 {
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -16,9 +16,10 @@
 	// ZoneLoss stops the zone's replicas, proxies and instances, and restarts them cold at the end. With Silent, the
 	// replicas keep running but do not answer.
 	ZoneLoss StepKind = "zone_loss"
-	// InstanceCrash kills and restarts a fraction of the instances, Number times, about Size seconds apart.
+	// InstanceCrash kills a fraction of the instances and restarts them after Duration, Number times, about Size seconds
+	// apart.
 	InstanceCrash StepKind = "governor_crash"
-	// InstanceRoll gracefully restarts a fraction of the instances one after the other.
+	// InstanceRoll gracefully restarts a fraction of the instances one after the other within Duration.
 	InstanceRoll StepKind = "governor_roll"
 	// InstanceStall suspends a fraction of the instances (SIGSTOP) and resumes them at the end.
 	InstanceStall StepKind = "governor_stall"
@@ -32,7 +33,7 @@
 	ProxyStall StepKind = "forwarder_stall"
 	// ProxyReconnect breaks the stream of a fraction of the proxies.
 	ProxyReconnect StepKind = "reconnect"
-	// ProxyPartition makes the first instance of each proxy unreachable for a fraction of the proxies.
+	// ProxyPartition makes a fraction of the proxies unable to reach the first instance of their lists.
 	ProxyPartition StepKind = "one_sided"
 	// LoadReportsLate delays the load reports of all proxies by Size seconds.
 	LoadReportsLate StepKind = "sums_late"
@@ -76,7 +77,7 @@
 	// ReplicaFlapping makes a fraction of the replicas not answer every other second, also after the step (see
 	// injectReplicaFault).
 	ReplicaFlapping StepKind = "flapping"
-	// Deploy drains a fraction of the replicas for Size seconds and restarts them cold, Number at a time.
+	// Deploy drains a fraction of the replicas for Size seconds and restarts them cold, in batches of Number replicas.
 	Deploy StepKind = "deploy"
 	// Drain drains a fraction of the replicas, or all but the last one (Group "but-one").
 	Drain StepKind = "drain"
--- a/internal/scenario/targets.go
+++ b/internal/scenario/targets.go
@@ -10,8 +10,8 @@
 		j := r.random.IntN(i + 1)
 		indices[i], indices[j] = indices[j], indices[i]
 	}
-	wanted := max(1, int(fraction*float64(count)+0.5))
-	return indices[:min(count, wanted)]
+	sampleSize := max(1, int(fraction*float64(count)+0.5))
+	return indices[:min(count, sampleSize)]
 }
 
 // targetReplicas draws the replicas that a step affects from the replicas that answer requests, in the step's zone if
@@ -50,20 +50,20 @@
 }
 
 // targetInstances draws the instances that a step affects. It also returns the number of candidates.
-func (r *runner) targetInstances(step Step) (targets []*instance, candidates int) {
-	var eligible []*instance
+func (r *runner) targetInstances(step Step) (targets []*instance, candidateCount int) {
+	var candidates []*instance
 	for _, candidate := range r.instances {
 		if step.affectsZone(candidate.zone) {
-			eligible = append(eligible, candidate)
+			candidates = append(candidates, candidate)
 		}
 	}
-	if len(eligible) == 0 {
+	if len(candidates) == 0 {
 		return nil, 0
 	}
-	for _, i := range r.sampleIndices(step.Fraction, len(eligible)) {
-		targets = append(targets, eligible[i])
+	for _, i := range r.sampleIndices(step.Fraction, len(candidates)) {
+		targets = append(targets, candidates[i])
 	}
-	return targets, len(eligible)
+	return targets, len(candidates)
 }
 
 // affectsZone reports whether a step affects a zone.
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/standin/proxy"
 )
 
-// heavyTail multiplies the work of a fraction of the requests by factor.
+// heavyTail is a fault that multiplies the work of a fraction of the requests by factor.
 type heavyTail struct {
 	fraction float64
 	factor   float64
@@ -35,12 +35,12 @@
 // sendRequest draws a request and sends its first attempt.
 func (r *runner) sendRequest(target *managedProxy) {
 	load := r.drawOperation()
-	r.lastRequest++
+	r.lastRequestNumber++
 	work := float64(load.Mean) * r.random.LogNormal(load.Spread)
 	if r.heavyTail.fraction > 0 && r.random.Float() < r.heavyTail.fraction {
 		work *= r.heavyTail.factor
 	}
-	attempt := proxy.Request{Number: r.lastRequest, Operation: load.Operation, Work: work}
+	attempt := proxy.Request{Number: r.lastRequestNumber, Operation: load.Operation, Work: work}
 	r.sendAttempt(clientRequest{proxy: target, startedAt: r.now()}, attempt)
 }
 
@@ -75,12 +75,12 @@
 }
 
 // clientRetries reports whether a client retries an attempt. Idempotent operations are retried after any failure,
-// other operations only after they were rate-limited.
+// other operations only if the proxy rate-limited the attempt.
 func (r *runner) clientRetries(attempt proxy.Request, result proxy.Result, latency model.Microseconds) bool {
 	operation := r.script.Operations[attempt.Operation]
-	attemptsLeft := attempt.ClientAttempt+1 < r.script.Proxies.ClientAttempts
-	timeLeft := latency+r.script.Proxies.ClientBackoff < operation.Timeout
-	if !attemptsLeft || !timeLeft {
+	hasAttemptsLeft := attempt.ClientAttempt+1 < r.script.Proxies.ClientAttempts
+	hasTimeLeft := latency+r.script.Proxies.ClientBackoff < operation.Timeout
+	if !hasAttemptsLeft || !hasTimeLeft {
 		return false
 	}
 	return result == proxy.RateLimited || result == proxy.Failed && operation.Effect == config.Idempotent
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -24,8 +24,8 @@
 // eventQueue is a heap whose first element is the next event.
 type eventQueue []event
 
-func (q *eventQueue) push(added event) {
-	*q = append(*q, added)
+func (q *eventQueue) push(newEvent event) {
+	*q = append(*q, newEvent)
 	events := *q
 	for i := len(events) - 1; i > 0; {
 		parent := (i - 1) / heapArity
@@ -40,29 +40,29 @@
 // pop removes and returns the next event. The queue must not be empty.
 func (q *eventQueue) pop() event {
 	events := *q
-	first, last := events[0], len(events)-1
-	events[0] = events[last]
-	events[last] = event{}
-	events = events[:last]
+	nextEvent, lastIndex := events[0], len(events)-1
+	events[0] = events[lastIndex]
+	events[lastIndex] = event{}
+	events = events[:lastIndex]
 	*q = events
 	events.siftDown()
-	return first
+	return nextEvent
 }
 
 // siftDown moves the first event down to its place.
 func (q eventQueue) siftDown() {
 	for i := 0; ; {
-		least := i
+		nextIndex := i
 		firstChild := heapArity*i + 1
 		for child := firstChild; child < firstChild+heapArity && child < len(q); child++ {
-			if q[child].before(&q[least]) {
-				least = child
+			if q[child].before(&q[nextIndex]) {
+				nextIndex = child
 			}
 		}
-		if least == i {
+		if nextIndex == i {
 			return
 		}
-		q[i], q[least] = q[least], q[i]
-		i = least
+		q[i], q[nextIndex] = q[nextIndex], q[i]
+		i = nextIndex
 	}
 }
--- a/internal/simulation/queueing_test.go
+++ b/internal/simulation/queueing_test.go
@@ -68,13 +68,13 @@
 	return sum
 }
 
-// checkRelative requires that a value equals the exact one within a relative tolerance.
+// checkRelative requires that a value equals the exact value within a relative tolerance.
 func checkRelative(t *testing.T, quantity string, got, want, tolerance float64) {
 	t.Helper()
 	t.Logf("%s: %.4f, exact %.4f", quantity, got, want)
 	deviation := math.Abs(got/want - 1)
 	if math.IsNaN(deviation) || deviation > tolerance {
-		t.Errorf("%s: %.4f, want %.4f within %g", quantity, got, want, tolerance)
+		t.Errorf("%s: %.4f, want %.4f within a relative tolerance of %g", quantity, got, want, tolerance)
 	}
 }
 
@@ -132,6 +132,7 @@
 	twoChoices := relativeTimeOf(TwoChoices)
 	leastLoaded := relativeTimeOf(func(RandomStream) Policy { return LeastLoaded() })
 	if random <= 1.5*twoChoices || twoChoices <= 1.1*leastLoaded || leastLoaded < 1 {
-		t.Errorf("mean times: random %.3f, two choices %.3f, least loaded %.3f", random, twoChoices, leastLoaded)
+		t.Errorf("relative mean times: random %.3f, two choices %.3f, least loaded %.3f; want a clear decrease to at least 1",
+			random, twoChoices, leastLoaded)
 	}
 }
--- a/internal/simulation/simulator_test.go
+++ b/internal/simulation/simulator_test.go
@@ -26,7 +26,8 @@
 	}
 	simulator.RunUntil(model.Second)
 	if simulator.Processed() != events || simulator.Now() != model.Second {
-		t.Errorf("%d events ran, the clock is at %d", simulator.Processed(), simulator.Now())
+		t.Errorf("%d events ran, the clock is at %d µs, want all events and the end of the run",
+			simulator.Processed(), simulator.Now())
 	}
 }
 
@@ -35,11 +36,11 @@
 		source := simulate(workload{
 			seed: seed, stations: 10, coresPerStation: 2, loadPerCore: 0.9, seconds: 20, policy: TwoChoices,
 		})
-		return fmt.Sprint(source.totalTime, source.measured, source.Simulator.Processed())
+		return fmt.Sprint(source.totalResponseTime, source.measuredJobs, source.Simulator.Processed())
 	}
 	first, again, other := summary(1), summary(1), summary(2)
 	if first != again || first == other {
-		t.Errorf("two runs with seed 1: %s and %s, want equal; seed 2: %s, want another", first, again, other)
+		t.Errorf("two runs with seed 1: %s and %s, want equal; seed 2: %s, want a different result", first, again, other)
 	}
 }
 
--- a/internal/simulation/source.go
+++ b/internal/simulation/source.go
@@ -13,20 +13,20 @@
 	Policy           Policy
 	MeasureFrom      model.Microseconds // jobs that arrive earlier are not measured
 
-	totalTime       float64 // microseconds that the measured jobs spent at their stations
-	measured        uint64
-	carriedFraction float64 // fraction of a microsecond carried over from the last interarrival time
+	totalResponseTime float64 // microseconds that the measured jobs spent at their stations
+	measuredJobs      uint64
+	carriedFraction   float64 // fraction of a microsecond carried over from the last interarrival time
 }
 
 // Start schedules the first arrival.
 func (s *Source) Start() { s.Simulator.Schedule(s.nextInterarrival(), s.arrive) }
 
 // Measured returns the number of measured jobs that were completed.
-func (s *Source) Measured() uint64 { return s.measured }
+func (s *Source) Measured() uint64 { return s.measuredJobs }
 
 // MeanResponseTime returns the mean time in microseconds that a measured job spent at its station, waiting and being
-// served.
-func (s *Source) MeanResponseTime() float64 { return s.totalTime / float64(s.measured) }
+// served. It is NaN if no job was measured.
+func (s *Source) MeanResponseTime() float64 { return s.totalResponseTime / float64(s.measuredJobs) }
 
 // nextInterarrival draws the time until the next arrival. It carries the fraction of a microsecond over to the next
 // call.
@@ -43,8 +43,8 @@
 	station := s.Policy(s.Stations)
 	station.Submit(s.Work.Exponential(s.MeanWork), func() {
 		if arrivedAt >= s.MeasureFrom {
-			s.totalTime += float64(s.Simulator.Now() - arrivedAt)
-			s.measured++
+			s.totalResponseTime += float64(s.Simulator.Now() - arrivedAt)
+			s.measuredJobs++
 		}
 	})
 }
--- a/internal/simulation/station.go
+++ b/internal/simulation/station.go
@@ -6,14 +6,14 @@
 	// Unlimited is the QueueLimit of a station that rejects no job.
 	Unlimited = -1
 
-	// minCompaction is the number of served jobs that the queue's slice must exceed before it is compacted.
+	// minCompaction is the number of unused elements that the queue's slice must exceed before it is compacted.
 	minCompaction = 1024
 )
 
 // Station serves jobs first come, first served, on a number of equal cores. It models the cores and the queue of a
 // replica.
 type Station struct {
-	QueueLimit int     // most jobs that may wait; further jobs are rejected. Unlimited: no limit
+	QueueLimit int     // maximum number of waiting jobs; further jobs are rejected. Unlimited: no limit
 	Slowdown   float64 // factor from a job's work to its service time; 1: no slowdown
 
 	simulator *Simulator
@@ -22,12 +22,12 @@
 	queue     []job
 	head      int // index in queue of the next job; the elements before it are unused
 
-	served   uint64
-	rejected uint64
+	servedJobs   uint64
+	rejectedJobs uint64
 
-	updatedAt model.Microseconds // when the integrals were last updated
-	jobsArea  float64            // integral over time of the number of jobs at the station
-	busyArea  float64            // integral over time of the number of busy cores
+	updatedAt         model.Microseconds // when the integrals were last updated
+	jobsIntegral      float64            // integral over time of the number of jobs at the station, in microseconds
+	busyCoresIntegral float64            // integral over time of the number of busy cores, in microseconds
 }
 
 type job struct {
@@ -44,10 +44,10 @@
 func (s *Station) Jobs() int { return s.busyCores + s.waiting() }
 
 // Served returns the number of completed jobs.
-func (s *Station) Served() uint64 { return s.served }
+func (s *Station) Served() uint64 { return s.servedJobs }
 
 // Rejected returns the number of jobs that were rejected because the queue was full.
-func (s *Station) Rejected() uint64 { return s.rejected }
+func (s *Station) Rejected() uint64 { return s.rejectedJobs }
 
 func (s *Station) waiting() int { return len(s.queue) - s.head }
 
@@ -61,7 +61,7 @@
 		return true
 	}
 	if s.QueueLimit >= 0 && s.waiting() >= s.QueueLimit {
-		s.rejected++
+		s.rejectedJobs++
 		return false
 	}
 	s.queue = append(s.queue, submitted)
@@ -74,7 +74,7 @@
 	s.simulator.Schedule(duration, func() {
 		s.updateIntegrals()
 		s.busyCores--
-		s.served++
+		s.servedJobs++
 		if s.waiting() > 0 {
 			s.serve(s.popJob())
 		}
@@ -102,8 +102,8 @@
 // updateIntegrals adds the time since the last update to the integrals.
 func (s *Station) updateIntegrals() {
 	elapsed := float64(s.simulator.Now() - s.updatedAt)
-	s.jobsArea += elapsed * float64(s.Jobs())
-	s.busyArea += elapsed * float64(s.busyCores)
+	s.jobsIntegral += elapsed * float64(s.Jobs())
+	s.busyCoresIntegral += elapsed * float64(s.busyCores)
 	s.updatedAt = s.simulator.Now()
 }
 
@@ -113,5 +113,5 @@
 	if s.updatedAt == 0 {
 		return 0, 0
 	}
-	return s.jobsArea / float64(s.updatedAt), s.busyArea / float64(s.updatedAt)
+	return s.jobsIntegral / float64(s.updatedAt), s.busyCoresIntegral / float64(s.updatedAt)
 }
--- a/scenarios/reconnects.hcl
+++ b/scenarios/reconnects.hcl
@@ -1,8 +1,9 @@
-# Streams break repeatedly, finally all forty at once. Some proxies stall, and some send no acknowledgments.
+# Streams break repeatedly, twice all forty at once. Some proxies stall, some send no acknowledgments, and some cannot
+# reach their first instance.
 like = "lib/base.hcl"
 
 day "reconnects" {
-  about     = "all streams break at once, repeatedly; proxies stall or never acknowledge"
+  about     = "all streams break at once, repeatedly; some proxies stall, never acknowledge or lose an instance"
   length    = "30s"
   seed      = 13
   governors = ["govan", "dalmarnock"]
--- a/scenarios/registry-faults.hcl
+++ b/scenarios/registry-faults.hcl
@@ -1,9 +1,9 @@
-# While replicas drain and vanish, the registry fails, does not answer, answers late, truncates its answers and sets its
-# index back. Load reports are late too.
+# While replicas drain, vanish and slow down, the registry fails, does not answer, answers late, truncates its answers
+# and decreases its index. Load reports are late too.
 like = "lib/base.hcl"
 
 day "registry-faults" {
-  about     = "the registry fails, is silent, late, truncated and set back; load reports are two seconds late"
+  about     = "the registry fails in several ways while replicas drain; load reports are two seconds late"
   length    = "45s"
   seed      = 19
   governors = ["govan", "springburn"]
