--- a/cmd/peppervale/golden_test.go
+++ b/cmd/peppervale/golden_test.go
@@ -21,7 +21,7 @@
 // commandTimeout limits a command that should reject its file. If it accepts the file, it serves until this timeout.
 const commandTimeout = 20 * time.Second
 
-// expectGolden fails the test unless a text equals the golden file's.
+// expectGolden fails the test unless a text equals the content of a golden file.
 func expectGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -42,7 +42,7 @@
 	if i < len(lines) {
 		return lines[i]
 	}
-	return "(nothing)"
+	return "(no such line)"
 }
 
 // repositoryRoot returns the root directory of the repository.
@@ -71,20 +71,20 @@
 // matchingFiles returns the files that match the patterns, sorted within each pattern.
 func matchingFiles(t *testing.T, patterns ...string) []string {
 	t.Helper()
-	var all []string
+	var files []string
 	for _, pattern := range patterns {
 		found, err := filepath.Glob(pattern)
 		if err != nil || len(found) == 0 {
 			t.Fatalf("no files match %s: %v", pattern, err)
 		}
 		slices.Sort(found)
-		all = append(all, found...)
+		files = append(files, found...)
 	}
-	return all
+	return files
 }
 
-// TestGoldenCheck compares the output of check, for every scenario and example, with the golden file.
-func TestGoldenCheck(t *testing.T) {
+// TestCheckOutputMatchesGoldenFile compares the output of check, for every scenario and example, with the golden file.
+func TestCheckOutputMatchesGoldenFile(t *testing.T) {
 	var text strings.Builder
 	checkedFiles := matchingFiles(t, "../../scenarios/*.hcl", "../../scenarios/faulty/*.hcl", "../../scenarios/lib/*.hcl",
 		"../../examples/*.hcl")
@@ -106,10 +106,10 @@
 	return []string{"stand", kind, "--config", file}
 }
 
-// TestGoldenFaults compares the errors reported for faulty files of each kind with the golden file. The files "types"
-// give every setting a value of a wrong type. The files "unknown" give each block an unknown setting; the errors list
-// the block's known settings.
-func TestGoldenFaults(t *testing.T) {
+// TestErrorsForFaultyFilesMatchGoldenFile compares the errors reported for faulty files of each kind with the golden
+// file. The files "types" give every setting a value of a wrong type. The files "unknown" give each block an unknown
+// setting; the errors list the block's known settings.
+func TestErrorsForFaultyFilesMatchGoldenFile(t *testing.T) {
 	var text strings.Builder
 	for _, file := range matchingFiles(t, "testdata/faulty/*") {
 		output := transcript(t, faultyCommand(file)...)
@@ -140,28 +140,28 @@
 	}
 	commands := strings.Split(strings.TrimSpace(string(text)), "\n")
 	if len(commands) < 2 {
-		t.Fatalf("no commands in %s", name)
+		t.Fatalf("%s has fewer than 2 lines", name)
 	}
 	return commands
 }
 
-// TestGoldenCommands parses every command with all its flags, as first published: a renamed command keeps its former
-// name as an alias.
-func TestGoldenCommands(t *testing.T) {
+// TestPublishedCommandLinesAreAccepted parses the published command lines in commands.txt without running
+// them. A renamed command must keep its former name as an alias.
+func TestPublishedCommandLinesAreAccepted(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
-	for _, words := range readCommands(t, "commands.txt") {
-		if _, err := parse(t, strings.Fields(words)...); err != nil {
-			t.Errorf("%s: %v", words, err)
+	for _, line := range readCommands(t, "commands.txt") {
+		if _, err := parse(t, strings.Fields(line)...); err != nil {
+			t.Errorf("%s: %v", line, err)
 		}
 	}
-	for _, words := range []string{"frobnicate", "version --frobnicate", "day run", "measure storm --rates x"} {
-		if _, err := parse(t, strings.Fields(words)...); err == nil {
-			t.Errorf("%s: the invalid command line is accepted", words)
+	for _, line := range []string{"frobnicate", "version --frobnicate", "day run", "measure storm --rates x"} {
+		if _, err := parse(t, strings.Fields(line)...); err == nil {
+			t.Errorf("%s: the invalid command line is accepted", line)
 		}
 	}
 }
 
-// formerNames maps the words of renamed commands to their former ones, which are aliases.
+// formerNames maps the new names of commands to their former names, which are aliases.
 var formerNames = map[string]string{
 	"serve":         "governor",
 	"cluster":       "group",
@@ -176,45 +176,46 @@
 // former name. Both must be the same command with the same flags and values, and the command line with the former name
 // must be in commands.txt.
 func TestRenamedCommandsMatchTheirFormerNames(t *testing.T) {
-	published := readCommands(t, "commands.txt")
-	unused := maps.Clone(formerNames)
+	publishedLines := readCommands(t, "commands.txt")
+	unusedNames := maps.Clone(formerNames)
 	for _, line := range readCommands(t, "commands-renamed.txt") {
 		t.Run(line, func(t *testing.T) {
 			words := strings.Fields(line)
 			formerLine := slices.Clone(words)
 			for i, word := range words {
-				if former, ok := formerNames[word]; ok {
-					formerLine[i] = former
-					delete(unused, word)
+				if formerName, ok := formerNames[word]; ok {
+					formerLine[i] = formerName
+					delete(unusedNames, word)
 				}
 			}
-			if !slices.Contains(published, strings.Join(formerLine, " ")) {
+			if !slices.Contains(publishedLines, strings.Join(formerLine, " ")) {
 				t.Fatalf("%q is not in commands.txt", strings.Join(formerLine, " "))
 			}
-			renamed, err := parse(t, words...)
+			renamedCommand, err := parse(t, words...)
 			if err != nil {
 				t.Fatal(err)
 			}
-			former, err := parse(t, formerLine...)
+			formerCommand, err := parse(t, formerLine...)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if renamed.Command() != former.Command() {
-				t.Errorf("command %q by the new name, %q by the former name", renamed.Command(), former.Command())
+			if renamedCommand.Command() != formerCommand.Command() {
+				t.Errorf("command %q by the new name, %q by the former name", renamedCommand.Command(), formerCommand.Command())
 			}
-			got, want := renamed.Selected().Target.Interface(), former.Selected().Target.Interface()
+			got, want := renamedCommand.Selected().Target.Interface(), formerCommand.Selected().Target.Interface()
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("parsed %+v by the new name, %+v by the former name", got, want)
 			}
 		})
 	}
-	if len(unused) > 0 {
-		t.Errorf("commands-renamed.txt has no line with the renamed commands %v", unused)
+	if len(unusedNames) > 0 {
+		t.Errorf("commands-renamed.txt has no line with these commands (new name: former name): %v", unusedNames)
 	}
 }
 
-// TestGoldenFlags compares the properties of each flag in commands.txt, found by name or alias, with the golden file.
-func TestGoldenFlags(t *testing.T) {
+// TestFlagPropertiesMatchGoldenFile compares the properties of each flag in commands.txt, found by name or alias, with
+// the golden file.
+func TestFlagPropertiesMatchGoldenFile(t *testing.T) {
 	var text strings.Builder
 	for _, line := range readCommands(t, "commands.txt") {
 		words := strings.Fields(line)
@@ -231,7 +232,7 @@
 	expectGolden(t, "flags.txt", text.String())
 }
 
-// commandName returns the words of a command line before the first flag.
+// commandName returns the words of a command line before the first flag. The line has at least one flag.
 func commandName(words []string) string {
 	end := slices.IndexFunc(words, func(word string) bool { return strings.HasPrefix(word, "-") })
 	return strings.Join(words[:end], " ")
--- a/cmd/peppervale/main_test.go
+++ b/cmd/peppervale/main_test.go
@@ -53,8 +53,8 @@
 }
 
 func TestExitStatusAndOutputOfEachOutcome(t *testing.T) {
-	faulty := filepath.Join(t.TempDir(), "bad.hcl")
-	if err := os.WriteFile(faulty, []byte("governor \"a\" {\n  listen = 5\n}\n"), 0o644); err != nil {
+	faultyFile := filepath.Join(t.TempDir(), "bad.hcl")
+	if err := os.WriteFile(faultyFile, []byte("governor \"a\" {\n  listen = 5\n}\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	const wrongType = "bad.hcl:2:12: listen: expected a string in quotes"
@@ -70,14 +70,14 @@
 		{"valid scenario", []string{"check", scenarios + "/zone-lost.hcl"}, 0, "a day, no fault"},
 		{"list of scenarios", []string{"scenario", "list", scenarios}, 0, "zone-lost.hcl"},
 		{"list of scenarios, former name", []string{"day", "list", scenarios}, 0, "zone-lost.hcl"},
-		{"faulty file", []string{"check", faulty}, 2, wrongType},
-		{"faulty file to serve", []string{"serve", "--config", faulty}, 2, "bad.hcl:2:12"},
-		{"faulty file to serve, former name", []string{"governor", "--config", faulty}, 2, "bad.hcl:2:12"},
+		{"faulty file", []string{"check", faultyFile}, 2, wrongType},
+		{"faulty file to serve", []string{"serve", "--config", faultyFile}, 2, "bad.hcl:2:12"},
+		{"faulty file to serve, former name", []string{"governor", "--config", faultyFile}, 2, "bad.hcl:2:12"},
 		{"missing file", []string{"check", "nowhere.hcl"}, 2, "nowhere.hcl"},
 		{"unknown command", []string{"frobnicate"}, 2, "try peppervale --help"},
 		{"directory without scenarios", []string{"day", "list", t.TempDir()}, 2, "no scenario scripts"},
-		{"faulty file of a stand-in", []string{"stand", "replica", "--config", faulty}, 2, "bad.hcl"},
-		{"invalid scenario of the bench", []string{"day", "from-bench", faulty, "-o", faulty + ".out"}, 2, "bench day"},
+		{"faulty file of a stand-in", []string{"stand", "replica", "--config", faultyFile}, 2, "bad.hcl"},
+		{"invalid simulator scenario", []string{"day", "from-bench", faultyFile, "-o", faultyFile + ".out"}, 2, "bench day"},
 		{"sizes out of range", []string{"measure", "channel", "--forwarders", "0"}, 2, "sizes out of range"},
 	}
 	for _, tt := range tests {
--- a/cmd/peppervale/platform_process_test.go
+++ b/cmd/peppervale/platform_process_test.go
@@ -125,7 +125,7 @@
 }
 
 // waitUntilTryingToListen waits until the process tries to listen on its address. By then it catches signals and has
-// opened the discovery client, whose poller is the second one after the runtime's.
+// opened the discovery client, whose poller is the process's second one, after the Go runtime's.
 func (p *platformProcess) waitUntilTryingToListen() {
 	p.t.Helper()
 	for deadline := time.Now().Add(processTimeout); p.countPollers() < 2; time.Sleep(time.Millisecond) {
@@ -160,13 +160,13 @@
 // terminate sends SIGTERM and checks that the process ends in time with status 0.
 func (p *platformProcess) terminate() {
 	p.t.Helper()
-	signalled := time.Now()
+	signalledAt := time.Now()
 	p.signal(syscall.SIGTERM)
-	p.expectExit(signalled)
+	p.expectExit(signalledAt)
 }
 
 // expectExit checks that the process ends with status 0, within maxShutdownTime after it was signalled.
-func (p *platformProcess) expectExit(signalled time.Time) {
+func (p *platformProcess) expectExit(signalledAt time.Time) {
 	p.t.Helper()
 	select {
 	case <-p.ended:
@@ -176,8 +176,8 @@
 	if status := p.command.ProcessState.ExitCode(); status != 0 {
 		p.t.Errorf("exit status %d, want 0", status)
 	}
-	if took := time.Since(signalled); took > maxShutdownTime {
-		p.t.Errorf("the process took %s to end, longer than the platform allows", took)
+	if duration := time.Since(signalledAt); duration > maxShutdownTime {
+		p.t.Errorf("the process took %s to end, longer than the platform's limit for a shutdown", duration)
 	}
 }
 
--- a/cmd/peppervale/platform_test.go
+++ b/cmd/peppervale/platform_test.go
@@ -77,11 +77,11 @@
 	for range 5 {
 		process := startOnFreeAddress(t)
 		process.waitUntilReady()
-		signalled := time.Now()
+		signalledAt := time.Now()
 		for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 			_ = process.command.Process.Signal(signal) // the process may have ended before the last signals
 		}
-		process.expectExit(signalled)
+		process.expectExit(signalledAt)
 	}
 }
 
@@ -91,11 +91,11 @@
 	for range 20 {
 		process := startOnFreeAddress(t)
 		process.waitUntilReady()
-		signalled := time.Now()
+		signalledAt := time.Now()
 		for process.command.Process.Signal(syscall.SIGTERM) == nil {
 			continue
 		}
-		process.expectExit(signalled)
+		process.expectExit(signalledAt)
 	}
 }
 
@@ -157,10 +157,10 @@
 			if err := command.Start(); err != nil {
 				t.Fatal(err)
 			}
-			reported, _ := io.ReadAll(stderr) // the line count below detects a partial read
-			_ = command.Wait()                // the exit status is read from ProcessState
-			if status := command.ProcessState.ExitCode(); status != 2 || strings.Count(string(reported), "\n") != 1 {
-				t.Errorf("status %d, want 2; standard error, want one line: %q", status, reported)
+			errorOutput, _ := io.ReadAll(stderr) // the line count below detects a partial read
+			_ = command.Wait()                   // the exit status is read from ProcessState
+			if status := command.ProcessState.ExitCode(); status != 2 || strings.Count(string(errorOutput), "\n") != 1 {
+				t.Errorf("status %d, want 2; standard error, want one line: %q", status, errorOutput)
 			}
 		})
 	}
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -11,7 +11,7 @@
 // instanceSet holds the instances by number. Instances share no state.
 type instanceSet map[uint16]*instance
 
-// instance is one balancer with the actions that it requested in the current batch.
+// instance is one balancer with the actions that the balancer requested in the current batch.
 type instance struct {
 	number     uint16
 	balancer   *balancer.Balancer // nil if it has not started, was killed or failed
@@ -23,12 +23,12 @@
 
 // handleBatch handles a batch and returns its reply. An error means that the batch is malformed.
 func (s instanceSet) handleBatch(batch *simulator.Batch) (*simulator.Reply, error) {
-	targeted, err := s.handleEvents(batch)
+	targetedInstances, err := s.handleEvents(batch)
 	if err != nil {
 		return nil, err
 	}
 	reply := &simulator.Reply{}
-	for _, inst := range targeted {
+	for _, inst := range targetedInstances {
 		inst.flush(batch.Clock)
 		inst.moveActionsTo(reply)
 	}
@@ -37,28 +37,28 @@
 
 // handleEvents handles a batch's events and returns the targeted instances in the order of their first event.
 func (s instanceSet) handleEvents(batch *simulator.Batch) ([]*instance, error) {
-	var targeted []*instance
-	var current *instance
+	var targetedInstances []*instance
+	var target *instance
 	for _, event := range batch.Events() {
 		if event.Code() == simulator.CodeTargetInstance {
-			current = s.target(event.TargetInstance())
-			if !current.isTargeted {
-				current.isTargeted = true
-				targeted = append(targeted, current)
+			target = s.target(event.TargetInstance())
+			if !target.isTargeted {
+				target.isTargeted = true
+				targetedInstances = append(targetedInstances, target)
 			}
 			continue
 		}
-		if current == nil {
-			continue
+		if target == nil {
+			continue // events before the first TargetInstance have no instance and are ignored
 		}
-		if err := current.handleEvent(event, batch.Clock); err != nil {
+		if err := target.handleEvent(event, batch.Clock); err != nil {
 			return nil, err
 		}
 	}
-	return targeted, nil
+	return targetedInstances, nil
 }
 
-// target returns the instance with a number; it creates the instance if there is none.
+// target returns the instance with a number. It creates the instance if there is none.
 func (s instanceSet) target(number uint16) *instance {
 	inst := s[number]
 	if inst == nil {
@@ -68,24 +68,25 @@
 	return inst
 }
 
-// handleEvent passes an event to the balancer. An error means that the event is malformed.
+// handleEvent handles an event and reports a panic in an Exception. An error means that the event is malformed.
 func (i *instance) handleEvent(event simulator.Event, now model.Microseconds) error {
 	var err error
-	i.reportPanic(func() { err = i.dispatchEvent(event, now) })
+	i.callRecovering(func() { err = i.dispatchEvent(event, now) })
 	return err
 }
 
-// flush flushes the balancer, if one is running.
+// flush makes the balancer, if one is running, publish the updates that follow from the batch's events.
 func (i *instance) flush(now model.Microseconds) {
-	i.reportPanic(func() {
+	i.callRecovering(func() {
 		if i.balancer != nil {
 			i.balancer.Flush(now)
 		}
 	})
 }
 
-// reportPanic calls a function. It reports a panic of the function in an Exception, and ends the balancer.
-func (i *instance) reportPanic(call func()) {
+// callRecovering calls a function. If the function panics, callRecovering removes the balancer and reports the panic in
+// an Exception.
+func (i *instance) callRecovering(call func()) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
 			i.reportFailure(fmt.Sprint("panic: ", panicked))
@@ -94,7 +95,7 @@
 	call()
 }
 
-// reportFailure ends the balancer and reports the reason in an Exception.
+// reportFailure removes the balancer and reports the reason in an Exception.
 func (i *instance) reportFailure(message string) {
 	i.balancer = nil
 	i.reply.Exception(message)
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// start replaces the balancer with a new one that has the settings of a Hello. Invalid settings are reported in an
-// Exception.
+// start replaces the balancer with a new one that has the settings of an InstanceStarted event. Invalid settings
+// are reported in an Exception.
 func (i *instance) start(event simulator.Event, now model.Microseconds) error {
 	seed, settings, err := event.InstanceStarted()
 	if err != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter runs balancers on the operators' simulator: frames of events come in on standard input, replies
-// with actions go out on standard output. It passes events to the balancers and writes their updates; it makes no
-// decision itself. It exits with status 0 when the input ends between two frames, otherwise with status 1.
+// Command simadapter runs balancers on the operators' simulator: it reads frames of events from standard input and
+// writes replies with actions to standard output. It passes events to the balancers and writes their updates; it makes
+// no decision itself. It exits with status 0 when the input ends between two frames, otherwise with status 1.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,8 +10,9 @@
 
 const testEventSize = 56
 
-// helloFrame returns a frame with two events: one selects instance 3 as the target, the other starts it with settings.
-func helloFrame(settings string) []byte {
+// instanceStartedFrame returns a frame with two events: one selects instance 3 as the target, the other starts it with
+// settings.
+func instanceStartedFrame(settings string) []byte {
 	var frame []byte
 	frame = binary.LittleEndian.AppendUint32(frame, 2)
 	frame = binary.LittleEndian.AppendUint32(frame, uint32(12+2*testEventSize+len(settings)))
@@ -19,11 +20,11 @@
 	frame = binary.LittleEndian.AppendUint32(frame, 1)
 	target := make([]byte, testEventSize)
 	target[0], target[1] = 2, 3
-	hello := make([]byte, testEventSize)
-	hello[0] = 3
-	binary.LittleEndian.PutUint32(hello[13:], uint32(len(settings)))
+	instanceStarted := make([]byte, testEventSize)
+	instanceStarted[0] = 3
+	binary.LittleEndian.PutUint32(instanceStarted[13:], uint32(len(settings)))
 	frame = append(frame, target...)
-	frame = append(frame, hello...)
+	frame = append(frame, instanceStarted...)
 	return append(frame, settings...)
 }
 
@@ -34,13 +35,13 @@
 		}
 	})
 	t.Run("a truncated frame returns an error", func(t *testing.T) {
-		if err := run(bytes.NewReader(helloFrame("{}")[:40]), &bytes.Buffer{}); err == nil {
+		if err := run(bytes.NewReader(instanceStartedFrame("{}")[:40]), &bytes.Buffer{}); err == nil {
 			t.Fatal("run returned no error for a truncated frame")
 		}
 	})
 	t.Run("invalid settings are reported in an Exception", func(t *testing.T) {
 		var output bytes.Buffer
-		err := run(bytes.NewReader(helloFrame("{")), &output)
+		err := run(bytes.NewReader(instanceStartedFrame("{")), &output)
 		if err != nil || !strings.Contains(output.String(), "start settings") {
 			t.Fatalf("got error %v and output %q, want an Exception with \"start settings\"", err, output.String())
 		}
@@ -49,7 +50,7 @@
 
 func TestPanicIsReportedInException(t *testing.T) {
 	inst := newInstance(1)
-	inst.reportPanic(func() { panic("index out of range") })
+	inst.callRecovering(func() { panic("index out of range") })
 	if !strings.Contains(string(inst.reply.Frame(1)), "panic: index out of range") {
 		t.Fatal("the panic is not reported in an Exception")
 	}
--- a/internal/cli/benchmark.go
+++ b/internal/cli/benchmark.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Benchmark is peppervale benchmark.
+// Benchmark is the command `peppervale benchmark`.
 type Benchmark struct {
-	Channel  BenchmarkChannel  `cmd:"" help:"Time updates up to the last acknowledgement, compared with plain sockets."`
+	Channel  BenchmarkChannel  `cmd:"" help:"Time updates to the last acknowledgement; compare with plain sockets."`
 	Restart  BenchmarkRestart  `cmd:"" help:"Restart an instance with proxies connected, in four modes."`
 	Takeover BenchmarkTakeover `cmd:"" help:"Kill one of three instances repeatedly, with and without a cluster."`
 	Quiet    BenchmarkQuiet    `cmd:"" help:"Count the messages of an idle cluster."`
--- a/internal/cli/benchmark_channel.go
+++ b/internal/cli/benchmark_channel.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/benchmark"
 )
 
-// BenchmarkChannel is peppervale benchmark channel.
+// BenchmarkChannel is the command `peppervale benchmark channel`.
 type BenchmarkChannel struct {
 	Proxies []int `name:"forwarders" help:"Numbers of proxies; the benchmark runs once for each." default:"40,400,2000"`
 	Entries int   `name:"lines" help:"Entries changed per round." default:"20"`
--- a/internal/cli/benchmark_quiet.go
+++ b/internal/cli/benchmark_quiet.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/benchmark"
 )
 
-// BenchmarkQuiet is peppervale benchmark quiet.
+// BenchmarkQuiet is the command `peppervale benchmark quiet`.
 type BenchmarkQuiet struct {
 	Members       int           `help:"Number of members." default:"3"`
 	Shards        int           `name:"parts" help:"Shards in each member's zone." default:"4"`
--- a/internal/cli/benchmark_restart.go
+++ b/internal/cli/benchmark_restart.go
@@ -7,7 +7,7 @@
 	"peppervale/internal/benchmark"
 )
 
-// BenchmarkRestart is peppervale benchmark restart.
+// BenchmarkRestart is the command `peppervale benchmark restart`.
 type BenchmarkRestart struct {
 	Proxies int `name:"forwarders" help:"Number of proxies." default:"400"`
 	Rounds  int `help:"Number of restarts in each mode." default:"5"`
--- a/internal/cli/benchmark_storm.go
+++ b/internal/cli/benchmark_storm.go
@@ -6,7 +6,7 @@
 	"peppervale/internal/benchmark"
 )
 
-// BenchmarkStorm is peppervale benchmark storm.
+// BenchmarkStorm is the command `peppervale benchmark storm`.
 type BenchmarkStorm struct {
 	Proxies int       `name:"forwarders" help:"Number of proxies." default:"2000"`
 	Rates   []float64 `help:"Proxies admitted per second; 0 admits all." default:"0,200,500"`
--- a/internal/cli/benchmark_takeover.go
+++ b/internal/cli/benchmark_takeover.go
@@ -10,13 +10,13 @@
 	"peppervale/internal/model"
 )
 
-// BenchmarkTakeover is peppervale benchmark takeover.
+// BenchmarkTakeover is the command `peppervale benchmark takeover`.
 type BenchmarkTakeover struct {
 	Proxies       int           `name:"forwarders" help:"Number of proxies." default:"400"`
 	Rounds        int           `help:"Number of kills." default:"20"`
 	LeaseDuration time.Duration `name:"span" help:"Duration of a lease." default:"2s"`
 	Seed          uint64        `help:"Random seed for the choice and the times of the kills." default:"1"`
-	Only          string        `help:"In a cluster, without a cluster, or both." enum:"shared,alone,both" default:"both"`
+	Only          string        `help:"With a cluster, without one, or both." enum:"shared,alone,both" default:"both"`
 }
 
 // Run runs the benchmark, with a cluster and without one.
@@ -28,10 +28,10 @@
 	if err != nil {
 		return err
 	}
-	lease := model.Microseconds(c.LeaseDuration / time.Microsecond)
+	leaseDuration := model.Microseconds(c.LeaseDuration / time.Microsecond)
 	var results []*benchmark.TakeoverResult
 	for _, inCluster := range c.clusterVariants() {
-		result, err := benchmark.Takeover(ctx, program, c.Proxies, c.Rounds, lease, inCluster, c.Seed, os.Stderr)
+		result, err := benchmark.Takeover(ctx, program, c.Proxies, c.Rounds, leaseDuration, inCluster, c.Seed, os.Stderr)
 		if err != nil {
 			return err
 		}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// clusterVariants returns, for each run, whether the instances are in a cluster.
+// clusterVariants returns, for each run of the benchmark, whether the instances are in a cluster.
 func (c *BenchmarkTakeover) clusterVariants() []bool {
 	switch c.Only {
 	case "shared":
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -9,7 +9,7 @@
 	"peppervale/internal/scenario"
 )
 
-// Check is peppervale check.
+// Check is the command `peppervale check`.
 type Check struct {
 	File string `arg:"" help:"An instance's or a scenario's file." type:"existingfile"`
 }
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// isScenario reports whether a file is a scenario's, which has a day block.
+// isScenario reports whether the text of a file is that of a scenario: it contains a day block.
 func isScenario(text []byte) bool {
 	for line := range strings.Lines(string(text)) {
 		if strings.HasPrefix(line, "day ") {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli is the command line. Each command is a type with a Run method, which calls the package that implements
-// the command. A renamed command keeps its former name as an alias. Flags, their environment variables and the exit
-// statuses do not change once they are published.
+// Package cli implements the command line. Each command is a type with a Run method, which calls the package that
+// implements the command. A renamed command keeps its former name as an alias. Flags, their environment variables and
+// the exit statuses do not change once they are published.
 package cli
 
 import (
@@ -12,7 +12,7 @@
 // CommandLine is the whole command line. kong fills it and calls the Run method of the chosen command.
 type CommandLine struct {
 	Serve     Serve     `cmd:"" aliases:"governor" help:"Run an instance until a signal ends it."`
-	Platform  Platform  `cmd:"" help:"Run an instance on the operators' platform, by its file (LB_CONFIG)."`
+	Platform  Platform  `cmd:"" help:"Run an instance on the operators' platform, with the file that LB_CONFIG names."`
 	Check     Check     `cmd:"" help:"Check an instance's or a scenario's file and list its errors."`
 	Cluster   Cluster   `cmd:"" aliases:"group" help:"Show and control the instances of a cluster."`
 	Console   Console   `cmd:"" help:"Show several instances side by side, from data of their consoles."`
--- a/internal/cli/cluster_drain_member.go
+++ b/internal/cli/cluster_drain_member.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// ClusterDrainMember is peppervale cluster drain-member.
+// ClusterDrainMember is the command `peppervale cluster drain-member`.
 type ClusterDrainMember struct {
 	targetMember
 	Name string `arg:"" help:"The member's name."`
--- a/internal/cli/cluster_move.go
+++ b/internal/cli/cluster_move.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// ClusterMove is peppervale cluster move.
+// ClusterMove is the command `peppervale cluster move`.
 type ClusterMove struct {
 	targetMember
 	Shard int    `arg:"" name:"part" help:"The shard's number, as status shows it."`
--- a/internal/cli/cluster_remove_member.go
+++ b/internal/cli/cluster_remove_member.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// ClusterRemoveMember is peppervale cluster remove-member.
+// ClusterRemoveMember is the command `peppervale cluster remove-member`.
 type ClusterRemoveMember struct {
 	targetMember
 	Name string `arg:"" help:"The member's name."`
--- a/internal/cli/cluster_status.go
+++ b/internal/cli/cluster_status.go
@@ -9,10 +9,10 @@
 	"peppervale/internal/cluster"
 )
 
-// maxDisplayedTakeovers is the maximum number of takeovers that are shown; the latest are kept.
+// maxDisplayedTakeovers is the maximum number of takeovers that are printed: the latest ones.
 const maxDisplayedTakeovers = 10
 
-// ClusterStatus is peppervale cluster status.
+// ClusterStatus is the command `peppervale cluster status`.
 type ClusterStatus struct {
 	targetMember
 	JSON bool `name:"json" help:"Write the status as JSON."`
@@ -101,7 +101,7 @@
 	return state
 }
 
-// shardTarget describes which member should hold a shard, and why the move to that member waits.
+// shardTarget describes which member should hold a shard, and the reason if the move to that member is delayed.
 func shardTarget(shard *cluster.ShardStatus) string {
 	target := shard.Target
 	if shard.Pinned {
--- a/internal/cli/cluster_status_test.go
+++ b/internal/cli/cluster_status_test.go
@@ -35,19 +35,19 @@
 
 // takeoversFixture returns one takeover more than is shown.
 func takeoversFixture() []cluster.Takeover {
-	all := []cluster.Takeover{
+	fixture := []cluster.Takeover{
 		{Shard: 9, Epoch: 1, To: "too-old"},
 		{Shard: 0, Epoch: 1, To: "govan-1", Reason: "with nobody"},
 		{Shard: 1, Epoch: 2, From: "govan-1", To: "partick-1", Planned: true, Reason: "home"},
 	}
 	for epoch := uint64(3); epoch <= 10; epoch++ {
-		all = append(all, cluster.Takeover{Shard: 1, Epoch: epoch, From: "partick-1", To: "govan-1", Reason: "gone"})
+		fixture = append(fixture, cluster.Takeover{Shard: 1, Epoch: epoch, From: "partick-1", To: "govan-1", Reason: "gone"})
 	}
-	return all
+	return fixture
 }
 
-// TestGoldenClusterStatus compares the output of cluster status with its golden file.
-func TestGoldenClusterStatus(t *testing.T) {
+// TestClusterStatusOutputMatchesGoldenFile compares the output of cluster status with its golden file.
+func TestClusterStatusOutputMatchesGoldenFile(t *testing.T) {
 	want, err := os.ReadFile("testdata/cluster-status.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cli/console.go
+++ b/internal/cli/console.go
@@ -13,7 +13,7 @@
 // maxConsoles is the maximum number of instances that are shown side by side.
 const maxConsoles = 64
 
-// Console is peppervale console.
+// Console is the command `peppervale console`.
 type Console struct {
 	Instances []string `name:"governors" help:"Addresses of the instances' consoles, host:port or URL." required:""`
 	Listen    string   `help:"Address to serve the pages at, host:port." default:"127.0.0.1:7790"`
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -13,20 +13,20 @@
 )
 
 // shutdownTimeout limits the duration of a shutdown, in every state of the instance. The platform kills the process
-// 0.7 s after SIGTERM at the earliest. Work left undone has no effect: the signal also makes proxies connect to another
+// 0.7 s after SIGTERM at the earliest. Unfinished work is not needed: at the signal, proxies connect to another
 // instance.
 const shutdownTimeout = 300 * time.Millisecond
 
-// Platform is peppervale platform.
+// Platform is the command `peppervale platform`.
 type Platform struct {
-	Config string `help:"The platform's file, JSON." env:"LB_CONFIG" required:""`
+	Config string `help:"Configuration file from the platform (JSON)." env:"LB_CONFIG" required:""`
 	Log    string `help:"Minimum level of the log." default:"info" enum:"debug,info,warn,error"`
 }
 
 // Run runs an instance on the operators' platform until the context is done. Within shutdownTimeout after that, it
 // returns or exits the process with status 0.
 func (c *Platform) Run(ctx context.Context, out io.Writer) error {
-	reload := reloadRequests(ctx) // first of all: an early SIGHUP must not end the process
+	reload := reloadRequests(ctx) // before all other work: an early SIGHUP must not end the process
 	finished := make(chan struct{})
 	defer close(finished)
 	go exitAfterTimeout(ctx, finished)
--- a/internal/cli/scenario_from_bench.go
+++ b/internal/cli/scenario_from_bench.go
@@ -7,9 +7,9 @@
 	"peppervale/internal/scenario"
 )
 
-// ScenarioFromBench is peppervale scenario from-bench.
+// ScenarioFromBench is the command `peppervale scenario from-bench`.
 type ScenarioFromBench struct {
-	File    string `arg:"" help:"The scenario of the bench, JSON." type:"existingfile"`
+	File    string `arg:"" help:"Scenario file of the operators' simulator (JSON)." type:"existingfile"`
 	Out     string `short:"o" required:"" help:"The script to write." type:"path"`
 	Proxies int    `name:"forwarders" help:"Maximum number of proxies; other sizes are scaled in proportion." default:"60"`
 }
@@ -25,7 +25,7 @@
 		return inputErrorf("%s: %w", c.File, err)
 	}
 	if _, err := scenario.Parse(c.Out, script); err != nil {
-		return inputErrorf("the script converted from the bench's scenario is invalid:\n%w", err)
+		return inputErrorf("the script converted from the simulator scenario is invalid:\n%w", err)
 	}
 	if err := os.WriteFile(c.Out, script, 0o644); err != nil {
 		return err
--- a/internal/cli/scenario_list.go
+++ b/internal/cli/scenario_list.go
@@ -8,7 +8,7 @@
 	"peppervale/internal/scenario"
 )
 
-// ScenarioList is peppervale scenario list.
+// ScenarioList is the command `peppervale scenario list`.
 type ScenarioList struct {
 	Directory string `arg:"" name:"folder" optional:"" default:"scenarios" help:"Directory of the scripts." type:"path"`
 }
--- a/internal/cli/scenario_run.go
+++ b/internal/cli/scenario_run.go
@@ -9,7 +9,7 @@
 	"peppervale/internal/scenario"
 )
 
-// ScenarioRun is peppervale scenario run.
+// ScenarioRun is the command `peppervale scenario run`.
 type ScenarioRun struct {
 	File      string `arg:"" help:"The scenario's script." type:"existingfile"`
 	JSON      bool   `name:"json" help:"Write the report as JSON."`
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -11,9 +11,9 @@
 	"peppervale/internal/server"
 )
 
-// Serve is peppervale serve.
+// Serve is the command `peppervale serve`.
 type Serve struct {
-	Config string `help:"The instance's file, HCL." required:"" type:"existingfile"`
+	Config string `help:"Configuration file of the instance (HCL)." required:"" type:"existingfile"`
 	Pretty bool   `help:"Log for a terminal instead of JSON lines."`
 }
 
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -17,7 +17,7 @@
 	standInStatisticsInterval = 5 * time.Second
 )
 
-// StandIn is peppervale standin. It runs one stand-in, to try an instance by hand.
+// StandIn is the command `peppervale standin`. It runs one stand-in, to try an instance by hand.
 type StandIn struct {
 	Replica  StandInReplica  `cmd:"" help:"Serve requests like a replica."`
 	Proxy    StandInProxy    `cmd:"" aliases:"forwarder" help:"Connect to an instance and send requests by its tables."`
--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -16,19 +16,19 @@
 
 // Proxy settings that are not in the stand-in's file.
 const (
-	firstAttemptShare = 0.8 // fraction of the latency objective given to an attempt that may be retried
-	proxyDialTimeout  = 250 * model.Millisecond
-	proxyIdleTimeout  = 15 * model.Second
+	retryableAttemptShare = 0.8 // timeout of an attempt that may be retried, as a share of the objective
+	proxyDialTimeout      = 250 * model.Millisecond
+	proxyIdleTimeout      = 15 * model.Second // of an unused connection to a replica
 
 	workSpread = 0.5 // coefficient of variation of the work per request
 )
 
-// StandInProxy is peppervale standin proxy.
+// StandInProxy is the command `peppervale standin proxy`.
 type StandInProxy struct {
-	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
+	Config string `help:"Configuration file of the stand-in proxy (HCL)." required:"" type:"existingfile"`
 }
 
-// proxySettings is the content of a proxy's file: the proxy and its load.
+// proxySettings is the content of a proxy's file: the proxy and the requests that it sends.
 type proxySettings struct {
 	proxy         proxy.Config
 	standingTable []invariants.TableEntry
@@ -37,6 +37,8 @@
 	seed          uint64
 }
 
+// readProxy reads a proxy's file. The numbers in the calls of Float, Duration and Int are the default, the minimum and
+// the maximum of a setting; the unit of a duration is the microsecond.
 func readProxy(top *config.Block) proxySettings {
 	var settings proxySettings
 	zones := top.Strings("zones", true)
@@ -48,7 +50,7 @@
 		ExpectedRate:       block.Float("rate", 5, 0.01, 10_000),
 		Pick:               proxy.Pick(block.String("pick", "pair", "lottery", "wheel", "pair")),
 		DefaultRetryPolicy: model.RetryIfNotExecuted,
-		FirstAttemptShare:  firstAttemptShare,
+		FirstAttemptShare:  retryableAttemptShare,
 		RedialInterval:     block.Duration("redial", 200*model.Millisecond, model.Millisecond, maxStandInDuration),
 		DialTimeout:        proxyDialTimeout,
 		IdleTimeout:        proxyIdleTimeout,
@@ -94,15 +96,15 @@
 	defer engine.Stop()
 	loop := standin.NewLoop(controller.NewClock())
 	defer loop.Stop()
-	load := &requestGenerator{settings: settings, loop: loop, random: standin.NewRandom(settings.seed, "load")}
+	generator := &requestGenerator{settings: settings, loop: loop, random: standin.NewRandom(settings.seed, "load")}
 	loop.Do(func() {
-		load.proxy = proxy.New(loop, engine, settings.proxy, settings.seed, ignoreObservation)
-		load.proxy.Start(settings.standingTable)
-		load.scheduleRequest()
+		generator.proxy = proxy.New(loop, engine, settings.proxy, settings.seed, ignoreObservation)
+		generator.proxy.Start(settings.standingTable)
+		generator.scheduleRequest()
 	})
-	defer loop.Do(load.proxy.Kill)
+	defer loop.Do(generator.proxy.Kill)
 	callPeriodically(ctx, standInStatisticsInterval, func() {
-		loop.Do(func() { load.writeStatistics(out) })
+		loop.Do(func() { generator.writeStatistics(out) })
 	})
 	return nil
 }
@@ -118,33 +120,33 @@
 }
 
 // scheduleRequest sends a request after a random interval, then schedules the next request.
-func (l *requestGenerator) scheduleRequest() {
-	seconds := l.random.Interval(l.settings.proxy.ExpectedRate)
-	l.loop.After(model.Microseconds(seconds*float64(model.Second)), func() {
-		l.sendRequest()
-		l.scheduleRequest()
+func (g *requestGenerator) scheduleRequest() {
+	seconds := g.random.Interval(g.settings.proxy.ExpectedRate)
+	g.loop.After(model.Microseconds(seconds*float64(model.Second)), func() {
+		g.sendRequest()
+		g.scheduleRequest()
 	})
 }
 
 // sendRequest sends a request with a random operation and a random amount of work.
-func (l *requestGenerator) sendRequest() {
-	l.requests++
-	operation := l.random.IntN(len(l.settings.operations))
-	objective := l.settings.operations[operation].LatencyObjective
-	l.proxy.HandleRequest(&proxy.Request{
-		Number:    l.requests,
+func (g *requestGenerator) sendRequest() {
+	g.requests++
+	operation := g.random.IntN(len(g.settings.operations))
+	objective := g.settings.operations[operation].LatencyObjective
+	g.proxy.HandleRequest(&proxy.Request{
+		Number:    g.requests,
 		Operation: operation,
-		Work:      float64(l.settings.meanWork) * l.random.LogNormal(workSpread),
+		Work:      float64(g.settings.meanWork) * g.random.LogNormal(workSpread),
 		Done: func(result proxy.Result, latency model.Microseconds) {
 			if result == proxy.Succeeded && latency <= objective {
-				l.withinObjective++
+				g.withinObjective++
 			}
 		},
 	})
 }
 
-func (l *requestGenerator) writeStatistics(out io.Writer) {
+func (g *requestGenerator) writeStatistics(out io.Writer) {
 	printf(out, "joined to %q, bound %v, %d lines held; %d asked, %d within the objective; %d messages\n",
-		l.proxy.JoinedInstance(), l.proxy.Bound(), len(l.proxy.HeldEntries()), l.requests, l.withinObjective,
-		l.proxy.Messages)
+		g.proxy.JoinedInstance(), g.proxy.Bound(), len(g.proxy.HeldEntries()), g.requests, g.withinObjective,
+		g.proxy.Messages)
 }
--- a/internal/cli/standin_registry.go
+++ b/internal/cli/standin_registry.go
@@ -15,12 +15,12 @@
 	"peppervale/internal/standin/registry"
 )
 
-// registryReloadInterval is how often the registry's file is read again.
+// registryReloadInterval is the interval at which the registry's file is read again.
 const registryReloadInterval = time.Second
 
-// StandInRegistry is peppervale standin registry.
+// StandInRegistry is the command `peppervale standin registry`.
 type StandInRegistry struct {
-	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
+	Config string `help:"Configuration file of the stand-in registry (HCL)." required:"" type:"existingfile"`
 }
 
 // registrySettings is the content of a registry's file.
@@ -66,7 +66,7 @@
 }
 
 // Run serves the endpoint list until the context is done. It reads the file again each second. If the file is invalid,
-// Run reports the error on standard error, unless it equals the last reported one, and leaves the list unchanged.
+// Run leaves the list unchanged and reports the error on standard error, unless it equals the last reported error.
 func (c *StandInRegistry) Run(ctx context.Context, out io.Writer) error {
 	settings, err := openStandInFile(c.Config, readRegistry)
 	if err != nil {
@@ -104,10 +104,10 @@
 func updateRegistry(loop *standin.Loop, server *registry.Registry, listed []registry.Entry, settings registrySettings) {
 	loop.Do(func() {
 		server.Faults = settings.faults
-		for _, old := range listed {
-			isListed := slices.ContainsFunc(settings.entries, func(e registry.Entry) bool { return e.ID == old.ID })
+		for _, previous := range listed {
+			isListed := slices.ContainsFunc(settings.entries, func(e registry.Entry) bool { return e.ID == previous.ID })
 			if !isListed {
-				server.Remove(old.ID)
+				server.Remove(previous.ID)
 			}
 		}
 		for _, entry := range settings.entries {
--- a/internal/cli/standin_replica.go
+++ b/internal/cli/standin_replica.go
@@ -12,9 +12,9 @@
 	"peppervale/internal/standin/replica"
 )
 
-// StandInReplica is peppervale standin replica.
+// StandInReplica is the command `peppervale standin replica`.
 type StandInReplica struct {
-	Config string `help:"The stand-in's file, HCL." required:"" type:"existingfile"`
+	Config string `help:"Configuration file of the stand-in replica (HCL)." required:"" type:"existingfile"`
 }
 
 // replicaSettings is the content of a replica's file.
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-// Version is peppervale version.
+// Version is the command `peppervale version`.
 type Version struct{}
 
 // Run prints the version and the revision of the source.
--- a/internal/server/cluster_testbed_test.go
+++ b/internal/server/cluster_testbed_test.go
@@ -250,8 +250,9 @@
 	}
 }
 
-// expectNoMajority waits until a member's status reports the missing majority. A lease is counted from its request, the
-// missing majority from the later agreement: in between, a member holds no lease but does not report the fault yet.
+// expectNoMajority waits until a member's status reports the missing majority. The lease duration begins at a
+// renewal's request, the time without a majority at the later agreement: between the two ends, a member holds no lease
+// but does not report the fault yet.
 func (bed *clusterTestbed) expectNoMajority(member clusterMember) {
 	bed.t.Helper()
 	const limit = 5 * time.Second
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -12,6 +12,6 @@
 // Guarantees: the controller never waits for the disk. A rejected reload changes nothing. During a shutdown, proxies
 // are notified in portions within the configured grace period, and pending state is written.
 //
-// Limits: if the process is killed, decisions and an endpoint list of the last quarter of a second are lost; the next
-// start uses the endpoint list that was stored before.
+// Limits: if the process is killed, the decisions and the endpoint list of the last quarter of a second are lost;
+// the next start uses the endpoint list that was stored before.
 package server
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -22,36 +22,37 @@
 	statisticsInterval = 10 * time.Second
 
 	// savePublishedInterval is the interval at which the published state is stored if it changed. After a restart, the
-	// console shows the stored state until the new incarnation publishes its own; an age of 5 s is acceptable there.
+	// console shows the stored state until the new incarnation publishes its own. The stored state may be up to 5 s older
+	// than the last published state.
 	savePublishedInterval = 5 * time.Second
 )
 
 // instance is one running instance. start opens its components in order, close releases them in reverse order.
 type instance struct {
-	settings    *activeSettings
-	balancer    model.Config // has this incarnation's seed once createController has run
-	environment Environment
-	log         zerolog.Logger
-	now         func() model.Microseconds
+	settings       *activeSettings
+	balancerConfig model.Config // has this incarnation's seed once createController has run
+	environment    Environment
+	log            zerolog.Logger
+	now            func() model.Microseconds
 
-	recovered  *statestore.Recovered
-	controller *controller.Controller
-	runner     *controllerRunner
-	recorder   *recorder
-	membership *membership // nil if the instance is in no cluster
-	proxies    *pubsub.Server
-	discovery  *discovery.ConsulClient
+	recovered   *statestore.Recovered
+	controller  *controller.Controller
+	runner      *controllerRunner
+	recorder    *recorder
+	membership  *membership // nil if the instance is in no cluster
+	proxyServer *pubsub.Server
+	discovery   *discovery.ConsulClient
 
 	closers []func() error // of the open components, in the order of opening
 }
 
 func newInstance(settings *config.Server, environment Environment, log zerolog.Logger) *instance {
 	return &instance{
-		settings:    &activeSettings{current: settings},
-		balancer:    settings.Balancer,
-		environment: environment,
-		log:         log,
-		now:         controller.NewClock(),
+		settings:       &activeSettings{current: settings},
+		balancerConfig: settings.Balancer,
+		environment:    environment,
+		log:            log,
+		now:            controller.NewClock(),
 	}
 }
 
@@ -72,10 +73,10 @@
 	if err := inst.openDiscovery(settings); err != nil {
 		return err
 	}
-	inst.runner.run = func() { inst.controller.Run(inst.proxies, inst.discovery, inst.recovered.Endpoints) }
+	inst.runner.run = func() { inst.controller.Run(inst.proxyServer, inst.discovery, inst.recovered.Endpoints) }
 	inst.log.Info().
 		Str("instance", settings.Name).
-		Str("listen", inst.proxies.Addr()).
+		Str("listen", inst.proxyServer.Addr()).
 		Uint64("incarnation", inst.recovered.Incarnation).
 		Int("endpoints", len(inst.recovered.Endpoints)).
 		Msg("serving")
@@ -85,7 +86,8 @@
 	return inst.openConsole(settings)
 }
 
-// openStore opens the state store, which assigns the next incarnation number.
+// openStore opens the state store, which assigns the next incarnation number. If the previous number is lost, the next
+// one is at least the Unix time in seconds.
 func (inst *instance) openStore(settings *config.Server) (*statestore.Store, error) {
 	store, recovered, err := statestore.Open(settings.StateDir, uint64(inst.now()/model.Second))
 	if err != nil {
@@ -102,11 +104,11 @@
 	return store, nil
 }
 
-// createController creates the controller and the recorder of its decisions. The balancer's seed depends on the
-// incarnation, so that it differs at each start and can be reproduced.
+// createController creates the controller and the recorder of its decisions. The incarnation is added to the upper 32
+// bits of the configured seed, so that the balancer's seed differs at each start and can be reproduced.
 func (inst *instance) createController(settings *config.Server, store *statestore.Store) {
-	inst.balancer.Seed += inst.recovered.Incarnation << 32
-	inst.controller = controller.New(inst.balancer, settings.ReportLimit, inst.now, inst.log)
+	inst.balancerConfig.Seed += inst.recovered.Incarnation << 32
+	inst.controller = controller.New(inst.balancerConfig, settings.ReportLimit, inst.now, inst.log)
 	inst.runner = &controllerRunner{controller: inst.controller}
 	inst.recorder = newRecorder(inst.controller, store, inst.recovered.Incarnation, inst.log)
 	inst.addReleaser(inst.recorder.writer.Close)
@@ -118,27 +120,27 @@
 		Listen:           settings.ListenAddress,
 		Incarnation:      inst.recovered.Incarnation,
 		Zones:            settings.Zones,
-		ReportPeriod:     inst.balancer.ReportPeriod,
-		MessageOverhead:  inst.balancer.MessageOverhead,
+		ReportPeriod:     inst.balancerConfig.ReportPeriod,
+		MessageOverhead:  inst.balancerConfig.MessageOverhead,
 		EntriesPerSecond: settings.ChannelRate,
 		Now:              inst.now,
-		JoinLimits:       joinLimits(settings, inst.balancer.Seed),
+		JoinLimits:       joinLimits(settings, inst.balancerConfig.Seed),
 		Log:              inst.log,
 		Limits:           peerLimits(settings),
 	}
 	if inst.membership != nil {
 		serverConfig.Leases = inst.membership
 	}
-	proxies, err := pubsub.Listen(serverConfig, inst.controller)
+	proxyServer, err := pubsub.Listen(serverConfig, inst.controller)
 	if err != nil {
 		return &ListenError{Address: settings.ListenAddress, Err: err}
 	}
-	inst.proxies = proxies
-	inst.addReleaser(proxies.Close)
+	inst.proxyServer = proxyServer
+	inst.addReleaser(proxyServer.Close)
 	return nil
 }
 
-// openDiscovery creates the client of the endpoint list. It starts to poll when the controller subscribes.
+// openDiscovery creates the client of the endpoint list. The client starts to poll when the controller subscribes.
 func (inst *instance) openDiscovery(settings *config.Server) error {
 	client, err := discovery.NewConsulClient(discovery.ConsulConfig{
 		Address:   settings.Discovery.Address,
@@ -157,7 +159,8 @@
 	return nil
 }
 
-// startController starts the controller. In a cluster, it only joins; the controller then starts with the first lease.
+// startController starts the controller, or joins the cluster if one is configured. In a cluster, LeaseGained starts
+// the controller at the first lease.
 func (inst *instance) startController(settings *config.Server) error {
 	if inst.membership == nil {
 		inst.runner.start()
@@ -166,7 +169,7 @@
 	err := inst.membership.open(memberOptions{
 		settings:    settings,
 		incarnation: inst.recovered.Incarnation,
-		proxies:     inst.proxies,
+		proxyServer: inst.proxyServer,
 		now:         inst.now,
 		links:       inst.environment.Links,
 		log:         inst.log,
@@ -188,7 +191,7 @@
 		Incarnation:      inst.recovered.Incarnation,
 		Zones:            settings.Zones,
 		Settings:         inst.settings.namesAndValues,
-		QueueLimit:       inst.balancer.QueueLimit,
+		QueueLimit:       inst.balancerConfig.QueueLimit,
 		Now:              inst.now,
 		PreviousSnapshot: inst.recovered.Published,
 	}
@@ -198,7 +201,7 @@
 	if inst.membership != nil {
 		consoleInstance.Cluster = inst.membership.cluster.Load().Status
 	}
-	source := consoleSource{inst.controller, inst.proxies, inst.recorder}
+	source := consoleSource{inst.controller, inst.proxyServer, inst.recorder}
 	consoleServer, err := console.Listen(settings.ConsoleAddress, consoleInstance, source)
 	if err != nil {
 		return err
@@ -210,16 +213,16 @@
 
 // runPeriodicTasks performs periodic tasks and configuration reloads until the context is done.
 func (inst *instance) runPeriodicTasks(ctx context.Context) {
-	statistics := time.NewTicker(statisticsInterval)
-	defer statistics.Stop()
-	save := time.NewTicker(savePublishedInterval)
-	defer save.Stop()
+	statisticsTicker := time.NewTicker(statisticsInterval)
+	defer statisticsTicker.Stop()
+	saveTicker := time.NewTicker(savePublishedInterval)
+	defer saveTicker.Stop()
 	for {
 		select {
-		case <-statistics.C:
-			logStatistics(inst.log, inst.controller, inst.proxies)
-		case <-save.C:
-			inst.recorder.savePublished(inst.proxies)
+		case <-statisticsTicker.C:
+			logStatistics(inst.log, inst.controller, inst.proxyServer)
+		case <-saveTicker.C:
+			inst.recorder.savePublished(inst.proxyServer)
 		case <-inst.environment.Reload:
 			inst.reload()
 		case <-ctx.Done():
@@ -233,13 +236,13 @@
 func (inst *instance) shutDown() {
 	gracePeriod := inst.settings.get().ShutdownGracePeriod
 	inst.log.Info().Dur("grace_period_ms", gracePeriod).Msg("graceful shutdown started")
-	inst.recorder.savePublished(inst.proxies)
+	inst.recorder.savePublished(inst.proxyServer)
 	if inst.membership != nil {
 		inst.membership.transferLeases(gracePeriod)
 	}
-	inst.proxies.Shutdown(gracePeriod)
+	inst.proxyServer.Shutdown(gracePeriod)
 	inst.runner.stop()
-	logStatistics(inst.log, inst.controller, inst.proxies)
+	logStatistics(inst.log, inst.controller, inst.proxyServer)
 }
 
 // addCloser registers the function that closes a newly opened component.
@@ -269,9 +272,9 @@
 
 // consoleSource provides the console with data of the instance.
 type consoleSource struct {
-	controller *controller.Controller
-	proxies    *pubsub.Server
-	recorder   *recorder
+	controller  *controller.Controller
+	proxyServer *pubsub.Server
+	recorder    *recorder
 }
 
 // View implements console.Source.
@@ -281,7 +284,7 @@
 func (s consoleSource) DetailedView() *controller.View { return s.controller.DetailedView() }
 
 // Stats implements console.Source.
-func (s consoleSource) Stats() pubsub.Stats { return s.proxies.Stats() }
+func (s consoleSource) Stats() pubsub.Stats { return s.proxyServer.Stats() }
 
 // Decisions implements console.Source.
 func (s consoleSource) Decisions(limit int, match func(*controller.Decision) bool) []controller.Decision {
--- a/internal/server/instance_test.go
+++ b/internal/server/instance_test.go
@@ -17,15 +17,15 @@
 	inst := newInstance(&config.Server{}, Environment{}, zerolog.Nop())
 	storeError, writerError := errors.New("store"), errors.New("writer")
 	var released []string
-	release := func(name string, err error) {
+	addCloser := func(name string, err error) {
 		inst.addCloser(func() error {
 			released = append(released, name)
 			return err
 		})
 	}
-	release("store", storeError)
-	release("writer", writerError)
-	release("proxies", nil)
+	addCloser("store", storeError)
+	addCloser("writer", writerError)
+	addCloser("proxies", nil)
 	err := inst.close()
 	if want := []string{"proxies", "writer", "store"}; !slices.Equal(released, want) {
 		t.Errorf("released %v, want %v", released, want)
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -25,14 +25,14 @@
 	incarnationRandomBits = 20 // random low bits of the incarnation that identifies a process in a cluster
 )
 
-// membership is an instance's part in a cluster. The controller starts with the first lease, not with the process. The
-// rules of a start (bind no proxy and hold the weights until each listed replica was reported) therefore also apply
-// to an unplanned takeover by a standby instance.
+// membership is an instance's part in a cluster. The controller starts at the first lease, not with the process.
+// Therefore it begins in safe mode (it binds no proxy and leaves weights unchanged until each listed replica was
+// reported) also after an unplanned takeover by a standby instance.
 type membership struct {
-	settings cluster.Settings
-	runner   *controllerRunner
-	cluster  atomic.Pointer[cluster.Cluster] // nil until the cluster is open; until then no lease is held
-	proxies  *pubsub.Server                  // set by open
+	settings    cluster.Settings
+	runner      *controllerRunner
+	cluster     atomic.Pointer[cluster.Cluster] // nil until the cluster is open; until then no lease is held
+	proxyServer *pubsub.Server                  // set by open
 
 	done       chan struct{}
 	background sync.WaitGroup
@@ -41,11 +41,11 @@
 	handedOverReports []model.LoadReport // reports kept for a controller that has not started
 }
 
-// memberOptions is the part of an instance that its membership needs to join the cluster.
+// memberOptions contains the data of an instance that its membership needs to join the cluster.
 type memberOptions struct {
 	settings    *config.Server
 	incarnation uint64
-	proxies     *pubsub.Server
+	proxyServer *pubsub.Server
 	now         func() model.Microseconds
 	links       cluster.Links
 	log         zerolog.Logger
@@ -72,23 +72,23 @@
 }
 
 // memberIncarnation returns the incarnation that identifies a process in a cluster: the incarnation of its state store,
-// which grows with each start, followed by random bits. The random bits distinguish two processes that were given the
-// same name and a new store each, as new stores begin with the same number.
+// which grows with each start, followed by random bits. The random bits distinguish two processes with the same name
+// and a new store each: without these bits, both would have the same incarnation.
 func memberIncarnation(incarnation uint64) uint64 {
 	return incarnation<<incarnationRandomBits | rand.Uint64N(1<<incarnationRandomBits)
 }
 
 // open joins the cluster. Lease events may arrive before it returns.
 func (m *membership) open(options memberOptions) error {
-	m.proxies = options.proxies
+	m.proxyServer = options.proxyServer
 	clusterSettings := options.settings.Cluster
 	misroutedProxies := func() map[int]int {
-		return m.proxies.MisroutedProxies(clusterSettings.LeaseDuration / 2)
+		return m.proxyServer.MisroutedProxies(clusterSettings.LeaseDuration / 2)
 	}
 	memberConfig := cluster.Config{
 		Name:             options.settings.Name,
 		Zone:             clusterSettings.Zone,
-		ChannelAddress:   m.proxies.Addr(),
+		ChannelAddress:   m.proxyServer.Addr(),
 		ListenAddress:    clusterSettings.ListenAddress,
 		GossipAddress:    clusterSettings.GossipAddress,
 		Directory:        filepath.Join(options.settings.StateDir, "group"),
@@ -96,7 +96,7 @@
 		Join:             clusterSettings.Join,
 		Settings:         m.settings,
 		Capacity:         clusterSettings.Capacity,
-		ShardLoads:       m.proxies.ExpectedRates,
+		ShardLoads:       m.proxyServer.ExpectedRates,
 		MisroutedProxies: misroutedProxies,
 		Handover:         cluster.HandoverCallbacks{Export: m.exportHandover, Import: m.importHandover},
 		Now:              options.now,
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// LeaseGained starts the controller when the first lease is gained.
+// LeaseGained starts the controller at the first lease, whichever shard and epoch the lease has.
 func (m *membership) LeaseGained(_ int, _ uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,11 +128,11 @@
 }
 
 // LeaseLost closes the streams of the shard's proxies.
-func (m *membership) LeaseLost(shard int) { m.proxies.LeaseLost(shard) }
+func (m *membership) LeaseLost(shard int) { m.proxyServer.LeaseLost(shard) }
 
 // exportHandover returns the data that the next lease holder receives at a planned move.
 func (m *membership) exportHandover() cluster.Handover {
-	snapshot := m.proxies.Snapshot()
+	snapshot := m.proxyServer.Snapshot()
 	handover := cluster.Handover{
 		LoadReports: m.runner.controller.LatestReports(),
 		Withdrawn:   snapshot.Withdrawn,
@@ -195,8 +195,11 @@
 	return opened.TargetChannel(shard)
 }
 
-// transferLeases transfers all leases to other members, within a time limit.
-func (m *membership) transferLeases(within time.Duration) { m.cluster.Load().TransferLeases(within) }
+// transferLeases transfers all leases to other members. It waits until none is held
+// or the time limit has passed.
+func (m *membership) transferLeases(timeLimit time.Duration) {
+	m.cluster.Load().TransferLeases(timeLimit)
+}
 
 // close leaves the cluster, then stops the delivery of handed-over load reports and waits until it has stopped.
 func (m *membership) close() {
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -47,25 +47,25 @@
 	})
 }
 
-// The proxies of one zone cannot reach their zone's instance, while the other instances can. The proxies repeatedly
-// connect to other instances, so their shards move to an instance that they can reach.
+// The proxies of one zone cannot reach their zone's instance, while the other instances can reach it. The proxies
+// repeatedly connect to other instances, so their shards move to an instance that they can reach.
 func TestShardsMoveWhenProxiesCannotReachTheirLeaseHolder(t *testing.T) {
 	bed := newClusterTestbed(t, "1s")
-	const unreachable = 1 // index of the zone and of its member
+	const unreachableIndex = 1 // index of the zone and of its member
 	bed.waitForPlacement("each proxy on its own zone's instance", bed.isOwnZoneInstance)
 	bed.loop.Do(func() {
 		for k, p := range bed.proxies {
-			if k%len(clusterZones) == unreachable {
-				p.Unreachable[bed.members[unreachable].name] = true
+			if k%len(clusterZones) == unreachableIndex {
+				p.Unreachable[bed.members[unreachableIndex].name] = true
 				p.BreakStream()
 			}
 		}
 	})
 	bed.waitForPlacement("proxies of the zone on other instances", func(k int, instance string) bool {
-		if k%len(clusterZones) != unreachable {
+		if k%len(clusterZones) != unreachableIndex {
 			return bed.isOwnZoneInstance(k, instance)
 		}
-		return instance != "" && instance != bed.members[unreachable].name
+		return instance != "" && instance != bed.members[unreachableIndex].name
 	})
 }
 
@@ -81,8 +81,8 @@
 	draining := replicaID(1)
 	bed.loop.Do(func() { bed.registry.Set(registry.Entry{ID: draining, Zone: "govan", Draining: true}) })
 	sendsToDraining := func(p *proxy.Proxy) bool {
-		for _, held := range p.HeldEntries() {
-			if held.Replica == draining && held.Weight > 0 && !held.Withdrawn {
+		for _, entry := range p.HeldEntries() {
+			if entry.Replica == draining && entry.Weight > 0 && !entry.Withdrawn {
 				return true
 			}
 		}
@@ -118,18 +118,18 @@
 // Two processes with the same name and a new state store each have different incarnations in the cluster. A later start
 // of either process has a higher incarnation.
 func TestMemberIncarnationsOfProcessesWithOneNameDiffer(t *testing.T) {
-	equal := 0
+	equalPairs := 0
 	for range 100 {
 		first, second := memberIncarnation(1), memberIncarnation(1)
 		if first == second {
-			equal++
+			equalPairs++
 		}
-		if later := memberIncarnation(2); later <= first || later <= second {
-			t.Fatalf("incarnation of the second start is %d, want above %d and %d", later, first, second)
+		if laterIncarnation := memberIncarnation(2); laterIncarnation <= first || laterIncarnation <= second {
+			t.Fatalf("incarnation of the second start is %d, want above %d and %d", laterIncarnation, first, second)
 		}
 	}
-	if equal > 1 { // with a million possible numbers, one equal pair may be chance
-		t.Errorf("%d of 100 pairs of incarnations are equal, want at most 1", equal)
+	if equalPairs > 1 { // with a million possible numbers, one equal pair may be chance
+		t.Errorf("%d of 100 pairs of incarnations are equal, want at most 1", equalPairs)
 	}
 }
 
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -20,39 +20,39 @@
 
 const (
 	// reservedDescriptors is the number of file descriptors that are not available for connections of proxies and
-	// collectors: standard streams, pollers, the listening socket, the discovery watch and its successor, and a second
-	// one for each connection while it is accepted.
+	// collectors: standard streams, pollers, the listening socket, the discovery connection and the connection that
+	// replaces it, and a second descriptor for each connection that is being accepted.
 	reservedDescriptors = 40
 
-	// joinTimeout limits the time from a connection's start to its join. The platform allows an instance to close a
+	// greetingTimeout limits the time from a connection's start to its join. The platform allows an instance to close a
 	// connection that has not joined after 1 s, and requires it within 3 s. The extra 0.5 s is for joins that arrive in
-	// pieces while the core is shared.
-	joinTimeout = 1500 * time.Millisecond
+	// several segments while the CPU core is busy.
+	greetingTimeout = 1500 * time.Millisecond
 
-	// maxUnsentBytes limits the bytes queued for one stream. The platform resets a connection with 128 KiB unread,
-	// including those in the kernel's buffers.
+	// maxUnsentBytes limits the bytes queued for one stream. The platform resets a connection with 128 KiB of unread data,
+	// including data in the kernel's buffers.
 	maxUnsentBytes = 64 << 10
 
-	// platformReportLimit is above any rate that occurs in operation, in load reports per second: the platform's
-	// collectors have a limit of their own, and the mailbox holds one report for each zone and replica.
+	// platformReportLimit is above any rate that occurs in operation, in load reports per second. The platform's
+	// collectors have their own limit, and the controller's mailbox merges reports into one for each zone and replica.
 	platformReportLimit = 100_000
 
 	platformStatisticsInterval = 5 * time.Second
 
-	// An address that an earlier process still holds is retried for listenTimeout: the platform restarts instances with
-	// the same addresses, and gives them 30 s to become ready.
+	// Listening on an address that an earlier process still uses is retried for listenTimeout: the platform restarts
+	// instances with the same addresses, and gives them 30 s to become ready.
 	listenRetryInterval = 20 * time.Millisecond
 	listenTimeout       = 20 * time.Second
 
-	maxPlatformProcs      = 4 // two pollers, an acceptor, the controller; more would only add idle stacks
+	maxPlatformProcs      = 4 // for GOMAXPROCS: two pollers, an acceptor, the controller; more adds idle stacks
 	platformGCPercent     = 50
 	retransmissionTimeout = 3 * model.Second // a lost segment is sent again after 1 s, and after 2 s more (RFC 6298)
 
 	maxSilentReportPeriods = 3 // report periods without a message after which a proxy counts as silent
-	lostAckFactor          = 3 // silence timeouts after which a late acknowledgement counts as lost
+	lostAckFactor          = 3 // silence timeouts after which a missing acknowledgement counts as lost
 )
 
-// PlatformEnvironment is what the process provides to an instance on the platform.
+// PlatformEnvironment contains what the process provides to an instance on the platform.
 type PlatformEnvironment struct {
 	Reload     <-chan struct{}                  // requests a reload of the configuration
 	LoadConfig func() (*config.Platform, error) // loads the configuration; required with Reload
@@ -65,12 +65,13 @@
 	log         zerolog.Logger
 	controller  *controller.Controller
 	discovery   *discovery.Watcher
-	proxies     *platform.Server
+	proxyServer *platform.Server
 }
 
 // ServePlatform runs one instance on the operators' platform until the context is done. The instance has no state
-// store, console or cluster: no disk outlives it, and its limits leave no room for them. ServePlatform returns an error
-// if the balancer rejects the settings, or if the discovery client or the address cannot be opened.
+// store, console or cluster: the platform keeps no disk of an ended instance, and the resource limits leave no room for
+// a console or a cluster. ServePlatform returns an error if the balancer rejects the settings, or if the discovery
+// client or the address cannot be opened.
 func ServePlatform(
 	ctx context.Context, settings *config.Platform, environment PlatformEnvironment, log zerolog.Logger,
 ) error {
@@ -95,15 +96,15 @@
 		}
 		return err
 	}
-	defer inst.proxies.Close()
+	defer inst.proxyServer.Close()
 	inst.startController()
 	defer inst.controller.Stop()
 	inst.runPeriodicTasks(ctx)
 	return nil
 }
 
-// limitRuntime makes the Go runtime keep to the instance's limits. The memory limit covers the whole process; a third
-// of it is reserved for memory that the runtime's own limit does not count: the kernel's stacks and the program's text.
+// limitRuntime sets the Go runtime's limits from the instance's limits. The instance's memory limit covers the whole
+// process; a third of it is reserved for memory that the runtime does not count: kernel stacks and the program's code.
 func limitRuntime(settings *config.Platform) {
 	debug.SetMemoryLimit(settings.MemoryLimit / 3 * 2)
 	debug.SetGCPercent(platformGCPercent)
@@ -127,17 +128,17 @@
 	return nil
 }
 
-// listen opens the address for proxies and collectors. While another process holds the address, it retries until
-// listenTimeout has passed. It returns the error of the address, or that of the context if the context is done first.
+// listen opens the address for proxies and collectors. While another process uses the address, listen retries until
+// listenTimeout has passed. It returns the last error of platform.Listen, or ctx.Err() if the context is done first.
 func (inst *platformInstance) listen(
 	ctx context.Context, names *platformmsg.ReplicaNames, now func() model.Microseconds,
 ) error {
 	serverConfig := inst.serverConfig(names, now)
 	deadline := time.Now().Add(listenTimeout)
 	for {
-		proxies, err := platform.Listen(serverConfig, inst.controller)
+		proxyServer, err := platform.Listen(serverConfig, inst.controller)
 		if err == nil {
-			inst.proxies = proxies
+			inst.proxyServer = proxyServer
 			return nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
@@ -153,16 +154,16 @@
 
 // serverConfig returns the configuration of the server for proxies and collectors.
 //
-// A proxy sends a message in each report period. It counts as silent after maxSilentReportPeriods without a message, or
-// after the retransmission time of a lost segment if that is longer, plus the maximum delivery delay. An
-// acknowledgement is requested again when it counts as lost rather than late, and at most once per message window: the
-// balancer leaves room for one additional message in each window.
+// A proxy sends a message in each report period. It counts as silent after a time without a message: the longer of
+// maxSilentReportPeriods and retransmissionTimeout, plus the maximum delivery delay. A missing acknowledgement is
+// requested again after lostAckFactor times that time, and at most once per message window: the balancer leaves room
+// for one additional message in each window.
 func (inst *platformInstance) serverConfig(
 	names *platformmsg.ReplicaNames, now func() model.Microseconds,
 ) platform.Config {
 	settings := inst.settings
-	quietPeriod := max(maxSilentReportPeriods*settings.Balancer.ReportPeriod, retransmissionTimeout)
-	silence := (quietPeriod + settings.MaxDeliveryDelay).Duration()
+	silenceWithoutDelay := max(maxSilentReportPeriods*settings.Balancer.ReportPeriod, retransmissionTimeout)
+	silenceTimeout := (silenceWithoutDelay + settings.MaxDeliveryDelay).Duration()
 	return platform.Config{
 		Listen:          settings.Listen,
 		Zones:           settings.Zones,
@@ -175,10 +176,10 @@
 		Log:             inst.log,
 		Limits: platform.Limits{
 			Connections:      settings.SocketLimit - reservedDescriptors,
-			GreetingTimeout:  joinTimeout,
+			GreetingTimeout:  greetingTimeout,
 			UnsentBytes:      maxUnsentBytes,
-			SilenceTimeout:   silence,
-			AckRetryInterval: max(lostAckFactor*silence, settings.Balancer.MessageWindow.Duration()),
+			SilenceTimeout:   silenceTimeout,
+			AckRetryInterval: max(lostAckFactor*silenceTimeout, settings.Balancer.MessageWindow.Duration()),
 		},
 	}
 }
@@ -188,12 +189,12 @@
 	endpoints := inst.discovery.Endpoints()
 	inst.log.Info().
 		Str("instance", inst.settings.Name).
-		Str("listen", inst.proxies.Addr()).
+		Str("listen", inst.proxyServer.Addr()).
 		Int("endpoints", len(endpoints)).
 		Int64("memory_mb", inst.settings.MemoryLimit/mebibyte).
 		Int("sockets", inst.settings.SocketLimit).
 		Msg("serving")
-	go inst.controller.Run(inst.proxies, inst.discovery, endpoints)
+	go inst.controller.Run(inst.proxyServer, inst.discovery, endpoints)
 	if !inst.settings.Balancer.SubscriptionRequired {
 		inst.discovery.Subscribe() // without SubscriptionRequired the balancer expects the list without subscribing
 	}
@@ -201,17 +202,17 @@
 
 // runPeriodicTasks performs periodic tasks and configuration reloads until the context is done.
 func (inst *platformInstance) runPeriodicTasks(ctx context.Context) {
-	statistics := time.NewTicker(platformStatisticsInterval)
-	defer statistics.Stop()
+	statisticsTicker := time.NewTicker(platformStatisticsInterval)
+	defer statisticsTicker.Stop()
 	for {
 		select {
-		case <-statistics.C:
-			logPlatformStatistics(inst.log, inst.controller, inst.proxies)
+		case <-statisticsTicker.C:
+			logPlatformStatistics(inst.log, inst.controller, inst.proxyServer)
 		case <-inst.environment.Reload:
 			inst.reload()
 		case <-ctx.Done():
 			inst.log.Info().Msg("shutdown started")
-			logPlatformStatistics(inst.log, inst.controller, inst.proxies)
+			logPlatformStatistics(inst.log, inst.controller, inst.proxyServer)
 			return
 		}
 	}
--- a/internal/server/platform_proxy_test.go
+++ b/internal/server/platform_proxy_test.go
@@ -19,29 +19,29 @@
 
 // platformProxy is a proxy of a platformTestbed, with the table that it received.
 type platformProxy struct {
-	id         int
-	conn       net.Conn
-	weights    map[string]float64 // by replica
-	withdrawn  map[string]bool
-	fullTables int // number received
+	id             int
+	conn           net.Conn
+	weights        map[string]float64 // by replica
+	withdrawn      map[string]bool
+	fullTableCount int // full tables received
 }
 
 // newProxy adds a proxy with a standing table of six replicas.
 func (bed *platformTestbed) newProxy(id int) *platformProxy {
-	added := &platformProxy{id: id, weights: map[string]float64{}, withdrawn: map[string]bool{}}
-	var standing []invariants.TableEntry
+	proxy := &platformProxy{id: id, weights: map[string]float64{}, withdrawn: map[string]bool{}}
+	var standingTable []invariants.TableEntry
 	for n := range 6 {
 		name := hostName(n + 1)
-		added.weights[name] = 1
-		standing = append(standing, invariants.TableEntry{Replica: hostID(name), Weight: 1})
+		proxy.weights[name] = 1
+		standingTable = append(standingTable, invariants.TableEntry{Replica: hostID(name), Weight: 1})
 	}
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	bed.observe(invariants.ProxyStarted{
-		At: bed.now(), Proxy: added.name(), Zone: id % len(platformZones), Standing: standing,
+		At: bed.now(), Proxy: proxy.name(), Zone: id % len(platformZones), Standing: standingTable,
 	})
-	bed.proxies = append(bed.proxies, added)
-	return added
+	bed.proxies = append(bed.proxies, proxy)
+	return proxy
 }
 
 // name returns the proxy's name for the invariant checker.
@@ -50,17 +50,17 @@
 // pick returns a replica that is not withdrawn, at random by weight; "" if there is none.
 func (p *platformProxy) pick(random *rand.Rand) string {
 	var names []string
-	sum := 0.0
+	totalWeight := 0.0
 	for _, name := range slices.Sorted(maps.Keys(p.weights)) {
 		if !p.withdrawn[name] {
 			names = append(names, name)
-			sum += p.weights[name]
+			totalWeight += p.weights[name]
 		}
 	}
-	at := random.Float64() * sum
+	remaining := random.Float64() * totalWeight
 	for _, name := range names {
-		at -= p.weights[name]
-		if at <= 0 {
+		remaining -= p.weights[name]
+		if remaining <= 0 {
 			return name
 		}
 	}
@@ -180,7 +180,7 @@
 	message.Full, message.Bound = true, true
 	message.Cost++
 	clear(p.weights)
-	p.fullTables++
+	p.fullTableCount++
 	for name := range p.withdrawn {
 		withdrawal := pubsubmsg.Withdrawal{Replica: hostID(name), Withdrawn: true}
 		message.Withdrawals = append(message.Withdrawals, withdrawal)
@@ -198,7 +198,7 @@
 	for _, pair := range splitList(list) {
 		name, text, _ := strings.Cut(pair, ":")
 		weight, err := strconv.ParseFloat(text, 64)
-		if _, listed := bed.hosts[name]; err != nil || weight < 0 || !listed {
+		if _, isListed := bed.hosts[name]; err != nil || weight < 0 || !isListed {
 			bed.t.Errorf("invalid table entry %q", pair)
 		}
 		p.weights[name] = weight
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -11,8 +11,8 @@
 )
 
 // An instance on the platform binds its proxies after every replica was reported. It handles a withdrawal, a new
-// replica, a broken stream, connections that are not proxies, and a new discovery address. The messages on the sockets
-// violate no invariant.
+// replica, a broken stream, connections of other clients than proxies, and a new discovery address. The messages on the
+// sockets violate no invariant.
 func TestServePlatformViolatesNoInvariant(t *testing.T) {
 	bed := newPlatformTestbed(t, 8)
 	firstDiscovery, stopFirstDiscovery := bed.startDiscovery()
@@ -23,10 +23,10 @@
 	}
 	bed.startLoad()
 	bed.waitForProxies("bound with a table of all eight replicas", func(p *platformProxy) bool {
-		return p.fullTables == 1 && len(p.weights) == 8
+		return p.fullTableCount == 1 && len(p.weights) == 8
 	})
 
-	unauthenticated := []net.Conn{
+	otherConns := []net.Conn{
 		bed.dial("update", "whole", "1"),
 		bed.dial("joined", "id", "99", "site", "govan", "rps", "1", "new", "1"),
 		bed.dial("ping"),
@@ -53,28 +53,29 @@
 	bed.waitForProxies("notified of the withdrawal by the new discovery", func(p *platformProxy) bool {
 		return p.withdrawn[hostName(2)] || p.weights[hostName(2)] == 0
 	})
-	for _, conn := range unauthenticated {
+	for _, conn := range otherConns {
 		expectAnswerOrEnd(t, conn)
 	}
 	bed.end()
 }
 
-// reconnectAfterBreak breaks a proxy's stream and connects the proxy again. In between, another instance has withdrawn
-// a replica that this instance did not withdraw. The proxy must be bound again and send to that replica again.
+// reconnectAfterBreak breaks a proxy's stream and connects the proxy again. Before the reconnection, another instance
+// withdraws a replica that this instance did not withdraw. The proxy must be bound again and send to that replica
+// again.
 func reconnectAfterBreak(bed *platformTestbed, broken *platformProxy) {
 	bed.t.Helper()
-	withdrawnElsewhere := hostName(4)
+	withdrawnByOther := hostName(4)
 	bed.closeConn(broken.conn)
 	bed.mu.Lock()
 	bed.observe(invariants.StreamChanged{At: bed.now(), Proxy: broken.name(), Instance: platformInstanceName})
-	broken.withdrawn[withdrawnElsewhere] = true
+	broken.withdrawn[withdrawnByOther] = true
 	bed.mu.Unlock()
 	bed.connect(broken, "0")
 	bed.waitForProxies("bound again after its stream broke", func(p *platformProxy) bool {
 		if p != broken {
 			return true
 		}
-		return p.fullTables == 2 && !p.withdrawn[withdrawnElsewhere] && p.weights[withdrawnElsewhere] > 0
+		return p.fullTableCount == 2 && !p.withdrawn[withdrawnByOther] && p.weights[withdrawnByOther] > 0
 	})
 }
 
@@ -85,7 +86,7 @@
 		t.Error(err)
 	}
 	if got, err := io.ReadAll(conn); err != nil && len(got) == 0 && os.IsTimeout(err) {
-		t.Errorf("a connection that is not a proxy's was neither answered nor closed")
+		t.Errorf("a connection that sent no valid join was neither answered nor closed")
 	}
 	if err := conn.Close(); err != nil {
 		t.Error(err)
--- a/internal/server/platform_testbed_test.go
+++ b/internal/server/platform_testbed_test.go
@@ -35,13 +35,13 @@
 	requestsPerReport     = 10
 	platformWaitTimeout   = 30 * time.Second
 	platformInstanceName  = "n0"
-	minPlatformAttempts   = 100 // below it, the check of the invariants would be of little value
+	minPlatformAttempts   = 100 // fewer attempts exercise the invariants too little
 )
 
 var platformZones = []string{"govan", "partick"}
 
 // platformTestbed simulates the operators' platform around one instance: discovery, collectors, and proxies that send
-// requests by their tables. It records what went over the sockets for the invariant checker.
+// requests by their tables. It records the events on the sockets for the invariant checker.
 type platformTestbed struct {
 	t      *testing.T
 	listen string
@@ -65,11 +65,11 @@
 
 // discoveryHost is a replica as discovery lists it.
 type discoveryHost struct {
-	Host   string `json:"host"`
-	Dial   string `json:"dial"`
-	Site   string `json:"site"`
-	Health string `json:"health"`
-	Born   int64  `json:"born_ms"`
+	Host      string `json:"host"`
+	Dial      string `json:"dial"`
+	Site      string `json:"site"`
+	Health    string `json:"health"`
+	StartedAt int64  `json:"born_ms"`
 }
 
 func newPlatformTestbed(t *testing.T, replicas int) *platformTestbed {
@@ -94,7 +94,7 @@
 
 func newHost(number int, health string, startedAt int64) discoveryHost {
 	zone := platformZones[(number-1)%len(platformZones)]
-	return discoveryHost{Host: hostName(number), Dial: "127.0.0.1:1", Site: zone, Health: health, Born: startedAt}
+	return discoveryHost{Host: hostName(number), Dial: "127.0.0.1:1", Site: zone, Health: health, StartedAt: startedAt}
 }
 
 func hostName(number int) string { return fmt.Sprint("s-", number) }
@@ -143,11 +143,11 @@
 		bed.t.Error("the response cannot be flushed")
 		return
 	}
-	written := -1
+	writtenVersion := -1
 	for {
-		version, changed, body := bed.endpointList(written)
+		version, changed, body := bed.endpointList(writtenVersion)
 		_, _ = w.Write(append(body, '\n')) // the request's context ends when the client disconnects
-		written = version
+		writtenVersion = version
 		flusher.Flush()
 		select {
 		case <-changed:
@@ -160,12 +160,12 @@
 	}
 }
 
-// endpointList returns the list, unless its version is already written, and a channel that is closed when the list
+// endpointList returns the list, unless its version equals writtenVersion, and a channel that is closed when the list
 // changes.
-func (bed *platformTestbed) endpointList(written int) (version int, changed <-chan struct{}, body []byte) {
+func (bed *platformTestbed) endpointList(writtenVersion int) (version int, changed <-chan struct{}, body []byte) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
-	if bed.version == written {
+	if bed.version == writtenVersion {
 		return bed.version, bed.changed, nil
 	}
 	body, err := json.Marshal(map[string]any{
@@ -186,7 +186,7 @@
 		id := hostID(host.Host)
 		entry.Service.Address = net.IP(id.Addr[:]).String()
 		entry.Service.Port = int(id.Port)
-		entry.Service.Meta = map[string]string{"zone": host.Site, "started": strconv.FormatInt(host.Born, 10)}
+		entry.Service.Meta = map[string]string{"zone": host.Site, "started": strconv.FormatInt(host.StartedAt, 10)}
 		if host.Health == "draining" {
 			entry.Checks = append(entry.Checks, consulcatalog.Check{CheckID: "_service_maintenance"})
 		}
@@ -307,7 +307,8 @@
 	}()
 }
 
-// report makes each of the two collectors report half of the attempts since the last report. The caller holds bed.mu.
+// report makes each of the two collectors report about half of the attempts since the last report. The caller holds
+// bed.mu.
 func (bed *platformTestbed) report(collectors []net.Conn) {
 	for name, attempts := range bed.attempts {
 		for k, zone := range platformZones {
@@ -351,7 +352,7 @@
 			bed.mu.Lock()
 			defer bed.mu.Unlock()
 			for _, p := range bed.proxies {
-				bed.t.Logf("proxy %d: %v, withdrawn %v, %d full tables", p.id, p.weights, p.withdrawn, p.fullTables)
+				bed.t.Logf("proxy %d: %v, withdrawn %v, %d full tables", p.id, p.weights, p.withdrawn, p.fullTableCount)
 			}
 			bed.t.Fatalf("some proxy is not %s", description)
 		}
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -20,7 +20,7 @@
 	incarnation uint64
 	log         zerolog.Logger
 
-	savedVersion uint64 // version of the published state that was queued last
+	savedVersion uint64 // version of the published state that was last queued, or that could not be encoded
 }
 
 // newRecorder returns the recorder of a controller that has not been started. The caller closes the writer.
@@ -28,13 +28,13 @@
 	source *controller.Controller, store *statestore.Store, incarnation uint64, log zerolog.Logger,
 ) *recorder {
 	rec := &recorder{controller: source, store: store, incarnation: incarnation, log: log}
-	rec.writer = statestore.NewWriter(store, rec.logWriteState)
+	rec.writer = statestore.NewWriter(store, rec.logStoreHealth)
 	source.PersistDecisions(rec.saveDecision)
 	return rec
 }
 
-// logWriteState logs that writes fail, or, with a nil error, that they succeed again.
-func (r *recorder) logWriteState(err error, droppedDecisions uint64) {
+// logStoreHealth logs an error of a write, or, with a nil error, that writes succeed again.
+func (r *recorder) logStoreHealth(err error, droppedDecisions uint64) {
 	if err != nil {
 		r.log.Error().Err(err).Msg("state store write failed, retrying; a restart would recover older state")
 		return
@@ -46,7 +46,7 @@
 func (r *recorder) saveDecision(decision *controller.Decision) {
 	body, err := json.Marshal(decision)
 	if err != nil {
-		return
+		return // not reached: a Decision contains only numbers and strings
 	}
 	r.writer.AddDecision(statestore.DecisionRecord{Incarnation: r.incarnation, Number: decision.Number, Body: body})
 }
@@ -60,12 +60,13 @@
 	}
 }
 
-// savePublished queues the published state for the store, unless this version was queued before.
-func (r *recorder) savePublished(proxies *pubsub.Server) {
-	if proxies.Stats().Version == r.savedVersion {
+// savePublished queues the published state for the store, unless this version was queued before. A state that cannot be
+// encoded is not queued.
+func (r *recorder) savePublished(proxyServer *pubsub.Server) {
+	if proxyServer.Stats().Version == r.savedVersion {
 		return
 	}
-	snapshot := proxies.Snapshot()
+	snapshot := proxyServer.Snapshot()
 	if body, err := json.Marshal(snapshot); err == nil {
 		r.writer.SetPublished(body)
 	}
@@ -110,6 +111,6 @@
 	}
 	if recovered.PreviousIncarnation == 0 && !recovered.Empty {
 		log.Warn().Uint64("incarnation", recovered.Incarnation).
-			Msg("state store lost the incarnation number; the new one is above the decision log's and the clock's")
+			Msg("state store lost the incarnation number; the new one is above the decision log's and at least the Unix time")
 	}
 }
--- a/internal/server/recorder_test.go
+++ b/internal/server/recorder_test.go
@@ -44,7 +44,8 @@
 }
 
 // fixtureDecisions is the decision log of the fixture, by the incarnation that made the decisions. The last decision
-// has another incarnation in its body; the recorder replaces it with that under which the decision is stored.
+// has another incarnation in its body; the recorder replaces it with the incarnation under which the decision is
+// stored.
 var fixtureDecisions = map[uint64][]controller.Decision{
 	1: {
 		{
@@ -147,8 +148,8 @@
 	rec.writer.SetPublished(body)
 }
 
-// writeFirstVersionFixture writes the two files of the first schema version. Their incarnations differ: the higher one
-// counts, so a test can tell that the one in the list is read.
+// writeFirstVersionFixture writes the two files of the first schema version. The incarnation in the
+// list is higher than the other one. The store uses the higher one, so a test can tell that the store reads the list.
 func writeFirstVersionFixture(t *testing.T) {
 	t.Helper()
 	endpoints, err := json.Marshal(fixtureEndpoints)
@@ -200,7 +201,7 @@
 	rec, recovered := openRecorder(t, directory)
 	if recovered.Incarnation != 3 || recovered.PreviousIncarnation != 2 || recovered.Empty ||
 		recovered.MigratedFrom != 0 || len(recovered.Damage) > 0 {
-		t.Errorf("recovered %+v", recovered)
+		t.Errorf("recovered %+v; want incarnation 3 after 2, without migration and damage", recovered)
 	}
 	if !reflect.DeepEqual(recovered.Endpoints, fixtureEndpoints) {
 		t.Errorf("endpoint list %+v; want %+v", recovered.Endpoints, fixtureEndpoints)
@@ -214,10 +215,10 @@
 	if got := rec.Decisions(10, nil); !reflect.DeepEqual(got, want) {
 		t.Errorf("decision log %+v; want %+v", got, want)
 	}
-	for word, number := range map[string]int{"joined till-1": 3, "zone 2 drains": 0, "let back 10.1.2.3:8081": 1} {
-		got := rec.Decisions(1, func(decision *controller.Decision) bool { return decision.Mentions(word) })
-		if len(got) != 1 || !reflect.DeepEqual(got[0], want[number]) {
-			t.Errorf("search for %q found %+v; want %+v", word, got, want[number])
+	for text, index := range map[string]int{"joined till-1": 3, "zone 2 drains": 0, "let back 10.1.2.3:8081": 1} {
+		got := rec.Decisions(1, func(decision *controller.Decision) bool { return decision.Mentions(text) })
+		if len(got) != 1 || !reflect.DeepEqual(got[0], want[index]) {
+			t.Errorf("search for %q found %+v; want %+v", text, got, want[index])
 		}
 	}
 }
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -11,11 +11,11 @@
 	"peppervale/internal/controller"
 )
 
-// Environment is what the process provides to an instance. Every field is optional.
+// Environment contains what the process provides to an instance. Every field is optional.
 type Environment struct {
 	Reload     <-chan struct{}                // requests a reload of the configuration
 	LoadConfig func() (*config.Server, error) // loads the configuration; required with Reload
-	LogLevel   *LevelFilter                   // is set to the configured log level at a reload
+	LogLevel   *LevelFilter                   // set to the configured log level at a reload
 	Links      cluster.Links                  // links between cluster members; tests interrupt them
 }
 
@@ -36,7 +36,7 @@
 // Serve runs one instance until the context is done. It then shuts down gracefully within the configured grace period
 // and releases every component that it opened. It returns an error if the start fails: the balancer rejects the
 // settings, the address cannot be opened (a *ListenError), or the state store, discovery, the cluster or the console
-// fails. An error while components are closed is only logged.
+// fails. An error of closing a component is only logged.
 func Serve(ctx context.Context, settings *config.Server, environment Environment, log zerolog.Logger) error {
 	if err := controller.CheckConfig(settings.Balancer); err != nil {
 		return err
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -43,7 +43,7 @@
 		return
 	}
 	inst.controller.SetReportLimit(next.ReportLimit)
-	inst.proxies.SetLimits(peerLimits(next), joinLimits(next, inst.balancer.Seed))
+	inst.proxyServer.SetLimits(peerLimits(next), joinLimits(next, inst.balancerConfig.Seed))
 	if inst.environment.LogLevel != nil {
 		_ = inst.environment.LogLevel.Set(next.LogLevel) // the level's name was checked when the file was loaded
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-// joinLimits returns the limits on joining proxies. The seed is that of the jitter in their Retry-After value.
+// joinLimits returns the limits on joining proxies. The seed determines the jitter of their Retry-After values.
 func joinLimits(settings *config.Server, seed uint64) admission.Limits {
 	limits := settings.PeerLimits
 	return admission.Limits{
--- a/internal/server/statistics.go
+++ b/internal/server/statistics.go
@@ -17,8 +17,8 @@
 )
 
 // logStatistics logs the statistics of an instance. It logs nothing before the controller's first step.
-func logStatistics(log zerolog.Logger, source *controller.Controller, proxies *pubsub.Server) {
-	stats := proxies.Stats()
+func logStatistics(log zerolog.Logger, source *controller.Controller, proxyServer *pubsub.Server) {
+	stats := proxyServer.Stats()
 	view := source.View()
 	if view == nil {
 		return
@@ -43,8 +43,8 @@
 
 // logPlatformStatistics logs the statistics of an instance on the operators' platform. It logs nothing before the
 // controller's first step.
-func logPlatformStatistics(log zerolog.Logger, source *controller.Controller, proxies *platform.Server) {
-	stats := proxies.Stats()
+func logPlatformStatistics(log zerolog.Logger, source *controller.Controller, proxyServer *platform.Server) {
+	stats := proxyServer.Stats()
 	view := source.DetailedView()
 	if view == nil {
 		return
--- a/internal/server/testbed_test.go
+++ b/internal/server/testbed_test.go
@@ -82,9 +82,9 @@
 // newLoop starts a loop for stand-ins. It stops when the test ends.
 func newLoop(t *testing.T) *standin.Loop {
 	t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	loop := standin.NewLoop(func() model.Microseconds {
-		return model.Microseconds(time.Since(began) / time.Microsecond)
+		return model.Microseconds(time.Since(startedAt) / time.Microsecond)
 	})
 	t.Cleanup(loop.Stop)
 	return loop
