--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -104,7 +104,7 @@
 // moveActionsTo moves the instance's actions to the end of a reply.
 func (i *instance) moveActionsTo(reply *simulator.Reply) {
 	if !i.reply.Empty() {
-		reply.OnBehalf(i.number)
+		reply.SetSourceInstance(i.number)
 		reply.Append(&i.reply)
 	}
 	i.reply = simulator.Reply{}
--- a/internal/cli/cluster_status.go
+++ b/internal/cli/cluster_status.go
@@ -56,7 +56,7 @@
 	printf(table, "\nmember\tzone\tchannel\tparts\tusual rate\tstate\n")
 	for i := range members {
 		m := &members[i]
-		printf(table, "%s\t%s\t%s\t%d\t%.1f\t%s\n", m.Name, m.Zone, m.Channel, m.Shards, m.Load, memberState(m))
+		printf(table, "%s\t%s\t%s\t%d\t%.1f\t%s\n", m.Name, m.Zone, m.Channel, m.Shards, m.ExpectedRate, memberState(m))
 	}
 }
 
@@ -65,7 +65,7 @@
 	for i := range shards {
 		shard := &shards[i]
 		printf(table, "%d\t%s\t%s\t%d\t%.1f\t%s\n",
-			shard.Number, shard.Zone, shard.Holder, shard.Epoch, shard.Load, shardTarget(shard))
+			shard.Number, shard.Zone, shard.Holder, shard.Epoch, shard.ExpectedRate, shardTarget(shard))
 	}
 }
 
--- a/internal/cli/cluster_status_test.go
+++ b/internal/cli/cluster_status_test.go
@@ -16,7 +16,7 @@
 	Fault:  "no majority of members is reachable",
 	Members: []cluster.MemberStatus{
 		{
-			Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7700", Shards: 2, Load: 12.34,
+			Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7700", Shards: 2, ExpectedRate: 12.34,
 			SeemsAlive: true, Voter: true,
 		},
 		{Name: "partick-1", Zone: "partick", Channel: "127.0.0.2:7700", SeemsAlive: true, Draining: true},
@@ -24,9 +24,9 @@
 		{Name: "spare", Zone: "govan", Channel: "127.0.0.4:7700", Voter: true, SeemsAlive: true, Removed: true},
 	},
 	Shards: []cluster.ShardStatus{
-		{Number: 0, Zone: "govan", Holder: "govan-1", Epoch: 4, Load: 5, Target: "govan-1"},
+		{Number: 0, Zone: "govan", Holder: "govan-1", Epoch: 4, ExpectedRate: 5, Target: "govan-1"},
 		{
-			Number: 1, Zone: "partick", Holder: "govan-1", Epoch: 12, Load: 6.05,
+			Number: 1, Zone: "partick", Holder: "govan-1", Epoch: 12, ExpectedRate: 6.05,
 			Target: "partick-1", Pinned: true, WaitReason: "it settles",
 		},
 	},
--- a/internal/cli/standin_proxy.go
+++ b/internal/cli/standin_proxy.go
@@ -45,15 +45,15 @@
 	settings.operations = config.ReadOperations(top)
 	block := top.SingleBlock("forwarder", 1, true)
 	settings.proxy = proxy.Config{
-		Name:               block.Labels[0],
-		Zone:               block.String("zone", "", zones...),
-		ExpectedRate:       block.Float("rate", 5, 0.01, 10_000),
-		Pick:               proxy.Pick(block.String("pick", "pair", "lottery", "wheel", "pair")),
-		DefaultRetryPolicy: model.RetryIfNotExecuted,
-		FirstAttemptShare:  retryableAttemptShare,
-		RedialInterval:     block.Duration("redial", 200*model.Millisecond, model.Millisecond, maxStandInDuration),
-		DialTimeout:        proxyDialTimeout,
-		IdleTimeout:        proxyIdleTimeout,
+		Name:                  block.Labels[0],
+		Zone:                  block.String("zone", "", zones...),
+		ExpectedRate:          block.Float("rate", 5, 0.01, 10_000),
+		Pick:                  proxy.Pick(block.String("pick", "pair", "lottery", "wheel", "pair")),
+		DefaultRetryPolicy:    model.RetryIfNotExecuted,
+		RetryableAttemptShare: retryableAttemptShare,
+		RedialInterval:        block.Duration("redial", 200*model.Millisecond, model.Millisecond, maxStandInDuration),
+		DialTimeout:           proxyDialTimeout,
+		IdleTimeout:           proxyIdleTimeout,
 	}
 	for i, address := range block.Strings("governors", true) {
 		instance := proxy.Instance{Name: fmt.Sprint("governor-", i+1), Address: address}
--- a/internal/cli/standin_registry.go
+++ b/internal/cli/standin_registry.go
@@ -37,9 +37,9 @@
 	settings.listen = block.Address("listen", true)
 	settings.service = block.String("service", "")
 	settings.faults = registry.Faults{
-		Fails:  block.Bool("fails", false),
-		Silent: block.Bool("silent", false),
-		Delay:  block.Duration("late", 0, 0, maxStandInDuration),
+		RespondsNoLeader: block.Bool("fails", false),
+		Silent:           block.Bool("silent", false),
+		Delay:            block.Duration("late", 0, 0, maxStandInDuration),
 	}
 	block.RejectUnknown()
 	for _, entryBlock := range top.Blocks("entry", 1) {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -254,12 +254,12 @@
 	return c.member.IsLeaseHolder(shard, c.config.Now())
 }
 
-// TargetChannel returns the address at which proxies connect to the member that a shard is placed on. It returns "" if
+// TargetAddress returns the address at which proxies connect to the member that a shard is placed on. It returns "" if
 // the shard is placed on this member, on no member, or on a member without a recent heartbeat.
-func (c *Cluster) TargetChannel(shard int) string {
+func (c *Cluster) TargetAddress(shard int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.member.TargetChannel(shard, c.config.Now())
+	return c.member.TargetAddress(shard, c.config.Now())
 }
 
 // TransferLeases requests that this member's shards are moved to other members in planned moves, and waits until it
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -239,10 +239,10 @@
 	return changes, releases
 }
 
-// TargetChannel returns the address at which proxies connect to the member that a shard is placed on. It returns "" if
+// TargetAddress returns the address at which proxies connect to the member that a shard is placed on. It returns "" if
 // the shard is placed on this member, on no member, or on a member without a recent heartbeat: a proxy redirected there
 // would most likely find no listener, and lose time.
-func (m *Member) TargetChannel(number int, now model.Microseconds) string {
+func (m *Member) TargetAddress(number int, now model.Microseconds) string {
 	shard := m.state.shard(number)
 	if shard == nil || shard.Target == m.Name {
 		return ""
--- a/internal/cluster/member_test.go
+++ b/internal/cluster/member_test.go
@@ -106,12 +106,12 @@
 func TestTargetChannelIsEmptyWhenMemberFailed(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.runFor(5 * model.Second)
-	if at := sim.members[0].TargetChannel(2, sim.now); at != "127.0.0.1:7701" {
+	if at := sim.members[0].TargetAddress(2, sim.now); at != "127.0.0.1:7701" {
 		t.Fatalf("target channel of shard 2 is %q, want that of m1", at)
 	}
 	sim.members[1].up = false
 	sim.runFor(simulationSettings.Lease.Duration/2 + 20*model.Millisecond)
-	if at := sim.members[0].TargetChannel(2, sim.now); at != "" {
+	if at := sim.members[0].TargetAddress(2, sim.now); at != "" {
 		t.Fatalf("target channel of shard 2 is %q after its member failed, want none", at)
 	}
 }
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -23,17 +23,17 @@
 
 // MemberStatus is the status of one member.
 type MemberStatus struct {
-	Name        string  `json:"name"`
-	Zone        string  `json:"zone"`
-	Channel     string  `json:"channel"`
-	Capacity    float64 `json:"limit,omitempty"` // requests a second; 0: unlimited
-	Voter       bool    `json:"votes"`
-	SeemsAlive  bool    `json:"seems_alive"` // by gossip
-	Draining    bool    `json:"leaving,omitempty"`
-	Removed     bool    `json:"struck,omitempty"`
-	Incarnation uint64  `json:"life"`
-	Shards      int     `json:"parts"` // number of shards that it holds
-	Load        float64 `json:"load"`  // requests a second of these shards, as reported
+	Name         string  `json:"name"`
+	Zone         string  `json:"zone"`
+	Channel      string  `json:"channel"`
+	Capacity     float64 `json:"limit,omitempty"` // requests a second; 0: unlimited
+	Voter        bool    `json:"votes"`
+	SeemsAlive   bool    `json:"seems_alive"` // by gossip
+	Draining     bool    `json:"leaving,omitempty"`
+	Removed      bool    `json:"struck,omitempty"`
+	Incarnation  uint64  `json:"life"`
+	Shards       int     `json:"parts"` // number of shards that it holds
+	ExpectedRate float64 `json:"load"`  // requests a second of these shards, as reported
 }
 
 // ShardStatus is the status of one shard.
@@ -44,7 +44,7 @@
 	Target         string             `json:"wanted"`
 	Pinned         bool               `json:"by_hand,omitempty"`
 	Epoch          uint64             `json:"epoch"`
-	Load           float64            `json:"load"`
+	ExpectedRate   float64            `json:"load"`
 	HeldHere       bool               `json:"held_here"` // this member holds its lease now
 	LeaseRemaining model.Microseconds `json:"lease_left_us,omitempty"`
 	WaitReason     string             `json:"waits_for,omitempty"`
@@ -99,14 +99,14 @@
 
 func (m *Member) shardStatus(shard *ShardState, now model.Microseconds) ShardStatus {
 	status := ShardStatus{
-		Number:     shard.Number,
-		Zone:       shard.Zone,
-		Holder:     m.state.Holder(shard),
-		Target:     shard.Target,
-		Pinned:     shard.Pinned,
-		Epoch:      shard.Lease.Epoch,
-		Load:       shard.Load,
-		WaitReason: m.waitReason(shard),
+		Number:       shard.Number,
+		Zone:         shard.Zone,
+		Holder:       m.state.Holder(shard),
+		Target:       shard.Target,
+		Pinned:       shard.Pinned,
+		Epoch:        shard.Lease.Epoch,
+		ExpectedRate: shard.Load,
+		WaitReason:   m.waitReason(shard),
 	}
 	_, status.HeldHere = m.IsLeaseHolder(shard.Number, now)
 	if status.HeldHere {
@@ -120,7 +120,7 @@
 	for i := range s.Members {
 		if holder := &s.Members[i]; holder.Name == shard.Holder {
 			holder.Shards++
-			holder.Load += shard.Load
+			holder.ExpectedRate += shard.ExpectedRate
 			return
 		}
 	}
--- a/internal/cluster/status_golden_test.go
+++ b/internal/cluster/status_golden_test.go
@@ -21,13 +21,13 @@
 		Members: []MemberStatus{
 			{
 				Name: "govan-1", Zone: "govan", Channel: "127.0.0.1:7701", Capacity: 100.5,
-				Voter: true, SeemsAlive: true, Draining: true, Removed: true, Incarnation: 6, Shards: 7, Load: 8.5,
+				Voter: true, SeemsAlive: true, Draining: true, Removed: true, Incarnation: 6, Shards: 7, ExpectedRate: 8.5,
 			},
 			{Name: "partick-1"},
 		},
 		Shards: []ShardStatus{
 			{
-				Number: 9, Zone: "govan", Holder: "govan-1", Target: "partick-1", Pinned: true, Epoch: 10, Load: 11.5,
+				Number: 9, Zone: "govan", Holder: "govan-1", Target: "partick-1", Pinned: true, Epoch: 10, ExpectedRate: 11.5,
 				HeldHere: true, LeaseRemaining: 1_200_000, WaitReason: "waits for partick-1",
 			},
 			{Number: 12},
--- a/internal/codec/platformmsg/endpoint_list.go
+++ b/internal/codec/platformmsg/endpoint_list.go
@@ -21,10 +21,10 @@
 
 // EndpointList is a response of discovery, or one object of an endpoint watch.
 type EndpointList struct {
-	Version   uint64
-	Full      bool // Endpoints has all endpoints, not only the changed ones
-	Endpoints []Endpoint
-	Skipped   int // number of invalid entries
+	Version      uint64
+	Full         bool // Endpoints has all endpoints, not only the changed ones
+	Endpoints    []Endpoint
+	SkippedCount int // number of invalid entries
 }
 
 // Endpoint is a replica in an endpoint list.
@@ -74,7 +74,7 @@
 	for _, host := range object.Hosts {
 		endpoint, ok := host.endpoint()
 		if !ok {
-			list.Skipped++
+			list.SkippedCount++
 			continue
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
--- a/internal/codec/platformmsg/endpoint_list_test.go
+++ b/internal/codec/platformmsg/endpoint_list_test.go
@@ -25,7 +25,7 @@
 			{Name: "s-5be2a07c", Zone: "a", Status: model.EndpointDraining, StartedAt: 1796152905047000},
 			{Name: "s-1", Zone: "a", Status: model.EndpointGone},
 		},
-		Skipped: 3,
+		SkippedCount: 3,
 	}
 	if err != nil || !reflect.DeepEqual(list, want) {
 		t.Fatalf("parsed as %+v, error %v", list, err)
--- a/internal/codec/platformmsg/golden_test.go
+++ b/internal/codec/platformmsg/golden_test.go
@@ -71,7 +71,7 @@
 }
 
 func TestParsedEndpointListMatchesGoldenFile(t *testing.T) {
-	want := &EndpointList{Version: math.MaxUint64, Full: true, Skipped: 1, Endpoints: []Endpoint{
+	want := &EndpointList{Version: math.MaxUint64, Full: true, SkippedCount: 1, Endpoints: []Endpoint{
 		{Name: "s-1", Zone: "govan", Status: model.EndpointDraining, StartedAt: 1_796_152_905_047_500},
 		{Name: "s-2", Zone: "partick", Status: model.EndpointReady, StartedAt: 1000},
 		{Name: "s-3", Zone: "govan", Status: model.EndpointGone},
--- a/internal/codec/simulator/golden_test.go
+++ b/internal/codec/simulator/golden_test.go
@@ -141,7 +141,7 @@
 	secondReply.RequestAck(7, false)
 	secondReply.SetTimer(1_234_567)
 	secondReply.Subscribe()
-	secondReply.OnBehalf(772)
+	secondReply.SetSourceInstance(772)
 	secondReply.Exception("a cause")
 	firstReply.Append(secondReply)
 	goldentest.Check(t, "reply.hex", hexText(firstReply.Frame(0xfedcba98)))
--- a/internal/codec/simulator/reply.go
+++ b/internal/codec/simulator/reply.go
@@ -48,8 +48,8 @@
 // Empty reports whether there are no actions.
 func (r *Reply) Empty() bool { return len(r.records) == 0 }
 
-// OnBehalf attributes the actions that follow to an instance.
-func (r *Reply) OnBehalf(instance uint16) {
+// SetSourceInstance attributes the actions that follow to an instance.
+func (r *Reply) SetSourceInstance(instance uint16) {
 	fields := r.appendAction(actionOnBehalf)
 	fields.uint16(instance)
 }
--- a/internal/codec/simulator/reply_test.go
+++ b/internal/codec/simulator/reply_test.go
@@ -22,7 +22,7 @@
 	other.SetWeight(7, model.ReplicaID{Addr: [4]byte{1, 2, 3, 4}, Port: 5}, 0.5)
 	other.Log("hi")
 	reply.Log("first")
-	reply.OnBehalf(3)
+	reply.SetSourceInstance(3)
 	reply.Append(other)
 	frame := reply.Frame(12)
 	if binary.LittleEndian.Uint32(frame) != uint32(len(frame)-4) || frame[4] != 4 || frame[8] != 12 {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -27,8 +27,8 @@
 // Platform is the configuration that the operators' platform passes to an instance that it starts.
 type Platform struct {
 	Name             string
-	Listen           string   // address of the instance
-	Discovery        string   // address of the platform's discovery service
+	ListenAddress    string   // address of the instance
+	DiscoveryAddress string   // address of the platform's discovery service
 	Zones            []string // names, indexed by the zone numbers of Balancer
 	Operations       []string // names, indexed by the operation numbers of Balancer
 	LoadReportFields []string // names of a load report's readings, in their order in the report
@@ -163,8 +163,8 @@
 			return fieldError(field.name, "%.60q is not an IPv4 address with a port", field.address)
 		}
 	}
-	p.Listen = listen
-	p.Discovery = discovery
+	p.ListenAddress = listen
+	p.DiscoveryAddress = discovery
 	return nil
 }
 
--- a/internal/config/platform_golden_test.go
+++ b/internal/config/platform_golden_test.go
@@ -11,8 +11,8 @@
 // goldenPlatform is the expected content of the golden platform file, which sets every field.
 var goldenPlatform = &Platform{
 	Name:             "n3",
-	Listen:           "10.0.0.4:3000",
-	Discovery:        "10.2.0.1:8500",
+	ListenAddress:    "10.0.0.4:3000",
+	DiscoveryAddress: "10.2.0.1:8500",
 	Zones:            []string{"govan", "partick"},
 	Operations:       []string{"recipe-read", "batch-log"},
 	LoadReportFields: []string{"busy_reqs", "cpu_share"},
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -47,7 +47,8 @@
 // checkInstanceSettings asserts all values except the balancer's configuration.
 func checkInstanceSettings(t *testing.T, platform *Platform) {
 	t.Helper()
-	if platform.Name != "n3" || platform.Listen != "10.0.0.4:3000" || platform.Discovery != "10.2.0.1:8500" ||
+	if platform.Name != "n3" ||
+		platform.ListenAddress != "10.0.0.4:3000" || platform.DiscoveryAddress != "10.2.0.1:8500" ||
 		platform.MemoryLimit != 48<<20 || platform.SocketLimit != 256 || platform.MaxDeliveryDelay != 555*model.Millisecond {
 		t.Fatalf("unexpected name, address, limit or delay: %+v", platform)
 	}
--- a/internal/console/cluster_test.go
+++ b/internal/console/cluster_test.go
@@ -26,7 +26,7 @@
 		LeaseDuration: 2 * model.Second,
 		Members: []cluster.MemberStatus{
 			{Name: "govan-1", Zone: "govan", SeemsAlive: true, Voter: true},
-			{Name: secondMember, Zone: secondZone, Draining: true, Shards: 1, Load: 12},
+			{Name: secondMember, Zone: secondZone, Draining: true, Shards: 1, ExpectedRate: 12},
 		},
 		Shards: []cluster.ShardStatus{{
 			Number: 0, Zone: "govan", Holder: secondMember, Target: "govan-1", Epoch: 7,
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -24,7 +24,7 @@
 	if list.Full {
 		clear(c.entries)
 	}
-	skipped := list.Skipped
+	skipped := list.SkippedCount
 	for _, endpoint := range list.Endpoints {
 		if !c.registerIfUsable(endpoint) {
 			skipped++
--- a/internal/discovery/consul_test.go
+++ b/internal/discovery/consul_test.go
@@ -138,7 +138,7 @@
 		name  string
 		fault registry.Faults
 	}{
-		{"status 500", registry.Faults{Fails: true}},
+		{"status 500", registry.Faults{RespondsNoLeader: true}},
 		{"no response", registry.Faults{Silent: true}},
 		{"truncated body", registry.Faults{TruncatesBody: true}},
 		{"response after the timeout", registry.Faults{Delay: 900 * model.Millisecond}},
--- a/internal/scenario/standins.go
+++ b/internal/scenario/standins.go
@@ -159,20 +159,20 @@
 	commonSettings := r.script.Proxies
 	zone := index % len(r.script.Zones)
 	return proxy.Config{
-		Name:               fmt.Sprintf("%s-till-%d", r.script.Zones[zone], index/len(r.script.Zones)+1),
-		Zone:               r.script.Zones[zone],
-		ZoneIndex:          zone,
-		ExpectedRate:       rate,
-		Pick:               proxy.Pick(commonSettings.Pick),
-		Operations:         operations,
-		DefaultRetryPolicy: r.script.Guarantees.DefaultRetryPolicy,
-		FirstAttemptShare:  r.script.Guarantees.FirstAttemptFraction,
-		EjectAfter:         commonSettings.EjectAfter,
-		EjectFor:           commonSettings.EjectFor,
-		RedialInterval:     commonSettings.RedialInterval,
-		DialTimeout:        proxyConnectTimeout,
-		IdleTimeout:        proxyIdleTimeout,
-		StallPerEntry:      commonSettings.StallPerEntry,
+		Name:                  fmt.Sprintf("%s-till-%d", r.script.Zones[zone], index/len(r.script.Zones)+1),
+		Zone:                  r.script.Zones[zone],
+		ZoneIndex:             zone,
+		ExpectedRate:          rate,
+		Pick:                  proxy.Pick(commonSettings.Pick),
+		Operations:            operations,
+		DefaultRetryPolicy:    r.script.Guarantees.DefaultRetryPolicy,
+		RetryableAttemptShare: r.script.Guarantees.FirstAttemptFraction,
+		EjectAfter:            commonSettings.EjectAfter,
+		EjectFor:              commonSettings.EjectFor,
+		RedialInterval:        commonSettings.RedialInterval,
+		DialTimeout:           proxyConnectTimeout,
+		IdleTimeout:           proxyIdleTimeout,
+		StallPerEntry:         commonSettings.StallPerEntry,
 	}
 }
 
--- a/internal/scenario/stepkinds.go
+++ b/internal/scenario/stepkinds.go
@@ -113,7 +113,7 @@
 	LoadReportsLate:  (*runner).delayLoadReports,
 	NeverAcknowledge: (*runner).stopAcknowledging,
 	ProxyMisbehavior: (*runner).makeProxiesMisbehave,
-	RegistryFails:    func(r *runner, step Step) { r.injectRegistryFault(step, registry.Faults{Fails: true}) },
+	RegistryFails:    func(r *runner, step Step) { r.injectRegistryFault(step, registry.Faults{RespondsNoLeader: true}) },
 	RegistrySilent:   func(r *runner, step Step) { r.injectRegistryFault(step, registry.Faults{Silent: true}) },
 	RegistryLate: func(r *runner, step Step) {
 		r.injectRegistryFault(step, registry.Faults{Delay: seconds(step.Size)})
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -192,7 +192,7 @@
 	if opened == nil {
 		return ""
 	}
-	return opened.TargetChannel(shard)
+	return opened.TargetAddress(shard)
 }
 
 // transferLeases transfers all leases to other members. It waits until none is held
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -114,7 +114,7 @@
 // openDiscovery creates the watcher of the endpoint list. The watch starts with Subscribe.
 func (inst *platformInstance) openDiscovery(names *platformmsg.ReplicaNames) error {
 	watcher, err := discovery.NewWatcher(discovery.WatchConfig{
-		Address:          inst.settings.Discovery,
+		Address:          inst.settings.DiscoveryAddress,
 		Zones:            inst.settings.Zones,
 		Names:            names,
 		InitialEndpoints: inst.settings.InitialEndpoints,
@@ -165,7 +165,7 @@
 	silenceWithoutDelay := max(maxSilentReportPeriods*settings.Balancer.ReportPeriod, retransmissionTimeout)
 	silenceTimeout := (silenceWithoutDelay + settings.MaxDeliveryDelay).Duration()
 	return platform.Config{
-		Listen:          settings.Listen,
+		Listen:          settings.ListenAddress,
 		Zones:           settings.Zones,
 		Operations:      settings.Operations,
 		LoadFields:      settings.LoadReportFields,
@@ -225,6 +225,6 @@
 		inst.log.Error().Err(err).Msg("reload rejected: loading the file failed; the active settings are unchanged")
 		return
 	}
-	inst.log.Info().Str("discovery", next.Discovery).Msg("configuration reloaded")
-	inst.discovery.SetAddress(next.Discovery)
+	inst.log.Info().Str("discovery", next.DiscoveryAddress).Msg("configuration reloaded")
+	inst.discovery.SetAddress(next.DiscoveryAddress)
 }
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -28,20 +28,20 @@
 
 // Config holds the properties of a proxy.
 type Config struct {
-	Name, Zone         string
-	ZoneIndex          int
-	Instances          []Instance // first the instance of the proxy's zone
-	ExpectedRate       float64    // requests a second; the proxy reports it when it joins
-	Pick               Pick
-	Operations         []Operation
-	DefaultRetryPolicy model.RetryPolicy  // applies until a quota sets a retry policy
-	FirstAttemptShare  float64            // timeout of an attempt that may be retried, as a share of the latency objective
-	EjectAfter         int                // consecutive failures after which the proxy itself ejects a replica; 0: never
-	EjectFor           model.Microseconds // duration of such an ejection
-	RedialInterval     model.Microseconds // a reconnect waits for one to three times this, at random
-	DialTimeout        model.Microseconds
-	IdleTimeout        model.Microseconds // of connections to replicas; 0: no limit
-	StallPerEntry      model.Microseconds // duration of the stall for each entry received
+	Name, Zone            string
+	ZoneIndex             int
+	Instances             []Instance // first the instance of the proxy's zone
+	ExpectedRate          float64    // requests a second; the proxy reports it when it joins
+	Pick                  Pick
+	Operations            []Operation
+	DefaultRetryPolicy    model.RetryPolicy  // applies until a quota sets a retry policy
+	RetryableAttemptShare float64            // timeout of a retryable attempt, as a share of the latency objective
+	EjectAfter            int                // consecutive failures until the proxy itself ejects a replica; 0: never
+	EjectFor              model.Microseconds // duration of such an ejection
+	RedialInterval        model.Microseconds // a reconnect waits for one to three times this, at random
+	DialTimeout           model.Microseconds
+	IdleTimeout           model.Microseconds // of connections to replicas; 0: no limit
+	StallPerEntry         model.Microseconds // duration of the stall for each entry received
 	// OnMessage is called with each message that the proxy has applied and the name of its sender. It may be nil.
 	OnMessage       func(receiver *Proxy, instance string, message *pubsubmsg.Message)
 	OmitLoadReports bool // the proxy sends no load reports; used to measure the channel
--- a/internal/standin/proxy/request.go
+++ b/internal/standin/proxy/request.go
@@ -118,7 +118,7 @@
 }
 
 // sendTo starts an attempt at a replica. If the request may be retried after a timeout, the timeout of the attempt is
-// limited by FirstAttemptShare.
+// limited by RetryableAttemptShare.
 func (r *request) sendTo(replica *replicaState) {
 	p := r.proxy
 	r.attempts++
@@ -127,7 +127,7 @@
 	a := &attempt{request: r, number: r.attempts, replica: replica, startedAt: p.loop.Now()}
 	timeout := r.timeLeft(a.startedAt)
 	if r.retriesLeft > 0 && r.policy >= model.RetryOnAnyFailure {
-		timeout = min(timeout, model.Microseconds(p.FirstAttemptShare*float64(r.operationLimits.LatencyObjective)))
+		timeout = min(timeout, model.Microseconds(p.RetryableAttemptShare*float64(r.operationLimits.LatencyObjective)))
 	}
 	a.timeout = p.loop.After(max(timeout, 0), func() { a.finish(invariants.TimedOut, nil) })
 	p.connectAttempt(a)
--- a/internal/standin/proxy/takeover_test.go
+++ b/internal/standin/proxy/takeover_test.go
@@ -191,7 +191,7 @@
 		fx.proxy = New(fx.loop, engine, Config{
 			Name: "till", Zone: "govan", ExpectedRate: 1, Pick: PickRoundRobin,
 			Operations:         []Operation{{100 * model.Millisecond, 1600 * model.Millisecond}},
-			DefaultRetryPolicy: model.RetryTwiceOnAnyFailure, FirstAttemptShare: 5,
+			DefaultRetryPolicy: model.RetryTwiceOnAnyFailure, RetryableAttemptShare: 5,
 			RedialInterval: 10 * model.Millisecond, DialTimeout: model.Second, IdleTimeout: model.Second,
 			Instances: []Instance{{"a", fx.first.Addr()}, {"b", fx.second.Addr()}},
 		}, 1, fx.observe)
--- a/internal/standin/registry/query.go
+++ b/internal/standin/registry/query.go
@@ -52,7 +52,7 @@
 	case service != r.service:
 		_, _ = conn.Write(http1.AppendResponse(nil, 200, []byte("[]"), indexHeader, "1", contentType, jsonContent))
 	case r.Faults.Silent: // no response
-	case r.Faults.Fails:
+	case r.Faults.RespondsNoLeader:
 		respondNoLeader(conn)
 	default:
 		q := &query{conn: conn}
@@ -98,7 +98,7 @@
 	if r.Faults.Silent {
 		return
 	}
-	if r.Faults.Fails {
+	if r.Faults.RespondsNoLeader {
 		respondNoLeader(pendingQuery.conn)
 		return
 	}
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -26,11 +26,11 @@
 
 // Faults selects the registry's faults; several can be combined. The zero value selects none.
 type Faults struct {
-	Fails         bool               // responds with status 500
-	Silent        bool               // accepts requests and never responds
-	TruncatesBody bool               // closes the connection in the middle of a body
-	IndexGoesBack bool               // sends an index far below the previous one
-	Delay         model.Microseconds // before each response
+	RespondsNoLeader bool               // responds with status 500
+	Silent           bool               // accepts requests and never responds
+	TruncatesBody    bool               // closes the connection in the middle of a body
+	IndexGoesBack    bool               // sends an index far below the previous one
+	Delay            model.Microseconds // before each response
 }
 
 // firstIndex is the index of the initial, empty list.
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// Errors that callers match with errors.Is. Open returns ErrLocked and ErrNewer; each entry of Recovered.Damage matches
-// ErrDamaged.
+// Errors that callers match with errors.Is. Open returns ErrLocked and ErrNewerSchema; each entry of Recovered.Damage
+// matches ErrDamaged.
 var (
-	ErrDamaged = errors.New("damaged")                   // a value or a file failed its checks
-	ErrLocked  = errors.New("in use by another process") // another process holds the lock of the state directory
-	ErrNewer   = errors.New("of a newer form")           // a later program version wrote the state file
+	ErrDamaged     = errors.New("damaged")                   // a value or a file failed its checks
+	ErrLocked      = errors.New("in use by another process") // another process holds the lock of the state directory
+	ErrNewerSchema = errors.New("of a newer form")           // a later program version wrote the state file
 )
 
 // Causes of damage that are not errors of the disk or of bbolt.
@@ -55,7 +55,7 @@
 // Unwrap returns ErrLocked.
 func (e *LockedError) Unwrap() error { return ErrLocked }
 
-// NewerSchemaError reports that a later version of the program wrote the state file. It matches ErrNewer.
+// NewerSchemaError reports that a later version of the program wrote the state file. It matches ErrNewerSchema.
 type NewerSchemaError struct {
 	Stored    uint64 // schema version of the file
 	Supported uint64 // latest schema version that this program reads
@@ -64,8 +64,8 @@
 // Error names both versions and suggests a remedy.
 func (e *NewerSchemaError) Error() string {
 	return fmt.Sprintf("%s: %s: schema version %d, and this program reads up to %d; "+
-		"start the later version, or name another directory", stateFile, ErrNewer, e.Stored, e.Supported)
+		"start the later version, or name another directory", stateFile, ErrNewerSchema, e.Stored, e.Supported)
 }
 
-// Unwrap returns ErrNewer.
-func (e *NewerSchemaError) Unwrap() error { return ErrNewer }
+// Unwrap returns ErrNewerSchema.
+func (e *NewerSchemaError) Unwrap() error { return ErrNewerSchema }
--- a/internal/statestore/migrate_test.go
+++ b/internal/statestore/migrate_test.go
@@ -79,7 +79,8 @@
 	}
 	closeStore(t, store)
 	before := stateImage(t, dir)
-	if _, _, err := Open(dir, 0); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "start the later version") {
+	if _, _, err := Open(dir, 0); !errors.Is(err, ErrNewerSchema) ||
+		!strings.Contains(err.Error(), "start the later version") {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(before, stateImage(t, dir)) {
--- a/internal/statestore/recovery.go
+++ b/internal/statestore/recovery.go
@@ -137,8 +137,8 @@
 	return stored, nil
 }
 
-// load reads the buckets of a transaction. The only error it returns matches ErrNewer; other problems are added as
-// damage.
+// load reads the buckets of a transaction. The only error it returns matches ErrNewerSchema; other problems are added
+// as damage.
 func (st *storedState) load(tx *bolt.Tx) error {
 	state, decisions := tx.Bucket(stateBucket), tx.Bucket(decisionsBucket)
 	if state == nil || decisions == nil {
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -47,8 +47,8 @@
 
 // Open creates the directory if it is missing, locks it, recovers the stored state and increments the incarnation. If
 // the last incarnation number is lost, the next one is at least floor (for example the clock's seconds), which the
-// caller chooses above every number that it may have used. Open returns an error that matches ErrLocked or ErrNewer, or
-// a disk error. Damage is not an error; see Recovered.Damage.
+// caller chooses above every number that it may have used. Open returns an error that matches ErrLocked or
+// ErrNewerSchema, or a disk error. Damage is not an error; see Recovered.Damage.
 func Open(dir string, floor uint64) (*Store, *Recovered, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, nil, fmt.Errorf("state directory: %w", err)
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -74,8 +74,8 @@
 	w.enqueue(func(pending *Change) { pending.Decisions = append(pending.Decisions, record) })
 }
 
-// Dropped returns the number of decisions that were dropped because too many were pending.
-func (w *Writer) Dropped() uint64 {
+// DroppedDecisions returns the number of decisions that were dropped because too many were pending.
+func (w *Writer) DroppedDecisions() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.droppedDecisions
@@ -133,10 +133,10 @@
 		case err != nil:
 			failing = true
 			retryDelay = initialRetryDelay
-			w.report(err, w.Dropped())
+			w.report(err, w.DroppedDecisions())
 		case failing:
 			failing = false
-			w.report(nil, w.Dropped())
+			w.report(nil, w.DroppedDecisions())
 		}
 	}
 }
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -93,7 +93,7 @@
 	case <-time.After(20 * time.Second):
 		return errors.New("no failure was reported")
 	}
-	if dropped := writer.Dropped(); dropped < 100 {
+	if dropped := writer.DroppedDecisions(); dropped < 100 {
 		return fmt.Errorf("%d decisions were dropped, want at least 100", dropped)
 	}
 	stored := newStoredState()
